--- a/core/backpressure/pacer.go
+++ b/core/backpressure/pacer.go
@@ -28,10 +28,10 @@
 // in time, as many a second as the upstream takes; every Of-th is the host's, from the
 // Place-th on. Hosts with different places never have the same turn, and need no word
 // of each other, however few turns there are.
-type Share struct{ Place, Of int }
+type Share struct{ Index, Count int }
 
-// Whole is the share of a host that counts for all.
-var Whole = Share{Of: 1}
+// FullShare is the share of a host that counts for all.
+var FullShare = Share{Count: 1}
 
 // Pacer gives turns at one upstream. Its owner guards it. Clocks of hosts need not
 // agree: one that is off has the turns of another time, and as many.
@@ -68,11 +68,11 @@
 // next is the first turn that was not taken and may be, now or later. It lies a
 // whole period after the last one taken, also when another rate has moved the row.
 func (p *Pacer) next(perSecond float64, s Share, at float64) float64 {
-	if s.Of == 1 {
+	if s.Count == 1 {
 		return max(p.taken+1/perSecond, at-keepFor.Seconds()-keepTurns/perSecond)
 	}
 	perSecond = rowRate(perSecond)
-	period, first := float64(s.Of)/perSecond, float64(s.Place)/perSecond
+	period, first := float64(s.Count)/perSecond, float64(s.Index)/perSecond
 	after := max(p.taken+period-rounding, at-shareKeepFor.Seconds()-shareKeepTurns/perSecond)
 	return math.Ceil((after-first)/period)*period + first
 }
--- a/core/backpressure/play_test.go
+++ b/core/backpressure/play_test.go
@@ -103,10 +103,10 @@
 	for len(h.waiting) > 0 {
 		switch {
 		case h.alone != nil:
-			if !h.alone.Take(s.named(), backpressure.Share{Place: place, Of: len(s.hosts)}, at(now)) {
+			if !h.alone.Take(s.named(), backpressure.Share{Index: place, Count: len(s.hosts)}, at(now)) {
 				return
 			}
-		case s.holder == nil || !s.holder.Take(s.named()*float64(s.heard)/float64(len(s.hosts)), backpressure.Whole, at(now)):
+		case s.holder == nil || !s.holder.Take(s.named()*float64(s.heard)/float64(len(s.hosts)), backpressure.FullShare, at(now)):
 			return
 		}
 		h.waiting = h.waiting[1:]
@@ -195,7 +195,7 @@
 		p := backpressure.NewPacer(at(0).Add(off), at(0).Add(off))
 		taken := 0
 		for i := range 400 {
-			if p.Take(1, backpressure.Share{Place: 3, Of: 4}, at(0).Add(off).Add(time.Duration(i)*100*time.Millisecond)) {
+			if p.Take(1, backpressure.Share{Index: 3, Count: 4}, at(0).Add(off).Add(time.Duration(i)*100*time.Millisecond)) {
 				taken++
 			}
 		}
@@ -205,7 +205,7 @@
 
 // Guards against all the turns of a quiet time taken at once.
 func TestTurnsThatNobodyTookAreKeptForAMomentOnly(t *testing.T) {
-	for _, share := range []backpressure.Share{backpressure.Whole, {Place: 1, Of: 3}} {
+	for _, share := range []backpressure.Share{backpressure.FullShare, {Index: 1, Count: 3}} {
 		p := backpressure.NewPacer(at(0), at(0))
 		taken := 0
 		for p.Take(4, share, at(60)) {
--- a/core/backpressure/retryafter.go
+++ b/core/backpressure/retryafter.go
@@ -9,9 +9,9 @@
 // longestAfter bounds what is read of a time to stay away.
 const longestAfter = 24 * time.Hour
 
-// RetryAfter reads for how long to stay away, in seconds with a fraction; 0: it names
+// ParseRetryAfter reads for how long to stay away, in seconds with a fraction; 0: it names
 // no time, or a date, which upstreams here do not send.
-func RetryAfter(text string) time.Duration {
+func ParseRetryAfter(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || !(seconds > 0) {
 		return 0
--- a/core/backpressure/signal.go
+++ b/core/backpressure/signal.go
@@ -9,22 +9,22 @@
 
 // Limit is how many requests a second an upstream takes from all hosts together.
 type Limit struct {
-	Named     bool // else it takes what comes
+	Stated    bool // else it takes what comes
 	PerSecond float64
 }
 
 // stricter says whether a limit allows less than another.
 func (l Limit) stricter(o Limit) bool {
-	return l.Named && (!o.Named || l.PerSecond < o.PerSecond)
+	return l.Stated && (!o.Stated || l.PerSecond < o.PerSecond)
 }
 
 // sameShare is by how much two limits may differ that hosts need not tell each other
 // of: an upstream may name a slightly other one on each answer.
 const sameShare = 0.1
 
-// Differs says whether hosts have to tell each other of the one that know of the other.
-func (l Limit) Differs(o Limit) bool {
-	if l.Named != o.Named {
+// DiffersMaterially says whether hosts have to tell each other of the one that know of the other.
+func (l Limit) DiffersMaterially(o Limit) bool {
+	if l.Stated != o.Stated {
 		return true
 	}
 	return math.Abs(l.PerSecond-o.PerSecond) > sameShare*max(l.PerSecond, o.PerSecond)
@@ -33,29 +33,29 @@
 // Signal is what one answer of an upstream said. The upstream made the answer
 // at some time between the sending of its request and its arrival.
 type Signal struct {
-	Limit   Limit
-	Leaving bool // its process takes nothing new, for the rest of its life
-	Sent    time.Time
-	Heard   time.Time
+	Limit      Limit
+	Draining   bool // its process takes nothing new, for the rest of its life
+	SentAt     time.Time
+	ReceivedAt time.Time
 }
 
-// Latest is what holds of two signals of one upstream. Answers may overtake each
+// Merge is what holds of two signals of one upstream. Answers may overtake each
 // other, on the way and at different hosts: of two that may have been made in either
 // order the stricter one holds, until a request that was sent after both were heard
 // brings another.
-func Latest(a, b Signal) Signal {
+func Merge(a, b Signal) Signal {
 	out := a
 	switch {
-	case b.Sent.After(a.Heard):
+	case b.SentAt.After(a.ReceivedAt):
 		out = b
-	case a.Sent.After(b.Heard):
+	case a.SentAt.After(b.ReceivedAt):
 	default:
 		if b.Limit.stricter(a.Limit) {
 			out.Limit = b.Limit
 		}
-		out.Sent, out.Heard = later(a.Sent, b.Sent), later(a.Heard, b.Heard)
+		out.SentAt, out.ReceivedAt = later(a.SentAt, b.SentAt), later(a.ReceivedAt, b.ReceivedAt)
 	}
-	out.Leaving = a.Leaving || b.Leaving
+	out.Draining = a.Draining || b.Draining
 	return out
 }
 
--- a/core/backpressure/signal_test.go
+++ b/core/backpressure/signal_test.go
@@ -26,7 +26,7 @@
 }
 
 func named(perSecond float64) backpressure.Limit {
-	return backpressure.Limit{Named: true, PerSecond: perSecond}
+	return backpressure.Limit{Stated: true, PerSecond: perSecond}
 }
 
 // Guards against a limit that is taken back, or kept, by an answer that was overtaken.
@@ -37,16 +37,16 @@
 		newest := 0.0 // when the last answer was heard
 		for range rapid.IntRange(0, 12).Draw(t, "signals") {
 			made := rapid.Float64Range(0, 10).Draw(t, "made")
-			s := backpressure.Signal{Limit: limits.Draw(t, "limit"), Sent: at(made - rapid.Float64Range(0, 2).Draw(t, "way")),
-				Heard: at(made + rapid.Float64Range(0, 2).Draw(t, "back"))}
-			newest = max(newest, s.Heard.Sub(at(0)).Seconds())
+			s := backpressure.Signal{Limit: limits.Draw(t, "limit"), SentAt: at(made - rapid.Float64Range(0, 2).Draw(t, "way")),
+				ReceivedAt: at(made + rapid.Float64Range(0, 2).Draw(t, "back"))}
+			newest = max(newest, s.ReceivedAt.Sub(at(0)).Seconds())
 			all = append(all, s)
 		}
-		last := backpressure.Signal{Limit: limits.Draw(t, "last"), Sent: at(newest + 0.1), Heard: at(newest + 0.2)}
+		last := backpressure.Signal{Limit: limits.Draw(t, "last"), SentAt: at(newest + 0.1), ReceivedAt: at(newest + 0.2)}
 		all = append(all, last)
 		var held backpressure.Signal
 		for _, i := range rapid.Permutation(order(len(all))).Draw(t, "order") {
-			held = backpressure.Latest(held, all[i])
+			held = backpressure.Merge(held, all[i])
 		}
 		assert.Equal(t, held.Limit, last.Limit)
 	})
@@ -62,11 +62,11 @@
 
 // Guards against a moment without a limit between two answers that name it.
 func TestOfAnswersThatCrossTheStricterHolds(t *testing.T) {
-	limited := backpressure.Signal{Limit: named(1), Sent: at(0), Heard: at(1)}
-	crossing := backpressure.Signal{Sent: at(0.5), Heard: at(1.2)}
-	again := backpressure.Signal{Limit: named(1), Sent: at(0.9), Heard: at(3)}
-	assert.Equal(t, backpressure.Latest(limited, crossing).Limit, named(1))
-	assert.Equal(t, backpressure.Latest(crossing, limited).Limit, named(1))
-	before := backpressure.Signal{Sent: at(2), Heard: at(2.5)}
-	assert.Equal(t, backpressure.Latest(backpressure.Latest(limited, again), before).Limit, named(1))
+	limited := backpressure.Signal{Limit: named(1), SentAt: at(0), ReceivedAt: at(1)}
+	crossing := backpressure.Signal{SentAt: at(0.5), ReceivedAt: at(1.2)}
+	again := backpressure.Signal{Limit: named(1), SentAt: at(0.9), ReceivedAt: at(3)}
+	assert.Equal(t, backpressure.Merge(limited, crossing).Limit, named(1))
+	assert.Equal(t, backpressure.Merge(crossing, limited).Limit, named(1))
+	before := backpressure.Signal{SentAt: at(2), ReceivedAt: at(2.5)}
+	assert.Equal(t, backpressure.Merge(backpressure.Merge(limited, again), before).Limit, named(1))
 }
--- a/core/backpressure/slowstart.go
+++ b/core/backpressure/slowstart.go
@@ -11,14 +11,14 @@
 // usualSlots is how many requests an upstream of unknown size is taken to run.
 const usualSlots = 8
 
-// Begin starts with one request.
-func (s *SlowStart) Begin() { s.room = 1 }
+// Start starts with one request.
+func (s *SlowStart) Start() { s.room = 1 }
 
 // Active says whether requests are held back.
 func (s *SlowStart) Active() bool { return s.room > 0 }
 
-// Full says whether no more may be sent until one is answered, or ends.
-func (s *SlowStart) Full() bool { return s.room > 0 && s.out >= s.room }
+// AtLimit says whether no more may be sent until one is answered, or ends.
+func (s *SlowStart) AtLimit() bool { return s.room > 0 && s.out >= s.room }
 
 // Sent notes a request; it says whether its end and answer are to be told.
 func (s *SlowStart) Sent() (counted bool) {
--- a/core/backpressure/slowstart_test.go
+++ b/core/backpressure/slowstart_test.go
@@ -11,12 +11,12 @@
 // Guards against an upstream that is flooded again as soon as its rest is over.
 func TestAfterARestRequestsComeBackLittleByLittle(t *testing.T) {
 	var s backpressure.SlowStart
-	assert.Assert(t, !s.Active() && !s.Full() && !s.Sent())
-	s.Begin()
+	assert.Assert(t, !s.Active() && !s.AtLimit() && !s.Sent())
+	s.Start()
 	send := func(want int) {
 		t.Helper()
 		n := 0
-		for ; !s.Full() && n < 100; n++ {
+		for ; !s.AtLimit() && n < 100; n++ {
 			assert.Assert(t, s.Sent())
 		}
 		assert.Equal(t, n, want)
@@ -29,8 +29,8 @@
 	s.Answered(8)
 	assert.Assert(t, s.Active())
 	send(6) // eight, two of which have not ended
-	s.Begin()
-	assert.Assert(t, s.Full(), "it has turned one away again")
+	s.Start()
+	assert.Assert(t, s.AtLimit(), "it has turned one away again")
 	for range 8 {
 		s.Ended()
 	}
@@ -40,5 +40,5 @@
 	}
 	assert.Assert(t, s.Active())
 	s.Answered(0)
-	assert.Assert(t, !s.Active() && !s.Full())
+	assert.Assert(t, !s.Active() && !s.AtLimit())
 }
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -9,24 +9,24 @@
 // Endpoint is one upstream at the time of the snapshot. Loads are of all hosts
 // together as far as this host knows them.
 type Endpoint struct {
-	ID           string
-	Address      string
-	Slots        int
-	Near         bool // in this host's data centre
-	Warm         bool // the sending host has an idle connection to it
-	Leaving      bool
-	Down         bool // its answers, or their absence, speak against it
-	Trial        bool // was down; one request at a time is let through
-	Trying       bool // that one request is out
-	Tried        bool // had an attempt of this request
-	HoldsModel   bool
-	HoldsAdapter bool
-	Busy         bool          // carries out an order
-	Requests     int           // sent and not ended
-	Waiting      int           // prompt tokens sent whose first event has not come
-	Tokens       int           // prompt and expected answer of all requests there
-	Cached       int           // prompt tokens of this request that it probably keeps
-	Cold         time.Duration // slow for this much longer after its start
+	ID                  string
+	Address             string
+	Slots               int
+	SameDataCentre      bool // in this host's data centre
+	HasIdleConn         bool // the sending host has an idle connection to it
+	Draining            bool
+	Down                bool // its answers, or their absence, speak against it
+	HalfOpen            bool // was down; one request at a time is let through
+	ProbeInFlight       bool // that one request is out
+	Tried               bool // had an attempt of this request
+	ModelResident       bool
+	AdapterResident     bool
+	ExecutingOrder      bool          // carries out an order
+	InFlight            int           // sent and not ended
+	PendingPromptTokens int           // prompt tokens sent whose first event has not come
+	InFlightTokens      int           // prompt and expected answer of all requests there
+	CachedTokens        int           // prompt tokens of this request that it probably keeps
+	WarmupRemaining     time.Duration // slow for this much longer after its start
 	// Backoff is for how long it asked to be sent nothing more, or what it takes is
 	// used up; 0: it takes a request now.
 	Backoff time.Duration
@@ -34,14 +34,14 @@
 
 // Request is what picking needs to know of a request.
 type Request struct {
-	Model       string // "": any upstream of the service answers
-	Adapter     string // "": none
-	Prompt      int    // tokens
-	Output      int    // tokens to expect
-	CacheTokens int    // that one upstream has room for; 0: not bounded
+	Model        string // "": any upstream of the service answers
+	Adapter      string // "": none
+	PromptTokens int    // tokens
+	OutputTokens int    // tokens to expect
+	CacheTokens  int    // that one upstream has room for; 0: not bounded
 	// Reading is how many prompt tokens may wait to be read at an upstream
 	// beside others, so that streams there keep their pace; 0: not bounded.
-	Reading int
+	MaxPendingPromptTokens int
 }
 
 // Reason says why no endpoint was found.
@@ -49,18 +49,18 @@
 
 // The reasons. Hosts tell each other their numbers; nearness orders them.
 const (
-	Found      Reason = iota
-	NoServer          // the service has no upstream that may be used
-	NoModel           // usable ones exist; none holds the model
-	NoAdapter         // holders exist; none has the adapter
-	AllFull           // those that could answer have no room
-	AllReading        // those that could answer read prompts of others just now
-	AllBackoff        // those that could answer asked to be sent nothing for now
+	Found         Reason = iota
+	NoUpstream           // the service has no upstream that may be used
+	NoModel              // usable ones exist; none holds the model
+	NoAdapter            // holders exist; none has the adapter
+	AllFull              // those that could answer have no room
+	AllPrefilling        // those that could answer read prompts of others just now
+	AllBackoff           // those that could answer asked to be sent nothing for now
 )
 
-// ReasonOf reads a reason that another host told; one of a later release counts as
+// ReasonFromCode reads a reason that another host told; one of a later release counts as
 // no room.
-func ReasonOf(n uint32) Reason {
+func ReasonFromCode(n uint32) Reason {
 	if n > uint32(AllBackoff) {
 		return AllFull
 	}
@@ -68,10 +68,10 @@
 }
 
 // nearness orders the reasons: the higher, the less is missing.
-var nearness = [...]int{NoServer: 0, NoModel: 1, AllBackoff: 2, NoAdapter: 3, AllFull: 4, AllReading: 5, Found: 6}
+var nearness = [...]int{NoUpstream: 0, NoModel: 1, AllBackoff: 2, NoAdapter: 3, AllFull: 4, AllPrefilling: 5, Found: 6}
 
-// Nearer says whether less is missing than for another reason.
-func (r Reason) Nearer(o Reason) bool { return nearness[r] > nearness[o] }
+// CloserToFound says whether less is missing than for another reason.
+func (r Reason) CloserToFound(o Reason) bool { return nearness[r] > nearness[o] }
 
 // String names the reason in logs.
 func (r Reason) String() string {
@@ -80,36 +80,36 @@
 
 // Decision is the result of a pick.
 type Decision struct {
-	Index     int // in the snapshot; -1: none
-	Reason    Reason
-	Predicted time.Duration // until the first event
+	Index         int // in the snapshot; -1: none
+	Reason        Reason
+	PredictedWait time.Duration // until the first event
 	// Home is where an adapter should be loaded when Reason is NoAdapter; -1: nowhere.
-	Home int
+	AdapterTarget int
 	// Backoff is the shortest of those that were passed over for theirs.
-	Backoff time.Duration
+	MinBackoff time.Duration
 }
 
 // Pick chooses an endpoint for the request. Draw gives random numbers in
 // [0, 1); they only part equals, so that hosts with the same view spread.
 func Pick(endpoints []Endpoint, r *Request, draw func() float64) Decision {
-	best := Decision{Index: -1, Reason: NoServer, Home: -1}
+	best := Decision{Index: -1, Reason: NoUpstream, AdapterTarget: -1}
 	lowest, lowestHome := 0.0, 0.0
 	for i := range endpoints {
 		e := &endpoints[i]
 		reason := Check(e, r)
-		if best.Index < 0 && reason.Nearer(best.Reason) {
+		if best.Index < 0 && reason.CloserToFound(best.Reason) {
 			best.Reason = reason
 		}
-		if reason == AllBackoff && (best.Backoff == 0 || e.Backoff < best.Backoff) {
-			best.Backoff = e.Backoff
+		if reason == AllBackoff && (best.MinBackoff == 0 || e.Backoff < best.MinBackoff) {
+			best.MinBackoff = e.Backoff
 		}
 		if reason != Found && reason != NoAdapter {
 			continue
 		}
 		s := score(e, r) + draw()*drawMs
 		if reason == NoAdapter {
-			if best.Home < 0 || s < lowestHome {
-				best.Home, lowestHome = i, s
+			if best.AdapterTarget < 0 || s < lowestHome {
+				best.AdapterTarget, lowestHome = i, s
 			}
 			continue
 		}
@@ -119,7 +119,7 @@
 		}
 	}
 	if best.Index >= 0 {
-		best.Predicted = time.Duration(lowest * float64(time.Millisecond))
+		best.PredictedWait = time.Duration(lowest * float64(time.Millisecond))
 	}
 	return best
 }
@@ -127,18 +127,18 @@
 // Check says what keeps a request from an endpoint; Found: nothing does.
 func Check(e *Endpoint, r *Request) Reason {
 	switch {
-	case e.Leaving, e.Tried, e.Down, e.Trial && e.Trying:
-		return NoServer
-	case r.Model != "" && !e.HoldsModel:
+	case e.Draining, e.Tried, e.Down, e.HalfOpen && e.ProbeInFlight:
+		return NoUpstream
+	case r.Model != "" && !e.ModelResident:
 		return NoModel
 	case e.Backoff > 0: // before what would be loaded there
 		return AllBackoff
-	case r.Adapter != "" && !e.HoldsAdapter:
+	case r.Adapter != "" && !e.AdapterResident:
 		return NoAdapter
 	case full(e, r):
 		return AllFull
 	case reading(e, r):
-		return AllReading
+		return AllPrefilling
 	}
 	return Found
 }
--- a/core/balance/full.go
+++ b/core/balance/full.go
@@ -16,11 +16,11 @@
 // full says that the upstream should get no more for now.
 func full(e *Endpoint, r *Request) bool {
 	if r.Model == "" {
-		return e.Slots > 0 && float64(e.Requests) >= plainQueueShare*float64(e.Slots)
+		return e.Slots > 0 && float64(e.InFlight) >= plainQueueShare*float64(e.Slots)
 	}
-	if e.Slots > 0 && float64(e.Requests) >= queueShare*float64(e.Slots) {
+	if e.Slots > 0 && float64(e.InFlight) >= queueShare*float64(e.Slots) {
 		return true
 	}
 	room := cacheShare * float64(r.CacheTokens)
-	return r.CacheTokens > 0 && e.Requests > 0 && float64(e.Tokens+r.Prompt+r.Output) > room
+	return r.CacheTokens > 0 && e.InFlight > 0 && float64(e.InFlightTokens+r.PromptTokens+r.OutputTokens) > room
 }
--- a/core/balance/reading.go
+++ b/core/balance/reading.go
@@ -7,12 +7,12 @@
 // a piece of the waiting prompts between any two tokens that it makes. What is
 // not sent yet can still go to whichever upstream is done first.
 func reading(e *Endpoint, r *Request) bool {
-	return r.Reading > 0 && e.Waiting > 0 && e.Waiting+r.Prompt > r.Reading
+	return r.MaxPendingPromptTokens > 0 && e.PendingPromptTokens > 0 && e.PendingPromptTokens+r.PromptTokens > r.MaxPendingPromptTokens
 }
 
-// ReadingFor is how many prompt tokens may wait at an upstream whose streams
+// PendingPromptLimit is how many prompt tokens may wait at an upstream whose streams
 // must not pause for longer than bound between events of some tokens.
-func ReadingFor(bound time.Duration, eventTokens int) int {
+func PendingPromptLimit(bound time.Duration, eventTokens int) int {
 	if bound <= 0 {
 		return 0
 	}
--- a/core/balance/score.go
+++ b/core/balance/score.go
@@ -28,28 +28,28 @@
 // costs the others that run there.
 func score(e *Endpoint, r *Request) float64 {
 	s := 0.0
-	if !e.Near {
+	if !e.SameDataCentre {
 		s += farMs
 	}
-	if !e.Warm {
+	if !e.HasIdleConn {
 		s += openMs
 	}
-	if e.Cold > 0 {
-		s += coldMs * min(1, e.Cold.Seconds()/time.Second.Seconds())
+	if e.WarmupRemaining > 0 {
+		s += coldMs * min(1, e.WarmupRemaining.Seconds()/time.Second.Seconds())
 	}
 	if r.Model == "" {
-		return s + plainMs*float64(e.Requests)/float64(max(e.Slots, 1))
+		return s + plainMs*float64(e.InFlight)/float64(max(e.Slots, 1))
 	}
-	prompt := max(r.Prompt-e.Cached, 0)
-	s += float64(e.Waiting+prompt) / prefillTokensPerMs
-	s += rowMs * float64(e.Requests) * steps(e)
+	prompt := max(r.PromptTokens-e.CachedTokens, 0)
+	s += float64(e.PendingPromptTokens+prompt) / prefillTokensPerMs
+	s += rowMs * float64(e.InFlight) * steps(e)
 	return s
 }
 
 // steps is how many decoding steps the first event waits for about: one when
 // the batch has room, more when requests must end before this one begins.
 func steps(e *Endpoint) float64 {
-	over := e.Requests - e.Slots
+	over := e.InFlight - e.Slots
 	if e.Slots == 0 || over < 0 {
 		return 1
 	}
--- a/core/poison/digest.go
+++ b/core/poison/digest.go
@@ -29,8 +29,8 @@
 // of it, so that no team can have another's requests barred.
 type Digest [digestBytes]byte
 
-// ErrDigest says that bytes or text are no digest.
-var ErrDigest = errors.New("no digest of a request")
+// ErrInvalidDigest says that bytes or text are no digest.
+var ErrInvalidDigest = errors.New("no digest of a request")
 
 // Digest works the digest out.
 func (c *Content) Digest() Digest {
@@ -53,16 +53,16 @@
 func ParseDigest(text string) (Digest, error) {
 	data, err := hex.DecodeString(text)
 	if err != nil {
-		return Digest{}, ErrDigest
+		return Digest{}, ErrInvalidDigest
 	}
-	return DigestOf(data)
+	return DigestFromBytes(data)
 }
 
-// DigestOf takes a digest's bytes.
-func DigestOf(data []byte) (Digest, error) {
+// DigestFromBytes takes a digest's bytes.
+func DigestFromBytes(data []byte) (Digest, error) {
 	var d Digest
 	if len(data) != digestBytes {
-		return d, ErrDigest
+		return d, ErrInvalidDigest
 	}
 	copy(d[:], data)
 	return d, nil
@@ -85,20 +85,20 @@
 
 var partEnd = []byte{0}
 
-// Mark is how a request is known to other hosts.
-type Mark struct {
+// Fingerprint is how a request is known to other hosts.
+type Fingerprint struct {
 	Digest Digest
 	Shape  Shape
 }
 
-// Mark works both out.
-func (c *Content) Mark() Mark { return Mark{Digest: c.Digest(), Shape: c.Shape()} }
+// Fingerprint works both out.
+func (c *Content) Fingerprint() Fingerprint { return Fingerprint{Digest: c.Digest(), Shape: c.Shape()} }
 
 // Request is a Content whose digest is worked out at most once. It belongs to one
 // goroutine.
 type Request struct {
 	content Content
-	mark    Mark
+	mark    Fingerprint
 	marked  bool
 }
 
@@ -113,10 +113,10 @@
 	return r.content.Shape()
 }
 
-// Mark is that of the content.
-func (r *Request) Mark() Mark {
+// Fingerprint is that of the content.
+func (r *Request) Fingerprint() Fingerprint {
 	if !r.marked {
-		r.mark, r.marked = r.content.Mark(), true
+		r.mark, r.marked = r.content.Fingerprint(), true
 	}
 	return r.mark
 }
--- a/core/poison/digest_test.go
+++ b/core/poison/digest_test.go
@@ -42,6 +42,6 @@
 	assert.Equal(t, back, d)
 	for _, bad := range []string{"", "zz", d.String()[2:], d.String() + "00"} {
 		_, err := ParseDigest(bad)
-		assert.ErrorIs(t, err, ErrDigest)
+		assert.ErrorIs(t, err, ErrInvalidDigest)
 	}
 }
--- a/core/poison/entry.go
+++ b/core/poison/entry.go
@@ -17,11 +17,11 @@
 
 // Entry is what is known of one request.
 type Entry struct {
-	Mark
-	State   State
-	Crashes int       // upstreams that ended while it ran there, lately
-	Until   time.Time // of one that is barred: when the bar ends
-	Bars    int       // how often it was barred
+	Fingerprint
+	State       State
+	CrashCount  int       // upstreams that ended while it ran there, lately
+	BarredUntil time.Time // of one that is barred: when the bar ends
+	BarCount    int       // how often it was barred
 }
 
 // Cause says what changed what is held of a request.
@@ -29,12 +29,12 @@
 
 // The causes.
 const (
-	ByCrashes    Cause = iota // upstreams ended under it
-	ByReport                  // another ledger found out
-	ByCompletion              // it ran to its end
-	ByTime                    // the bar was over
-	ByOperator                // an operator released it
-	ByOthers                  // others explain the crashes better
+	ByCrashes       Cause = iota // upstreams ended under it
+	ByReport                     // another ledger found out
+	ByCompletion                 // it ran to its end
+	ByExpiry                     // the bar was over
+	ByOperator                   // an operator released it
+	ByOtherSuspects              // others explain the crashes better
 )
 
 // String names the cause in logs.
@@ -42,8 +42,8 @@
 	return [...]string{"crashes", "report", "completion", "time", "operator", "others"}[c]
 }
 
-// Decision is a bar that began, or one that ended.
-type Decision struct {
+// Transition is a bar that began, or one that ended.
+type Transition struct {
 	Entry
 	Cause     Cause
 	Upstreams []string // that ended while the request ran there
--- a/core/poison/judge.go
+++ b/core/poison/judge.go
@@ -7,27 +7,27 @@
 	// SoleCrashes is in how many crashes a request must have run to be barred if it is
 	// the only one that all of these have in common. Crashes is the same for one
 	// that is not.
-	SoleCrashes, Crashes int
+	MinSoleCrashes, MinCrashes int
 	// MassWindow is within which time MassCrashes upstreams or more end of something else
 	// than a request, as when a rack is lost, unless most of them ran it.
-	MassWindow  time.Duration
-	MassCrashes int
+	MassWindow     time.Duration
+	MinMassCrashes int
 	// Memory is how long a crash is held against what ran there.
-	Memory time.Duration
+	CrashRetention time.Duration
 	// Bar is how long a request is barred at first. Each further bar is twice as
 	// long as the one before, up to BarMost.
-	Bar, BarMost time.Duration
+	InitialBar, MaxBar time.Duration
 }
 
-// Default is what hosts go by.
-var Default = Policy{
-	SoleCrashes: 2,
-	Crashes:     3,
-	MassWindow:  50 * time.Millisecond, // hosts notice one crash within a few
-	MassCrashes: 3,
-	Memory:      10 * time.Minute, // such a request may come once a minute
-	Bar:         2 * time.Minute,  // far above an upstream's restart, so that what one costs is little
-	BarMost:     time.Hour,
+// DefaultPolicy is what hosts go by.
+var DefaultPolicy = Policy{
+	MinSoleCrashes: 2,
+	MinCrashes:     3,
+	MassWindow:     50 * time.Millisecond, // hosts notice one crash within a few
+	MinMassCrashes: 3,
+	CrashRetention: 10 * time.Minute, // such a request may come once a minute
+	InitialBar:     2 * time.Minute,  // far above an upstream's restart, so that what one costs is little
+	MaxBar:         time.Hour,
 }
 
 // judge bars the requests that what happened can not be explained without. The
@@ -48,7 +48,7 @@
 	most := 0
 	var found []*entry
 	for _, e := range l.entries {
-		if e.State != Suspected || e.Bars == 0 && len(e.crashes) < l.policy.SoleCrashes {
+		if e.State != Suspected || e.BarCount == 0 && len(e.crashes) < l.policy.MinSoleCrashes {
 			continue
 		}
 		n := l.score(e, l.explained)
@@ -77,7 +77,7 @@
 	for id := range e.crashes {
 		c := l.crashes[id]
 		weight := fullWeight
-		if explained(c, e) && len(e.crashes) < l.policy.Crashes {
+		if explained(c, e) && len(e.crashes) < l.policy.MinCrashes {
 			weight = explainedWeight
 		}
 		if l.partOfMass(c, e) {
@@ -102,7 +102,7 @@
 			ran++
 		}
 	}
-	return all >= l.policy.MassCrashes && 2*ran < all
+	return all >= l.policy.MinMassCrashes && 2*ran < all
 }
 
 // explained says whether something that is barred ran there.
@@ -118,12 +118,12 @@
 // needed is how many crashes it takes to bar a suspect.
 func (l *Ledger) needed(e *entry) int {
 	switch {
-	case e.Bars > 0:
+	case e.BarCount > 0:
 		return probationOne
 	case l.alone(e):
-		return l.policy.SoleCrashes
+		return l.policy.MinSoleCrashes
 	default:
-		return l.policy.Crashes
+		return l.policy.MinCrashes
 	}
 }
 
@@ -140,8 +140,8 @@
 }
 
 func (l *Ledger) bar(e *entry, now time.Time) {
-	e.Until = now.Add(min(l.policy.Bar<<min(e.Bars, barDoublings), l.policy.BarMost))
-	e.Bars++
+	e.BarredUntil = now.Add(min(l.policy.InitialBar<<min(e.BarCount, barDoublings), l.policy.MaxBar))
+	e.BarCount++
 	l.decide(e, Barred, ByCrashes)
 	l.change(e, now)
 }
@@ -154,12 +154,12 @@
 // only until these are known. More than a few crashes are no chance.
 func (l *Ledger) reconsider(now time.Time) {
 	for _, e := range l.entries {
-		if e.State != Barred || len(e.crashes) < l.policy.SoleCrashes || len(e.crashes) >= l.policy.Crashes {
+		if e.State != Barred || len(e.crashes) < l.policy.MinSoleCrashes || len(e.crashes) >= l.policy.MinCrashes {
 			continue // of one with fewer, as when it was adopted, the crashes are not all here
 		}
-		if l.score(e, l.explainedBetter) < fullWeight*l.policy.SoleCrashes {
-			e.Until, e.Bars = time.Time{}, e.Bars-1
-			l.decide(e, Suspected, ByOthers)
+		if l.score(e, l.explainedBetter) < fullWeight*l.policy.MinSoleCrashes {
+			e.BarredUntil, e.BarCount = time.Time{}, e.BarCount-1
+			l.decide(e, Suspected, ByOtherSuspects)
 			l.change(e, now)
 		}
 	}
--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -39,7 +39,7 @@
 	entries   map[Digest]*entry
 	revision  uint64
 	expired   time.Time // when it was last looked for what is over
-	decisions []Decision
+	decisions []Transition
 }
 
 // NewLedger makes one in which nothing is known.
@@ -47,9 +47,9 @@
 	return &Ledger{policy: p, crashes: map[string]*crash{}, entries: map[Digest]*entry{}}
 }
 
-// Crash notes that an upstream ended while requests were under way there, and
+// RecordCrash notes that an upstream ended while requests were under way there, and
 // when. Each host tells its own, at its own time.
-func (l *Ledger) Crash(upstream string, ran []Mark, at, now time.Time) {
+func (l *Ledger) RecordCrash(upstream string, ran []Fingerprint, at, now time.Time) {
 	l.expire(now)
 	c := l.crashes[upstream]
 	if c == nil {
@@ -83,7 +83,7 @@
 }
 
 // suspect holds one crash against a request. It says no if there is no room.
-func (l *Ledger) suspect(m Mark, upstream string, now time.Time) bool {
+func (l *Ledger) suspect(m Fingerprint, upstream string, now time.Time) bool {
 	e := l.entry(m)
 	if e == nil {
 		return false
@@ -97,10 +97,10 @@
 }
 
 // entry finds a request's entry, or makes it; nil: there is no room.
-func (l *Ledger) entry(m Mark) *entry {
+func (l *Ledger) entry(m Fingerprint) *entry {
 	e := l.entries[m.Digest]
 	if e == nil && (len(l.entries) < entriesMost || l.evict()) {
-		e = &entry{Entry: Entry{Mark: m}, crashes: map[string]bool{}}
+		e = &entry{Entry: Entry{Fingerprint: m}, crashes: map[string]bool{}}
 		l.entries[m.Digest] = e
 	}
 	return e
@@ -136,7 +136,7 @@
 
 func (l *Ledger) change(e *entry, now time.Time) {
 	l.revision++
-	e.revision, e.at, e.Crashes = l.revision, now, len(e.crashes)
+	e.revision, e.at, e.CrashCount = l.revision, now, len(e.crashes)
 }
 
 // Clear notes that a request ran to its end, or for long after it had begun:
@@ -144,7 +144,7 @@
 func (l *Ledger) Clear(d Digest, now time.Time) {
 	if e := l.entries[d]; e != nil && e.State != Cleared {
 		l.clear(e, ByCompletion, now)
-		e.Bars = 0
+		e.BarCount = 0
 		l.judge(now)
 	}
 }
@@ -156,7 +156,7 @@
 		return false
 	}
 	l.clear(e, ByOperator, now)
-	e.Bars = 0
+	e.BarCount = 0
 	return true
 }
 
@@ -169,20 +169,20 @@
 			delete(c.ran, e.Digest)
 		}
 	}
-	e.crashes, e.State, e.Until = map[string]bool{}, Cleared, time.Time{}
+	e.crashes, e.State, e.BarredUntil = map[string]bool{}, Cleared, time.Time{}
 	l.change(e, now)
 }
 
 // Adopt takes over a bar that another ledger found.
 func (l *Ledger) Adopt(b Entry, now time.Time) {
-	if b.State != Barred || !b.Until.After(now) {
+	if b.State != Barred || !b.BarredUntil.After(now) {
 		return
 	}
-	e := l.entry(b.Mark)
-	if e == nil || e.State == Barred && !b.Until.After(e.Until) {
+	e := l.entry(b.Fingerprint)
+	if e == nil || e.State == Barred && !b.BarredUntil.After(e.BarredUntil) {
 		return
 	}
-	e.Until, e.Bars = b.Until, max(e.Bars, b.Bars)
+	e.BarredUntil, e.BarCount = b.BarredUntil, max(e.BarCount, b.BarCount)
 	if e.State != Barred {
 		l.decide(e, Barred, ByReport)
 	}
@@ -191,14 +191,14 @@
 
 // decide notes the begin or the end of a bar.
 func (l *Ledger) decide(e *entry, s State, why Cause) {
-	e.State, e.Crashes = s, len(e.crashes)
+	e.State, e.CrashCount = s, len(e.crashes)
 	if len(l.decisions) < entriesMost {
-		l.decisions = append(l.decisions, Decision{Entry: e.Entry, Cause: why, Upstreams: slices.Sorted(maps.Keys(e.crashes))})
+		l.decisions = append(l.decisions, Transition{Entry: e.Entry, Cause: why, Upstreams: slices.Sorted(maps.Keys(e.crashes))})
 	}
 }
 
-// Decisions returns the bars that began and ended since it was called last.
-func (l *Ledger) Decisions() []Decision {
+// TakeTransitions returns the bars that began and ended since it was called last.
+func (l *Ledger) TakeTransitions() []Transition {
 	out := l.decisions
 	l.decisions = nil
 	return out
@@ -215,15 +215,15 @@
 	}
 	l.expired = now
 	for id, c := range l.crashes {
-		if now.Sub(c.at) > l.policy.Memory {
+		if now.Sub(c.at) > l.policy.CrashRetention {
 			l.dropCrash(id)
 		}
 	}
 	for _, e := range l.entries {
 		switch {
-		case e.State == Barred && !now.Before(e.Until), e.State == Suspected && len(e.crashes) == 0:
-			l.clear(e, ByTime, now)
-		case e.State == Cleared && e.Bars == 0 && now.Sub(e.at) > clearedFor, e.State == Cleared && now.Sub(e.at) > l.policy.BarMost:
+		case e.State == Barred && !now.Before(e.BarredUntil), e.State == Suspected && len(e.crashes) == 0:
+			l.clear(e, ByExpiry, now)
+		case e.State == Cleared && e.BarCount == 0 && now.Sub(e.at) > clearedFor, e.State == Cleared && now.Sub(e.at) > l.policy.MaxBar:
 			delete(l.entries, e.Digest)
 		}
 	}
@@ -238,13 +238,13 @@
 	delete(l.crashes, id)
 }
 
-// Barred says until when a request is barred.
-func (l *Ledger) Barred(d Digest, now time.Time) (until time.Time, ok bool) {
+// BarredUntil says until when a request is barred.
+func (l *Ledger) BarredUntil(d Digest, now time.Time) (until time.Time, ok bool) {
 	e := l.entries[d]
-	if e == nil || e.State != Barred || !now.Before(e.Until) {
+	if e == nil || e.State != Barred || !now.Before(e.BarredUntil) {
 		return time.Time{}, false
 	}
-	return e.Until, true
+	return e.BarredUntil, true
 }
 
 // Counts are how many requests are suspected, and barred.
--- a/core/poison/ledger_test.go
+++ b/core/poison/ledger_test.go
@@ -11,21 +11,21 @@
 
 var start = time.Unix(1000, 0)
 
-func named(text string) Mark { return (&Content{Target: text}).Mark() }
+func named(text string) Fingerprint { return (&Content{Target: text}).Fingerprint() }
 
 func isBarred(l *Ledger, text string, now time.Time) bool {
-	_, ok := l.Barred(named(text).Digest, now)
+	_, ok := l.BarredUntil(named(text).Digest, now)
 	return ok
 }
 
 // crashes notes ends of upstreams a second apart, under the named requests each.
 func crashes(l *Ledger, from time.Time, ran ...[]string) time.Time {
 	for i, names := range ran {
-		var marks []Mark
+		var marks []Fingerprint
 		for _, n := range names {
 			marks = append(marks, named(n))
 		}
-		l.Crash(fmt.Sprint("u", from.Unix(), "-", i), marks, from, from)
+		l.RecordCrash(fmt.Sprint("u", from.Unix(), "-", i), marks, from, from)
 		from = from.Add(time.Second)
 	}
 	return from
@@ -45,7 +45,7 @@
 		"two at once, in different batches": {[][]string{{"x", "a"}, {"y", "b"}, {"x", "c"}, {"y", "d"}}, []string{"x", "y"}, []string{"a", "b", "c", "d"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := NewLedger(Default)
+			l := NewLedger(DefaultPolicy)
 			now := crashes(l, start, c.ran...)
 			for _, n := range c.barred {
 				assert.Assert(t, isBarred(l, n, now), n)
@@ -59,27 +59,27 @@
 
 // Guards against blame for the loss of a rack: a popular request runs on a few of many upstreams that end at once.
 func TestManyUpstreamsThatEndAtOnceNameNobody(t *testing.T) {
-	l := NewLedger(Default)
+	l := NewLedger(DefaultPolicy)
 	for i := range 6 {
-		ran := []Mark{named(fmt.Sprint("other", i))}
+		ran := []Fingerprint{named(fmt.Sprint("other", i))}
 		if i < 2 {
 			ran = append(ran, named("popular"))
 		}
-		l.Crash(fmt.Sprint("u", i), ran, start.Add(time.Duration(i)*time.Millisecond), start)
+		l.RecordCrash(fmt.Sprint("u", i), ran, start.Add(time.Duration(i)*time.Millisecond), start)
 	}
 	assert.Assert(t, !isBarred(l, "popular", start))
 }
 
 func TestCopiesThatEndTheirUpstreamsAtOnceAreBarred(t *testing.T) {
-	l := NewLedger(Default)
+	l := NewLedger(DefaultPolicy)
 	for i := range 3 {
-		l.Crash(fmt.Sprint("u", i), []Mark{named("x"), named(fmt.Sprint("other", i))}, start, start)
+		l.RecordCrash(fmt.Sprint("u", i), []Fingerprint{named("x"), named(fmt.Sprint("other", i))}, start, start)
 	}
 	assert.Assert(t, isBarred(l, "x", start))
 }
 
 func TestARunToTheEndClears(t *testing.T) {
-	l := NewLedger(Default)
+	l := NewLedger(DefaultPolicy)
 	now := crashes(l, start, []string{"x", "a"})
 	l.Clear(named("x").Digest, now)
 	now = crashes(l, now, []string{"x", "b"})
@@ -89,15 +89,15 @@
 }
 
 func TestABarEndsAndTheNextIsLonger(t *testing.T) {
-	l := NewLedger(Default)
+	l := NewLedger(DefaultPolicy)
 	now := crashes(l, start, []string{"x"}, []string{"x"})
-	until, ok := l.Barred(named("x").Digest, now)
+	until, ok := l.BarredUntil(named("x").Digest, now)
 	assert.Assert(t, ok)
 	assert.Assert(t, !isBarred(l, "x", until))
 	now = crashes(l, until, []string{"x", "a"})
-	again, ok := l.Barred(named("x").Digest, now)
+	again, ok := l.BarredUntil(named("x").Digest, now)
 	assert.Assert(t, ok, "one crash is enough for one that was barred before")
-	assert.Equal(t, again.Sub(until), 2*Default.Bar)
+	assert.Equal(t, again.Sub(until), 2*DefaultPolicy.InitialBar)
 	assert.Assert(t, l.Release(named("x").Digest, now))
 	assert.Assert(t, !isBarred(l, "x", now))
 	assert.Assert(t, !l.Release(named("x").Digest, now))
@@ -107,7 +107,7 @@
 
 // Guards against a bar that lasts for what several poisons beside it explain.
 func TestABarEndsWhenOthersExplainItsCrashes(t *testing.T) {
-	l := NewLedger(Default)
+	l := NewLedger(DefaultPolicy)
 	now := crashes(l, start, []string{"p", "x"}, []string{"q", "x"})
 	assert.Assert(t, isBarred(l, "x", now), "alone in two")
 	now = crashes(l, now, []string{"p"}, []string{"p"}, []string{"q"}, []string{"q"})
@@ -116,7 +116,7 @@
 }
 
 func TestABarIsHandedOver(t *testing.T) {
-	from, to := NewLedger(Default), NewLedger(Default)
+	from, to := NewLedger(DefaultPolicy), NewLedger(DefaultPolicy)
 	now := crashes(from, start, []string{"x"}, []string{"x"})
 	for _, e := range from.All(now) {
 		to.Adopt(e, now)
@@ -124,13 +124,13 @@
 	assert.Assert(t, isBarred(to, "x", now))
 	crashes(to, now, []string{"x", "a"}) // under way when it was barred
 	assert.Assert(t, isBarred(to, "x", now))
-	decisions := to.Decisions()
+	decisions := to.TakeTransitions()
 	assert.Equal(t, len(decisions), 1)
 	assert.Equal(t, decisions[0].Cause, ByReport)
 }
 
 func TestChangesAreToldOnce(t *testing.T) {
-	l := NewLedger(Default)
+	l := NewLedger(DefaultPolicy)
 	now := crashes(l, start, []string{"x"}, []string{"x", "a"})
 	first, at := l.ChangedSince(0, 1, now)
 	assert.Equal(t, len(first), 1)
@@ -147,27 +147,27 @@
 
 // Guards against many new poisons that push out the known ones, and against growth without a bound.
 func TestAFloodOfSuspectsLeavesWhatIsBarred(t *testing.T) {
-	l := NewLedger(Default)
+	l := NewLedger(DefaultPolicy)
 	now := crashes(l, start, []string{"x"}, []string{"x"})
 	for i := range 2 * crashesMost {
-		var ran []Mark
+		var ran []Fingerprint
 		for j := range 16 {
 			ran = append(ran, named(fmt.Sprint(i, "-", j)))
 		}
 		now = now.Add(10 * time.Millisecond)
-		l.Crash(fmt.Sprint("flood", i), ran, now, now)
+		l.RecordCrash(fmt.Sprint("flood", i), ran, now, now)
 	}
 	assert.Assert(t, isBarred(l, "x", now))
 	assert.Assert(t, len(l.entries) <= entriesMost)
 	assert.Assert(t, len(l.crashes) <= crashesMost)
-	assert.Equal(t, len(l.All(now.Add(2*Default.Memory))), 0)
+	assert.Equal(t, len(l.All(now.Add(2*DefaultPolicy.CrashRetention))), 0)
 }
 
 // Whatever is told in whatever order, entries and crashes name each other, and
 // nothing is barred that ran in fewer crashes than it takes.
 func TestALedgerStaysWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, now := NewLedger(Default), start
+		l, now := NewLedger(DefaultPolicy), start
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 40_000).Draw(t, "ms")) * time.Millisecond)
 			m := named(rapid.StringMatching("[a-f]").Draw(t, "request"))
@@ -177,14 +177,14 @@
 			case 1:
 				l.Release(m.Digest, now)
 			default:
-				l.Crash(rapid.StringMatching("[u-z]{2}").Draw(t, "upstream"), []Mark{m, named("g")}, now, now)
+				l.RecordCrash(rapid.StringMatching("[u-z]{2}").Draw(t, "upstream"), []Fingerprint{m, named("g")}, now, now)
 			}
 			for d, e := range l.entries {
 				for id := range e.crashes {
 					assert.Assert(t, l.crashes[id].ran[d])
 				}
-				if e.State == Barred && e.Bars == 1 {
-					assert.Assert(t, e.Crashes >= Default.SoleCrashes)
+				if e.State == Barred && e.BarCount == 1 {
+					assert.Assert(t, e.CrashCount >= DefaultPolicy.MinSoleCrashes)
 				}
 			}
 			for _, c := range l.crashes {
@@ -198,16 +198,16 @@
 
 // BenchmarkCrash is what one crash with a full batch costs a ledger that is full of suspects.
 func BenchmarkCrash(b *testing.B) {
-	l, now := NewLedger(Default), start
+	l, now := NewLedger(DefaultPolicy), start
 	i := 0
 	for b.Loop() {
-		var ran []Mark
+		var ran []Fingerprint
 		for j := range 64 {
 			ran = append(ran, named(fmt.Sprint(i, "-", j)))
 		}
 		i++
 		now = now.Add(100 * time.Millisecond)
-		l.Crash(fmt.Sprint("u", i), ran, now, now)
+		l.RecordCrash(fmt.Sprint("u", i), ran, now, now)
 	}
 }
 
--- a/core/poison/play_test.go
+++ b/core/poison/play_test.go
@@ -95,15 +95,15 @@
 
 func (p *play) after(d time.Duration, f func()) { heap.Push(&p.queue, event{p.now.Add(d), f}) }
 
-func (p *play) mark(kind string, n uint64) Mark {
-	return (&Content{Target: fmt.Sprint(kind, n)}).Mark()
+func (p *play) mark(kind string, n uint64) Fingerprint {
+	return (&Content{Target: fmt.Sprint(kind, n)}).Fingerprint()
 }
 
 // run plays and returns what came of it.
 func (p *play) run(seed uint64) playOutcome {
 	p.rnd = rand.New(rand.NewPCG(seed, 7))
 	p.now = time.Unix(0, 0)
-	p.ledger = NewLedger(Default)
+	p.ledger = NewLedger(DefaultPolicy)
 	p.lateOf = map[Digest]int{}
 	p.third, p.ended, p.barred, p.failed = map[Digest]time.Time{}, map[Digest]int{}, map[Digest]time.Time{}, map[Digest]bool{}
 	for range p.hosts {
@@ -153,7 +153,7 @@
 }
 
 // send is one arrival at a host that anybody may reach.
-func (p *play) send(m Mark, poison bool, try int) {
+func (p *play) send(m Fingerprint, poison bool, try int) {
 	host := p.rnd.IntN(p.hosts)
 	if !poison {
 		p.out.arrivals++
@@ -172,7 +172,7 @@
 }
 
 // start runs a request at the upstream with the shortest batch of two.
-func (p *play) start(m Mark, host int, poison bool, try int) {
+func (p *play) start(m Fingerprint, host int, poison bool, try int) {
 	var u *upstream
 	for range 2 {
 		c := p.ups[p.rnd.IntN(len(p.ups))]
@@ -212,7 +212,7 @@
 }
 
 // again is a caller's next try.
-func (p *play) again(m Mark, try int) {
+func (p *play) again(m Fingerprint, try int) {
 	p.failed[m.Digest] = true
 	if try < playTries {
 		p.after(300*time.Millisecond, func() { p.send(m, false, try+1) })
@@ -226,27 +226,27 @@
 
 // crash ends an upstream under a poison. Each host tells what it had there, at
 // its own time.
-func (p *play) crash(u *upstream, by Mark) {
+func (p *play) crash(u *upstream, by Fingerprint) {
 	u.up = false
 	p.out.ended++
 	p.ended[by.Digest]++
 	p.out.endedMost = max(p.out.endedMost, p.ended[by.Digest])
-	if p.ended[by.Digest] == Default.Crashes {
+	if p.ended[by.Digest] == DefaultPolicy.MinCrashes {
 		p.third[by.Digest] = p.now
 	}
-	told := map[int][]Mark{}
+	told := map[int][]Fingerprint{}
 	for _, r := range u.running {
 		if p.now.Sub(r.began) < longRun {
-			told[r.host] = append(told[r.host], Mark{Digest: r.digest})
+			told[r.host] = append(told[r.host], Fingerprint{Digest: r.digest})
 		}
 		if !r.poison {
-			p.again(Mark{Digest: r.digest}, r.tries)
+			p.again(Fingerprint{Digest: r.digest}, r.tries)
 		}
 	}
 	id, at := u.id, p.now
 	for host, marks := range told {
 		p.after(p.way(host), func() {
-			p.ledger.Crash(id, marks, at, p.now)
+			p.ledger.RecordCrash(id, marks, at, p.now)
 			p.tell()
 		})
 	}
@@ -353,7 +353,7 @@
 	})
 	t.Logf("all: %d requests, %d barred, longest %s", all.innocents, all.barred, all.barredLongest)
 	assert.Assert(t, float64(all.barred) <= barredAllowed*float64(all.innocents))
-	assert.Assert(t, all.barredLongest <= Default.Bar)
+	assert.Assert(t, all.barredLongest <= DefaultPolicy.InitialBar)
 }
 
 // proves plays with and without bars and checks what must hold in each case.
--- a/core/quota/bucket.go
+++ b/core/quota/bucket.go
@@ -58,8 +58,8 @@
 	b.level = max(b.level-cost, min(b.level, most))
 }
 
-// Return gives back what was taken for a request that has not run.
-func (b *Bucket) Return(cost float64, now time.Time) {
+// Refund gives back what was taken for a request that has not run.
+func (b *Bucket) Refund(cost float64, now time.Time) {
 	b.gain(now)
 	b.level += cost
 	b.bound()
--- a/core/quota/bucket_test.go
+++ b/core/quota/bucket_test.go
@@ -72,7 +72,7 @@
 	assert.Equal(t, b.Level(at(0)), 50.0)
 	_, ok := b.Take(50, at(0))
 	assert.Assert(t, ok)
-	b.Return(50, at(0))
+	b.Refund(50, at(0))
 	assert.Equal(t, b.Level(at(0)), 50.0)
 	b.Charge(1e9, at(0))
 	assert.Equal(t, b.Level(at(8)), -50.0, "a debt is bounded")
--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -8,17 +8,17 @@
 	Limit Limit
 }
 
-// Standing is how a team's account stands, as told to the hosts.
-type Standing struct {
-	Level float64 // what may come at once; negative: a debt
-	Asked float64 // a second, what was refused too
+// AccountState is how a team's account stands, as told to the hosts.
+type AccountState struct {
+	Level  float64 // what may come at once; negative: a debt
+	Demand float64 // a second, what was refused too
 }
 
-// Word is what a host knows of an account when it begins to count itself.
-type Word struct {
-	Standing
-	Scarce bool          // else the account had enough
-	Age    time.Duration // for which nobody may have counted
+// KnownState is what a host knows of an account when it begins to count itself.
+type KnownState struct {
+	AccountState
+	Constrained bool          // else the account had enough
+	Age         time.Duration // for which nobody may have counted
 }
 
 // Ledger counts for all hosts what teams ask for. Its owner guards it.
@@ -50,9 +50,9 @@
 	return &Ledger{accounts: map[string]*account{}, slack: slack * slackShare, part: 1}
 }
 
-// Follow puts the limits of a configuration in force. The account of a team that
+// SetTeams puts the limits of a configuration in force. The account of a team that
 // is new starts by what begin tells of it, full if that knows nothing or is nil.
-func (l *Ledger) Follow(teams []Team, begin func(team string) (Word, bool), now time.Time) {
+func (l *Ledger) SetTeams(teams []Team, begin func(team string) (KnownState, bool), now time.Time) {
 	kept := make(map[string]*account, len(teams))
 	for _, t := range teams {
 		if !t.Limit.Limited() {
@@ -74,7 +74,7 @@
 
 // inherit starts an account where another host's stood. What hosts have passed
 // since then they tell with their next reports.
-func (a *account) inherit(team string, begin func(string) (Word, bool), now time.Time) {
+func (a *account) inherit(team string, begin func(string) (KnownState, bool), now time.Time) {
 	if begin == nil {
 		return
 	}
@@ -84,9 +84,9 @@
 		a.blind = now.Add(settleFor)
 		return
 	}
-	if w.Scarce {
+	if w.Constrained {
 		a.bucket.level = min(w.Level, a.bucket.limit.capacity())
-		a.asked.usual.add(w.Asked*rateWindow.Seconds(), now)
+		a.asked.usual.add(w.Demand*rateWindow.Seconds(), now)
 	}
 	a.bucket.Credit(a.limit.PerSecond*min(w.Age, reportFor).Seconds(), now.Add(settleFor))
 }
@@ -95,12 +95,12 @@
 // they passed before: a few of their reports.
 const settleFor = time.Second
 
-// Heard takes how an account stood when a host was told last. One that began with
+// Correct takes how an account stood when a host was told last. One that began with
 // nothing known is corrected by it: each process that counts would else give every
 // team a burst of its own.
-func (l *Ledger) Heard(team string, w Word, now time.Time) {
+func (l *Ledger) Correct(team string, w KnownState, now time.Time) {
 	a := l.accounts[team]
-	if a == nil || !w.Scarce || !now.Before(a.blind) {
+	if a == nil || !w.Constrained || !now.Before(a.blind) {
 		return
 	}
 	if stands := w.Level + a.limit.PerSecond*w.Age.Seconds() - a.given; stands < a.bucket.Level(now) {
@@ -108,10 +108,10 @@
 	}
 }
 
-// SetPart says what part of the hosts is heard here. The others may be cut off,
+// SetConnectedShare says what part of the hosts is heard here. The others may be cut off,
 // and go on by their shares; these are withheld, so that all together stay
 // within the limits.
-func (l *Ledger) SetPart(part float64, now time.Time) {
+func (l *Ledger) SetConnectedShare(part float64, now time.Time) {
 	if part == l.part {
 		return
 	}
@@ -127,8 +127,8 @@
 	return limit
 }
 
-// Ask asks for leave for a request. A team without a limit is always let through.
-func (l *Ledger) Ask(team string, cost float64, now time.Time) (wait time.Duration, ok bool) {
+// Take asks for leave for a request. A team without a limit is always let through.
+func (l *Ledger) Take(team string, cost float64, now time.Time) (wait time.Duration, ok bool) {
 	a := l.accounts[team]
 	if a == nil {
 		return 0, true
@@ -141,8 +141,8 @@
 	return wait, ok
 }
 
-// Told enters what a host passed by itself, less what it gives back, and what it refused.
-func (l *Ledger) Told(team string, passed, refused float64, now time.Time) {
+// AddUsage enters what a host passed by itself, less what it gives back, and what it refused.
+func (l *Ledger) AddUsage(team string, passed, refused float64, now time.Time) {
 	a := l.accounts[team]
 	if a == nil {
 		return
@@ -151,7 +151,7 @@
 	if passed >= 0 {
 		a.bucket.Charge(passed, now)
 	} else {
-		a.bucket.Return(-passed, now)
+		a.bucket.Refund(-passed, now)
 	}
 }
 
@@ -162,16 +162,16 @@
 	scarceRate  = 0.7
 )
 
-// Scarce returns how the teams stand whose limits may bind; all others have enough.
-func (l *Ledger) Scarce(now time.Time) map[string]Standing {
-	var out map[string]Standing
+// Constrained returns how the teams stand whose limits may bind; all others have enough.
+func (l *Ledger) Constrained(now time.Time) map[string]AccountState {
+	var out map[string]AccountState
 	for name, a := range l.accounts {
-		s := Standing{Level: a.bucket.Level(now), Asked: a.asked.perSecond(now)}
-		if s.Level >= scarceLevel*a.limit.capacity() && s.Asked < scarceRate*a.limit.PerSecond {
+		s := AccountState{Level: a.bucket.Level(now), Demand: a.asked.perSecond(now)}
+		if s.Level >= scarceLevel*a.limit.capacity() && s.Demand < scarceRate*a.limit.PerSecond {
 			continue
 		}
 		if out == nil {
-			out = map[string]Standing{}
+			out = map[string]AccountState{}
 		}
 		out[name] = s
 	}
--- a/core/quota/share.go
+++ b/core/quota/share.go
@@ -7,9 +7,9 @@
 
 // The verdicts.
 const (
-	Pass   Verdict = iota // let it through, and tell the ledger
-	Ask                   // the ledger decides
-	Refuse                // it is over the limit
+	Admit         Verdict = iota // let it through, and tell the ledger
+	ConsultLedger                // the ledger decides
+	Refuse                       // it is over the limit
 )
 
 const (
@@ -45,7 +45,7 @@
 // Share is one host's part in one team's account. Its owner guards it.
 type Share struct {
 	limit   Limit
-	word    Standing
+	word    AccountState
 	scarce  bool // word says how the account stands; else it has enough
 	told    time.Time
 	until   time.Time // that the word counts
@@ -89,16 +89,16 @@
 	}
 }
 
-// Tell enters the ledger's word: how the account stands, or that it has enough. A
+// SetState enters the ledger's word: how the account stands, or that it has enough. A
 // host goes by it until then without a question.
-func (s *Share) Tell(word Standing, scarce bool, now, until time.Time) {
+func (s *Share) SetState(word AccountState, scarce bool, now, until time.Time) {
 	s.word, s.scarce, s.told, s.until = word, scarce, now, until
 	s.ownThen, s.since = s.own.perSecond(now), 0
 }
 
-// Word is how the account stood when last told; false: nothing is known.
-func (s *Share) Word(now time.Time) (Word, bool) {
-	return Word{s.word, s.scarce, now.Sub(s.told)}, !s.told.IsZero()
+// KnownState is how the account stood when last told; false: nothing is known.
+func (s *Share) KnownState(now time.Time) (KnownState, bool) {
+	return KnownState{s.word, s.scarce, now.Sub(s.told)}, !s.told.IsZero()
 }
 
 // Decide says what becomes of a request that needs no turn while the ledger can be asked.
@@ -106,20 +106,20 @@
 	s.own.add(cost, now)
 	fresh := now.Before(s.until)
 	if !fresh || s.scarce || s.since+cost > passShare*s.limit.capacity() {
-		return Ask
+		return ConsultLedger
 	}
 	s.pass(cost, now)
-	return Pass
+	return Admit
 }
 
-// Noted counts a request that the ledger decides.
-func (s *Share) Noted(cost float64, now time.Time) { s.own.add(cost, now) }
+// AddDemand counts a request that the ledger decides.
+func (s *Share) AddDemand(cost float64, now time.Time) { s.own.add(cost, now) }
 
-// Alone says what becomes of a request while nobody counts for all; draw is in
+// DecideWithoutLedger says what becomes of a request while nobody counts for all; draw is in
 // [0, 1). It passes the part of what is asked for that the limit allows: with a
 // bucket of its own, each of the hosts that a small team's callers come to would
 // pass a request, and all together many times the limit.
-func (s *Share) Alone(cost float64, now time.Time, draw float64) Verdict {
+func (s *Share) DecideWithoutLedger(cost float64, now time.Time, draw float64) Verdict {
 	if s.told.IsZero() {
 		if _, ok := s.start.Take(cost, now); !ok {
 			return s.refuse(cost, now)
@@ -128,13 +128,13 @@
 		return s.refuse(cost, now)
 	}
 	s.pass(cost, now)
-	return Pass
+	return Admit
 }
 
 // estimate is what the team asks for a second at all hosts, in the proportion
 // that it had to this host's part when the word came.
 func (s *Share) estimate(now time.Time) float64 {
-	asked := max(s.word.Asked, usualShare*s.limit.PerSecond)
+	asked := max(s.word.Demand, usualShare*s.limit.PerSecond)
 	if !s.scarce {
 		asked = usualShare * s.limit.PerSecond
 	}
@@ -164,21 +164,21 @@
 	return Refuse
 }
 
-// GiveBack returns what was charged for a request that has not run.
-func (s *Share) GiveBack(cost float64, now time.Time) {
+// Refund returns what was charged for a request that has not run.
+func (s *Share) Refund(cost float64, now time.Time) {
 	s.expire(now)
 	s.untold.passed -= cost
 }
 
-// Report is what a ledger has not heard of yet.
-func (s *Share) Report(now time.Time) (passed, refused float64) {
+// UnreportedUsage is what a ledger has not heard of yet.
+func (s *Share) UnreportedUsage(now time.Time) (passed, refused float64) {
 	s.expire(now)
 	s.sent = s.untold.plus(s.older)
 	return s.sent.passed, s.sent.refused
 }
 
-// Reported notes that the last report arrived. One whose answer was lost is told
+// ConfirmReport notes that the last report arrived. One whose answer was lost is told
 // once more: the limit is then held too low for a moment, never too high.
-func (s *Share) Reported() {
+func (s *Share) ConfirmReport() {
 	s.untold, s.older, s.sent = s.untold.plus(s.older).minus(s.sent), use{}, use{}
 }
--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -203,7 +203,7 @@
 
 func (c *counted) limit(l Limit, now time.Time) {
 	c.l = l
-	c.ledger.Follow([]Team{{Name: "team", Limit: l}}, nil, now)
+	c.ledger.SetTeams([]Team{{Name: "team", Limit: l}}, nil, now)
 	for h := range c.shares {
 		if c.shares[h] == nil {
 			c.shares[h] = NewShare(l, now)
@@ -216,14 +216,14 @@
 	cutOff := host >= 1000
 	s := c.shares[host%1000]
 	verdict := s.Decide(cost, now)
-	if verdict == Ask && c.on && !cutOff {
-		_, ok := c.ledger.Ask("team", cost, now)
+	if verdict == ConsultLedger && c.on && !cutOff {
+		_, ok := c.ledger.Take("team", cost, now)
 		return ok
 	}
-	if verdict == Ask {
-		verdict = s.Alone(cost, now, c.rnd.Float64())
+	if verdict == ConsultLedger {
+		verdict = s.DecideWithoutLedger(cost, now, c.rnd.Float64())
 	}
-	return verdict == Pass
+	return verdict == Admit
 }
 
 func (c *counted) report(host int, now time.Time) {
@@ -231,17 +231,17 @@
 		return
 	}
 	s := c.shares[host]
-	passed, refused := s.Report(now)
-	c.ledger.Told("team", passed, refused, now)
-	s.Reported()
-	word, scarce := c.ledger.Scarce(now)["team"]
-	s.Tell(word, scarce, now, now.Add(1500*time.Millisecond))
+	passed, refused := s.UnreportedUsage(now)
+	c.ledger.AddUsage("team", passed, refused, now)
+	s.ConfirmReport()
+	word, scarce := c.ledger.Constrained(now)["team"]
+	s.SetState(word, scarce, now, now.Add(1500*time.Millisecond))
 }
 
 func (c *counted) counting(on bool, now time.Time) {
 	if on && !c.on { // another host takes over, and starts by what it was told
 		c.ledger = NewLedger(slackOf)
-		c.ledger.Follow([]Team{{Name: "team", Limit: c.l}}, func(string) (Word, bool) { return c.shares[0].Word(now) }, now)
+		c.ledger.SetTeams([]Team{{Name: "team", Limit: c.l}}, func(string) (KnownState, bool) { return c.shares[0].KnownState(now) }, now)
 	}
 	c.on = on
 }
@@ -252,15 +252,15 @@
 	c.limit(c.l, now)
 }
 
-func (c *counted) heard(part float64, now time.Time) { c.ledger.SetPart(part, now) }
+func (c *counted) heard(part float64, now time.Time) { c.ledger.SetConnectedShare(part, now) }
 
 // thinned passes by told demand alone, without asking anybody.
 type thinned struct{ *counted }
 
 func (c thinned) ask(host int, cost float64, now time.Time) bool {
 	s := c.shares[host%1000]
-	s.Noted(cost, now)
-	return s.Alone(cost, now, c.rnd.Float64()) == Pass
+	s.AddDemand(cost, now)
+	return s.DecideWithoutLedger(cost, now, c.rnd.Float64()) == Admit
 }
 
 // lent passes what a host was lent: slices of the ledger's account for a second.
@@ -289,8 +289,8 @@
 	}
 	if s.left < cost && c.on && !cutOff {
 		size := max(cost, sliceShare*c.l.capacity())
-		if _, ok := c.ledger.Ask("team", size, now); !ok {
-			if _, ok := c.ledger.Ask("team", cost-s.left, now); !ok {
+		if _, ok := c.ledger.Take("team", size, now); !ok {
+			if _, ok := c.ledger.Take("team", cost-s.left, now); !ok {
 				return false
 			}
 			size = cost - s.left
@@ -310,7 +310,7 @@
 	s := &c.slices[host]
 	if c.on && now.Add(sliceFor-2*reportEach).After(s.ends) && s.left > 0 {
 		if now.Before(s.ends) {
-			c.ledger.Told("team", -s.left, 0, now)
+			c.ledger.AddUsage("team", -s.left, 0, now)
 		}
 		s.left = 0
 	}
--- a/node/coordinator/accounts.go
+++ b/node/coordinator/accounts.go
@@ -13,7 +13,7 @@
 type accounts struct {
 	c *Coordinator
 	// word is how a team's account stood as another host told this one last.
-	word func(team string) (quota.Word, bool)
+	word func(team string) (quota.KnownState, bool)
 
 	mu       sync.Mutex
 	ledger   *quota.Ledger
@@ -45,11 +45,11 @@
 		for i := range t.Config.Teams {
 			teams[i] = quota.Team{Name: t.Config.Teams[i].Name, Limit: t.Config.Teams[i].Limit}
 		}
-		a.ledger.Follow(teams, a.word, now)
+		a.ledger.SetTeams(teams, a.word, now)
 	}
 	if now.Sub(a.partedAt) >= expiryEach {
 		a.partedAt = now
-		a.ledger.SetPart(a.c.sums.heard(now), now)
+		a.ledger.SetConnectedShare(a.c.sums.heard(now), now)
 	}
 	return true
 }
@@ -61,7 +61,7 @@
 	if !a.followLocked(now) {
 		return 0, true
 	}
-	return a.ledger.Ask(team, cost, now)
+	return a.ledger.Take(team, cost, now)
 }
 
 // told enters what a host passed by itself.
@@ -72,7 +72,7 @@
 		return
 	}
 	for _, u := range uses {
-		a.ledger.Told(u.Team, float64(u.Passed), float64(u.Refused), now)
+		a.ledger.AddUsage(u.Team, float64(u.Passed), float64(u.Refused), now)
 	}
 }
 
@@ -87,8 +87,8 @@
 		return
 	}
 	for _, w := range words {
-		a.ledger.Heard(w.Standing.GetTeam(), quota.Word{Scarce: true, Age: milliseconds(w.AgeMs),
-			Standing: quota.Standing{Level: float64(w.Standing.GetLevel()), Asked: float64(w.Standing.GetAsked())}}, now)
+		a.ledger.Correct(w.Standing.GetTeam(), quota.KnownState{Constrained: true, Age: milliseconds(w.AgeMs),
+			AccountState: quota.AccountState{Level: float64(w.Standing.GetLevel()), Demand: float64(w.Standing.GetAsked())}}, now)
 	}
 }
 
@@ -100,7 +100,7 @@
 		return
 	}
 	out.CountsTeams = true
-	for name, s := range a.ledger.Scarce(now) {
-		out.Teams = append(out.Teams, &coordpb.TeamStanding{Team: name, Level: int64(s.Level), Asked: uint64(s.Asked)})
+	for name, s := range a.ledger.Constrained(now) {
+		out.Teams = append(out.Teams, &coordpb.TeamStanding{Team: name, Level: int64(s.Level), Asked: uint64(s.Demand)})
 	}
 }
--- a/node/coordinator/accounts_test.go
+++ b/node/coordinator/accounts_test.go
@@ -53,7 +53,7 @@
 	now := ts.c.now()
 	shares.keep([]deploy.Team{*team}, now)
 	shares.tell(&coordpb.SiteState{CountsTeams: true, Teams: []*coordpb.TeamStanding{{Team: "t", Level: -300, Asked: 200}}}, now, now.Add(reportFresh))
-	ts.c.accounts.word = func(name string) (quota.Word, bool) { return shares.word(name, now) }
+	ts.c.accounts.word = func(name string) (quota.KnownState, bool) { return shares.word(name, now) }
 	ts.c.accounts.told([]*coordpb.TeamUse{{Team: "t", Passed: 50}}, now)
 	out := &coordpb.SiteState{}
 	ts.c.accounts.tell(out, now)
@@ -70,7 +70,7 @@
 	now := ts.c.now()
 	shares.keep([]deploy.Team{*team}, now)
 	shares.tell(&coordpb.SiteState{CountsTeams: true, Teams: []*coordpb.TeamStanding{{Team: "t", Level: -300, Asked: 200}}}, now, now.Add(reportFresh))
-	ts.c.accounts.word = func(string) (quota.Word, bool) { return quota.Word{}, false }
+	ts.c.accounts.word = func(string) (quota.KnownState, bool) { return quota.KnownState{}, false }
 	r := &coordpb.HostReport{Host: "h"}
 	shares.words(r, now)
 	ts.c.enter(r, now)
@@ -91,7 +91,7 @@
 	s := stream()
 	ts.take(s, charged(1, 200))
 	var shares teamShares
-	shares.with(team, now, func(s *quota.Share) { s.GiveBack(200, now) })
+	shares.with(team, now, func(s *quota.Share) { s.Refund(200, now) })
 	for range 2 { // the first is lost
 		r := &coordpb.HostReport{Host: "h"}
 		shares.report(r, now)
--- a/node/coordinator/asking.go
+++ b/node/coordinator/asking.go
@@ -310,7 +310,7 @@
 	case coordpb.TurnAnswer_OVER:
 		return &gate.Turn{Over: true, Wait: milliseconds(answer.WaitMs)}, nil
 	default:
-		return &gate.Turn{Reason: balance.ReasonOf(answer.Reason), Home: answer.Home, Wait: milliseconds(answer.WaitMs)}, nil
+		return &gate.Turn{Reason: balance.ReasonFromCode(answer.Reason), Home: answer.Home, Wait: milliseconds(answer.WaitMs)}, nil
 	}
 	return &gate.Turn{Upstream: answer.Upstream, Predicted: milliseconds(answer.PredictedMs),
 		Load: int(answer.Load), Waiting: int(answer.Waiting), Cached: int(answer.Cached), WithinLimit: answer.WithinLimit, Trial: answer.Trial,
@@ -352,7 +352,7 @@
 		Warm: q.Warm, DataCentre: l.cfg.DataCentre, InTimeMs: uint32(max(q.InTime.Milliseconds(), 0)), PatienceMs: uint32(max(q.Patience.Milliseconds(), 0))}
 	if q.Team != nil {
 		now := l.own.now()
-		l.teams.with(q.Team, now, func(s *quota.Share) { s.Noted(q.Charge, now) })
+		l.teams.with(q.Team, now, func(s *quota.Share) { s.AddDemand(q.Charge, now) })
 		e.Team, e.Charge = q.Team.Name, uint32(q.Charge)
 	}
 	for id, left := range q.Rests {
--- a/node/coordinator/backoff.go
+++ b/node/coordinator/backoff.go
@@ -41,7 +41,7 @@
 			o, first = own, false
 		}
 		o = outlook{goes: min(o.goes, own.goes), returns: min(o.returns, own.returns)}
-		if limit := e.Limit(); limit.Named {
+		if limit := e.Limit(); limit.Stated {
 			perSecond += limit.Rate()
 		}
 	}
--- a/node/coordinator/limits.go
+++ b/node/coordinator/limits.go
@@ -36,7 +36,7 @@
 // wait is the time until an upstream takes one more.
 func (l *limits) wait(e *fleet.Entry, now time.Time) time.Duration {
 	limit := e.Limit()
-	if !limit.Named {
+	if !limit.Stated {
 		return 0
 	}
 	p := l.pacers[e]
@@ -44,19 +44,19 @@
 		p = backpressure.NewPacer(l.origin, now)
 		l.pacers[e] = p
 	}
-	return p.Wait(l.rate(limit, now), backpressure.Whole, now)
+	return p.Wait(l.rate(limit, now), backpressure.FullShare, now)
 }
 
 // take counts one that is sent; it says no if the upstream names no limit.
 func (l *limits) take(e *fleet.Entry, now time.Time) bool {
 	limit, p := e.Limit(), l.pacers[e]
-	return limit.Named && p != nil && p.Take(l.rate(limit, now), backpressure.Whole, now)
+	return limit.Stated && p != nil && p.Take(l.rate(limit, now), backpressure.FullShare, now)
 }
 
 // forget drops what is kept of upstreams that are gone or name no limit any more.
 func (l *limits) forget() {
 	for e := range l.pacers {
-		if now, ok := l.c.deps.Fleet.Entry(e.ID()); !ok || now != e || !e.Limit().Named {
+		if now, ok := l.c.deps.Fleet.Entry(e.ID()); !ok || now != e || !e.Limit().Stated {
 			delete(l.pacers, e)
 		}
 	}
--- a/node/coordinator/link.go
+++ b/node/coordinator/link.go
@@ -83,7 +83,7 @@
 	l.asking, l.pace = newAsking(l), newReportPace()
 	if own != nil {
 		own.Hosts = l.hostsTold
-		own.accounts.word = func(team string) (quota.Word, bool) { return l.teams.word(team, own.now()) }
+		own.accounts.word = func(team string) (quota.KnownState, bool) { return l.teams.word(team, own.now()) }
 	}
 	return l
 }
@@ -225,7 +225,7 @@
 		l.mu.Unlock()
 		l.own.deps.Fleet.HeedAll(decodeSignals(s.Signals, l.own.now()), fromHolder)
 	}
-	l.own.deps.Fleet.SetShare(backpressure.Share{Place: int(s.Place), Of: int(max(s.Hosts, 1))})
+	l.own.deps.Fleet.SetShare(backpressure.Share{Index: int(s.Place), Count: int(max(s.Hosts, 1))})
 }
 
 // mayBeNew says whether another process may act at the address than the one that
--- a/node/coordinator/linkteams.go
+++ b/node/coordinator/linkteams.go
@@ -44,13 +44,13 @@
 }
 
 // word is how a team's account stood when this host was told last.
-func (t *teamShares) word(team string, now time.Time) (quota.Word, bool) {
+func (t *teamShares) word(team string, now time.Time) (quota.KnownState, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.byName[team]; s != nil {
-		return s.Word(now)
+		return s.KnownState(now)
 	}
-	return quota.Word{}, false
+	return quota.KnownState{}, false
 }
 
 // report adds to a report what nobody who counts has heard of.
@@ -58,7 +58,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, s := range t.byName {
-		if passed, refused := s.Report(now); passed != 0 || refused != 0 {
+		if passed, refused := s.UnreportedUsage(now); passed != 0 || refused != 0 {
 			r.Teams = append(r.Teams, &coordpb.TeamUse{Team: name, Passed: int64(passed), Refused: uint64(refused)})
 		}
 	}
@@ -70,12 +70,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, s := range t.byName {
-		w, ok := s.Word(now)
-		if !ok || !w.Scarce || w.Age > wordFor {
+		w, ok := s.KnownState(now)
+		if !ok || !w.Constrained || w.Age > wordFor {
 			continue
 		}
 		r.TeamWords = append(r.TeamWords, &coordpb.TeamWord{AgeMs: uint32(w.Age.Milliseconds()),
-			Standing: &coordpb.TeamStanding{Team: name, Level: int64(w.Level), Asked: uint64(w.Asked)}})
+			Standing: &coordpb.TeamStanding{Team: name, Level: int64(w.Level), Asked: uint64(w.Demand)}})
 	}
 }
 
@@ -88,7 +88,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.byName {
-		s.Reported()
+		s.ConfirmReport()
 	}
 }
 
@@ -105,7 +105,7 @@
 	defer t.mu.Unlock()
 	for name, share := range t.byName {
 		u := scarce[name]
-		share.Tell(quota.Standing{Level: float64(u.GetLevel()), Asked: float64(u.GetAsked())}, u != nil, now, until)
+		share.SetState(quota.AccountState{Level: float64(u.GetLevel()), Demand: float64(u.GetAsked())}, u != nil, now, until)
 	}
 }
 
@@ -134,22 +134,22 @@
 // Take implements gate.Limits.
 func (l *Link) Take(ctx context.Context, team *deploy.Team, cost float64) (time.Duration, bool) {
 	now := l.own.now()
-	verdict := quota.Ask
+	verdict := quota.ConsultLedger
 	l.teams.with(team, now, func(s *quota.Share) { verdict = s.Decide(cost, now) })
-	if verdict == quota.Ask {
+	if verdict == quota.ConsultLedger {
 		wait, ok, err := l.asking.charge(ctx, team.Name, cost)
 		if err == nil {
 			return wait, ok
 		}
-		l.teams.with(team, now, func(s *quota.Share) { verdict = s.Alone(cost, now, rand.Float64()) })
+		l.teams.with(team, now, func(s *quota.Share) { verdict = s.DecideWithoutLedger(cost, now, rand.Float64()) })
 	}
-	return aloneRetry, verdict == quota.Pass
+	return aloneRetry, verdict == quota.Admit
 }
 
 // GiveBack implements gate.Limits.
 func (l *Link) GiveBack(team *deploy.Team, cost float64) {
 	now := l.own.now()
-	l.teams.with(team, now, func(s *quota.Share) { s.GiveBack(cost, now) })
+	l.teams.with(team, now, func(s *quota.Share) { s.Refund(cost, now) })
 }
 
 var _ gate.Limits = (*Link)(nil)
--- a/node/coordinator/plan.go
+++ b/node/coordinator/plan.go
@@ -81,7 +81,7 @@
 // lacking is the part of its engine's time that an upstream does not give when it
 // names a limit; each is what a request takes of that.
 func lacking(l backpressure.Limit, each time.Duration) float64 {
-	if !l.Named || each == 0 {
+	if !l.Stated || each == 0 {
 		return 0
 	}
 	return max(1-l.PerSecond*each.Seconds(), 0)
--- a/node/coordinator/quarantine.go
+++ b/node/coordinator/quarantine.go
@@ -42,7 +42,7 @@
 }
 
 func (q *quarantine) beginLocked() {
-	q.id, q.ledger, q.rows = rand.Uint64()|1, poison.NewLedger(poison.Default), quarantineRows{}
+	q.id, q.ledger, q.rows = rand.Uint64()|1, poison.NewLedger(poison.DefaultPolicy), quarantineRows{}
 }
 
 // receive enters what a host reports.
@@ -61,12 +61,12 @@
 		q.enterCrashLocked(r.Host, x, now)
 	}
 	for _, x := range r.Completed {
-		if d, err := poison.DigestOf(x); err == nil {
+		if d, err := poison.DigestFromBytes(x); err == nil {
 			q.ledger.Clear(d, now)
 		}
 	}
 	for _, x := range r.Released {
-		if d, err := poison.DigestOf(x); err == nil {
+		if d, err := poison.DigestFromBytes(x); err == nil {
 			q.ledger.Release(d, now)
 		}
 	}
@@ -74,25 +74,25 @@
 }
 
 func (q *quarantine) enterCrashLocked(host string, x *coordpb.UpstreamCrash, now time.Time) {
-	ran := make([]poison.Mark, 0, len(x.Running))
+	ran := make([]poison.Fingerprint, 0, len(x.Running))
 	digests := make([]poison.Digest, 0, len(x.Running))
 	for _, m := range x.Running {
 		if mark, err := markOf(m); err == nil {
 			ran, digests = append(ran, mark), append(digests, mark.Digest)
 		}
 	}
-	q.ledger.Crash(x.Upstream, ran, now.Add(-milliseconds(x.AgeMs)), now)
+	q.ledger.RecordCrash(x.Upstream, ran, now.Add(-milliseconds(x.AgeMs)), now)
 	q.c.deps.Log.Emit(event.CrashReported, zap.String("host", host), zap.String(event.FieldPeer, x.Upstream),
 		zap.Uint32("age_ms", x.AgeMs), zap.Stringers("under_way", digests))
 }
 
 // logDecisionsLocked logs the bars that began and ended.
 func (q *quarantine) logDecisionsLocked(host string, now time.Time) {
-	for _, d := range q.ledger.Decisions() {
+	for _, d := range q.ledger.TakeTransitions() {
 		fields := []zap.Field{zap.Stringer("content", d.Digest), zap.Stringer("cause", d.Cause), zap.String("host", host),
-			zap.Int("crashes", d.Crashes), zap.Strings("upstreams", d.Upstreams), zap.Int("bars", d.Bars)}
+			zap.Int("crashes", d.CrashCount), zap.Strings("upstreams", d.Upstreams), zap.Int("bars", d.BarCount)}
 		if d.State == poison.Barred {
-			q.c.deps.Log.Emit(event.RequestBarred, append(fields, zap.Int64("for_ms", d.Until.Sub(now).Milliseconds()))...)
+			q.c.deps.Log.Emit(event.RequestBarred, append(fields, zap.Int64("for_ms", d.BarredUntil.Sub(now).Milliseconds()))...)
 			continue
 		}
 		q.c.deps.Log.Emit(event.BarEnded, fields...)
@@ -119,23 +119,23 @@
 // the lease, until ctx ends.
 func (c *Coordinator) RunQuarantine(ctx context.Context) error { return c.quarantine.run(ctx) }
 
-func markOf(m *coordpb.RequestMark) (poison.Mark, error) {
-	d, err := poison.DigestOf(m.GetDigest())
-	return poison.Mark{Digest: d, Shape: poison.Shape(m.GetShape())}, err
+func markOf(m *coordpb.RequestMark) (poison.Fingerprint, error) {
+	d, err := poison.DigestFromBytes(m.GetDigest())
+	return poison.Fingerprint{Digest: d, Shape: poison.Shape(m.GetShape())}, err
 }
 
-func markTo(m poison.Mark) *coordpb.RequestMark {
+func markTo(m poison.Fingerprint) *coordpb.RequestMark {
 	return &coordpb.RequestMark{Digest: m.Digest[:], Shape: uint64(m.Shape)}
 }
 
 // entryOf reads an entry; the time that is left is counted from now.
 func entryOf(x *coordpb.QuarantineEntry, now time.Time) (poison.Entry, error) {
 	m, err := markOf(x.Mark)
-	return poison.Entry{Mark: m, State: poison.State(min(x.State, uint32(poison.Barred))), Crashes: int(x.Crashes),
-		Bars: int(x.Bars), Until: now.Add(milliseconds(x.ForMs))}, err
+	return poison.Entry{Fingerprint: m, State: poison.State(min(x.State, uint32(poison.Barred))), CrashCount: int(x.Crashes),
+		BarCount: int(x.Bars), BarredUntil: now.Add(milliseconds(x.ForMs))}, err
 }
 
 func entryTo(e *poison.Entry, now time.Time) *coordpb.QuarantineEntry {
-	return &coordpb.QuarantineEntry{Mark: markTo(e.Mark), State: uint32(e.State), Crashes: uint32(e.Crashes), Bars: uint32(e.Bars),
-		ForMs: uint32(max(e.Until.Sub(now), 0).Milliseconds())}
+	return &coordpb.QuarantineEntry{Mark: markTo(e.Fingerprint), State: uint32(e.State), Crashes: uint32(e.CrashCount), Bars: uint32(e.BarCount),
+		ForMs: uint32(max(e.BarredUntil.Sub(now), 0).Milliseconds())}
 }
--- a/node/coordinator/quarantinerows.go
+++ b/node/coordinator/quarantinerows.go
@@ -134,7 +134,7 @@
 		return w, nil
 	}
 	var err error
-	w.Value, err = json.Marshal(quarantineRow{Shape: uint64(e.Shape), UntilMs: e.Until.UnixMilli(), Bars: e.Bars})
+	w.Value, err = json.Marshal(quarantineRow{Shape: uint64(e.Shape), UntilMs: e.BarredUntil.UnixMilli(), Bars: e.BarCount})
 	return w, eris.Wrap(err, "encode what is barred")
 }
 
@@ -155,8 +155,8 @@
 		}
 		until := time.UnixMilli(v.UntilMs)
 		q.rows.written[d] = until
-		left := min(until.Sub(now), poison.Default.BarMost) // clocks may be apart, or have been set
-		q.ledger.Adopt(poison.Entry{Mark: poison.Mark{Digest: d, Shape: poison.Shape(v.Shape)}, State: poison.Barred, Until: now.Add(left), Bars: v.Bars}, now)
+		left := min(until.Sub(now), poison.DefaultPolicy.MaxBar) // clocks may be apart, or have been set
+		q.ledger.Adopt(poison.Entry{Fingerprint: poison.Fingerprint{Digest: d, Shape: poison.Shape(v.Shape)}, State: poison.Barred, BarredUntil: now.Add(left), BarCount: v.Bars}, now)
 	}
 	q.logDecisionsLocked("", now)
 }
@@ -178,7 +178,7 @@
 		if len(out) >= quarantineRowsMost {
 			continue
 		}
-		if until, ok := q.rows.written[e.Digest]; !ok || e.Until.Sub(until).Abs() > rowsApart {
+		if until, ok := q.rows.written[e.Digest]; !ok || e.BarredUntil.Sub(until).Abs() > rowsApart {
 			out[e.Digest] = &e
 		}
 	}
@@ -201,6 +201,6 @@
 			delete(q.rows.written, d)
 			continue
 		}
-		q.rows.written[d] = e.Until
+		q.rows.written[d] = e.BarredUntil
 	}
 }
--- a/node/coordinator/relay_test.go
+++ b/node/coordinator/relay_test.go
@@ -73,10 +73,10 @@
 	l := NewLink(LinkConfig{Host: "h"}, own, nil, own.deps.Log)
 	l.take(all)
 	e, _ := own.deps.Fleet.Entry(all.Others[0].Upstream)
-	loaded := e.Endpoint(&fleet.Ask{}, own.now()).Requests
+	loaded := e.Endpoint(&fleet.Ask{}, own.now()).InFlight
 	assert.Assert(t, loaded > 0)
 	l.take(later)
-	assert.Equal(t, e.Endpoint(&fleet.Ask{}, own.now()).Requests, loaded, "what was told before goes on")
+	assert.Equal(t, e.Endpoint(&fleet.Ask{}, own.now()).InFlight, loaded, "what was told before goes on")
 }
 
 // An encoding is of one upstream at one state of the list.
--- a/node/coordinator/rests.go
+++ b/node/coordinator/rests.go
@@ -44,14 +44,14 @@
 		}
 		if until.Sub(x.until) > restSlack {
 			x.until = until
-			x.start.Begin()
+			x.start.Start()
 		}
 	}
 }
 
 // wait is the time until an upstream may get one more.
 func (r rests) wait(upstream string) time.Duration {
-	if x := r[upstream]; x != nil && x.start.Full() {
+	if x := r[upstream]; x != nil && x.start.AtLimit() {
 		return fleet.TrialWait
 	}
 	return 0
--- a/node/coordinator/serve_test.go
+++ b/node/coordinator/serve_test.go
@@ -58,7 +58,7 @@
 	link := NewLink(LinkConfig{Host: "h"}, own, nil, log)
 	holds := func(id string) bool {
 		e, ok := f.Entry(id)
-		return ok && e.Endpoint(&fleet.Ask{Model: "m"}, time.Now()).HoldsModel
+		return ok && e.Endpoint(&fleet.Ask{Model: "m"}, time.Now()).ModelResident
 	}
 	link.take(&coordpb.SiteState{Revision: 1, Holdings: []*coordpb.Holding{{Upstream: "u", Residents: []*coordpb.Resident{{Model: "m"}}}}})
 	f.Apply([]deploy.Upstream{{ID: "u", Service: "s"}}, nil, 1)
@@ -81,7 +81,7 @@
 	link := NewLink(LinkConfig{Host: "h"}, own, nil, log)
 	holds := func() bool {
 		e, ok := f.Entry("u")
-		return ok && e.Endpoint(&fleet.Ask{Model: "m"}, time.Now()).HoldsModel
+		return ok && e.Endpoint(&fleet.Ask{Model: "m"}, time.Now()).ModelResident
 	}
 	f.Apply([]deploy.Upstream{{ID: "u", Service: "s", Born: 1}}, nil, 1)
 	link.take(&coordpb.SiteState{Revision: 1, Holdings: []*coordpb.Holding{{Upstream: "u", Born: 1, Residents: []*coordpb.Resident{{Model: "m"}}}}})
--- a/node/coordinator/signals.go
+++ b/node/coordinator/signals.go
@@ -58,8 +58,8 @@
 	out := make([]*coordpb.UpstreamSignal, len(all))
 	for i := range all {
 		s := &all[i]
-		out[i] = &coordpb.UpstreamSignal{Upstream: s.Upstream, Born: s.Born, Limited: s.Limit.Named, PerSecond: s.Limit.PerSecond, Leaving: s.Leaving,
-			SentAgeMs: ageMs(s.Sent, now), HeardAgeMs: ageMs(s.Heard, now)}
+		out[i] = &coordpb.UpstreamSignal{Upstream: s.Upstream, Born: s.Born, Limited: s.Limit.Stated, PerSecond: s.Limit.PerSecond, Leaving: s.Draining,
+			SentAgeMs: ageMs(s.SentAt, now), HeardAgeMs: ageMs(s.ReceivedAt, now)}
 	}
 	return out
 }
@@ -73,8 +73,8 @@
 	out := make([]fleet.Signalled, len(all))
 	for i, s := range all {
 		out[i] = fleet.Signalled{Upstream: s.Upstream, Born: s.Born, Signal: backpressure.Signal{
-			Limit: backpressure.Limit{Named: s.Limited, PerSecond: s.PerSecond}, Leaving: s.Leaving,
-			Sent: now.Add(-milliseconds(s.SentAgeMs)), Heard: now.Add(-milliseconds(s.HeardAgeMs))}}
+			Limit: backpressure.Limit{Stated: s.Limited, PerSecond: s.PerSecond}, Draining: s.Leaving,
+			SentAt: now.Add(-milliseconds(s.SentAgeMs)), ReceivedAt: now.Add(-milliseconds(s.HeardAgeMs))}}
 	}
 	return out
 }
--- a/node/coordinator/size_test.go
+++ b/node/coordinator/size_test.go
@@ -96,9 +96,9 @@
 // Guards against ends of engines that take more of the hosts' links than control may.
 func TestAnEndOfAnEngineIsToldWithinTheBudget(t *testing.T) {
 	c := holderSize{7, 12, 26}.holder()
-	var ran []poison.Mark
+	var ran []poison.Fingerprint
 	for i := range underWay {
-		ran = append(ran, (&poison.Content{Target: fmt.Sprint(i)}).Mark())
+		ran = append(ran, (&poison.Content{Target: fmt.Sprint(i)}).Fingerprint())
 	}
 	r := &coordpb.HostReport{Host: "h"}
 	reportQuarantine(r, local.Report{Events: []local.Event{{Crash: &local.Crash{Upstream: "i-0123456789", At: c.now(), Running: ran}}}}, c.now())
--- a/node/coordinator/turns.go
+++ b/node/coordinator/turns.go
@@ -158,7 +158,7 @@
 // waits says whether a request that was not granted for a reason waits here
 // until that has passed.
 func waits(r balance.Reason) bool {
-	return r == balance.AllReading || r == balance.AllFull || r == balance.AllBackoff
+	return r == balance.AllPrefilling || r == balance.AllFull || r == balance.AllBackoff
 }
 
 // try looks for an upstream among all of the request's service. It answers the
@@ -166,13 +166,13 @@
 func (t *turns) try(w *turn, now time.Time) balance.Reason {
 	entries := t.c.deps.Fleet.Holders(w.event.Service, w.ask.Model)
 	d := t.pick(w, entries, now)
-	if d.Reason == balance.NoServer && t.c.deps.Fleet.Lacks(w.event.Service, w.ask.Model, func(e *fleet.Entry) bool { return t.leftAlone(e, w, now) }) {
+	if d.Reason == balance.NoUpstream && t.c.deps.Fleet.Lacks(w.event.Service, w.ask.Model, func(e *fleet.Entry) bool { return t.leftAlone(e, w, now) }) {
 		d.Reason = balance.NoModel
 	}
 	if d.Index < 0 && !waits(d.Reason) {
 		a := &coordpb.TurnAnswer{Id: w.key.id, Kind: coordpb.TurnAnswer_NONE, Reason: uint32(d.Reason)}
-		if d.Home >= 0 {
-			a.Home = entries[d.Home].ID()
+		if d.AdapterTarget >= 0 {
+			a.Home = entries[d.AdapterTarget].ID()
 		}
 		w.key.from.send(a)
 	}
@@ -186,7 +186,7 @@
 		endpoints = append(endpoints, t.endpoint(e, w, now))
 	}
 	t.endpoints = endpoints
-	r := balance.Request{Model: w.ask.Model, Adapter: w.ask.Adapter, Prompt: int(w.event.Prompt), Output: int(w.event.Output), Reading: int(w.event.Reading)}
+	r := balance.Request{Model: w.ask.Model, Adapter: w.ask.Adapter, PromptTokens: int(w.event.Prompt), OutputTokens: int(w.event.Output), MaxPendingPromptTokens: int(w.event.Reading)}
 	if e := t.c.engine(w.event.Service); e != nil {
 		r.CacheTokens = e.CacheTokens
 	}
@@ -201,17 +201,17 @@
 // report. A host that has no stream here counts by its report.
 func (t *turns) endpoint(e *fleet.Entry, w *turn, now time.Time) balance.Endpoint {
 	out := e.Endpoint(&w.ask, now)
-	out.Near, out.Tried, out.Warm = e.DataCentre() == w.event.DataCentre, w.tried[e.ID()], w.warm[e.ID()]
+	out.SameDataCentre, out.Tried, out.HasIdleConn = e.DataCentre() == w.event.DataCentre, w.tried[e.ID()], w.warm[e.ID()]
 	out.Down = out.Down || t.leftAlone(e, w, now)
 	out.Backoff = max(t.limits.wait(e, now), t.rests.wait(e.ID()), w.rests[e.ID()].Sub(now))
 	p := t.places[e.ID()]
 	if p == nil {
-		out.Waiting = 0
+		out.PendingPromptTokens = 0
 		return out
 	}
-	out.Requests, out.Tokens, out.Waiting = max(p.load.Requests, out.Requests), max(p.load.Tokens, out.Tokens), p.load.Waiting
-	if out.HoldsModel {
-		out.Cached = max(out.Cached, p.cache.Prefix(&w.ask, now))
+	out.InFlight, out.InFlightTokens, out.PendingPromptTokens = max(p.load.Requests, out.InFlight), max(p.load.Tokens, out.InFlightTokens), p.load.Waiting
+	if out.ModelResident {
+		out.CachedTokens = max(out.CachedTokens, p.cache.Prefix(&w.ask, now))
 	}
 	return out
 }
@@ -225,11 +225,11 @@
 func (t *turns) grant(w *turn, e *fleet.Entry, at *balance.Endpoint, d balance.Decision, now time.Time) {
 	w.upstream, w.reading = e.ID(), true
 	prompt := w.event.Prompt
-	w.event.Prompt -= min(w.event.Prompt, uint32(at.Cached)) // the rest is what there is to read
+	w.event.Prompt -= min(w.event.Prompt, uint32(at.CachedTokens)) // the rest is what there is to read
 	if w.event.Model != "" {
 		t.c.speeds.with(w.model(), func(m speed.Model) { m.Asked(int(prompt), int(w.event.Prompt)) })
 	}
-	w.granted, w.alone = now, at.Waiting == 0
+	w.granted, w.alone = now, at.PendingPromptTokens == 0
 	t.granted[w.key] = w
 	p := t.places[w.upstream]
 	if p == nil {
@@ -247,7 +247,7 @@
 	p.load.Tokens += int(w.event.Prompt + w.event.Output)
 	p.load.Waiting += int(w.event.Prompt)
 	w.key.from.send(&coordpb.TurnAnswer{Id: w.key.id, Kind: coordpb.TurnAnswer_GRANTED, Upstream: w.upstream,
-		PredictedMs: uint32(d.Predicted.Milliseconds()), Load: uint32(at.Requests), Waiting: uint32(at.Waiting), Cached: uint32(at.Cached), WithinLimit: within, Trial: trial})
+		PredictedMs: uint32(d.PredictedWait.Milliseconds()), Load: uint32(at.InFlight), Waiting: uint32(at.PendingPromptTokens), Cached: uint32(at.CachedTokens), WithinLimit: within, Trial: trial})
 }
 
 // first notes that an upstream has read a request's prompt.
--- a/node/fleet/entry.go
+++ b/node/fleet/entry.go
@@ -165,7 +165,7 @@
 	e.up, e.described = u, now
 	e.reindexLocked()
 	if e.gone && u.State == deploy.Ready {
-		e.gone, e.leaving, e.useUntil = false, e.signal.Leaving, time.Time{} // what its process said itself stays
+		e.gone, e.leaving, e.useUntil = false, e.signal.Draining, time.Time{} // what its process said itself stays
 		e.fleet.deps.Log.Emit(event.UpstreamBack, zap.String(event.FieldPeer, u.ID))
 	}
 	if u.State == deploy.Draining {
@@ -228,7 +228,7 @@
 func (e *Entry) sweep(now time.Time) (forget bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.signal.Limit.Named {
+	if e.signal.Limit.Stated {
 		e.fleet.limits.extend(now.Add(limitedFor))
 	}
 	if e.gone && !e.useUntil.IsZero() && now.After(e.useUntil) {
@@ -239,7 +239,7 @@
 		e.abortMovableLocked()
 		e.fleet.deps.Log.Emit(event.UpstreamResting, zap.String(event.FieldPeer, e.id), zap.String("why", "silent"), zap.Int("outstanding", e.own.Requests))
 	}
-	if e.own.Requests == 0 && !e.gone && !e.signal.Limit.Named {
+	if e.own.Requests == 0 && !e.gone && !e.signal.Limit.Stated {
 		e.fleet.watched.remove(e)
 	}
 	return e.gone && e.own.Requests == 0 && now.Sub(e.goneSince) > forgetAfter
@@ -430,24 +430,24 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	l := e.loadLocked(now)
-	out := balance.Endpoint{ID: e.id, Address: e.up.Address, Slots: e.up.Slots, Near: e.dataCentre == e.fleet.cfg.DataCentre,
-		Leaving: e.leaving, Requests: l.Requests, Waiting: l.Waiting, Tokens: l.Tokens}
+	out := balance.Endpoint{ID: e.id, Address: e.up.Address, Slots: e.up.Slots, SameDataCentre: e.dataCentre == e.fleet.cfg.DataCentre,
+		Draining: e.leaving, InFlight: l.Requests, PendingPromptTokens: l.Waiting, InFlightTokens: l.Tokens}
 	switch e.health.Standing(now) {
 	case health.Down:
 		out.Down = true
 	case health.Trial:
-		out.Trial, out.Trying = true, e.health.Waiting()
+		out.HalfOpen, out.ProbeInFlight = true, e.health.Waiting()
 	}
 	out.Backoff = e.backoffLocked(now)
 	if e.up.Cold > 0 {
-		out.Cold = max(e.up.Cold-now.Sub(e.described), 0)
+		out.WarmupRemaining = max(e.up.Cold-now.Sub(e.described), 0)
 	}
 	if a.Model != "" {
-		out.HoldsModel = e.holdsLocked(a.Model, "", now)
+		out.ModelResident = e.holdsLocked(a.Model, "", now)
 	}
-	if out.HoldsModel { // the rest is of no use for an upstream that cannot get it
-		out.HoldsAdapter = a.Adapter == "" || e.holdsLocked(a.Model, a.Adapter, now)
-		out.Cached = e.cache.Prefix(a, now)
+	if out.ModelResident { // the rest is of no use for an upstream that cannot get it
+		out.AdapterResident = a.Adapter == "" || e.holdsLocked(a.Model, a.Adapter, now)
+		out.CachedTokens = e.cache.Prefix(a, now)
 	}
 	return out
 }
--- a/node/fleet/fleet_test.go
+++ b/node/fleet/fleet_test.go
@@ -133,16 +133,16 @@
 	assert.Assert(t, moved, "what waits for the former process goes elsewhere")
 	assert.DeepEqual(t, left, []string{"a"})
 	at := e.Endpoint(ask, now)
-	assert.Assert(t, !at.HoldsModel && !at.Down && at.Requests == 0 && at.Cached == 0)
+	assert.Assert(t, !at.ModelResident && !at.Down && at.InFlight == 0 && at.CachedTokens == 0)
 	y.Dropped() // its end does not touch the new process's account
 	assert.Equal(t, e.OwnLoad().Requests, 0)
 	f.Apply([]deploy.Upstream{born(1000, "m")}, nil, 3)
 	again, _ := f.Entry("a")
-	assert.Assert(t, again == e && !e.Endpoint(ask, now).HoldsModel, "a late word of the former process is passed over")
+	assert.Assert(t, again == e && !e.Endpoint(ask, now).ModelResident, "a late word of the former process is passed over")
 	unsaid := born(0, "m")
 	f.Apply([]deploy.Upstream{unsaid}, nil, 4)
 	again, _ = f.Entry("a")
-	assert.Assert(t, again == e && e.Endpoint(ask, now).HoldsModel, "one that does not say speaks of the process that is known")
+	assert.Assert(t, again == e && e.Endpoint(ask, now).ModelResident, "one that does not say speaks of the process that is known")
 	assert.Equal(t, f.Since(0, false).Put[0].Born, int64(2000), "other hosts are told of the same process")
 }
 
--- a/node/fleet/holders_test.go
+++ b/node/fleet/holders_test.go
@@ -50,7 +50,7 @@
 			for _, m := range models {
 				found := f.Holders("s", m)
 				for _, e := range f.Service("s") {
-					if e.Endpoint(&fleet.Ask{Model: m}, now).HoldsModel {
+					if e.Endpoint(&fleet.Ask{Model: m}, now).ModelResident {
 						assert.Assert(t, slices.Contains(found, e), "%s of %s", m, e.ID())
 					}
 				}
--- a/node/fleet/limits.go
+++ b/node/fleet/limits.go
@@ -23,7 +23,7 @@
 		return false
 	}
 	for _, e := range f.Service(service) {
-		if e.Usable() && e.Limit().Named {
+		if e.Usable() && e.Limit().Stated {
 			return true
 		}
 	}
@@ -59,14 +59,14 @@
 // backoffLocked is for how long nothing more may go to the upstream from here.
 func (e *Entry) backoffLocked(now time.Time) time.Duration {
 	rest := max(e.restUntil.Sub(now), 0)
-	if e.start.Full() {
+	if e.start.AtLimit() {
 		rest = max(rest, TrialWait)
 	}
-	if !e.signal.Limit.Named {
+	if !e.signal.Limit.Stated {
 		return rest
 	}
 	s := e.fleet.sharing.Load()
-	if !s.alone || s.share.Of == 0 {
+	if !s.alone || s.share.Count == 0 {
 		return max(rest, uncounted)
 	}
 	return max(rest, e.pacerLocked(s).Wait(e.signal.Limit.Rate(), s.share, now))
@@ -84,9 +84,9 @@
 func (e *Entry) Pass(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.signal.Limit.Named {
+	if !e.signal.Limit.Stated {
 		return true
 	}
 	s := e.fleet.sharing.Load()
-	return s.alone && s.share.Of > 0 && e.pacerLocked(s).Take(e.signal.Limit.Rate(), s.share, now)
+	return s.alone && s.share.Count > 0 && e.pacerLocked(s).Take(e.signal.Limit.Rate(), s.share, now)
 }
--- a/node/fleet/rests.go
+++ b/node/fleet/rests.go
@@ -11,7 +11,7 @@
 		e.restUntil = until
 		e.fleet.rests.extend(until)
 	}
-	e.start.Begin()
+	e.start.Start()
 }
 
 // TrialWait is when a request is tried again that waits for how another fares at
--- a/node/fleet/signalled.go
+++ b/node/fleet/signalled.go
@@ -35,21 +35,21 @@
 func (e *Entry) heed(s backpressure.Signal, source string) (changed bool) {
 	e.mu.Lock()
 	was := e.told
-	e.signal = backpressure.Latest(e.signal, s)
+	e.signal = backpressure.Merge(e.signal, s)
 	now := e.signal
-	if now.Limit.Named {
+	if now.Limit.Stated {
 		e.fleet.watch(e)
 		e.fleet.limits.extend(e.fleet.deps.Now().Add(limitedFor))
 	}
-	limited := now.Limit.Differs(was.Limit)
-	changed = limited || now.Leaving != was.Leaving
+	limited := now.Limit.DiffersMaterially(was.Limit)
+	changed = limited || now.Draining != was.Draining
 	if changed {
-		e.told, e.askedAt, e.askedBy = now, s.Heard, source
+		e.told, e.askedAt, e.askedBy = now, s.ReceivedAt, source
 	}
-	if changed || now.Limit.Differs(s.Limit) || now.Leaving != s.Leaving { // a host that tells what does not hold any more has to hear it
+	if changed || now.Limit.DiffersMaterially(s.Limit) || now.Draining != s.Draining { // a host that tells what does not hold any more has to hear it
 		e.fleet.signals.note(e)
 	}
-	if now.Leaving {
+	if now.Draining {
 		e.leaveLocked("its answers, by " + source)
 	}
 	e.mu.Unlock()
@@ -64,7 +64,7 @@
 }
 
 func logged(l backpressure.Limit) float64 {
-	if !l.Named {
+	if !l.Stated {
 		return noLimit
 	}
 	return l.PerSecond
@@ -88,10 +88,10 @@
 	var out []Asking
 	for _, e := range f.All() {
 		e.mu.Lock()
-		a := Asking{Upstream: e.id, Service: e.service, Leaving: e.signal.Leaving, Limit: e.signal.Limit, Rest: max(e.restUntil.Sub(now), 0),
+		a := Asking{Upstream: e.id, Service: e.service, Leaving: e.signal.Draining, Limit: e.signal.Limit, Rest: max(e.restUntil.Sub(now), 0),
 			Starting: e.start.Active(), Since: e.askedAt, Source: e.askedBy}
 		e.mu.Unlock()
-		if a.Leaving || a.Limit.Named || a.Rest > 0 || a.Starting {
+		if a.Leaving || a.Limit.Stated || a.Rest > 0 || a.Starting {
 			out = append(out, a)
 		}
 	}
--- a/node/fleet/signalled_test.go
+++ b/node/fleet/signalled_test.go
@@ -15,7 +15,7 @@
 // told is a signal that has just been heard.
 func told(l backpressure.Limit, leaving bool) backpressure.Signal {
 	now := time.Now()
-	return backpressure.Signal{Limit: l, Leaving: leaving, Sent: now.Add(-time.Millisecond), Heard: now}
+	return backpressure.Signal{Limit: l, Draining: leaving, SentAt: now.Add(-time.Millisecond), ReceivedAt: now}
 }
 
 func entry(t *testing.T, f *fleet.Fleet, id string) *fleet.Entry {
@@ -25,7 +25,7 @@
 	return e
 }
 
-var perSecond = backpressure.Limit{Named: true, PerSecond: 1}
+var perSecond = backpressure.Limit{Stated: true, PerSecond: 1}
 
 // Guards against an upstream that gets work again since an older entry of it says that it is ready.
 func TestWhatAnUpstreamSaidOfLeavingIsNotUndoneByTheList(t *testing.T) {
@@ -64,14 +64,14 @@
 	entry(t, one, "a").Heed(told(perSecond, false), "answer")
 	none, _ = one.SignalsSince(revision)
 	assert.Equal(t, len(none), 0, "nothing new")
-	entry(t, one, "a").Heed(told(backpressure.Limit{Named: true, PerSecond: 0.95}, false), "answer")
+	entry(t, one, "a").Heed(told(backpressure.Limit{Stated: true, PerSecond: 0.95}, false), "answer")
 	none, _ = one.SignalsSince(revision)
 	assert.Equal(t, len(none), 0, "hardly another limit")
-	stale := fleet.Signalled{Upstream: "a", Signal: backpressure.Signal{Sent: time.Now().Add(-time.Hour), Heard: time.Now().Add(-time.Hour)}}
+	stale := fleet.Signalled{Upstream: "a", Signal: backpressure.Signal{SentAt: time.Now().Add(-time.Hour), ReceivedAt: time.Now().Add(-time.Hour)}}
 	one.HeedAll([]fleet.Signalled{stale}, "host")
 	again, _ := one.SignalsSince(revision)
 	assert.Equal(t, len(again), 1, "whoever has told what does not hold any more must hear it")
-	assert.Equal(t, again[0].Limit, backpressure.Limit{Named: true, PerSecond: 0.95})
+	assert.Equal(t, again[0].Limit, backpressure.Limit{Stated: true, PerSecond: 0.95})
 }
 
 // Guards against a message that grows with the number of upstreams.
@@ -116,7 +116,7 @@
 	}
 	f.SetAlone()
 	assert.Equal(t, passed(time.Second), 0, "it does not know its part")
-	f.SetShare(backpressure.Share{Place: 1, Of: 2})
+	f.SetShare(backpressure.Share{Index: 1, Count: 2})
 	assert.Equal(t, passed(time.Second), 0, "another counts for all")
 	f.SetAlone()
 	n := passed(40 * time.Second)
--- a/node/gate/attempt.go
+++ b/node/gate/attempt.go
@@ -59,7 +59,7 @@
 	now := d.Now()
 	q.sentAt = now
 	d.Log.Emit(event.RequestSent, q.id(), q.routeName(), q.teamName(), zap.String(event.FieldPeer, e.ID()), zap.Int("among", p.among),
-		zap.Int("load", p.load), zap.Int("prompt", q.cost.Prompt), zap.Int("cached", p.cached), zap.Int("waiting", p.waiting), zap.Int64("predicted_ms", p.Predicted.Milliseconds()), zap.Uint64("version", q.version),
+		zap.Int("load", p.load), zap.Int("prompt", q.cost.Prompt), zap.Int("cached", p.cached), zap.Int("waiting", p.waiting), zap.Int64("predicted_ms", p.PredictedWait.Milliseconds()), zap.Uint64("version", q.version),
 		zap.Int64("held_ms", now.Sub(q.start).Milliseconds()), zap.String("model", q.ask.Model), zap.String("adapter", q.ask.Adapter),
 		zap.Bool("by_turn", p.turn != nil), limitOf(e))
 	d.Metrics.Add(metrics.Attempts, q.service.Name, e.ID(), 1)
@@ -188,7 +188,7 @@
 // retryAfter reads how long an upstream wants its caller to stay away; 0: it does
 // not say, or longer than a caller can be told.
 func retryAfter(h http.Header) time.Duration {
-	after := backpressure.RetryAfter(h.Get("Retry-After"))
+	after := backpressure.ParseRetryAfter(h.Get("Retry-After"))
 	if after > longestTold {
 		return 0
 	}
--- a/node/gate/gate.go
+++ b/node/gate/gate.go
@@ -49,7 +49,7 @@
 // Crashes is told of requests whose upstream may have ended under them.
 type Crashes interface {
 	// Broken notes a request whose exchange with an upstream broke before its end.
-	Broken(upstream, address string, request poison.Mark)
+	Broken(upstream, address string, request poison.Fingerprint)
 }
 
 // Guard keeps requests from upstreams that end upstreams.
--- a/node/gate/pick.go
+++ b/node/gate/pick.go
@@ -42,14 +42,14 @@
 	if e != nil || given.over {
 		return e, given
 	}
-	if ok && q.ask.Model == "" && given.Reason != balance.NoServer {
+	if ok && q.ask.Model == "" && given.Reason != balance.NoUpstream {
 		return nil, given
 	}
 	if over, ok := q.charge(); !ok {
 		return nil, over
 	}
 	e, own := q.pickCounted()
-	if e != nil || !ok || given.Reason == balance.NoModel && own.Reason.Nearer(given.Reason) {
+	if e != nil || !ok || given.Reason == balance.NoModel && own.Reason.CloserToFound(given.Reason) {
 		return e, own
 	}
 	return nil, given
@@ -83,8 +83,8 @@
 	requests, slots := 0, 0
 	for _, e := range q.g.deps.Fleet.Service(q.service.Name) {
 		at := e.Endpoint(&q.ask, now)
-		if !at.Leaving && !at.Down {
-			requests, slots = requests+at.Requests, slots+at.Slots
+		if !at.Draining && !at.Down {
+			requests, slots = requests+at.InFlight, slots+at.Slots
 		}
 	}
 	return float64(requests) >= crowdedShare*float64(slots)
@@ -102,25 +102,25 @@
 	for i, e := range entries {
 		endpoints[i] = e.Endpoint(&q.ask, now)
 		endpoints[i].Tried = q.tried[endpoints[i].ID]
-		endpoints[i].Warm = d.Client.Warm(e.Address())
+		endpoints[i].HasIdleConn = d.Client.Warm(e.Address())
 	}
-	r := balance.Request{Model: q.ask.Model, Adapter: q.ask.Adapter, Prompt: q.cost.Prompt, Output: q.cost.Output}
+	r := balance.Request{Model: q.ask.Model, Adapter: q.ask.Adapter, PromptTokens: q.cost.Prompt, OutputTokens: q.cost.Output}
 	if q.service.Engine != nil {
 		r.CacheTokens = q.service.Engine.CacheTokens
-		r.Reading = q.reading(now, lost)
+		r.MaxPendingPromptTokens = q.reading(now, lost)
 	}
 	p := picked{Decision: balance.Pick(endpoints, &r, d.Draw), among: len(entries)}
-	if p.Home >= 0 {
-		p.home = entries[p.Home]
+	if p.AdapterTarget >= 0 {
+		p.home = entries[p.AdapterTarget]
 	}
-	if p.Reason == balance.NoServer && d.Fleet.Lacks(q.service.Name, q.ask.Model, func(e *fleet.Entry) bool { return q.tried[e.ID()] }) {
+	if p.Reason == balance.NoUpstream && d.Fleet.Lacks(q.service.Name, q.ask.Model, func(e *fleet.Entry) bool { return q.tried[e.ID()] }) {
 		p.Reason = balance.NoModel
 	}
 	if p.Index < 0 {
 		return nil, p
 	}
 	chosen := &endpoints[p.Index]
-	p.load, p.waiting, p.cached = chosen.Requests, chosen.Waiting, chosen.Cached
+	p.load, p.waiting, p.cached = chosen.InFlight, chosen.PendingPromptTokens, chosen.CachedTokens
 	return entries[p.Index], p
 }
 
@@ -137,7 +137,7 @@
 	if lost && now.Sub(q.start) >= q.bounded(time.Duration(float64(q.route.Objective)*leastShare)) {
 		return 0
 	}
-	return balance.ReadingFor(q.route.PauseBound, q.service.Engine.EventTokens)
+	return balance.PendingPromptLimit(q.route.PauseBound, q.service.Engine.EventTokens)
 }
 
 const (
@@ -173,16 +173,16 @@
 		return q.fetchAdapter(p)
 	}
 	now := q.g.deps.Now()
-	if p.Reason == balance.AllBackoff && !q.started && (p.inVain || now.Add(p.Backoff).After(until)) {
-		return q.giveUpBackoff(p.Backoff)
+	if p.Reason == balance.AllBackoff && !q.started && (p.inVain || now.Add(p.MinBackoff).After(until)) {
+		return q.giveUpBackoff(p.MinBackoff)
 	}
 	if !now.Before(until) {
 		return q.giveUp(p.Reason)
 	}
 	ctx, cancel := context.WithDeadline(q.ctx, until)
 	defer cancel()
-	if p.Backoff > 0 {
-		defer time.AfterFunc(p.Backoff, q.g.deps.Fleet.Tell).Stop()
+	if p.MinBackoff > 0 {
+		defer time.AfterFunc(p.MinBackoff, q.g.deps.Fleet.Tell).Stop()
 	}
 	defer q.endsWithStop(cancel)()
 	q.tellWait(p, until.Sub(now))
@@ -286,7 +286,7 @@
 		return q.deadline.Sub(q.start)
 	}
 	hold := max(time.Duration(float64(q.route.Objective)*holdShare), shortestHold)
-	if r == balance.AllReading || r == balance.AllBackoff {
+	if r == balance.AllPrefilling || r == balance.AllBackoff {
 		return q.patience()
 	}
 	if r == balance.NoModel && !q.g.deps.Draining() { // else its answer might not end before the process does
--- a/node/gate/poison.go
+++ b/node/gate/poison.go
@@ -57,6 +57,6 @@
 		return
 	}
 	if e := x.Entry(); q.g.deps.Crashes != nil {
-		q.g.deps.Crashes.Broken(e.ID(), e.Address(), q.content.Mark())
+		q.g.deps.Crashes.Broken(e.ID(), e.Address(), q.content.Fingerprint())
 	}
 }
--- a/node/gate/poison_test.go
+++ b/node/gate/poison_test.go
@@ -18,13 +18,13 @@
 // blamed keeps what a gate tells of requests, and bars one target.
 type blamed struct {
 	mu     sync.Mutex
-	broken []poison.Mark
-	ran    []poison.Mark
+	broken []poison.Fingerprint
+	ran    []poison.Fingerprint
 	bars   poison.Digest
 	until  time.Time
 }
 
-func (b *blamed) Broken(_, _ string, m poison.Mark) {
+func (b *blamed) Broken(_, _ string, m poison.Fingerprint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.broken = append(b.broken, m)
@@ -33,13 +33,13 @@
 func (b *blamed) Completed(r *poison.Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.ran = append(b.ran, r.Mark())
+	b.ran = append(b.ran, r.Fingerprint())
 }
 
 func (b *blamed) Barred(r *poison.Request) (time.Time, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.until, r.Mark().Digest == b.bars
+	return b.until, r.Fingerprint().Digest == b.bars
 }
 
 // bar bars a target from now on.
@@ -69,21 +69,21 @@
 	return w
 }
 
-func marked(target string) poison.Mark {
-	return (&poison.Content{Method: http.MethodPost, Host: "example.com", Target: "http://example.com" + target}).Mark()
+func marked(target string) poison.Fingerprint {
+	return (&poison.Content{Method: http.MethodPost, Host: "example.com", Target: "http://example.com" + target}).Fingerprint()
 }
 
 func TestWhatWasUnderWayWhenItsExchangeBrokeIsTold(t *testing.T) {
 	g, b := blaming(t, deploy.NonIdempotent, new(atomic.Int64), func(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) })
 	assert.Equal(t, serve(g, "/a?b=c").Code, http.StatusBadGateway)
-	assert.DeepEqual(t, b.broken, []poison.Mark{marked("/a?b=c")})
+	assert.DeepEqual(t, b.broken, []poison.Fingerprint{marked("/a?b=c")})
 	assert.Equal(t, len(b.ran), 0)
 }
 
 func TestWhatRanToItsEndIsTold(t *testing.T) {
 	g, b := blaming(t, deploy.NonIdempotent, new(atomic.Int64), func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "whole") })
 	assert.Equal(t, serve(g, "/a").Code, http.StatusOK)
-	assert.DeepEqual(t, b.ran, []poison.Mark{marked("/a")})
+	assert.DeepEqual(t, b.ran, []poison.Fingerprint{marked("/a")})
 	assert.Equal(t, len(b.broken), 0)
 }
 
--- a/node/gate/refuse.go
+++ b/node/gate/refuse.go
@@ -39,7 +39,7 @@
 	switch r {
 	case balance.AllFull, balance.NoAdapter, balance.AllBackoff:
 		return fullRetry
-	case balance.AllReading:
+	case balance.AllPrefilling:
 		return readingRetry
 	case balance.NoModel:
 		return modelRetry
@@ -88,7 +88,7 @@
 	d.Log.Emit(event.RequestBroken, q.id(), q.routeName(), zap.String("why", why), zap.String(event.FieldPeer, q.last),
 		zap.Int("sends", q.sends), zap.Int64("took_ms", d.Now().Sub(q.start).Milliseconds()), zap.Bool("started", q.started),
 		zap.Int64("relayed_bytes", q.relayed), zap.NamedError("write_error", q.writeErr), q.ended(), q.barredBy(),
-		zap.Stringer("content", q.content.Mark().Digest))
+		zap.Stringer("content", q.content.Fingerprint().Digest))
 	d.Metrics.Count(metrics.Unknown, 1)
 	if q.started {
 		panic(http.ErrAbortHandler) // an answer that ends early must not look whole
--- a/node/gate/resume.go
+++ b/node/gate/resume.go
@@ -64,5 +64,5 @@
 // triedAll says whether an answer that has begun has nowhere to go on since it was
 // tried everywhere.
 func (q *request) triedAll(p picked) bool {
-	return q.started && p.Reason == balance.NoServer && len(q.tried) > 0
+	return q.started && p.Reason == balance.NoUpstream && len(q.tried) > 0
 }
--- a/node/gate/signals.go
+++ b/node/gate/signals.go
@@ -23,8 +23,8 @@
 	if crossed || status == http.StatusMisdirectedRequest || !a.Sealed && !refusal {
 		return
 	}
-	s := backpressure.Signal{Limit: a.Limit, Leaving: a.Leaving, Sent: q.sentAt, Heard: q.g.deps.Now()}
-	if a.LimitUnreadable || !a.Sealed && !a.Limit.Named {
+	s := backpressure.Signal{Limit: a.Limit, Draining: a.Leaving, SentAt: q.sentAt, ReceivedAt: q.g.deps.Now()}
+	if a.LimitUnreadable || !a.Sealed && !a.Limit.Stated {
 		s.Limit = e.Limit()
 	}
 	e.Heed(s, ownAnswer)
@@ -38,7 +38,7 @@
 // limitOf tells in logs the limit of the upstream that a request goes to.
 func limitOf(e *fleet.Entry) zap.Field {
 	l := e.Limit()
-	if !l.Named {
+	if !l.Stated {
 		return zap.Skip()
 	}
 	return zap.Float64("limit_per_s", l.PerSecond)
--- a/node/gate/turn.go
+++ b/node/gate/turn.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		// A call that had no turn in its time would be late, and make others late.
 		full := q.ask.Model == "" && errors.Is(err, context.DeadlineExceeded)
-		return nil, picked{Decision: balance.Decision{Index: -1, Reason: balance.AllFull, Home: -1}}, full
+		return nil, picked{Decision: balance.Decision{Index: -1, Reason: balance.AllFull, AdapterTarget: -1}}, full
 	}
 	if t.Over {
 		return nil, picked{over: true, after: t.Wait}, true
@@ -88,11 +88,11 @@
 		return q.noTurn(t)
 	}
 	e, known := d.Fleet.Entry(t.Upstream)
-	if !known || !e.Usable() || e.Limit().Named && !t.WithinLimit {
+	if !known || !e.Usable() || e.Limit().Stated && !t.WithinLimit {
 		t.End() // what this host knows is newer
 		return nil, picked{}, false
 	}
-	p = picked{Decision: balance.Decision{Predicted: t.Predicted}, among: len(d.Fleet.Service(q.service.Name)),
+	p = picked{Decision: balance.Decision{PredictedWait: t.Predicted}, among: len(d.Fleet.Service(q.service.Name)),
 		load: t.Load, waiting: t.Waiting, cached: t.Cached, turn: t}
 	d.Log.Emit(event.TurnGiven, q.id(), zap.String(event.FieldPeer, t.Upstream), zap.Int64("waited_ms", d.Now().Sub(now).Milliseconds()),
 		zap.Int("load", t.Load), zap.Int("waiting", t.Waiting), zap.Int("cached", t.Cached))
@@ -138,7 +138,7 @@
 
 // noTurn turns an answer without an upstream into what the wait goes by.
 func (q *request) noTurn(t *Turn) (*fleet.Entry, picked, bool) {
-	p := picked{Decision: balance.Decision{Index: -1, Reason: t.Reason, Home: -1, Backoff: t.Wait}, inVain: t.Wait > 0, among: len(q.g.deps.Fleet.Service(q.service.Name))}
+	p := picked{Decision: balance.Decision{Index: -1, Reason: t.Reason, AdapterTarget: -1, MinBackoff: t.Wait}, inVain: t.Wait > 0, among: len(q.g.deps.Fleet.Service(q.service.Name))}
 	if home, ok := q.g.deps.Fleet.Entry(t.Home); ok && t.Reason == balance.NoAdapter {
 		p.home = home
 	}
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -308,7 +308,7 @@
 }
 
 // crashed notes that an upstream ended under requests of this host.
-func (h *Host) crashed(upstream string, at time.Time, ran []poison.Mark) {
+func (h *Host) crashed(upstream string, at time.Time, ran []poison.Fingerprint) {
 	h.guard.Crashed(upstream, at, ran)
 	h.link.Hasten()
 }
--- a/node/host/quarantine.go
+++ b/node/host/quarantine.go
@@ -29,8 +29,8 @@
 		out := []HeldRequest{}
 		now := time.Now()
 		for _, x := range h.guard.Entries() {
-			out = append(out, HeldRequest{Content: x.Digest.String(), State: x.State.String(), ForMs: max(x.Until.Sub(now), 0).Milliseconds(),
-				Crashes: x.Crashes, Bars: x.Bars})
+			out = append(out, HeldRequest{Content: x.Digest.String(), State: x.State.String(), ForMs: max(x.BarredUntil.Sub(now), 0).Milliseconds(),
+				Crashes: x.CrashCount, Bars: x.BarCount})
 		}
 		return c.JSON(http.StatusOK, out)
 	})
--- a/node/host/upstreams.go
+++ b/node/host/upstreams.go
@@ -29,7 +29,7 @@
 		now := time.Now()
 		for _, a := range h.fleet.Asking() {
 			u := AskingUpstream{Upstream: a.Upstream, Service: a.Service, Leaving: a.Leaving, RestMs: a.Rest.Milliseconds(), Starting: a.Starting, Source: a.Source}
-			if a.Limit.Named {
+			if a.Limit.Stated {
 				u.Limit = &a.Limit.PerSecond
 			}
 			if !a.Since.IsZero() {
--- a/node/quarantine/guard.go
+++ b/node/quarantine/guard.go
@@ -67,7 +67,7 @@
 type Crash struct {
 	Upstream string
 	At       time.Time
-	Running  []poison.Mark
+	Running  []poison.Fingerprint
 }
 
 // Report is what the host that acts for all has not heard of yet.
@@ -96,7 +96,7 @@
 	if d.Log == nil {
 		d.Log = event.NewLog(nil)
 	}
-	g := &Guard{deps: d, own: poison.NewLedger(poison.Default), site: map[poison.Digest]poison.Entry{}}
+	g := &Guard{deps: d, own: poison.NewLedger(poison.DefaultPolicy), site: map[poison.Digest]poison.Entry{}}
 	d.Metrics.Func(metrics.PoisonSuspects, func() any { return g.count(poison.Suspected) })
 	d.Metrics.Func(metrics.PoisonBarred, func() any { return g.count(poison.Barred) })
 	return g
@@ -108,10 +108,10 @@
 	if v == nil || !v.shapes[r.Shape()] {
 		return time.Time{}, false
 	}
-	d, now := r.Mark().Digest, g.deps.Now()
+	d, now := r.Fingerprint().Digest, g.deps.Now()
 	for _, e := range g.standing(v, d) {
-		if e.State == poison.Barred && now.Before(e.Until) {
-			return e.Until, true
+		if e.State == poison.Barred && now.Before(e.BarredUntil) {
+			return e.BarredUntil, true
 		}
 	}
 	return time.Time{}, false
@@ -131,7 +131,7 @@
 	if v == nil || !v.shapes[r.Shape()] {
 		return
 	}
-	d := r.Mark().Digest
+	d := r.Fingerprint().Digest
 	if v.site[d].State == poison.Cleared && v.own[d].State == poison.Cleared {
 		return
 	}
@@ -146,11 +146,11 @@
 }
 
 // Crashed notes that an upstream ended while requests of this host were under way there.
-func (g *Guard) Crashed(upstream string, at time.Time, ran []poison.Mark) {
+func (g *Guard) Crashed(upstream string, at time.Time, ran []poison.Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.deps.Now()
-	g.own.Crash(upstream, ran, at, now)
+	g.own.RecordCrash(upstream, ran, at, now)
 	g.addLocked(Event{Crash: &Crash{Upstream: upstream, At: at, Running: ran}, at: now})
 	g.refreshLocked(now)
 }
@@ -212,7 +212,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.deps.Now()
-	for len(g.events) > 0 && now.Sub(g.events[0].at) > poison.Default.Memory {
+	for len(g.events) > 0 && now.Sub(g.events[0].at) > poison.DefaultPolicy.CrashRetention {
 		g.events, g.dropped = g.events[1:], g.dropped+1
 	}
 	next := Report{holder: holder, whole: holder != g.holder, ID: g.id, Revision: g.revision}
@@ -230,7 +230,7 @@
 	var out []poison.Entry
 	for _, all := range [][]poison.Entry{g.own.All(now), values(g.site)} {
 		for _, e := range all {
-			if e.State == poison.Barred && now.Before(e.Until) {
+			if e.State == poison.Barred && now.Before(e.BarredUntil) {
 				out = append(out, e)
 			}
 		}
@@ -276,8 +276,8 @@
 			delete(g.site, d)
 			continue
 		}
-		if last := now.Add(formerKept); e.Until.After(last) {
-			e.Until = last
+		if last := now.Add(formerKept); e.BarredUntil.After(last) {
+			e.BarredUntil = last
 			g.site[d] = e
 		}
 	}
@@ -302,12 +302,12 @@
 
 func (g *Guard) logLocked(e poison.Entry, source string, now time.Time) {
 	g.deps.Log.Emit(event.BarReceived, zap.Stringer("content", e.Digest), zap.String("source", source),
-		zap.Int("crashes", e.Crashes), zap.Int64("for_ms", e.Until.Sub(now).Milliseconds()))
+		zap.Int("crashes", e.CrashCount), zap.Int64("for_ms", e.BarredUntil.Sub(now).Milliseconds()))
 }
 
 // refreshLocked renews what requests are compared with.
 func (g *Guard) refreshLocked(now time.Time) {
-	for _, d := range g.own.Decisions() {
+	for _, d := range g.own.TakeTransitions() {
 		if d.State == poison.Barred && !g.deps.Linked() {
 			g.logLocked(d.Entry, "own", now)
 		}
--- a/node/quarantine/guard_test.go
+++ b/node/quarantine/guard_test.go
@@ -33,7 +33,7 @@
 // ended notes two ends of upstreams under one request.
 func (g *guarded) ended(text string) {
 	for _, u := range []string{"u", "v"} {
-		g.Crashed(u+text, g.now, []poison.Mark{asked(text).Mark()})
+		g.Crashed(u+text, g.now, []poison.Fingerprint{asked(text).Fingerprint()})
 		g.now = g.now.Add(time.Second)
 	}
 }
@@ -44,7 +44,7 @@
 	ledger *poison.Ledger
 }
 
-func newHolder(id uint64) *holder { return &holder{id, poison.NewLedger(poison.Default)} }
+func newHolder(id uint64) *holder { return &holder{id, poison.NewLedger(poison.DefaultPolicy)} }
 
 func (h *holder) hear(g *guarded, address string) {
 	w := g.NextReport(address)
@@ -54,7 +54,7 @@
 	for _, n := range w.Events {
 		switch {
 		case n.Crash != nil:
-			h.ledger.Crash(n.Crash.Upstream, n.Crash.Running, n.Crash.At, g.now)
+			h.ledger.RecordCrash(n.Crash.Upstream, n.Crash.Running, n.Crash.At, g.now)
 		case n.Completed != nil:
 			h.ledger.Clear(*n.Completed, g.now)
 		case n.Released != nil:
@@ -78,7 +78,7 @@
 	g.linked = true
 	assert.Assert(t, g.barred("x"), "the host that acts for all is of a release that keeps no quarantine")
 	newHolder(1).hear(g, "h")
-	g.Release(asked("x").Mark().Digest)
+	g.Release(asked("x").Fingerprint().Digest)
 	g.ended("y")
 	assert.Assert(t, !g.barred("y"), "the host that acts for all knows better")
 }
@@ -88,7 +88,7 @@
 	g, h := newGuarded(true), newHolder(1)
 	const crashes = 3 * reportMost
 	for i := range crashes {
-		g.Crashed(string(rune('a'+i)), g.now, []poison.Mark{asked(string(rune('a' + i))).Mark()})
+		g.Crashed(string(rune('a'+i)), g.now, []poison.Fingerprint{asked(string(rune('a' + i))).Fingerprint()})
 	}
 	for range crashes / reportMost {
 		assert.Equal(t, len(g.NextReport("h").Events), reportMost)
@@ -101,8 +101,8 @@
 
 func TestWhatOneHostTellsBarsAtAll(t *testing.T) {
 	a, b, h := newGuarded(true), newGuarded(true), newHolder(1)
-	a.Crashed("u", a.now, []poison.Mark{asked("x").Mark()})
-	b.Crashed("v", b.now, []poison.Mark{asked("x").Mark()})
+	a.Crashed("u", a.now, []poison.Fingerprint{asked("x").Fingerprint()})
+	b.Crashed("v", b.now, []poison.Fingerprint{asked("x").Fingerprint()})
 	h.hear(a, "h")
 	h.hear(b, "h")
 	h.hear(a, "h")
@@ -114,19 +114,19 @@
 func TestASuccessorHearsAll(t *testing.T) {
 	g, first := newGuarded(true), newHolder(1)
 	g.ended("x")
-	g.Crashed("w", g.now, []poison.Mark{asked("y").Mark()})
+	g.Crashed("w", g.now, []poison.Fingerprint{asked("y").Fingerprint()})
 	first.hear(g, "first")
 	second := newHolder(2)
 	second.hear(g, "second")
 	assert.Assert(t, g.barred("x"))
-	_, ok := second.ledger.Barred(asked("x").Mark().Digest, g.now)
+	_, ok := second.ledger.BarredUntil(asked("x").Fingerprint().Digest, g.now)
 	assert.Assert(t, ok)
 	suspected, _ := second.ledger.Counts()
 	assert.Equal(t, suspected, 1, "crashes are told again too")
 	third := newHolder(3) // another process at the address of the second
 	third.hear(g, "second")
 	third.hear(g, "second")
-	_, ok = third.ledger.Barred(asked("x").Mark().Digest, g.now)
+	_, ok = third.ledger.BarredUntil(asked("x").Fingerprint().Digest, g.now)
 	assert.Assert(t, ok)
 	assert.Assert(t, g.barred("x"))
 }
@@ -151,8 +151,8 @@
 	h.hear(a, "h")
 	h.hear(b, "h")
 	assert.Assert(t, b.barred("x"))
-	assert.Assert(t, b.Release(asked("x").Mark().Digest))
-	assert.Assert(t, !b.Release(asked("x").Mark().Digest))
+	assert.Assert(t, b.Release(asked("x").Fingerprint().Digest))
+	assert.Assert(t, !b.Release(asked("x").Fingerprint().Digest))
 	h.hear(b, "h")
 	h.hear(a, "h")
 	assert.Assert(t, !a.barred("x") && !b.barred("x"))
@@ -163,7 +163,7 @@
 func BenchmarkBarred(b *testing.B) {
 	g := newGuarded(true)
 	for i := range 1000 {
-		g.Crashed(string(rune(i)), g.now, []poison.Mark{asked(string(rune(i))).Mark()})
+		g.Crashed(string(rune(i)), g.now, []poison.Fingerprint{asked(string(rune(i))).Fingerprint()})
 	}
 	r := poison.NewRequest(poison.Content{Method: "POST", Host: "site.example", Target: "/v1/generate/0815", Body: make([]byte, 4700)})
 	for b.Loop() {
--- a/node/quarantine/watch.go
+++ b/node/quarantine/watch.go
@@ -41,7 +41,7 @@
 	Refuses func(ctx context.Context, address string) bool
 	// Crash is told of an upstream that ended, when that was noticed, and what
 	// this host had under way there; again for what is found later.
-	Crashed func(upstream string, at time.Time, ran []poison.Mark)
+	Crashed func(upstream string, at time.Time, ran []poison.Fingerprint)
 	Log     *event.Log
 	Metrics *metrics.Set
 	Now     func() time.Time
@@ -63,7 +63,7 @@
 	at       time.Time
 	ended    bool
 	asked    bool // the question is answered
-	suspects []poison.Mark
+	suspects []poison.Fingerprint
 }
 
 // NewWatch makes a Watch; Run makes it work.
@@ -79,7 +79,7 @@
 
 // Broken notes a request whose exchange with an upstream broke before its end.
 // It does not wait.
-func (w *Watch) Broken(upstream, address string, request poison.Mark) {
+func (w *Watch) Broken(upstream, address string, request poison.Fingerprint) {
 	w.mu.Lock()
 	now := w.deps.Now()
 	w.forgetLocked(now)
@@ -98,7 +98,7 @@
 	late, at := e.ended, e.at
 	w.mu.Unlock()
 	if late {
-		w.tell(upstream, at, []poison.Mark{request})
+		w.tell(upstream, at, []poison.Fingerprint{request})
 	}
 }
 
@@ -158,7 +158,7 @@
 }
 
 // tell passes on what ran on an upstream that ended.
-func (w *Watch) tell(upstream string, at time.Time, ran []poison.Mark) {
+func (w *Watch) tell(upstream string, at time.Time, ran []poison.Fingerprint) {
 	digests := make([]poison.Digest, len(ran))
 	for i, m := range ran {
 		digests[i] = m.Digest
--- a/node/quarantine/watch_test.go
+++ b/node/quarantine/watch_test.go
@@ -20,7 +20,7 @@
 func watched(t *testing.T, refuses func(address string) bool) (*Watch, *observer.ObservedLogs) {
 	core, lines := observer.New(zap.DebugLevel)
 	w := NewWatch(WatchDeps{Refuses: func(_ context.Context, a string) bool { return refuses(a) }, Log: event.NewLog(zap.New(core)),
-		Metrics: metrics.New(), Crashed: func(string, time.Time, []poison.Mark) {}})
+		Metrics: metrics.New(), Crashed: func(string, time.Time, []poison.Fingerprint) {}})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = w.Run(ctx) }()
@@ -28,7 +28,7 @@
 	return w, lines
 }
 
-func content(text string) poison.Mark { return (&poison.Content{Target: text}).Mark() }
+func content(text string) poison.Fingerprint { return (&poison.Content{Target: text}).Fingerprint() }
 
 func TestAnUpstreamThatRefusesHasEnded(t *testing.T) {
 	w, lines := watched(t, func(a string) bool { return a == "dead" })
