--- a/node/callerapi/problem.go
+++ b/node/callerapi/problem.go
@@ -137,7 +137,7 @@
 	case outcome.Completed:
 		a.deps.Metrics.Count(metrics.Completed, 1)
 	default:
-		a.deps.Metrics.Count(metrics.Unknown, 1)
+		a.deps.Metrics.Count(metrics.OutcomeUnknown, 1)
 	}
 }
 
--- a/node/claim/sweep.go
+++ b/node/claim/sweep.go
@@ -42,7 +42,7 @@
 
 // Run sweeps while held says that this host holds the lease, until ctx ends.
 func (w *Sweeper) Run(ctx context.Context, held func() bool) error {
-	for wait := sweepPause; pace.Sleep(ctx, pace.Default().Around(wait, 0.1)); {
+	for wait := sweepPause; pace.Sleep(ctx, pace.DefaultRand().Jitter(wait, 0.1)); {
 		wait = sweepRest
 		if !held() {
 			continue
--- a/node/command/audit.go
+++ b/node/command/audit.go
@@ -50,7 +50,7 @@
 
 // Run archives until ctx ends.
 func (a *Archiver) Run(ctx context.Context) error {
-	for pace.Sleep(ctx, pace.Default().Around(archiveEvery, 0.1)) {
+	for pace.Sleep(ctx, pace.DefaultRand().Jitter(archiveEvery, 0.1)) {
 		for moved, err := a.Step(ctx); moved || err != nil; moved, err = a.Step(ctx) {
 			if err != nil {
 				a.deps.Log.Emit(event.AuditArchiveFailed, zap.Error(err))
--- a/node/coordinator/asking.go
+++ b/node/coordinator/asking.go
@@ -81,7 +81,7 @@
 	open := a.stream != nil
 	a.mu.Unlock()
 	if open && a.link.where() == at {
-		return pace.SleepUntil(ctx, idleTick, moved)
+		return pace.SleepOrWake(ctx, idleTick, moved)
 	}
 	return pace.Sleep(ctx, lookEach)
 }
@@ -222,7 +222,7 @@
 		delete(a.asks, id)
 	}
 	a.mu.Unlock()
-	a.link.moved.Give()
+	a.link.moved.Notify()
 	_ = old.Close()
 }
 
@@ -294,7 +294,7 @@
 }
 
 // ask asks where a request may go and waits until ctx ends at most.
-func (a *asking) ask(ctx context.Context, e *coordpb.TurnEvent) (*gate.Turn, error) {
+func (a *asking) ask(ctx context.Context, e *coordpb.TurnEvent) (*gate.Permit, error) {
 	st, answers, done, err := a.begin(e)
 	if err != nil {
 		return nil, err
@@ -308,15 +308,15 @@
 	switch answer.Kind {
 	case coordpb.TurnAnswer_GRANTED:
 	case coordpb.TurnAnswer_OVER:
-		return &gate.Turn{Over: true, Wait: milliseconds(answer.WaitMs)}, nil
+		return &gate.Permit{OverLimit: true, RetryAfter: milliseconds(answer.WaitMs)}, nil
 	default:
-		return &gate.Turn{Reason: balance.ReasonFromCode(answer.Reason), Home: answer.Home, Wait: milliseconds(answer.WaitMs)}, nil
+		return &gate.Permit{Reason: balance.ReasonFromCode(answer.Reason), AdapterUpstream: answer.Home, RetryAfter: milliseconds(answer.WaitMs)}, nil
 	}
-	return &gate.Turn{Upstream: answer.Upstream, Predicted: milliseconds(answer.PredictedMs),
-		Load: int(answer.Load), Waiting: int(answer.Waiting), Cached: int(answer.Cached), WithinLimit: answer.WithinLimit, Trial: answer.Trial,
-		First:  func() { _ = a.tell(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_FIRST}) },
-		Absent: func() { _ = a.tell(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_ABSENT}) },
-		End:    func() { _ = a.tell(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_END}) }}, nil
+	return &gate.Permit{Upstream: answer.Upstream, Predicted: milliseconds(answer.PredictedMs),
+		Requests: int(answer.Load), WaitingTokens: int(answer.Waiting), CachedTokens: int(answer.Cached), WithinLimit: answer.WithinLimit, Trial: answer.Trial,
+		Began:        func() { _ = a.tell(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_FIRST}) },
+		NotListening: func() { _ = a.tell(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_ABSENT}) },
+		Release:      func() { _ = a.tell(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_END}) }}, nil
 }
 
 // await waits for the first word within askBound, and for the last until ctx ends.
@@ -345,17 +345,17 @@
 	}
 }
 
-// Turn implements gate.Models.
-func (l *Link) Turn(ctx context.Context, q *gate.TurnAsk) (*gate.Turn, error) {
+// RequestPermit implements gate.Models.
+func (l *Link) RequestPermit(ctx context.Context, q *gate.PermitRequest) (*gate.Permit, error) {
 	e := &coordpb.TurnEvent{Kind: coordpb.TurnEvent_ASK, Service: q.Service, Model: q.Ask.Model, Adapter: q.Ask.Adapter,
-		Prompt: uint32(q.Cost.Prompt), Output: uint32(q.Cost.Output), Priority: int32(q.Priority), Reading: uint32(q.Reading), Tried: q.Tried,
-		Warm: q.Warm, DataCentre: l.cfg.DataCentre, InTimeMs: uint32(max(q.InTime.Milliseconds(), 0)), PatienceMs: uint32(max(q.Patience.Milliseconds(), 0))}
+		Prompt: uint32(q.Cost.Prompt), Output: uint32(q.Cost.Output), Priority: int32(q.Priority), Reading: uint32(q.MaxWaitingTokens), Tried: q.Excluded,
+		Warm: q.Warm, DataCentre: l.cfg.DataCentre, InTimeMs: uint32(max(q.ObjectiveLeft.Milliseconds(), 0)), PatienceMs: uint32(max(q.MaxWait.Milliseconds(), 0))}
 	if q.Team != nil {
 		now := l.own.now()
 		l.teams.with(q.Team, now, func(s *quota.Share) { s.AddDemand(q.Charge, now) })
 		e.Team, e.Charge = q.Team.Name, uint32(q.Charge)
 	}
-	for id, left := range q.Rests {
+	for id, left := range q.Backoffs {
 		e.Rests = append(e.Rests, &coordpb.UpstreamRest{Upstream: id, ForMs: uint32(left.Milliseconds()) + 1})
 	}
 	for _, p := range q.Ask.Parts {
--- a/node/coordinator/asking_test.go
+++ b/node/coordinator/asking_test.go
@@ -49,18 +49,18 @@
 	go func() { _ = drpcserver.New(mux).ServeOne(ctx, far) }()
 	link := NewLink(LinkConfig{Host: "h", Address: "own"}, nil, func(context.Context, string, string) (net.Conn, error) { return near, nil }, event.NewLog(nil))
 	assert.NilError(t, link.asking.open(ctx, "other"))
-	q := &gate.TurnAsk{Service: "s", Ask: &fleet.Ask{Model: "m"}}
-	turn, err := link.Turn(ctx, q)
+	q := &gate.PermitRequest{Service: "s", Ask: &fleet.Ask{Model: "m"}}
+	turn, err := link.RequestPermit(ctx, q)
 	assert.NilError(t, err)
 	assert.Equal(t, turn.Upstream, "u")
 	within(t, func() {
 		for range 4 * turnQueue {
-			turn.First()
+			turn.Began()
 		}
-		turn.End()
+		turn.Release()
 	})
 	within(t, func() {
-		_, err := link.Turn(ctx, q)
+		_, err := link.RequestPermit(ctx, q)
 		assert.ErrorIs(t, err, errNoTurns)
 	})
 }
--- a/node/coordinator/coordinator.go
+++ b/node/coordinator/coordinator.go
@@ -243,7 +243,7 @@
 	if c.standingIn.Swap(true) {
 		return
 	}
-	c.begins.Give()
+	c.begins.Notify()
 	c.beginCounts(c.now())
 	c.deps.Log.Emit(event.StandingIn, zap.Duration("store_age", c.deps.Feed.Age()))
 }
--- a/node/coordinator/lead.go
+++ b/node/coordinator/lead.go
@@ -44,7 +44,7 @@
 				asked = time.Now()
 				d.Link.Find(ctx)
 			}
-			pace.SleepUntil(ctx, d.look(), moved)
+			pace.SleepOrWake(ctx, d.look(), moved)
 			continue
 		}
 		if d.Link.Candidate() || d.standBy(ctx) {
@@ -87,7 +87,7 @@
 // and at its return the first to write would, however little it has to spare.
 func (d *Lead) standBy(ctx context.Context) bool {
 	answered := time.Now()
-	for pace.Sleep(ctx, pace.Default().Around(tryEach, reportJitter)) {
+	for pace.Sleep(ctx, pace.DefaultRand().Jitter(tryEach, reportJitter)) {
 		if d.Link.Linked() || d.Link.Find(ctx) {
 			return false
 		}
@@ -129,7 +129,7 @@
 // campaign runs for the lease until this host has held and lost it, or is
 // linked to the host that holds it.
 func (d *Lead) campaign(ctx context.Context) {
-	if d.Handicap != nil && d.foundWithin(ctx, pace.Default().Around(d.Handicap(), 1)) {
+	if d.Handicap != nil && d.foundWithin(ctx, pace.DefaultRand().Jitter(d.Handicap(), 1)) {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
--- a/node/coordinator/link.go
+++ b/node/coordinator/link.go
@@ -293,7 +293,7 @@
 	}
 	l.mu.Unlock()
 	if was == address {
-		l.moved.Give()
+		l.moved.Notify()
 		l.own.deps.Fleet.SetAlone()
 		l.log.Emit(event.CoordinatorOff, zap.String(event.FieldPeer, address), zap.Error(err))
 	}
@@ -319,7 +319,7 @@
 	l.heard++
 	l.modelsAt = time.Time{}
 	l.mu.Unlock()
-	l.moved.Give()
+	l.moved.Notify()
 	l.takeRelay(s) // first: what upstreams hold goes by the list of them
 	l.Quarantine.Acknowledge(w, updateOf(s, l.own.now()))
 	l.takeSignals(s, told)
--- a/node/coordinator/linkmodels.go
+++ b/node/coordinator/linkmodels.go
@@ -12,8 +12,8 @@
 // errNotLinked: no host that holds the lease is known.
 var errNotLinked = errors.New("not linked to a host that gives orders")
 
-// Adapter implements gate.Models.
-func (l *Link) Adapter(ctx context.Context, upstream, model, adapter string) error {
+// LoadAdapter implements gate.Models.
+func (l *Link) LoadAdapter(ctx context.Context, upstream, model, adapter string) error {
 	address := l.where()
 	if address == "" {
 		return errNotLinked
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// Demand implements gate.Models.
-func (l *Link) Demand(service string, f *gate.Facts, output int, objective time.Duration, unserved bool) {
+// RecordDemand implements gate.Models.
+func (l *Link) RecordDemand(service string, f *gate.RequestInfo, output int, objective time.Duration, unserved bool) {
 	k := demandKey{service, f.Model, f.Adapter}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,6 +62,6 @@
 		return
 	}
 	d.Requests++
-	d.Prompt += uint32(f.Prompt)
+	d.Prompt += uint32(f.PromptTokens)
 	d.Output += uint32(output)
 }
--- a/node/coordinator/linkteams.go
+++ b/node/coordinator/linkteams.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// Take implements gate.Limits.
-func (l *Link) Take(ctx context.Context, team *deploy.Team, cost float64) (time.Duration, bool) {
+// Charge implements gate.Limits.
+func (l *Link) Charge(ctx context.Context, team *deploy.Team, cost float64) (time.Duration, bool) {
 	now := l.own.now()
 	verdict := quota.ConsultLedger
 	l.teams.with(team, now, func(s *quota.Share) { verdict = s.Decide(cost, now) })
@@ -146,13 +146,13 @@
 	return aloneRetry, verdict == quota.Admit
 }
 
-// GiveBack implements gate.Limits.
-func (l *Link) GiveBack(team *deploy.Team, cost float64) {
+// Refund implements gate.Limits.
+func (l *Link) Refund(team *deploy.Team, cost float64) {
 	now := l.own.now()
 	l.teams.with(team, now, func(s *quota.Share) { s.Refund(cost, now) })
 }
 
-var _ gate.Limits = (*Link)(nil)
+var _ gate.TeamLimits = (*Link)(nil)
 
 // charge asks the host that counts for all whether a request may be sent.
 func (a *asking) charge(ctx context.Context, team string, cost float64) (wait time.Duration, ok bool, err error) {
--- a/node/coordinator/quarantinerows.go
+++ b/node/coordinator/quarantinerows.go
@@ -52,7 +52,7 @@
 	if q.c.Holding() {
 		return pace.Sleep(ctx, quarantineEach)
 	}
-	return pace.SleepUntil(ctx, idleTick, taken)
+	return pace.SleepOrWake(ctx, idleTick, taken)
 }
 
 func (q *quarantine) run(ctx context.Context) error {
--- a/node/coordinator/reportpace.go
+++ b/node/coordinator/reportpace.go
@@ -48,7 +48,7 @@
 	if now.Before(p.due) {
 		return p.due.Sub(now)
 	}
-	p.began, p.due = now, now.Add(pace.Default().Around(p.period, reportJitter))
+	p.began, p.due = now, now.Add(pace.DefaultRand().Jitter(p.period, reportJitter))
 	return 0
 }
 
--- a/node/dispatch/attempt.go
+++ b/node/dispatch/attempt.go
@@ -147,7 +147,7 @@
 // every later answer would be shifted too.
 func (a *attempt) check(resp *conn.Response) error {
 	if got := resp.Header.Get(engineapi.HeaderAttempt); got != a.id {
-		a.d.deps.Metrics.Add(metrics.Crossed, a.ep.DataCentre, a.ep.Upstream, 1)
+		a.d.deps.Metrics.Add(metrics.Mismatched, a.ep.DataCentre, a.ep.Upstream, 1)
 		a.d.deps.Log.Emit(event.AnswerCrossed, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("attempt", a.id), zap.String("got", got))
 		return fault.Unknown(fault.StepDispatch, a.ep.Upstream, fault.CodeUpstreamFailed, "answer for attempt %q: %w", got, errForeign)
 	}
--- a/node/fleet/fleet.go
+++ b/node/fleet/fleet.go
@@ -111,12 +111,12 @@
 func (f *Fleet) HoldingsChanged() <-chan struct{} { return f.holdings.Next() }
 
 // Tell wakes the requests that wait for an upstream.
-func (f *Fleet) Tell() { f.changes.Give() }
+func (f *Fleet) Tell() { f.changes.Notify() }
 
 // tellHoldings wakes those that wait for a model, too.
 func (f *Fleet) tellHoldings() {
-	f.holdings.Give()
-	f.changes.Give()
+	f.holdings.Notify()
+	f.changes.Notify()
 }
 
 func (f *Fleet) noticed() {
@@ -310,7 +310,7 @@
 // watch has Sweep look at an entry.
 func (f *Fleet) watch(e *Entry) {
 	if f.watched.add(e) {
-		f.stirred.Give()
+		f.stirred.Notify()
 	}
 }
 
@@ -318,7 +318,7 @@
 func (f *Fleet) Watching() bool { return !f.watched.empty() }
 
 // Stir has those woken that wait until there is something to watch.
-func (f *Fleet) Stir() { f.stirred.Give() }
+func (f *Fleet) Stir() { f.stirred.Notify() }
 
 // Stirred returns a channel that is closed once there is again.
 func (f *Fleet) Stirred() <-chan struct{} { return f.stirred.Next() }
--- a/node/follow/feed.go
+++ b/node/follow/feed.go
@@ -85,9 +85,9 @@
 	case f.deps.Relays():
 		return relayEach
 	case f.deps.Patient():
-		return pace.Default().Around(patientEach, pauseJitter)
+		return pace.DefaultRand().Jitter(patientEach, pauseJitter)
 	default:
-		return pace.Default().Around(aloneEach, pauseJitter)
+		return pace.DefaultRand().Jitter(aloneEach, pauseJitter)
 	}
 }
 
@@ -103,7 +103,7 @@
 		if f.deps.Led() {
 			between = ledPause
 		}
-		pace.Sleep(ctx, pace.Default().Around(between, pauseJitter))
+		pace.Sleep(ctx, pace.DefaultRand().Jitter(between, pauseJitter))
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, quietPause)
--- a/node/gate/answer_test.go
+++ b/node/gate/answer_test.go
@@ -102,7 +102,7 @@
 	for range 20 {
 		g, _ := waiting(&modelless{}, up.Listener.Addr().String())
 		ending, end := context.WithCancel(t.Context())
-		g.deps.Ending = ending
+		g.deps.Stopping = ending
 		host := served(t, g)
 		c := post(t, host, 10, "half")
 		time.AfterFunc(20*time.Millisecond, end)
--- a/node/gate/attempt.go
+++ b/node/gate/attempt.go
@@ -41,9 +41,9 @@
 	if p.turn != nil {
 		x.Beside(p.waiting)
 		if q.ask.Model != "" || p.turn.Trial { // of other calls the end is what counts
-			x.OnFirst(p.turn.First)
+			x.OnFirst(p.turn.Began)
 		}
-		defer p.turn.End()
+		defer p.turn.Release()
 	}
 	q.tried[e.ID()] = true
 	q.sends++
@@ -67,7 +67,7 @@
 	if err != nil {
 		res := q.unanswered(ctx, x, err)
 		if res.absent && p.turn != nil {
-			p.turn.Absent()
+			p.turn.NotListening()
 		}
 		return res
 	}
@@ -84,12 +84,12 @@
 func (q *request) outgoing(e *fleet.Entry, now time.Time) *conn.Request {
 	h := q.r.Header.Clone()
 	stripConnection(h)
-	s := Sending{Left: q.deadline.Sub(now), Upstream: e.ID(), After: q.after, Team: q.caller.name()}
+	s := AttemptInfo{TimeLeft: q.deadline.Sub(now), Upstream: e.ID(), LastEventID: q.after, Team: q.caller.name()}
 	if q.service.Engine != nil {
-		s.Urgency, s.Urgencies = q.table.UrgencyRank(q.caller.team, q.route)
-		s.Ranked = true
+		s.Urgency, s.UrgencyLevels = q.table.UrgencyRank(q.caller.team, q.route)
+		s.HasUrgency = true
 	}
-	q.g.deps.Codec.Sending(h, s)
+	q.g.deps.Codec.SetAttempt(h, s)
 	return &conn.Request{Address: e.Address(), Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host, Header: h, Body: q.body, Wanted: e.Takes}
 }
 
@@ -126,7 +126,7 @@
 
 // answered checks the head of an answer and takes what it is for.
 func (q *request) answered(ctx context.Context, l *elsewhere, e *fleet.Entry, x *fleet.Exchange, resp *conn.Response) result {
-	facts := q.g.deps.Codec.Answer(resp.Status, resp.Header)
+	facts := q.g.deps.Codec.DecodeResponse(resp.Status, resp.Header)
 	if facts.Load != nil {
 		x.Told(*facts.Load)
 	}
@@ -136,11 +136,11 @@
 	}
 	q.maybe++
 	switch {
-	case facts.Attempt != "" && facts.Attempt != q.facts.Attempt:
+	case facts.AttemptID != "" && facts.AttemptID != q.facts.AttemptID:
 		// Bytes of another request's answer: whatever follows is not ours either.
-		q.g.deps.Log.Emit(event.AnswerCrossed, q.id(), zap.String(event.FieldPeer, e.ID()), zap.String("answers", facts.Attempt))
+		q.g.deps.Log.Emit(event.AnswerCrossed, q.id(), zap.String(event.FieldPeer, e.ID()), zap.String("answers", facts.AttemptID))
 		return q.distrust(x, resp, "crossed")
-	case resp.Status < 300 && (!facts.Sealed || facts.Attempt == ""):
+	case resp.Status < 300 && (!facts.Sealed || facts.AttemptID == ""):
 		return q.distrust(x, resp, "unsealed")
 	case resp.Status >= 300 && resp.Status < 400:
 		return q.distrust(x, resp, "redirect")
@@ -160,7 +160,7 @@
 }
 
 // refused takes an upstream's word that it did not run the request.
-func (q *request) refused(e *fleet.Entry, x *fleet.Exchange, resp *conn.Response, facts Answer) result {
+func (q *request) refused(e *fleet.Entry, x *fleet.Exchange, resp *conn.Response, facts ResponseInfo) result {
 	x.Refused()
 	after := retryAfter(resp.Header)
 	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, refusalMost)); err != nil {
@@ -299,7 +299,7 @@
 		zap.Int64("pause_ms", q.pause.Milliseconds()), zap.Int64("pause_at_ms", q.pauseAt.Milliseconds()),
 		zap.Int64("relayed_bytes", q.relayed))
 	d.Metrics.Count(metrics.Completed, 1)
-	d.Metrics.Observe(metrics.AnswerTime, q.route.Kind.String(), took)
+	d.Metrics.Observe(metrics.ResponseTime, q.route.Kind.String(), took)
 	return result{done: true}
 }
 
--- a/node/gate/caller.go
+++ b/node/gate/caller.go
@@ -38,7 +38,7 @@
 	if !ok {
 		return false
 	}
-	q.caller = caller{team: team, cost: team.Limit.Cost(q.facts.Prompt+q.facts.Output, q.facts.Counted)}
+	q.caller = caller{team: team, cost: team.Limit.Cost(q.facts.PromptTokens+q.facts.MaxOutputTokens, q.facts.DeclaresTokens)}
 	return true
 }
 
@@ -56,7 +56,7 @@
 	if !q.caller.owes() {
 		return picked{}, true
 	}
-	wait, ok := q.g.deps.Limits.Take(q.ctx, q.caller.team, q.caller.cost)
+	wait, ok := q.g.deps.TeamLimits.Charge(q.ctx, q.caller.team, q.caller.cost)
 	if !ok {
 		return picked{over: true, after: wait}, false
 	}
@@ -67,7 +67,7 @@
 // giveBack returns the charge of a request that has not run.
 func (q *request) giveBack() {
 	if c := &q.caller; c.charged && q.maybe == 0 {
-		q.g.deps.Limits.GiveBack(c.team, c.cost)
+		q.g.deps.TeamLimits.Refund(c.team, c.cost)
 	}
 }
 
@@ -97,7 +97,7 @@
 // endRevoked ends a request whose key was taken away. What has run stays what it is.
 func (q *request) endRevoked(p picked) {
 	if p.turn != nil {
-		p.turn.End()
+		p.turn.Release()
 	}
 	switch {
 	case q.kept != nil:
--- a/node/gate/caller_test.go
+++ b/node/gate/caller_test.go
@@ -18,16 +18,16 @@
 // keyedCodec reads a key from a header of its own.
 type keyedCodec struct {
 	plainCodec
-	sent func(Sending)
+	sent func(AttemptInfo)
 }
 
-func (c keyedCodec) Request(h http.Header) Facts {
-	f := c.plainCodec.Request(h)
-	f.Key, f.Counted = apikey.Of(h.Get("Key")), true
+func (c keyedCodec) DecodeRequest(h http.Header) RequestInfo {
+	f := c.plainCodec.DecodeRequest(h)
+	f.Key, f.DeclaresTokens = apikey.Of(h.Get("Key")), true
 	return f
 }
 
-func (c keyedCodec) Sending(_ http.Header, s Sending) { c.sent(s) }
+func (c keyedCodec) SetAttempt(_ http.Header, s AttemptInfo) { c.sent(s) }
 
 // account is the limit of one team, at one host.
 type account struct {
@@ -37,7 +37,7 @@
 	charges int
 }
 
-func (a *account) Take(_ context.Context, _ *deploy.Team, cost float64) (time.Duration, bool) {
+func (a *account) Charge(_ context.Context, _ *deploy.Team, cost float64) (time.Duration, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.level < cost {
@@ -48,7 +48,7 @@
 	return 0, true
 }
 
-func (a *account) GiveBack(_ *deploy.Team, cost float64) {
+func (a *account) Refund(_ *deploy.Team, cost float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.level += cost
@@ -56,9 +56,9 @@
 
 // teamed is a gate before an upstream with two teams; "limited" may send what
 // the account allows.
-func teamed(a *account, address string, sent func(Sending)) *Gate {
+func teamed(a *account, address string, sent func(AttemptInfo)) *Gate {
 	g, _ := before(deploy.Upstream{Address: address, Slots: 4, Residents: []deploy.Resident{{Model: "m"}}}, a, deploy.Route{Objective: time.Second, Priority: 2})
-	g.deps.Limits, g.deps.Codec = a, keyedCodec{sent: sent}
+	g.deps.TeamLimits, g.deps.Codec = a, keyedCodec{sent: sent}
 	table := *g.deps.Config.Current().Config
 	table.Version++
 	table.Teams = []deploy.Team{{Name: "limited", Urgency: 1, Keys: []apikey.Hash{apikey.Of("l")}, Limit: quota.Limit{Unit: quota.Tokens, PerSecond: 10, Burst: 10}},
@@ -80,7 +80,7 @@
 func TestATeamPaysOnceForWhatHasRunOnly(t *testing.T) {
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	a := &account{level: 250}
-	g := teamed(a, up.Listener.Addr().String(), func(Sending) {})
+	g := teamed(a, up.Listener.Addr().String(), func(AttemptInfo) {})
 	assert.Equal(t, sendKeyed(g, "l").Code, http.StatusOK)
 	assert.Equal(t, a.level, 140.0, "100 tokens of the prompt, 10 of the answer")
 	up.Close()
@@ -100,8 +100,8 @@
 func TestUpstreamsAreToldTheTeamAndItsUrgency(t *testing.T) {
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	defer up.Close()
-	var got []Sending
-	g := teamed(&account{level: 1000}, up.Listener.Addr().String(), func(s Sending) { got = append(got, s) })
+	var got []AttemptInfo
+	g := teamed(&account{level: 1000}, up.Listener.Addr().String(), func(s AttemptInfo) { got = append(got, s) })
 	assert.Equal(t, sendKeyed(g, "l").Code, http.StatusOK)
 	assert.Equal(t, sendKeyed(g, "f").Code, http.StatusOK)
 	assert.Equal(t, sendKeyed(g, "unknown").Code, http.StatusUnauthorized)
@@ -109,5 +109,5 @@
 	assert.Equal(t, got[0].Team, "limited")
 	assert.Equal(t, got[1].Team, "first")
 	assert.Assert(t, got[1].Urgency < got[0].Urgency)
-	assert.Equal(t, got[0].Urgencies, 2)
+	assert.Equal(t, got[0].UrgencyLevels, 2)
 }
--- a/node/gate/crowded_test.go
+++ b/node/gate/crowded_test.go
@@ -21,18 +21,18 @@
 	silent       bool
 }
 
-func (g *giver) Turn(ctx context.Context, _ *TurnAsk) (*Turn, error) {
+func (g *giver) RequestPermit(ctx context.Context, _ *PermitRequest) (*Permit, error) {
 	g.asked.Add(1)
 	if g.silent {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return &Turn{Upstream: "u", First: func() {}, Absent: func() {}, End: func() { g.ended.Add(1) }}, nil
+	return &Permit{Upstream: "u", Began: func() {}, NotListening: func() {}, Release: func() { g.ended.Add(1) }}, nil
 }
 
 // plain is a gate before a plain service of one upstream with six slots, at
 // which others have so many requests.
-func plain(t *testing.T, models Models, others int) *Gate {
+func plain(t *testing.T, models Coordinator, others int) *Gate {
 	t.Helper()
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	t.Cleanup(up.Close)
--- a/node/gate/elsewhere.go
+++ b/node/gate/elsewhere.go
@@ -70,7 +70,7 @@
 	defer l.looks.Done()
 	defer func() { l.mu.Lock(); l.looking = false; l.mu.Unlock() }()
 	for l.heard.Load() == heard {
-		if e, _ := l.q.pickAs(true); e != nil && l.q.g.deps.Repeats.Take(l.q.service.Name, l.q.g.deps.Now()) {
+		if e, _ := l.q.pickAs(true); e != nil && l.q.g.deps.RetryBudget.Take(l.q.service.Name, l.q.g.deps.Now()) {
 			l.cancel(why)
 			return
 		}
--- a/node/gate/gate.go
+++ b/node/gate/gate.go
@@ -24,68 +24,68 @@
 	"peridotpier.example/node/upstream/conn"
 )
 
-// Models is how the gate reaches the host that gives orders.
-type Models interface {
+// Coordinator is how the gate reaches the host that gives orders.
+type Coordinator interface {
 	// Adapter asks for an adapter at an upstream and returns when it is there.
-	Adapter(ctx context.Context, upstream, model, adapter string) error
+	LoadAdapter(ctx context.Context, upstream, model, adapter string) error
 	// Turn asks where and when to send a request. An error says that this host
 	// decides by itself.
-	Turn(ctx context.Context, q *TurnAsk) (*Turn, error)
+	RequestPermit(ctx context.Context, q *PermitRequest) (*Permit, error)
 	// Demand notes a request for a model, with the tokens to expect of its
 	// answer and the time within which that is worth all; unserved says that
 	// no upstream holds the model.
-	Demand(service string, f *Facts, output int, objective time.Duration, unserved bool)
+	RecordDemand(service string, f *RequestInfo, output int, objective time.Duration, unserved bool)
 }
 
-// Limits is how the gate holds teams to what they may ask for over all hosts.
-type Limits interface {
+// TeamLimits is how the gate holds teams to what they may ask for over all hosts.
+type TeamLimits interface {
 	// Take asks for leave for a request that has no turn; when refused it tells
 	// when the limit may allow it.
-	Take(ctx context.Context, team *deploy.Team, cost float64) (wait time.Duration, ok bool)
+	Charge(ctx context.Context, team *deploy.Team, cost float64) (wait time.Duration, ok bool)
 	// GiveBack returns what was charged for a request that has not run.
-	GiveBack(team *deploy.Team, cost float64)
+	Refund(team *deploy.Team, cost float64)
 }
 
-// Crashes is told of requests whose upstream may have ended under them.
-type Crashes interface {
+// CrashRecorder is told of requests whose upstream may have ended under them.
+type CrashRecorder interface {
 	// Broken notes a request whose exchange with an upstream broke before its end.
-	Broken(upstream, address string, request poison.Fingerprint)
+	RecordBroken(upstream, address string, request poison.Fingerprint)
 }
 
-// Guard keeps requests from upstreams that end upstreams.
-type Guard interface {
+// PoisonGuard keeps requests from upstreams that end upstreams.
+type PoisonGuard interface {
 	// Barred says until when a request must not be sent.
 	Barred(r *poison.Request) (until time.Time, ok bool)
 	// Completed notes that a request ran to its end, or for long after it had begun.
-	Completed(r *poison.Request)
+	RecordCompleted(r *poison.Request)
 }
 
 // Deps are what a Gate works with.
 type Deps struct {
-	Config   *follow.Config
-	Fleet    *fleet.Fleet
-	Client   *conn.Client
-	Codec    Codec
-	Models   Models
-	Limits   Limits
-	Crashes  Crashes // nil: nobody asks
-	Guard    Guard   // nil: nothing is barred
-	Repeats  *Repeats
-	Log      *event.Log
-	Metrics  *metrics.Set
-	Draining func() bool // the host is about to stop: callers should go elsewhere
-	Closing  func() bool // nothing new is taken: it might not end in time
+	Config        *follow.Config
+	Fleet         *fleet.Fleet
+	Client        *conn.Client
+	Codec         Codec
+	Coordinator   Coordinator
+	TeamLimits    TeamLimits
+	CrashRecorder CrashRecorder // nil: nobody asks
+	PoisonGuard   PoisonGuard   // nil: nothing is barred
+	RetryBudget   *RetryBudget
+	Log           *event.Log
+	Metrics       *metrics.Set
+	Draining      func() bool // the host is about to stop: callers should go elsewhere
+	RejectsNew    func() bool // nothing new is taken: it might not end in time
 	// Leaving is done soon after Draining begins: nobody is held for long any
 	// more, so that what is sent can end with the grace. nil: never.
-	Leaving context.Context
+	HoldsLimited context.Context
 	// Ending is done when the host is about to end: what is under way then gets
 	// its final answer at once. nil: never.
-	Ending context.Context
+	Stopping context.Context
 	// Gone says how the connection of a request ended, from the request's
 	// context; "": it has not, or that is not known. It is for the log only.
-	Gone func(context.Context) string
-	Now  func() time.Time
-	Draw func() float64 // in [0, 1)
+	DisconnectReason func(context.Context) string
+	Now              func() time.Time
+	Rand             func() float64 // in [0, 1)
 }
 
 // Gate serves routed requests.
@@ -96,13 +96,13 @@
 	if d.Now == nil {
 		d.Now = time.Now
 	}
-	if d.Draw == nil {
-		d.Draw = rand.Float64
+	if d.Rand == nil {
+		d.Rand = rand.Float64
 	}
-	if d.Gone == nil {
-		d.Gone = func(context.Context) string { return "" }
+	if d.DisconnectReason == nil {
+		d.DisconnectReason = func(context.Context) string { return "" }
 	}
-	for _, c := range []*context.Context{&d.Leaving, &d.Ending} {
+	for _, c := range []*context.Context{&d.HoldsLimited, &d.Stopping} {
 		if *c == nil {
 			*c = context.Background()
 		}
@@ -113,7 +113,7 @@
 // ServeHTTP implements http.Handler.
 func (g *Gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.deps.Metrics.Count(metrics.Requests, 1)
-	q := &request{g: g, w: w, r: r, start: g.deps.Now(), tried: map[string]bool{}, facts: g.deps.Codec.Request(r.Header)}
+	q := &request{g: g, w: w, r: r, start: g.deps.Now(), tried: map[string]bool{}, facts: g.deps.Codec.DecodeRequest(r.Header)}
 	if g.deps.Draining() {
 		w.Header().Set("Connection", "close")
 	}
@@ -124,10 +124,10 @@
 	defer cancel()
 	defer q.giveBack()
 	ctx, giveUp := context.WithCancelCause(ctx)
-	if g.deps.Ending.Err() != nil {
+	if g.deps.Stopping.Err() != nil {
 		giveUp(errStopping) // at once, so that nothing is sent any more
 	}
-	defer context.AfterFunc(g.deps.Ending, func() { giveUp(errStopping) })()
+	defer context.AfterFunc(g.deps.Stopping, func() { giveUp(errStopping) })()
 	rc := http.NewResponseController(w)
 	_ = rc.SetWriteDeadline(q.deadline.Add(writeGrace)) // a caller that does not read must not hold the request
 	defer func() { _ = rc.SetWriteDeadline(time.Time{}) }()
@@ -150,7 +150,7 @@
 	w        http.ResponseWriter
 	r        *http.Request
 	ctx      context.Context
-	facts    Facts
+	facts    RequestInfo
 	route    *deploy.Route
 	service  *deploy.Service
 	version  uint64 // of the configuration that it is handled under
@@ -197,7 +197,7 @@
 	case table == nil:
 		q.refuse("no_configuration", configRetry)
 		return false
-	case d.Closing():
+	case d.RejectsNew():
 		q.refuse("stopping", stopRetry)
 		return false
 	}
@@ -211,12 +211,12 @@
 		q.decline(http.StatusUnauthorized, "unknown_key")
 		return false
 	}
-	q.service, _ = table.Service(q.route.ChooseService(d.Draw()))
+	q.service, _ = table.Service(q.route.ChooseService(d.Rand()))
 	if q.service == nil {
 		q.refuse("no_service", configRetry)
 		return false
 	}
-	if q.facts.Attempt == "" {
+	if q.facts.AttemptID == "" {
 		q.decline(http.StatusBadRequest, "no_attempt_id")
 		return false
 	}
@@ -230,19 +230,19 @@
 	if q.service.Engine != nil { // a plain service runs no models, whatever its caller names
 		q.ask = fleet.Ask{Model: q.facts.Model, Adapter: q.facts.Adapter, Parts: q.facts.Parts}
 	}
-	q.cost = fleet.Cost{Prompt: q.facts.Prompt, Output: q.output()}
+	q.cost = fleet.Cost{Prompt: q.facts.PromptTokens, Output: q.output()}
 	if q.ask.Model != "" {
-		d.Models.Demand(q.service.Name, &q.facts, q.cost.Output, q.route.Objective, false)
+		d.Coordinator.RecordDemand(q.service.Name, &q.facts, q.cost.Output, q.route.Objective, false)
 	}
-	d.Repeats.Request(q.service.Name, q.start)
+	d.RetryBudget.RecordRequest(q.service.Name, q.start)
 	return true
 }
 
 // bound sets the time by which the request must have its answer.
 func (q *request) bound() {
 	left := q.route.Timeout
-	if q.facts.Left > 0 && (left == 0 || q.facts.Left < left) {
-		left = q.facts.Left
+	if q.facts.TimeLeft > 0 && (left == 0 || q.facts.TimeLeft < left) {
+		left = q.facts.TimeLeft
 	}
 	if left == 0 {
 		left = defaultTimeout
@@ -255,10 +255,10 @@
 
 // output is the length of answer to plan with.
 func (q *request) output() int {
-	if q.facts.Hint > 0 && (q.facts.Output == 0 || q.facts.Hint < q.facts.Output) {
-		return q.facts.Hint
+	if q.facts.OutputHint > 0 && (q.facts.MaxOutputTokens == 0 || q.facts.OutputHint < q.facts.MaxOutputTokens) {
+		return q.facts.OutputHint
 	}
-	return q.facts.Output
+	return q.facts.MaxOutputTokens
 }
 
 // read takes the body in. Only whole requests are sent on: one that breaks off
@@ -278,7 +278,7 @@
 	}
 	body, err := q.readBody(most + 1)
 	switch {
-	case q.g.deps.Ending.Err() != nil:
+	case q.g.deps.Stopping.Err() != nil:
 		q.w.Header().Set("Connection", "close")
 		q.refuse("stopping", stopRetry)
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -300,7 +300,7 @@
 	rc := http.NewResponseController(q.w)
 	_ = rc.SetReadDeadline(q.deadline)
 	ended := make(chan struct{})
-	stop := context.AfterFunc(q.g.deps.Ending, func() {
+	stop := context.AfterFunc(q.g.deps.Stopping, func() {
 		defer close(ended)
 		_ = rc.SetReadDeadline(time.Unix(1, 0))
 	})
@@ -360,7 +360,7 @@
 	if q.ctx.Err() == nil && q.maybe < max(q.route.Attempts, 1) && (q.mayGoOn(res) || q.resumeLater(res)) {
 		q.g.deps.Log.Emit(event.RequestAgain, q.id(), zap.String("why", res.why), zap.String(event.FieldPeer, q.last),
 			zap.Int("sends", q.sends), zap.Bool("not_run", res.notRun), q.paused())
-		q.g.deps.Metrics.Count(metrics.Repeats, 1)
+		q.g.deps.Metrics.Count(metrics.Retries, 1)
 		q.lost = q.lost || !res.notRun
 		return true
 	}
@@ -389,7 +389,7 @@
 	if q.sends >= q.route.Attempts && !(res.notRun && q.sends < q.route.Attempts+refusedSends) {
 		return q.bar("attempts")
 	}
-	return q.g.deps.Repeats.Take(q.service.Name, q.g.deps.Now()) || q.bar("repeats")
+	return q.g.deps.RetryBudget.Take(q.service.Name, q.g.deps.Now()) || q.bar("repeats")
 }
 
 // bar notes the bound that forbids one more send; it returns false.
@@ -418,4 +418,4 @@
 	return q.route.Kind == deploy.Stream && q.route.Resumable
 }
 
-func (q *request) id() zap.Field { return zap.String("request", q.facts.Attempt) }
+func (q *request) id() zap.Field { return zap.String("request", q.facts.AttemptID) }
--- a/node/gate/leaving.go
+++ b/node/gate/leaving.go
@@ -13,7 +13,7 @@
 // bounded cuts a time for which the request may be held, from its start, to
 // what a host that stops allows. To cut an answer that has begun would gain nothing.
 func (q *request) bounded(hold time.Duration) time.Duration {
-	if q.g.deps.Leaving.Err() == nil || q.started {
+	if q.g.deps.HoldsLimited.Err() == nil || q.started {
 		return hold
 	}
 	return min(hold, leavingHold)
@@ -25,7 +25,7 @@
 	if q.started {
 		return func() bool { return true }
 	}
-	return context.AfterFunc(q.g.deps.Leaving, func() {
+	return context.AfterFunc(q.g.deps.HoldsLimited, func() {
 		time.AfterFunc(q.start.Add(leavingHold).Sub(q.g.deps.Now()), cancel)
 	})
 }
--- a/node/gate/leaving_test.go
+++ b/node/gate/leaving_test.go
@@ -16,7 +16,7 @@
 // queued is a host that decides for all and has no turn for anybody.
 type queued struct{ modelless }
 
-func (*queued) Turn(ctx context.Context, _ *TurnAsk) (*Turn, error) {
+func (*queued) RequestPermit(ctx context.Context, _ *PermitRequest) (*Permit, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
@@ -29,7 +29,7 @@
 func TestARequestIsNotHeldByAHostThatStops(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		models  Models
+		models  Coordinator
 		stopAt  time.Duration
 		refused time.Duration // at the latest
 	}{
@@ -43,7 +43,7 @@
 				g, _ := waiting(c.models, "")
 				routed(g, func(r *deploy.Route) { r.Timeout, r.Objective = 20*time.Second, 10*time.Second })
 				leaving, leave := context.WithCancel(t.Context())
-				g.deps.Leaving = leaving
+				g.deps.HoldsLimited = leaving
 				g.deps.Draining = func() bool { return leaving.Err() != nil }
 				time.AfterFunc(c.stopAt, leave)
 				time.Sleep(time.Nanosecond) // for a stop at once
--- a/node/gate/log_test.go
+++ b/node/gate/log_test.go
@@ -62,7 +62,7 @@
 // Cause: the id is read only from requests that are let in.
 func TestEveryRefusalNamesItsRequest(t *testing.T) {
 	g, lines, address := logged(t, nil)
-	g.deps.Closing = func() bool { return true }
+	g.deps.RejectsNew = func() bool { return true }
 	send(t, address, "GET / HTTP/1.1\r\nHost: example.com\r\n\r\n")
 	assert.Equal(t, last(t, lines, event.RequestRefused)["why"], "stopping")
 }
@@ -95,7 +95,7 @@
 		close(reached)
 		<-r.Context().Done()
 	})
-	g.deps.Gone = func(context.Context) string { return "stop" }
+	g.deps.DisconnectReason = func(context.Context) string { return "stop" }
 	c := send(t, address, "GET / HTTP/1.1\r\nHost: example.com\r\n\r\n")
 	<-reached
 	assert.NilError(t, c.Close())
@@ -125,7 +125,7 @@
 		<-r.Context().Done()
 	})
 	ending, end := context.WithCancel(context.Background())
-	g.deps.Ending = ending
+	g.deps.Stopping = ending
 	send(t, address, "GET / HTTP/1.1\r\nHost: example.com\r\n\r\n")
 	<-reached
 	end()
--- a/node/gate/overload_test.go
+++ b/node/gate/overload_test.go
@@ -18,11 +18,13 @@
 // alone has no host that decides for all.
 type alone struct{}
 
-func (alone) Adapter(context.Context, string, string, string) error { return nil }
+func (alone) LoadAdapter(context.Context, string, string, string) error { return nil }
 
-func (alone) Turn(context.Context, *TurnAsk) (*Turn, error) { return nil, errors.New("none") }
+func (alone) RequestPermit(context.Context, *PermitRequest) (*Permit, error) {
+	return nil, errors.New("none")
+}
 
-func (alone) Demand(string, *Facts, int, time.Duration, bool) {}
+func (alone) RecordDemand(string, *RequestInfo, int, time.Duration, bool) {}
 
 // reading is a gate with one upstream at address, which holds the model "m".
 // Its route's answers should begin within a second, and pause for 400 ms at most.
--- a/node/gate/pick.go
+++ b/node/gate/pick.go
@@ -22,7 +22,7 @@
 	load    int          // requests at the chosen one, as known
 	waiting int          // prompt tokens to be read there, as known
 	cached  int          // prompt tokens that it probably keeps
-	turn    *Turn        // given by the host that decides for all; nil: decided here
+	turn    *Permit      // given by the host that decides for all; nil: decided here
 	inVain  bool         // no upstream takes the request while it waits
 	over    bool         // the request is over its team's limit; nothing else is set but after
 	after   time.Duration
@@ -109,7 +109,7 @@
 		r.CacheTokens = q.service.Engine.CacheTokens
 		r.MaxPendingPromptTokens = q.reading(now, lost)
 	}
-	p := picked{Decision: balance.Pick(endpoints, &r, d.Draw), among: len(entries)}
+	p := picked{Decision: balance.Pick(endpoints, &r, d.Rand), among: len(entries)}
 	if p.AdapterTarget >= 0 {
 		p.home = entries[p.AdapterTarget]
 	}
@@ -231,7 +231,7 @@
 			return q.giveUpModel(now)
 		}
 		q.tellWait(p, until.Sub(now))
-		q.g.deps.Models.Demand(q.service.Name, &q.facts, q.cost.Output, q.route.Objective, true)
+		q.g.deps.Coordinator.RecordDemand(q.service.Name, &q.facts, q.cost.Output, q.route.Objective, true)
 		look, cancel := context.WithTimeout(ctx, min(modelLook, until.Sub(now)))
 		select {
 		case <-held:
@@ -305,7 +305,7 @@
 	defer cancel()
 	d.Log.Emit(event.AdapterAsked, q.id(), zap.String(event.FieldPeer, p.home.ID()),
 		zap.String("model", q.ask.Model), zap.String("adapter", q.ask.Adapter))
-	err := d.Models.Adapter(ctx, p.home.ID(), q.ask.Model, q.ask.Adapter)
+	err := d.Coordinator.LoadAdapter(ctx, p.home.ID(), q.ask.Model, q.ask.Adapter)
 	if err != nil {
 		d.Log.Emit(event.RequestWaits, q.id(), zap.String("why", "adapter"), zap.Error(err))
 		return q.giveUpUnbegun(p.Reason)
--- a/node/gate/poison.go
+++ b/node/gate/poison.go
@@ -22,15 +22,15 @@
 // refuseBarred ends a request that ends upstreams, and says so. p is where it would
 // have gone, if it got that far.
 func (q *request) refuseBarred(p picked) bool {
-	if q.g.deps.Guard == nil {
+	if q.g.deps.PoisonGuard == nil {
 		return false
 	}
-	until, ok := q.g.deps.Guard.Barred(q.content)
+	until, ok := q.g.deps.PoisonGuard.Barred(q.content)
 	if !ok {
 		return false
 	}
 	if p.turn != nil {
-		p.turn.End()
+		p.turn.Release()
 	}
 	q.g.deps.Metrics.Count(metrics.RequestsBarred, 1)
 	if q.kept != nil { // an answer that is there is delivered
@@ -43,8 +43,8 @@
 
 // completed notes that the request ran to its end.
 func (q *request) completed() {
-	if q.g.deps.Guard != nil {
-		q.g.deps.Guard.Completed(q.content)
+	if q.g.deps.PoisonGuard != nil {
+		q.g.deps.PoisonGuard.RecordCompleted(q.content)
 	}
 }
 
@@ -56,7 +56,7 @@
 		q.completed()
 		return
 	}
-	if e := x.Entry(); q.g.deps.Crashes != nil {
-		q.g.deps.Crashes.Broken(e.ID(), e.Address(), q.content.Fingerprint())
+	if e := x.Entry(); q.g.deps.CrashRecorder != nil {
+		q.g.deps.CrashRecorder.RecordBroken(e.ID(), e.Address(), q.content.Fingerprint())
 	}
 }
--- a/node/gate/poison_test.go
+++ b/node/gate/poison_test.go
@@ -24,13 +24,13 @@
 	until  time.Time
 }
 
-func (b *blamed) Broken(_, _ string, m poison.Fingerprint) {
+func (b *blamed) RecordBroken(_, _ string, m poison.Fingerprint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.broken = append(b.broken, m)
 }
 
-func (b *blamed) Completed(r *poison.Request) {
+func (b *blamed) RecordCompleted(r *poison.Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ran = append(b.ran, r.Fingerprint())
@@ -55,7 +55,7 @@
 	t.Cleanup(func() { upstream.CloseClientConnections(); upstream.Close() })
 	g, _ := before(deploy.Upstream{Address: upstream.Listener.Addr().String(), Slots: 4}, &modelless{}, deploy.Route{Kind: kind, Objective: 3 * time.Second})
 	b := &blamed{}
-	g.deps.Crashes, g.deps.Guard = b, b
+	g.deps.CrashRecorder, g.deps.PoisonGuard = b, b
 	g.deps.Now = func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
 	return g, b
 }
--- a/node/gate/refuse.go
+++ b/node/gate/refuse.go
@@ -57,7 +57,7 @@
 // refuseWith is refuse with another status that promises the same.
 func (q *request) refuseWith(status int, why string, after time.Duration, more ...zap.Field) {
 	d := &q.g.deps
-	after += time.Duration(min(float64(after)*retrySpread, float64(spreadMost)) * d.Draw())
+	after += time.Duration(min(float64(after)*retrySpread, float64(spreadMost)) * d.Rand())
 	h := q.w.Header()
 	h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	fields := []zap.Field{q.id(), q.routeName(), q.teamName(), zap.String("why", why), zap.Int64("retry_after_ms", after.Milliseconds()),
@@ -89,7 +89,7 @@
 		zap.Int("sends", q.sends), zap.Int64("took_ms", d.Now().Sub(q.start).Milliseconds()), zap.Bool("started", q.started),
 		zap.Int64("relayed_bytes", q.relayed), zap.NamedError("write_error", q.writeErr), q.ended(), q.barredBy(),
 		zap.Stringer("content", q.content.Fingerprint().Digest))
-	d.Metrics.Count(metrics.Unknown, 1)
+	d.Metrics.Count(metrics.OutcomeUnknown, 1)
 	if q.started {
 		panic(http.ErrAbortHandler) // an answer that ends early must not look whole
 	}
@@ -123,13 +123,13 @@
 		zap.Int64("took_ms", now.Sub(q.start).Milliseconds()), zap.Int64("left_ms", q.deadline.Sub(now).Milliseconds()),
 		zap.Int("sends", q.sends), zap.Bool("started", q.started), zap.Int64("relayed_bytes", q.relayed),
 		zap.NamedError("write_error", q.writeErr), q.ended())
-	q.g.deps.Metrics.Count(metrics.Left, 1)
+	q.g.deps.Metrics.Count(metrics.CallerDisconnects, 1)
 	panic(http.ErrAbortHandler)
 }
 
 // leftWhy says why the caller counts as gone.
 func (q *request) leftWhy() string {
-	if why := q.g.deps.Gone(q.r.Context()); why != "" {
+	if why := q.g.deps.DisconnectReason(q.r.Context()); why != "" {
 		return why
 	}
 	if q.writeErr != nil {
--- a/node/gate/resume.go
+++ b/node/gate/resume.go
@@ -25,7 +25,7 @@
 		return false
 	}
 	for q.pauseResume() {
-		if q.g.deps.Repeats.Take(q.service.Name, q.g.deps.Now()) {
+		if q.g.deps.RetryBudget.Take(q.service.Name, q.g.deps.Now()) {
 			return true
 		}
 	}
--- a/node/gate/resume_test.go
+++ b/node/gate/resume_test.go
@@ -16,7 +16,7 @@
 // adapterless is a host that loads no adapter.
 type adapterless struct{ modelless }
 
-func (*adapterless) Adapter(context.Context, string, string, string) error {
+func (*adapterless) LoadAdapter(context.Context, string, string, string) error {
 	return errors.New("no place")
 }
 
--- a/node/gate/signals.go
+++ b/node/gate/signals.go
@@ -17,21 +17,21 @@
 // heed takes what an upstream asks for on an answer. One that is another's, or
 // does not vouch for itself, says nothing of this upstream; a refusal bears no
 // seal, and may leave out what other answers say.
-func (q *request) heed(e *fleet.Entry, status int, a *Answer) {
-	crossed := a.Attempt != q.facts.Attempt && (a.Attempt != "" || !a.NotRun)
+func (q *request) heed(e *fleet.Entry, status int, a *ResponseInfo) {
+	crossed := a.AttemptID != q.facts.AttemptID && (a.AttemptID != "" || !a.NotRun)
 	refusal := a.NotRun || status == http.StatusServiceUnavailable
 	if crossed || status == http.StatusMisdirectedRequest || !a.Sealed && !refusal {
 		return
 	}
-	s := backpressure.Signal{Limit: a.Limit, Draining: a.Leaving, SentAt: q.sentAt, ReceivedAt: q.g.deps.Now()}
+	s := backpressure.Signal{Limit: a.Limit, Draining: a.Draining, SentAt: q.sentAt, ReceivedAt: q.g.deps.Now()}
 	if a.LimitUnreadable || !a.Sealed && !a.Limit.Stated {
 		s.Limit = e.Limit()
 	}
 	e.Heed(s, ownAnswer)
-	if a.Rest > 0 {
-		e.Rest(a.Rest)
-		q.g.deps.Metrics.Add(metrics.RestsAsked, q.service.Name, e.ID(), 1)
-		q.g.deps.Log.Emit(event.UpstreamAsked, q.id(), zap.String(event.FieldPeer, e.ID()), zap.Int64("for_ms", a.Rest.Milliseconds()))
+	if a.Backoff > 0 {
+		e.Rest(a.Backoff)
+		q.g.deps.Metrics.Add(metrics.BackoffsRequested, q.service.Name, e.ID(), 1)
+		q.g.deps.Log.Emit(event.UpstreamAsked, q.id(), zap.String(event.FieldPeer, e.ID()), zap.Int64("for_ms", a.Backoff.Milliseconds()))
 	}
 }
 
--- a/node/gate/signals_test.go
+++ b/node/gate/signals_test.go
@@ -22,9 +22,9 @@
 	ended   atomic.Int32
 }
 
-func (g *granting) Turn(context.Context, *TurnAsk) (*Turn, error) {
+func (g *granting) RequestPermit(context.Context, *PermitRequest) (*Permit, error) {
 	done := func() { g.ended.Add(1) }
-	return &Turn{Upstream: "u", WithinLimit: g.counted, First: func() {}, Absent: done, End: done}, nil
+	return &Permit{Upstream: "u", WithinLimit: g.counted, Began: func() {}, NotListening: done, Release: done}, nil
 }
 
 // limit has the upstream of a gate's fleet name a limit.
@@ -65,20 +65,20 @@
 func TestAnAnswerThatIsNotVouchedForSaysNothingOfItsUpstream(t *testing.T) {
 	for _, c := range []struct {
 		status int
-		answer Answer
+		answer ResponseInfo
 		heeded bool
 	}{
-		{http.StatusOK, Answer{Attempt: "a1", Sealed: true, Leaving: true}, true},
-		{http.StatusOK, Answer{Attempt: "a1", Leaving: true}, false},
-		{http.StatusOK, Answer{Attempt: "other", Sealed: true, Leaving: true}, false},
-		{http.StatusServiceUnavailable, Answer{Attempt: "a1", NotRun: true, Leaving: true}, true},
-		{http.StatusServiceUnavailable, Answer{NotRun: true, Leaving: true}, true},
-		{http.StatusServiceUnavailable, Answer{Attempt: "other", NotRun: true, Leaving: true}, false},
-		{http.StatusMisdirectedRequest, Answer{Attempt: "a1", NotRun: true, Leaving: true}, false},
+		{http.StatusOK, ResponseInfo{AttemptID: "a1", Sealed: true, Draining: true}, true},
+		{http.StatusOK, ResponseInfo{AttemptID: "a1", Draining: true}, false},
+		{http.StatusOK, ResponseInfo{AttemptID: "other", Sealed: true, Draining: true}, false},
+		{http.StatusServiceUnavailable, ResponseInfo{AttemptID: "a1", NotRun: true, Draining: true}, true},
+		{http.StatusServiceUnavailable, ResponseInfo{NotRun: true, Draining: true}, true},
+		{http.StatusServiceUnavailable, ResponseInfo{AttemptID: "other", NotRun: true, Draining: true}, false},
+		{http.StatusMisdirectedRequest, ResponseInfo{AttemptID: "a1", NotRun: true, Draining: true}, false},
 	} {
 		g, f := waiting(&modelless{}, "127.0.0.1:1")
 		e, _ := f.Entry("u")
-		q := &request{g: g, facts: Facts{Attempt: "a1"}, service: &deploy.Service{Name: "s"}, sentAt: time.Now()}
+		q := &request{g: g, facts: RequestInfo{AttemptID: "a1"}, service: &deploy.Service{Name: "s"}, sentAt: time.Now()}
 		q.heed(e, c.status, &c.answer)
 		assert.Equal(t, !e.Usable(), c.heeded, "%d %+v", c.status, c.answer)
 	}
--- a/node/gate/silent_test.go
+++ b/node/gate/silent_test.go
@@ -242,8 +242,8 @@
 // refusingCodec takes a 503 for a refusal.
 type refusingCodec struct{ plainCodec }
 
-func (c refusingCodec) Answer(status int, h http.Header) Answer {
-	a := c.plainCodec.Answer(status, h)
+func (c refusingCodec) DecodeResponse(status int, h http.Header) ResponseInfo {
+	a := c.plainCodec.DecodeResponse(status, h)
 	a.NotRun = status == http.StatusServiceUnavailable
 	return a
 }
--- a/node/gate/turn.go
+++ b/node/gate/turn.go
@@ -13,42 +13,42 @@
 	"peridotpier.example/node/fleet"
 )
 
-// TurnAsk asks the host that decides for all where a request may go.
-type TurnAsk struct {
-	Service  string
-	Ask      *fleet.Ask
-	Cost     fleet.Cost
-	Priority int
-	Reading  int           // prompt tokens that may wait beside it; 0: not bounded
-	Tried    []string      // upstreams not to go to: tried, or left alone by this host
-	Warm     []string      // upstreams with an idle connection from here
-	Rests    fleet.Rests   // that upstreams of the service asked this host for
-	InTime   time.Duration // for so long an answer that begins is in time
-	Patience time.Duration // for so long it waits
-	Team     *deploy.Team  // whose limit is charged with the turn; nil: nobody's
-	Charge   float64       // in what the limit counts
+// PermitRequest asks the host that decides for all where a request may go.
+type PermitRequest struct {
+	Service          string
+	Ask              *fleet.Ask
+	Cost             fleet.Cost
+	Priority         int
+	MaxWaitingTokens int           // prompt tokens that may wait beside it; 0: not bounded
+	Excluded         []string      // upstreams not to go to: tried, or left alone by this host
+	Warm             []string      // upstreams with an idle connection from here
+	Backoffs         fleet.Rests   // that upstreams of the service asked this host for
+	ObjectiveLeft    time.Duration // for so long an answer that begins is in time
+	MaxWait          time.Duration // for so long it waits
+	Team             *deploy.Team  // whose limit is charged with the turn; nil: nobody's
+	Charge           float64       // in what the limit counts
 }
 
-// Turn is the answer. Of one with an upstream, First is called when the answer
+// Permit is the answer. Of one with an upstream, First is called when the answer
 // begins, Absent when nothing listens there, and End when the attempt is over;
 // all may be called from any goroutine.
-type Turn struct {
-	Over      bool          // over the team's limit; nothing else is set but Wait
-	Wait      time.Duration // until that, or some upstream, may allow the request; 0: not known
-	Upstream  string        // "": none; see Reason
-	Reason    balance.Reason
-	Home      string // where an adapter should be loaded
-	Predicted time.Duration
-	Load      int
-	Waiting   int
-	Cached    int
+type Permit struct {
+	OverLimit       bool          // over the team's limit; nothing else is set but Wait
+	RetryAfter      time.Duration // until that, or some upstream, may allow the request; 0: not known
+	Upstream        string        // "": none; see Reason
+	Reason          balance.Reason
+	AdapterUpstream string // where an adapter should be loaded
+	Predicted       time.Duration
+	Requests        int
+	WaitingTokens   int
+	CachedTokens    int
 	// WithinLimit says that the upstream names a limit and the request is counted.
 	WithinLimit bool
 	Trial       bool // First is waited for: the upstream has turned requests away
 
-	First  func()
-	Absent func()
-	End    func()
+	Began        func()
+	NotListening func()
+	Release      func()
 }
 
 // turn asks where the request may go. ok is false when this host has to decide
@@ -63,25 +63,25 @@
 	ctx, cancel := context.WithTimeout(q.ctx, left)
 	defer cancel()
 	defer q.endsWithStop(cancel)()
-	ask := &TurnAsk{Service: q.service.Name, Ask: &q.ask, Cost: q.cost, Priority: q.urgency(), Reading: q.reading(now, q.lost),
-		InTime: q.start.Add(q.route.Objective).Sub(now), Patience: left}
-	ask.Warm, ask.Rests = q.warm(), d.Fleet.Rests(q.service.Name)
+	ask := &PermitRequest{Service: q.service.Name, Ask: &q.ask, Cost: q.cost, Priority: q.urgency(), MaxWaitingTokens: q.reading(now, q.lost),
+		ObjectiveLeft: q.start.Add(q.route.Objective).Sub(now), MaxWait: left}
+	ask.Warm, ask.Backoffs = q.warm(), d.Fleet.Rests(q.service.Name)
 	if q.caller.owes() {
 		ask.Team, ask.Charge = q.caller.team, q.caller.cost
 	}
 	for _, e := range d.Fleet.Holders(q.service.Name, q.ask.Model) {
 		if q.tried[e.ID()] || e.Down() {
-			ask.Tried = append(ask.Tried, e.ID())
+			ask.Excluded = append(ask.Excluded, e.ID())
 		}
 	}
-	t, err := d.Models.Turn(ctx, ask)
+	t, err := d.Coordinator.RequestPermit(ctx, ask)
 	if err != nil {
 		// A call that had no turn in its time would be late, and make others late.
 		full := q.ask.Model == "" && errors.Is(err, context.DeadlineExceeded)
 		return nil, picked{Decision: balance.Decision{Index: -1, Reason: balance.AllFull, AdapterTarget: -1}}, full
 	}
-	if t.Over {
-		return nil, picked{over: true, after: t.Wait}, true
+	if t.OverLimit {
+		return nil, picked{over: true, after: t.RetryAfter}, true
 	}
 	q.caller.paid()
 	if t.Upstream == "" {
@@ -89,13 +89,13 @@
 	}
 	e, known := d.Fleet.Entry(t.Upstream)
 	if !known || !e.Usable() || e.Limit().Stated && !t.WithinLimit {
-		t.End() // what this host knows is newer
+		t.Release() // what this host knows is newer
 		return nil, picked{}, false
 	}
 	p = picked{Decision: balance.Decision{PredictedWait: t.Predicted}, among: len(d.Fleet.Service(q.service.Name)),
-		load: t.Load, waiting: t.Waiting, cached: t.Cached, turn: t}
+		load: t.Requests, waiting: t.WaitingTokens, cached: t.CachedTokens, turn: t}
 	d.Log.Emit(event.TurnGiven, q.id(), zap.String(event.FieldPeer, t.Upstream), zap.Int64("waited_ms", d.Now().Sub(now).Milliseconds()),
-		zap.Int("load", t.Load), zap.Int("waiting", t.Waiting), zap.Int("cached", t.Cached))
+		zap.Int("load", t.Requests), zap.Int("waiting", t.WaitingTokens), zap.Int("cached", t.CachedTokens))
 	return e, p, true
 }
 
@@ -137,9 +137,9 @@
 }
 
 // noTurn turns an answer without an upstream into what the wait goes by.
-func (q *request) noTurn(t *Turn) (*fleet.Entry, picked, bool) {
-	p := picked{Decision: balance.Decision{Index: -1, Reason: t.Reason, AdapterTarget: -1, MinBackoff: t.Wait}, inVain: t.Wait > 0, among: len(q.g.deps.Fleet.Service(q.service.Name))}
-	if home, ok := q.g.deps.Fleet.Entry(t.Home); ok && t.Reason == balance.NoAdapter {
+func (q *request) noTurn(t *Permit) (*fleet.Entry, picked, bool) {
+	p := picked{Decision: balance.Decision{Index: -1, Reason: t.Reason, AdapterTarget: -1, MinBackoff: t.RetryAfter}, inVain: t.RetryAfter > 0, among: len(q.g.deps.Fleet.Service(q.service.Name))}
+	if home, ok := q.g.deps.Fleet.Entry(t.AdapterUpstream); ok && t.Reason == balance.NoAdapter {
 		p.home = home
 	}
 	return nil, p, true
--- a/node/gate/wait_test.go
+++ b/node/gate/wait_test.go
@@ -24,35 +24,35 @@
 // plainCodec reads a model from a header of its own.
 type plainCodec struct{}
 
-func (plainCodec) Request(h http.Header) Facts {
-	return Facts{Attempt: "a1", Model: h.Get("Model"), Prompt: 100, Output: 10}
+func (plainCodec) DecodeRequest(h http.Header) RequestInfo {
+	return RequestInfo{AttemptID: "a1", Model: h.Get("Model"), PromptTokens: 100, MaxOutputTokens: 10}
 }
 
-func (plainCodec) Sending(http.Header, Sending) {}
+func (plainCodec) SetAttempt(http.Header, AttemptInfo) {}
 
-func (plainCodec) Answer(int, http.Header) Answer {
-	return Answer{Attempt: "a1", Sealed: true}
+func (plainCodec) DecodeResponse(int, http.Header) ResponseInfo {
+	return ResponseInfo{AttemptID: "a1", Sealed: true}
 }
 
 // modelless is a host that decides for all and knows of no upstream with any model.
 type modelless struct{ asked, wanted atomic.Int32 }
 
-func (m *modelless) Adapter(context.Context, string, string, string) error { return nil }
+func (m *modelless) LoadAdapter(context.Context, string, string, string) error { return nil }
 
-func (m *modelless) Turn(context.Context, *TurnAsk) (*Turn, error) {
+func (m *modelless) RequestPermit(context.Context, *PermitRequest) (*Permit, error) {
 	m.asked.Add(1)
-	return &Turn{Reason: balance.NoModel}, nil
+	return &Permit{Reason: balance.NoModel}, nil
 }
 
-func (m *modelless) Demand(string, *Facts, int, time.Duration, bool) { m.wanted.Add(1) }
+func (m *modelless) RecordDemand(string, *RequestInfo, int, time.Duration, bool) { m.wanted.Add(1) }
 
 // waiting is a gate with one upstream at address, which holds the model "old".
-func waiting(models Models, address string) (*Gate, *fleet.Fleet) {
+func waiting(models Coordinator, address string) (*Gate, *fleet.Fleet) {
 	return before(deploy.Upstream{Address: address, Slots: 4, Residents: []deploy.Resident{{Model: "old"}}}, models, deploy.Route{Objective: 3 * time.Second})
 }
 
 // before is a gate before one upstream, with one route.
-func before(u deploy.Upstream, models Models, r deploy.Route) (*Gate, *fleet.Fleet) {
+func before(u deploy.Upstream, models Coordinator, r deploy.Route) (*Gate, *fleet.Fleet) {
 	u.ID, u.Service = "u", "s"
 	r.Name, r.Host, r.Prefix, r.Timeout, r.Attempts, r.Splits = "r", "example.com", "/", 10*time.Second, 1, []deploy.Split{{Service: "s", Weight: 1}}
 	log := event.NewLog(nil)
@@ -61,8 +61,8 @@
 	f := fleet.New(fleet.Config{}, fleet.Deps{Log: log})
 	f.Apply([]deploy.Upstream{u}, nil, 0)
 	never := func() bool { return false }
-	return New(Deps{Config: config, Fleet: f, Client: conn.New(conn.Config{}), Codec: plainCodec{}, Models: models,
-		Repeats: NewRepeats(budget.Policy{Ratio: 1, Slack: 10, Window: time.Second}, func() int { return 1 }), Log: log, Metrics: metrics.New(), Draining: never, Closing: never}), f
+	return New(Deps{Config: config, Fleet: f, Client: conn.New(conn.Config{}), Codec: plainCodec{}, Coordinator: models,
+		RetryBudget: NewRetryBudget(budget.Policy{Ratio: 1, Slack: 10, Window: time.Second}, func() int { return 1 }), Log: log, Metrics: metrics.New(), Draining: never, RejectsNew: never}), f
 }
 
 // Symptom: the host that decides for all is asked several times for each
--- a/node/host/connlog.go
+++ b/node/host/connlog.go
@@ -63,8 +63,8 @@
 
 func newConnLog(log *event.Log, set *metrics.Set, idOf func(http.Header) string) *connLog {
 	l := &connLog{log: log, metrics: set, idOf: idOf, open: map[*connTrack]struct{}{}}
-	set.Func(metrics.CallersOpen, func() any { return l.counts().open })
-	set.Func(metrics.CallersUnderWay, func() any { return l.counts().underWay })
+	set.SetFunc(metrics.CallersOpen, func() any { return l.counts().open })
+	set.SetFunc(metrics.CallersActive, func() any { return l.counts().underWay })
 	return l
 }
 
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -92,8 +92,8 @@
 	h.guard = quarantine.NewGuard(quarantine.GuardDeps{Linked: h.link.Linked, Log: d.Log, Metrics: d.Metrics})
 	h.link.Quarantine = h.guard
 	h.crashes = quarantine.NewWatch(quarantine.WatchDeps{Refuses: d.Client.Refuses, Crashed: h.crashed, Log: d.Log, Metrics: d.Metrics})
-	h.gate = gate.New(gate.Deps{Leaving: leaving, Ending: ending, Config: h.config, Fleet: h.fleet, Client: d.Client, Codec: d.Platform.Codec, Models: h.link, Limits: h.link, Crashes: h.crashes, Guard: h.guard,
-		Repeats: gate.NewRepeats(policy, h.link.Hosts), Log: d.Log, Metrics: d.Metrics, Draining: h.draining.Load, Closing: h.closing.Load, Gone: connGone})
+	h.gate = gate.New(gate.Deps{HoldsLimited: leaving, Stopping: ending, Config: h.config, Fleet: h.fleet, Client: d.Client, Codec: d.Platform.Codec, Coordinator: h.link, TeamLimits: h.link, CrashRecorder: h.crashes, PoisonGuard: h.guard,
+		RetryBudget: gate.NewRetryBudget(policy, h.link.Hosts), Log: d.Log, Metrics: d.Metrics, Draining: h.draining.Load, RejectsNew: h.closing.Load, DisconnectReason: connGone})
 	h.limitMemory()
 	return h, h.listen()
 }
@@ -121,7 +121,7 @@
 	if err != nil {
 		return eris.Wrapf(err, "listen for callers at %s", h.set.Callers)
 	}
-	attempt := func(head http.Header) string { return h.deps.Platform.Codec.Request(head).Attempt }
+	attempt := func(head http.Header) string { return h.deps.Platform.Codec.DecodeRequest(head).AttemptID }
 	h.callers = newCallers(ln, h.gate, h.idleBound, newConnLog(h.deps.Log, h.deps.Metrics, attempt))
 	h.ready = &http.Server{Handler: h.readiness(), ReadHeaderTimeout: adminBound}
 	h.metrics = &http.Server{Handler: h.metricsPage(), ReadHeaderTimeout: adminBound}
@@ -354,7 +354,7 @@
 	if h.fleet.Watching() {
 		return pace.Sleep(ctx, sweepEach)
 	}
-	return pace.SleepUntil(ctx, sweepIdle, stirred) && pace.Sleep(ctx, sweepEach)
+	return pace.SleepOrWake(ctx, sweepIdle, stirred) && pace.Sleep(ctx, sweepEach)
 }
 
 // tellDropped logs that lines were dropped since it was called last.
--- a/node/host/stop.go
+++ b/node/host/stop.go
@@ -58,7 +58,7 @@
 // tellStopped logs what the end of the process finds open.
 func (h *Host) tellStopped(took time.Duration) {
 	n := h.callers.conns.counts()
-	h.deps.Metrics.Observe(metrics.StopTime, "host", took)
+	h.deps.Metrics.Observe(metrics.ShutdownTime, "host", took)
 	h.log.Emit(event.HostStopped, zap.Int("cut", h.callers.drain.Active()), zap.Duration("took", took),
 		zap.Int("open", n.open), zap.Int("under_way", n.underWay), zap.Int("unanswered", n.unanswered), zap.Int("new", n.new))
 }
--- a/node/lease/lease.go
+++ b/node/lease/lease.go
@@ -95,7 +95,7 @@
 		deps.Now = time.Now
 	}
 	if deps.Rand == nil {
-		deps.Rand = pace.Default()
+		deps.Rand = pace.DefaultRand()
 	}
 	if deps.Log == nil {
 		deps.Log = event.NewLog(nil)
@@ -147,7 +147,7 @@
 func (l *Lease) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait := l.step(ctx)
-		pace.Sleep(ctx, l.deps.Rand.Around(wait, jitter))
+		pace.Sleep(ctx, l.deps.Rand.Jitter(wait, jitter))
 	}
 	l.release()
 	return ctx.Err()
@@ -329,7 +329,7 @@
 func (l *Lease) hold(h *decide.Held) {
 	l.mu.Lock()
 	if l.held == nil && h != nil {
-		l.taken.Give()
+		l.taken.Notify()
 	}
 	l.held, l.lapsed = h, 0
 	l.mu.Unlock()
--- a/node/metrics/metrics.go
+++ b/node/metrics/metrics.go
@@ -21,41 +21,41 @@
 // Counters by data centre and upstream. None is kept by request: their number
 // must not grow with traffic.
 const (
-	Attempts Name = "attempts_total"
-	Refused  Name = "attempts_refused_total"
-	Crossed  Name = "answers_crossed_total"
-	// RestsAsked counts answers that asked this host to send nothing for a while.
-	RestsAsked Name = "attempts_rest_asked_total"
-	Resumed    Name = "streams_resumed_total"
+	Attempts   Name = "attempts_total"
+	Refused    Name = "attempts_refused_total"
+	Mismatched Name = "answers_crossed_total"
+	// BackoffsRequested counts answers that asked this host to send nothing for a while.
+	BackoffsRequested Name = "attempts_rest_asked_total"
+	Resumed           Name = "streams_resumed_total"
 )
 
 // Counters and gauges of the whole host.
 const (
-	Requests    Name = "requests_total"
-	Completed   Name = "requests_completed_total"
-	NotRun      Name = "requests_not_run_total"
-	Unknown     Name = "requests_unknown_total"
-	Tokens      Name = "tokens_relayed_total"
-	Repeats     Name = "requests_sent_again_total"
-	Left        Name = "requests_left_by_caller_total"
-	BackedOff   Name = "requests_backed_off_total" // refused since all upstreams asked for a pause
-	InFlight    Name = "requests_in_flight"
-	Config      Name = "configuration_version"
-	ClaimsQueue Name = "claims_unsettled"
-	// ClaimsQueueBytes are the bytes of their answers.
-	ClaimsQueueBytes Name = "claims_unsettled_bytes"
-	HeapLive         Name = "memory_heap_live_bytes" // as the last collection found it
-	Stacks           Name = "memory_stacks_bytes"
-	Collections      Name = "memory_collections_total"
-	Goroutines       Name = "goroutines"
+	Requests          Name = "requests_total"
+	Completed         Name = "requests_completed_total"
+	NotRun            Name = "requests_not_run_total"
+	OutcomeUnknown    Name = "requests_unknown_total"
+	Tokens            Name = "tokens_relayed_total"
+	Retries           Name = "requests_sent_again_total"
+	CallerDisconnects Name = "requests_left_by_caller_total"
+	BackedOff         Name = "requests_backed_off_total" // refused since all upstreams asked for a pause
+	InFlight          Name = "requests_in_flight"
+	ConfigVersion     Name = "configuration_version"
+	UnresolvedClaims  Name = "claims_unsettled"
+	// UnresolvedClaimBytes are the bytes of their answers.
+	UnresolvedClaimBytes Name = "claims_unsettled_bytes"
+	HeapLive             Name = "memory_heap_live_bytes" // as the last collection found it
+	Stacks               Name = "memory_stacks_bytes"
+	Collections          Name = "memory_collections_total"
+	Goroutines           Name = "goroutines"
 )
 
 // Counters and gauges of requests that end upstreams.
 const (
-	UpstreamsEnded Name = "upstreams_ended_total"     // with a request of this host under way
-	RequestsBarred Name = "requests_barred_total"     // refused because they end upstreams
-	PoisonSuspects Name = "poison_requests_suspected" // as this host knows
-	PoisonBarred   Name = "poison_requests_barred"    // likewise
+	UpstreamsTerminated Name = "upstreams_ended_total"     // with a request of this host under way
+	RequestsBarred      Name = "requests_barred_total"     // refused because they end upstreams
+	PoisonSuspects      Name = "poison_requests_suspected" // as this host knows
+	PoisonBarred        Name = "poison_requests_barred"    // likewise
 )
 
 // Counters and gauges of the callers' connections.
@@ -64,7 +64,7 @@
 	CallersClosed     Name = "caller_connections_closed_total"            // by reason, or by the state in which it closed
 	CallersUnanswered Name = "caller_connections_closed_unanswered_total" // by reason: with a request begun and not answered
 	CallersOpen       Name = "caller_connections_open"
-	CallersUnderWay   Name = "caller_connections_under_way" // with something of a request that is not answered
+	CallersActive     Name = "caller_connections_under_way" // with something of a request that is not answered
 )
 
 // Counters of what hosts tell each other and ask of the platform's store, by kind.
@@ -100,7 +100,7 @@
 	s := &Set{root: new(expvar.Map).Init()}
 	s.root.Set(string(Tokens), expvar.Func(func() any { return s.tokens.Load() }))
 	for n, name := range ofRuntime {
-		s.Func(n, func() any {
+		s.SetFunc(n, func() any {
 			sample := []metrics.Sample{{Name: name}}
 			metrics.Read(sample)
 			return sample[0].Value.Uint64()
@@ -134,8 +134,8 @@
 // CountKind adds to one kind of a counter of the host. The kinds must be few.
 func (s *Set) CountKind(n Name, kind string, by int64) { s.nested(s.root, string(n)).Add(kind, by) }
 
-// Kinds returns a counter of the host by kind.
-func (s *Set) Kinds(n Name) map[string]int64 {
+// CountsByKind returns a counter of the host by kind.
+func (s *Set) CountsByKind(n Name) map[string]int64 {
 	out := map[string]int64{}
 	m, ok := s.root.Get(string(n)).(*expvar.Map)
 	if !ok {
@@ -154,9 +154,9 @@
 
 // Histograms of durations, by kind.
 const (
-	AnswerTime    Name = "answer_time"
+	ResponseTime  Name = "answer_time"
 	FirstByteTime Name = "first_byte_time"
-	StopTime      Name = "stop_time" // from the signal to the end
+	ShutdownTime  Name = "stop_time" // from the signal to the end
 )
 
 // Bounds of the durations that are told apart, in microseconds.
@@ -207,8 +207,8 @@
 	})
 }
 
-// Func shows a value that is worked out when it is read.
-func (s *Set) Func(n Name, f func() any) { s.root.Set(string(n), expvar.Func(f)) }
+// SetFunc shows a value that is worked out when it is read.
+func (s *Set) SetFunc(n Name, f func() any) { s.root.Set(string(n), expvar.Func(f)) }
 
 // String renders the set as JSON.
 func (s *Set) String() string { return s.root.String() }
--- a/node/pace/pace.go
+++ b/node/pace/pace.go
@@ -12,11 +12,11 @@
 // Rand draws from [0, 1).
 type Rand func() float64
 
-// Default draws from the process's own source.
-func Default() Rand { return rand.Float64 }
+// DefaultRand draws from the process's own source.
+func DefaultRand() Rand { return rand.Float64 }
 
-// Around returns a time from d*(1-share) to d*(1+share).
-func (r Rand) Around(d time.Duration, share float64) time.Duration {
+// Jitter returns a time from d*(1-share) to d*(1+share).
+func (r Rand) Jitter(d time.Duration, share float64) time.Duration {
 	return time.Duration(float64(d) * (1 + share*(2*r()-1)))
 }
 
--- a/node/pace/signal.go
+++ b/node/pace/signal.go
@@ -22,8 +22,8 @@
 	return s.ch
 }
 
-// Give wakes those that wait.
-func (s *Signal) Give() {
+// Notify wakes those that wait.
+func (s *Signal) Notify() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ch != nil {
@@ -32,8 +32,8 @@
 	}
 }
 
-// SleepUntil waits for d, or until ch is closed, and says whether ctx is still alive.
-func SleepUntil(ctx context.Context, d time.Duration, ch <-chan struct{}) bool {
+// SleepOrWake waits for d, or until ch is closed, and says whether ctx is still alive.
+func SleepOrWake(ctx context.Context, d time.Duration, ch <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/node/peer/mesh.go
+++ b/node/peer/mesh.go
@@ -135,7 +135,7 @@
 
 // rest waits for half a heartbeat, about, or until woken.
 func (m *Mesh) rest(ctx context.Context) {
-	t := time.NewTimer(pace.Default().Around(m.cfg.Heartbeat/2, 0.2))
+	t := time.NewTimer(pace.DefaultRand().Jitter(m.cfg.Heartbeat/2, 0.2))
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
--- a/node/peer/tend.go
+++ b/node/peer/tend.go
@@ -232,7 +232,7 @@
 		if m.readHostList(ctx) {
 			wait = m.cfg.HostList
 		}
-		if !pace.Sleep(ctx, pace.Default().Around(wait, listJitter)) {
+		if !pace.Sleep(ctx, pace.DefaultRand().Jitter(wait, listJitter)) {
 			return
 		}
 	}
--- a/node/quarantine/guard.go
+++ b/node/quarantine/guard.go
@@ -97,8 +97,8 @@
 		d.Log = event.NewLog(nil)
 	}
 	g := &Guard{deps: d, own: poison.NewLedger(poison.DefaultPolicy), site: map[poison.Digest]poison.Entry{}}
-	d.Metrics.Func(metrics.PoisonSuspects, func() any { return g.count(poison.Suspected) })
-	d.Metrics.Func(metrics.PoisonBarred, func() any { return g.count(poison.Barred) })
+	d.Metrics.SetFunc(metrics.PoisonSuspects, func() any { return g.count(poison.Suspected) })
+	d.Metrics.SetFunc(metrics.PoisonBarred, func() any { return g.count(poison.Barred) })
 	return g
 }
 
@@ -125,8 +125,8 @@
 	return []poison.Entry{v.site[d], v.own[d]}
 }
 
-// Completed notes that a request ran to its end, or for long after it had begun.
-func (g *Guard) Completed(r *poison.Request) {
+// RecordCompleted notes that a request ran to its end, or for long after it had begun.
+func (g *Guard) RecordCompleted(r *poison.Request) {
 	v := g.view.Load()
 	if v == nil || !v.shapes[r.Shape()] {
 		return
--- a/node/quarantine/guard_test.go
+++ b/node/quarantine/guard_test.go
@@ -138,7 +138,7 @@
 	h.hear(g, "h")
 	h.hear(g, "h")
 	assert.Assert(t, g.barred("x"))
-	g.Completed(asked("x"))
+	g.RecordCompleted(asked("x"))
 	assert.Assert(t, !g.barred("x"))
 	h.hear(g, "h")
 	h.hear(g, "h")
--- a/node/quarantine/watch.go
+++ b/node/quarantine/watch.go
@@ -77,9 +77,9 @@
 	return &Watch{deps: d, asks: make(chan string, asksMost), broken: map[string]*brokenUpstream{}}
 }
 
-// Broken notes a request whose exchange with an upstream broke before its end.
+// RecordBroken notes a request whose exchange with an upstream broke before its end.
 // It does not wait.
-func (w *Watch) Broken(upstream, address string, request poison.Fingerprint) {
+func (w *Watch) RecordBroken(upstream, address string, request poison.Fingerprint) {
 	w.mu.Lock()
 	now := w.deps.Now()
 	w.forgetLocked(now)
@@ -146,7 +146,7 @@
 	ran, at := slices.Clone(e.suspects), e.at
 	w.mu.Unlock()
 	if ended {
-		w.deps.Metrics.Count(metrics.UpstreamsEnded, 1)
+		w.deps.Metrics.Count(metrics.UpstreamsTerminated, 1)
 		w.tell(upstream, at, ran)
 	}
 }
--- a/node/quarantine/watch_test.go
+++ b/node/quarantine/watch_test.go
@@ -32,7 +32,7 @@
 
 func TestAnUpstreamThatRefusesHasEnded(t *testing.T) {
 	w, lines := watched(t, func(a string) bool { return a == "dead" })
-	w.Broken("u", "dead", content("a"))
+	w.RecordBroken("u", "dead", content("a"))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if lines.FilterMessage(event.UpstreamEnded.Name).Len() == 0 {
 			return poll.Continue("no line")
@@ -48,7 +48,7 @@
 func TestAnUpstreamThatListensHasNotEnded(t *testing.T) {
 	var asked atomic.Int32
 	w, lines := watched(t, func(string) bool { asked.Add(1); return false })
-	w.Broken("u", "alive", content("a"))
+	w.RecordBroken("u", "alive", content("a"))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		w.mu.Lock()
 		defer w.mu.Unlock()
--- a/node/query/config.go
+++ b/node/query/config.go
@@ -75,7 +75,7 @@
 		deps.Now = time.Now
 	}
 	if deps.Rand == nil {
-		deps.Rand = pace.Default()
+		deps.Rand = pace.DefaultRand()
 	}
 	if deps.Log == nil {
 		deps.Log = event.NewLog(nil)
@@ -112,7 +112,7 @@
 	for {
 		_ = r.Poll(ctx)
 		r.noteStanding()
-		timer := time.NewTimer(r.deps.Rand.Around(r.poll, pollJitter))
+		timer := time.NewTimer(r.deps.Rand.Jitter(r.poll, pollJitter))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
--- a/node/server/claims.go
+++ b/node/server/claims.go
@@ -38,8 +38,8 @@
 	store := nodeclaim.New(cfg, nodeclaim.Deps{
 		Records: claimRecords{s, rows}, Objects: p.Objects, Fates: fates{s}, Log: s.log,
 		Owner: claim.Owner{Host: s.cfg.Settings.Host, Incarnation: s.incarnation}, Now: time.Now})
-	s.metrics.Func(metrics.ClaimsQueue, func() any { n, _ := store.Pending(); return n })
-	s.metrics.Func(metrics.ClaimsQueueBytes, func() any { _, bytes := store.Pending(); return bytes })
+	s.metrics.SetFunc(metrics.UnresolvedClaims, func() any { n, _ := store.Pending(); return n })
+	s.metrics.SetFunc(metrics.UnresolvedClaimBytes, func() any { _, bytes := store.Pending(); return bytes })
 	return &claims{store: store, batch: batch, rows: rows, log: s.log, killed: s.killed}
 }
 
--- a/node/server/connstates.go
+++ b/node/server/connstates.go
@@ -22,8 +22,8 @@
 
 func newConnStates(set *metrics.Set) *connStates {
 	c := &connStates{metrics: set, by: map[net.Conn]http.ConnState{}}
-	set.Func(metrics.CallersOpen, func() any { return c.counts().open })
-	set.Func(metrics.CallersUnderWay, func() any { return c.counts().active })
+	set.SetFunc(metrics.CallersOpen, func() any { return c.counts().open })
+	set.SetFunc(metrics.CallersActive, func() any { return c.counts().active })
 	return c
 }
 
