--- a/core/admit/fair.go
+++ b/core/admit/fair.go
@@ -180,5 +180,5 @@
 
 // pastDeadline says whether a request that starts after wait misses its deadline.
 func pastDeadline(now time.Time, it Item, wait time.Duration) bool {
-	return !it.Deadline.IsZero() && now.Add(wait+it.Need).After(it.Deadline)
+	return !it.Deadline.IsZero() && now.Add(wait+it.MinDuration).After(it.Deadline)
 }
--- a/core/admit/item.go
+++ b/core/admit/item.go
@@ -8,12 +8,12 @@
 
 // Item is one request that asks for a slot.
 type Item struct {
-	ID       uint64
-	Team     string
-	Weight   int // of the team, 1 or more
-	Class    class.Class
-	Deadline time.Time     // zero: none
-	Need     time.Duration // least time it takes once it has a slot; 0: not known
+	ID          uint64
+	Team        string
+	Weight      int // of the team, 1 or more
+	Class       class.Class
+	Deadline    time.Time     // zero: none
+	MinDuration time.Duration // least time it takes once it has a slot; 0: not known
 }
 
 // Verdict is the answer to an arrival.
@@ -31,12 +31,12 @@
 
 // The causes.
 const (
-	CauseNone       Cause = iota
-	CauseNoCapacity       // the pool has no slots at all
-	CauseBulkOff          // the preset takes no bulk
-	CauseQueueFull        // and no other team holds more of the queue
-	CauseDeadline         // it could not be done in time
-	CauseDisplaced        // its team held most of a full queue
+	CauseNone                Cause = iota
+	CauseNoCapacity                // the pool has no slots at all
+	CauseBulkDisabled              // the preset takes no bulk
+	CauseQueueFull                 // and no other team holds more of the queue
+	CauseDeadlineUnreachable       // it could not be done in time
+	CauseDisplaced                 // its team held most of a full queue
 )
 
 // Refusal is the final word on one request: it did not run.
--- a/core/admit/limit.go
+++ b/core/admit/limit.go
@@ -48,8 +48,8 @@
 // SetLimits puts new limits in force.
 func (l *Limiter) SetLimits(limits config.TeamLimits) { l.limits = limits }
 
-// SetPeers tells what the peers together are asked for.
-func (l *Limiter) SetPeers(rate, concurrent float64, hosts int) {
+// SetPeerDemand tells what the peers together are asked for.
+func (l *Limiter) SetPeerDemand(rate, concurrent float64, hosts int) {
 	l.hosts = max(hosts, 1)
 	l.rate = told{rate, l.offered / rateWindow.Seconds()}
 	l.concurrent = told{concurrent, l.wanted()}
@@ -81,9 +81,9 @@
 	l.hold += time.Duration(holdWeight * float64(held-l.hold))
 }
 
-// GiveBack ends a request that was let through here but never dispatched. It
+// Cancel ends a request that was let through here but never dispatched. It
 // tells nothing of how long requests are held.
-func (l *Limiter) GiveBack() { l.inUse-- }
+func (l *Limiter) Cancel() { l.inUse-- }
 
 // Demand is what this host is asked for, to be told to its peers: the rate
 // offered, and the concurrency that it would make by Little's law.
--- a/core/admit/limit_test.go
+++ b/core/admit/limit_test.go
@@ -52,7 +52,7 @@
 		total += rates[i]
 	}
 	for i, l := range hosts {
-		l.SetPeers(total-rates[i], 0, len(hosts))
+		l.SetPeerDemand(total-rates[i], 0, len(hosts))
 	}
 }
 
@@ -94,10 +94,10 @@
 	l := NewLimiter(config.TeamLimits{Concurrent: 7}, 7, start)
 	ok, _ := l.Take(start)
 	assert.Assert(t, ok)
-	l.SetPeers(0, 6, 7)
+	l.SetPeerDemand(0, 6, 7)
 	ok, wait := l.Take(start)
 	assert.Assert(t, !ok && wait > 0)
-	l.SetPeers(0, 0, 7)
+	l.SetPeerDemand(0, 0, 7)
 	ok, _ = l.Take(start)
 	assert.Assert(t, ok)
 	l.Done(time.Second)
--- a/core/admit/pool.go
+++ b/core/admit/pool.go
@@ -44,9 +44,9 @@
 	case p.policy.Slots <= 0 || (limit <= 0 && it.Class != class.Bulk):
 		return Refused, p.refusal(it, CauseNoCapacity, time.Second), nil
 	case it.Class == class.Bulk && (!p.policy.AcceptBulk || limit <= 0):
-		return Refused, p.refusal(it, CauseBulkOff, time.Minute), nil
+		return Refused, p.refusal(it, CauseBulkDisabled, time.Minute), nil
 	case pastDeadline(now, it, 0):
-		return Refused, p.refusal(it, CauseDeadline, 0), nil
+		return Refused, p.refusal(it, CauseDeadlineUnreachable, 0), nil
 	}
 	// Whoever waits now may not take what is free: the slots left to newcomers
 	// are not for a team over its share. So a free slot is this request's,
@@ -63,7 +63,7 @@
 	q := &p.queues[it.Class]
 	wait := p.waitFor(it.Class, q.ahead(q.startOf(it.Team))+p.waitingAbove(it.Class))
 	if pastDeadline(now, it, wait) {
-		return Refused, p.refusal(it, CauseDeadline, wait), nil
+		return Refused, p.refusal(it, CauseDeadlineUnreachable, wait), nil
 	}
 	if q.n < p.policy.QueueMax[it.Class] {
 		q.push(it)
@@ -99,14 +99,14 @@
 func (p *Pool) SetPolicy(now time.Time, policy Policy) Result {
 	p.policy = policy
 	granted := p.grant()
-	r := p.Sweep(now)
+	r := p.ExpireQueued(now)
 	r.Granted = append(granted, r.Granted...)
 	return r
 }
 
-// Sweep gives up the waiting requests that cannot make their deadline any
+// ExpireQueued gives up the waiting requests that cannot make their deadline any
 // more, so that their callers hear it now and not when the deadline has come.
-func (p *Pool) Sweep(now time.Time) Result {
+func (p *Pool) ExpireQueued(now time.Time) Result {
 	p.countActive(now)
 	var r Result
 	kept := 0
@@ -116,7 +116,7 @@
 			wait := p.waitFor(c, kept)
 			if pastDeadline(now, it.Item, time.Duration(keepShare*float64(wait))) {
 				q.remove(it.ID)
-				r.Refused = append(r.Refused, p.refusal(it.Item, CauseDeadline, wait))
+				r.Refused = append(r.Refused, p.refusal(it.Item, CauseDeadlineUnreachable, wait))
 				continue
 			}
 			kept++
@@ -275,6 +275,6 @@
 	return false
 }
 
-// Return gives back a slot that was granted to a request which had left by
+// ReleaseUnused gives back a slot that was granted to a request which had left by
 // then. It tells nothing of how long slots are held.
-func (p *Pool) Return(c class.Class, team string) Result { return p.Release(c, team, p.hold) }
+func (p *Pool) ReleaseUnused(c class.Class, team string) Result { return p.Release(c, team, p.hold) }
--- a/core/admit/pool_test.go
+++ b/core/admit/pool_test.go
@@ -65,9 +65,9 @@
 		cause Cause
 	}{
 		{"no slots", NewPool(NewPolicy(preset, nil, 0)), item(1, "b", class.Urgent), CauseNoCapacity},
-		{"preset without bulk", full(), item(1, "b", class.Bulk), CauseBulkOff},
-		{"cannot make its deadline", full(), late, CauseDeadline},
-		{"deadline passed", full(), done, CauseDeadline},
+		{"preset without bulk", full(), item(1, "b", class.Bulk), CauseBulkDisabled},
+		{"cannot make its deadline", full(), late, CauseDeadlineUnreachable},
+		{"deadline passed", full(), done, CauseDeadlineUnreachable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v, refusal, _ := c.pool.Arrive(start, c.item)
@@ -111,9 +111,9 @@
 	it.Deadline = start.Add(10 * time.Second)
 	v, _, _ := p.Arrive(start, it)
 	assert.Equal(t, v, Queued)
-	assert.Equal(t, len(p.Sweep(start).Refused), 0)
+	assert.Equal(t, len(p.ExpireQueued(start).Refused), 0)
 	p.hold = 30 * time.Second
-	r := p.Sweep(start.Add(time.Second))
+	r := p.ExpireQueued(start.Add(time.Second))
 	assert.Equal(t, len(r.Refused), 1)
 	assert.Equal(t, r.Refused[0].ID, uint64(7))
 }
@@ -252,7 +252,7 @@
 			},
 			"sweep": func(*rapid.T) {
 				now = now.Add(time.Second)
-				settle(p.Sweep(now))
+				settle(p.ExpireQueued(now))
 			},
 			"": func(t *rapid.T) {
 				assert.Assert(t, len(held) <= policy.Slots)
--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -32,11 +32,11 @@
 	at       int64 // number of the newest bucket
 }
 
-// New makes an empty window.
-func New(p Policy, now time.Time) *Window { return &Window{policy: p, from: now} }
+// NewWindow makes an empty window.
+func NewWindow(p Policy, now time.Time) *Window { return &Window{policy: p, from: now} }
 
-// Request counts the first send of a request.
-func (w *Window) Request(now time.Time) {
+// CountRequest counts the first send of a request.
+func (w *Window) CountRequest(now time.Time) {
 	w.advance(now)
 	w.requests[w.slot(w.at)]++
 }
--- a/core/budget/budget_test.go
+++ b/core/budget/budget_test.go
@@ -20,7 +20,7 @@
 		const hosts = 7
 		ws := make([]*budget.Window, hosts)
 		for i := range ws {
-			ws[i] = budget.New(policy, time.Unix(1_700_000_000, 0))
+			ws[i] = budget.NewWindow(policy, time.Unix(1_700_000_000, 0))
 		}
 		now := time.Unix(1_700_000_000, 0)
 		type sent struct {
@@ -32,7 +32,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 			w := ws[rapid.IntRange(0, hosts-1).Draw(t, "host")]
 			if rapid.Bool().Draw(t, "request") {
-				w.Request(now)
+				w.CountRequest(now)
 				all = append(all, sent{at: now})
 			} else if w.Take(now, hosts) {
 				all = append(all, sent{at: now, repeat: true})
@@ -60,7 +60,7 @@
 func TestAHostThatKnowsFewerOthersMaySpendMore(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	count := func(hosts int) int {
-		w, n := budget.New(policy, time.Unix(1_700_000_000, 0)), 0
+		w, n := budget.NewWindow(policy, time.Unix(1_700_000_000, 0)), 0
 		for w.Take(now, hosts) {
 			n++
 		}
@@ -71,7 +71,7 @@
 }
 
 func TestTheClockMayBeSetBack(t *testing.T) {
-	w, now := budget.New(policy, time.Unix(1_700_000_000, 0)), time.Unix(1_700_000_000, 0)
+	w, now := budget.NewWindow(policy, time.Unix(1_700_000_000, 0)), time.Unix(1_700_000_000, 0)
 	for w.Take(now, 9) {
 	}
 	assert.Assert(t, !w.Take(now.Add(-time.Hour), 9))
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -10,15 +10,15 @@
 	tokens float64
 }
 
-// Burst is how many retries may run ahead of the traffic's share, so that a
+// BudgetBurst is how many retries may run ahead of the traffic's share, so that a
 // quiet host can still retry.
-const Burst = 10.0
+const BudgetBurst = 10.0
 
 // NewBudget allows retries up to share (0 to 1) of the requests counted.
-func NewBudget(share float64) *Budget { return &Budget{share: share, tokens: Burst} }
+func NewBudget(share float64) *Budget { return &Budget{share: share, tokens: BudgetBurst} }
 
-// Request counts a first attempt, which earns its share of a retry.
-func (b *Budget) Request() { b.tokens = min(b.tokens+b.share, Burst) }
+// CountRequest counts a first attempt, which earns its share of a retry.
+func (b *Budget) CountRequest() { b.tokens = min(b.tokens+b.share, BudgetBurst) }
 
 // SetShare changes the share from the next request on.
 func (b *Budget) SetShare(share float64) { b.share = share }
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -12,55 +12,55 @@
 
 // Config bounds retries.
 type Config struct {
-	Attempts    int           // most attempts of one request, the first included
-	First       time.Duration // mean pause before the second attempt
-	Most        time.Duration // longest mean pause
-	MinimalWork time.Duration // an attempt with less time left than this is not worth starting
+	MaxAttempts    int           // most attempts of one request, the first included
+	InitialBackoff time.Duration // mean pause before the second attempt
+	MaxBackoff     time.Duration // longest mean pause
+	MinRemaining   time.Duration // an attempt with less time left than this is not worth starting
 }
 
 // defaults suit upstreams a few milliseconds away: by the fourth attempt
 // a request has tried four upstreams, and more would only spread an overload.
-var defaults = Config{Attempts: 4, First: 5 * time.Millisecond, Most: 200 * time.Millisecond, MinimalWork: 10 * time.Millisecond}
+var defaults = Config{MaxAttempts: 4, InitialBackoff: 5 * time.Millisecond, MaxBackoff: 200 * time.Millisecond, MinRemaining: 10 * time.Millisecond}
 
 // jitter spreads pauses over half to one and a half of their mean, so that
 // requests which failed together do not come back together.
 const jitter = 0.5
 
-// Avoided is how many upstreams a request remembers not to go back to; it is
+// MaxExcluded is how many upstreams a request remembers not to go back to; it is
 // the size of route.Request.Avoid.
-const Avoided = 4
+const MaxExcluded = 4
 
 // Reason says why an exchange of attempts goes on or ends.
 type Reason uint8
 
 // The reasons.
 const (
-	Again        Reason = iota
-	Done                // the last attempt completed
-	MayNotRepeat        // it may have run, and may not run twice
-	NoAttempts          // as many attempts as allowed were made
-	NoTime              // the deadline would pass
-	NoBudget            // retries already are their share of the traffic
+	RetryAllowed      Reason = iota
+	Completed                // the last attempt completed
+	NotRepeatable            // it may have run, and may not run twice
+	AttemptsExhausted        // as many attempts as allowed were made
+	DeadlineTooClose         // the deadline would pass
+	BudgetExhausted          // retries already are their share of the traffic
 )
 
 // Decision says whether to try again. When Retry is false, Outcome is what
 // the caller must be told.
 type Decision struct {
-	Retry   bool
-	Reason  Reason
-	Pause   time.Duration
-	Avoid   [Avoided]string
-	Outcome outcome.Outcome
+	Retry    bool
+	Reason   Reason
+	Backoff  time.Duration
+	Excluded [MaxExcluded]string
+	Outcome  outcome.Outcome
 }
 
 // Attempt is how an attempt ended.
 type Attempt struct {
-	Outcome    outcome.Outcome
-	Upstream   string        // not to go back to; "" when it did not refuse
-	RetryAfter time.Duration // asked for by the upstream; 0: nothing asked
+	Outcome         outcome.Outcome
+	ExcludeUpstream string        // not to go back to; "" when it did not refuse
+	RetryAfter      time.Duration // asked for by the upstream; 0: nothing asked
 	// Elsewhere tells that another upstream may be tried at once, whatever
 	// this one asked for: it alone is full, leaving or unreachable.
-	Elsewhere bool
+	TryOthers bool
 }
 
 // Request follows the attempts of one request. It belongs to one goroutine.
@@ -70,7 +70,7 @@
 	deadline   time.Time
 	attempts   int
 	avoided    int
-	avoid      [Avoided]string
+	avoid      [MaxExcluded]string
 	mayHaveRun bool
 	pauses     *backoff.ExponentialBackOff
 }
@@ -82,27 +82,27 @@
 		cfg = defaults
 	}
 	p := backoff.NewExponentialBackOff()
-	p.InitialInterval, p.MaxInterval, p.RandomizationFactor = cfg.First, cfg.Most, jitter
+	p.InitialInterval, p.MaxInterval, p.RandomizationFactor = cfg.InitialBackoff, cfg.MaxBackoff, jitter
 	p.Reset()
 	return &Request{cfg: cfg, repeatable: repeatable, deadline: deadline, pauses: p}
 }
 
-// After says what follows the attempt a, which ended at now. It takes from
+// Next says what follows the attempt a, which ended at now. It takes from
 // the budget only when it decides to retry.
-func (r *Request) After(a Attempt, b *Budget, now time.Time) Decision {
-	if a.Upstream != "" {
-		r.avoid[r.avoided%Avoided] = a.Upstream
+func (r *Request) Next(a Attempt, b *Budget, now time.Time) Decision {
+	if a.ExcludeUpstream != "" {
+		r.avoid[r.avoided%MaxExcluded] = a.ExcludeUpstream
 		r.avoided++
 	}
 	r.attempts++
 	r.mayHaveRun = r.mayHaveRun || a.Outcome == outcome.Unknown
-	d := Decision{Avoid: r.avoid, Outcome: r.told(a.Outcome)}
-	d.Pause = r.pause(a)
-	d.Reason = r.reason(a, d.Pause, now)
-	if d.Reason == Again && !b.Take() {
-		d.Reason = NoBudget
+	d := Decision{Excluded: r.avoid, Outcome: r.told(a.Outcome)}
+	d.Backoff = r.pause(a)
+	d.Reason = r.reason(a, d.Backoff, now)
+	if d.Reason == RetryAllowed && !b.Take() {
+		d.Reason = BudgetExhausted
 	}
-	d.Retry = d.Reason == Again
+	d.Retry = d.Reason == RetryAllowed
 	return d
 }
 
@@ -117,7 +117,7 @@
 
 func (r *Request) pause(a Attempt) time.Duration {
 	p := r.pauses.NextBackOff()
-	if a.Elsewhere {
+	if a.TryOthers {
 		return p
 	}
 	return max(p, a.RetryAfter)
@@ -126,14 +126,14 @@
 func (r *Request) reason(a Attempt, pause time.Duration, now time.Time) Reason {
 	switch {
 	case a.Outcome == outcome.Completed:
-		return Done
+		return Completed
 	case !a.Outcome.MayRetry(r.repeatable):
-		return MayNotRepeat
-	case r.attempts >= r.cfg.Attempts:
-		return NoAttempts
-	case now.Add(pause + r.cfg.MinimalWork).After(r.deadline):
-		return NoTime
+		return NotRepeatable
+	case r.attempts >= r.cfg.MaxAttempts:
+		return AttemptsExhausted
+	case now.Add(pause + r.cfg.MinRemaining).After(r.deadline):
+		return DeadlineTooClose
 	default:
-		return Again
+		return RetryAllowed
 	}
 }
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -22,21 +22,21 @@
 		share      float64
 		want       Reason
 	}{
-		{"completed", true, far, Attempt{Outcome: outcome.Completed}, 1, Done},
-		{"refused, not repeatable", false, far, Attempt{Outcome: outcome.NotRun}, 1, Again},
-		{"broken, repeatable", true, far, Attempt{Outcome: outcome.Unknown}, 1, Again},
-		{"broken, not repeatable", false, far, Attempt{Outcome: outcome.Unknown}, 1, MayNotRepeat},
-		{"no time", true, near, Attempt{Outcome: outcome.NotRun, RetryAfter: 5 * time.Millisecond}, 1, NoTime},
-		{"no budget", true, far, Attempt{Outcome: outcome.NotRun}, 0, NoBudget},
+		{"completed", true, far, Attempt{Outcome: outcome.Completed}, 1, Completed},
+		{"refused, not repeatable", false, far, Attempt{Outcome: outcome.NotRun}, 1, RetryAllowed},
+		{"broken, repeatable", true, far, Attempt{Outcome: outcome.Unknown}, 1, RetryAllowed},
+		{"broken, not repeatable", false, far, Attempt{Outcome: outcome.Unknown}, 1, NotRepeatable},
+		{"no time", true, near, Attempt{Outcome: outcome.NotRun, RetryAfter: 5 * time.Millisecond}, 1, DeadlineTooClose},
+		{"no budget", true, far, Attempt{Outcome: outcome.NotRun}, 0, BudgetExhausted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := NewBudget(c.share)
 			if c.share == 0 {
 				b.tokens = 0
 			}
-			d := NewRequest(Config{}, c.repeatable, c.deadline).After(c.last, b, start)
+			d := NewRequest(Config{}, c.repeatable, c.deadline).Next(c.last, b, start)
 			assert.Equal(t, d.Reason, c.want)
-			assert.Equal(t, d.Retry, c.want == Again)
+			assert.Equal(t, d.Retry, c.want == RetryAllowed)
 		})
 	}
 }
@@ -45,12 +45,12 @@
 // The first attempt broke off after its first byte; the second was refused by
 // another upstream, and only the second's outcome was reported.
 func TestLaterRefusalDoesNotHideABrokenAttempt(t *testing.T) {
-	r, b := NewRequest(Config{Attempts: 2}, true, start.Add(time.Minute)), NewBudget(1)
-	assert.Assert(t, r.After(Attempt{Outcome: outcome.Unknown, Upstream: "a"}, b, start).Retry)
-	d := r.After(Attempt{Outcome: outcome.NotRun, Upstream: "b"}, b, start)
-	assert.Equal(t, d.Reason, NoAttempts)
+	r, b := NewRequest(Config{MaxAttempts: 2}, true, start.Add(time.Minute)), NewBudget(1)
+	assert.Assert(t, r.Next(Attempt{Outcome: outcome.Unknown, ExcludeUpstream: "a"}, b, start).Retry)
+	d := r.Next(Attempt{Outcome: outcome.NotRun, ExcludeUpstream: "b"}, b, start)
+	assert.Equal(t, d.Reason, AttemptsExhausted)
 	assert.Equal(t, d.Outcome, outcome.Unknown)
-	assert.DeepEqual(t, d.Avoid, [Avoided]string{"a", "b"})
+	assert.DeepEqual(t, d.Excluded, [MaxExcluded]string{"a", "b"})
 }
 
 func TestRetriesStayWithinTheirShare(t *testing.T) {
@@ -58,13 +58,13 @@
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
 		b, requests, retries := NewBudget(share), 0, 0
 		for _, ask := range rapid.SliceOfN(rapid.Bool(), 1, 400).Draw(t, "asks") {
-			b.Request()
+			b.CountRequest()
 			requests++
 			if ask && b.Take() {
 				retries++
 			}
 		}
-		assert.Assert(t, float64(retries) <= Burst+share*float64(requests)+1e-9)
+		assert.Assert(t, float64(retries) <= BudgetBurst+share*float64(requests)+1e-9)
 	})
 }
 
@@ -72,8 +72,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		left := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "left"))
 		asked := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "asked"))
-		d := NewRequest(Config{}, true, start.Add(left)).After(
-			Attempt{Outcome: outcome.NotRun, RetryAfter: asked, Elsewhere: rapid.Bool().Draw(t, "elsewhere")}, NewBudget(1), start)
-		assert.Assert(t, !d.Retry || d.Pause < left)
+		d := NewRequest(Config{}, true, start.Add(left)).Next(
+			Attempt{Outcome: outcome.NotRun, RetryAfter: asked, TryOthers: rapid.Bool().Draw(t, "elsewhere")}, NewBudget(1), start)
+		assert.Assert(t, !d.Retry || d.Backoff < left)
 	})
 }
--- a/core/route/baseline.go
+++ b/core/route/baseline.go
@@ -58,5 +58,5 @@
 	if len(candidates) == 0 {
 		return Decision{Index: -1, Reason: NoReplica}
 	}
-	return Decision{Index: -1, Reason: AllAvoid}
+	return Decision{Index: -1, Reason: AllExcluded}
 }
--- a/core/route/choices.go
+++ b/core/route/choices.go
@@ -54,7 +54,7 @@
 // pass offers the endpoints not yet seen, from a random start, until enough
 // were found. AllBusy outweighs AllAvoid: a busy replica may free itself.
 func (c *contest) pass(candidates []int32, start uint64, seen []int32, want int) Reason {
-	worst, at := AllAvoid, int(start)
+	worst, at := AllExcluded, int(start)
 	for range candidates {
 		i := candidates[at]
 		if at++; at == len(candidates) {
--- a/core/route/filter_avoid.go
+++ b/core/route/filter_avoid.go
@@ -5,12 +5,12 @@
 type avoidFilter struct{}
 
 func (avoidFilter) keep(e *Endpoint, r *Request) Reason {
-	for i := range r.Avoid {
-		if r.Avoid[i] == "" {
+	for i := range r.Excluded {
+		if r.Excluded[i] == "" {
 			break // filled from the front
 		}
-		if r.Avoid[i] == e.Upstream {
-			return AllAvoid
+		if r.Excluded[i] == e.Upstream {
+			return AllExcluded
 		}
 	}
 	return Found
--- a/core/route/filter_down.go
+++ b/core/route/filter_down.go
@@ -5,7 +5,7 @@
 
 func (downFilter) keep(e *Endpoint, _ *Request) Reason {
 	if e.Down {
-		return AllAvoid
+		return AllExcluded
 	}
 	return Found
 }
--- a/core/route/filter_leaving.go
+++ b/core/route/filter_leaving.go
@@ -5,8 +5,8 @@
 type leavingFilter struct{}
 
 func (leavingFilter) keep(e *Endpoint, _ *Request) Reason {
-	if e.Leaving {
-		return AllAvoid
+	if e.Draining {
+		return AllExcluded
 	}
 	return Found
 }
--- a/core/route/filter_ready.go
+++ b/core/route/filter_ready.go
@@ -6,8 +6,8 @@
 type readyFilter struct{}
 
 func (readyFilter) keep(e *Endpoint, r *Request) Reason {
-	if r.Service || e.Ready[r.Key] {
+	if r.PlainService || e.Ready[r.Key] {
 		return Found
 	}
-	return AllAvoid
+	return AllExcluded
 }
--- a/core/route/load.go
+++ b/core/route/load.go
@@ -8,5 +8,5 @@
 // Without the correction each host would send everything that arrives between
 // two reports to the endpoint that looked idle in the last one.
 func (e *Endpoint) load() int {
-	return max(e.Running+e.Waiting+e.SinceReport+e.PeersSince-e.DoneSince, e.InFlight, 0)
+	return max(e.Running+e.Waiting+e.DispatchedSinceReport+e.PeerDispatchedSinceReport-e.CompletedSinceReport, e.InFlight, 0)
 }
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -18,30 +18,30 @@
 // Endpoint is one upstream as a host knows it at the time of the snapshot.
 type Endpoint struct {
 	// What the filters read comes first, together in one cache line.
-	Leaving     bool
-	Down        bool // connections fail or went silent
-	MaxBatch    int
-	Running     int // from the newest report
-	Waiting     int
-	SinceReport int // attempts that this host dispatched since that report was taken
-	PeersSince  int // the same, as peers tell
-	DoneSince   int // this host's own attempts that ended there since that report was taken
-	InFlight    int // this host's own attempts now in flight there
+	Draining                  bool
+	Down                      bool // connections fail or went silent
+	MaxBatch                  int
+	Running                   int // from the newest report
+	Waiting                   int
+	DispatchedSinceReport     int // attempts that this host dispatched since that report was taken
+	PeerDispatchedSinceReport int // the same, as peers tell
+	CompletedSinceReport      int // this host's own attempts that ended there since that report was taken
+	InFlight                  int // this host's own attempts now in flight there
 
-	Upstream     string
-	Address      string
-	Pool         string
-	DataCentre   string
-	Incarnation  string
-	Accelerators int
-	Ready        map[ModelKey]bool // what it can answer now; nil for plain services, which answer anything
-	ReportAge    time.Duration
-	TokenMs      float64 // time of one decoding step when alone, milliseconds; 0: the request's
-	StepMs       float64 // time of one decoding step as seen lately, milliseconds; 0: not seen
-	PrefillMs    float64 // time of a typical prefill, milliseconds
-	HoldTokens   float64 // mean length of the answers that it gave lately; 0: not known
-	DistanceMs   float64 // round trip from this host's data centre, milliseconds
-	Prefixes     map[uint64]bool
+	Upstream         string
+	Address          string
+	Pool             string
+	DataCentre       string
+	Incarnation      string
+	Accelerators     int
+	Ready            map[ModelKey]bool // what it can answer now; nil for plain services, which answer anything
+	ReportAge        time.Duration
+	IdleStepMs       float64 // time of one decoding step when alone, milliseconds; 0: the request's
+	RecentStepMs     float64 // time of one decoding step as seen lately, milliseconds; 0: not seen
+	PrefillMs        float64 // time of a typical prefill, milliseconds
+	MeanAnswerTokens float64 // mean length of the answers that it gave lately; 0: not known
+	DistanceMs       float64 // round trip from this host's data centre, milliseconds
+	Prefixes         map[uint64]bool
 }
 
 // Snapshot is what one routing decision sees. It is shared by many requests
@@ -55,22 +55,22 @@
 
 // Request is what routing needs to know of a request.
 type Request struct {
-	Pool    string
-	Key     ModelKey
-	Service bool // a plain service: any endpoint of the pool will do
-	Class   class.Class
-	Prefix  uint64    // salted prefix hash; 0: none
-	Tokens  int       // length to expect of the answer; 0: not known
-	TokenMs float64   // one decoding step of the model alone on an engine, milliseconds; 0: not known
-	LeftMs  float64   // time left until its deadline, milliseconds; 0: none
-	Avoid   [4]string // upstreams that already refused or failed this request, filled from the front
+	Pool         string
+	Key          ModelKey
+	PlainService bool // a plain service: any endpoint of the pool will do
+	Class        class.Class
+	Prefix       uint64    // salted prefix hash; 0: none
+	AnswerTokens int       // length to expect of the answer; 0: not known
+	IdleStepMs   float64   // one decoding step of the model alone on an engine, milliseconds; 0: not known
+	RemainingMs  float64   // time left until its deadline, milliseconds; 0: none
+	Excluded     [4]string // upstreams that already refused or failed this request, filled from the front
 }
 
 // hopeless says that the answer would come after the deadline even from an
 // engine that had nothing else to do. Started, it would be thrown away in the
 // end, at the cost of those behind it.
 func (r *Request) hopeless() bool {
-	return r.LeftMs > 0 && float64(r.Tokens)*r.TokenMs > r.LeftMs
+	return r.RemainingMs > 0 && float64(r.AnswerTokens)*r.IdleStepMs > r.RemainingMs
 }
 
 // Reason says why no endpoint was found.
@@ -78,11 +78,11 @@
 
 // The reasons.
 const (
-	Found     Reason = iota
-	NoReplica        // nobody holds the model
-	AllBusy          // holders exist, all over their bound
-	AllAvoid         // holders exist, all leaving, down or already tried
-	TooLate          // holders exist, none would answer before the deadline
+	Found               Reason = iota
+	NoReplica                  // nobody holds the model
+	AllBusy                    // holders exist, all over their bound
+	AllExcluded                // holders exist, all leaving, down or already tried
+	DeadlineUnreachable        // holders exist, none would answer before the deadline
 )
 
 // Decision is the answer of a Picker.
--- a/core/route/score_affinity.go
+++ b/core/route/score_affinity.go
@@ -14,7 +14,7 @@
 }
 
 func (a affinityScorer) score(e *Endpoint, r *Request, home bool) float64 {
-	if r.Prefix == 0 || float64(e.load()) >= a.cfg.AffinityBound*float64(max(e.MaxBatch, 1)) {
+	if r.Prefix == 0 || float64(e.load()) >= a.cfg.AffinityMaxLoad*float64(max(e.MaxBatch, 1)) {
 		return 0
 	}
 	saving := a.cfg.AffinityShare * e.PrefillMs
--- a/core/route/score_first_token.go
+++ b/core/route/score_first_token.go
@@ -18,12 +18,12 @@
 // step is the time of one decoding step: as seen lately, or as the model's
 // speed and the load would make it.
 func (e *Endpoint) step(r *Request, fill float64) float64 {
-	if e.StepMs > 0 {
-		return e.StepMs
+	if e.RecentStepMs > 0 {
+		return e.RecentStepMs
 	}
-	token := e.TokenMs
+	token := e.IdleStepMs
 	if token <= 0 {
-		token = r.TokenMs
+		token = r.IdleStepMs
 	}
 	return token * (1 + batchSlowdown*min(fill, 1))
 }
@@ -33,10 +33,10 @@
 type lengthScorer struct{}
 
 func (lengthScorer) score(e *Endpoint, r *Request, _ bool) float64 {
-	if r.Tokens <= 1 {
+	if r.AnswerTokens <= 1 {
 		return 0
 	}
-	return float64(r.Tokens-1) * e.step(r, float64(e.load())/float64(max(e.MaxBatch, 1)))
+	return float64(r.AnswerTokens-1) * e.step(r, float64(e.load())/float64(max(e.MaxBatch, 1)))
 }
 
 func (f firstTokenScorer) score(e *Endpoint, r *Request, _ bool) float64 {
@@ -53,7 +53,7 @@
 	if r.Class == class.Urgent {
 		queued = 0 // engines honour priorities: urgent work passes those that wait
 	}
-	tokens := e.HoldTokens
+	tokens := e.MeanAnswerTokens
 	if tokens <= 0 {
 		tokens = float64(f.typicalTokens)
 	}
--- a/core/route/staged.go
+++ b/core/route/staged.go
@@ -4,12 +4,12 @@
 
 // Config tunes the staged picker. The zero value of a field takes its default.
 type Config struct {
-	Choices       int                  // endpoints compared for one pick, 1 to maxChoices
-	LoadBound     [class.Count]float64 // most load, as a multiple of MaxBatch, that a class still joins
-	TypicalTokens int                  // tokens of a typical answer, to predict how long a slot is held
-	AffinityBound float64              // load, as a share of MaxBatch, above which a cached prefix counts nothing
-	AffinityShare float64              // part of the prefill that a cached prefix saves
-	HomeShare     float64              // part of that saving credited to a prefix's home when no event vouches for it
+	Choices         int                  // endpoints compared for one pick, 1 to maxChoices
+	MaxLoad         [class.Count]float64 // most load, as a multiple of MaxBatch, that a class still joins
+	TypicalTokens   int                  // tokens of a typical answer, to predict how long a slot is held
+	AffinityMaxLoad float64              // load, as a share of MaxBatch, above which a cached prefix counts nothing
+	AffinityShare   float64              // part of the prefill that a cached prefix saves
+	HomeShare       float64              // part of that saving credited to a prefix's home when no event vouches for it
 }
 
 // Defaults, with their reasons.
@@ -51,7 +51,7 @@
 	return &staged{
 		cfg: cfg,
 		// The map look-up last: the index by model makes it nearly always true.
-		filters: []filter{leavingFilter{}, downFilter{}, boundFilter{cfg.LoadBound}, avoidFilter{}, readyFilter{}},
+		filters: []filter{leavingFilter{}, downFilter{}, boundFilter{cfg.MaxLoad}, avoidFilter{}, readyFilter{}},
 		scorers: []scorer{firstTokenScorer{cfg.TypicalTokens}, lengthScorer{}, distanceScorer{}, affinityScorer{cfg}},
 	}
 }
@@ -61,16 +61,16 @@
 		c.Choices = defaultChoices
 	}
 	c.Choices = min(c.Choices, maxChoices)
-	for i := range c.LoadBound {
-		if c.LoadBound[i] <= 0 {
-			c.LoadBound[i] = defaultLoadBound[i]
+	for i := range c.MaxLoad {
+		if c.MaxLoad[i] <= 0 {
+			c.MaxLoad[i] = defaultLoadBound[i]
 		}
 	}
 	if c.TypicalTokens <= 0 {
 		c.TypicalTokens = defaultTokens
 	}
-	if c.AffinityBound <= 0 {
-		c.AffinityBound = defaultAffinityBound
+	if c.AffinityMaxLoad <= 0 {
+		c.AffinityMaxLoad = defaultAffinityBound
 	}
 	if c.AffinityShare <= 0 {
 		c.AffinityShare = defaultAffinityShare
@@ -88,7 +88,7 @@
 		return Decision{Index: -1, Reason: NoReplica}
 	}
 	if r.hopeless() {
-		return Decision{Index: -1, Reason: TooLate}
+		return Decision{Index: -1, Reason: DeadlineUnreachable}
 	}
 	c := contest{p: p, s: s, r: r, best: Decision{Index: -1}, home: homeOf(candidates, r.Prefix)}
 	if r.Prefix != 0 {
@@ -105,7 +105,7 @@
 // candidatesOf lists the endpoints that hold the model, or all of the pool
 // for a plain service.
 func candidatesOf(s *Snapshot, r *Request) []int32 {
-	if r.Service {
+	if r.PlainService {
 		return s.ByPool[r.Pool]
 	}
 	return s.ByModel[r.Key]
--- a/core/route/staged_test.go
+++ b/core/route/staged_test.go
@@ -26,7 +26,7 @@
 		if e.MaxBatch == 0 {
 			e.MaxBatch = 8
 		}
-		e.TokenMs, e.PrefillMs = 20, 100
+		e.IdleStepMs, e.PrefillMs = 20, 100
 		s.ByModel[testKey] = append(s.ByModel[testKey], int32(i))
 		s.ByPool["p"] = append(s.ByPool["p"], int32(i))
 	}
@@ -43,17 +43,17 @@
 		reason    Reason
 	}{
 		{"nobody holds it", nil, Request{Key: testKey}, -1, NoReplica},
-		{"leaving", []Endpoint{{Leaving: true}, {}}, Request{Key: testKey}, 1, Found},
+		{"leaving", []Endpoint{{Draining: true}, {}}, Request{Key: testKey}, 1, Found},
 		{"down", []Endpoint{{Down: true}, {}}, Request{Key: testKey}, 1, Found},
 		{"index ahead of the report", []Endpoint{{Ready: other}, {}}, Request{Key: testKey}, 1, Found},
-		{"refused before", []Endpoint{{}, {}}, Request{Key: testKey, Avoid: [4]string{"u0"}}, 1, Found},
-		{"all tried or leaving", []Endpoint{{}, {Leaving: true}}, Request{Key: testKey, Avoid: [4]string{"u0"}}, -1, AllAvoid},
-		{"one busy, one leaving", []Endpoint{{Running: 8, Waiting: 8}, {Leaving: true}},
+		{"refused before", []Endpoint{{}, {}}, Request{Key: testKey, Excluded: [4]string{"u0"}}, 1, Found},
+		{"all tried or leaving", []Endpoint{{}, {Draining: true}}, Request{Key: testKey, Excluded: [4]string{"u0"}}, -1, AllExcluded},
+		{"one busy, one leaving", []Endpoint{{Running: 8, Waiting: 8}, {Draining: true}},
 			Request{Key: testKey, Class: class.Standard}, -1, AllBusy},
 		{"urgent passes the bound of others", []Endpoint{{Running: 8, Waiting: 8}},
 			Request{Key: testKey, Class: class.Urgent}, 0, Found},
 		{"bulk joins no queue", []Endpoint{{Running: 8}}, Request{Key: testKey, Class: class.Bulk}, -1, AllBusy},
-		{"a service needs no model", []Endpoint{{Ready: other}}, Request{Pool: "p", Service: true}, 0, Found},
+		{"a service needs no model", []Endpoint{{Ready: other}}, Request{Pool: "p", PlainService: true}, 0, Found},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -73,9 +73,9 @@
 		name          string
 		worse, better Endpoint
 	}{
-		{"own dispatches since the report", Endpoint{Running: 2, SinceReport: 3}, Endpoint{Running: 4}},
-		{"peers' dispatches since", Endpoint{Running: 2, PeersSince: 3}, Endpoint{Running: 4}},
-		{"own that ended since", Endpoint{Running: 4}, Endpoint{Running: 5, DoneSince: 3}},
+		{"own dispatches since the report", Endpoint{Running: 2, DispatchedSinceReport: 3}, Endpoint{Running: 4}},
+		{"peers' dispatches since", Endpoint{Running: 2, PeerDispatchedSinceReport: 3}, Endpoint{Running: 4}},
+		{"own that ended since", Endpoint{Running: 4}, Endpoint{Running: 5, CompletedSinceReport: 3}},
 		{"own in flight, whatever the report", Endpoint{InFlight: 5}, Endpoint{Running: 4}},
 		{"a queue for slots", Endpoint{Running: 8, Waiting: 4}, Endpoint{Running: 8}},
 		{"distance", Endpoint{DistanceMs: 30}, Endpoint{DistanceMs: 1}},
@@ -96,7 +96,7 @@
 func TestPickFindsTheOnlyUsable(t *testing.T) {
 	endpoints := make([]Endpoint, 350)
 	for i := range endpoints {
-		endpoints[i].Leaving = i != 123
+		endpoints[i].Draining = i != 123
 	}
 	s := snapshotOf(endpoints...)
 	for seed := range uint64(100) {
@@ -137,7 +137,7 @@
 			s := snapshotOf(endpoints...)
 			for range each {
 				d := p.Pick(s, &Request{Key: testKey, Class: class.Standard}, src)
-				s.Endpoints[d.Index].SinceReport++
+				s.Endpoints[d.Index].DispatchedSinceReport++
 				s.Endpoints[d.Index].InFlight++
 				total[d.Index]++
 			}
@@ -156,7 +156,7 @@
 func benchmarkSnapshot(n int) *Snapshot {
 	endpoints := make([]Endpoint, n)
 	for i := range endpoints {
-		endpoints[i] = Endpoint{Running: i % 8, SinceReport: i % 3, Prefixes: map[uint64]bool{uint64(i): true}}
+		endpoints[i] = Endpoint{Running: i % 8, DispatchedSinceReport: i % 3, Prefixes: map[uint64]bool{uint64(i): true}}
 	}
 	return snapshotOf(endpoints...)
 }
@@ -200,18 +200,18 @@
 // Cause: nobody compares the two before the start.
 func TestHopelessRequestsAreNotStarted(t *testing.T) {
 	s := snapshotOf(Endpoint{})
-	r := Request{Key: testKey, Tokens: 100, TokenMs: 10, LeftMs: 999}
-	assert.Equal(t, New(Config{}).Pick(s, &r, rand.New(rand.NewPCG(1, 1))).Reason, TooLate)
-	r.LeftMs = 1001
+	r := Request{Key: testKey, AnswerTokens: 100, IdleStepMs: 10, RemainingMs: 999}
+	assert.Equal(t, New(Config{}).Pick(s, &r, rand.New(rand.NewPCG(1, 1))).Reason, DeadlineUnreachable)
+	r.RemainingMs = 1001
 	assert.Equal(t, New(Config{}).Pick(s, &r, rand.New(rand.NewPCG(1, 1))).Reason, Found)
-	r.LeftMs = 0
+	r.RemainingMs = 0
 	assert.Equal(t, New(Config{}).Pick(s, &r, rand.New(rand.NewPCG(1, 1))).Reason, Found)
 }
 
 func TestTheFasterEndpointIsPreferred(t *testing.T) {
-	s := snapshotOf(Endpoint{StepMs: 60}, Endpoint{StepMs: 20, DistanceMs: 1})
+	s := snapshotOf(Endpoint{RecentStepMs: 60}, Endpoint{RecentStepMs: 20, DistanceMs: 1})
 	for seed := range uint64(20) {
-		r := Request{Key: testKey, Tokens: 50, TokenMs: 10}
+		r := Request{Key: testKey, AnswerTokens: 50, IdleStepMs: 10}
 		assert.Equal(t, New(Config{}).Pick(s, &r, rand.New(rand.NewPCG(seed, 1))).Index, 1)
 	}
 }
--- a/core/speed/bench_test.go
+++ b/core/speed/bench_test.go
@@ -10,11 +10,11 @@
 // BenchmarkEngineTime is what each entry of a host's demand costs the holder of
 // the lease: 71 ns.
 func BenchmarkEngineTime(b *testing.B) {
-	m := speed.Model{Own: &speed.Engine{}, Service: &speed.Engine{}}
+	m := speed.Estimator{Own: &speed.Observations{}, Service: &speed.Observations{}}
 	for range 100 {
-		m.Asked(3000, 2000)
+		m.AddPrompt(3000, 2000)
 		m.Read(2000, 100*time.Millisecond)
-		m.Made(100, time.Second)
+		m.AddGeneration(100, time.Second)
 	}
 	for b.Loop() {
 		m.EngineTime(3000, 100, 64)
--- a/core/speed/speed.go
+++ b/core/speed/speed.go
@@ -16,61 +16,61 @@
 	priorRead   = 1.0      // share of a prompt that is read: nothing is kept
 )
 
-// Engine is what was seen of one model, or of all models of a service.
-type Engine struct {
+// Observations is what was seen of one model, or of all models of a service.
+type Observations struct {
 	reading line  // ms until the first event, by tokens that had to be read
 	making  ratio // ms from the first event to the last, by tokens of the answer
 	read    ratio // tokens that had to be read, by tokens of the prompt
 }
 
-// Model is what is known of one model: what was seen of it, and of the others
+// Estimator is what is known of one model: what was seen of it, and of the others
 // of its service as long as that is little.
-type Model struct{ Own, Service *Engine }
+type Estimator struct{ Own, Service *Observations }
 
-// Asked notes that a request was sent of whose prompt so many tokens had to be read.
-func (m Model) Asked(prompt, toRead int) {
-	for _, e := range []*Engine{m.Own, m.Service} {
+// AddPrompt notes that a request was sent of whose prompt so many tokens had to be read.
+func (m Estimator) AddPrompt(prompt, toRead int) {
+	for _, e := range []*Observations{m.Own, m.Service} {
 		e.read.add(float64(prompt), float64(toRead))
 	}
 }
 
 // Read notes how long a prompt took to be read on an upstream that had no other
 // prompt to read.
-func (m Model) Read(tokens int, took time.Duration) {
+func (m Estimator) Read(tokens int, took time.Duration) {
 	x, y := float64(tokens), ms(took)
 	m.Own.reading.add(x, y, m.servicePrior())
 	m.Service.reading.add(x, y, priorReadMs)
 }
 
-// Made notes how long an answer took from its first event to its end; tokens is
+// AddGeneration notes how long an answer took from its first event to its end; tokens is
 // what was expected of its length, as it is of the next ones.
-func (m Model) Made(tokens int, took time.Duration) {
-	for _, e := range []*Engine{m.Own, m.Service} {
+func (m Estimator) AddGeneration(tokens int, took time.Duration) {
+	for _, e := range []*Observations{m.Own, m.Service} {
 		e.making.add(float64(tokens), ms(took))
 	}
 }
 
-func (m Model) servicePrior() float64 { return m.Service.reading.slope(priorReadMs) }
+func (m Estimator) servicePrior() float64 { return m.Service.reading.slope(priorReadMs) }
 
-// TokenMs is how long an engine that reads nothing else takes for a token of
+// PrefillMsPerToken is how long an engine that reads nothing else takes for a token of
 // prompt, in milliseconds.
-func (m Model) TokenMs() float64 { return m.Own.reading.slope(m.servicePrior()) }
+func (m Estimator) PrefillMsPerToken() float64 { return m.Own.reading.slope(m.servicePrior()) }
 
 // makeMs is how long a token of an answer takes, in milliseconds.
-func (m Model) makeMs() float64 {
+func (m Estimator) makeMs() float64 {
 	return m.Own.making.value(m.Service.making.value(priorMakeMs))
 }
 
 // readShare is how much of a prompt has to be read.
-func (m Model) readShare() float64 {
+func (m Estimator) readShare() float64 {
 	return m.Own.read.value(m.Service.read.value(priorRead))
 }
 
 // EngineTime is what requests with so many tokens of prompt and of answer take
 // of one engine's time. Prompts are read one after the other; answers are made
 // together, as many at once as the engine has slots.
-func (m Model) EngineTime(prompt, output, slots int) time.Duration {
-	reading := float64(prompt) * m.readShare() * m.TokenMs()
+func (m Estimator) EngineTime(prompt, output, slots int) time.Duration {
+	reading := float64(prompt) * m.readShare() * m.PrefillMsPerToken()
 	making := float64(output) * m.makeMs() / float64(max(slots, 1))
 	return time.Duration((reading + making) * float64(time.Millisecond))
 }
--- a/core/speed/speed_test.go
+++ b/core/speed/speed_test.go
@@ -22,17 +22,17 @@
 
 // run has n requests seen; one in ten is held up for up to two seconds by
 // something else.
-func (e *engine) run(m speed.Model, n int) {
+func (e *engine) run(m speed.Estimator, n int) {
 	for range n {
 		prompt := 200 + e.rnd.IntN(6000)
 		toRead := int(float64(prompt) * (1 - e.kept))
-		m.Asked(prompt, toRead)
+		m.AddPrompt(prompt, toRead)
 		took := e.firstMs + float64(toRead)*e.tokenMs*(1+0.2*e.rnd.Float64())
 		if e.rnd.IntN(10) == 0 {
 			took += 2000 * e.rnd.Float64()
 		}
 		m.Read(toRead, time.Duration(took*float64(time.Millisecond)))
-		m.Made(100, time.Duration(100*e.makeMs*(0.5+e.rnd.Float64())*float64(time.Millisecond)))
+		m.AddGeneration(100, time.Duration(100*e.makeMs*(0.5+e.rnd.Float64())*float64(time.Millisecond)))
 	}
 }
 
@@ -41,7 +41,7 @@
 	return prompt*(1-e.kept)*e.tokenMs*1.1 + output*e.makeMs/64
 }
 
-func near(t *rapid.T, m speed.Model, e *engine, when string) {
+func near(t *rapid.T, m speed.Estimator, e *engine, when string) {
 	got := m.EngineTime(3000, 100, 64).Seconds() * 1000
 	want := e.expected(3000, 100)
 	assert.Assert(t, got > 0.5*want-10 && got < 2*want+10, "%s: %.1f ms, not %.1f", when, got, want)
@@ -54,8 +54,8 @@
 		e := &engine{tokenMs: 0.05 * rapid.Float64Range(0.2, 5).Draw(t, "read"), makeMs: 10 * rapid.Float64Range(0.2, 5).Draw(t, "make"),
 			firstMs: rapid.Float64Range(1, 20).Draw(t, "first"), kept: rapid.Float64Range(0, 0.7).Draw(t, "kept"),
 			rnd: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "noise"), 1))}
-		service := &speed.Engine{}
-		m := speed.Model{Own: &speed.Engine{}, Service: service}
+		service := &speed.Observations{}
+		m := speed.Estimator{Own: &speed.Observations{}, Service: service}
 		e.run(m, 70)
 		near(t, m, e, "at first")
 		e.tokenMs *= rapid.SampledFrom([]float64{0.4, 2.5}).Draw(t, "change")
@@ -70,9 +70,9 @@
 // Cause: the models of a service are learnt one by one from the same guess.
 func TestAModelThatIsHardlyKnownIsTakenForItsServicesOthers(t *testing.T) {
 	e := &engine{tokenMs: 0.01, makeMs: 3, rnd: rand.New(rand.NewPCG(1, 1))}
-	service := &speed.Engine{}
-	e.run(speed.Model{Own: &speed.Engine{}, Service: service}, 100)
-	rare := speed.Model{Own: &speed.Engine{}, Service: service}
+	service := &speed.Observations{}
+	e.run(speed.Estimator{Own: &speed.Observations{}, Service: service}, 100)
+	rare := speed.Estimator{Own: &speed.Observations{}, Service: service}
 	got, want := rare.EngineTime(3000, 100, 64).Seconds()*1000, e.expected(3000, 100)
 	assert.Assert(t, got > 0.6*want && got < 1.7*want, "%.1f ms, not %.1f", got, want)
 }
@@ -81,10 +81,10 @@
 // Sequence: all its prompts have one size, and their times vary.
 // Cause: noise decides the slope, which comes out at or below 0.
 func TestPromptsOfOneSizeDoNotMakeAnEngineInfinitelyFast(t *testing.T) {
-	m := speed.Model{Own: &speed.Engine{}, Service: &speed.Engine{}}
+	m := speed.Estimator{Own: &speed.Observations{}, Service: &speed.Observations{}}
 	for i := range 200 {
-		m.Asked(2000, 2000+i%2)
+		m.AddPrompt(2000, 2000+i%2)
 		m.Read(2000+i%2, time.Duration(200-100*(i%2))*time.Millisecond)
 	}
-	assert.Assert(t, m.TokenMs() > 0.01, "%.4f", m.TokenMs())
+	assert.Assert(t, m.PrefillMsPerToken() > 0.01, "%.4f", m.PrefillMsPerToken())
 }
--- a/node/admission/pool.go
+++ b/node/admission/pool.go
@@ -49,7 +49,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.next++
-	it := admit.Item{ID: p.next, Team: r.Team, Weight: weight, Class: r.Class, Deadline: r.Deadline, Need: r.Need}
+	it := admit.Item{ID: p.next, Team: r.Team, Weight: weight, Class: r.Class, Deadline: r.Deadline, MinDuration: r.Need}
 	verdict, refusal, displaced := p.core.Arrive(time.Now(), it)
 	if displaced != nil {
 		p.settle(admit.Result{Refused: []admit.Refusal{*displaced}})
@@ -75,7 +75,7 @@
 		delete(p.waiters, id)
 		p.core.Cancel(w.request.Class, id)
 	} else if err := <-w.done; err == nil {
-		p.settle(p.core.Return(w.request.Class, w.request.Team))
+		p.settle(p.core.ReleaseUnused(w.request.Class, w.request.Team))
 	}
 	code := fault.CodeOverloaded
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -94,7 +94,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.waiters) > 0 {
-		p.settle(p.core.Sweep(now))
+		p.settle(p.core.ExpireQueued(now))
 	}
 }
 
@@ -139,11 +139,11 @@
 	switch r.Cause {
 	case admit.CauseNoCapacity:
 		code, why = fault.CodeNoUpstream, "no capacity in the pool"
-	case admit.CauseBulkOff:
+	case admit.CauseBulkDisabled:
 		why = "bulk work is not accepted under the preset in force"
 	case admit.CauseQueueFull:
 		why = "the queue is full"
-	case admit.CauseDeadline:
+	case admit.CauseDeadlineUnreachable:
 		code, why = fault.CodeDeadline, "it would miss its deadline"
 	case admit.CauseDisplaced:
 		why = "the queue is full and the team holds most of it"
--- a/node/admission/team.go
+++ b/node/admission/team.go
@@ -29,7 +29,7 @@
 func (t *team) setPeers(rps, concurrent float64, hosts int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.limiter.SetPeers(rps, concurrent, hosts)
+	t.limiter.SetPeerDemand(rps, concurrent, hosts)
 }
 
 func (t *team) demand(now time.Time) (rps, concurrent float64) {
@@ -54,5 +54,5 @@
 func (t *team) giveBack() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.limiter.GiveBack()
+	t.limiter.Cancel()
 }
--- a/node/coordinator/speeds.go
+++ b/node/coordinator/speeds.go
@@ -12,25 +12,25 @@
 // models have a few dozen turns a second.
 type speeds struct {
 	mu       sync.Mutex
-	models   map[modelKey]*speed.Engine
-	services map[string]*speed.Engine
+	models   map[modelKey]*speed.Observations
+	services map[string]*speed.Observations
 }
 
 func newSpeeds() *speeds {
-	return &speeds{models: map[modelKey]*speed.Engine{}, services: map[string]*speed.Engine{}}
+	return &speeds{models: map[modelKey]*speed.Observations{}, services: map[string]*speed.Observations{}}
 }
 
 // with calls f with what is known of a model, under the lock.
-func (s *speeds) with(k modelKey, f func(speed.Model)) {
+func (s *speeds) with(k modelKey, f func(speed.Estimator)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.models[k] == nil {
-		s.models[k] = &speed.Engine{}
+		s.models[k] = &speed.Observations{}
 	}
 	if s.services[k.service] == nil {
-		s.services[k.service] = &speed.Engine{}
+		s.services[k.service] = &speed.Observations{}
 	}
-	f(speed.Model{Own: s.models[k], Service: s.services[k.service]})
+	f(speed.Estimator{Own: s.models[k], Service: s.services[k.service]})
 }
 
 // engineTime is what requests of a model take of an engine's time.
@@ -39,6 +39,6 @@
 	if e := c.engine(k.service); e != nil {
 		slots = e.Slots
 	}
-	c.speeds.with(k, func(m speed.Model) { took = m.EngineTime(prompt, output, slots) })
+	c.speeds.with(k, func(m speed.Estimator) { took = m.EngineTime(prompt, output, slots) })
 	return took
 }
--- a/node/coordinator/turns.go
+++ b/node/coordinator/turns.go
@@ -227,7 +227,7 @@
 	prompt := w.event.Prompt
 	w.event.Prompt -= min(w.event.Prompt, uint32(at.CachedTokens)) // the rest is what there is to read
 	if w.event.Model != "" {
-		t.c.speeds.with(w.model(), func(m speed.Model) { m.Asked(int(prompt), int(w.event.Prompt)) })
+		t.c.speeds.with(w.model(), func(m speed.Estimator) { m.AddPrompt(int(prompt), int(w.event.Prompt)) })
 	}
 	w.granted, w.alone = now, at.PendingPromptTokens == 0
 	t.granted[w.key] = w
@@ -256,7 +256,7 @@
 		g.first = t.c.now()
 		t.rests.answered(g, t.slots(g.upstream))
 		if g.alone && g.event.Model != "" {
-			t.c.speeds.with(g.model(), func(m speed.Model) { m.Read(int(g.event.Prompt), g.first.Sub(g.granted)) })
+			t.c.speeds.with(g.model(), func(m speed.Estimator) { m.Read(int(g.event.Prompt), g.first.Sub(g.granted)) })
 		}
 		t.read(g)
 		t.nextAt(g.upstream)
@@ -299,7 +299,7 @@
 	if g := t.granted[k]; g != nil {
 		if !g.first.IsZero() && g.event.Output > 0 {
 			took := t.c.now().Sub(g.first)
-			t.c.speeds.with(g.model(), func(m speed.Model) { m.Made(int(g.event.Output), took) })
+			t.c.speeds.with(g.model(), func(m speed.Estimator) { m.AddGeneration(int(g.event.Output), took) })
 		}
 		t.release(g)
 		t.nextAt(g.upstream)
--- a/node/dispatch/dispatch.go
+++ b/node/dispatch/dispatch.go
@@ -101,8 +101,8 @@
 	out := &output{sink: sink, keep: claimed, most: w.KeepBytes, budget: &d.keep, detached: claimed}
 	r := &run{d: d, w: w, out: out,
 		retries: retry.NewRequest(retry.Config{}, w.Repeatable, w.Deadline),
-		route: route.Request{Pool: w.Pool, Key: w.Key, Service: w.Service, Class: w.Class, Prefix: w.Prefix,
-			Tokens: d.lengths.predict(w.Key, w.MaxTokens), TokenMs: w.TokenMs}}
+		route: route.Request{Pool: w.Pool, Key: w.Key, PlainService: w.Service, Class: w.Class, Prefix: w.Prefix,
+			AnswerTokens: d.lengths.predict(w.Key, w.MaxTokens), IdleStepMs: w.TokenMs}}
 	d.countRequest()
 	err := r.attempts(ctx)
 	if r.grant != nil {
@@ -142,7 +142,7 @@
 func (r *run) attempts(ctx context.Context) error {
 	for {
 		snap := r.d.deps.View.Snapshot()
-		r.route.LeftMs = max(float64(time.Until(r.w.Deadline))/float64(time.Millisecond), leastLeftMs)
+		r.route.RemainingMs = max(float64(time.Until(r.w.Deadline))/float64(time.Millisecond), leastLeftMs)
 		dec := r.d.deps.Picker.Pick(snap, &r.route, randomSource{})
 		if dec.Index < 0 {
 			return r.noEndpoint(ctx, dec.Reason)
@@ -222,15 +222,15 @@
 	if a.outdated {
 		avoid = "" // a former process was meant; the new one has refused nothing
 	}
-	next := r.d.after(r.retries, retry.Attempt{Outcome: r.last.Outcome, Upstream: avoid,
-		RetryAfter: r.last.RetryAfter, Elsewhere: true})
+	next := r.d.after(r.retries, retry.Attempt{Outcome: r.last.Outcome, ExcludeUpstream: avoid,
+		RetryAfter: r.last.RetryAfter, TryOthers: true})
 	r.last.Outcome = next.Outcome
 	if !next.Retry || a.bodyUsed {
 		gaveUp(r.last, next.Reason)
 		return false
 	}
-	r.route.Avoid = next.Avoid
-	return sleep(ctx, next.Pause) == nil
+	r.route.Excluded = next.Excluded
+	return sleep(ctx, next.Backoff) == nil
 }
 
 // noEndpoint is the answer when no upstream, or no other one, can be tried.
@@ -247,7 +247,7 @@
 		r.grant = grant
 	}
 	if r.last != nil {
-		gaveUp(r.last, retry.NoAttempts)
+		gaveUp(r.last, retry.AttemptsExhausted)
 		return r.last
 	}
 	return r.d.refuse(r.w, why)
@@ -255,19 +255,19 @@
 
 func (d *Dispatcher) countRequest() {
 	d.mu.Lock()
-	d.budget.Request()
+	d.budget.CountRequest()
 	d.mu.Unlock()
 }
 
 func (d *Dispatcher) after(r *retry.Request, a retry.Attempt) retry.Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return r.After(a, d.budget, time.Now())
+	return r.Next(a, d.budget, time.Now())
 }
 
 // gaveUp completes the error of a request that gets no further attempt.
 func gaveUp(last *fault.Error, why retry.Reason) {
-	if why == retry.NoTime {
+	if why == retry.DeadlineTooClose {
 		last.Code = fault.CodeDeadline
 	}
 	if last.RetryAfter == 0 && last.Outcome == outcome.NotRun {
@@ -286,7 +286,7 @@
 		}
 		return fault.NotRun(fault.StepRoute, "", fault.CodeNoUpstream, "no upstream of pool %s holds the model now", w.Pool).After(d.cfg.NoReplicaRetryAfter)
 	}
-	if why == route.TooLate {
+	if why == route.DeadlineUnreachable {
 		return fault.NotRun(fault.StepRoute, "", fault.CodeDeadline, "no upstream of pool %s would answer before the deadline", w.Pool).After(busyRetryAfter)
 	}
 	return fault.NotRun(fault.StepRoute, "", fault.CodeOverloaded, "every upstream of pool %s is busy, leaving or down", w.Pool).After(busyRetryAfter)
--- a/node/gate/repeats.go
+++ b/node/gate/repeats.go
@@ -24,7 +24,7 @@
 func (r *RetryBudget) RecordRequest(service string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.windowLocked(service, now).Request(now)
+	r.windowLocked(service, now).CountRequest(now)
 }
 
 // Take asks for one send beyond the first.
@@ -37,7 +37,7 @@
 func (r *RetryBudget) windowLocked(service string, now time.Time) *budget.Window {
 	w, ok := r.byName[service]
 	if !ok {
-		w = budget.New(r.policy, now)
+		w = budget.NewWindow(r.policy, now)
 		r.byName[service] = w
 	}
 	return w
--- a/node/server/status.go
+++ b/node/server/status.go
@@ -38,7 +38,7 @@
 
 func upstreamStatus(e *route.Endpoint) operatorapi.Upstream {
 	u := operatorapi.Upstream{Name: e.Upstream, Pool: e.Pool, DataCentre: e.DataCentre, Incarnation: e.Incarnation,
-		Leaving: e.Leaving, Down: e.Down, Running: e.Running, Waiting: e.Waiting, ReportAgeMs: e.ReportAge.Milliseconds(), Ready: []string{}}
+		Leaving: e.Draining, Down: e.Down, Running: e.Running, Waiting: e.Waiting, ReportAgeMs: e.ReportAge.Milliseconds(), Ready: []string{}}
 	for k := range e.Ready {
 		name := k.Model
 		if k.Adapter != "" {
--- a/node/server/watch.go
+++ b/node/server/watch.go
@@ -27,7 +27,7 @@
 	snap := s.view.Snapshot()
 	for i := range snap.Endpoints {
 		if snap.Endpoints[i].Upstream == upstream {
-			return snap.Endpoints[i].Leaving
+			return snap.Endpoints[i].Draining
 		}
 	}
 	return false
--- a/node/upstream/view/snapshot.go
+++ b/node/upstream/view/snapshot.go
@@ -62,14 +62,14 @@
 func (s *state) fill(e *route.Endpoint, now time.Time) {
 	*e = route.Endpoint{
 		Upstream: s.cfg.Name, Address: s.cfg.Address, Pool: s.cfg.Pool, DataCentre: s.cfg.DataCentre,
-		Incarnation: s.report.Incarnation, Leaving: s.leaving[s.report.Incarnation], Down: now.Before(s.downUntil),
+		Incarnation: s.report.Incarnation, Draining: s.leaving[s.report.Incarnation], Down: now.Before(s.downUntil),
 		MaxBatch: s.cfg.MaxBatch, Accelerators: s.cfg.Accelerators, Ready: s.ready,
-		Running: s.running, Waiting: s.waiting, PeersSince: s.peersSince,
-		InFlight: s.inFlight, PrefillMs: s.prefillMs, HoldTokens: s.holdTokens, Prefixes: s.prefixes,
+		Running: s.running, Waiting: s.waiting, PeerDispatchedSinceReport: s.peersSince,
+		InFlight: s.inFlight, PrefillMs: s.prefillMs, MeanAnswerTokens: s.holdTokens, Prefixes: s.prefixes,
 	}
-	e.SinceReport, e.DoneSince = s.recent.count()
+	e.DispatchedSinceReport, e.CompletedSinceReport = s.recent.count()
 	if now.Sub(s.stepAt) < stepFor {
-		e.StepMs = s.stepMs
+		e.RecentStepMs = s.stepMs
 	}
 	if !s.loadAt.IsZero() {
 		e.ReportAge = now.Sub(s.loadAt)
--- a/standin/bench/lru.go
+++ b/standin/bench/lru.go
@@ -56,7 +56,7 @@
 // Pick implements route.Picker.
 func (p notingPicker) Pick(s *route.Snapshot, r *route.Request, src route.Source) route.Decision {
 	d := p.Picker.Pick(s, r, src)
-	if d.Index >= 0 && !r.Service {
+	if d.Index >= 0 && !r.PlainService {
 		e := &s.Endpoints[d.Index]
 		p.l.touch(e.Upstream, r.Key.Model)
 		if e.Running+e.Waiting >= e.MaxBatch { // it is the least loaded of the holders
