--- a/node/coordinator/accounts_test.go
+++ b/node/coordinator/accounts_test.go
@@ -124,7 +124,7 @@
 // Guards against two hosts that act, in a split, and each give out the whole of a limit.
 func TestAHostThatBeginsToActLeavesThePartOfThoseItHasNotHeard(t *testing.T) {
 	ts, _ := bench("u")
-	ts.c.Hosts = func() int { return 4 }
+	ts.c.FormerHostCount = func() int { return 4 }
 	now := ts.c.now()
 	ts.c.beginCounts(now)
 	for i, name := range []string{"a", "b", "a"} {
--- a/node/coordinator/adapters.go
+++ b/node/coordinator/adapters.go
@@ -31,10 +31,10 @@
 	adapterPoll = 4 * time.Millisecond
 )
 
-// Adapter has an adapter loaded, at the upstream asked for if that may be, and
+// LoadAdapter has an adapter loaded, at the upstream asked for if that may be, and
 // returns where it is ready.
-func (c *Coordinator) Adapter(ctx context.Context, upstream, model, adapter string) (string, error) {
-	if !c.Holding() {
+func (c *Coordinator) LoadAdapter(ctx context.Context, upstream, model, adapter string) (string, error) {
+	if !c.HoldsLease() {
 		return "", errNotHolding
 	}
 	for _, u := range c.adapterPlaces(upstream, model) {
@@ -128,12 +128,12 @@
 // readyLater takes an adapter's load for done after its time: the upstream
 // does not tell, and its report would show it some hundred milliseconds late.
 func (u *unit) readyLater(o residency.Order) {
-	time.AfterFunc(u.c.cfg.AdapterLoad, func() {
+	time.AfterFunc(u.c.cfg.AdapterLoadTime, func() {
 		u.mu.Lock()
 		u.book.MarkAdapterReady(o.Model, o.Adapter, u.c.now())
 		u.mu.Unlock()
 		u.c.changed(u)
-		u.c.deps.Log.Emit(event.OrderDone, u.fields(o, zap.Duration("took", u.c.cfg.AdapterLoad))...)
+		u.c.deps.Log.Emit(event.OrderDone, u.fields(o, zap.Duration("took", u.c.cfg.AdapterLoadTime))...)
 	})
 }
 
--- a/node/coordinator/asking.go
+++ b/node/coordinator/asking.go
@@ -334,7 +334,7 @@
 			}
 			first.Stop()
 		case <-first.C:
-			a.link.Hasten() // which finds out whether the other is lost
+			a.link.ReportSoon() // which finds out whether the other is lost
 			a.mu.Lock()
 			a.until = time.Now().Add(askPause)
 			a.mu.Unlock()
--- a/node/coordinator/authority.go
+++ b/node/coordinator/authority.go
@@ -43,10 +43,10 @@
 	return c.term.Epoch
 }
 
-func (c *Coordinator) authority() Term {
+func (c *Coordinator) authority() Authority {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Term{Holder: c.cfg.Host, Epoch: c.term.Epoch}
+	return Authority{Holder: c.cfg.Host, Epoch: c.term.Epoch}
 }
 
 // storeLoads counts the loads from the weight store in a sliding window. Past
--- a/node/coordinator/coordinator.go
+++ b/node/coordinator/coordinator.go
@@ -37,7 +37,7 @@
 // The verdicts.
 const (
 	Accepted Verdict = iota // it is being carried out
-	Holds                   // it holds already, or was done at once
+	Done                    // it holds already, or was done at once
 	Conflict                // another order is under way, or its number has moved on
 	Fenced                  // a higher epoch was seen
 	Invalid                 // there is no such order
@@ -49,32 +49,32 @@
 	return [...]string{"accepted", "holds", "conflict", "fenced", "invalid", "replaced"}[v]
 }
 
-// Term says under which authority an order is given.
-type Term struct {
+// Authority says under which authority an order is given.
+type Authority struct {
 	Holder string
 	Epoch  uint64
 }
 
-// Orders carries orders to upstreams. An error means that no answer came.
-type Orders interface {
-	Order(ctx context.Context, u *deploy.Upstream, o residency.Order, t Term) (Verdict, error)
+// OrderClient carries orders to upstreams. An error means that no answer came.
+type OrderClient interface {
+	Order(ctx context.Context, u *deploy.Upstream, o residency.Order, t Authority) (Verdict, error)
 	Report(ctx context.Context, u *deploy.Upstream) (residency.Report, error)
 }
 
 // Config bounds a Coordinator.
 type Config struct {
-	Host          string
-	Holder        string        // this process, as the lease names it
-	Address       string        // where Serve listens
-	Quiet         time.Duration // after a lease was taken from another holder
-	CeilingWindow time.Duration // loads from the weight store are counted in any span of this length
-	CeilingOver   float64       // factor on its rate
-	LimitSlack    float64       // by which operators allow a team's limit to be missed, in what it counts
-	Policy        replica.Policy
-	RelayFresh    time.Duration // for which hosts go by a relay of the store's changes; 0: not bounded
-	LinkMbps      float64       // of this host, megabits a second; 0: not known
-	AdapterLoad   time.Duration // how long an adapter's load takes; 0: the default
-	NoModelMoves  bool          // models stay where they are, for measuring what moves gain
+	Host            string
+	Holder          string        // this process, as the lease names it
+	Address         string        // where Serve listens
+	QuietPeriod     time.Duration // after a lease was taken from another holder
+	CeilingWindow   time.Duration // loads from the weight store are counted in any span of this length
+	CeilingFactor   float64       // factor on its rate
+	LimitSlack      float64       // by which operators allow a team's limit to be missed, in what it counts
+	Policy          replica.Policy
+	MaxRelayAge     time.Duration // for which hosts go by a relay of the store's changes; 0: not bounded
+	LinkMbps        float64       // of this host, megabits a second; 0: not known
+	AdapterLoadTime time.Duration // how long an adapter's load takes; 0: the default
+	NoModelMoves    bool          // models stay where they are, for measuring what moves gain
 }
 
 // Deps are what a Coordinator works with.
@@ -82,7 +82,7 @@
 	Fleet  *fleet.Fleet
 	Config *follow.Config
 	Lease  *lease.Lease
-	Orders Orders
+	Orders OrderClient
 	Table  store.Table
 	Feed   *follow.Follower
 	Log    *event.Log
@@ -110,10 +110,10 @@
 	begins     pace.Signal // given when it begins to
 
 	// Linked tells the address that this host's own reports go to; set before Run.
-	Linked func() string
+	LinkedAddress func() string
 
 	// Hosts tells how many hosts the one had that acted before; set before Run.
-	Hosts func() int
+	FormerHostCount func() int
 
 	encodings encodings
 	lists     listSends
@@ -159,13 +159,13 @@
 	if cfg.Policy == (replica.Policy{}) {
 		cfg.Policy = replica.DefaultPolicy
 	}
-	if cfg.AdapterLoad == 0 {
-		cfg.AdapterLoad = defaultAdapterLoad
+	if cfg.AdapterLoadTime == 0 {
+		cfg.AdapterLoadTime = defaultAdapterLoad
 	}
 	c := &Coordinator{cfg: cfg, deps: deps, id: rand.Uint64() | 1, now: deps.Now, demand: newDemand(), speeds: newSpeeds(), units: map[string]*unit{},
-		announced: make(chan struct{}, 1), traits: map[string]*residency.Traits{}, orders: map[string]lastOrder{}, stores: storeLoads{window: cfg.CeilingWindow, over: cfg.CeilingOver}}
+		announced: make(chan struct{}, 1), traits: map[string]*residency.Traits{}, orders: map[string]lastOrder{}, stores: storeLoads{window: cfg.CeilingWindow, over: cfg.CeilingFactor}}
 	c.sums = newSums(cfg.Address, c.runsModelsAt)
-	c.sums.longest = cfg.RelayFresh / relayPeriods
+	c.sums.longest = cfg.MaxRelayAge / relayPeriods
 	c.turns, c.accounts, c.quarantine = newTurns(c), newAccounts(c), newQuarantine(c)
 	return c
 }
@@ -217,14 +217,14 @@
 
 // linked is the address of the host that holds the lease; "": not known.
 func (c *Coordinator) linked() string {
-	if c.Linked == nil {
+	if c.LinkedAddress == nil {
 		return ""
 	}
-	return c.Linked()
+	return c.LinkedAddress()
 }
 
-// Holding says whether this host holds the lease now.
-func (c *Coordinator) Holding() bool {
+// HoldsLease says whether this host holds the lease now.
+func (c *Coordinator) HoldsLease() bool {
 	_, ok := c.deps.Lease.Term()
 	return ok
 }
@@ -235,7 +235,7 @@
 // more authority than that hosts ask, and without it they would all decide by
 // themselves and look for the store at once. Orders need the lease.
 func (c *Coordinator) Acting() bool {
-	return c.Holding() || c.deps.Lease.Lapsed() || c.standingIn.Load()
+	return c.HoldsLease() || c.deps.Lease.Lapsed() || c.standingIn.Load()
 }
 
 // standIn has this host act without ever having held the lease, until standBack.
@@ -254,8 +254,8 @@
 	c.accounts.begin()
 	c.quarantine.begin()
 	c.turns.begin()
-	if c.Hosts != nil {
-		c.sums.expect(c.Hosts(), now)
+	if c.FormerHostCount != nil {
+		c.sums.expect(c.FormerHostCount(), now)
 	}
 }
 
@@ -277,7 +277,7 @@
 	if held {
 		c.lastEpoch = term.Epoch
 	}
-	maps.DeleteFunc(c.orders, func(_ string, o lastOrder) bool { return now.Sub(o.at) > c.cfg.Quiet })
+	maps.DeleteFunc(c.orders, func(_ string, o lastOrder) bool { return now.Sub(o.at) > c.cfg.QuietPeriod })
 	if acts {
 		c.bookLocked(now)
 	}
--- a/node/coordinator/find.go
+++ b/node/coordinator/find.go
@@ -28,7 +28,7 @@
 // outranked says whether this host has too little to spare to act for all, and one
 // that reports to it has enough.
 func (l *Link) outranked() bool {
-	return !l.Ample() && l.own.sums.anyAmple(l.own.now())
+	return !l.HasSpareCapacity() && l.own.sums.anyAmple(l.own.now())
 }
 
 // comesFirst says whether this host is the first of the deputies that the last
@@ -48,9 +48,9 @@
 	return false
 }
 
-// Find asks another host who holds the lease, and links this one to it. It is
+// FindCoordinator asks another host who holds the lease, and links this one to it. It is
 // how a host finds the holder while the store turns it away.
-func (l *Link) Find(ctx context.Context) bool {
+func (l *Link) FindCoordinator(ctx context.Context) bool {
 	peers := l.peers()
 	if len(peers) == 0 {
 		return false
@@ -66,13 +66,13 @@
 	l.mu.Lock()
 	l.ownName = a.Coordinator == l.cfg.Address
 	l.mu.Unlock()
-	return l.Try(ctx, a.Coordinator)
+	return l.TryLink(ctx, a.Coordinator)
 }
 
 // followSuccessor links this host to the one that another goes by which has ceased to act for all.
 func (l *Link) followSuccessor(ctx context.Context, former string) {
 	if a, err := l.conns.state(ctx, former, &coordpb.StateCall{Brief: true}); err == nil {
-		l.Try(ctx, a.Coordinator)
+		l.TryLink(ctx, a.Coordinator)
 	}
 }
 
@@ -86,9 +86,9 @@
 	return own
 }
 
-// Fetch asks the seeds for what a host needs that starts while the store is
+// FetchState asks the seeds for what a host needs that starts while the store is
 // away. It hands over what the first of them that has any answers.
-func (l *Link) Fetch(ctx context.Context) {
+func (l *Link) FetchState(ctx context.Context) {
 	for _, seed := range l.cfg.Seeds {
 		if seed == l.cfg.Address {
 			continue
@@ -115,8 +115,8 @@
 	return true
 }
 
-// HolderOf names a lease's holder so that others find its address.
-func HolderOf(host, address, process string) string { return host + " " + address + " " + process }
+// HolderName names a lease's holder so that others find its address.
+func HolderName(host, address, process string) string { return host + " " + address + " " + process }
 
 // sameHost says whether two holders are processes of one host. Of these only the
 // newer one runs: they listen at one address.
@@ -124,8 +124,8 @@
 	return a != "" && b != "" && hostOf(a) == hostOf(b) && addressOf(a) == addressOf(b)
 }
 
-// Ended says whether a holder is a former process of the host of another.
-func Ended(own string) func(holder string) bool {
+// FormerProcessOf says whether a holder is a former process of the host of another.
+func FormerProcessOf(own string) func(holder string) bool {
 	return func(holder string) bool { return holder != own && sameHost(own, holder) }
 }
 
--- a/node/coordinator/fleetplay_test.go
+++ b/node/coordinator/fleetplay_test.go
@@ -175,20 +175,20 @@
 		log := event.NewLog(nil)
 		h := &fleetHost{door: d}
 		config, f := follow.NewConfig(log), fleet.New(fleet.Config{}, fleet.Deps{})
-		l := lease.New(lease.Config{Name: "l", Holder: HolderOf(address, address, "p"), TryBound: 400 * time.Millisecond,
+		l := lease.New(lease.Config{Name: "l", Holder: HolderName(address, address, "p"), TryBound: 400 * time.Millisecond,
 			Policy: leasing.Policy{TTL: 1500 * time.Millisecond, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}}, lease.Deps{Table: d})
 		const fresh = 3 * time.Second
 		feed := follow.New(follow.Deps{Source: d, Config: config, Upstreams: f, Log: log, RelayFresh: fresh, Listed: func() {},
 			Patient: func() bool { return !h.link.Candidate() && !h.coord.Acting() },
-			Led:     func() bool { return h.link.Led() },
+			Led:     func() bool { return h.link.LinkedWithoutLease() },
 			Relays:  func() bool { return h.coord.Acting() }})
-		h.coord = New(Config{Host: address, Address: address, RelayFresh: fresh, LinkMbps: o.linkMbps}, Deps{Fleet: f, Config: config, Lease: l, Feed: feed, Log: log})
+		h.coord = New(Config{Host: address, Address: address, MaxRelayAge: fresh, LinkMbps: o.linkMbps}, Deps{Fleet: f, Config: config, Lease: l, Feed: feed, Log: log})
 		h.coord.sums.reports = fleetReports
-		h.coord.Linked = func() string { return h.link.Coordinator() }
-		h.link = NewLink(LinkConfig{Host: address, Address: address, Seeds: []string{"h000", "h001", "h002"}, Ample: func(int) bool { return i < o.ample }}, h.coord, n.dial, log)
-		lead := &Lead{Lease: l, Link: h.link, StoreAnswers: h.link.StoreAnswers, Handicap: func() time.Duration { return 40 * time.Millisecond }}
+		h.coord.LinkedAddress = func() string { return h.link.CoordinatorAddress() }
+		h.link = NewLink(LinkConfig{Host: address, Address: address, Seeds: []string{"h000", "h001", "h002"}, HasSpareCapacity: func(int) bool { return i < o.ample }}, h.coord, n.dial, log)
+		lead := &Elector{Lease: l, Link: h.link, StoreReachable: h.link.StoreReachable, CampaignDelay: func() time.Duration { return 40 * time.Millisecond }}
 		ln := n.listen(ctx, address)
-		for _, run := range []func(context.Context) error{feed.RunConfig, feed.RunUpstreams, h.coord.Run, h.link.Run, h.link.RunTurns, h.coord.RunAnnouncements, lead.Run,
+		for _, run := range []func(context.Context) error{feed.RunConfig, feed.RunUpstreams, h.coord.Run, h.link.Run, h.link.RunPermits, h.coord.RunAnnouncements, lead.Run,
 			func(ctx context.Context) error { return h.coord.Serve(ctx, ln) }} {
 			wg.Go(func() { _ = run(ctx) })
 		}
@@ -211,7 +211,7 @@
 		before := make([]int64, len(hosts))
 		for i, h := range hosts {
 			before[i] = h.door.calls.Load()
-			if h.coord.Holding() {
+			if h.coord.HoldsLease() {
 				holder = h
 			}
 		}
--- a/node/coordinator/handover.go
+++ b/node/coordinator/handover.go
@@ -35,8 +35,8 @@
 	at        time.Time     // when it was said
 }
 
-// Gone notes what a host said that held the lease in an epoch and gave it up.
-func (c *Coordinator) Gone(epoch uint64, sinceOrder time.Duration, told *coordpb.Handover) {
+// RecordHandover notes what a host said that held the lease in an epoch and gave it up.
+func (c *Coordinator) RecordHandover(epoch uint64, sinceOrder time.Duration, told *coordpb.Handover) {
 	now := c.now()
 	h := handover{epoch: epoch, ordered: now.Add(-sinceOrder), whole: told.GetWhole(), upstreams: map[string]time.Time{},
 		demand: told.GetDemand(), heard: milliseconds(told.GetHeardMs()), at: now}
@@ -78,7 +78,7 @@
 		c.quiet = now
 		c.stores.assumeFull(now)
 	default:
-		c.quiet, c.ordered, c.whole = now.Add(c.cfg.Quiet), now, false
+		c.quiet, c.ordered, c.whole = now.Add(c.cfg.QuietPeriod), now, false
 		c.stores.assumeFull(now)
 	}
 	c.deps.Log.Emit(event.QuietPeriod, zap.Uint64("epoch", t.Epoch), zap.Duration("for", max(c.quiet.Sub(now), 0)), zap.Int("upstreams", len(c.orders)))
@@ -92,7 +92,7 @@
 	c.whole = h.whole
 	c.demand.inherit(h.demand, h.heard, h.at, now)
 	if !h.whole {
-		c.quiet = h.ordered.Add(c.cfg.Quiet)
+		c.quiet = h.ordered.Add(c.cfg.QuietPeriod)
 		c.stores.assumeFull(now)
 		return
 	}
@@ -124,7 +124,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o, ok := c.orders[upstream]
-	return ok && !o.own && now.Before(o.at.Add(c.cfg.Quiet))
+	return ok && !o.own && now.Before(o.at.Add(c.cfg.QuietPeriod))
 }
 
 // handed is what was told last to hosts that may succeed this one.
--- a/node/coordinator/handover_test.go
+++ b/node/coordinator/handover_test.go
@@ -26,7 +26,7 @@
 
 func newHolder(k *clock, host string) *Coordinator {
 	log := event.NewLog(nil)
-	return New(Config{Host: host, Holder: HolderOf(host, "127.0.0.1:1", host), Quiet: testQuiet, CeilingWindow: testWindow, CeilingOver: 1},
+	return New(Config{Host: host, Holder: HolderName(host, "127.0.0.1:1", host), QuietPeriod: testQuiet, CeilingWindow: testWindow, CeilingFactor: 1},
 		Deps{Fleet: fleet.New(fleet.Config{}, fleet.Deps{Now: func() time.Time { return k.now }}), Config: follow.NewConfig(log), Log: log,
 			Lease: lease.New(lease.Config{Name: "l"}, lease.Deps{Table: noTable{}}), Now: func() time.Time { return k.now }})
 }
@@ -43,7 +43,7 @@
 func (c *Coordinator) tells(next *Coordinator) {
 	out := &coordpb.SiteState{}
 	c.tellLease(out, c.now())
-	next.Gone(out.Epoch, milliseconds(out.LastOrderMs), out.Handover)
+	next.RecordHandover(out.Epoch, milliseconds(out.LastOrderMs), out.Handover)
 }
 
 // silent says whether no order may go to an upstream yet.
--- a/node/coordinator/lead.go
+++ b/node/coordinator/lead.go
@@ -20,29 +20,29 @@
 	tryEach = 300 * time.Millisecond
 )
 
-// Lead sees to it that some host holds the lease and that this one is linked
+// Elector sees to it that some host holds the lease and that this one is linked
 // to it. A linked host leaves the lease alone: looking at it costs calls.
-type Lead struct {
+type Elector struct {
 	Lease *lease.Lease
 	Link  *Link
 	// Handicap is how long this host waits before it campaigns, so that one
 	// with more to spare comes first; nil: not at all.
-	Handicap func() time.Duration
+	CampaignDelay func() time.Duration
 	// StoreAnswers says whether the store answered this host lately.
-	StoreAnswers func() bool
+	StoreReachable func() bool
 
 	yielded time.Time // when this host last gave the lease up for another
 }
 
 // Run works until ctx ends.
-func (d *Lead) Run(ctx context.Context) error {
+func (d *Elector) Run(ctx context.Context) error {
 	var asked time.Time
 	for ctx.Err() == nil {
 		moved := d.Link.moved.Next()
 		if d.Link.Linked() {
-			if d.Link.Led() && time.Since(asked) > findEach {
+			if d.Link.LinkedWithoutLease() && time.Since(asked) > findEach {
 				asked = time.Now()
-				d.Link.Find(ctx)
+				d.Link.FindCoordinator(ctx)
 			}
 			pace.SleepOrWake(ctx, d.look(), moved)
 			continue
@@ -55,7 +55,7 @@
 }
 
 // look is how long a linked host waits for a sign that it is not any more.
-func (d *Lead) look() time.Duration {
+func (d *Elector) look() time.Duration {
 	if d.Link.linkedTo() == "" { // it acts itself, without a lease
 		return lookEach
 	}
@@ -85,16 +85,16 @@
 // former holder's time, and the time for its last orders to arrive, are over. The
 // time while the store is away does not count: nobody can take the lease then,
 // and at its return the first to write would, however little it has to spare.
-func (d *Lead) standBy(ctx context.Context) bool {
+func (d *Elector) standBy(ctx context.Context) bool {
 	answered := time.Now()
 	for pace.Sleep(ctx, pace.DefaultRand().Jitter(tryEach, reportJitter)) {
-		if d.Link.Linked() || d.Link.Find(ctx) {
+		if d.Link.Linked() || d.Link.FindCoordinator(ctx) {
 			return false
 		}
 		if d.Link.named() {
 			return true
 		}
-		if !d.StoreAnswers() {
+		if !d.StoreReachable() {
 			answered = time.Now()
 		}
 		if time.Since(answered) > d.patience() {
@@ -104,8 +104,8 @@
 	return false
 }
 
-func (d *Lead) patience() time.Duration {
-	if d.Link.Ample() {
+func (d *Elector) patience() time.Duration {
+	if d.Link.HasSpareCapacity() {
 		return findAmple
 	}
 	return findFor
@@ -113,10 +113,10 @@
 
 // foundWithin waits for a time and says whether this host was linked meanwhile, or ctx
 // has ended. One that waits for long looks who has taken the lease: the others ask it.
-func (d *Lead) foundWithin(ctx context.Context, wait time.Duration) bool {
+func (d *Elector) foundWithin(ctx context.Context, wait time.Duration) bool {
 	until := time.Now().Add(wait)
 	for left := wait; left > tryEach; left = time.Until(until) {
-		if d.Lease.Look(ctx) == nil && d.Link.Try(ctx, addressOf(d.Lease.Seen().Holder)) {
+		if d.Lease.Look(ctx) == nil && d.Link.TryLink(ctx, addressOf(d.Lease.Seen().Holder)) {
 			return true
 		}
 		if !pace.Sleep(ctx, min(left, tryEach)) {
@@ -128,8 +128,8 @@
 
 // campaign runs for the lease until this host has held and lost it, or is
 // linked to the host that holds it.
-func (d *Lead) campaign(ctx context.Context) {
-	if d.Handicap != nil && d.foundWithin(ctx, pace.DefaultRand().Jitter(d.Handicap(), 1)) {
+func (d *Elector) campaign(ctx context.Context) {
+	if d.CampaignDelay != nil && d.foundWithin(ctx, pace.DefaultRand().Jitter(d.CampaignDelay(), 1)) {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -147,11 +147,11 @@
 // and this host should not be first at its return, or when ctx ends. While this
 // host holds the lease itself it goes on, unless it has too little to spare and
 // another has enough.
-func (d *Lead) search(ctx context.Context) {
+func (d *Elector) search(ctx context.Context) {
 	defer d.Link.own.standBack()
 	var tried, held time.Time
 	for pace.Sleep(ctx, lookEach) {
-		if d.Link.own.Holding() {
+		if d.Link.own.HoldsLease() {
 			if held.IsZero() {
 				held = time.Now()
 			}
@@ -162,14 +162,14 @@
 			continue
 		}
 		held = time.Time{}
-		if !d.Link.Candidate() && !d.StoreAnswers() && !d.Link.own.Acting() {
+		if !d.Link.Candidate() && !d.StoreReachable() && !d.Link.own.Acting() {
 			return
 		}
 		if time.Since(tried) < tryEach {
 			continue
 		}
 		tried = time.Now()
-		if d.Link.Try(ctx, addressOf(d.Lease.Seen().Holder)) || d.Link.Find(ctx) {
+		if d.Link.TryLink(ctx, addressOf(d.Lease.Seen().Holder)) || d.Link.FindCoordinator(ctx) {
 			return
 		}
 		d.standIn(ctx)
@@ -180,9 +180,9 @@
 // the one to do so. Without anybody who acts each host would decide by itself,
 // and what an upstream takes from all, or a team may ask of all, would be shared
 // out blindly.
-func (d *Lead) standIn(ctx context.Context) {
+func (d *Elector) standIn(ctx context.Context) {
 	switch own := d.Link.own; {
-	case d.StoreAnswers():
+	case d.StoreReachable():
 		own.standBack()
 	case !own.Acting() && d.Link.comesFirst(ctx):
 		own.standIn()
--- a/node/coordinator/lead_test.go
+++ b/node/coordinator/lead_test.go
@@ -48,7 +48,7 @@
 	unreachable := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	link := NewLink(LinkConfig{Host: "poor", Address: "me", Seeds: []string{"seed-1", "seed-2"}}, own, unreachable, log)
 	var answers atomic.Bool
-	lead := &Lead{Lease: l, Link: link, StoreAnswers: answers.Load}
+	lead := &Elector{Lease: l, Link: link, StoreReachable: answers.Load}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -72,14 +72,14 @@
 }
 
 // leading is a host that runs for the lease beside others that cannot be reached.
-func leading(ample bool, table store.Table) (*Lead, *Coordinator) {
+func leading(ample bool, table store.Table) (*Elector, *Coordinator) {
 	log := event.NewLog(nil)
 	l := lease.New(lease.Config{Name: "l", Policy: leasing.Policy{TTL: 1500 * time.Millisecond, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}}, lease.Deps{Table: table})
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
 	own := New(Config{Address: "me"}, Deps{Fleet: f, Config: follow.NewConfig(log), Lease: l, Feed: follow.New(follow.Deps{Log: log}), Log: log})
 	unreachable := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
-	link := NewLink(LinkConfig{Host: "h", Address: "me", Seeds: []string{"seed-1"}, Ample: func(int) bool { return ample }}, own, unreachable, log)
-	return &Lead{Lease: l, Link: link, StoreAnswers: func() bool { return true }}, own
+	link := NewLink(LinkConfig{Host: "h", Address: "me", Seeds: []string{"seed-1"}, HasSpareCapacity: func(int) bool { return ample }}, own, unreachable, log)
+	return &Elector{Lease: l, Link: link, StoreReachable: func() bool { return true }}, own
 }
 
 // Guards against a large fleet led by whichever host the others are told at their
@@ -92,9 +92,9 @@
 			var wg sync.WaitGroup
 			wg.Go(func() { _ = lead.Run(ctx) })
 			time.Sleep(2 * findAmple)
-			assert.Equal(t, own.Holding(), ample)
+			assert.Equal(t, own.HoldsLease(), ample)
 			time.Sleep(2 * findFor)
-			assert.Assert(t, own.Holding(), "there may be no other")
+			assert.Assert(t, own.HoldsLease(), "there may be no other")
 			cancel()
 			wg.Wait()
 		})
@@ -110,13 +110,13 @@
 		var wg sync.WaitGroup
 		wg.Go(func() { _ = lead.Run(ctx) })
 		time.Sleep(2 * findFor)
-		assert.Assert(t, own.Holding())
+		assert.Assert(t, own.HoldsLease())
 		lost := 0
 		held := true
 		for range 300 {
 			own.sums.take(&coordpb.HostReport{Host: "large", Address: "large", Ample: true}, time.Now())
 			time.Sleep(100 * time.Millisecond)
-			if now := own.Holding(); now != held {
+			if now := own.HoldsLease(); now != held {
 				held = now
 				if !now {
 					lost++
@@ -135,14 +135,14 @@
 func TestAHostThatWaitsToRunLooksWhoHasTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := standin.NewTable()
-		other := lease.New(lease.Config{Name: "l", Holder: HolderOf("large", "large:1", "p")}, lease.Deps{Table: table})
+		other := lease.New(lease.Config{Name: "l", Holder: HolderName("large", "large:1", "p")}, lease.Deps{Table: table})
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		wg.Go(func() { _ = other.Run(ctx) })
 		time.Sleep(100 * time.Millisecond)
 		lead, own := leading(false, table)
 		lead.Link.cfg.Seeds = []string{"me"}
-		lead.Handicap = func() time.Duration { return 10 * time.Second }
+		lead.CampaignDelay = func() time.Duration { return 10 * time.Second }
 		wg.Go(func() { _ = lead.Run(ctx) })
 		time.Sleep(100 * time.Millisecond)
 		assert.Equal(t, addressOf(own.deps.Lease.Seen().Holder), "large:1")
--- a/node/coordinator/link.go
+++ b/node/coordinator/link.go
@@ -41,7 +41,7 @@
 	Address    string   // where its coordinator listens
 	Seeds      []string // of a few hosts, perhaps stale
 	// Ample says whether this host has enough to spare to act for so many; nil: it has not.
-	Ample func(hosts int) bool
+	HasSpareCapacity func(hosts int) bool
 }
 
 // Link is how a host reaches the one that holds the lease, be it itself.
@@ -82,14 +82,14 @@
 	l := &Link{cfg: cfg, own: own, conns: newConns(dial), log: log, Quarantine: noQuarantine{}, demand: map[demandKey]*coordpb.Demand{}}
 	l.asking, l.pace = newAsking(l), newReportPace()
 	if own != nil {
-		own.Hosts = l.hostsTold
+		own.FormerHostCount = l.hostsTold
 		own.accounts.word = func(team string) (quota.KnownState, bool) { return l.teams.word(team, own.now()) }
 	}
 	return l
 }
 
-// RunTurns keeps a stream of questions to the host that decides for all.
-func (l *Link) RunTurns(ctx context.Context) error { return l.asking.run(ctx) }
+// RunPermits keeps a stream of questions to the host that decides for all.
+func (l *Link) RunPermits(ctx context.Context) error { return l.asking.run(ctx) }
 
 // Run reports until ctx ends.
 func (l *Link) Run(ctx context.Context) error {
@@ -104,14 +104,14 @@
 	return ctx.Err()
 }
 
-// Hasten has this host report at once what should not wait for its next report.
-func (l *Link) Hasten() { l.pace.hasten(0) }
+// ReportSoon has this host report at once what should not wait for its next report.
+func (l *Link) ReportSoon() { l.pace.hasten(0) }
 
 // reportJitter spreads the hosts' reports, as a share.
 const reportJitter = 0.1
 
-// Period is how often this host reports when nothing happens that is to be told at once.
-func (l *Link) Period() time.Duration { return l.pace.current() }
+// ReportPeriod is how often this host reports when nothing happens that is to be told at once.
+func (l *Link) ReportPeriod() time.Duration { return l.pace.current() }
 
 // where is the address to report to; this host's own while it acts for all.
 func (l *Link) where() string {
@@ -130,8 +130,8 @@
 	return l.address
 }
 
-// Coordinator is the address of the host that acts for all; "": not known.
-func (l *Link) Coordinator() string { return l.where() }
+// CoordinatorAddress is the address of the host that acts for all; "": not known.
+func (l *Link) CoordinatorAddress() string { return l.where() }
 
 // Linked says whether this host is linked to one that acts for all.
 func (l *Link) Linked() bool { return l.where() != "" }
@@ -176,7 +176,7 @@
 	l.pace.set(milliseconds(s.PeriodMs))
 	if address != l.cfg.Address {
 		if !s.Holding && s.Epoch > 0 {
-			l.own.Gone(s.Epoch, milliseconds(s.LastOrderMs), s.Handover)
+			l.own.RecordHandover(s.Epoch, milliseconds(s.LastOrderMs), s.Handover)
 		}
 		if !l.follows(s) {
 			l.unlink(address, errNotHolding)
@@ -239,20 +239,20 @@
 // introduction is a report that says no more than who this host is and which
 // versions it has, so that a holder that it meets anew does not send it all.
 func (l *Link) introduction() *coordpb.HostReport {
-	r := &coordpb.HostReport{Host: l.cfg.Host, Address: l.cfg.Address, Ample: l.Ample(), ListAt: l.own.deps.Feed.UpstreamsAt(), Packed: true, PackedList: true, BriefList: true}
+	r := &coordpb.HostReport{Host: l.cfg.Host, Address: l.cfg.Address, Ample: l.HasSpareCapacity(), ListAt: l.own.deps.Feed.UpstreamsAt(), Packed: true, PackedList: true, BriefList: true}
 	if t := l.own.deps.Config.Current(); t != nil {
 		r.Config = t.Config.Version
 	}
 	return r
 }
 
-// Ample says whether this host has enough to spare to act for all, as many as it
+// HasSpareCapacity says whether this host has enough to spare to act for all, as many as it
 // knows of.
-func (l *Link) Ample() bool {
+func (l *Link) HasSpareCapacity() bool {
 	l.mu.Lock()
 	hosts := l.hosts
 	l.mu.Unlock()
-	return l.cfg.Ample != nil && l.cfg.Ample(hosts)
+	return l.cfg.HasSpareCapacity != nil && l.cfg.HasSpareCapacity(hosts)
 }
 
 // report gathers what this host tells.
@@ -299,8 +299,8 @@
 	}
 }
 
-// Try links this host to the one at address if that one acts for all.
-func (l *Link) Try(ctx context.Context, address string) bool {
+// TryLink links this host to the one at address if that one acts for all.
+func (l *Link) TryLink(ctx context.Context, address string) bool {
 	if address == "" || address == l.cfg.Address || address == l.linkedTo() {
 		return false
 	}
--- a/node/coordinator/linkanswers.go
+++ b/node/coordinator/linkanswers.go
@@ -19,18 +19,18 @@
 // reached: a call for changes that waits at a host without a relay lasts 2 s.
 const storeFresh = 2500 * time.Millisecond
 
-// StoreAnswers says whether the store answered this host itself lately.
-func (l *Link) StoreAnswers() bool { return l.own.deps.Feed.Age() < storeFresh }
+// StoreReachable says whether the store answered this host itself lately.
+func (l *Link) StoreReachable() bool { return l.own.deps.Feed.Age() < storeFresh }
 
 // follows says whether this host goes by what another told. One that acts without
 // the lease is gone by only while the store does not answer this host, or has not
 // since it answered that one: else somebody can take the lease.
 func (l *Link) follows(s *coordpb.SiteState) bool {
-	return s.Holding || s.Acting && (!l.StoreAnswers() || l.own.deps.Feed.Age() >= milliseconds(s.StoreAgeMs))
+	return s.Holding || s.Acting && (!l.StoreReachable() || l.own.deps.Feed.Age() >= milliseconds(s.StoreAgeMs))
 }
 
-// Led says whether this host is linked to another that acts for all without the lease.
-func (l *Link) Led() bool {
+// LinkedWithoutLease says whether this host is linked to another that acts for all without the lease.
+func (l *Link) LinkedWithoutLease() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.address != "" && l.led
@@ -59,7 +59,7 @@
 // take enters what the others have sent and what the upstreams hold.
 func (l *Link) take(s *coordpb.SiteState) {
 	now := l.own.now()
-	if record, err := leasing.Decode(s.Grant); err == nil && len(s.Grant) > 0 && !l.own.Holding() {
+	if record, err := leasing.Decode(s.Grant); err == nil && len(s.Grant) > 0 && !l.own.HoldsLease() {
 		l.own.deps.Lease.Observe(leasing.Rows{Grant: s.GrantRow, Heartbeat: s.BeatRow}, record)
 	}
 	l.mu.Lock()
--- a/node/coordinator/linkmodels.go
+++ b/node/coordinator/linkmodels.go
@@ -20,7 +20,7 @@
 	}
 	var err error
 	if address == l.cfg.Address {
-		upstream, err = l.own.Adapter(ctx, upstream, model, adapter)
+		upstream, err = l.own.LoadAdapter(ctx, upstream, model, adapter)
 	} else {
 		err = l.conns.call(ctx, address, func(ctx context.Context, c coordpb.DRPCCoordinatorClient) error {
 			a, err := c.Adapter(ctx, &coordpb.AdapterCall{Upstream: upstream, Model: model, Adapter: adapter})
@@ -58,7 +58,7 @@
 	}
 	if unserved {
 		d.Unserved++
-		l.Hasten() // what holds or loads the model is told with the answer
+		l.ReportSoon() // what holds or loads the model is told with the answer
 		return
 	}
 	d.Requests++
--- a/node/coordinator/quarantinerows.go
+++ b/node/coordinator/quarantinerows.go
@@ -49,7 +49,7 @@
 // pause waits for the next look; it says no when ctx ends.
 func (q *quarantine) pause(ctx context.Context) bool {
 	taken := q.c.deps.Lease.Taken()
-	if q.c.Holding() {
+	if q.c.HoldsLease() {
 		return pace.Sleep(ctx, quarantineEach)
 	}
 	return pace.SleepOrWake(ctx, idleTick, taken)
--- a/node/coordinator/serve.go
+++ b/node/coordinator/serve.go
@@ -40,7 +40,7 @@
 	s.c.deps.Metrics.CountKind(metrics.PeerCalls, callAdapter, 1)
 	ctx, cancel := context.WithTimeout(ctx, adapterBound)
 	defer cancel()
-	upstream, err := s.c.Adapter(ctx, a.Upstream, a.Model, a.Adapter)
+	upstream, err := s.c.LoadAdapter(ctx, a.Upstream, a.Model, a.Adapter)
 	if err != nil {
 		return &coordpb.AdapterAnswer{Problem: err.Error()}, nil
 	}
--- a/node/coordinator/unit.go
+++ b/node/coordinator/unit.go
@@ -152,7 +152,7 @@
 		u.book.MarkUnanswered(o, now)
 	case v == Accepted:
 		u.book.MarkAccepted(o, false, now)
-	case v == Holds:
+	case v == Done:
 		u.book.MarkAccepted(o, true, now)
 	default:
 		u.book.MarkRefused(o)
@@ -163,7 +163,7 @@
 	case err != nil:
 		u.c.deps.Log.Emit(event.OrderUnanswered, u.fields(o, zap.Error(err))...)
 		return err
-	case v == Accepted || v == Holds:
+	case v == Accepted || v == Done:
 		return nil
 	}
 	if v == Replaced {
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -34,7 +34,7 @@
 	Source follow.Source
 	Table  store.Table
 	Codec  gate.Codec
-	Orders coordinator.Orders
+	Orders coordinator.OrderClient
 }
 
 // Deps are what a Host is made of.
@@ -149,21 +149,21 @@
 	set, d := h.set, h.deps
 	table := countedTable{d.Platform.Table, d.Metrics}
 	relayFresh := milliseconds(set.Bounds.DrainMs * relayFreshShare)
-	holder := coordinator.HolderOf(set.Host, set.Peers, uuid.NewString())
-	h.lease = lease.New(lease.Config{Name: leaseName, Holder: holder, Ended: coordinator.Ended(holder),
+	holder := coordinator.HolderName(set.Host, set.Peers, uuid.NewString())
+	h.lease = lease.New(lease.Config{Name: leaseName, Holder: holder, Ended: coordinator.FormerProcessOf(holder),
 		TryBound: leaseTry, Policy: leasing.Policy{TTL: leaseTTL, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}},
 		lease.Deps{Table: table, Log: d.Log})
 	h.feed = follow.New(follow.Deps{Source: d.Platform.Source, Config: h.config, Upstreams: h.fleet, Log: d.Log, Metrics: d.Metrics,
 		Patient:    func() bool { return !h.link.Candidate() && !h.coord.Acting() },
-		Led:        func() bool { return h.link.Led() },
+		Led:        func() bool { return h.link.LinkedWithoutLease() },
 		Unneeded:   func() bool { return set.FirstStart },
 		RelayFresh: relayFresh,
 		Relays:     func() bool { return h.coord.Acting() }, Listed: h.upstreamsListed})
-	h.coord = coordinator.New(coordinator.Config{Host: set.Host, Holder: holder, Address: set.Peers, Quiet: milliseconds(set.Bounds.LeaseMs) + orderFlight,
-		CeilingWindow: seconds(set.Bounds.CeilingWindowS), CeilingOver: set.Bounds.CeilingOver, LimitSlack: set.Bounds.LimitSlack, RelayFresh: relayFresh, LinkMbps: set.Limits.LinkMbps, NoModelMoves: set.NoModelMoves},
+	h.coord = coordinator.New(coordinator.Config{Host: set.Host, Holder: holder, Address: set.Peers, QuietPeriod: milliseconds(set.Bounds.LeaseMs) + orderFlight,
+		CeilingWindow: seconds(set.Bounds.CeilingWindowS), CeilingFactor: set.Bounds.CeilingOver, LimitSlack: set.Bounds.LimitSlack, MaxRelayAge: relayFresh, LinkMbps: set.Limits.LinkMbps, NoModelMoves: set.NoModelMoves},
 		coordinator.Deps{Fleet: h.fleet, Config: h.config, Lease: h.lease, Orders: d.Platform.Orders, Table: table, Feed: h.feed, Log: d.Log, Metrics: d.Metrics})
-	h.coord.Linked = func() string { return h.link.Coordinator() }
-	h.link = coordinator.NewLink(coordinator.LinkConfig{Host: set.Host, DataCentre: set.DataCentre, Address: set.Peers, Seeds: set.Seeds, Ample: func(hosts int) bool { return ample(set.Limits, hosts) }}, h.coord, conn.NewDialer().DialContext, d.Log)
+	h.coord.LinkedAddress = func() string { return h.link.CoordinatorAddress() }
+	h.link = coordinator.NewLink(coordinator.LinkConfig{Host: set.Host, DataCentre: set.DataCentre, Address: set.Peers, Seeds: set.Seeds, HasSpareCapacity: func(hosts int) bool { return ample(set.Limits, hosts) }}, h.coord, conn.NewDialer().DialContext, d.Log)
 }
 
 // Run serves until ctx ends, then stops without cutting anything off within
@@ -180,12 +180,12 @@
 	h.add(&g, work, h.sweep)
 	h.add(&g, work, h.coord.Run)
 	h.add(&g, work, h.link.Run)
-	h.add(&g, work, h.link.RunTurns)
+	h.add(&g, work, h.link.RunPermits)
 	h.add(&g, work, h.coord.RunAnnouncements)
 	h.add(&g, work, h.fetch)
 	h.add(&g, work, h.crashes.Run)
 	h.add(&g, work, h.coord.RunQuarantine)
-	lead := &coordinator.Lead{Lease: h.lease, Link: h.link, Handicap: h.handicap, StoreAnswers: h.link.StoreAnswers}
+	lead := &coordinator.Elector{Lease: h.lease, Link: h.link, CampaignDelay: h.handicap, StoreReachable: h.link.StoreReachable}
 	h.add(&g, ctx, h.whileServing(lead.Run))
 	h.servePeers(&g)
 	h.add(&g, work, h.hangups)
@@ -253,7 +253,7 @@
 
 // handicap lets hosts with more to spare take the lease first.
 func (h *Host) handicap() time.Duration {
-	if !h.link.Ample() {
+	if !h.link.HasSpareCapacity() {
 		return handicapPoor
 	}
 	return handicapAny
@@ -277,7 +277,7 @@
 		if h.config.Current() != nil {
 			break
 		}
-		h.link.Fetch(ctx)
+		h.link.FetchState(ctx)
 	}
 	if h.config.Current() != nil && len(h.fleet.All()) > 0 {
 		h.upstreamsListed()
@@ -303,14 +303,14 @@
 
 // hasten has the host that acts for all told at once what this one found out.
 func (h *Host) hasten() {
-	h.link.Hasten()
+	h.link.ReportSoon()
 	h.coord.Announce()
 }
 
 // crashed notes that an upstream ended under requests of this host.
 func (h *Host) crashed(upstream string, at time.Time, ran []poison.Fingerprint) {
 	h.guard.Crashed(upstream, at, ran)
-	h.link.Hasten()
+	h.link.ReportSoon()
 }
 
 // logReady logs when the host has what it needs.
--- a/node/host/status.go
+++ b/node/host/status.go
@@ -33,8 +33,8 @@
 // status adds the page to e.
 func (h *Host) status(e *echo.Echo) {
 	e.GET(StatusPath, func(c *echo.Context) error {
-		s := Status{Host: h.set.Host, DataCentre: h.set.DataCentre, Ready: h.isReady(), Coordinator: h.link.Coordinator(),
-			Holds: h.coord.Holding(), Acts: h.coord.Acting(), Hosts: h.link.Hosts(), ReportMs: h.link.Period().Milliseconds(),
+		s := Status{Host: h.set.Host, DataCentre: h.set.DataCentre, Ready: h.isReady(), Coordinator: h.link.CoordinatorAddress(),
+			Holds: h.coord.HoldsLease(), Acts: h.coord.Acting(), Hosts: h.link.Hosts(), ReportMs: h.link.ReportPeriod().Milliseconds(),
 			Upstreams: len(h.fleet.All()), ListVersion: h.feed.UpstreamsAt(), PeerCalls: h.deps.Metrics.CountsByKind(metrics.PeerCalls),
 			PeerBytes: h.deps.Metrics.CountsByKind(metrics.PeerBytes), StoreCalls: h.deps.Metrics.CountsByKind(metrics.StoreCalls)}
 		if t := h.config.Current(); t != nil {
