--- a/cmd/pierctl/audit.go
+++ b/cmd/pierctl/audit.go
@@ -42,7 +42,7 @@
 
 func printAudit(p operatorapi.AuditPage) {
 	for _, e := range p.Entries {
-		fmt.Printf("%d  %s  %s  %s (from %d)\n", e.Version, e.At.Format(time.RFC3339), e.Author, e.Action, e.From)
+		fmt.Printf("%d  %s  %s  %s (from %d)\n", e.Version, e.At.Format(time.RFC3339), e.Author, e.Action, e.FromVersion)
 		fmt.Println("    " + strings.Join(e.Changes, "\n    "))
 	}
 	if p.Next > 0 {
--- a/core/admit/policy.go
+++ b/core/admit/policy.go
@@ -53,8 +53,8 @@
 		out.QueueMax[i] = defaultQueueMax
 	}
 	for _, r := range rules {
-		if r.QueueMax > 0 {
-			out.QueueMax[r.Class] = r.QueueMax
+		if r.MaxQueue > 0 {
+			out.QueueMax[r.Class] = r.MaxQueue
 		}
 	}
 	return out
--- a/core/admit/pool_test.go
+++ b/core/admit/pool_test.go
@@ -44,7 +44,7 @@
 }
 
 func TestRefusals(t *testing.T) {
-	rules := []config.ClassRule{{Class: class.Standard, QueueMax: 2}}
+	rules := []config.ClassRule{{Class: class.Standard, MaxQueue: 2}}
 	noBulk := preset
 	noBulk.AcceptBulk = false
 	full := func() *Pool {
@@ -122,7 +122,7 @@
 // Sequence: the flood fills the bounded queue; another team's request comes.
 // Cause: first come, first served for places in the queue.
 func TestFloodIsDisplacedFromAFullQueue(t *testing.T) {
-	p := NewPool(NewPolicy(preset, []config.ClassRule{{Class: class.Standard, QueueMax: 4}}, 10))
+	p := NewPool(NewPolicy(preset, []config.ClassRule{{Class: class.Standard, MaxQueue: 4}}, 10))
 	fill(p, 0, 100, "flood", class.Standard)
 	for id := uint64(300); id < 302; id++ {
 		v, _, displaced := p.Arrive(start, item(id, "b", class.Standard))
@@ -205,7 +205,7 @@
 // request is granted or refused twice.
 func TestPoolProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		policy := NewPolicy(preset, []config.ClassRule{{Class: class.Standard, QueueMax: 3}}, rapid.IntRange(1, 12).Draw(t, "slots"))
+		policy := NewPolicy(preset, []config.ClassRule{{Class: class.Standard, MaxQueue: 3}}, rapid.IntRange(1, 12).Draw(t, "slots"))
 		p, next, now := NewPool(policy), uint64(0), start
 		held, waiting := map[uint64]Item{}, map[uint64]Item{}
 		settle := func(r Result) {
--- a/core/apikey/apikey.go
+++ b/core/apikey/apikey.go
@@ -15,12 +15,12 @@
 // HexLen is the length of a hash in hexadecimal, in characters.
 const HexLen = 2 * sha256.Size
 
-// ErrNotAHash says that a text is not a hash in hexadecimal. The text is left
+// ErrInvalidHash says that a text is not a hash in hexadecimal. The text is left
 // out: it may be a key.
-var ErrNotAHash = eris.New("is not the SHA-256 of a key in hexadecimal")
+var ErrInvalidHash = eris.New("is not the SHA-256 of a key in hexadecimal")
 
-// Of hashes a key; that of an empty one is the zero value.
-func Of(key string) Hash {
+// HashOf hashes a key; that of an empty one is the zero value.
+func HashOf(key string) Hash {
 	if key == "" {
 		return Hash{}
 	}
@@ -31,10 +31,10 @@
 func Parse(text string) (Hash, error) {
 	var h Hash
 	if len(text) != HexLen {
-		return h, ErrNotAHash
+		return h, ErrInvalidHash
 	}
 	if _, err := hex.Decode(h[:], []byte(text)); err != nil {
-		return Hash{}, ErrNotAHash
+		return Hash{}, ErrInvalidHash
 	}
 	return h, nil
 }
--- a/core/apikey/apikey_test.go
+++ b/core/apikey/apikey_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestAHashIsReadBackFromItsText(t *testing.T) {
-	h := Of("a key")
+	h := HashOf("a key")
 	for _, text := range []string{h.String(), strings.ToUpper(h.String())} {
 		back, err := Parse(text)
 		assert.NilError(t, err)
@@ -17,15 +17,15 @@
 }
 
 func TestNoKeyIsTheZeroHash(t *testing.T) {
-	assert.Assert(t, Of("").IsZero())
-	assert.Assert(t, !Of("x").IsZero())
+	assert.Assert(t, HashOf("").IsZero())
+	assert.Assert(t, !HashOf("x").IsZero())
 }
 
 // Failure: a key stands in the log.
 func TestAnErrorDoesNotRepeatTheText(t *testing.T) {
 	for _, text := range []string{"", "my-secret-key", strings.Repeat("z", HexLen)} {
 		_, err := Parse(text)
-		assert.ErrorIs(t, err, ErrNotAHash)
+		assert.ErrorIs(t, err, ErrInvalidHash)
 		assert.Assert(t, text == "" || !strings.Contains(err.Error(), text))
 	}
 }
--- a/core/config/config.go
+++ b/core/config/config.go
@@ -55,14 +55,14 @@
 
 // Model is a base model that engines of its pool can load.
 type Model struct {
-	Name            string `json:"name"`
-	Pool            string `json:"pool"`
-	Version         string `json:"version"`
-	MemoryMB        int    `json:"memory_mb"`         // of accelerator memory for one replica
-	MinReplicas     int    `json:"min_replicas"`      // ready at all times; 0: loaded on demand
-	MaxOnDemandSecs int    `json:"max_on_demand_s"`   // for MinReplicas 0: the stated bound to become ready
-	Replicas        int    `json:"initial_replicas"`  // to start with; planner decides later
-	TokensPerSecond int    `json:"tokens_per_second"` // one stream alone on an engine
+	Name               string `json:"name"`
+	Pool               string `json:"pool"`
+	Version            string `json:"version"`
+	MemoryMB           int    `json:"memory_mb"`         // of accelerator memory for one replica
+	MinReplicas        int    `json:"min_replicas"`      // ready at all times; 0: loaded on demand
+	MaxOnDemandSeconds int    `json:"max_on_demand_s"`   // for MinReplicas 0: the stated bound to become ready
+	InitialReplicas    int    `json:"initial_replicas"`  // to start with; planner decides later
+	TokensPerSecond    int    `json:"tokens_per_second"` // one stream alone on an engine
 }
 
 // Adapter is a small set of weights upon a base model.
@@ -113,7 +113,7 @@
 	Class        class.Class `json:"class"`
 	FirstTokenMs int         `json:"first_token_ms"` // target for the first byte of the answer
 	DeadlineMs   int         `json:"deadline_ms"`    // default deadline for the whole answer
-	QueueMax     int         `json:"queue_max"`      // waiting requests of this class on one host
+	MaxQueue     int         `json:"queue_max"`      // waiting requests of this class on one host
 }
 
 // Preset is one way of running the site; exactly one is in force.
@@ -133,9 +133,9 @@
 	MBPerSecond    int     `json:"mb_per_second"`
 }
 
-// AnswerBytesMost bounds Limits.AnswerBytes. A host holds such an answer in
+// MaxAnswerBytes bounds Limits.AnswerBytes. A host holds such an answer in
 // memory while it passes it on.
-const AnswerBytesMost = 8 << 20
+const MaxAnswerBytes = 8 << 20
 
 // Limits bound what one request or host may use.
 type Limits struct {
--- a/core/config/feasible.go
+++ b/core/config/feasible.go
@@ -34,11 +34,11 @@
 			continue
 		}
 		need := Footprint(v.cfg, m.Name)
-		v.check(need.First <= largest, at("models", i, "memory_mb"),
+		v.check(need.FirstReplica <= largest, at("models", i, "memory_mb"),
 			"needs %d MB with its adapters (%d MB alone), the largest upstream of pool %q has %d MB",
-			need.First, m.MemoryMB, pool, largest)
-		v.check(m.Replicas <= count, at("models", i, "initial_replicas"),
-			"is %d, pool %q has %d upstreams", m.Replicas, pool, count)
+			need.FirstReplica, m.MemoryMB, pool, largest)
+		v.check(m.InitialReplicas <= count, at("models", i, "initial_replicas"),
+			"is %d, pool %q has %d upstreams", m.InitialReplicas, pool, count)
 		v.onDemand(i, m)
 	}
 }
@@ -49,21 +49,21 @@
 	}
 	w := v.cfg.WeightStore
 	seconds := float64(m.MemoryMB)/float64(w.MBPerSecond) + 1/w.LoadsPerSecond
-	v.check(seconds <= float64(m.MaxOnDemandSecs), at("models", i, "max_on_demand_s"),
+	v.check(seconds <= float64(m.MaxOnDemandSeconds), at("models", i, "max_on_demand_s"),
 		"is %d s, a load takes %.1f s (%d MB at %d MB/s, %g loads/s)",
-		m.MaxOnDemandSecs, seconds, m.MemoryMB, w.MBPerSecond, w.LoadsPerSecond)
+		m.MaxOnDemandSeconds, seconds, m.MemoryMB, w.MBPerSecond, w.LoadsPerSecond)
 }
 
 func (v *validator) fits(pool, path string) {
 	p := Pack(v.cfg, pool)
 	if len(p.Unplaced) > 0 {
 		v.add(path, "models of pool %q do not fit at min_replicas: they need %d MB, %d upstreams have %d MB; no room for %q (%d MB), most free on one upstream %d MB",
-			pool, p.NeedMB, len(p.FreeMB), p.HaveMB, p.Unplaced[0].Model, p.Unplaced[0].MemoryMB, p.mostFree())
+			pool, p.RequiredMB, len(p.FreeMB), p.CapacityMB, p.Unplaced[0].Model, p.Unplaced[0].MemoryMB, p.mostFree())
 		return
 	}
 	for i, m := range v.cfg.Models {
 		if m.Pool == pool && m.MinReplicas == 0 {
-			need := Footprint(v.cfg, m.Name).Other
+			need := Footprint(v.cfg, m.Name).OtherReplicas
 			v.check(need <= p.mostFree(), at("models", i, "min_replicas"),
 				"is 0, and once the others are placed no upstream has room to load %q: needs %d MB, most free %d MB",
 				m.Name, need, p.mostFree())
@@ -71,14 +71,14 @@
 	}
 }
 
-// Need is the accelerator memory of a model's replicas in MB.
-type Need struct {
-	First int // the base and all its adapters, so that every adapter can answer without a load
-	Other int // the base and its largest adapter
+// MemoryNeed is the accelerator memory of a model's replicas in MB.
+type MemoryNeed struct {
+	FirstReplica  int // the base and all its adapters, so that every adapter can answer without a load
+	OtherReplicas int // the base and its largest adapter
 }
 
 // Footprint returns what replicas of a model need.
-func Footprint(c *Config, model string) Need {
+func Footprint(c *Config, model string) MemoryNeed {
 	var base, sum, largest int
 	for _, m := range c.Models {
 		if m.Name == model {
@@ -90,7 +90,7 @@
 			sum, largest = sum+a.MemoryMB, max(largest, a.MemoryMB)
 		}
 	}
-	return Need{First: base + sum, Other: base + largest}
+	return MemoryNeed{FirstReplica: base + sum, OtherReplicas: base + largest}
 }
 
 // Placement is one replica of a model on an upstream.
@@ -102,11 +102,11 @@
 
 // Packing is one way to place a pool's models at their min_replicas.
 type Packing struct {
-	Placed   []Placement
-	Unplaced []Placement
-	FreeMB   map[string]int // by upstream
-	NeedMB   int
-	HaveMB   int
+	Placed     []Placement
+	Unplaced   []Placement
+	FreeMB     map[string]int // by upstream
+	RequiredMB int
+	CapacityMB int
 }
 
 func (p Packing) mostFree() int {
@@ -141,9 +141,9 @@
 		}
 		need := Footprint(c, m.Name)
 		for r := range m.MinReplicas {
-			mb := need.Other
+			mb := need.OtherReplicas
 			if r == 0 {
-				mb = need.First
+				mb = need.FirstReplica
 			}
 			want = append(want, Placement{Model: m.Name, MemoryMB: mb})
 		}
@@ -159,12 +159,12 @@
 	for _, u := range c.Upstreams {
 		if u.Pool == pool {
 			names, free = append(names, u.Name), append(free, u.MemoryMB)
-			p.HaveMB += u.MemoryMB
+			p.CapacityMB += u.MemoryMB
 		}
 	}
 	taken := map[string][]int{} // model -> upstreams that have it
 	for _, w := range want {
-		p.NeedMB += w.MemoryMB
+		p.RequiredMB += w.MemoryMB
 		has, best := taken[w.Model], -1
 		for i, mb := range free {
 			if mb >= w.MemoryMB && (best < 0 || better(mb, free[best])) && !slices.Contains(has, i) {
--- a/core/config/find.go
+++ b/core/config/find.go
@@ -79,8 +79,8 @@
 	x.allowed[t.Name] = set
 }
 
-// TeamOf finds the team that a key belongs to.
-func (x *Index) TeamOf(key apikey.Hash) (*Team, bool) { t, ok := x.teams[key]; return t, ok }
+// TeamByKey finds the team that a key belongs to.
+func (x *Index) TeamByKey(key apikey.Hash) (*Team, bool) { t, ok := x.teams[key]; return t, ok }
 
 // Target resolves a model or adapter name for a team. A model that the team
 // may not call is not found, just like one that does not exist: the answer
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -85,10 +85,10 @@
 		v.check(m.Version != "", p("version"), "is empty")
 		v.positive(m.MemoryMB, p("memory_mb"))
 		v.notNegative(m.MinReplicas, p("min_replicas"))
-		v.check(m.Replicas >= m.MinReplicas, p("initial_replicas"),
-			"is %d, below min_replicas %d", m.Replicas, m.MinReplicas)
-		v.check(m.MinReplicas > 0 || m.MaxOnDemandSecs > 0, p("max_on_demand_s"),
-			"is %d, must be above 0 where min_replicas is 0", m.MaxOnDemandSecs)
+		v.check(m.InitialReplicas >= m.MinReplicas, p("initial_replicas"),
+			"is %d, below min_replicas %d", m.InitialReplicas, m.MinReplicas)
+		v.check(m.MinReplicas > 0 || m.MaxOnDemandSeconds > 0, p("max_on_demand_s"),
+			"is %d, must be above 0 where min_replicas is 0", m.MaxOnDemandSeconds)
 		v.positive(m.TokensPerSecond, p("tokens_per_second"))
 	}
 }
@@ -214,7 +214,7 @@
 		v.positive(r.FirstTokenMs, p("first_token_ms"))
 		v.check(r.DeadlineMs >= r.FirstTokenMs, p("deadline_ms"),
 			"is %d, below first_token_ms %d", r.DeadlineMs, r.FirstTokenMs)
-		v.positive(r.QueueMax, p("queue_max"))
+		v.positive(r.MaxQueue, p("queue_max"))
 	}
 	for c, ok := range there {
 		v.check(ok, "classes", "class %q is missing", class.Class(c))
@@ -244,7 +244,7 @@
 func (v *validator) limits() {
 	l := v.cfg.Limits
 	v.check(l.BodyBytes > 0, "limits.body_bytes", "is %d, must be above 0", l.BodyBytes)
-	v.check(l.AnswerBytes > 0 && l.AnswerBytes <= AnswerBytesMost, "limits.answer_bytes", "is %d, must be from 1 to %d", l.AnswerBytes, AnswerBytesMost)
+	v.check(l.AnswerBytes > 0 && l.AnswerBytes <= MaxAnswerBytes, "limits.answer_bytes", "is %d, must be from 1 to %d", l.AnswerBytes, MaxAnswerBytes)
 	v.positive(l.ClaimTTLSeconds, "limits.claim_ttl_s")
 	v.share(l.RetryBudgetShare, 1, "limits.retry_budget_share")
 }
--- a/core/config/validate_test.go
+++ b/core/config/validate_test.go
@@ -50,7 +50,7 @@
 				assert.Assert(t, ok, p)
 			}
 			p := config.Pack(c, want.pool)
-			assert.Assert(t, p.HaveMB < 2*p.NeedMB, "two replicas of each must not fit: %d of %d MB", p.NeedMB, p.HaveMB)
+			assert.Assert(t, p.CapacityMB < 2*p.RequiredMB, "two replicas of each must not fit: %d of %d MB", p.RequiredMB, p.CapacityMB)
 		})
 	}
 }
--- a/core/deploy/team_test.go
+++ b/core/deploy/team_test.go
@@ -16,7 +16,7 @@
 func teamOf(name string, keys ...string) Team {
 	t := Team{Name: name}
 	for _, k := range keys {
-		t.Keys = append(t.Keys, apikey.Of(k))
+		t.Keys = append(t.Keys, apikey.HashOf(k))
 	}
 	return t
 }
@@ -26,7 +26,7 @@
 	limited := func(l quota.Limit) Team { out := teamOf("b", "k2"); out.Limit = l; return out }
 	many := teamOf("b")
 	for i := range keysMost + 1 {
-		many.Keys = append(many.Keys, apikey.Of(fmt.Sprint("many", i)))
+		many.Keys = append(many.Keys, apikey.HashOf(fmt.Sprint("many", i)))
 	}
 	for name, c := range map[string]struct {
 		second Team
@@ -61,12 +61,12 @@
 	assert.NilError(t, json.Unmarshal(data, relayed))
 	table := NewTable(relayed)
 	for key, want := range map[string]string{"k1": "a", "k2": "a", "k3": "b"} {
-		team, ok := table.Team(apikey.Of(key))
+		team, ok := table.Team(apikey.HashOf(key))
 		assert.Assert(t, ok)
 		assert.Equal(t, team.Name, want)
 	}
-	for _, key := range []string{"", "k4", apikey.Of("k1").String()} {
-		_, ok := table.Team(apikey.Of(key))
+	for _, key := range []string{"", "k4", apikey.HashOf("k1").String()} {
+		_, ok := table.Team(apikey.HashOf(key))
 		assert.Assert(t, !ok, key)
 	}
 	assert.Assert(t, table.NeedsKey(&relayed.Routes[0]))
@@ -100,7 +100,7 @@
 	table := NewTable(c)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, ok := table.Team(apikey.Of("key-3-1")); !ok {
+		if _, ok := table.Team(apikey.HashOf("key-3-1")); !ok {
 			b.Fatal("not found")
 		}
 	}
--- a/core/member/choose.go
+++ b/core/member/choose.go
@@ -10,16 +10,16 @@
 // The rendezvous weight of a key and a host mixes their hashes. A host that
 // comes or goes moves only the choices that fall on it.
 
-// Links chooses the hosts to which self keeps a link: local ones of its own
+// ChooseLinks chooses the hosts to which self keeps a link: local ones of its own
 // data centre and remote ones of others, by rendezvous hash. Each host thus
 // pays for a fixed number of links however large the fleet is; others' choices
 // add about as many. The choices at random make the links' graph connected
 // almost surely, and its diameter grows with the logarithm of the fleet.
-func Links(self Host, hosts []Host, local, remote int) []Host {
+func ChooseLinks(self Host, hosts []Host, local, remote int) []Host {
 	var near, far []Host
 	for _, h := range hosts {
 		switch {
-		case h.Name == self.Name || h.State == Gone || h.State == Suspect:
+		case h.Name == self.Name || h.State == Terminated || h.State == Suspect:
 		case h.DataCentre == self.DataCentre:
 			near = append(near, h)
 		default:
@@ -29,8 +29,8 @@
 	return append(top(self.Name, near, local), top(self.Name, far, remote)...)
 }
 
-// First returns the host with the highest weight for a key. There must be one.
-func First(key string, hosts []Host) Host {
+// Rendezvous returns the host with the highest weight for a key. There must be one.
+func Rendezvous(key string, hosts []Host) Host {
 	hash, best := xxhash.Sum64String(key), 0
 	var most uint64
 	for i := range hosts {
@@ -69,20 +69,20 @@
 	watchersFar  = 1
 )
 
-// Watchers answers which upstreams one host watches, and for which keys it is
+// Assignment answers which upstreams one host watches, and for which keys it is
 // among the first, for a given set of hosts.
 // It hashes each host once: hashing each pair of 2,500 upstreams and 420 hosts
 // took half of a fleet's control time.
-type Watchers struct {
+type Assignment struct {
 	self   uint64 // hash of the host that asks
 	centre string
 	near   map[string][]uint64 // hashes of the other hosts by data centre
 	all    []uint64            // of all others
 }
 
-// NewWatchers prepares for questions of the host named self.
-func NewWatchers(self string, hosts []Host) *Watchers {
-	w := &Watchers{self: xxhash.Sum64String(self), near: map[string][]uint64{}}
+// NewAssignment prepares for questions of the host named self.
+func NewAssignment(self string, hosts []Host) *Assignment {
+	w := &Assignment{self: xxhash.Sum64String(self), near: map[string][]uint64{}}
 	for _, h := range hosts {
 		switch {
 		case h.Name == self:
@@ -98,7 +98,7 @@
 
 // Watches says whether the host is among the watchers of an upstream: the
 // first by weight among those of its data centre, or among all others.
-func (w *Watchers) Watches(upstream, dataCentre string) bool {
+func (w *Assignment) Watches(upstream, dataCentre string) bool {
 	key := xxhash.Sum64String(upstream)
 	own := mix(key, w.self)
 	near := above(key, own, w.near[dataCentre])
@@ -108,8 +108,8 @@
 	return above(key, own, w.all)-near < watchersFar
 }
 
-// First says whether the host is among the first n by weight for a key.
-func (w *Watchers) First(key string, n int) bool {
+// IsAmongFirst says whether the host is among the first n by weight for a key.
+func (w *Assignment) IsAmongFirst(key string, n int) bool {
 	hash := xxhash.Sum64String(key)
 	return above(hash, mix(hash, w.self), w.all) < n
 }
--- a/core/member/host.go
+++ b/core/member/host.go
@@ -16,10 +16,10 @@
 
 // The states.
 const (
-	Alive   State = iota
-	Suspect       // some host could not reach it; it refutes that with a higher sequence
-	Leaving       // it said so itself: it takes no new requests
-	Gone          // it said so itself: it has ended
+	Alive      State = iota
+	Suspect          // some host could not reach it; it refutes that with a higher sequence
+	Draining         // it said so itself: it takes no new requests
+	Terminated       // it said so itself: it has ended
 )
 
 // String returns the state's name.
@@ -72,8 +72,8 @@
 // Get finds a host.
 func (s *Hosts) Get(name string) (Host, bool) { h, ok := s.byName[name]; return h, ok }
 
-// Drop forgets a host that the platform does not list any more.
-func (s *Hosts) Drop(name string) {
+// Remove forgets a host that the platform does not list any more.
+func (s *Hosts) Remove(name string) {
 	if h, ok := s.byName[name]; ok {
 		s.digest ^= h.hash()
 		delete(s.byName, name)
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -23,7 +23,7 @@
 	process := rapid.IntRange(1, 3).Draw(t, "process")
 	seq := rapid.Uint64Range(1, 4).Draw(t, "sequence")
 	return member.Upstream{Name: rapid.SampledFrom([]string{"u", "v"}).Draw(t, "upstream"), Incarnation: fmt.Sprint(process),
-		SeenMs: uint64(1000*process) + rapid.Uint64Range(0, 20).Draw(t, "lag"), Sequence: seq, Leaving: seq >= 3,
+		FirstSeenMs: uint64(1000*process) + rapid.Uint64Range(0, 20).Draw(t, "lag"), Sequence: seq, Draining: seq >= 3,
 		Residents: []string{fmt.Sprintf("m%d-%d", process, seq)}}
 }
 
@@ -58,7 +58,7 @@
 
 func TestALeavingHostOfTheSameProcessNeverComesBack(t *testing.T) {
 	s := member.NewHosts()
-	assert.Assert(t, s.Merge(member.Host{Name: "a", Incarnation: 1, Sequence: 2, State: member.Leaving}))
+	assert.Assert(t, s.Merge(member.Host{Name: "a", Incarnation: 1, Sequence: 2, State: member.Draining}))
 	assert.Assert(t, !s.Merge(member.Host{Name: "a", Incarnation: 1, Sequence: 1, State: member.Alive}))
 	assert.Assert(t, s.Merge(member.Host{Name: "a", Incarnation: 2, State: member.Alive}))
 }
@@ -78,7 +78,7 @@
 	hosts := slices.DeleteFunc(fleet(420), func(h member.Host) bool { return h.Name[3] == '5' })
 	next := map[string][]string{}
 	for _, h := range hosts {
-		links := member.Links(h, hosts, 3, 3)
+		links := member.ChooseLinks(h, hosts, 3, 3)
 		assert.Equal(t, len(links), 6)
 		for _, l := range links {
 			next[h.Name] = append(next[h.Name], l.Name)
@@ -104,9 +104,9 @@
 
 func TestEveryUpstreamHasItsWatchers(t *testing.T) {
 	hosts := fleet(42)
-	watchers := map[string]*member.Watchers{}
+	watchers := map[string]*member.Assignment{}
 	for _, h := range hosts {
-		watchers[h.Name] = member.NewWatchers(h.Name, hosts)
+		watchers[h.Name] = member.NewAssignment(h.Name, hosts)
 	}
 	for u := range 100 {
 		name, dc := fmt.Sprint("u", u), fmt.Sprintf("dc%d", u%8) // dc7 has no host
@@ -133,12 +133,12 @@
 		key := fmt.Sprint("planner/", k)
 		var ranked []member.Host
 		for left := slices.Clone(hosts); len(left) > 0; {
-			first := member.First(key, left)
+			first := member.Rendezvous(key, left)
 			ranked = append(ranked, first)
 			left = slices.DeleteFunc(left, func(h member.Host) bool { return h.Name == first.Name })
 		}
 		for i, h := range ranked {
-			assert.Equal(t, member.NewWatchers(h.Name, hosts).First(key, 2), i < 2, "%s place %d", key, i)
+			assert.Equal(t, member.NewAssignment(h.Name, hosts).IsAmongFirst(key, 2), i < 2, "%s place %d", key, i)
 		}
 	}
 }
@@ -151,7 +151,7 @@
 		names[i] = fmt.Sprint("up-", i)
 	}
 	for b.Loop() {
-		w := member.NewWatchers(hosts[0].Name, hosts)
+		w := member.NewAssignment(hosts[0].Name, hosts)
 		for i, n := range names {
 			w.Watches(n, fmt.Sprintf("dc%d", i%7))
 		}
--- a/core/member/upstream.go
+++ b/core/member/upstream.go
@@ -14,10 +14,10 @@
 	// SeenMs is when any host first saw the process, in Unix milliseconds by
 	// that host's clock. It orders the processes of one upstream, whose names
 	// have no order: a restart takes longer than hosts' clocks differ.
-	SeenMs    uint64
-	Sequence  uint64 // of the upstream's report that the rest is from
-	Leaving   bool   // never undone
-	Residents []string
+	FirstSeenMs uint64
+	Sequence    uint64 // of the upstream's report that the rest is from
+	Draining    bool   // never undone
+	Residents   []string
 }
 
 // maxProcesses bounds the processes remembered of one upstream. Late words of
@@ -43,7 +43,7 @@
 	}
 	old := list[i]
 	next := old.merge(w)
-	if next.same(old) && next.Sequence == old.Sequence && next.SeenMs == old.SeenMs {
+	if next.same(old) && next.Sequence == old.Sequence && next.FirstSeenMs == old.FirstSeenMs {
 		return false
 	}
 	s.digest ^= old.hash() ^ next.hash()
@@ -66,7 +66,7 @@
 
 func sortProcesses(list []Upstream) {
 	slices.SortFunc(list, func(a, b Upstream) int {
-		return cmp.Or(cmp.Compare(b.SeenMs, a.SeenMs), cmp.Compare(b.Incarnation, a.Incarnation))
+		return cmp.Or(cmp.Compare(b.FirstSeenMs, a.FirstSeenMs), cmp.Compare(b.Incarnation, a.Incarnation))
 	})
 }
 
@@ -76,14 +76,14 @@
 	if o.Sequence > w.Sequence {
 		next = o
 	}
-	next.SeenMs = min(w.SeenMs, o.SeenMs)
-	next.Leaving = w.Leaving || o.Leaving
+	next.FirstSeenMs = min(w.FirstSeenMs, o.FirstSeenMs)
+	next.Draining = w.Draining || o.Draining
 	return next
 }
 
 // same says whether two words on one process mean the same to routing.
 func (w Upstream) same(o Upstream) bool {
-	return w.Leaving == o.Leaving && slices.Equal(w.Residents, o.Residents)
+	return w.Draining == o.Draining && slices.Equal(w.Residents, o.Residents)
 }
 
 // Current returns the word on the newest process of an upstream.
@@ -106,8 +106,8 @@
 	return out
 }
 
-// Keep forgets all upstreams that are not in the configuration any more.
-func (s *Upstreams) Keep(known func(name string) bool) {
+// Retain forgets all upstreams that are not in the configuration any more.
+func (s *Upstreams) Retain(known func(name string) bool) {
 	for name, list := range s.byName {
 		if known(name) {
 			continue
@@ -130,7 +130,7 @@
 		_, _ = d.WriteString("\x00" + r)
 	}
 	leaving := uint64(0)
-	if w.Leaving {
+	if w.Draining {
 		leaving = 1
 	}
 	return mix(d.Sum64(), leaving)
--- a/core/place/feasible.go
+++ b/core/place/feasible.go
@@ -65,7 +65,7 @@
 	s := &Snapshot{Adapters: c.Adapters, LastMove: map[Key]time.Time{}, Bounds: ledger.DefaultBounds()}
 	for _, m := range c.Models {
 		if m.Pool == pool {
-			m.Replicas = 0
+			m.InitialReplicas = 0
 			s.Models = append(s.Models, m)
 		}
 	}
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -53,7 +53,7 @@
 	newer.Version = "2"
 	newHeld := ledger.Resident{Artifact: ledger.Artifact{Model: "a", Version: "2"}, State: ledger.Ready, MemoryMB: 40}
 	twice := model("a", 40, 1)
-	twice.Replicas = 2
+	twice.InitialReplicas = 2
 	leaving := upstream("u1", "x", 100, holds("a", 40))
 	leaving.Draining = true
 	fresh := upstream("u2", "y", 100)
--- a/core/place/state.go
+++ b/core/place/state.go
@@ -79,7 +79,7 @@
 
 func (p *plan) addModel(m *config.Model) {
 	it := &item{key: Key{Model: m.Name}, thing: ledger.Artifact{Model: m.Name, Version: m.Version}, mb: m.MemoryMB,
-		least: m.MinReplicas, initial: m.Replicas}
+		least: m.MinReplicas, initial: m.InitialReplicas}
 	it.demand = p.s.Demand[it.key]
 	p.models = append(p.models, it)
 	p.byKey[it.key] = it
--- a/core/revision/document.go
+++ b/core/revision/document.go
@@ -24,9 +24,9 @@
 	return b.Bytes(), nil
 }
 
-// Expand unpacks a document and checks that it is the one that digest names.
-func Expand(packed []byte, digest string) ([]byte, error) {
-	doc, err := Unpack(packed)
+// DecompressVerified unpacks a document and checks that it is the one that digest names.
+func DecompressVerified(packed []byte, digest string) ([]byte, error) {
+	doc, err := Decompress(packed)
 	if err != nil {
 		return nil, err
 	}
@@ -36,9 +36,9 @@
 	return doc, nil
 }
 
-// Unpack undoes Compress. It reads no more than the largest document, whatever
+// Decompress undoes Compress. It reads no more than the largest document, whatever
 // the packed one claims.
-func Unpack(packed []byte) ([]byte, error) {
+func Decompress(packed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, fmt.Errorf("document: %w", err)
--- a/core/revision/revision.go
+++ b/core/revision/revision.go
@@ -49,11 +49,11 @@
 // Entry is one change in the audit trail.
 type Entry struct {
 	Head
-	Action     Action   `json:"action"`
-	From       uint64   `json:"from"` // the version that it changed; 0: the first
-	FromDigest string   `json:"from_digest,omitempty"`
-	FromPreset string   `json:"from_preset,omitempty"`
-	Changes    []string `json:"changes"`
+	Action      Action   `json:"action"`
+	FromVersion uint64   `json:"from"` // the version that it changed; 0: the first
+	FromDigest  string   `json:"from_digest,omitempty"`
+	FromPreset  string   `json:"from_preset,omitempty"`
+	Changes     []string `json:"changes"`
 }
 
 // Snapshot is a head with its document, as peers hand it on. Without the
@@ -78,8 +78,8 @@
 	return fmt.Sprintf("%s%016x", AuditPrefix, math.MaxUint64-version)
 }
 
-// Batch returns the batch of a version's audit entry.
-func Batch(version uint64) uint64 { return (version - 1) / BatchSize }
+// BatchOf returns the batch of a version's audit entry.
+func BatchOf(version uint64) uint64 { return (version - 1) / BatchSize }
 
 // BatchVersions returns the first and the last version of a batch.
 func BatchVersions(batch uint64) (first, last uint64) {
--- a/core/revision/standing.go
+++ b/core/revision/standing.go
@@ -18,24 +18,24 @@
 	UrgentOnlyAfter = 15 * time.Minute
 )
 
-// Standing is how far a host may rely on its version.
-type Standing uint8
+// Freshness is how far a host may rely on its version.
+type Freshness uint8
 
 // The standings.
 const (
-	Confirmed   Standing = iota // lately known to be the newest
-	Unconfirmed                 // may be old; serving goes on, operators are told
-	UrgentOnly                  // too old to take anything but urgent requests
+	Confirmed   Freshness = iota // lately known to be the newest
+	Unconfirmed                  // may be old; serving goes on, operators are told
+	UrgentOnly                   // too old to take anything but urgent requests
 )
 
 // String returns the standing as operators see it.
-func (s Standing) String() string {
+func (s Freshness) String() string {
 	return [...]string{"confirmed", "unconfirmed", "urgent_only"}[s]
 }
 
-// StandingAt returns the standing of a host whose version was last known to
+// FreshnessAt returns the standing of a host whose version was last known to
 // be the newest at confirmed.
-func StandingAt(confirmed, now time.Time) Standing {
+func FreshnessAt(confirmed, now time.Time) Freshness {
 	switch age := now.Sub(confirmed); {
 	case age <= UnconfirmedAfter:
 		return Confirmed
@@ -49,4 +49,4 @@
 // Admits says whether a new request of a class may be taken. Urgent requests
 // always may: the harm of a late answer is certain, that of an old
 // configuration only possible.
-func (s Standing) Admits(c class.Class) bool { return s != UrgentOnly || c == class.Urgent }
+func (s Freshness) Admits(c class.Class) bool { return s != UrgentOnly || c == class.Urgent }
--- a/node/callerapi/auth.go
+++ b/node/callerapi/auth.go
@@ -27,7 +27,7 @@
 		if !ok || key == "" {
 			return fault.NotRun(fault.StepAuthenticate, "", fault.CodeInvalidAPIKey, "send your team's key as Authorization: Bearer KEY")
 		}
-		team, ok := state.Index.TeamOf(apikey.Of(key))
+		team, ok := state.Index.TeamByKey(apikey.HashOf(key))
 		if !ok {
 			return fault.NotRun(fault.StepAuthenticate, "", fault.CodeInvalidAPIKey, "this key belongs to no team")
 		}
--- a/node/command/config.go
+++ b/node/command/config.go
@@ -179,7 +179,7 @@
 	if err != nil {
 		return nil, storeError(fault.StepObject, err, "read the document in force")
 	}
-	doc, err := revision.Expand(packed, h.Digest)
+	doc, err := revision.DecompressVerified(packed, h.Digest)
 	if err != nil {
 		return nil, fault.From(fault.StepConfig, err)
 	}
@@ -212,7 +212,7 @@
 
 func (c *Configuration) commit(ctx context.Context, cur current, e revision.Entry) (revision.Head, error) {
 	e.Version, e.At = cur.head.Version+1, c.deps.Now().UTC()
-	e.From, e.FromDigest, e.FromPreset = cur.head.Version, cur.head.Digest, cur.head.Preset
+	e.FromVersion, e.FromDigest, e.FromPreset = cur.head.Version, cur.head.Digest, cur.head.Preset
 	head, err := json.Marshal(e.Head)
 	if err != nil {
 		return revision.Head{}, fault.From(fault.StepConfig, err)
--- a/node/coordinator/published.go
+++ b/node/coordinator/published.go
@@ -116,7 +116,7 @@
 		newest[list[i].ID] = &list[i]
 	}
 	for _, packed := range segments {
-		data, err := revision.Unpack(packed)
+		data, err := revision.Decompress(packed)
 		if err != nil {
 			return nil, nil, eris.Wrap(err, "unpack changes of the list")
 		}
--- a/node/coordinator/relay.go
+++ b/node/coordinator/relay.go
@@ -105,7 +105,7 @@
 	data := s.Config
 	if len(s.PackedConfig) > 0 {
 		var err error
-		if data, err = revision.Unpack(s.PackedConfig); err != nil {
+		if data, err = revision.Decompress(s.PackedConfig); err != nil {
 			return nil, eris.Wrap(err, "unpack configuration")
 		}
 	}
@@ -137,7 +137,7 @@
 
 // unpackList reads a list that packList packed.
 func unpackList(packed []byte) ([]deploy.Upstream, error) {
-	data, err := revision.Unpack(packed)
+	data, err := revision.Decompress(packed)
 	if err != nil {
 		return nil, eris.Wrap(err, "unpack list")
 	}
--- a/node/dispatch/fate.go
+++ b/node/dispatch/fate.go
@@ -22,7 +22,7 @@
 	probeTimeout = time.Second
 	// fateBytes bounds the answer to a question for an attempt's fate: the
 	// largest answer that is kept, in base64, and its frame.
-	fateBytes = config.AnswerBytesMost*4/3 + 64<<10
+	fateBytes = config.MaxAnswerBytes*4/3 + 64<<10
 )
 
 // errForgotten says that the upstream cannot tell the fate any more: it is no
--- a/node/gate/caller_test.go
+++ b/node/gate/caller_test.go
@@ -23,7 +23,7 @@
 
 func (c keyedCodec) DecodeRequest(h http.Header) RequestInfo {
 	f := c.plainCodec.DecodeRequest(h)
-	f.Key, f.DeclaresTokens = apikey.Of(h.Get("Key")), true
+	f.Key, f.DeclaresTokens = apikey.HashOf(h.Get("Key")), true
 	return f
 }
 
@@ -61,8 +61,8 @@
 	g.deps.TeamLimits, g.deps.Codec = a, keyedCodec{sent: sent}
 	table := *g.deps.Config.Current().Config
 	table.Version++
-	table.Teams = []deploy.Team{{Name: "limited", Urgency: 1, Keys: []apikey.Hash{apikey.Of("l")}, Limit: quota.Limit{Unit: quota.Tokens, PerSecond: 10, Burst: 10}},
-		{Name: "first", Keys: []apikey.Hash{apikey.Of("f")}}}
+	table.Teams = []deploy.Team{{Name: "limited", Urgency: 1, Keys: []apikey.Hash{apikey.HashOf("l")}, Limit: quota.Limit{Unit: quota.Tokens, PerSecond: 10, Burst: 10}},
+		{Name: "first", Keys: []apikey.Hash{apikey.HashOf("f")}}}
 	g.deps.Config.Offer(&table, "test")
 	return g
 }
--- a/node/operatorapi/api.go
+++ b/node/operatorapi/api.go
@@ -111,7 +111,7 @@
 func (a *API) signedIn(h func(*call) error) echo.HandlerFunc {
 	return func(c *echo.Context) error {
 		key, ok := strings.CutPrefix(c.Request().Header.Get(echo.HeaderAuthorization), bearer)
-		name, known := a.keys[apikey.Of(key)]
+		name, known := a.keys[apikey.HashOf(key)]
 		if !ok || !known {
 			a.deps.Log.Emit(event.OperatorRefused, zap.String(event.FieldPeer, c.Request().RemoteAddr))
 			return problemError{http.StatusUnauthorized, Problem{Code: "unauthorized", Message: "send your operator's key as Authorization: Bearer KEY"}}
--- a/node/peer/mesh.go
+++ b/node/peer/mesh.go
@@ -227,7 +227,7 @@
 func (m *Mesh) KeepUpstreams(known func(string) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.upstreams.Keep(known)
+	m.upstreams.Retain(known)
 }
 
 func (m *Mesh) mergeUpstreamLocked(u member.Upstream, from *link) {
--- a/node/peer/mesh_test.go
+++ b/node/peer/mesh_test.go
@@ -262,10 +262,10 @@
 			assert.Equal(t, w.live("a"), 2)
 			assert.Equal(t, w.live("b"), 2)
 		}
-		w.hosts["a"].mesh.Tell(member.Upstream{Name: "u", Incarnation: "1", SeenMs: 1, Sequence: 1, Leaving: true})
+		w.hosts["a"].mesh.Tell(member.Upstream{Name: "u", Incarnation: "1", FirstSeenMs: 1, Sequence: 1, Draining: true})
 		time.Sleep(time.Second)
 		u, ok := w.hosts["b"].mesh.Current("u")
-		assert.Assert(t, ok && u.Leaving)
+		assert.Assert(t, ok && u.Draining)
 		w.end()
 	})
 }
@@ -321,7 +321,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "a", "b", "c")
 		time.Sleep(5 * time.Second)
-		w.hosts["b"].mesh.Announce(member.Leaving)
+		w.hosts["b"].mesh.Announce(member.Draining)
 		time.Sleep(time.Second)
 		assert.Equal(t, w.live("a"), 2)
 		time.Sleep(time.Minute) // the list still shows it as live
--- a/node/peer/tend.go
+++ b/node/peer/tend.go
@@ -83,12 +83,12 @@
 	now := m.now()
 	var candidates []member.Host
 	for _, h := range m.hosts.All() {
-		if h.Address != "" && now.After(m.shunned[h.Name]) && h.State != member.Leaving {
+		if h.Address != "" && now.After(m.shunned[h.Name]) && h.State != member.Draining {
 			candidates = append(candidates, h)
 		}
 	}
 	out := map[string]want{}
-	for _, h := range member.Links(m.self, candidates, m.cfg.Local, m.cfg.Remote) {
+	for _, h := range member.ChooseLinks(m.self, candidates, m.cfg.Local, m.cfg.Remote) {
 		out[h.Name] = want{h, true}
 	}
 	return out
@@ -161,7 +161,7 @@
 	l.mu.Unlock()
 	m.mu.Lock()
 	now, known := m.hosts.Get(h.Name)
-	expected := !known || now.State == member.Leaving || now.State == member.Gone || m.self.State != member.Alive
+	expected := !known || now.State == member.Draining || now.State == member.Terminated || m.self.State != member.Alive
 	m.mu.Unlock()
 	if expected || h.Name == "" {
 		return
@@ -283,7 +283,7 @@
 	case !known:
 		m.mergeHostLocked(member.Host{Name: h.Name, Address: h.Address, DataCentre: h.DataCentre}, nil)
 	case old.State == member.Alive && h.State == store.HostLeaving && old.Address == h.Address:
-		old.State = member.Leaving
+		old.State = member.Draining
 		m.mergeHostLocked(old, nil)
 	}
 }
@@ -297,7 +297,7 @@
 			continue
 		}
 		if m.traces.since("unlisted "+h.Name, now) > forgetAfter {
-			m.hosts.Drop(h.Name)
+			m.hosts.Remove(h.Name)
 			delete(m.suspected, h.Name)
 			delete(m.shunned, h.Name)
 			m.traces.clear("unlisted " + h.Name)
--- a/node/peer/usage.go
+++ b/node/peer/usage.go
@@ -116,7 +116,7 @@
 			byBucket[bucket(s.Key)] = append(byBucket[bucket(s.Key)], s)
 		}
 		for b, sums := range byBucket {
-			m.shareBucket(ctx, member.First(b, live), sums, len(live))
+			m.shareBucket(ctx, member.Rendezvous(b, live), sums, len(live))
 		}
 	}
 }
--- a/node/peer/wire.go
+++ b/node/peer/wire.go
@@ -16,11 +16,11 @@
 }
 
 func upstreamToWire(u member.Upstream) *peerpb.UpstreamWord {
-	return &peerpb.UpstreamWord{Upstream: u.Name, Incarnation: u.Incarnation, SeenMs: u.SeenMs,
-		ReportSequence: u.Sequence, Leaving: u.Leaving, Residents: u.Residents}
+	return &peerpb.UpstreamWord{Upstream: u.Name, Incarnation: u.Incarnation, SeenMs: u.FirstSeenMs,
+		ReportSequence: u.Sequence, Leaving: u.Draining, Residents: u.Residents}
 }
 
 func upstreamFromWire(w *peerpb.UpstreamWord) member.Upstream {
-	return member.Upstream{Name: w.Upstream, Incarnation: w.Incarnation, SeenMs: w.SeenMs,
-		Sequence: w.ReportSequence, Leaving: w.Leaving, Residents: w.Residents}
+	return member.Upstream{Name: w.Upstream, Incarnation: w.Incarnation, FirstSeenMs: w.SeenMs,
+		Sequence: w.ReportSequence, Draining: w.Leaving, Residents: w.Residents}
 }
--- a/node/query/audit.go
+++ b/node/query/audit.go
@@ -64,7 +64,7 @@
 // archived returns the archived entries of a version's batch, from that
 // version down.
 func (a *AuditReader) archived(ctx context.Context, version uint64) ([]revision.Entry, error) {
-	data, err := a.deps.Objects.Get(ctx, revision.ArchiveName(revision.Batch(version)))
+	data, err := a.deps.Objects.Get(ctx, revision.ArchiveName(revision.BatchOf(version)))
 	if err != nil {
 		return nil, eris.Wrapf(err, "audit entry of version %d", version)
 	}
--- a/node/query/bench_test.go
+++ b/node/query/bench_test.go
@@ -22,11 +22,11 @@
 		c.DataCentres = append(c.DataCentres, fmt.Sprint("dc", i))
 	}
 	for _, k := range []class.Class{class.Urgent, class.Standard, class.Bulk} {
-		c.Classes = append(c.Classes, config.ClassRule{Class: k, FirstTokenMs: 610, DeadlineMs: 60000, QueueMax: 100})
+		c.Classes = append(c.Classes, config.ClassRule{Class: k, FirstTokenMs: 610, DeadlineMs: 60000, MaxQueue: 100})
 	}
 	for i := range models {
 		c.Models = append(c.Models, config.Model{Name: fmt.Sprint("model-", i), Pool: "lm", Version: "1",
-			MemoryMB: 5000 + 100*(i%300), MinReplicas: 1, Replicas: 1, TokensPerSecond: 100})
+			MemoryMB: 5000 + 100*(i%300), MinReplicas: 1, InitialReplicas: 1, TokensPerSecond: 100})
 	}
 	for i := range upstreams {
 		c.Upstreams = append(c.Upstreams, config.Upstream{Name: fmt.Sprint("runner-", i), Pool: "lm",
--- a/node/query/config.go
+++ b/node/query/config.go
@@ -63,7 +63,7 @@
 	mu        sync.Mutex
 	changed   chan struct{} // closed when state changes, then replaced
 	confirmed time.Time     // when the state was last known to be the newest; zero: never
-	standing  revision.Standing
+	standing  revision.Freshness
 }
 
 // NewConfigReader makes a reader that polls about every poll (0: DefaultPoll).
@@ -243,7 +243,7 @@
 	if s, ok := r.Current(); ok && s.Head.Digest == head.Digest {
 		next.Index, next.packed = s.Index, s.packed
 	} else {
-		doc, err := revision.Expand(packed, head.Digest)
+		doc, err := revision.DecompressVerified(packed, head.Digest)
 		if err != nil {
 			return nil, err
 		}
@@ -266,4 +266,6 @@
 }
 
 // Document returns the configuration as it was applied, byte for byte.
-func (s *State) Document() ([]byte, error) { return revision.Expand(s.packed, s.Head.Digest) }
+func (s *State) Document() ([]byte, error) {
+	return revision.DecompressVerified(s.packed, s.Head.Digest)
+}
--- a/node/query/config_test.go
+++ b/node/query/config_test.go
@@ -102,7 +102,7 @@
 	assert.DeepEqual(t, page[0].Changes, []string{"team couriers changed"})
 	assert.DeepEqual(t, page[1].Changes, []string{"preset ordinary to peak"})
 	assert.Equal(t, page[1].Author, "bina")
-	assert.Equal(t, page[1].From, uint64(1))
+	assert.Equal(t, page[1].FromVersion, uint64(1))
 	assert.Equal(t, page[1].FromPreset, "ordinary")
 }
 
--- a/node/query/confirm.go
+++ b/node/query/confirm.go
@@ -53,10 +53,10 @@
 
 // Standing says how far this host may rely on its version: callers ask it
 // before they admit a request.
-func (r *ConfigReader) Standing() revision.Standing {
+func (r *ConfigReader) Standing() revision.Freshness {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return revision.StandingAt(r.confirmed, r.deps.Now())
+	return revision.FreshnessAt(r.confirmed, r.deps.Now())
 }
 
 // noteStanding logs a change of standing once.
--- a/node/server/claimwriters.go
+++ b/node/server/claimwriters.go
@@ -42,7 +42,7 @@
 	if len(live) == 0 {
 		return member.Host{}, false
 	}
-	w := member.First("claims/"+strconv.FormatUint(xxhash.Sum64String(key)%claimWriters, 10), live)
+	w := member.Rendezvous("claims/"+strconv.FormatUint(xxhash.Sum64String(key)%claimWriters, 10), live)
 	return w, w.Name != r.s.cfg.Settings.Host
 }
 
--- a/node/server/mesh.go
+++ b/node/server/mesh.go
@@ -59,17 +59,17 @@
 		model, adapter, _ := strings.Cut(r, "/")
 		ready[route.ModelKey{Model: model, Adapter: adapter}] = true
 	}
-	s.view.Heard(u.Name, u.Incarnation, u.Leaving, ready)
+	s.view.Heard(u.Name, u.Incarnation, u.Draining, ready)
 }
 
 // tellReport passes on what a report changed.
 func (s *Server) tellReport(r engineapi.Report, at time.Time) {
 	seen := uint64(at.UnixMilli())
 	if cur, ok := s.mesh.Current(r.Upstream); ok && cur.Incarnation == r.Incarnation {
-		seen = cur.SeenMs
+		seen = cur.FirstSeenMs
 	}
-	s.mesh.Tell(member.Upstream{Name: r.Upstream, Incarnation: r.Incarnation, SeenMs: seen, Sequence: r.Sequence,
-		Leaving: r.Leaving, Residents: readyNames(r.Residents)})
+	s.mesh.Tell(member.Upstream{Name: r.Upstream, Incarnation: r.Incarnation, FirstSeenMs: seen, Sequence: r.Sequence,
+		Draining: r.Leaving, Residents: readyNames(r.Residents)})
 }
 
 // readyNames lists what a report shows as ready, in a fixed order.
--- a/node/server/planning.go
+++ b/node/server/planning.go
@@ -148,7 +148,7 @@
 		s.poller.Assign(out)
 		return
 	}
-	planned, watchers := s.planned(), member.NewWatchers(s.cfg.Settings.Host, live)
+	planned, watchers := s.planned(), member.NewAssignment(s.cfg.Settings.Host, live)
 	watched := 0
 	for _, u := range c.Upstreams {
 		switch {
--- a/node/server/roles.go
+++ b/node/server/roles.go
@@ -108,8 +108,8 @@
 	if s.phase.Load() == phaseDraining {
 		return func(string) bool { return false }
 	}
-	w := member.NewWatchers(s.cfg.Settings.Host, live)
-	return func(name string) bool { return w.First(name, campaigners) }
+	w := member.NewAssignment(s.cfg.Settings.Host, live)
+	return func(name string) bool { return w.IsAmongFirst(name, campaigners) }
 }
 
 func (s *Server) swapRoles(wanted map[string]func() *role) {
--- a/node/server/run.go
+++ b/node/server/run.go
@@ -65,7 +65,7 @@
 	case <-ctx.Done():
 	}
 	s.phase.Store(phaseDraining)
-	s.mesh.Announce(member.Leaving)
+	s.mesh.Announce(member.Draining)
 	s.reconcileSoon() // leases move to others now, not when this host is gone
 	s.log.Emit(event.ProcessDrain, zap.Int("in_flight", s.requests.Live()))
 	if !s.wait(s.cfg.Settings.Bounds.BalancerWait()) {
@@ -82,7 +82,7 @@
 		_ = s.callers.drain(last) // what is still open then is closed by Run
 	}
 	s.drainOperators()
-	s.mesh.Announce(member.Gone)
+	s.mesh.Announce(member.Terminated)
 	s.wait(farewell)
 	s.log.Emit(event.ProcessStopped, append(s.conns.counts().fields(), zap.Int("cut", cut))...)
 	return nil
--- a/standin/local/fleet.go
+++ b/standin/local/fleet.go
@@ -223,8 +223,8 @@
 
 func (f *Fleet) config() *config.Config {
 	c := &config.Config{Site: "fleet",
-		Classes: []config.ClassRule{{Class: class.Urgent, FirstTokenMs: 610, DeadlineMs: 5000, QueueMax: 64},
-			{Class: class.Standard, FirstTokenMs: 2000, DeadlineMs: 60_000, QueueMax: 256}, {Class: class.Bulk, FirstTokenMs: 20_000, DeadlineMs: 300_000, QueueMax: 256}},
+		Classes: []config.ClassRule{{Class: class.Urgent, FirstTokenMs: 610, DeadlineMs: 5000, MaxQueue: 64},
+			{Class: class.Standard, FirstTokenMs: 2000, DeadlineMs: 60_000, MaxQueue: 256}, {Class: class.Bulk, FirstTokenMs: 20_000, DeadlineMs: 300_000, MaxQueue: 256}},
 		Presets: []config.Preset{{Name: "ordinary", UrgentHeadroom: 0.1, MovesPerMinute: 6, SpreadThreshold: 0.7, BulkShare: 0.5, AcceptBulk: true},
 			{Name: "peak", UrgentHeadroom: 0.2, MovesPerMinute: 12, SpreadThreshold: 0.6, BulkShare: 0.2, AcceptBulk: true}},
 		WeightStore: config.WeightStore{LoadsPerSecond: 10, Concurrent: 16, MBPerSecond: 10_000},
@@ -243,7 +243,7 @@
 		if i%upstreamsPerPool == 0 {
 			c.Pools = append(c.Pools, config.Pool{Name: pool, Kind: config.KindEngine})
 			for _, m := range poolModels(i / upstreamsPerPool) {
-				c.Models = append(c.Models, config.Model{Name: m, Pool: pool, Version: "1", MemoryMB: residentMB, MinReplicas: 1, Replicas: 1, TokensPerSecond: 40})
+				c.Models = append(c.Models, config.Model{Name: m, Pool: pool, Version: "1", MemoryMB: residentMB, MinReplicas: 1, InitialReplicas: 1, TokensPerSecond: 40})
 			}
 		}
 		c.Upstreams = append(c.Upstreams, config.Upstream{Name: s.Name, Pool: pool, Address: s.ln.Addr().String(), DataCentre: fleetDC(i),
--- a/standin/local/node.go
+++ b/standin/local/node.go
@@ -190,5 +190,5 @@
 
 // keyHash is the form in which keys stand in settings and configurations.
 func keyHash(key string) string {
-	return apikey.Of(key).String()
+	return apikey.HashOf(key).String()
 }
--- a/standin/site/monitor.go
+++ b/standin/site/monitor.go
@@ -27,7 +27,7 @@
 func (t Truth) Unreachable(c *config.Config) []string {
 	var out []string
 	for _, m := range c.Models {
-		if t.Gaps[m.Name] > time.Duration(m.MaxOnDemandSecs)*time.Second {
+		if t.Gaps[m.Name] > time.Duration(m.MaxOnDemandSeconds)*time.Second {
 			out = append(out, m.Name)
 		}
 	}
--- a/standin/site/place.go
+++ b/standin/site/place.go
@@ -35,7 +35,7 @@
 		for _, a := range adapters {
 			need += a.MemoryMB
 		}
-		for range max(m.Replicas, m.MinReplicas) {
+		for range max(m.InitialReplicas, m.MinReplicas) {
 			s := roomiest(slots, m, need)
 			if s == nil {
 				return eris.Wrapf(errNoRoom, "model %s with %d MB", m.Name, need)
