--- a/node/callerapi/generate.go
+++ b/node/callerapi/generate.go
@@ -118,7 +118,7 @@
 		f := fault.From(fault.StepDispatch, err)
 		state, code = f.Outcome, string(f.Code)
 	}
-	handedOver := errors.Is(context.Cause(ctx), inflight.ErrHandOver)
+	handedOver := errors.Is(context.Cause(ctx), inflight.ErrHandedOver)
 	entry.End(state.String(), code)
 	switch {
 	case err == nil:
--- a/node/callerapi/sink.go
+++ b/node/callerapi/sink.go
@@ -46,7 +46,7 @@
 	if h.Attempt == "" {
 		to.Set(HeaderReplayed, "true")
 	} else {
-		s.entry.Dispatched(h.Upstream, h.Attempt)
+		s.entry.RecordDispatch(h.Upstream, h.Attempt)
 	}
 	if s.stream && h.Attempt != "" {
 		to["X-Accel-Buffering"] = []string{"no"}
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -57,7 +57,7 @@
 	config   *follow.Config
 	fleet    *fleet.Fleet
 	gate     *gate.Gate
-	crashes  *quarantine.Watch
+	crashes  *quarantine.CrashDetector
 	guard    *quarantine.Guard
 	feed     *follow.Follower
 	lease    *lease.Lease
@@ -89,9 +89,9 @@
 	h.giveUp = giveUp
 	leaving, leave := context.WithCancel(context.Background())
 	h.leave = leave
-	h.guard = quarantine.NewGuard(quarantine.GuardDeps{Linked: h.link.Linked, Log: d.Log, Metrics: d.Metrics})
+	h.guard = quarantine.NewGuard(quarantine.GuardDeps{Connected: h.link.Linked, Log: d.Log, Metrics: d.Metrics})
 	h.link.Quarantine = h.guard
-	h.crashes = quarantine.NewWatch(quarantine.WatchDeps{Refuses: d.Client.Refuses, Crashed: h.crashed, Log: d.Log, Metrics: d.Metrics})
+	h.crashes = quarantine.NewCrashDetector(quarantine.CrashDetectorDeps{NotListening: d.Client.Refuses, OnCrash: h.crashed, Log: d.Log, Metrics: d.Metrics})
 	h.gate = gate.New(gate.Deps{HoldsLimited: leaving, Stopping: ending, Config: h.config, Fleet: h.fleet, Client: d.Client, Codec: d.Platform.Codec, Coordinator: h.link, TeamLimits: h.link, CrashRecorder: h.crashes, PoisonGuard: h.guard,
 		RetryBudget: gate.NewRetryBudget(policy, h.link.Hosts), Log: d.Log, Metrics: d.Metrics, Draining: h.draining.Load, RejectsNew: h.closing.Load, DisconnectReason: connGone})
 	h.limitMemory()
@@ -309,7 +309,7 @@
 
 // crashed notes that an upstream ended under requests of this host.
 func (h *Host) crashed(upstream string, at time.Time, ran []poison.Fingerprint) {
-	h.guard.Crashed(upstream, at, ran)
+	h.guard.RecordCrash(upstream, at, ran)
 	h.link.ReportSoon()
 }
 
--- a/node/inflight/inflight.go
+++ b/node/inflight/inflight.go
@@ -18,9 +18,9 @@
 	"peridotpier.example/core/class"
 )
 
-// ErrHandOver is the cause of the end of a stream that outlived a graceful
+// ErrHandedOver is the cause of the end of a stream that outlived a graceful
 // shutdown's bound: its caller takes it up again through another host.
-var ErrHandOver = errors.New("host is shutting down")
+var ErrHandedOver = errors.New("host is shutting down")
 
 const (
 	shards = 16
@@ -111,8 +111,8 @@
 	return ctx, e
 }
 
-// Dispatched notes where the request's answer comes from.
-func (e *Entry) Dispatched(upstream, attempt string) {
+// RecordDispatch notes where the request's answer comes from.
+func (e *Entry) RecordDispatch(upstream, attempt string) {
 	e.mu.Lock()
 	e.req.Upstream, e.req.Attempt = upstream, attempt
 	e.mu.Unlock()
@@ -138,8 +138,8 @@
 	e.reg.count.Add(-1)
 }
 
-// Live returns the number of requests being served.
-func (r *Registry) Live() int { return int(r.count.Load()) }
+// LiveCount returns the number of requests being served.
+func (r *Registry) LiveCount() int { return int(r.count.Load()) }
 
 // Get finds a live or lately ended request. A team sees its own only; an
 // empty team, which no caller has, sees all.
@@ -202,7 +202,7 @@
 		s := &r.parts[i]
 		s.mu.Lock()
 		for _, e := range s.live {
-			e.cancel(ErrHandOver)
+			e.cancel(ErrHandedOver)
 			n++
 		}
 		s.mu.Unlock()
--- a/node/quarantine/guard.go
+++ b/node/quarantine/guard.go
@@ -24,10 +24,10 @@
 type GuardDeps struct {
 	// Linked says whether this host hears one that acts for all, which knows
 	// better than what this host has seen alone.
-	Linked  func() bool
-	Log     *event.Log
-	Metrics *metrics.Set
-	Now     func() time.Time
+	Connected func() bool
+	Log       *event.Log
+	Metrics   *metrics.Set
+	Now       func() time.Time
 }
 
 // Guard says which requests this host must not send to any upstream: those that
@@ -119,7 +119,7 @@
 
 // standing is what is held against a request by those whose word counts now.
 func (g *Guard) standing(v *view, d poison.Digest) []poison.Entry {
-	if v.led && g.deps.Linked() {
+	if v.led && g.deps.Connected() {
 		return []poison.Entry{v.site[d]}
 	}
 	return []poison.Entry{v.site[d], v.own[d]}
@@ -145,8 +145,8 @@
 	g.refreshLocked(now)
 }
 
-// Crashed notes that an upstream ended while requests of this host were under way there.
-func (g *Guard) Crashed(upstream string, at time.Time, ran []poison.Fingerprint) {
+// RecordCrash notes that an upstream ended while requests of this host were under way there.
+func (g *Guard) RecordCrash(upstream string, at time.Time, ran []poison.Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.deps.Now()
@@ -308,7 +308,7 @@
 // refreshLocked renews what requests are compared with.
 func (g *Guard) refreshLocked(now time.Time) {
 	for _, d := range g.own.TakeTransitions() {
-		if d.State == poison.Barred && !g.deps.Linked() {
+		if d.State == poison.Barred && !g.deps.Connected() {
 			g.logLocked(d.Entry, "own", now)
 		}
 	}
--- a/node/quarantine/guard_test.go
+++ b/node/quarantine/guard_test.go
@@ -19,7 +19,7 @@
 
 func newGuarded(linked bool) *guarded {
 	g := &guarded{now: time.Unix(1000, 0), linked: linked}
-	g.Guard = NewGuard(GuardDeps{Linked: func() bool { return g.linked }, Metrics: metrics.New(), Now: func() time.Time { return g.now }})
+	g.Guard = NewGuard(GuardDeps{Connected: func() bool { return g.linked }, Metrics: metrics.New(), Now: func() time.Time { return g.now }})
 	return g
 }
 
@@ -33,7 +33,7 @@
 // ended notes two ends of upstreams under one request.
 func (g *guarded) ended(text string) {
 	for _, u := range []string{"u", "v"} {
-		g.Crashed(u+text, g.now, []poison.Fingerprint{asked(text).Fingerprint()})
+		g.RecordCrash(u+text, g.now, []poison.Fingerprint{asked(text).Fingerprint()})
 		g.now = g.now.Add(time.Second)
 	}
 }
@@ -88,7 +88,7 @@
 	g, h := newGuarded(true), newHolder(1)
 	const crashes = 3 * reportMost
 	for i := range crashes {
-		g.Crashed(string(rune('a'+i)), g.now, []poison.Fingerprint{asked(string(rune('a' + i))).Fingerprint()})
+		g.RecordCrash(string(rune('a'+i)), g.now, []poison.Fingerprint{asked(string(rune('a' + i))).Fingerprint()})
 	}
 	for range crashes / reportMost {
 		assert.Equal(t, len(g.NextReport("h").Events), reportMost)
@@ -101,8 +101,8 @@
 
 func TestWhatOneHostTellsBarsAtAll(t *testing.T) {
 	a, b, h := newGuarded(true), newGuarded(true), newHolder(1)
-	a.Crashed("u", a.now, []poison.Fingerprint{asked("x").Fingerprint()})
-	b.Crashed("v", b.now, []poison.Fingerprint{asked("x").Fingerprint()})
+	a.RecordCrash("u", a.now, []poison.Fingerprint{asked("x").Fingerprint()})
+	b.RecordCrash("v", b.now, []poison.Fingerprint{asked("x").Fingerprint()})
 	h.hear(a, "h")
 	h.hear(b, "h")
 	h.hear(a, "h")
@@ -114,7 +114,7 @@
 func TestASuccessorHearsAll(t *testing.T) {
 	g, first := newGuarded(true), newHolder(1)
 	g.ended("x")
-	g.Crashed("w", g.now, []poison.Fingerprint{asked("y").Fingerprint()})
+	g.RecordCrash("w", g.now, []poison.Fingerprint{asked("y").Fingerprint()})
 	first.hear(g, "first")
 	second := newHolder(2)
 	second.hear(g, "second")
@@ -163,7 +163,7 @@
 func BenchmarkBarred(b *testing.B) {
 	g := newGuarded(true)
 	for i := range 1000 {
-		g.Crashed(string(rune(i)), g.now, []poison.Fingerprint{asked(string(rune(i))).Fingerprint()})
+		g.RecordCrash(string(rune(i)), g.now, []poison.Fingerprint{asked(string(rune(i))).Fingerprint()})
 	}
 	r := poison.NewRequest(poison.Content{Method: "POST", Host: "site.example", Target: "/v1/generate/0815", Body: make([]byte, 4700)})
 	for b.Loop() {
--- a/node/quarantine/watch.go
+++ b/node/quarantine/watch.go
@@ -35,22 +35,22 @@
 	suspectsMost = 128
 )
 
-// WatchDeps are what a Watch works with.
-type WatchDeps struct {
+// CrashDetectorDeps are what a Watch works with.
+type CrashDetectorDeps struct {
 	// Refuses says whether nothing listens at an address.
-	Refuses func(ctx context.Context, address string) bool
+	NotListening func(ctx context.Context, address string) bool
 	// Crash is told of an upstream that ended, when that was noticed, and what
 	// this host had under way there; again for what is found later.
-	Crashed func(upstream string, at time.Time, ran []poison.Fingerprint)
+	OnCrash func(upstream string, at time.Time, ran []poison.Fingerprint)
 	Log     *event.Log
 	Metrics *metrics.Set
 	Now     func() time.Time
 }
 
-// Watch finds out whether an upstream ended when exchanges with it broke. A
+// CrashDetector finds out whether an upstream ended when exchanges with it broke. A
 // connection also breaks on the way, or by an upstream that goes on working.
-type Watch struct {
-	deps WatchDeps
+type CrashDetector struct {
+	deps CrashDetectorDeps
 	asks chan string // upstreams
 
 	mu     sync.Mutex
@@ -66,20 +66,20 @@
 	suspects []poison.Fingerprint
 }
 
-// NewWatch makes a Watch; Run makes it work.
-func NewWatch(d WatchDeps) *Watch {
+// NewCrashDetector makes a Watch; Run makes it work.
+func NewCrashDetector(d CrashDetectorDeps) *CrashDetector {
 	if d.Now == nil {
 		d.Now = time.Now
 	}
 	if d.Log == nil {
 		d.Log = event.NewLog(nil)
 	}
-	return &Watch{deps: d, asks: make(chan string, asksMost), broken: map[string]*brokenUpstream{}}
+	return &CrashDetector{deps: d, asks: make(chan string, asksMost), broken: map[string]*brokenUpstream{}}
 }
 
 // RecordBroken notes a request whose exchange with an upstream broke before its end.
 // It does not wait.
-func (w *Watch) RecordBroken(upstream, address string, request poison.Fingerprint) {
+func (w *CrashDetector) RecordBroken(upstream, address string, request poison.Fingerprint) {
 	w.mu.Lock()
 	now := w.deps.Now()
 	w.forgetLocked(now)
@@ -103,7 +103,7 @@
 }
 
 // forgetLocked drops what is too old to hear of any more.
-func (w *Watch) forgetLocked(now time.Time) {
+func (w *CrashDetector) forgetLocked(now time.Time) {
 	for id, e := range w.broken {
 		if e.asked && now.Sub(e.at) > brokenKept {
 			delete(w.broken, id)
@@ -112,7 +112,7 @@
 }
 
 // Run asks addresses until ctx ends.
-func (w *Watch) Run(ctx context.Context) error {
+func (w *CrashDetector) Run(ctx context.Context) error {
 	var workers sync.WaitGroup
 	for range askWorkers {
 		workers.Go(func() { w.work(ctx) })
@@ -121,7 +121,7 @@
 	return ctx.Err()
 }
 
-func (w *Watch) work(ctx context.Context) {
+func (w *CrashDetector) work(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -133,7 +133,7 @@
 }
 
 // ask finds out whether an upstream has ended.
-func (w *Watch) ask(ctx context.Context, upstream string) {
+func (w *CrashDetector) ask(ctx context.Context, upstream string) {
 	w.mu.Lock()
 	e := w.broken[upstream]
 	w.mu.Unlock()
@@ -151,19 +151,19 @@
 	}
 }
 
-func (w *Watch) refuses(ctx context.Context, address string) bool {
+func (w *CrashDetector) refuses(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, askBound)
 	defer cancel()
-	return w.deps.Refuses(ctx, address)
+	return w.deps.NotListening(ctx, address)
 }
 
 // tell passes on what ran on an upstream that ended.
-func (w *Watch) tell(upstream string, at time.Time, ran []poison.Fingerprint) {
+func (w *CrashDetector) tell(upstream string, at time.Time, ran []poison.Fingerprint) {
 	digests := make([]poison.Digest, len(ran))
 	for i, m := range ran {
 		digests[i] = m.Digest
 	}
 	w.deps.Log.Emit(event.UpstreamEnded, zap.String(event.FieldPeer, upstream), zap.Stringers("under_way", digests),
 		zap.Int64("age_ms", w.deps.Now().Sub(at).Milliseconds()))
-	w.deps.Crashed(upstream, at, ran)
+	w.deps.OnCrash(upstream, at, ran)
 }
--- a/node/quarantine/watch_test.go
+++ b/node/quarantine/watch_test.go
@@ -17,10 +17,10 @@
 )
 
 // watched is a running Watch whose addresses answer as refuses says.
-func watched(t *testing.T, refuses func(address string) bool) (*Watch, *observer.ObservedLogs) {
+func watched(t *testing.T, refuses func(address string) bool) (*CrashDetector, *observer.ObservedLogs) {
 	core, lines := observer.New(zap.DebugLevel)
-	w := NewWatch(WatchDeps{Refuses: func(_ context.Context, a string) bool { return refuses(a) }, Log: event.NewLog(zap.New(core)),
-		Metrics: metrics.New(), Crashed: func(string, time.Time, []poison.Fingerprint) {}})
+	w := NewCrashDetector(CrashDetectorDeps{NotListening: func(_ context.Context, a string) bool { return refuses(a) }, Log: event.NewLog(zap.New(core)),
+		Metrics: metrics.New(), OnCrash: func(string, time.Time, []poison.Fingerprint) {}})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = w.Run(ctx) }()
--- a/node/server/server.go
+++ b/node/server/server.go
@@ -162,7 +162,7 @@
 func (s *Server) controlPath() error {
 	s.config = query.NewConfigReader(s.cfg.Settings.Bounds.ConfigPoll(),
 		query.Deps{Table: s.cfg.Platform.Table, Objects: s.cfg.Platform.Objects, Log: s.log})
-	s.metrics.SetFunc(metrics.InFlight, func() any { return s.requests.Live() })
+	s.metrics.SetFunc(metrics.InFlight, func() any { return s.requests.LiveCount() })
 	s.metrics.SetFunc(metrics.ConfigVersion, func() any { return s.version() })
 	s.orders = orders.New(s.client, s.addressOf)
 	ln, err := net.Listen("tcp", s.cfg.Settings.Peer.Address)
--- a/node/server/status.go
+++ b/node/server/status.go
@@ -19,7 +19,7 @@
 	phase := s.phase.Load()
 	out := operatorapi.Status{Host: s.cfg.Settings.Host, DataCentre: s.cfg.Settings.DataCentre, Incarnation: s.incarnation,
 		Ready: phase == phaseReady, Draining: phase == phaseDraining, Standing: s.config.Standing().String(),
-		InFlight: s.requests.Live(), Unsettled: s.claims.unsettled(), UptimeSeconds: time.Since(s.started).Seconds()}
+		InFlight: s.requests.LiveCount(), Unsettled: s.claims.unsettled(), UptimeSeconds: time.Since(s.started).Seconds()}
 	if st, ok := s.config.Current(); ok {
 		out.Version, out.Preset = st.Version, st.Preset.Name
 	}
