--- a/node/gate/turn.go
+++ b/node/gate/turn.go
@@ -15,33 +15,33 @@
 
 // PermitRequest asks the host that decides for all where a request may go.
 type PermitRequest struct {
-	Service          string
-	Ask              *fleet.Ask
-	Cost             fleet.Cost
-	Priority         int
-	MaxWaitingTokens int           // prompt tokens that may wait beside it; 0: not bounded
-	Excluded         []string      // upstreams not to go to: tried, or left alone by this host
-	Warm             []string      // upstreams with an idle connection from here
-	Backoffs         fleet.Rests   // that upstreams of the service asked this host for
-	ObjectiveLeft    time.Duration // for so long an answer that begins is in time
-	MaxWait          time.Duration // for so long it waits
-	Team             *deploy.Team  // whose limit is charged with the turn; nil: nobody's
-	Charge           float64       // in what the limit counts
+	Service                string
+	Ask                    *fleet.Ask
+	Cost                   fleet.Cost
+	Priority               int
+	MaxPendingPromptTokens int           // prompt tokens that may wait beside it; 0: not bounded
+	Excluded               []string      // upstreams not to go to: tried, or left alone by this host
+	Warm                   []string      // upstreams with an idle connection from here
+	Backoffs               fleet.Rests   // that upstreams of the service asked this host for
+	ObjectiveLeft          time.Duration // for so long an answer that begins is in time
+	MaxWait                time.Duration // for so long it waits
+	Team                   *deploy.Team  // whose limit is charged with the turn; nil: nobody's
+	Charge                 float64       // in what the limit counts
 }
 
 // Permit is the answer. Of one with an upstream, First is called when the answer
 // begins, Absent when nothing listens there, and End when the attempt is over;
 // all may be called from any goroutine.
 type Permit struct {
-	OverLimit       bool          // over the team's limit; nothing else is set but Wait
-	RetryAfter      time.Duration // until that, or some upstream, may allow the request; 0: not known
-	Upstream        string        // "": none; see Reason
-	Reason          balance.Reason
-	AdapterUpstream string // where an adapter should be loaded
-	Predicted       time.Duration
-	Requests        int
-	WaitingTokens   int
-	CachedTokens    int
+	OverLimit           bool          // over the team's limit; nothing else is set but Wait
+	RetryAfter          time.Duration // until that, or some upstream, may allow the request; 0: not known
+	Upstream            string        // "": none; see Reason
+	Reason              balance.Reason
+	AdapterUpstream     string // where an adapter should be loaded
+	Predicted           time.Duration
+	InFlight            int
+	PendingPromptTokens int
+	CachedTokens        int
 	// WithinLimit says that the upstream names a limit and the request is counted.
 	WithinLimit bool
 	Trial       bool // First is waited for: the upstream has turned requests away
@@ -63,7 +63,7 @@
 	ctx, cancel := context.WithTimeout(q.ctx, left)
 	defer cancel()
 	defer q.endsWithStop(cancel)()
-	ask := &PermitRequest{Service: q.service.Name, Ask: &q.ask, Cost: q.cost, Priority: q.urgency(), MaxWaitingTokens: q.reading(now, q.lost),
+	ask := &PermitRequest{Service: q.service.Name, Ask: &q.ask, Cost: q.cost, Priority: q.urgency(), MaxPendingPromptTokens: q.reading(now, q.lost),
 		ObjectiveLeft: q.start.Add(q.route.Objective).Sub(now), MaxWait: left}
 	ask.Warm, ask.Backoffs = q.warm(), d.Fleet.Rests(q.service.Name)
 	if q.caller.owes() {
@@ -93,9 +93,9 @@
 		return nil, picked{}, false
 	}
 	p = picked{Decision: balance.Decision{PredictedWait: t.Predicted}, among: len(d.Fleet.Service(q.service.Name)),
-		load: t.Requests, waiting: t.WaitingTokens, cached: t.CachedTokens, turn: t}
+		load: t.InFlight, waiting: t.PendingPromptTokens, cached: t.CachedTokens, turn: t}
 	d.Log.Emit(event.TurnGiven, q.id(), zap.String(event.FieldPeer, t.Upstream), zap.Int64("waited_ms", d.Now().Sub(now).Milliseconds()),
-		zap.Int("load", t.Requests), zap.Int("waiting", t.WaitingTokens), zap.Int("cached", t.CachedTokens))
+		zap.Int("load", t.InFlight), zap.Int("waiting", t.PendingPromptTokens), zap.Int("cached", t.CachedTokens))
 	return e, p, true
 }
 
