--- a/node/host/host.go
+++ b/node/host/host.go
@@ -54,7 +54,7 @@
 	deps     Deps
 	set      *Settings
 	log      *event.Log
-	config   *follow.Config
+	config   *follow.ActiveConfig
 	fleet    *fleet.Fleet
 	gate     *gate.Gate
 	crashes  *quarantine.CrashDetector
@@ -79,9 +79,9 @@
 // New puts a host together and opens its listeners.
 func New(d Deps) (*Host, error) {
 	set := d.Settings
-	h := &Host{deps: d, set: set, log: d.Log, config: follow.NewConfig(d.Log), listed: make(chan struct{}), stopped: make(chan struct{}), started: time.Now()}
-	h.fleet = fleet.New(fleet.Config{DataCentre: set.DataCentre, LapseHold: milliseconds(set.Bounds.LapseMs), MassHold: milliseconds(set.Bounds.DrainMs * massHoldShare)},
-		fleet.Deps{Log: d.Log, Left: d.Client.Forget, Changed: h.announce, Noticed: h.hasten})
+	h := &Host{deps: d, set: set, log: d.Log, config: follow.NewActiveConfig(d.Log), listed: make(chan struct{}), stopped: make(chan struct{}), started: time.Now()}
+	h.fleet = fleet.New(fleet.Config{DataCentre: set.DataCentre, RecoveryGrace: milliseconds(set.Bounds.LapseMs), MassRemovalGrace: milliseconds(set.Bounds.DrainMs * massHoldShare)},
+		fleet.Deps{Log: d.Log, OnForgotten: d.Client.Forget, OnListChange: h.announce, OnUrgentChange: h.hasten})
 	h.config.OnChange(h.announce)
 	h.controlPath()
 	policy := budget.Policy{Ratio: set.Bounds.RepeatRatio, Slack: set.Bounds.RepeatSlack, Window: seconds(set.Bounds.RepeatWindowS)}
@@ -154,11 +154,11 @@
 		TryBound: leaseTry, Policy: leasing.Policy{TTL: leaseTTL, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}},
 		lease.Deps{Table: table, Log: d.Log})
 	h.feed = follow.New(follow.Deps{Source: d.Platform.Source, Config: h.config, Upstreams: h.fleet, Log: d.Log, Metrics: d.Metrics,
-		Patient:    func() bool { return !h.link.Candidate() && !h.coord.Acting() },
-		Led:        func() bool { return h.link.LinkedWithoutLease() },
-		Unneeded:   func() bool { return set.FirstStart },
-		RelayFresh: relayFresh,
-		Relays:     func() bool { return h.coord.Acting() }, Listed: h.upstreamsListed})
+		OthersProbeFirst:    func() bool { return !h.link.Candidate() && !h.coord.Acting() },
+		LinkedToCoordinator: func() bool { return h.link.LinkedWithoutLease() },
+		NotNeededYet:        func() bool { return set.FirstStart },
+		MaxRelayAge:         relayFresh,
+		IsRelaying:          func() bool { return h.coord.Acting() }, OnListed: h.upstreamsListed})
 	h.coord = coordinator.New(coordinator.Config{Host: set.Host, Holder: holder, Address: set.Peers, QuietPeriod: milliseconds(set.Bounds.LeaseMs) + orderFlight,
 		CeilingWindow: seconds(set.Bounds.CeilingWindowS), CeilingFactor: set.Bounds.CeilingOver, LimitSlack: set.Bounds.LimitSlack, MaxRelayAge: relayFresh, LinkMbps: set.Limits.LinkMbps, NoModelMoves: set.NoModelMoves},
 		coordinator.Deps{Fleet: h.fleet, Config: h.config, Lease: h.lease, Orders: d.Platform.Orders, Table: table, Feed: h.feed, Log: d.Log, Metrics: d.Metrics})
@@ -315,7 +315,7 @@
 
 // logReady logs when the host has what it needs.
 func (h *Host) logReady(ctx context.Context) error {
-	for _, c := range []<-chan struct{}{h.config.First(), h.listed} {
+	for _, c := range []<-chan struct{}{h.config.FirstApplied(), h.listed} {
 		select {
 		case <-c:
 		case <-ctx.Done():
@@ -339,7 +339,7 @@
 	dropped := int64(0)
 	for h.sweepPause(ctx) {
 		dropped = h.tellDropped(dropped)
-		h.fleet.Sweep()
+		h.fleet.RunChecks()
 		h.callers.sweep(time.Now())
 		if h.draining.Load() {
 			h.leave()
@@ -350,8 +350,8 @@
 
 // sweepPause waits for the next look; it says no when ctx ends.
 func (h *Host) sweepPause(ctx context.Context) bool {
-	stirred := h.fleet.Stirred()
-	if h.fleet.Watching() {
+	stirred := h.fleet.ChecksNeeded()
+	if h.fleet.HasPendingChecks() {
 		return pace.Sleep(ctx, sweepEach)
 	}
 	return pace.SleepOrWake(ctx, sweepIdle, stirred) && pace.Sleep(ctx, sweepEach)
--- a/node/host/status.go
+++ b/node/host/status.go
@@ -35,7 +35,7 @@
 	e.GET(StatusPath, func(c *echo.Context) error {
 		s := Status{Host: h.set.Host, DataCentre: h.set.DataCentre, Ready: h.isReady(), Coordinator: h.link.CoordinatorAddress(),
 			Holds: h.coord.HoldsLease(), Acts: h.coord.Acting(), Hosts: h.link.Hosts(), ReportMs: h.link.ReportPeriod().Milliseconds(),
-			Upstreams: len(h.fleet.All()), ListVersion: h.feed.UpstreamsAt(), PeerCalls: h.deps.Metrics.CountsByKind(metrics.PeerCalls),
+			Upstreams: len(h.fleet.All()), ListVersion: h.feed.UpstreamsVersion(), PeerCalls: h.deps.Metrics.CountsByKind(metrics.PeerCalls),
 			PeerBytes: h.deps.Metrics.CountsByKind(metrics.PeerBytes), StoreCalls: h.deps.Metrics.CountsByKind(metrics.StoreCalls)}
 		if t := h.config.Current(); t != nil {
 			s.Configuration = t.Config.Version
--- a/node/host/stop.go
+++ b/node/host/stop.go
@@ -37,7 +37,7 @@
 	}
 	began := time.Now()
 	h.draining.Store(true)
-	h.fleet.Stir() // those who wait are let go by the next look
+	h.fleet.WakeChecks() // those who wait are let go by the next look
 	h.log.Emit(event.HostStopping, zap.Int("active", h.callers.drain.Active()))
 	grace := seconds(h.set.Bounds.GraceS) - stopReserve
 	wait := context.WithoutCancel(ctx)
--- a/node/host/upstreams.go
+++ b/node/host/upstreams.go
@@ -27,13 +27,13 @@
 	e.GET(UpstreamsPath, func(c *echo.Context) error {
 		out := []AskingUpstream{}
 		now := time.Now()
-		for _, a := range h.fleet.Asking() {
-			u := AskingUpstream{Upstream: a.Upstream, Service: a.Service, Leaving: a.Leaving, RestMs: a.Rest.Milliseconds(), Starting: a.Starting, Source: a.Source}
+		for _, a := range h.fleet.Restrictions() {
+			u := AskingUpstream{Upstream: a.Upstream, Service: a.Service, Leaving: a.Draining, RestMs: a.Backoff.Milliseconds(), Starting: a.InSlowStart, Source: a.Source}
 			if a.Limit.Stated {
 				u.Limit = &a.Limit.PerSecond
 			}
-			if !a.Since.IsZero() {
-				u.SinceMs = now.Sub(a.Since).Milliseconds()
+			if !a.SignalledAt.IsZero() {
+				u.SinceMs = now.Sub(a.SignalledAt).Milliseconds()
 			}
 			out = append(out, u)
 		}
