--- a/node/callerapi/fuzz_test.go
+++ b/node/callerapi/fuzz_test.go
@@ -50,7 +50,7 @@
 
 type noGrant struct{ dispatch.Grant }
 
-func (noGrant) NotRun(context.Context) error { return nil }
+func (noGrant) Release(context.Context) error { return nil }
 
 func (a *alone) Claim(context.Context, nodeclaim.Request) (dispatch.Grant, *nodeclaim.Answer, error) {
 	a.claims++
--- a/node/dispatch/dispatch.go
+++ b/node/dispatch/dispatch.go
@@ -132,9 +132,9 @@
 	case err == nil:
 		_ = r.grant.Complete(ctx, r.out.answer())
 	case fault.From(fault.StepDispatch, err).Outcome == outcome.NotRun:
-		_ = r.grant.NotRun(ctx)
+		_ = r.grant.Release(ctx)
 	default:
-		_ = r.grant.Unknown(ctx)
+		_ = r.grant.MarkUnknown(ctx)
 	}
 }
 
@@ -195,7 +195,7 @@
 	}
 	to := claim.Route{Upstream: a.ep.Upstream, Incarnation: a.ep.Incarnation, Attempt: a.id}
 	if r.grant != nil {
-		return false, r.grant.Dispatching(ctx, to, r.w.Deadline)
+		return false, r.grant.RecordDispatch(ctx, to, r.w.Deadline)
 	}
 	grant, stored, err := r.w.Claim(ctx, to)
 	if err != nil {
@@ -205,7 +205,7 @@
 		return true, r.out.replay(stored)
 	}
 	r.grant = grant
-	return false, grant.Dispatching(ctx, to, r.w.Deadline)
+	return false, grant.RecordDispatch(ctx, to, r.w.Deadline)
 }
 
 // again says whether another attempt follows the one that failed, and waits
--- a/node/dispatch/work.go
+++ b/node/dispatch/work.go
@@ -49,13 +49,13 @@
 type Grant interface {
 	// Dispatching makes durable which attempt goes where, before its first
 	// byte is written. On an error the attempt must not be sent.
-	Dispatching(ctx context.Context, r claim.Route, deadline time.Time) error
+	RecordDispatch(ctx context.Context, r claim.Route, deadline time.Time) error
 	// Complete keeps the answer; it may finish later in the background.
 	Complete(ctx context.Context, a nodeclaim.Answer) error
 	// NotRun frees the key, so that a retry may run.
-	NotRun(ctx context.Context) error
+	Release(ctx context.Context) error
 	// Unknown keeps the key: no retry runs until the fate is known.
-	Unknown(ctx context.Context) error
+	MarkUnknown(ctx context.Context) error
 }
 
 // Head is what is known of an answer when its first byte is due.
--- a/node/planner/act.go
+++ b/node/planner/act.go
@@ -134,22 +134,22 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m.Change.Kind == ledger.Load {
-		p.status.Loads++
+		p.status.LoadOrders++
 	} else {
-		p.status.Unloads++
+		p.status.UnloadOrders++
 	}
 }
 
 // onDemand models take turns, so each load of one begins its turn.
 func (p *Planner) onDemand(model string) bool {
-	return slices.ContainsFunc(p.deps.Site.View().Config.Models, func(m config.Model) bool { return m.Name == model && m.MinReplicas == 0 })
+	return slices.ContainsFunc(p.deps.Inputs.View().Config.Models, func(m config.Model) bool { return m.Name == model && m.MinReplicas == 0 })
 }
 
 // sendAll sends orders side by side: a silent engine holds up no other.
 func (p *Planner) sendAll(ctx context.Context, tasks []task) {
 	states := make([]sendState, len(tasks))
 	var g errgroup.Group
-	g.SetLimit(p.cfg.AtOnce)
+	g.SetLimit(p.cfg.MaxConcurrentSends)
 	for i, t := range tasks {
 		g.Go(func() error { states[i] = p.send(ctx, t); return nil })
 	}
--- a/node/server/planning.go
+++ b/node/server/planning.go
@@ -37,10 +37,10 @@
 }
 
 // Reports implements planner.Site.
-func (p plannerSite) Reports() []planner.Observed {
-	var out []planner.Observed
+func (p plannerSite) Reports() []planner.ObservedReport {
+	var out []planner.ObservedReport
 	for _, r := range p.s.view.Reports(p.pool) {
-		out = append(out, planner.Observed{Report: r.Report, Read: r.Read, Down: r.Down})
+		out = append(out, planner.ObservedReport{Report: r.Report, Read: r.Read, Down: r.Down})
 	}
 	return out
 }
