--- a/node/host/host.go
+++ b/node/host/host.go
@@ -150,8 +150,8 @@
 	table := countedTable{d.Platform.Table, d.Metrics}
 	relayFresh := milliseconds(set.Bounds.DrainMs * relayFreshShare)
 	holder := coordinator.HolderName(set.Host, set.Peers, uuid.NewString())
-	h.lease = lease.New(lease.Config{Name: leaseName, Holder: holder, Ended: coordinator.FormerProcessOf(holder),
-		TryBound: leaseTry, Policy: leasing.Policy{TTL: leaseTTL, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}},
+	h.lease = lease.New(lease.Config{Name: leaseName, Holder: holder, HasTerminated: coordinator.FormerProcessOf(holder),
+		TryTimeout: leaseTry, Policy: leasing.Policy{TTL: leaseTTL, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}},
 		lease.Deps{Table: table, Log: d.Log})
 	h.feed = follow.New(follow.Deps{Source: d.Platform.Source, Config: h.config, Upstreams: h.fleet, Log: d.Log, Metrics: d.Metrics,
 		OthersProbeFirst:    func() bool { return !h.link.Candidate() && !h.coord.Acting() },
