--- a/node/server/claims.go
+++ b/node/server/claims.go
@@ -108,5 +108,5 @@
 	if !ok {
 		return engineapi.Attempt{}, fault.Unknown(fault.StepClaim, upstream, fault.CodeOutcomeUnknown, "%w", errUpstreamGone)
 	}
-	return f.s.dispatch.Upstreams().Fate(ctx, address, attempt)
+	return f.s.dispatch.UpstreamClient().AttemptOutcome(ctx, address, attempt)
 }
--- a/node/server/server.go
+++ b/node/server/server.go
@@ -150,8 +150,8 @@
 	if picker == nil {
 		picker = route.New(route.Config{})
 	}
-	s.dispatch = dispatch.New(dispatch.Config{Silence: set.Bounds.Silence(), RetryShare: set.Bounds.RetryShare},
-		dispatch.Deps{View: s.view, Picker: picker, Client: s.client, Log: s.log, Metrics: s.metrics, Demand: s.cfg.Policy.Demand})
+	s.dispatch = dispatch.New(dispatch.Config{IdleBeforeProbe: set.Bounds.Silence(), RetryShare: set.Bounds.RetryShare},
+		dispatch.Deps{View: s.view, Picker: picker, Client: s.client, Log: s.log, Metrics: s.metrics, NotifyDemand: s.cfg.Policy.Demand})
 	s.poller.Fresh = s.tellReport
 	s.demand = demand.New(s.cfg.Demand)
 	s.admit = admission.New(admission.Config{Hosts: 1})
--- a/node/upstream/poll/poll.go
+++ b/node/upstream/poll/poll.go
@@ -39,7 +39,7 @@
 type Sink interface {
 	Report(r engineapi.Report, at time.Time) bool
 	Prefix(upstream string, e engineapi.CacheEvent)
-	Down(upstream string)
+	MarkDown(upstream string)
 }
 
 // Target is one upstream to ask, and how often.
@@ -207,7 +207,7 @@
 		return
 	}
 	if fault.From(fault.StepDispatch, err).Outcome == outcome.NotRun {
-		p.sink.Down(u.Name)
+		p.sink.MarkDown(u.Name)
 	}
 	if !t.failing {
 		t.failing = true
--- a/node/upstream/view/reports.go
+++ b/node/upstream/view/reports.go
@@ -59,10 +59,10 @@
 	v.changed()
 }
 
-// Restarted takes an upstream's own word, on an attempt meant for its process
+// MarkRestarted takes an upstream's own word, on an attempt meant for its process
 // from, that the process to runs there now. It counts only while from is the
 // process known: a refusal that arrives late must not bring an older one back.
-func (v *View) Restarted(upstream, from, to string) {
+func (v *View) MarkRestarted(upstream, from, to string) {
 	s := v.of(upstream)
 	if s == nil {
 		return
