--- a/node/coordinator/asking.go
+++ b/node/coordinator/asking.go
@@ -313,7 +313,7 @@
 		return &gate.Permit{Reason: balance.ReasonFromCode(answer.Reason), AdapterUpstream: answer.Home, RetryAfter: milliseconds(answer.WaitMs)}, nil
 	}
 	return &gate.Permit{Upstream: answer.Upstream, Predicted: milliseconds(answer.PredictedMs),
-		InFlight: int(answer.Load), PendingPromptTokens: int(answer.Waiting), CachedTokens: int(answer.Cached), WithinLimit: answer.WithinLimit, Trial: answer.Trial,
+		InFlight: int(answer.Load), PendingPromptTokens: int(answer.Waiting), CachedTokens: int(answer.Cached), WithinLimit: answer.WithinLimit, IsProbe: answer.Trial,
 		Began:        func() { _ = a.tell(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_FIRST}) },
 		NotListening: func() { _ = a.tell(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_ABSENT}) },
 		Release:      func() { _ = a.tell(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_END}) }}, nil
--- a/node/gate/attempt.go
+++ b/node/gate/attempt.go
@@ -40,7 +40,7 @@
 	x := e.Begin(&q.ask, q.cost)
 	if p.turn != nil {
 		x.RecordPendingPrompts(p.waiting)
-		if q.ask.Model != "" || p.turn.Trial { // of other calls the end is what counts
+		if q.ask.Model != "" || p.turn.IsProbe { // of other calls the end is what counts
 			x.OnFirstByte(p.turn.Began)
 		}
 		defer p.turn.Release()
--- a/node/gate/turn.go
+++ b/node/gate/turn.go
@@ -44,7 +44,7 @@
 	CachedTokens        int
 	// WithinLimit says that the upstream names a limit and the request is counted.
 	WithinLimit bool
-	Trial       bool // First is waited for: the upstream has turned requests away
+	IsProbe     bool // First is waited for: the upstream has turned requests away
 
 	Began        func()
 	NotListening func()
