--- a/node/peer/mesh_test.go
+++ b/node/peer/mesh_test.go
@@ -208,7 +208,7 @@
 }
 
 func (w *world) apply() revision.Head {
-	head, err := command.NewConfiguration(command.Deps{Table: w.table, Objects: w.objects}).Apply(w.ctx, command.Apply{Author: "t", Document: []byte(document)})
+	head, err := command.NewConfiguration(command.Deps{Table: w.table, Objects: w.objects}).Apply(w.ctx, command.ApplyRequest{Author: "t", Document: []byte(document)})
 	assert.NilError(w.t, err)
 	return head
 }
@@ -286,7 +286,7 @@
 			st, ok := w.hosts[n].config.Current()
 			assert.Assert(t, ok && st.Version == head.Version, n)
 		}
-		assert.Equal(t, w.hosts["c"].config.Standing(), revision.Confirmed)
+		assert.Equal(t, w.hosts["c"].config.Freshness(), revision.Confirmed)
 		versions := w.hosts["a"].mesh.Versions(t.Context())
 		assert.DeepEqual(t, versions, map[string]uint64{"a": head.Version, "b": head.Version, "c": head.Version})
 		w.end()
--- a/node/peer/tend.go
+++ b/node/peer/tend.go
@@ -282,7 +282,7 @@
 	case h.Name == m.self.Name:
 	case !known:
 		m.mergeHostLocked(member.Host{Name: h.Name, Address: h.Address, DataCentre: h.DataCentre}, nil)
-	case old.State == member.Alive && h.State == store.HostLeaving && old.Address == h.Address:
+	case old.State == member.Alive && h.State == store.HostDraining && old.Address == h.Address:
 		old.State = member.Draining
 		m.mergeHostLocked(old, nil)
 	}
