--- a/node/server/server.go
+++ b/node/server/server.go
@@ -169,7 +169,7 @@
 	if err != nil {
 		return eris.Wrap(err, "listen for peers")
 	}
-	s.peerLn = s.cfg.Keys.Peers(ln)
+	s.peerLn = s.cfg.Keys.PeerListener(ln)
 	s.mesh = s.newMesh(ln.Addr().String())
 	return nil
 }
@@ -201,7 +201,7 @@
 		Config: s.config, Admission: admitter{c: s.admit, open: s.cfg.Policy.OpenAdmission}, Claims: s.claims,
 		Dispatcher: s.dispatch, Demand: s.demand, Tokens: s.cfg.Keys, Requests: s.requests, Metrics: s.metrics, Log: s.log, Now: time.Now})
 	var err error
-	if s.callers, err = s.newListener("callers", set.Caller.Address, api, s.cfg.Keys.Callers); err != nil {
+	if s.callers, err = s.newListener("callers", set.Caller.Address, api, s.cfg.Keys.CallerListener); err != nil {
 		return err
 	}
 	s.conns = newConnStates(s.metrics)
@@ -210,7 +210,7 @@
 	ops := operatorapi.New(operatorapi.Deps{Operators: set.Operator.Operators, Changes: command.NewConfiguration(deps),
 		Audit:  query.NewAuditReader(query.Deps{Table: s.cfg.Platform.Table, Objects: s.cfg.Platform.Objects}),
 		Config: s.config, Site: s, Ready: func() bool { return s.phase.Load() == phaseReady }, Requests: s.requests, Metrics: s.metrics, Log: s.log})
-	if s.operators, err = s.newListener("operators", set.Operator.Address, ops, s.cfg.Keys.Operators); err != nil {
+	if s.operators, err = s.newListener("operators", set.Operator.Address, ops, s.cfg.Keys.OperatorListener); err != nil {
 		_ = s.callers.ln.Close()
 		return err
 	}
