--- a/node/host/callers.go
+++ b/node/host/callers.go
@@ -173,6 +173,6 @@
 
 // Write implements io.Writer.
 func (c complaints) Write(p []byte) (int, error) {
-	c.log.Emit(event.ConnectionComplaint, zap.ByteString("text", p), zap.String("where", "callers"))
+	c.log.Emit(event.ConnectionError, zap.ByteString("text", p), zap.String("where", "callers"))
 	return len(p), nil
 }
--- a/node/host/callers_test.go
+++ b/node/host/callers_test.go
@@ -110,13 +110,13 @@
 
 // one returns the fields of the only line about a connection.
 func (r *rig) one() map[string]any {
-	found := r.lines.FilterMessage(event.CallerClosed.Name).All()
+	found := r.lines.FilterMessage(event.CallerConnectionClosed.Name).All()
 	assert.Equal(r.t, len(found), 1, "%v", found)
 	return found[0].ContextMap()
 }
 
 func (r *rig) silent() {
-	found := r.lines.FilterMessage(event.CallerClosed.Name).All()
+	found := r.lines.FilterMessage(event.CallerConnectionClosed.Name).All()
 	assert.Equal(r.t, len(found), 0, "%v", found)
 }
 
@@ -276,7 +276,7 @@
 	track.didRead(4096, 20, nil)
 	track.didRead(4096, 20, nil)
 	track.begin(http.Header{testID: {"a"}})
-	found := r.lines.FilterMessage(event.CallerClosed.Name).All()
+	found := r.lines.FilterMessage(event.CallerConnectionClosed.Name).All()
 	assert.Equal(t, len(found), 2)
 	is(t, found[0].ContextMap(), map[string]any{"reason": "stop", "phase": "late_read", "read_bytes": 20, "unanswered": false})
 	is(t, found[1].ContextMap(), map[string]any{"reason": "stop", "phase": "late_begun", "read_bytes": 40, "unanswered": true, "request": "a"})
@@ -347,7 +347,7 @@
 	assert.Equal(t, fields["request"], "a")
 	assert.Equal(t, fields["value"], "string")
 	assert.Assert(t, strings.Contains(fmt.Sprint(fields["stack"]), "TestAPanicIsLoggedWithItsRequest"))
-	assert.Equal(t, r.lines.FilterMessage(event.ConnectionComplaint.Name).Len(), 0)
+	assert.Equal(t, r.lines.FilterMessage(event.ConnectionError.Name).Len(), 0)
 }
 
 func TestAnAbortedRequestIsNoPanic(t *testing.T) {
--- a/node/server/listener.go
+++ b/node/server/listener.go
@@ -109,6 +109,6 @@
 		line = "panic"
 		fields = append(fields, zap.String("stack", stack))
 	}
-	c.s.log.Emit(event.ConnectionComplaint, append(fields, zap.String("reason", line))...)
+	c.s.log.Emit(event.ConnectionError, append(fields, zap.String("reason", line))...)
 	return len(p), nil
 }
