--- a/standin/load/caller.go
+++ b/standin/load/caller.go
@@ -225,7 +225,7 @@
 		v.Verdict = VerdictNone
 	case err == nil && c.done:
 		v.Verdict = VerdictWhole
-	case err == answer.ErrCrossed:
+	case err == answer.ErrMismatched:
 		v.Verdict = VerdictCrossed
 	case !c.done && ctx.Err() != nil && time.Since(c.lastAt) < stillComing:
 		v.Verdict = VerdictLeft
--- a/standin/load/load_test.go
+++ b/standin/load/load_test.go
@@ -134,12 +134,12 @@
 // first has a cut answer, and nothing may count it as completed.
 func TestBrokenStreamsAreResumedOrCut(t *testing.T) {
 	st := newSite(t)
-	st.e.CutStream(10)
+	st.e.CutStreamsAfter(10)
 	short := source(load.KindStream)
 	c := st.run(t, short)
 	assert.Equal(t, c.Completed, c.Requests)
 	assert.Assert(t, c.Retries >= c.Requests)
-	st.e.CutStream(1)
+	st.e.CutStreamsAfter(1)
 	c = st.run(t, short)
 	assert.Equal(t, c.Cut, c.Requests)
 }
@@ -147,7 +147,7 @@
 // An engine mixes up two answers: one caller gets text that belongs to another.
 func TestCrossedAnswersAreSeen(t *testing.T) {
 	st := newSite(t)
-	st.e.Cross(0.5)
+	st.e.MismatchAnswers(0.5)
 	c := st.run(t, source(load.KindStream), source(load.KindWhole))
 	assert.Assert(t, c.Crossed > 0)
 	assert.Equal(t, c.Crossed+c.Completed, c.Requests)
--- a/standin/load/result.go
+++ b/standin/load/result.go
@@ -145,8 +145,8 @@
 func ServiceEffects(name string, rec []service.Execution) []Effect {
 	var out []Effect
 	for _, x := range rec {
-		out = append(out, Effect{Invocation: x.Invocation, Team: x.Team, Attempt: x.Attempt, Key: x.Key,
-			Upstream: name, Start: x.Started, End: x.Ended, Answer: x.Answer, Once: true})
+		out = append(out, Effect{Invocation: x.Invocation, Team: x.Team, Attempt: x.Attempt, Key: x.IdempotencyKey,
+			Upstream: name, Start: x.Started, End: x.Ended, Answer: x.AnswerDigest, Once: true})
 	}
 	return out
 }
--- a/standin/local/fleetrun.go
+++ b/standin/local/fleetrun.go
@@ -105,7 +105,7 @@
 
 // outage takes the table service away and times a change after its return.
 func (f *Fleet) outage(ctx context.Context, r *FleetReport) error {
-	f.table.Faults.OutageFor(outageFor)
+	f.table.Faults.StartOutage(outageFor)
 	r.ServedInOutage = true
 	for end := time.Now().Add(outageFor); time.Now().Before(end) && pause(ctx, time.Second); {
 		for _, n := range f.live() {
--- a/standin/local/path_test.go
+++ b/standin/local/path_test.go
@@ -71,7 +71,7 @@
 	assert.NilError(t, p.eng.Start())
 	p.eng.Preload("m", "", "v1", 10)
 	for i := range p.services {
-		s, err := service.New(service.Config{Name: fmt.Sprint("s", i+1), Time: p.serviceTime, Seed: uint64(i), Watch: p.watch})
+		s, err := service.New(service.Config{Name: fmt.Sprint("s", i+1), DefaultDuration: p.serviceTime, Seed: uint64(i), OnExecution: p.watch})
 		assert.NilError(t, err)
 		assert.NilError(t, s.Start())
 		t.Cleanup(s.Close)
--- a/standin/local/targets.go
+++ b/standin/local/targets.go
@@ -32,8 +32,8 @@
 
 // OutageFor implements site.StoreFaultsFaults.
 func (s stores) OutageFor(d time.Duration) {
-	s.r.Table.Faults.OutageFor(d)
-	s.r.Objects.Faults.OutageFor(d)
+	s.r.Table.Faults.StartOutage(d)
+	s.r.Objects.Faults.StartOutage(d)
 }
 
 // LoseAnswers implements site.StoreFaultsFaults.
--- a/standin/local/writers_test.go
+++ b/standin/local/writers_test.go
@@ -58,7 +58,7 @@
 	assert.Equal(t, len(answers), keys)
 	ran := map[string]int{}
 	for _, x := range p.svc.Executions() {
-		ran[x.Key]++
+		ran[x.IdempotencyKey]++
 	}
 	assert.Equal(t, len(ran), keys)
 	for key, times := range ran {
--- a/standin/site/direct.go
+++ b/standin/site/direct.go
@@ -41,7 +41,7 @@
 		directError(w, http.StatusServiceUnavailable, "no_upstream")
 		return
 	}
-	if most := u.Site.Engines.QueueMax; most > 0 && e.Truth().Waiting >= most {
+	if most := u.Site.Engines.QueueMax; most > 0 && e.ActualState().Waiting >= most {
 		directError(w, http.StatusServiceUnavailable, "overloaded")
 		return
 	}
@@ -60,7 +60,7 @@
 	var best *engine.Engine
 	least := 0
 	for _, e := range u.Engines {
-		r := e.Truth()
+		r := e.ActualState()
 		if load := r.Running + r.Waiting; serves(&r, name) && (best == nil || load < least) {
 			best, least = e, load
 		}
--- a/standin/site/monitor.go
+++ b/standin/site/monitor.go
@@ -65,7 +65,7 @@
 func (u *Upstreams) ready() map[string]bool {
 	out := map[string]bool{}
 	for _, e := range u.Engines {
-		r := e.Truth()
+		r := e.ActualState()
 		for _, res := range r.Residents {
 			if res.Adapter == "" && res.State == engineapi.StateReady && !r.Draining {
 				out[res.Model] = true
--- a/standin/site/scenario.go
+++ b/standin/site/scenario.go
@@ -108,9 +108,9 @@
 			{0.60, "engine 1 restarts with empty memory", engineAt(1, func(i int, t Targets) { t.Upstreams.Engines[i].Restart() })},
 		},
 		"leave": {
-			{0.40, "engine 0 leaves", engineAt(0, func(i int, t Targets) { t.Upstreams.Engines[i].Leave() })},
+			{0.40, "engine 0 leaves", engineAt(0, func(i int, t Targets) { t.Upstreams.Engines[i].Drain() })},
 			{0.70, "service 0 leaves", func(_ context.Context, t Targets, _ time.Duration) error {
-				t.Upstreams.Services[0].Leave()
+				t.Upstreams.Services[0].Drain()
 				return nil
 			}},
 		},
@@ -119,11 +119,11 @@
 			{0.60, "open connections to all engines and services go silent", freezeAll},
 		},
 		"crossed": {
-			{0.20, "one answer in fifty is crossed", engines(func(i int, t Targets) { t.Upstreams.Engines[i].Cross(0.02) })},
-			{0.80, "answers are no longer crossed", engines(func(i int, t Targets) { t.Upstreams.Engines[i].Cross(0) })},
+			{0.20, "one answer in fifty is crossed", engines(func(i int, t Targets) { t.Upstreams.Engines[i].MismatchAnswers(0.02) })},
+			{0.80, "answers are no longer crossed", engines(func(i int, t Targets) { t.Upstreams.Engines[i].MismatchAnswers(0) })},
 		},
 		"cut": {
-			{0.20, "streams break after 20 events", engines(func(i int, t Targets) { t.Upstreams.Engines[i].CutStream(20) })},
+			{0.20, "streams break after 20 events", engines(func(i int, t Targets) { t.Upstreams.Engines[i].CutStreamsAfter(20) })},
 			{0.50, "streams hold again; 20 answers of each service are lost", loseAnswers},
 		},
 		"store":   {{0.30, "the store is down for 20 s", storeOutage}},
@@ -176,7 +176,7 @@
 
 func loseAnswers(_ context.Context, t Targets, _ time.Duration) error {
 	for _, e := range t.Upstreams.Engines {
-		e.CutStream(0)
+		e.CutStreamsAfter(0)
 	}
 	for _, s := range t.Upstreams.Services {
 		s.LoseAnswers(20)
--- a/standin/site/scenario_test.go
+++ b/standin/site/scenario_test.go
@@ -20,7 +20,7 @@
 	u, err := builtIn(t, "kathmandu").Start(site.Options{Seed: 1})
 	assert.NilError(t, err)
 	defer u.Close()
-	before := u.Engines[0].Truth().Incarnation
+	before := u.Engines[0].ActualState().Incarnation
 	for _, name := range site.Scenarios() {
 		s, err := site.FindScenario(name)
 		assert.NilError(t, err)
@@ -28,9 +28,9 @@
 			assert.NilError(t, f.Err, "%s: step %d: %s", name, i, f.What)
 		}
 	}
-	after := u.Engines[0].Truth()
+	after := u.Engines[0].ActualState()
 	assert.Assert(t, after.Incarnation != before)
 	assert.Equal(t, len(after.Residents), 0)
 	assert.Assert(t, !after.Draining) // "restart" comes after "leave", and a new process doesn't leave
-	assert.Assert(t, u.Engines[2].Truth().Incarnation != "")
+	assert.Assert(t, u.Engines[2].ActualState().Incarnation != "")
 }
--- a/standin/site/site_test.go
+++ b/standin/site/site_test.go
@@ -92,7 +92,7 @@
 		defer u.Close()
 		ready := map[string]bool{}
 		for _, e := range u.Engines {
-			r := e.Truth()
+			r := e.ActualState()
 			assert.Assert(t, r.UsedMB <= r.MemoryMB)
 			assert.Equal(t, len(e.Records().Overcommits), 0)
 			for _, res := range r.Residents {
--- a/standin/site/upstreams.go
+++ b/standin/site/upstreams.go
@@ -70,13 +70,13 @@
 func (u *Upstreams) startEngine(up *config.Upstream, opt Options, index uint64) error {
 	c := u.Site.Engines
 	cfg := engine.Config{Name: up.Name, MemoryMB: up.MemoryMB, MBPerSecond: c.MBPerSecond, Weights: opt.Weights,
-		UnloadTime: ms(c.UnloadMs), Fencing: up.Fencing, MaxBatch: up.MaxBatch, QueueMax: c.QueueMax,
+		UnloadTime: ms(c.UnloadMs), Fencing: up.Fencing, MaxBatch: up.MaxBatch, MaxQueue: c.QueueMax,
 		TokenTimes: u.Site.tokenTimes(), BatchSlope: c.BatchSlope,
-		PrefillPerToken: time.Duration(c.PrefillUsToken) * time.Microsecond, PrefixSlots: c.PrefixSlots, PrefixSaved: c.PrefixSaved,
-		ReportEvery: ms(c.ReportEveryMs), ReportLag: ms(c.ReportLagMs), EventLag: ms(c.EventLagMs), EventLoss: c.EventLoss,
-		ResumeFor: ms(c.ResumeForMs), FlushTokens: 1, Seed: opt.Seed*1000 + index}
+		PrefillPerToken: time.Duration(c.PrefillUsToken) * time.Microsecond, PrefixSlots: c.PrefixSlots, PrefixSavedShare: c.PrefixSaved,
+		ReportInterval: ms(c.ReportEveryMs), ReportLag: ms(c.ReportLagMs), EventLag: ms(c.EventLagMs), EventLoss: c.EventLoss,
+		ResumeWindow: ms(c.ResumeForMs), FlushTokens: 1, Seed: opt.Seed*1000 + index}
 	if opt.Oracle {
-		cfg.ReportEvery, cfg.ReportLag, cfg.EventLag, cfg.EventLoss = 0, 0, 0, 0
+		cfg.ReportInterval, cfg.ReportLag, cfg.EventLag, cfg.EventLoss = 0, 0, 0, 0
 	}
 	e, err := engine.New(cfg)
 	if err != nil {
@@ -105,18 +105,18 @@
 }
 
 func (u *Upstreams) startService(up *config.Upstream, opt Options, index uint64) error {
-	cfg := service.Config{Name: up.Name, MaxBatch: up.MaxBatch, Seed: opt.Seed*1000 + index}
+	cfg := service.Config{Name: up.Name, MaxConcurrent: up.MaxBatch, Seed: opt.Seed*1000 + index}
 	for _, c := range u.Site.Services {
 		if c.Name != u.serviceOf(up.Pool) {
 			continue
 		}
-		cfg.Time, cfg.ReportEvery, cfg.ReportLag = ms(c.Ms), ms(c.ReportEveryMs), ms(c.ReportLagMs)
+		cfg.DefaultDuration, cfg.ReportInterval, cfg.ReportLag = ms(c.Ms), ms(c.ReportEveryMs), ms(c.ReportLagMs)
 		for _, r := range c.Routes {
-			cfg.Routes = append(cfg.Routes, service.Route{Method: r.Method, Prefix: r.Prefix, Time: ms(r.Ms)})
+			cfg.Routes = append(cfg.Routes, service.Route{Method: r.Method, Prefix: r.Prefix, Duration: ms(r.Ms)})
 		}
 	}
 	if opt.Oracle {
-		cfg.ReportEvery, cfg.ReportLag = 0, 0
+		cfg.ReportInterval, cfg.ReportLag = 0, 0
 	}
 	svc, err := service.New(cfg)
 	if err != nil {
