--- a/cmd/pierctl/bench.go
+++ b/cmd/pierctl/bench.go
@@ -116,15 +116,15 @@
 		}
 	}
 	if c.json {
-		return r.Sound(), json.NewEncoder(os.Stdout).Encode(r)
+		return r.InvariantsHold(), json.NewEncoder(os.Stdout).Encode(r)
 	}
 	printRun(os.Stdout, r)
-	return r.Sound(), nil
+	return r.InvariantsHold(), nil
 }
 
 func (c *benchCommand) runComparison(ctx context.Context, seeds []uint64) (sound bool, err error) {
 	result, err := bench.Compare(ctx, c.cfg, strings.Split(c.compare, ","), seeds, func(r *bench.Run) {
-		fmt.Fprintf(os.Stderr, "\rseed %d %-12s attainment %.4f urgent %.4f moves %d%20s\n", r.Seed, r.Policy, r.Attainment, r.UrgentAttainment, r.Moves, "")
+		fmt.Fprintf(os.Stderr, "\rseed %d %-12s attainment %.4f urgent %.4f moves %d%20s\n", r.Seed, r.Policy, r.Attainment, r.UrgentAttainment, r.ModelLoads, "")
 	})
 	if err != nil {
 		return false, err
--- a/cmd/pierctl/drive.go
+++ b/cmd/pierctl/drive.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return local.Report{}, err
 	}
-	return local.Against{Site: s, Layout: l, Seed: c.seed, Length: c.length, Progress: showProgress}.Run(ctx)
+	return local.RemoteRun{Site: s, Layout: l, Seed: c.seed, Length: c.length, Progress: showProgress}.Run(ctx)
 }
 
 // finish makes a run, prints its report and turns it into an exit code.
@@ -78,7 +78,7 @@
 	} else {
 		printReport(os.Stdout, rep)
 	}
-	if !rep.Sound() {
+	if !rep.InvariantsHold() {
 		return exit.Failed
 	}
 	return exit.OK
--- a/cmd/pierctl/print.go
+++ b/cmd/pierctl/print.go
@@ -11,10 +11,10 @@
 
 // printIntroduction shows how to use a running site by hand. Its lines work
 // as they stand.
-func printIntroduction(w io.Writer, s *site.Site, r *local.Running, curl, pierctl string) {
+func printIntroduction(w io.Writer, s *site.Site, r *local.RunningSite, curl, pierctl string) {
 	d := &s.Deployment
 	team := d.Teams[len(d.Teams)-1]
-	key := s.Key(team.Name)
+	key := s.TeamKey(team.Name)
 	hosts := r.Addresses()
 	base := "http://" + hosts[len(hosts)-1]
 	if r.Authority != nil {
@@ -43,7 +43,7 @@
 	fmt.Fprintf(w, "  lost %d, doubled %d, cut %d, crossed %d, not run but ran %d, overcommits %d, unreachable models %d\n",
 		r.Lost, r.Doubled, r.Cut, r.Crossed, r.FalseNotRun, r.Overcommits, r.UnreachableModels)
 	fmt.Fprintf(w, "  attainment %.4f (bound %.4f), per accelerator %.1f on %d, moves %d\n",
-		r.Attainment, r.Bound, r.AttainmentPerAccelerator, r.Accelerators, r.Moves)
+		r.Attainment, r.AttainmentBound, r.AttainmentPerAccelerator, r.Accelerators, r.ModelLoads)
 	if len(r.Presets) > 0 {
 		fmt.Fprintf(w, "  presets put in force: %s\n", strings.Join(r.Presets, ", "))
 	}
--- a/standin/bench/bench.go
+++ b/standin/bench/bench.go
@@ -51,7 +51,7 @@
 	if c.Load == 0 {
 		c.Load = 1
 	}
-	s := c.Site.Scaled(c.Load)
+	s := c.Site.WithScaledDemand(c.Load)
 	l := newLRU()
 	r, err := local.Start(ctx, local.Options{Site: s, Seed: c.Seed, Policy: p.decisions(l), Oracle: p.oracle,
 		Demand: windows(c.Length), Log: c.Log})
@@ -63,11 +63,11 @@
 		defer l.attend(r)()
 	}
 	out := &Run{Load: c.Load}
-	out.Report, err = r.Drive(ctx, local.Drive{Policy: c.Policy, Faults: c.Faults, Length: c.Length, Progress: c.Progress,
-		Script: func(ctx context.Context, r *local.Running) error {
-			return caused(faults.Run(ctx, r.Targets(), c.Length))
+	out.Report, err = r.Drive(ctx, local.DriveOptions{Policy: c.Policy, Scenario: c.Faults, Length: c.Length, Progress: c.Progress,
+		Script: func(ctx context.Context, r *local.RunningSite) error {
+			return caused(faults.Run(ctx, r.FaultTargets(), c.Length))
 		},
-		Results: func(res *load.Result) { out.Series = seriesOf(res, c.Length) }})
+		OnResult: func(res *load.Result) { out.Series = seriesOf(res, c.Length) }})
 	out.UrgentAttainment = out.ByClass["urgent"].Attainment
 	return out, err
 }
@@ -77,7 +77,7 @@
 	var errs []error
 	for _, f := range steps {
 		if f.Err != nil {
-			errs = append(errs, eris.Wrap(f.Err, f.What))
+			errs = append(errs, eris.Wrap(f.Err, f.Description))
 		}
 	}
 	return errors.Join(errs...)
--- a/standin/bench/bench_test.go
+++ b/standin/bench/bench_test.go
@@ -16,7 +16,7 @@
 )
 
 func run(policy string, seed uint64, met float64, moves int) *Run {
-	return &Run{Report: local.Report{Policy: policy, Seed: seed, AttainmentPerAccelerator: met, Moves: moves, History: "ok"}}
+	return &Run{Report: local.Report{Policy: policy, Seed: seed, AttainmentPerAccelerator: met, ModelLoads: moves, History: "ok"}}
 }
 
 // Symptom: a policy looks good against a baseline that had an easier seed.
--- a/standin/bench/compare.go
+++ b/standin/bench/compare.go
@@ -91,15 +91,15 @@
 		}
 		return spreadOf(xs)
 	}
-	row := Row{Policy: policy, Sound: !slices.ContainsFunc(own, func(r *Run) bool { return !r.Sound() })}
+	row := Row{Policy: policy, Sound: !slices.ContainsFunc(own, func(r *Run) bool { return !r.InvariantsHold() })}
 	row.PerAccelerator = over(func(r *Run) float64 { return r.AttainmentPerAccelerator })
 	row.Attainment = over(func(r *Run) float64 { return r.Attainment })
 	row.Urgent = over(func(r *Run) float64 { return r.UrgentAttainment })
-	row.Moves = over(func(r *Run) float64 { return float64(r.Moves) })
+	row.Moves = over(func(r *Run) float64 { return float64(r.ModelLoads) })
 	row.Unreachable = over(func(r *Run) float64 { return float64(r.UnreachableModels) })
 	row.Overcommits = over(func(r *Run) float64 { return float64(r.Overcommits) })
 	row.Ratio = over(func(r *Run) float64 { return ratio(r.AttainmentPerAccelerator, c.bestAttainment(r.Seed)) })
-	row.MoveRatio = over(func(r *Run) float64 { return ratio(float64(r.Moves), c.fewestMoves(r.Seed)) })
+	row.MoveRatio = over(func(r *Run) float64 { return ratio(float64(r.ModelLoads), c.fewestMoves(r.Seed)) })
 	return row
 }
 
@@ -125,8 +125,8 @@
 func (c *Comparison) fewestMoves(seed uint64) float64 {
 	fewest := math.Inf(1)
 	for _, r := range c.Runs {
-		if r.Seed == seed && baseline(r.Policy) && r.Moves > 0 {
-			fewest = min(fewest, float64(r.Moves))
+		if r.Seed == seed && baseline(r.Policy) && r.ModelLoads > 0 {
+			fewest = min(fewest, float64(r.ModelLoads))
 		}
 	}
 	if math.IsInf(fewest, 1) {
--- a/standin/bench/lru.go
+++ b/standin/bench/lru.go
@@ -79,7 +79,7 @@
 }
 
 // attend runs the controller until the returned function is called.
-func (l *lru) attend(r *local.Running) (stop func()) {
+func (l *lru) attend(r *local.RunningSite) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var loads sync.WaitGroup
 	c := &controller{l: l, r: r, client: conn.New(conn.Config{})}
@@ -105,7 +105,7 @@
 // that no two reserve the same memory.
 type controller struct {
 	l      *lru
-	r      *local.Running
+	r      *local.RunningSite
 	client *conn.Client
 	orders *orders.Sender
 	serial int
--- a/standin/local/badinput_test.go
+++ b/standin/local/badinput_test.go
@@ -74,8 +74,8 @@
 		c.Settings.Bounds.ReportEveryMs = int((24 * time.Hour).Milliseconds()) // no questions but the first: they keep connections of their own
 		c.Dialer, c.HeadBound, c.BodyBound = &r.dialer, 250*time.Millisecond, 250*time.Millisecond
 		if secure {
-			c.Files = local.Files()
-			assert.NilError(t, local.Secure(c.Settings, c.Files, r.ca))
+			c.Files = local.NewKeyFiles()
+			assert.NilError(t, local.EnableTLS(c.Settings, c.Files, r.ca))
 		}
 	})
 	tr := &http.Transport{DisableKeepAlives: true}
--- a/standin/local/operate.go
+++ b/standin/local/operate.go
@@ -14,13 +14,13 @@
 )
 
 // OperatorAddresses are the operators' listeners of the hosts that run.
-func (r *Running) OperatorAddresses() []string {
+func (r *RunningSite) OperatorAddresses() []string {
 	return r.addresses(func(n *Node) string { return n.OperatorAddress() })
 }
 
 // OperatorURL is where operators find the last host, the one that stays
 // longest when hosts leave in turn.
-func (r *Running) OperatorURL() string {
+func (r *RunningSite) OperatorURL() string {
 	all := r.OperatorAddresses()
 	scheme := "http://"
 	if r.Authority != nil {
@@ -30,7 +30,7 @@
 }
 
 // switchPreset puts the preset after the one in force in force, as an operator would.
-func (r *Running) switchPreset(ctx context.Context) error {
+func (r *RunningSite) switchPreset(ctx context.Context) error {
 	client, err := r.operator()
 	if err != nil {
 		return err
@@ -58,7 +58,7 @@
 }
 
 // operator is an HTTP client with an operator's certificate where one is needed.
-func (r *Running) operator() (*http.Client, error) {
+func (r *RunningSite) operator() (*http.Client, error) {
 	if r.Authority == nil {
 		return &http.Client{Transport: &http.Transport{}}, nil
 	}
--- a/standin/local/path_test.go
+++ b/standin/local/path_test.go
@@ -78,7 +78,7 @@
 		p.more = append(p.more, s)
 	}
 	p.svc = p.more[0]
-	assert.NilError(t, local.Apply(t.Context(), p.tbl, p.obj, p.config()))
+	assert.NilError(t, local.ApplyConfig(t.Context(), p.tbl, p.obj, p.config()))
 	p.node = p.startNode("n1")
 	p.base = "http://" + p.node.CallerAddress()
 	t.Cleanup(func() {
--- a/standin/site/bound.go
+++ b/standin/site/bound.go
@@ -10,13 +10,13 @@
 // bytesPerToken is what a stand-in engine takes a prompt's token to be.
 const bytesPerToken = 4
 
-// Bound is an upper bound on the attainment of any policy on a plan. It grants
+// AttainmentBound is an upper bound on the attainment of any policy on a plan. It grants
 // everything that no policy can have: all engines as one, every model ready on
 // it, batches always full, prompts cached, no distance. A request can then be
 // late only if it takes longer than its deadline when alone, or if the work of
 // all requests together is more than the engines can do before the last
 // deadline; of those, the smallest are taken first.
-func (s *Site) Bound(plan []load.Arrival) float64 {
+func (s *Site) AttainmentBound(plan []load.Arrival) float64 {
 	if len(plan) == 0 {
 		return 1
 	}
--- a/standin/site/direct.go
+++ b/standin/site/direct.go
@@ -13,11 +13,11 @@
 	"peridotpier.example/standin/engine"
 )
 
-// Direct is an entry host that can't exist: it knows each engine's true state
+// DirectHandler is an entry host that can't exist: it knows each engine's true state
 // without lag and hands requests over without a network, to the holder with
 // the least load. Beside a routing policy over the same placement it shows
 // what lag and distance cost; it also calibrates demand.
-func (u *Upstreams) Direct() http.Handler {
+func (u *Upstreams) DirectHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+engineapi.PathChat, u.directGeneration)
 	mux.HandleFunc("/v1/services/{service}/{path...}", u.directCall)
--- a/standin/site/scenario.go
+++ b/standin/site/scenario.go
@@ -22,7 +22,7 @@
 // need them are then left out.
 type Targets struct {
 	Upstreams *Upstreams
-	Nodes     Nodes
+	Hosts     HostController
 	Store     StoreFaults
 }
 
@@ -41,25 +41,25 @@
 
 // Fault is one step that was taken, for a run's record.
 type Fault struct {
-	At   time.Duration
-	What string
-	Err  error
+	At          time.Duration
+	Description string
+	Err         error
 }
 
-// All names the faults that a site must stand together.
-const All = "all"
+// AllScenarios names the faults that a site must stand together.
+const AllScenarios = "all"
 
 // together are the scenarios that All stands for.
 var together = []string{"kill", "store", "answers", "silent", "crossed"}
 
 // Scenarios lists the names that FindScenario knows.
-func Scenarios() []string { return append(slices.Sorted(maps.Keys(scenarios())), All) }
+func Scenarios() []string { return append(slices.Sorted(maps.Keys(scenarios())), AllScenarios) }
 
 // FindScenario finds a scenario by its name; several names joined by "+" run together.
 func FindScenario(name string) (Scenario, error) {
 	out := Scenario{Name: name}
 	known := scenarios()
-	if name == All {
+	if name == AllScenarios {
 		name = strings.Join(together, "+")
 	}
 	for _, part := range strings.Split(name, "+") {
@@ -85,7 +85,7 @@
 			timer.Stop()
 			return done
 		}
-		done = append(done, Fault{At: time.Since(began), What: st.what, Err: st.do(ctx, t, length)})
+		done = append(done, Fault{At: time.Since(began), Description: st.what, Err: st.do(ctx, t, length)})
 	}
 	return done
 }
@@ -208,19 +208,19 @@
 
 func killHost(host int) action {
 	return func(_ context.Context, t Targets, _ time.Duration) error {
-		if t.Nodes == nil {
+		if t.Hosts == nil {
 			return nil
 		}
-		return t.Nodes.Kill(host)
+		return t.Hosts.Kill(host)
 	}
 }
 
 func replaceHost(host int) action {
 	return func(ctx context.Context, t Targets, _ time.Duration) error {
-		if t.Nodes == nil {
+		if t.Hosts == nil {
 			return nil
 		}
-		return t.Nodes.Replace(ctx, host)
+		return t.Hosts.Replace(ctx, host)
 	}
 }
 
@@ -231,8 +231,8 @@
 }
 
 func stopHost(ctx context.Context, t Targets, _ time.Duration) error {
-	if t.Nodes == nil {
+	if t.Hosts == nil {
 		return nil
 	}
-	return t.Nodes.Stop(ctx, 1)
+	return t.Hosts.Stop(ctx, 1)
 }
--- a/standin/site/scenario_test.go
+++ b/standin/site/scenario_test.go
@@ -17,7 +17,7 @@
 
 // Every scenario must do to the upstreams what its steps say, in their order.
 func TestScenariosTakeTheirSteps(t *testing.T) {
-	u, err := builtIn(t, "kathmandu").Start(site.Options{Seed: 1})
+	u, err := builtIn(t, "kathmandu").Start(site.StartOptions{Seed: 1})
 	assert.NilError(t, err)
 	defer u.Close()
 	before := u.Engines[0].ActualState().Incarnation
@@ -25,7 +25,7 @@
 		s, err := site.FindScenario(name)
 		assert.NilError(t, err)
 		for i, f := range s.Run(t.Context(), site.Targets{Upstreams: u}, time.Millisecond) {
-			assert.NilError(t, f.Err, "%s: step %d: %s", name, i, f.What)
+			assert.NilError(t, f.Err, "%s: step %d: %s", name, i, f.Description)
 		}
 	}
 	after := u.Engines[0].ActualState()
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -61,7 +61,7 @@
 	EventLagMs      int     `json:"event_lag_ms"`       // of cache events
 	EventLoss       float64 `json:"event_loss"`         // share of cache events that never come
 	ResumeForMs     int     `json:"resume_for_ms"`      // how long a stream without a reader goes on
-	OrdersLateBound int     `json:"orders_late_max_ms"` // how late an order may come that is given up as lost
+	OrderMaxDelayMs int     `json:"orders_late_max_ms"` // how late an order may come that is given up as lost
 }
 
 // Service states how the instances of one plain service behave.
@@ -133,9 +133,9 @@
 		}
 	}
 	for _, t := range s.Deployment.Teams {
-		sum := sha256.Sum256([]byte(s.Key(t.Name)))
+		sum := sha256.Sum256([]byte(s.TeamKey(t.Name)))
 		if !slices.Contains(t.KeyHashes, hex.EncodeToString(sum[:])) {
-			fault("deployment: team %q does not accept the key %q", t.Name, s.Key(t.Name))
+			fault("deployment: team %q does not accept the key %q", t.Name, s.TeamKey(t.Name))
 		}
 	}
 	for i, svc := range s.Services {
@@ -149,8 +149,8 @@
 	return errors.Join(errs...)
 }
 
-// Key is a team's API key.
-func (s *Site) Key(team string) string { return s.KeyPrefix + team }
+// TeamKey is a team's API key.
+func (s *Site) TeamKey(team string) string { return s.KeyPrefix + team }
 
 // RoundTrip is the distance between two places; within one it is 0.
 func (s *Site) RoundTrip(from, to string) time.Duration {
--- a/standin/site/upstreams.go
+++ b/standin/site/upstreams.go
@@ -14,15 +14,15 @@
 	"peridotpier.example/standin/wire"
 )
 
-// Options of starting a site's upstreams.
-type Options struct {
+// StartOptions of starting a site's upstreams.
+type StartOptions struct {
 	Seed    uint64
 	Weights engine.Weights // nil: loads need no grant
 	// Oracle makes every report true and immediate: what a policy reaches then
 	// is the upper bound of what it could reach with lagged reports.
 	Oracle bool
 	// Empty leaves out the initial placement, for policies that load on demand.
-	Empty bool
+	SkipPlacement bool
 }
 
 // Upstreams are a site's engines and plain services, running on loopback.
@@ -36,7 +36,7 @@
 }
 
 // Start starts all upstreams of the site.
-func (s *Site) Start(opt Options) (*Upstreams, error) {
+func (s *Site) Start(opt StartOptions) (*Upstreams, error) {
 	u := &Upstreams{Site: s, Config: s.Deployment, began: time.Now(), centre: map[string]string{}}
 	u.Config.Upstreams = slices.Clone(s.Deployment.Upstreams)
 	kinds := map[string]config.PoolKind{}
@@ -57,7 +57,7 @@
 		}
 		u.centre[up.Address] = up.DataCentre
 	}
-	if opt.Empty {
+	if opt.SkipPlacement {
 		return u, nil
 	}
 	if err := u.place(); err != nil {
@@ -67,7 +67,7 @@
 	return u, nil
 }
 
-func (u *Upstreams) startEngine(up *config.Upstream, opt Options, index uint64) error {
+func (u *Upstreams) startEngine(up *config.Upstream, opt StartOptions, index uint64) error {
 	c := u.Site.Engines
 	cfg := engine.Config{Name: up.Name, MemoryMB: up.MemoryMB, MBPerSecond: c.MBPerSecond, Weights: opt.Weights,
 		UnloadTime: ms(c.UnloadMs), Fencing: up.Fencing, MaxBatch: up.MaxBatch, MaxQueue: c.QueueMax,
@@ -104,7 +104,7 @@
 	return out
 }
 
-func (u *Upstreams) startService(up *config.Upstream, opt Options, index uint64) error {
+func (u *Upstreams) startService(up *config.Upstream, opt StartOptions, index uint64) error {
 	cfg := service.Config{Name: up.Name, MaxConcurrent: up.MaxBatch, Seed: opt.Seed*1000 + index}
 	for _, c := range u.Site.Services {
 		if c.Name != u.serviceOf(up.Pool) {
--- a/standin/speed/speed.go
+++ b/standin/speed/speed.go
@@ -60,7 +60,7 @@
 		return Report{}, eris.New("two entry hosts are needed")
 	}
 	b := local.NewReadyBalancer(cfg.Layout)
-	if err := b.AwaitAll(ctx); err != nil {
+	if err := b.AwaitAllReady(ctx); err != nil {
 		return Report{}, eris.Wrap(err, "wait for the hosts")
 	}
 	rep := Report{Rate: cfg.Rate}
