--- a/cmd/pierctl/demo.go
+++ b/cmd/pierctl/demo.go
@@ -97,7 +97,7 @@
 // writeCertificates writes the authority's certificate to a file, and beside it
 // the certificate and key of an operator.
 func writeCertificates(ca string, r *local.RunningSite) error {
-	certificate, key, err := r.Authority.Issue("operator", pki.Address("127.0.0.1"))
+	certificate, key, err := r.Authority.Issue("operator", pki.WithIPAddress("127.0.0.1"))
 	if err != nil {
 		return err
 	}
--- a/standin/local/badinput_test.go
+++ b/standin/local/badinput_test.go
@@ -98,7 +98,7 @@
 		if r.ca == nil {
 			return c
 		}
-		secure := tls.Client(c, &tls.Config{RootCAs: r.ca.Pool(), ServerName: "127.0.0.1"})
+		secure := tls.Client(c, &tls.Config{RootCAs: r.ca.CertPool(), ServerName: "127.0.0.1"})
 		if err = secure.Handshake(); err == nil {
 			return secure
 		}
--- a/standin/local/drive.go
+++ b/standin/local/drive.go
@@ -56,7 +56,7 @@
 
 // twice sends a call that may not be repeated through two hosts under one key
 // and checks that it ran once and was answered alike.
-func (a RemoteRun) twice(ctx context.Context, b load.Entries) error {
+func (a RemoteRun) twice(ctx context.Context, b load.EntryBalancer) error {
 	if len(a.Site.Deployment.Services) == 0 {
 		return nil
 	}
--- a/standin/local/history_test.go
+++ b/standin/local/history_test.go
@@ -62,7 +62,7 @@
 
 // watch records the upstreams' side.
 func (tr *trial) watch(e service.Execution) func([]byte) {
-	x := tr.history.Begin(history.Execution{Call: e.Tag, Key: e.IdempotencyKey, Attempt: e.Attempt})
+	x := tr.history.Begin(history.Execution{InvocationID: e.Tag, Key: e.IdempotencyKey, Attempt: e.Attempt})
 	return func(answer []byte) { tr.history.Finish(x, string(answer)) }
 }
 
@@ -96,11 +96,11 @@
 	r := noteVia(context.Background(), n, key, "Accept-Language", id, callerapi.HeaderDeadline, "400")
 	switch {
 	case r.err != nil:
-		tr.history.Left(id)
+		tr.history.CallerLeft(id)
 	case r.status == 200:
 		tr.history.Answered(id, outcome.Completed, r.body)
 	case r.code == string(fault.CodeInProgress):
-		tr.history.ToldBusy(id)
+		tr.history.AnsweredInProgress(id)
 	case r.outcome == "not_run":
 		tr.history.Answered(id, outcome.NotRun, "")
 	default:
@@ -182,7 +182,7 @@
 	counts := tr.history.Count()
 	t.Logf("%d of %d keys answered; %+v", done.Load(), trialCallers*trialKeys, counts)
 	assert.NilError(t, history.Check(tr.history))
-	assert.Equal(t, counts.Doubled+counts.Crossed+counts.Cut+counts.FalseNo+counts.Lost, 0, "%+v", counts)
+	assert.Equal(t, counts.Duplicated+counts.Mismatched+counts.Truncated+counts.FalseNotRun+counts.Lost, 0, "%+v", counts)
 	assert.Assert(t, done.Load() > trialCallers*trialKeys/2, "the faults left nothing to check")
 	assert.Equal(t, tr.taken, 15, "the script was not played to its end")
 	for _, s := range tr.more {
--- a/standin/local/node.go
+++ b/standin/local/node.go
@@ -63,7 +63,7 @@
 // EnableTLS gives a node a certificate for all its listeners: adds the files and
 // names them in its settings.
 func EnableTLS(set *settings.Settings, files *pki.Files, a *pki.Authority) error {
-	certificate, key, err := a.Issue(set.Host, pki.Address("127.0.0.1"))
+	certificate, key, err := a.Issue(set.Host, pki.WithIPAddress("127.0.0.1"))
 	if err != nil {
 		return err
 	}
--- a/standin/local/operate.go
+++ b/standin/local/operate.go
@@ -62,7 +62,7 @@
 	if r.Authority == nil {
 		return &http.Client{Transport: &http.Transport{}}, nil
 	}
-	certificate, key, err := r.Authority.Issue("operator", pki.Address("127.0.0.1"))
+	certificate, key, err := r.Authority.Issue("operator", pki.WithIPAddress("127.0.0.1"))
 	if err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "operator's certificate")
 	}
-	return &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: r.Authority.Pool(),
+	return &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: r.Authority.CertPool(),
 		Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13}}}, nil
 }
 
--- a/standin/local/report.go
+++ b/standin/local/report.go
@@ -37,7 +37,7 @@
 
 // InvariantsHold says whether nothing happened that must never happen.
 func (r Report) InvariantsHold() bool {
-	return r.Lost == 0 && r.Doubled == 0 && r.Cut == 0 && r.Crossed == 0 && r.FalseNotRun == 0 &&
+	return r.Lost == 0 && r.Duplicated == 0 && r.Truncated == 0 && r.Mismatched == 0 && r.FalseNotRun == 0 &&
 		r.Overcommits == 0 && r.UnreachableModels == 0 && r.History == historyOK
 }
 
--- a/standin/local/secrets_test.go
+++ b/standin/local/secrets_test.go
@@ -41,10 +41,10 @@
 		c.Files, c.Log = v.files, zap.New(core)
 		assert.NilError(t, local.EnableTLS(c.Settings, c.Files, ca))
 	})
-	own, err := ca.Pair("operator")
+	own, err := ca.KeyPair("operator")
 	assert.NilError(t, err)
 	client := func(certs ...tls.Certificate) *http.Client {
-		return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{RootCAs: ca.Pool(), Certificates: certs}}}
+		return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{RootCAs: ca.CertPool(), Certificates: certs}}}
 	}
 	v.callers, v.operator = client(), client(own)
 	return v
--- a/standin/local/site.go
+++ b/standin/local/site.go
@@ -224,7 +224,7 @@
 	if r.Authority == nil {
 		return dial
 	}
-	trusted := r.Authority.Pool()
+	trusted := r.Authority.CertPool()
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
 		if err != nil {
--- a/standin/site/bound.go
+++ b/standin/site/bound.go
@@ -35,7 +35,7 @@
 		}
 		full := token.Seconds() * (1 + s.Engines.BatchSlope*float64(batch-1)) / float64(batch)
 		work = append(work, full*float64(a.Tokens)+prefill.Seconds())
-		end = max(end, a.At+a.Source.Deadline)
+		end = max(end, a.Offset+a.Source.Deadline)
 	}
 	slices.Sort(work)
 	left := float64(engines) * end.Seconds()
