--- a/cmd/pierctl/apply.go
+++ b/cmd/pierctl/apply.go
@@ -69,7 +69,7 @@
 	defer cancel()
 	waiting := -1
 	for {
-		var e operatorapi.Everywhere
+		var e operatorapi.Rollout
 		if err := c.Call(ctx, http.MethodGet, "/v1/everywhere", nil, nil, &e); err == nil && e.Version >= version {
 			if waiting = len(e.Waiting); waiting == 0 {
 				return nil
--- a/node/server/listener.go
+++ b/node/server/listener.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen for %s", name)
 	}
-	head := s.cfg.HeadBound
+	head := s.cfg.HeadTimeout
 	if head == 0 {
 		head = headBound
 	}
--- a/standin/local/fleetrun.go
+++ b/standin/local/fleetrun.go
@@ -31,7 +31,7 @@
 	}
 	r.DocumentBytes = len(doc)
 	ready := time.Now()
-	f.until(ctx, f.live(), func(n *Node) bool { return len(n.Members()) == opt.Nodes })
+	f.until(ctx, f.live(), func(n *Node) bool { return len(n.LiveHosts()) == opt.Nodes })
 	r.MembersKnownSeconds = time.Since(ready).Seconds()
 	f.opt.Progress("%d nodes know one another after %.1f s", opt.Nodes, r.MembersKnownSeconds)
 	f.steady(ctx, &r)
@@ -96,7 +96,7 @@
 	for i := range f.opt.ChangeCount {
 		src := f.sources.list[(i*97+13)%len(f.sources.list)]
 		src.leaving.Store(true)
-		all = append(all, f.until(ctx, f.live(), func(n *Node) bool { return n.KnowsLeaving(src.Name) })...)
+		all = append(all, f.until(ctx, f.live(), func(n *Node) bool { return n.IsUpstreamDraining(src.Name) })...)
 	}
 	r.DrainingKnown = quantiles(all)
 	f.opt.Progress("leaving upstream known: p50 %.0f ms, p99 %.0f ms, max %.0f ms", r.DrainingKnown.P50, r.DrainingKnown.P99, r.DrainingKnown.Max)
@@ -141,7 +141,7 @@
 	f.peers.Cut("")
 	t, err := f.await(ctx, inside, st.Version, time.Now())
 	r.PresetInForceAfterCut = quantiles(t)
-	f.until(ctx, f.live(), func(n *Node) bool { return len(n.Members()) == f.opt.Nodes })
+	f.until(ctx, f.live(), func(n *Node) bool { return len(n.LiveHosts()) == f.opt.Nodes })
 	f.opt.Progress("data centre back: in force max %.0f ms", r.PresetInForceAfterCut.Max)
 	return err
 }
@@ -163,7 +163,7 @@
 		return err
 	}
 	r.PresetInForceAfterKill = quantiles(t)
-	r.KilledKnown = quantiles(f.until(ctx, left, func(n *Node) bool { return len(n.Members()) == f.opt.Nodes-killed }))
+	r.KilledKnown = quantiles(f.until(ctx, left, func(n *Node) bool { return len(n.LiveHosts()) == f.opt.Nodes-killed }))
 	f.opt.Progress("%d nodes killed: known max %.0f ms, change in force max %.0f ms", killed, r.KilledKnown.Max, r.PresetInForceAfterKill.Max)
 	return nil
 }
--- a/standin/local/node.go
+++ b/standin/local/node.go
@@ -126,8 +126,8 @@
 	}
 	g := newGate()
 	s, err := server.New(server.Config{Settings: cfg.Settings, Keys: ring, Platform: g.platform(cfg.Platform),
-		Policy: cfg.Policy, Dialer: g.through(cfg.Dialer), Distance: cfg.Distance, Demand: cfg.Demand, PeerDialer: g.through(cfg.PeerDialer), Log: cfg.Log,
-		ClaimGrace: cfg.ClaimGrace, HeadBound: cfg.HeadBound, BodyBound: cfg.BodyBound})
+		Policy: cfg.Policy, Dialer: g.through(cfg.Dialer), RoundTripMs: cfg.Distance, Demand: cfg.Demand, PeerDialer: g.through(cfg.PeerDialer), Log: cfg.Log,
+		ClaimGrace: cfg.ClaimGrace, HeadTimeout: cfg.HeadBound, BodyTimeout: cfg.BodyBound})
 	if err != nil {
 		return nil, err
 	}
--- a/standin/local/once_test.go
+++ b/standin/local/once_test.go
@@ -235,7 +235,7 @@
 // unsettled waits until n ends of claims wait on the first node.
 func (p *path) unsettled(n int) poll.Check {
 	return func(poll.LogT) poll.Result {
-		if got := p.node.Status().Unsettled; got != n {
+		if got := p.node.Status().UnresolvedClaims; got != n {
 			return poll.Continue("%d ends of claims wait, not %d", got, n)
 		}
 		return poll.Success()
