--- a/core/residency/adapters.go
+++ b/core/residency/adapters.go
@@ -5,39 +5,39 @@
 // NextAdapterOrder returns the order that brings an adapter nearer: its load, or
 // the unload of the one used longest ago when its place is needed; false while
 // Barred.
-func (b *Record) NextAdapterOrder(name, a string, now time.Time) (Order, bool) {
-	m := b.models[name]
-	spec, ok := b.engine.Model(name)
-	if !ok || b.unsure || b.RefusesAdapterOrders() || m == nil || m.phase != Ready || m.adapters[a] != nil {
+func (rec *Record) NextAdapterOrder(name, a string, now time.Time) (Order, bool) {
+	m := rec.models[name]
+	spec, ok := rec.engine.Model(name)
+	if !ok || rec.needsReport || rec.RefusesAdapterOrders() || m == nil || m.phase != Ready || m.adapters[a] != nil {
 		return Order{}, false
 	}
-	if b.UsedAdapterSlots() < b.engine.AdapterSlots && b.weights()+spec.AdapterMB <= b.engine.MemoryMB {
-		return Order{Op: Load, Model: name, Adapter: a, Expected: b.sequence}, true
+	if rec.UsedAdapterSlots() < rec.engine.AdapterSlots && rec.usedMB()+spec.AdapterMB <= rec.engine.MemoryMB {
+		return Order{Op: Load, Model: name, Adapter: a, Expected: rec.sequence}, true
 	}
-	return b.evict(now)
+	return rec.adapterEvictionOrder(now)
 }
 
-// idleAdapter is how long an adapter must not have been asked for to make way.
+// minAdapterIdle is how long an adapter must not have been asked for to make way.
 // One that is in use would have to wait for its requests to end.
-const idleAdapter = 700 * time.Millisecond
+const minAdapterIdle = 700 * time.Millisecond
 
-func (b *Record) evict(now time.Time) (Order, bool) {
+func (rec *Record) adapterEvictionOrder(now time.Time) (Order, bool) {
 	var out Order
 	var oldest time.Time
 	found := false
-	for name, m := range b.models {
-		for a, own := range m.adapters {
-			if own.phase != Ready || now.Sub(own.used) < idleAdapter || found && !own.used.Before(oldest) {
+	for name, m := range rec.models {
+		for a, ad := range m.adapters {
+			if ad.phase != Ready || now.Sub(ad.lastUsed) < minAdapterIdle || found && !ad.lastUsed.Before(oldest) {
 				continue
 			}
-			out, oldest, found = Order{Op: Unload, Model: name, Adapter: a, Expected: b.sequence}, own.used, true
+			out, oldest, found = Order{Op: Unload, Model: name, Adapter: a, Expected: rec.sequence}, ad.lastUsed, true
 		}
 	}
 	return out, found
 }
 
-func (b *Record) acceptAdapter(o Order, done bool, now time.Time) {
-	m := b.models[o.Model]
+func (rec *Record) applyAdapterOrder(o Order, done bool, now time.Time) {
+	m := rec.models[o.Model]
 	if m == nil {
 		return
 	}
@@ -47,22 +47,22 @@
 		}
 		return
 	}
-	m.adapters[o.Adapter] = &adapter{phase: Loading, since: now, used: now}
+	m.adapters[o.Adapter] = &adapter{phase: Loading, phaseSince: now, lastUsed: now}
 }
 
 // MarkAdapterReady notes that an adapter's load has had its time.
-func (b *Record) MarkAdapterReady(name, a string, now time.Time) {
-	if m := b.models[name]; m != nil && m.adapters[a] != nil && m.adapters[a].phase == Loading {
-		m.adapters[a].phase, m.adapters[a].since = Ready, now
+func (rec *Record) MarkAdapterReady(name, a string, now time.Time) {
+	if m := rec.models[name]; m != nil && m.adapters[a] != nil && m.adapters[a].phase == Loading {
+		m.adapters[a].phase, m.adapters[a].phaseSince = Ready, now
 	}
 }
 
 // HasAdapter says whether an adapter is there or on its way.
-func (b *Record) HasAdapter(name, a string) bool {
-	m := b.models[name]
+func (rec *Record) HasAdapter(name, a string) bool {
+	m := rec.models[name]
 	if m == nil || m.phase != Ready {
 		return false
 	}
-	own := m.adapters[a]
-	return own != nil && own.phase != Unloading
+	ad := m.adapters[a]
+	return ad != nil && ad.phase != Unloading
 }
--- a/core/residency/doubt.go
+++ b/core/residency/unconfirmed.go
@@ -13,13 +13,13 @@
 }
 
 // Unconfirmed are the orders that may still be carried out.
-func (b *Record) Unconfirmed(now time.Time) []UnconfirmedOrder {
-	return append(lasting(b.doubts, now), lasting(b.charged, now)...)
+func (rec *Record) Unconfirmed(now time.Time) []UnconfirmedOrder {
+	return append(unexpired(rec.unconfirmed, now), unexpired(rec.inherited, now)...)
 }
 
-func lasting(all []UnconfirmedOrder, now time.Time) []UnconfirmedOrder {
+func unexpired(orders []UnconfirmedOrder, now time.Time) []UnconfirmedOrder {
 	var out []UnconfirmedOrder
-	for _, d := range all {
+	for _, d := range orders {
 		if now.Before(d.Until) {
 			out = append(out, d)
 		}
@@ -32,34 +32,34 @@
 // from 0, so that a late order for its former process can meet the number that
 // it names, and load a model into room that this account takes for free. Its
 // room stays taken until the upstream's count has passed the number.
-func (b *Record) InheritUnconfirmed(doubts []UnconfirmedOrder) {
-	b.charged = append(b.charged, doubts...)
+func (rec *Record) InheritUnconfirmed(doubts []UnconfirmedOrder) {
+	rec.inherited = append(rec.inherited, doubts...)
 }
 
-// doubtedLoads are the loads for a former process that may still be carried out
+// inheritedLoads are the loads for a former process that may still be carried out
 // here. Orders to this process need no charge: the next one bears the same
 // number, and only one of them is carried out.
-func (b *Record) doubtedLoads(which func(*UnconfirmedOrder) bool) []UnconfirmedOrder {
+func (rec *Record) inheritedLoads(match func(*UnconfirmedOrder) bool) []UnconfirmedOrder {
 	var out []UnconfirmedOrder
-	for i := range b.charged {
-		d := &b.charged[i]
-		if d.Order.Op == Load && d.Order.Expected >= b.sequence && which(d) {
+	for i := range rec.inherited {
+		d := &rec.inherited[i]
+		if d.Order.Op == Load && d.Order.Expected >= rec.sequence && match(d) {
 			out = append(out, *d)
 		}
 	}
 	return out
 }
 
-// doubted is the memory that they may take, in megabytes.
-func (b *Record) doubted() float64 {
+// inheritedLoadsMB is the memory that they may take, in megabytes.
+func (rec *Record) inheritedLoadsMB() float64 {
 	sum := 0.0
-	for _, d := range b.doubtedLoads(func(*UnconfirmedOrder) bool { return true }) {
-		spec, ok := b.engine.Model(d.Order.Model)
+	for _, d := range rec.inheritedLoads(func(*UnconfirmedOrder) bool { return true }) {
+		spec, ok := rec.engine.Model(d.Order.Model)
 		switch {
 		case !ok:
 		case d.Order.Adapter != "":
 			sum += spec.AdapterMB
-		case b.models[d.Order.Model] == nil:
+		case rec.models[d.Order.Model] == nil:
 			sum += spec.WeightsMB
 		}
 	}
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -68,11 +68,11 @@
 try "number of orders in an order" platform/upstream.go \
   'Expected: o.Expected' 'Expected: 0' ./platform -run 'Adapter|Order'
 try "room for adapters beside models" core/residency/residency.go \
-  'b.engine.MemoryMB - b.weights() - b.adapterReserve()' 'b.engine.MemoryMB - b.weights()' ./core/residency
+  'rec.engine.MemoryMB - rec.usedMB() - rec.adapterReserveMB()' 'rec.engine.MemoryMB - rec.usedMB()' ./core/residency
 try "report after a refusal" core/residency/residency.go \
-  'b.unsure, b.sequence = true, 0' 'b.sequence = 0' ./core/residency
-try "end of a former holder's load" core/residency/settle.go \
-  'b.foreign = r.Busy && b.busy == nil' 'b.foreign = false' ./core/residency
+  'rec.needsReport, rec.sequence = true, 0' 'rec.sequence = 0' ./core/residency
+try "end of a former holder's load" core/residency/reconcile.go \
+  'rec.formerHolderOrder = r.Busy && rec.currentOrder == nil' 'rec.formerHolderOrder = false' ./core/residency
 try "loads counted when they begin" node/coordinator/authority.go \
   's.undo(at)
 	if' 'if' ./node/coordinator
