--- a/core/changes/changes.go
+++ b/core/changes/changes.go
@@ -15,8 +15,8 @@
 	revision uint64
 }
 
-// slack is how many superseded changes are kept in any case, before they are dropped.
-const slack = 64
+// supersededSlack is how many superseded changes are kept in any case, before they are dropped.
+const supersededSlack = 64
 
 // Record enters a change. Revisions must not fall.
 func (l *Log[K]) Record(key K, revision uint64) {
@@ -28,7 +28,7 @@
 	}
 	l.newest[key] = revision
 	l.order = append(l.order, change[K]{key, revision})
-	if len(l.order) > 2*len(l.newest)+slack {
+	if len(l.order) > 2*len(l.newest)+supersededSlack {
 		l.compact()
 	}
 }
@@ -39,14 +39,14 @@
 func (l *Log[K]) compact() {
 	kept := make([]change[K], 0, len(l.newest))
 	for _, c := range l.order {
-		if l.current(c) {
+		if l.isNewest(c) {
 			kept = append(kept, c)
 		}
 	}
 	l.order = kept
 }
 
-func (l *Log[K]) current(c change[K]) bool {
+func (l *Log[K]) isNewest(c change[K]) bool {
 	revision, ok := l.newest[c.key]
 	return ok && revision == c.revision
 }
@@ -54,13 +54,13 @@
 // Since returns the keys whose newest change is after a revision, the oldest change
 // first, and the revision of the last one; no more than most, but all of one
 // revision. to is 0 if there are none; whole says that there are no more.
-func (l *Log[K]) Since(revision uint64, most int) (keys []K, to uint64, whole bool) {
+func (l *Log[K]) Since(revision uint64, limit int) (keys []K, to uint64, complete bool) {
 	from := sort.Search(len(l.order), func(i int) bool { return l.order[i].revision > revision })
 	for _, c := range l.order[from:] {
-		if !l.current(c) {
+		if !l.isNewest(c) {
 			continue
 		}
-		if len(keys) >= most && c.revision != to {
+		if len(keys) >= limit && c.revision != to {
 			return keys, to, false
 		}
 		keys, to = append(keys, c.key), c.revision
--- a/core/changes/changes_test.go
+++ b/core/changes/changes_test.go
@@ -21,16 +21,16 @@
 
 // Property: whoever follows a log in parts of any size sees each key's newest
 // change, also of keys that changed many times, and none that was dropped before.
-func TestAFollowerMissesNothing(t *testing.T) {
+func TestAFollowerSeesEachNewestChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l changes.Log[int]
-		now, followed := map[int]uint64{}, uint64(0)
+		newest, followed := map[int]uint64{}, uint64(0)
 		seen := map[int]uint64{}
 		revision := uint64(0)
-		follow := func(most int) bool {
-			keys, to, whole := l.Since(followed, most)
+		follow := func(limit int) bool {
+			keys, to, complete := l.Since(followed, limit)
 			if len(keys) == 0 {
-				assert.Assert(t, whole)
+				assert.Assert(t, complete)
 				return true
 			}
 			assert.Assert(t, to > followed)
@@ -38,14 +38,14 @@
 			for _, k := range keys {
 				seen[k] = to
 			}
-			return whole
+			return complete
 		}
 		for range rapid.IntRange(0, 400).Draw(t, "steps") {
 			key := rapid.IntRange(0, 20).Draw(t, "key")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
 				l.Forget(key)
-				delete(now, key)
+				delete(newest, key)
 			case 1:
 				follow(rapid.IntRange(1, 5).Draw(t, "most"))
 			default:
@@ -54,12 +54,12 @@
 					revision++ // what is told is over
 				}
 				l.Record(key, revision)
-				now[key] = revision
+				newest[key] = revision
 			}
 		}
 		for !follow(3) {
 		}
-		for key, at := range now {
+		for key, at := range newest {
 			assert.Assert(t, seen[key] >= at, "key %d changed at %d, seen at %d", key, at, seen[key])
 		}
 	})
--- a/core/deploy/deploy_test.go
+++ b/core/deploy/deploy_test.go
@@ -43,7 +43,7 @@
 	assert.Equal(t, none.ChooseService(0.5), "a")
 }
 
-func TestAnAdapterIsHeldOnlyUponItsModel(t *testing.T) {
+func TestAnAdapterIsResidentOnlyWithItsModel(t *testing.T) {
 	u := deploy.Upstream{Residents: []deploy.Resident{{Model: "m", Adapters: []string{"a1"}}, {Model: "n"}}}
 	assert.Assert(t, u.HasResident("m", "") && u.HasResident("m", "a1") && u.HasResident("n", ""))
 	assert.Assert(t, !u.HasResident("n", "a1") && !u.HasResident("m", "a2") && !u.HasResident("o", ""))
--- a/core/deploy/table.go
+++ b/core/deploy/table.go
@@ -12,11 +12,11 @@
 // Table finds the route of a request. It is immutable and shared by all
 // requests that were admitted under its version.
 type Table struct {
-	Config   *Config
-	services map[string]*Service
-	byHost   map[string][]*Route // longest prefix first
-	teams    map[apikey.Hash]*Team
-	ranks    []rank // ascending: the most urgent first
+	Config    *Config
+	services  map[string]*Service
+	byHost    map[string][]*Route // longest prefix first
+	teams     map[apikey.Hash]*Team
+	urgencies []urgency // ascending: the most urgent first
 }
 
 // NewTable compiles a configuration.
@@ -37,7 +37,7 @@
 			t.teams[k] = &c.Teams[i]
 		}
 	}
-	t.ranks = ranksOf(c)
+	t.urgencies = urgenciesOf(c)
 	return t
 }
 
@@ -50,42 +50,42 @@
 // NeedsKey says whether a request on a route has to name a team by a key.
 func (t *Table) NeedsKey(r *Route) bool { return len(t.Config.Teams) > 0 && !r.Public }
 
-// rank is the urgency of a team's requests on a route. That of the team goes
+// urgency is the urgency of a team's requests on a route. That of the team goes
 // first: teams of the same one are told apart by their routes.
-type rank struct{ team, route int }
+type urgency struct{ team, route int }
 
-func (a rank) compare(b rank) int {
+func (a urgency) compare(b urgency) int {
 	if a.team != b.team {
 		return a.team - b.team
 	}
 	return a.route - b.route
 }
 
-// ranksOf lists all pairs that a configuration allows, in order.
-func ranksOf(c *Config) []rank {
-	var out []rank
+// urgenciesOf lists all pairs that a configuration allows, in order.
+func urgenciesOf(c *Config) []urgency {
+	var out []urgency
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		if r.Public || len(c.Teams) == 0 { // requests without a team
-			out = append(out, rank{0, r.Priority})
+			out = append(out, urgency{0, r.Priority})
 		}
 		for j := range c.Teams {
-			out = append(out, rank{c.Teams[j].Urgency, r.Priority})
+			out = append(out, urgency{c.Teams[j].Urgency, r.Priority})
 		}
 	}
-	slices.SortFunc(out, rank.compare)
+	slices.SortFunc(out, urgency.compare)
 	return slices.Compact(out)
 }
 
 // UrgencyRank is the place of a team's requests on a route among all that there
 // are, 0 being the most urgent, and how many places there are. team may be nil.
-func (t *Table) UrgencyRank(team *Team, r *Route) (place, places int) {
-	own := rank{0, r.Priority}
+func (t *Table) UrgencyRank(team *Team, r *Route) (rank, ranks int) {
+	own := urgency{0, r.Priority}
 	if team != nil {
 		own.team = team.Urgency
 	}
-	at, _ := slices.BinarySearchFunc(t.ranks, own, rank.compare)
-	return at, len(t.ranks)
+	at, _ := slices.BinarySearchFunc(t.urgencies, own, urgency.compare)
+	return at, len(t.urgencies)
 }
 
 // Match returns the route with the longest prefix of the path among the
@@ -110,14 +110,14 @@
 
 // ChooseService draws the service of one request by the route's weights; at is a
 // number in [0, 1).
-func (r *Route) ChooseService(at float64) string {
+func (r *Route) ChooseService(point float64) string {
 	sum := 0
 	for _, s := range r.Splits {
 		sum += s.Weight
 	}
-	left := at * float64(sum)
+	remaining := point * float64(sum)
 	for _, s := range r.Splits {
-		if left -= float64(s.Weight); left < 0 {
+		if remaining -= float64(s.Weight); remaining < 0 {
 			return s.Service
 		}
 	}
--- a/core/deploy/team.go
+++ b/core/deploy/team.go
@@ -19,8 +19,8 @@
 
 // Most keys and teams of a configuration. It goes to all hosts, at 64 bytes a key.
 const (
-	teamsMost = 4096
-	keysMost  = 8192
+	maxTeams = 4096
+	maxKeys  = 8192
 )
 
 // TeamError says what is wrong with a team of a configuration. It names no key.
@@ -41,8 +41,8 @@
 // CheckTeams returns the first fault of a configuration's teams. One key in two
 // teams would show one of them the other's work.
 func CheckTeams(teams []Team) error {
-	if len(teams) > teamsMost {
-		return &TeamError{Index: -1, Problem: fmt.Sprintf("are %d, must be %d at most", len(teams), teamsMost)}
+	if len(teams) > maxTeams {
+		return &TeamError{Index: -1, Problem: fmt.Sprintf("are %d, must be %d at most", len(teams), maxTeams)}
 	}
 	names, owners := map[string]bool{}, map[apikey.Hash]int{}
 	for i := range teams {
@@ -59,8 +59,8 @@
 		}
 		names[t.Name] = true
 	}
-	if len(owners) > keysMost {
-		return &TeamError{Index: -1, Problem: fmt.Sprintf("have %d keys, must have %d at most", len(owners), keysMost)}
+	if len(owners) > maxKeys {
+		return &TeamError{Index: -1, Problem: fmt.Sprintf("have %d keys, must have %d at most", len(owners), maxKeys)}
 	}
 	return nil
 }
--- a/core/deploy/team_test.go
+++ b/core/deploy/team_test.go
@@ -22,10 +22,10 @@
 }
 
 // Failure: one team's key shows another team's work, or a version that cannot be read takes the service away.
-func TestTeamsWithAFaultAreRefusedWithWhereItIs(t *testing.T) {
-	limited := func(l quota.Limit) Team { out := teamOf("b", "k2"); out.Limit = l; return out }
+func TestFaultyTeamsAreRefusedWithTheirPosition(t *testing.T) {
+	withLimit := func(l quota.Limit) Team { out := teamOf("b", "k2"); out.Limit = l; return out }
 	many := teamOf("b")
-	for i := range keysMost + 1 {
+	for i := range maxKeys + 1 {
 		many.Keys = append(many.Keys, apikey.HashOf(fmt.Sprint("many", i)))
 	}
 	for name, c := range map[string]struct {
@@ -36,10 +36,10 @@
 		"a name twice":   {teamOf("a", "k2"), "stands twice"},
 		"one key in two": {teamOf("b", "k1"), `teams[1] "b": has a key of teams[0]`},
 		"an empty key":   {teamOf("b", ""), "has an empty key"},
-		"negative rate":  {limited(quota.Limit{PerSecond: -1}), "has a rate of -1"},
-		"absurd rate":    {limited(quota.Limit{PerSecond: math.Inf(1)}), "has a rate of +Inf"},
-		"negative burst": {limited(quota.Limit{Burst: -2}), "has a burst of -2"},
-		"negative plain": {limited(quota.Limit{Plain: -3}), "counts -3 tokens"},
+		"negative rate":  {withLimit(quota.Limit{PerSecond: -1}), "has a rate of -1"},
+		"absurd rate":    {withLimit(quota.Limit{PerSecond: math.Inf(1)}), "has a rate of +Inf"},
+		"negative burst": {withLimit(quota.Limit{Burst: -2}), "has a burst of -2"},
+		"negative plain": {withLimit(quota.Limit{Plain: -3}), "counts -3 tokens"},
 		"too many keys":  {many, "must have 8192 at most"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -57,9 +57,9 @@
 	data, err := json.Marshal(c)
 	assert.NilError(t, err)
 	assert.Assert(t, !strings.Contains(string(data), "k1"))
-	relayed := new(Config)
-	assert.NilError(t, json.Unmarshal(data, relayed))
-	table := NewTable(relayed)
+	decoded := new(Config)
+	assert.NilError(t, json.Unmarshal(data, decoded))
+	table := NewTable(decoded)
 	for key, want := range map[string]string{"k1": "a", "k2": "a", "k3": "b"} {
 		team, ok := table.Team(apikey.HashOf(key))
 		assert.Assert(t, ok)
@@ -69,23 +69,23 @@
 		_, ok := table.Team(apikey.HashOf(key))
 		assert.Assert(t, !ok, key)
 	}
-	assert.Assert(t, table.NeedsKey(&relayed.Routes[0]))
-	assert.Assert(t, !table.NeedsKey(&relayed.Routes[1]))
-	assert.Assert(t, !NewTable(&Config{}).NeedsKey(&relayed.Routes[0]), "without teams nobody needs a key")
+	assert.Assert(t, table.NeedsKey(&decoded.Routes[0]))
+	assert.Assert(t, !table.NeedsKey(&decoded.Routes[1]))
+	assert.Assert(t, !NewTable(&Config{}).NeedsKey(&decoded.Routes[0]), "without teams nobody needs a key")
 }
 
 // Failure: the most urgent route of an ordinary team is served after the least urgent one of another.
-func TestATeamsUrgencyGoesBeforeItsRoutes(t *testing.T) {
+func TestATeamsUrgencyPrecedesThatOfItsRoutes(t *testing.T) {
 	first, other, same := Team{Name: "first"}, Team{Name: "other", Urgency: 2}, Team{Name: "same", Urgency: 2}
 	c := &Config{Teams: []Team{first, other, same}, Routes: []Route{{Name: "slow", Priority: 5}, {Name: "fast", Priority: 1, Public: true}}}
 	table := NewTable(c)
-	place := func(team *Team, route int) int { at, _ := table.UrgencyRank(team, &c.Routes[route]); return at }
-	assert.Assert(t, place(&first, 0) < place(&other, 1), "the team's first")
-	assert.Assert(t, place(&other, 1) < place(&other, 0), "then the route's")
-	assert.Equal(t, place(&other, 0), place(&same, 0))
-	_, places := table.UrgencyRank(&first, &c.Routes[0])
-	assert.Equal(t, places, 4)
-	assert.Equal(t, place(nil, 1), place(&first, 1), "a public route's requests go as those of the most urgent teams")
+	rank := func(team *Team, route int) int { at, _ := table.UrgencyRank(team, &c.Routes[route]); return at }
+	assert.Assert(t, rank(&first, 0) < rank(&other, 1), "the team's first")
+	assert.Assert(t, rank(&other, 1) < rank(&other, 0), "then the route's")
+	assert.Equal(t, rank(&other, 0), rank(&same, 0))
+	_, ranks := table.UrgencyRank(&first, &c.Routes[0])
+	assert.Equal(t, ranks, 4)
+	assert.Equal(t, rank(nil, 1), rank(&first, 1), "a public route's requests go as those of the most urgent teams")
 }
 
 func benchmarkKeys(b *testing.B, teams, keys int) {
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -32,18 +32,18 @@
 	return Report{Incarnation: incarnation, Sequence: seq, Epoch: epoch, UsedMB: used, Residents: residents, Read: read}
 }
 
-func ready(t Artifact, mb int) Resident { return Resident{Artifact: t, State: Ready, MemoryMB: mb} }
+func ready(a Artifact, mb int) Resident { return Resident{Artifact: a, State: Ready, MemoryMB: mb} }
 
-func mustReserve(t *testing.T, r Row, now time.Time, epoch uint64, w Change) (Row, Charge) {
+func mustReserve(t *testing.T, r Row, now time.Time, epoch uint64, change Change) (Row, Charge) {
 	t.Helper()
-	next, c, err := r.Reserve(now, bounds, epoch, "op", w)
+	next, c, err := r.Reserve(now, bounds, epoch, "op", change)
 	assert.NilError(t, err)
 	return next, c
 }
 
 func TestReserveRefuses(t *testing.T) {
 	full := rowWith(config.FencingChecked, ready(alpha, 60), ready(tint, 10))
-	held, _ := mustReserve(t, full, t0, 5, Change{Load, beta, 30})
+	withCharge, _ := mustReserve(t, full, t0, 5, Change{Load, beta, 30})
 	for _, c := range []struct {
 		name string
 		row  Row
@@ -52,7 +52,7 @@
 	}{
 		{"no report yet", New("u", 100, config.FencingChecked), Change{Load, beta, 1}, ErrNoReport},
 		{"too large", full, Change{Load, beta, 31}, ErrNoRoom},
-		{"room taken by an order in doubt", held, Change{Load, Artifact{Model: "gamma"}, 1}, ErrNoRoom},
+		{"room taken by an order in doubt", withCharge, Change{Load, Artifact{Model: "gamma"}, 1}, ErrNoRoom},
 		{"adapter without its base", full, Change{Load, Artifact{Model: "beta", Adapter: "x"}, 1}, ErrNoBase},
 		{"base under its adapter", full, Change{Unload, alpha, 0}, ErrAdaptersResident},
 		{"unload of what is not there", full, Change{Unload, beta, 0}, ErrNotResident},
@@ -62,7 +62,7 @@
 			assert.ErrorIs(t, err, c.err)
 		})
 	}
-	_, _, err := held.Reserve(t0, bounds, 4, "op", Change{Unload, tint, 0})
+	_, _, err := withCharge.Reserve(t0, bounds, 4, "op", Change{Unload, tint, 0})
 	assert.ErrorIs(t, err, ErrOldEpoch)
 }
 
@@ -152,17 +152,17 @@
 // not free yet; a plan loads it again on the same engine, which holds both.
 // Cause: the books count a thing once, and took the copy that goes for the one
 // that comes.
-func TestAThingThatGoesIsNotLoadedAgain(t *testing.T) {
+func TestAnArtifactBeingUnloadedIsNotLoadedAgain(t *testing.T) {
 	x := Artifact{Model: "x", Version: "1"}
 	load := Change{Kind: Load, Artifact: x, MemoryMB: 60}
 	row := rowWith(config.FencingChecked, ready(x, 60))
-	doubted, _ := mustReserve(t, row, t0, 1, Change{Kind: Unload, Artifact: x})
-	unloading, _ := doubted.Observe(DefaultBounds(), report("i1", 8, doubted.Fence, t0.Add(time.Second), Resident{Artifact: x, State: Unloading, MemoryMB: 60}))
-	for name, r := range map[string]Row{"order in doubt": doubted, "unloading": unloading} {
+	unconfirmed, _ := mustReserve(t, row, t0, 1, Change{Kind: Unload, Artifact: x})
+	unloading, _ := unconfirmed.Observe(DefaultBounds(), report("i1", 8, unconfirmed.Fence, t0.Add(time.Second), Resident{Artifact: x, State: Unloading, MemoryMB: 60}))
+	for name, r := range map[string]Row{"order in doubt": unconfirmed, "unloading": unloading} {
 		_, _, err := r.Reserve(t0, DefaultBounds(), 1, "again", load)
 		assert.ErrorIs(t, err, ErrMayBeResident, name)
 	}
-	gone, _ := unloading.Observe(DefaultBounds(), report("i1", 9, doubted.Fence, t0.Add(2*time.Second)))
-	_, _, err := gone.Reserve(t0, DefaultBounds(), 1, "again", load)
+	unloaded, _ := unloading.Observe(DefaultBounds(), report("i1", 9, unconfirmed.Fence, t0.Add(2*time.Second)))
+	_, _, err := unloaded.Reserve(t0, DefaultBounds(), 1, "again", load)
 	assert.NilError(t, err)
 }
--- a/core/ledger/machine_test.go
+++ b/core/ledger/machine_test.go
@@ -24,16 +24,16 @@
 	sequence    uint64
 	epoch       uint64
 	memory      map[ledger.Artifact]int
-	most        int // memory ever taken at once
+	maxUsedMB   int // memory ever taken at once
 }
 
-type copyOf struct {
+type orderCopy struct {
 	ledger.Charge
 	incarnation string
 	sent        time.Time
 }
 
-type aged struct {
+type agedReport struct {
 	ledger.Report
 	taken time.Time
 }
@@ -45,7 +45,7 @@
 	e.sequence, e.epoch, e.memory = 0, 0, map[ledger.Artifact]int{}
 }
 
-func (e *engine) carryOut(o copyOf) {
+func (e *engine) carryOut(o orderCopy) {
 	if e.fencing == config.FencingChecked {
 		if o.Fence < e.epoch || o.incarnation != e.name() {
 			return
@@ -61,17 +61,17 @@
 	for _, mb := range e.memory {
 		sum += mb
 	}
-	e.most = max(e.most, sum)
+	e.maxUsedMB = max(e.maxUsedMB, sum)
 }
 
-func (e *engine) report(now time.Time) aged {
+func (e *engine) report(now time.Time) agedReport {
 	e.sequence++
 	rep := ledger.Report{Incarnation: e.name(), Sequence: e.sequence, Epoch: e.epoch}
 	for t, mb := range e.memory {
 		rep.Residents = append(rep.Residents, ledger.Resident{Artifact: t, State: ledger.Ready, MemoryMB: mb})
 		rep.UsedMB += mb
 	}
-	return aged{rep, now}
+	return agedReport{rep, now}
 }
 
 // world is one upstream's row, its engine and the network between them.
@@ -80,8 +80,8 @@
 	bounds  ledger.Bounds
 	row     ledger.Row
 	engine  engine
-	orders  []copyOf // may arrive in any order, more than once or never
-	reports []aged
+	orders  []orderCopy // may arrive in any order, more than once or never
+	reports []agedReport
 	ops     int
 }
 
@@ -93,15 +93,15 @@
 }
 
 // reserve commits an order to the books and puts copies of it on their way.
-func (w *world) reserve(want ledger.Change, copies int) {
+func (w *world) reserve(change ledger.Change, copies int) {
 	w.ops++
-	next, c, err := w.row.Reserve(w.now, w.bounds, 1, strconv.Itoa(w.ops), want)
+	next, c, err := w.row.Reserve(w.now, w.bounds, 1, strconv.Itoa(w.ops), change)
 	if err != nil {
 		return
 	}
 	w.row = next
 	for range copies {
-		w.orders = append(w.orders, copyOf{c, w.row.Incarnation(), w.now})
+		w.orders = append(w.orders, orderCopy{c, w.row.Incarnation(), w.now})
 	}
 }
 
@@ -113,8 +113,8 @@
 
 func (w *world) pass(d time.Duration) {
 	w.now = w.now.Add(d)
-	w.orders = slices.DeleteFunc(w.orders, func(o copyOf) bool { return w.now.Sub(o.sent) > w.bounds.MaxInFlight })
-	w.reports = slices.DeleteFunc(w.reports, func(r aged) bool { return w.now.Sub(r.taken) > w.bounds.MaxReportAge })
+	w.orders = slices.DeleteFunc(w.orders, func(o orderCopy) bool { return w.now.Sub(o.sent) > w.bounds.MaxInFlight })
+	w.reports = slices.DeleteFunc(w.reports, func(r agedReport) bool { return w.now.Sub(r.taken) > w.bounds.MaxReportAge })
 }
 
 // Memory is never over under any sequence of orders lost, late, repeated or
@@ -151,16 +151,16 @@
 }
 
 func actions(w *world) map[string]func(*rapid.T) {
-	things := []ledger.Change{
+	changes := []ledger.Change{
 		{Artifact: ledger.Artifact{Model: "a", Version: "1"}, MemoryMB: 60}, {Artifact: ledger.Artifact{Model: "b", Version: "1"}, MemoryMB: 45},
 		{Artifact: ledger.Artifact{Model: "a", Version: "2"}, MemoryMB: 55}, {Artifact: ledger.Artifact{Model: "c", Version: "1"}, MemoryMB: 30},
 		{Artifact: ledger.Artifact{Model: "a", Adapter: "x", Version: "1"}, MemoryMB: 10},
 	}
 	order := func(kind ledger.Kind) func(*rapid.T) {
 		return func(t *rapid.T) {
-			want := rapid.SampledFrom(things).Draw(t, "thing")
-			want.Kind = kind
-			w.reserve(want, rapid.IntRange(0, 3).Draw(t, "copies"))
+			change := rapid.SampledFrom(changes).Draw(t, "thing")
+			change.Kind = kind
+			w.reserve(change, rapid.IntRange(0, 3).Draw(t, "copies"))
 		}
 	}
 	deliver := func(t *rapid.T) {
@@ -171,21 +171,21 @@
 		w.engine.carryOut(w.orders[i])
 		w.orders = slices.Delete(w.orders, i, i+1)
 	}
-	take := func(*rapid.T) { w.reports = append(w.reports, w.engine.report(w.now)) }
+	makeReport := func(*rapid.T) { w.reports = append(w.reports, w.engine.report(w.now)) }
 	return map[string]func(*rapid.T){
-		"load": order(ledger.Load), "unload": order(ledger.Unload), "deliver": deliver, "deliver2": deliver, "report": take,
+		"load": order(ledger.Load), "unload": order(ledger.Unload), "deliver": deliver, "deliver2": deliver, "report": makeReport,
 		"read": func(t *rapid.T) {
 			if len(w.reports) > 0 {
 				w.read(rapid.IntRange(0, len(w.reports)-1).Draw(t, "report"))
 			}
 		},
-		"readNewest": func(t *rapid.T) { take(t); w.read(len(w.reports) - 1) },
+		"readNewest": func(t *rapid.T) { makeReport(t); w.read(len(w.reports) - 1) },
 		"plan":       func(t *rapid.T) { w.plan(t) },
 		"restart":    func(*rapid.T) { w.engine.restart() },
 		"second":     func(*rapid.T) { w.pass(time.Second) },
 		"minutes":    func(t *rapid.T) { w.pass(time.Duration(rapid.IntRange(10, 200).Draw(t, "seconds")) * time.Second) },
 		"": func(t *rapid.T) {
-			assert.Assert(t, w.engine.most <= engineMB, "the engine held %d MB", w.engine.most)
+			assert.Assert(t, w.engine.maxUsedMB <= engineMB, "the engine held %d MB", w.engine.maxUsedMB)
 		},
 	}
 }
--- a/core/ledger/concern.go
+++ b/core/ledger/mayload.go
@@ -2,14 +2,14 @@
 
 // MayStillLoad says whether the load of an order may still happen or is under
 // way: its charge stands, or the thing shows as loading.
-func (r Row) MayStillLoad(op string, t Artifact) bool {
+func (r Row) MayStillLoad(op string, a Artifact) bool {
 	for _, c := range r.Charges {
 		if c.Op == op {
 			return true
 		}
 	}
 	for _, m := range r.Residents {
-		if m.Artifact == t && m.State == Loading {
+		if m.Artifact == a && m.State == Loading {
 			return true
 		}
 	}
--- a/core/ledger/reserve.go
+++ b/core/ledger/reserve.go
@@ -31,23 +31,23 @@
 // rises with every order of the upstream, over all planners: an engine that
 // checks it will not begin an order after one that followed it, even when both
 // come from one planner.
-func (r Row) Reserve(now time.Time, b Bounds, epoch uint64, op string, w Change) (Row, Charge, error) {
-	if err := r.allows(epoch, w); err != nil {
-		return r, Charge{}, fmt.Errorf("%s %v on %s: %w", w.Kind, w.Artifact, r.Upstream, err)
+func (r Row) Reserve(now time.Time, b Bounds, epoch uint64, op string, change Change) (Row, Charge, error) {
+	if err := r.checkChange(epoch, change); err != nil {
+		return r, Charge{}, fmt.Errorf("%s %v on %s: %w", change.Kind, change.Artifact, r.Upstream, err)
 	}
 	next := r.clone()
 	next.Epoch = epoch
 	next.Fence = max(r.Fence+1, epoch<<fenceBits)
-	c := Charge{Artifact: w.Artifact, Kind: w.Kind, MemoryMB: w.MemoryMB, Op: op, Incarnation: r.Incarnation(), Fence: next.Fence,
-		SendBy: now.Add(b.SendWindow), Until: now.Add(b.settleLoad())}
-	if w.Kind == Unload {
-		c.MemoryMB = 0
+	charge := Charge{Artifact: change.Artifact, Kind: change.Kind, MemoryMB: change.MemoryMB, Op: op, Incarnation: r.Incarnation(), Fence: next.Fence,
+		SendBy: now.Add(b.SendWindow), Until: now.Add(b.orderExpiry())}
+	if change.Kind == Unload {
+		charge.MemoryMB = 0
 	}
-	next.Charges = append(next.Charges, c)
-	return next, c, nil
+	next.Charges = append(next.Charges, charge)
+	return next, charge, nil
 }
 
-func (r Row) allows(epoch uint64, w Change) error {
+func (r Row) checkChange(epoch uint64, change Change) error {
 	switch {
 	case epoch < r.Epoch:
 		return ErrOldEpoch
@@ -55,25 +55,25 @@
 		return ErrNoReport
 	case len(r.Charges) >= maxCharges:
 		return ErrTooManyUnconfirmed
-	case w.Kind == Unload:
-		return r.allowsUnload(w.Artifact)
+	case change.Kind == Unload:
+		return r.checkUnload(change.Artifact)
 	default:
-		return r.allowsLoad(w)
+		return r.checkLoad(change)
 	}
 }
 
-func (r Row) allowsLoad(w Change) error {
-	if w.Artifact.Adapter != "" && !r.baseResident(w.Artifact.Model) {
+func (r Row) checkLoad(change Change) error {
+	if change.Artifact.Adapter != "" && !r.isBaseReady(change.Artifact.Model) {
 		return ErrNoBase
 	}
 	// The engine would hold both copies until the last request on the old one
 	// has ended, and the books count a thing once: one would notice an engine
 	// over its memory right after a model came back to where it had just left.
-	if r.MayBeUnloading(w.Artifact) {
+	if r.MayBeUnloading(change.Artifact) {
 		return ErrMayBeResident
 	}
 	next := r
-	next.Charges = append(slices.Clone(r.Charges), Charge{Artifact: w.Artifact, Kind: Load, MemoryMB: w.MemoryMB})
+	next.Charges = append(slices.Clone(r.Charges), Charge{Artifact: change.Artifact, Kind: Load, MemoryMB: change.MemoryMB})
 	if next.CommittedMB() > r.CapacityMB {
 		return ErrNoRoom
 	}
@@ -82,36 +82,36 @@
 
 // CanUnload says whether the thing is resident and nothing on top of it is or
 // may become so.
-func (r Row) CanUnload(t Artifact) bool { return r.allowsUnload(t) == nil }
+func (r Row) CanUnload(a Artifact) bool { return r.checkUnload(a) == nil }
 
-// allowsUnload keeps a base model while adapters of it are or may become
+// checkUnload keeps a base model while adapters of it are or may become
 // resident: what an engine does with them is not known.
-func (r Row) allowsUnload(t Artifact) error {
-	held := slices.ContainsFunc(r.Residents, func(m Resident) bool { return m.Artifact == t })
-	if !held {
+func (r Row) checkUnload(a Artifact) error {
+	resident := slices.ContainsFunc(r.Residents, func(m Resident) bool { return m.Artifact == a })
+	if !resident {
 		return ErrNotResident
 	}
-	if t.Adapter != "" {
+	if a.Adapter != "" {
 		return nil
 	}
-	for _, other := range r.things() {
-		if other.isAdapterOf(t.Model) && !r.otherBase(t) {
+	for _, other := range r.artifacts() {
+		if other.isAdapterOf(a.Model) && !r.hasOtherBase(a) {
 			return ErrAdaptersResident
 		}
 	}
 	return nil
 }
 
-func (r Row) baseResident(model string) bool {
+func (r Row) isBaseReady(model string) bool {
 	return slices.ContainsFunc(r.Residents, func(m Resident) bool {
 		return m.Model == model && m.Adapter == "" && m.State == Ready && !r.HasUnconfirmed(m.Artifact, Unload)
 	})
 }
 
-// otherBase says whether another version of the base model stays.
-func (r Row) otherBase(t Artifact) bool {
+// hasOtherBase says whether another version of the base model stays.
+func (r Row) hasOtherBase(a Artifact) bool {
 	return slices.ContainsFunc(r.Residents, func(m Resident) bool {
-		return m.Model == t.Model && m.Adapter == "" && m.Version != t.Version && r.IsConfirmedReady(m.Artifact)
+		return m.Model == a.Model && m.Adapter == "" && m.Version != a.Version && r.IsConfirmedReady(m.Artifact)
 	})
 }
 
--- a/core/ledger/row.go
+++ b/core/ledger/row.go
@@ -21,7 +21,7 @@
 }
 
 // isAdapterOf says whether the thing is an adapter of the model, in any version.
-func (t Artifact) isAdapterOf(model string) bool { return t.Adapter != "" && t.Model == model }
+func (a Artifact) isAdapterOf(model string) bool { return a.Adapter != "" && a.Model == model }
 
 // State is the state of a resident as its engine reports it.
 type State string
@@ -95,19 +95,19 @@
 	return Bounds{SendWindow: 10 * time.Second, MaxInFlight: 90 * time.Second, MaxReportAge: 60 * time.Second, MaxClockSkew: 5 * time.Second}
 }
 
-// settleLoad is how long after its reservation an order is in doubt unless a
+// orderExpiry is how long after its reservation an order is in doubt unless a
 // fence or a report settles it.
-func (b Bounds) settleLoad() time.Duration {
+func (b Bounds) orderExpiry() time.Duration {
 	return b.SendWindow + b.MaxInFlight + b.MaxReportAge + b.MaxClockSkew
 }
 
-func (b Bounds) settleCarried() time.Duration { return b.MaxReportAge + b.MaxClockSkew }
+func (b Bounds) carriedExpiry() time.Duration { return b.MaxReportAge + b.MaxClockSkew }
 
 // Sizes of a row.
 const (
-	fenceBits  = 24 // orders of one planner epoch: 16 million
-	maxCharges = 32 // keeps a row small; more doubt than that means wait
-	maxSeen    = 8  // incarnations remembered
+	fenceBits       = 24 // orders of one planner epoch: 16 million
+	maxCharges      = 32 // keeps a row small; more doubt than that means wait
+	maxIncarnations = 8  // incarnations remembered
 )
 
 // New makes the row of an upstream of which nothing is known. Nothing may be
@@ -128,7 +128,7 @@
 // in doubt. A thing that is both resident and in doubt counts once.
 func (r Row) CommittedMB() int {
 	sum := r.OverheadMB
-	for _, m := range r.things() {
+	for _, m := range r.artifacts() {
 		sum += m.mb
 	}
 	return sum
@@ -137,22 +137,22 @@
 // FreeMB is what may still be reserved; never below zero.
 func (r Row) FreeMB() int { return max(r.CapacityMB-r.CommittedMB(), 0) }
 
-type sized struct {
+type sizedArtifact struct {
 	Artifact
 	mb int
 }
 
-// things lists each thing that may be in memory, once, at its largest size.
-func (r Row) things() []sized {
-	out := make([]sized, 0, len(r.Residents)+len(r.Charges))
-	add := func(t Artifact, mb int) {
+// artifacts lists each thing that may be in memory, once, at its largest size.
+func (r Row) artifacts() []sizedArtifact {
+	out := make([]sizedArtifact, 0, len(r.Residents)+len(r.Charges))
+	add := func(a Artifact, mb int) {
 		for i := range out {
-			if out[i].Artifact == t {
+			if out[i].Artifact == a {
 				out[i].mb = max(out[i].mb, mb)
 				return
 			}
 		}
-		out = append(out, sized{t, mb})
+		out = append(out, sizedArtifact{a, mb})
 	}
 	for _, m := range r.Residents {
 		add(m.Artifact, m.MemoryMB)
@@ -166,14 +166,14 @@
 }
 
 // MayBeResident says whether the thing is or may become resident.
-func (r Row) MayBeResident(t Artifact) bool {
+func (r Row) MayBeResident(a Artifact) bool {
 	for i := range r.Residents {
-		if r.Residents[i].Artifact == t {
+		if r.Residents[i].Artifact == a {
 			return true
 		}
 	}
 	for i := range r.Charges {
-		if r.Charges[i].Kind != Unload && r.Charges[i].Artifact == t {
+		if r.Charges[i].Kind != Unload && r.Charges[i].Artifact == a {
 			return true
 		}
 	}
@@ -182,21 +182,21 @@
 
 // IsConfirmedReady says whether the thing was reported ready and no order in doubt may
 // still take it away. Only a firm replica lets another be unloaded.
-func (r Row) IsConfirmedReady(t Artifact) bool {
-	ready := slices.ContainsFunc(r.Residents, func(m Resident) bool { return m.Artifact == t && m.State == Ready })
-	return ready && !r.HasUnconfirmed(t, Unload)
+func (r Row) IsConfirmedReady(a Artifact) bool {
+	ready := slices.ContainsFunc(r.Residents, func(m Resident) bool { return m.Artifact == a && m.State == Ready })
+	return ready && !r.HasUnconfirmed(a, Unload)
 }
 
 // MayBeUnloading says whether the thing is resident and unloads, or may be about to.
-func (r Row) MayBeUnloading(t Artifact) bool {
+func (r Row) MayBeUnloading(a Artifact) bool {
 	return slices.ContainsFunc(r.Residents, func(m Resident) bool {
-		return m.Artifact == t && (m.State == Unloading || r.HasUnconfirmed(t, Unload))
+		return m.Artifact == a && (m.State == Unloading || r.HasUnconfirmed(a, Unload))
 	})
 }
 
 // HasUnconfirmed says whether an order of the kind for the thing is in doubt.
-func (r Row) HasUnconfirmed(t Artifact, k Kind) bool {
-	return slices.ContainsFunc(r.Charges, func(c Charge) bool { return c.Kind == k && c.Artifact == t })
+func (r Row) HasUnconfirmed(a Artifact, k Kind) bool {
+	return slices.ContainsFunc(r.Charges, func(c Charge) bool { return c.Kind == k && c.Artifact == a })
 }
 
 // clone copies what the next row will change, so that the row before stays as
--- a/core/place/dryrun.go
+++ b/core/place/dryrun.go
@@ -8,8 +8,8 @@
 	"peridotpier.example/core/ledger"
 )
 
-// mostRounds bounds a dry run; one that has not come to rest by then says so.
-const mostRounds = 500
+// maxRounds bounds a dry run; one that has not come to rest by then says so.
+const maxRounds = 500
 
 // Forecast is what a switch to another preset would do.
 type Forecast struct {
@@ -30,25 +30,25 @@
 		next.LastMove[key] = time.Time{} // moved once, and settled by then
 	}
 	var f Forecast
-	for round := range mostRounds {
-		next.Budget = mostElective
+	for round := range maxRounds {
+		next.Budget = maxElectiveMoves
 		at := now.Add(time.Duration(round+1) * (s.Bounds.SendWindow + s.Bounds.MaxInFlight + s.Bounds.MaxReportAge + s.Bounds.MaxClockSkew))
-		d := Plan(&next, at)
-		if len(d.Moves) == 0 {
+		decision := Plan(&next, at)
+		if len(decision.Moves) == 0 {
 			f.Converged = true
 			break
 		}
-		f.Moves = append(f.Moves, d.Moves...)
-		for k, m := range d.Moves {
-			next.carryOut(m, at, strconv.Itoa(round)+"."+strconv.Itoa(k))
+		f.Moves = append(f.Moves, decision.Moves...)
+		for k, m := range decision.Moves {
+			next.applyMove(m, at, strconv.Itoa(round)+"."+strconv.Itoa(k))
 		}
 	}
 	f.Bound = f.bound(s, preset)
 	return f
 }
 
-// carryOut does a move at once and settles it.
-func (s *Snapshot) carryOut(m Move, at time.Time, op string) {
+// applyMove does a move at once and settles it.
+func (s *Snapshot) applyMove(m Move, at time.Time, op string) {
 	for i := range s.Upstreams {
 		if s.Upstreams[i].Name != m.Upstream {
 			continue
--- a/core/place/feasible.go
+++ b/core/place/feasible.go
@@ -36,28 +36,28 @@
 // may be refused.
 func Feasible(c *config.Config, pool string) error {
 	s := emptySnapshot(c, pool)
-	d := Plan(s, time.Time{})
-	for k := 0; len(d.Moves) > 0 && k < mostRounds; k++ {
-		for i, m := range d.Moves {
-			s.carryOut(m, time.Time{}, fmt.Sprint(k, ".", i))
+	decision := Plan(s, time.Time{})
+	for k := 0; len(decision.Moves) > 0 && k < maxRounds; k++ {
+		for i, m := range decision.Moves {
+			s.applyMove(m, time.Time{}, fmt.Sprint(k, ".", i))
 		}
-		d = Plan(s, time.Time{})
+		decision = Plan(s, time.Time{})
 	}
-	bad := &InfeasibleError{Pool: pool}
+	result := &InfeasibleError{Pool: pool}
 	p := newPlan(s, time.Time{})
-	for _, it := range append(p.models, p.extras...) {
-		bad.NeededMB += it.mb * it.least
-		if len(it.live) < it.least {
-			bad.Missing = append(bad.Missing, it.key)
+	for _, w := range append(p.models, p.adapters...) {
+		result.NeededMB += w.memoryMB * w.minReplicas
+		if len(w.replicas) < w.minReplicas {
+			result.Missing = append(result.Missing, w.key)
 		}
 	}
-	for i := range p.hosts {
-		bad.CapacityMB += p.hosts[i].Row.CapacityMB
+	for i := range p.upstreams {
+		result.CapacityMB += p.upstreams[i].Row.CapacityMB
 	}
-	if len(bad.Missing) == 0 {
+	if len(result.Missing) == 0 {
 		return nil
 	}
-	return bad
+	return result
 }
 
 // emptySnapshot is the pool with nothing resident and no demand.
@@ -74,7 +74,7 @@
 			continue
 		}
 		row, _ := ledger.New(u.Name, u.MemoryMB, config.FencingChecked).Observe(s.Bounds, ledger.Report{Incarnation: "none", Sequence: 1})
-		s.Upstreams = append(s.Upstreams, Upstream{Name: u.Name, DataCentre: u.DataCentre, Row: row, MaxBatch: u.MaxBatch, ReportCount: leastReports})
+		s.Upstreams = append(s.Upstreams, Upstream{Name: u.Name, DataCentre: u.DataCentre, Row: row, MaxBatch: u.MaxBatch, ReportCount: minReports})
 	}
 	return s
 }
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -25,8 +25,8 @@
 	Long  float64 // over about five minutes
 }
 
-func (d Demand) sure() float64 { return min(d.Short, d.Long) }
-func (d Demand) most() float64 { return max(d.Short, d.Long) }
+func (d Demand) sustained() float64 { return min(d.Short, d.Long) }
+func (d Demand) peak() float64      { return max(d.Short, d.Long) }
 
 // Upstream is one upstream as the planner knows it.
 type Upstream struct {
@@ -72,11 +72,11 @@
 
 // StartsCooldown says whether a model that was moved for this reason is left alone
 // for a while. Bringing it up is no such reason.
-func (w Reason) StartsCooldown() bool { return w.Elective() || w == ReasonAdapter || w == ReasonRoom }
+func (r Reason) StartsCooldown() bool { return r.Elective() || r == ReasonAdapter || r == ReasonRoom }
 
 // Elective moves wait for the preset's pace; the others do not. An adapter is
 // a hundredth of its base model: loads of adapters are bounded for each plan.
-func (w Reason) Elective() bool { return w == ReasonSpread || w == ReasonFill }
+func (r Reason) Elective() bool { return r == ReasonSpread || r == ReasonFill }
 
 // Move is one order to one upstream.
 type Move struct {
@@ -102,43 +102,43 @@
 
 // Tuning, with the reasons.
 const (
-	defaultThreshold = 0.7              // utilisation above which queues begin to show in the tail
-	earnSlots        = 0.5              // least gain of an elective load: at 2 s a request some 15 requests a minute
-	adapterEarns     = 0.2              // the same for an adapter, whose load takes a moment
-	displaceShare    = 0.25             // of a spread's gain, the most demand that may be displaced for it
-	settleFor        = 2 * time.Minute  // default of Snapshot.Settle: sooner, a move's effect does not show in the demand
-	idleDemand       = 0.05             // requests at once below which a surplus replica may make room
-	leastReports     = 2                // of an incarnation, before an elective move touches its upstream
-	sendGrace        = 15 * time.Second // past an order's sending window, until it is taken for lost
-	mostElective     = 4                // in one plan, so that the next one sees what they did
-	tightShare       = 0.8              // of all memory taken: beyond it placement packs before it spreads
+	defaultThreshold    = 0.7              // utilisation above which queues begin to show in the tail
+	minElectiveGain     = 0.5              // least gain of an elective load: at 2 s a request some 15 requests a minute
+	minAdapterDemand    = 0.2              // the same for an adapter, whose load takes a moment
+	maxDisplacedShare   = 0.25             // of a spread's gain, the most demand that may be displaced for it
+	defaultMoveCooldown = 2 * time.Minute  // default of Snapshot.Settle: sooner, a move's effect does not show in the demand
+	maxIdleDemand       = 0.05             // requests at once below which a surplus replica may make room
+	minReports          = 2                // of an incarnation, before an elective move touches its upstream
+	sendGrace           = 15 * time.Second // past an order's sending window, until it is taken for lost
+	maxElectiveMoves    = 4                // in one plan, so that the next one sees what they did
+	tightMemoryShare    = 0.8              // of all memory taken: beyond it placement packs before it spreads
 )
 
 // Plan decides the moves that may begin now.
 func Plan(s *Snapshot, now time.Time) Decision {
 	p := newPlan(s, now)
-	p.reach()
-	p.reachAdapters()
+	p.placeMissing()
+	p.placeMissingAdapters()
 	p.retireVersions()
-	p.start()
+	p.loadInitialReplicas()
 	p.spread()
 	p.spreadAdapters()
-	p.fill()
+	p.fillSpareMemory()
 	return p.decide()
 }
 
 // decide cuts the loads to what the weight store has places for. Those for
 // models that nobody can reach and that are asked for come first.
 func (p *plan) decide() Decision {
-	slices.SortStableFunc(p.moves, func(a, b planned) int {
-		byRank := cmp.Compare(rank(a.Reason), rank(b.Reason))
-		if p.tight {
+	slices.SortStableFunc(p.moves, func(a, b plannedMove) int {
+		byRank := cmp.Compare(reasonRank(a.Reason), reasonRank(b.Reason))
+		if p.memoryTight {
 			return byRank // in the order of placement, or what is left would not fit as placed
 		}
 		return cmp.Or(byRank, cmp.Compare(b.demand, a.demand))
 	})
 	d := Decision{Waits: p.waits}
-	places := p.places()
+	places := p.freeStoreSlots()
 	for _, m := range p.moves {
 		if m.Change.Kind == ledger.Load {
 			if places <= 0 {
@@ -152,13 +152,13 @@
 	return d
 }
 
-func (p *plan) places() int {
-	if p.s.Store.Concurrent <= 0 {
+func (p *plan) freeStoreSlots() int {
+	if p.snapshot.Store.Concurrent <= 0 {
 		return len(p.moves)
 	}
-	return p.s.Store.Concurrent - p.s.LoadsInProgress
+	return p.snapshot.Store.Concurrent - p.snapshot.LoadsInProgress
 }
 
-func rank(w Reason) int {
-	return slices.Index([]Reason{ReasonRoom, ReasonUnreachable, ReasonDraining, ReasonMinimum, ReasonVersion, ReasonInitial, ReasonSpread, ReasonAdapter, ReasonFill}, w)
+func reasonRank(r Reason) int {
+	return slices.Index([]Reason{ReasonRoom, ReasonUnreachable, ReasonDraining, ReasonMinimum, ReasonVersion, ReasonInitial, ReasonSpread, ReasonAdapter, ReasonFill}, r)
 }
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -112,7 +112,7 @@
 	assert.Equal(t, len(Plan(hot, t0).Moves), 0)
 	hot.Budget, hot.LastMove[Key{Model: "a"}] = 1, t0.Add(-time.Minute)
 	assert.Equal(t, len(Plan(hot, t0).Moves), 0, "moved a minute ago")
-	assert.Equal(t, len(Plan(hot, t0.Add(settleFor)).Moves), 1)
+	assert.Equal(t, len(Plan(hot, t0.Add(defaultMoveCooldown)).Moves), 1)
 }
 
 // Symptom: a model stays unreachable for minutes though there is room.
@@ -128,8 +128,8 @@
 	assert.DeepEqual(t, text(Plan(s, c.SendBy.Add(sendGrace+1)).Moves), []string{"load a:1 u1 unreachable"})
 }
 
-// site makes a deployment at random with about this share of memory needed.
-func site(seed uint64, runners, models, adapters, capacity int, share float64) *Snapshot {
+// randomSnapshot makes a deployment at random with about this share of memory needed.
+func randomSnapshot(seed uint64, runners, models, adapters, capacity int, share float64) *Snapshot {
 	src := rand.New(rand.NewPCG(seed, 1))
 	var ups []Upstream
 	for i := range runners {
@@ -148,8 +148,8 @@
 	return s
 }
 
-// settle plans and carries out until the plans come to rest.
-func settle(s *Snapshot, rounds int) (loads int) {
+// planUntilStable plans and carries out until the plans come to rest.
+func planUntilStable(s *Snapshot, rounds int) (loads int) {
 	for round := range rounds {
 		at := t0.Add(time.Duration(round) * 10 * time.Minute)
 		d := Plan(s, at)
@@ -160,16 +160,16 @@
 			if m.Change.Kind == ledger.Load {
 				loads++
 			}
-			s.carryOut(m, at, fmt.Sprint(round, k))
+			s.applyMove(m, at, fmt.Sprint(round, k))
 		}
 	}
 	return loads
 }
 
-func unreachable(s *Snapshot) int {
+func countUnreachable(s *Snapshot) int {
 	n, p := 0, newPlan(s, t0)
-	for _, it := range append(p.models, p.extras...) {
-		if it.firm == 0 {
+	for _, w := range append(p.models, p.adapters...) {
+		if w.confirmedReplicas == 0 {
 			n++
 		}
 	}
@@ -184,14 +184,14 @@
 	}{{"taipei", 12, 26, 64, 0.8}, {"kathmandu", 9, 18, 41, 0.8}} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				s := site(seed, c.runners, c.models, c.adapters, 80_000, c.share)
-				loads := settle(s, 50)
-				assert.Equal(t, unreachable(s), 0, "seed %d", seed)
+				s := randomSnapshot(seed, c.runners, c.models, c.adapters, 80_000, c.share)
+				loads := planUntilStable(s, 50)
+				assert.Equal(t, countUnreachable(s), 0, "seed %d", seed)
 				assert.Assert(t, loads >= c.models+c.adapters)
 				for _, u := range s.Upstreams {
 					assert.Assert(t, u.Row.CommittedMB() <= u.Row.CapacityMB)
 				}
-				again := settle(s, 5)
+				again := planUntilStable(s, 5)
 				assert.Equal(t, again, 0, "seed %d: comes to rest", seed)
 			}
 		})
@@ -202,8 +202,8 @@
 // replica on a serving upstream keeps one.
 func TestPlanKeepsEveryModelReachable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := site(rapid.Uint64().Draw(t, "seed"), 5, 8, 6, 1000, rapid.Float64Range(0.3, 1.1).Draw(t, "share"))
-		settle(s, rapid.IntRange(0, 20).Draw(t, "rounds"))
+		s := randomSnapshot(rapid.Uint64().Draw(t, "seed"), 5, 8, 6, 1000, rapid.Float64Range(0.3, 1.1).Draw(t, "share"))
+		planUntilStable(s, rapid.IntRange(0, 20).Draw(t, "rounds"))
 		for i := range s.Models {
 			s.Demand[Key{Model: s.Models[i].Name}] = Demand{rapid.Float64Range(0, 20).Draw(t, "d"), 10}
 			s.Models[i].Version = rapid.SampledFrom([]string{"1", "1", "1", "2"}).Draw(t, "version")
@@ -223,16 +223,16 @@
 			}
 		}
 		after := newPlan(s, at)
-		for i, it := range before.models {
-			onDemand := it.least == 0
-			assert.Assert(t, it.firm == 0 || onDemand || after.models[i].firm > 0, "%v lost its last replica", it.key)
+		for i, w := range before.models {
+			onDemand := w.minReplicas == 0
+			assert.Assert(t, w.confirmedReplicas == 0 || onDemand || after.models[i].confirmedReplicas > 0, "%v lost its last replica", w.key)
 		}
 	})
 }
 
 func TestDryRun(t *testing.T) {
-	s := site(1, 9, 18, 41, 80_000, 0.5)
-	settle(s, 50)
+	s := randomSnapshot(1, 9, 18, 41, 80_000, 0.5)
+	planUntilStable(s, 50)
 	calm := DryRun(s, s.Preset, t0)
 	assert.Assert(t, calm.Converged)
 	assert.Equal(t, len(calm.Moves), 0)
@@ -258,14 +258,14 @@
 }
 
 func BenchmarkPlan(b *testing.B) {
-	s := site(1, 2500, 720, 1400, 320_000, 0.2)
+	s := randomSnapshot(1, 2500, 720, 1400, 320_000, 0.2)
 	s.Store.Concurrent, s.Budget = 0, 4
 	b.Run("empty", func(b *testing.B) {
 		for range b.N {
 			Plan(s, t0)
 		}
 	})
-	settle(s, 6)
+	planUntilStable(s, 6)
 	for _, m := range s.Models[:50] {
 		s.Demand[Key{Model: m.Name}] = Demand{60, 60}
 	}
@@ -281,7 +281,7 @@
 // upstream.
 // Cause: only the model's own demand was counted, and the adapters had nowhere
 // else to go.
-func TestAModelThatIsCalledThroughAdaptersSpreads(t *testing.T) {
+func TestAModelCalledOnlyThroughAdaptersIsSpread(t *testing.T) {
 	adapter := holds("a", 1)
 	adapter.Adapter = "x"
 	s := snapshot([]config.Model{model("a", 40, 1)}, upstream("u1", "x", 100, holds("a", 40), adapter), upstream("u2", "y", 100))
--- a/core/place/state.go
+++ b/core/place/state.go
@@ -11,78 +11,78 @@
 // plan is the working state of one Plan: the snapshot, with the moves decided
 // so far counted in.
 type plan struct {
-	s      *Snapshot
-	now    time.Time
-	hosts  []host
-	models []*item // base models
-	extras []*item // adapters
-	byKey  map[Key]*item
-	moves  []planned
-	waits  []Wait
-	budget float64
-	tight  bool
+	snapshot    *Snapshot
+	now         time.Time
+	upstreams   []upstreamState
+	models      []*workload // base models
+	adapters    []*workload // adapters
+	byKey       map[Key]*workload
+	moves       []plannedMove
+	waits       []Wait
+	budget      float64
+	memoryTight bool
 }
 
-type planned struct {
+type plannedMove struct {
 	Move
 	demand float64
 }
 
-// host is an upstream with the moves decided so far.
-type host struct {
+// upstreamState is an upstream with the moves decided so far.
+type upstreamState struct {
 	*Upstream
-	free    int // megabytes that may be reserved now
-	coming  int // megabytes that unloads in doubt will free
-	load    float64
-	usable  bool // takes new loads
-	serving bool // answers new requests
-	things  []ledger.Artifact
+	freeMB        int // megabytes that may be reserved now
+	pendingFreeMB int // megabytes that unloads in doubt will free
+	demand        float64
+	acceptsLoads  bool // takes new loads
+	serving       bool // answers new requests
+	artifacts     []ledger.Artifact
 }
 
-// item is a model or an adapter with its places.
-type item struct {
-	key     Key
-	thing   ledger.Artifact // of the version configured
-	mb      int
-	least   int   // replicas to keep
-	initial int   // replicas to start with
-	live    []int // hosts that hold the thing or are about to
-	old     []int // hosts that hold another version
-	firm    int   // serving hosts with a firm replica of any version
-	current int   // of these, in the version configured
-	leaving bool  // held where the upstream leaves
-	moved   bool  // by an elective move of this plan
-	kept    int   // 1 + the host where room is kept for an adapter that is held nowhere; 0: none
-	demand  Demand
-	base    *item   // of an adapter
-	extras  []*item // adapters of a base model
+// workload is a model or an adapter with its places.
+type workload struct {
+	key               Key
+	artifact          ledger.Artifact // of the version configured
+	memoryMB          int
+	minReplicas       int   // replicas to keep
+	initialReplicas   int   // replicas to start with
+	replicas          []int // hosts that hold the thing or are about to
+	oldReplicas       []int // hosts that hold another version
+	confirmedReplicas int   // serving hosts with a firm replica of any version
+	currentReplicas   int   // of these, in the version configured
+	onDraining        bool  // held where the upstream leaves
+	moved             bool  // by an elective move of this plan
+	reservedAt        int   // 1 + the host where room is kept for an adapter that is held nowhere; 0: none
+	demand            Demand
+	base              *workload   // of an adapter
+	adapters          []*workload // adapters of a base model
 }
 
 func newPlan(s *Snapshot, now time.Time) *plan {
-	p := &plan{s: s, now: now, byKey: map[Key]*item{}, budget: s.Budget}
+	p := &plan{snapshot: s, now: now, byKey: map[Key]*workload{}, budget: s.Budget}
 	for i := range s.Models {
 		p.addModel(&s.Models[i])
 	}
 	for i := range s.Adapters {
 		p.addAdapter(&s.Adapters[i])
 	}
-	p.addHosts()
-	for _, it := range p.models {
-		p.shareLoad(it)
+	p.addUpstreams()
+	for _, w := range p.models {
+		p.distributeDemand(w)
 	}
-	for _, it := range p.extras {
-		p.shareLoad(it)
-		p.keepRoom(it, it.base.live)
+	for _, w := range p.adapters {
+		p.distributeDemand(w)
+		p.reserveForAdapter(w, w.base.replicas)
 	}
 	return p
 }
 
 func (p *plan) addModel(m *config.Model) {
-	it := &item{key: Key{Model: m.Name}, thing: ledger.Artifact{Model: m.Name, Version: m.Version}, mb: m.MemoryMB,
-		least: m.MinReplicas, initial: m.InitialReplicas}
-	it.demand = p.s.Demand[it.key]
-	p.models = append(p.models, it)
-	p.byKey[it.key] = it
+	w := &workload{key: Key{Model: m.Name}, artifact: ledger.Artifact{Model: m.Name, Version: m.Version}, memoryMB: m.MemoryMB,
+		minReplicas: m.MinReplicas, initialReplicas: m.InitialReplicas}
+	w.demand = p.snapshot.Demand[w.key]
+	p.models = append(p.models, w)
+	p.byKey[w.key] = w
 }
 
 func (p *plan) addAdapter(a *config.Adapter) {
@@ -90,63 +90,63 @@
 	if base == nil {
 		return // of another pool
 	}
-	it := &item{key: Key{a.Model, a.Name}, thing: ledger.Artifact{Model: a.Model, Adapter: a.Name, Version: a.Version}, mb: a.MemoryMB, base: base}
-	it.least = min(base.least, 1)
-	it.demand = p.s.Demand[it.key]
-	base.extras = append(base.extras, it)
-	p.extras = append(p.extras, it)
-	p.byKey[it.key] = it
+	w := &workload{key: Key{a.Model, a.Name}, artifact: ledger.Artifact{Model: a.Model, Adapter: a.Name, Version: a.Version}, memoryMB: a.MemoryMB, base: base}
+	w.minReplicas = min(base.minReplicas, 1)
+	w.demand = p.snapshot.Demand[w.key]
+	base.adapters = append(base.adapters, w)
+	p.adapters = append(p.adapters, w)
+	p.byKey[w.key] = w
 }
 
-func (p *plan) addHosts() {
-	p.hosts = make([]host, len(p.s.Upstreams))
+func (p *plan) addUpstreams() {
+	p.upstreams = make([]upstreamState, len(p.snapshot.Upstreams))
 	taken, capacity := 0, 0
-	for i := range p.s.Upstreams {
-		u := &p.s.Upstreams[i]
-		h := &p.hosts[i]
-		*h = host{Upstream: u, free: u.Row.FreeMB(), serving: !u.Draining && !u.Down}
-		h.usable = h.serving && u.Row.Incarnation() != ""
+	for i := range p.snapshot.Upstreams {
+		u := &p.snapshot.Upstreams[i]
+		state := &p.upstreams[i]
+		*state = upstreamState{Upstream: u, freeMB: u.Row.FreeMB(), serving: !u.Draining && !u.Down}
+		state.acceptsLoads = state.serving && u.Row.Incarnation() != ""
 		for _, r := range u.Row.Residents {
 			p.addResident(i, r)
 		}
 		for _, c := range u.Row.Charges {
 			p.addCharge(i, c)
 		}
-		if h.usable {
-			taken, capacity = taken+u.Row.CapacityMB-h.free, capacity+u.Row.CapacityMB
+		if state.acceptsLoads {
+			taken, capacity = taken+u.Row.CapacityMB-state.freeMB, capacity+u.Row.CapacityMB
 		}
 	}
-	for _, it := range p.models {
-		if len(it.live) == 0 {
-			taken += it.mb * max(it.least, 1)
+	for _, w := range p.models {
+		if len(w.replicas) == 0 {
+			taken += w.memoryMB * max(w.minReplicas, 1)
 		}
 	}
-	p.tight = float64(taken) > tightShare*float64(capacity)
+	p.memoryTight = float64(taken) > tightMemoryShare*float64(capacity)
 }
 
 func (p *plan) addResident(i int, r ledger.Resident) {
-	h := &p.hosts[i]
-	h.things = append(h.things, r.Artifact)
-	if h.Row.HasUnconfirmed(r.Artifact, ledger.Unload) {
-		h.coming += r.MemoryMB
+	u := &p.upstreams[i]
+	u.artifacts = append(u.artifacts, r.Artifact)
+	if u.Row.HasUnconfirmed(r.Artifact, ledger.Unload) {
+		u.pendingFreeMB += r.MemoryMB
 		return
 	}
-	it := p.byKey[Key{r.Model, r.Adapter}]
+	w := p.byKey[Key{r.Model, r.Adapter}]
 	switch {
-	case it == nil || r.State == ledger.Unloading:
+	case w == nil || r.State == ledger.Unloading:
 		return
-	case !h.serving:
-		it.leaving = it.leaving || h.Draining
+	case !u.serving:
+		w.onDraining = w.onDraining || u.Draining
 		return
-	case r.Artifact == it.thing:
-		it.live = append(it.live, i)
+	case r.Artifact == w.artifact:
+		w.replicas = append(w.replicas, i)
 	default:
-		it.old = append(it.old, i)
+		w.oldReplicas = append(w.oldReplicas, i)
 	}
-	if h.Row.IsConfirmedReady(r.Artifact) {
-		it.firm++
-		if r.Artifact == it.thing {
-			it.current++
+	if u.Row.IsConfirmedReady(r.Artifact) {
+		w.confirmedReplicas++
+		if r.Artifact == w.artifact {
+			w.currentReplicas++
 		}
 	}
 }
@@ -154,119 +154,121 @@
 // addCharge counts a load that is on its way. Past its window and a grace, or
 // when its engine restarted, it is taken for lost: its memory stays charged, but nobody waits for it.
 func (p *plan) addCharge(i int, c ledger.Charge) {
-	it := p.byKey[Key{c.Model, c.Adapter}]
-	if c.Kind != ledger.Load || it == nil || c.Artifact != it.thing || p.now.After(c.SendBy.Add(sendGrace)) {
+	w := p.byKey[Key{c.Model, c.Adapter}]
+	if c.Kind != ledger.Load || w == nil || c.Artifact != w.artifact || p.now.After(c.SendBy.Add(sendGrace)) {
 		return
 	}
-	h := &p.hosts[i]
-	if c.Incarnation != h.Row.Incarnation() || !h.serving || slices.Contains(it.live, i) || h.Row.HasUnconfirmed(c.Artifact, ledger.Unload) {
+	u := &p.upstreams[i]
+	if c.Incarnation != u.Row.Incarnation() || !u.serving || slices.Contains(w.replicas, i) || u.Row.HasUnconfirmed(c.Artifact, ledger.Unload) {
 		return
 	}
-	it.live = append(it.live, i)
+	w.replicas = append(w.replicas, i)
 }
 
-// shareLoad spreads an item's demand evenly over the hosts that hold it.
-func (p *plan) shareLoad(it *item) {
-	holders := it.holders()
-	for _, i := range holders {
-		p.hosts[i].load += it.demand.sure() / float64(len(holders))
+// distributeDemand spreads an item's demand evenly over the hosts that hold it.
+func (p *plan) distributeDemand(w *workload) {
+	upstreams := w.servingReplicas()
+	for _, i := range upstreams {
+		p.upstreams[i].demand += w.demand.sustained() / float64(len(upstreams))
 	}
 }
 
-func (it *item) holders() []int {
-	if len(it.live) > 0 {
-		return it.live
+func (w *workload) servingReplicas() []int {
+	if len(w.replicas) > 0 {
+		return w.replicas
 	}
-	return it.old
+	return w.oldReplicas
 }
 
-// keepRoom sets memory aside for an adapter that is held nowhere, beside its
+// reserveForAdapter sets memory aside for an adapter that is held nowhere, beside its
 // base model, so that nothing else takes it before the base is ready.
-func (p *plan) keepRoom(a *item, bases []int) {
-	if len(a.live) > 0 || a.kept > 0 || p.leastOf(a) == 0 {
+func (p *plan) reserveForAdapter(a *workload, bases []int) {
+	if len(a.replicas) > 0 || a.reservedAt > 0 || p.requiredReplicas(a) == 0 {
 		return
 	}
 	best := -1
 	for _, i := range bases {
-		if p.hosts[i].usable && (best < 0 || p.hosts[i].free > p.hosts[best].free) {
+		if p.upstreams[i].acceptsLoads && (best < 0 || p.upstreams[i].freeMB > p.upstreams[best].freeMB) {
 			best = i
 		}
 	}
-	if best >= 0 && p.hosts[best].free >= p.hosts[best].needs(a) {
-		p.hosts[best].free -= p.hosts[best].needs(a)
-		a.kept = best + 1
+	if best >= 0 && p.upstreams[best].freeMB >= p.upstreams[best].requiredMB(a) {
+		p.upstreams[best].freeMB -= p.upstreams[best].requiredMB(a)
+		a.reservedAt = best + 1
 	}
 }
 
-// freeFor is the memory that the item may take at a host, with what is kept
+// freeMBFor is the memory that the item may take at a host, with what is kept
 // there for it.
-func (p *plan) freeFor(i int, it *item) int {
-	h := &p.hosts[i]
-	if it.kept == i+1 {
-		return h.free + h.needs(it)
+func (p *plan) freeMBFor(i int, w *workload) int {
+	u := &p.upstreams[i]
+	if w.reservedAt == i+1 {
+		return u.freeMB + u.requiredMB(w)
 	}
-	return h.free
+	return u.freeMB
 }
 
-// heldAt says whether the host holds the item, in any version, or is about to.
-func (it *item) heldAt(i int) bool { return slices.Contains(it.live, i) || slices.Contains(it.old, i) }
+// isAt says whether the host holds the item, in any version, or is about to.
+func (w *workload) isAt(i int) bool {
+	return slices.Contains(w.replicas, i) || slices.Contains(w.oldReplicas, i)
+}
 
-func (h *host) utilisation() float64 { return h.load / float64(max(h.MaxBatch, 1)) }
+func (u *upstreamState) utilisation() float64 { return u.demand / float64(max(u.MaxBatch, 1)) }
 
-// needs is the memory that loading the thing takes at the host: none when it
+// requiredMB is the memory that loading the thing takes at the host: none when it
 // is charged there already.
-func (h *host) needs(it *item) int {
-	if h.Row.MayBeResident(it.thing) {
+func (u *upstreamState) requiredMB(w *workload) int {
+	if u.Row.MayBeResident(w.artifact) {
 		return 0
 	}
-	return it.mb
+	return w.memoryMB
 }
 
-// addLoad decides a load and counts it in.
-func (p *plan) addLoad(i int, it *item, why Reason, gain float64) {
-	h := &p.hosts[i]
-	if it.kept > 0 {
-		p.hosts[it.kept-1].free += p.hosts[it.kept-1].needs(it)
-		it.kept = 0
+// planLoad decides a load and counts it in.
+func (p *plan) planLoad(i int, w *workload, reason Reason, gain float64) {
+	u := &p.upstreams[i]
+	if w.reservedAt > 0 {
+		p.upstreams[w.reservedAt-1].freeMB += p.upstreams[w.reservedAt-1].requiredMB(w)
+		w.reservedAt = 0
 	}
-	h.free -= h.needs(it)
-	for _, a := range it.extras {
-		p.keepRoom(a, []int{i})
+	u.freeMB -= u.requiredMB(w)
+	for _, a := range w.adapters {
+		p.reserveForAdapter(a, []int{i})
 	}
-	p.rebalance(it, func() { it.live = append(it.live, i) })
-	p.moves = append(p.moves, planned{
-		Move{h.Name, ledger.Change{Kind: ledger.Load, Artifact: it.thing, MemoryMB: it.mb}, why, gain}, it.demand.most()})
+	p.updateReplicas(w, func() { w.replicas = append(w.replicas, i) })
+	p.moves = append(p.moves, plannedMove{
+		Move{u.Name, ledger.Change{Kind: ledger.Load, Artifact: w.artifact, MemoryMB: w.memoryMB}, reason, gain}, w.demand.peak()})
 }
 
-// addUnload decides an unload and counts it in; the memory comes later.
-func (p *plan) addUnload(i int, it *item, t ledger.Artifact, mb int, why Reason) {
-	h := &p.hosts[i]
-	firm := h.Row.IsConfirmedReady(t)
-	p.rebalance(it, func() {
-		gone := func(k int) bool { return k == i }
-		if t == it.thing {
-			it.live = slices.DeleteFunc(it.live, gone)
+// planUnload decides an unload and counts it in; the memory comes later.
+func (p *plan) planUnload(i int, w *workload, artifact ledger.Artifact, mb int, reason Reason) {
+	u := &p.upstreams[i]
+	confirmed := u.Row.IsConfirmedReady(artifact)
+	p.updateReplicas(w, func() {
+		isAt := func(k int) bool { return k == i }
+		if artifact == w.artifact {
+			w.replicas = slices.DeleteFunc(w.replicas, isAt)
 		} else {
-			it.old = slices.DeleteFunc(it.old, gone)
+			w.oldReplicas = slices.DeleteFunc(w.oldReplicas, isAt)
 		}
 	})
-	if firm && h.serving {
-		it.firm--
-		if t == it.thing {
-			it.current--
+	if confirmed && u.serving {
+		w.confirmedReplicas--
+		if artifact == w.artifact {
+			w.currentReplicas--
 		}
 	}
-	h.coming += mb
-	h.things = slices.DeleteFunc(slices.Clone(h.things), func(x ledger.Artifact) bool { return x == t })
-	p.moves = append(p.moves, planned{Move{h.Name, ledger.Change{Kind: ledger.Unload, Artifact: t}, why, 0}, 0})
+	u.pendingFreeMB += mb
+	u.artifacts = slices.DeleteFunc(slices.Clone(u.artifacts), func(x ledger.Artifact) bool { return x == artifact })
+	p.moves = append(p.moves, plannedMove{Move{u.Name, ledger.Change{Kind: ledger.Unload, Artifact: artifact}, reason, 0}, 0})
 }
 
-// rebalance takes the item's load off its hosts, changes them, and puts it back.
-func (p *plan) rebalance(it *item, change func()) {
-	before := it.holders()
+// updateReplicas takes the item's load off its hosts, changes them, and puts it back.
+func (p *plan) updateReplicas(w *workload, change func()) {
+	before := w.servingReplicas()
 	for _, i := range before {
-		p.hosts[i].load -= it.demand.sure() / float64(len(before))
+		p.upstreams[i].demand -= w.demand.sustained() / float64(len(before))
 	}
 	change()
-	p.shareLoad(it)
+	p.distributeDemand(w)
 }
--- a/core/place/versions.go
+++ b/core/place/versions.go
@@ -6,43 +6,43 @@
 // configured is ready: as many firm replicas as must be kept. Until then the
 // old one answers.
 func (p *plan) retireVersions() {
-	for i := range p.hosts {
-		h := &p.hosts[i]
-		if !h.usable {
+	for i := range p.upstreams {
+		u := &p.upstreams[i]
+		if !u.acceptsLoads {
 			continue
 		}
-		for _, r := range h.Row.Residents {
-			if r.State != ledger.Ready || h.Row.HasUnconfirmed(r.Artifact, ledger.Unload) {
+		for _, r := range u.Row.Residents {
+			if r.State != ledger.Ready || u.Row.HasUnconfirmed(r.Artifact, ledger.Unload) {
 				continue
 			}
-			it := p.byKey[Key{r.Model, r.Adapter}]
-			if it != nil && (r.Artifact == it.thing || it.current < max(it.least, 1)) {
+			w := p.byKey[Key{r.Model, r.Adapter}]
+			if w != nil && (r.Artifact == w.artifact || w.currentReplicas < max(w.minReplicas, 1)) {
 				continue
 			}
-			p.retire(i, it, r)
+			p.retireReplica(i, w, r)
 		}
 	}
 }
 
-func (p *plan) retire(i int, it *item, r ledger.Resident) {
-	h := &p.hosts[i]
-	if it == nil {
-		it = &item{key: Key{r.Model, r.Adapter}, thing: r.Artifact}
+func (p *plan) retireReplica(i int, w *workload, r ledger.Resident) {
+	u := &p.upstreams[i]
+	if w == nil {
+		w = &workload{key: Key{r.Model, r.Adapter}, artifact: r.Artifact}
 	}
 	if r.Adapter == "" {
 		// An adapter may be served on this very version of its base model, so
 		// it must have a place beside the new one first.
-		for _, a := range it.extras {
-			if p.heldOnlyAt(a, h) {
+		for _, a := range w.adapters {
+			if p.isOnlyReplica(a, u) {
 				return
 			}
 		}
-		if !h.Row.CanUnload(r.Artifact) {
-			for _, a := range p.adaptersAt(h, r.Model) {
-				p.addUnload(i, a.it, a.thing, a.mb, ReasonVersion)
+		if !u.Row.CanUnload(r.Artifact) {
+			for _, a := range p.adaptersAt(u, r.Model) {
+				p.planUnload(i, a.workload, a.artifact, a.memoryMB, ReasonVersion)
 			}
 			return
 		}
 	}
-	p.addUnload(i, it, r.Artifact, r.MemoryMB, ReasonVersion)
+	p.planUnload(i, w, r.Artifact, r.MemoryMB, ReasonVersion)
 }
--- a/core/replica/idle_test.go
+++ b/core/replica/idle_test.go
@@ -15,27 +15,27 @@
 // catalogue is a service of many models of which a few are asked for: as many
 // places as models, each on one upstream. seed shuffles names and lists.
 func catalogue(seed uint64, store, disk time.Duration) replica.Input {
-	const upstreams, places, hot = 20, 3, 5
+	const upstreams, slots, hot = 20, 3, 5
 	rnd := rand.New(rand.NewPCG(seed, 0))
 	in := replica.Input{Engine: &deploy.Engine{MemoryMB: 230}, MaxMoves: upstreams, StoreLoadsLeft: upstreams, MaxCallerWait: 2500 * time.Millisecond,
 		Demand: map[string]replica.Demand{}}
-	names := rnd.Perm(upstreams * places)
+	names := rnd.Perm(upstreams * slots)
 	for i, n := range names {
 		in.Engine.Models = append(in.Engine.Models, deploy.Model{Name: fmt.Sprint("m", n), WeightsMB: 72, Adapters: i % 2,
 			StoreLoad: store, DiskLoad: disk, MemoryLoad: disk})
 	}
 	for u := range upstreams {
 		held := []string{}
-		for p := range places {
-			held = append(held, in.Engine.Models[u*places+p].Name)
+		for p := range slots {
+			held = append(held, in.Engine.Models[u*slots+p].Name)
 		}
-		in.Upstreams = append(in.Upstreams, on(fmt.Sprint("u", u), held...))
+		in.Upstreams = append(in.Upstreams, upstreamWith(fmt.Sprint("u", u), held...))
 	}
 	for i := range hot {
-		in.Demand[in.Engine.Models[i*places].Name] = replica.Demand{EngineLoad: 1.5}
+		in.Demand[in.Engine.Models[i*slots].Name] = replica.Demand{EngineLoad: 1.5}
 	}
 	for i := hot; i < 2*hot; i++ { // asked for a while ago
-		in.Demand[in.Engine.Models[i*places].Name] = replica.Demand{}
+		in.Demand[in.Engine.Models[i*slots].Name] = replica.Demand{}
 	}
 	rnd.Shuffle(len(in.Engine.Models), func(i, j int) {
 		in.Engine.Models[i], in.Engine.Models[j] = in.Engine.Models[j], in.Engine.Models[i]
@@ -50,18 +50,18 @@
 // half as much again as one engine can serve.
 // Cause: every model keeps its place, also those that nobody asks for, though a
 // load is over long before any caller's time.
-func TestHotModelsTakeThePlacesOfThoseThatNobodyAsksForWhereLoadsAreShort(t *testing.T) {
+func TestHotModelsReplaceIdleOnesWhereLoadsAreShort(t *testing.T) {
 	for seed := range uint64(20) {
 		in := catalogue(seed, 9*time.Second, 2400*time.Millisecond)
-		replicas, gone := map[string]int{}, map[string]bool{}
+		replicas, unloaded := map[string]int{}, map[string]bool{}
 		for _, m := range replica.DefaultPolicy.Plan(in) {
 			replicas[m.Load]++
-			gone[m.Unload] = true
+			unloaded[m.Unload] = true
 		}
 		for name, d := range in.Demand {
 			if d.EngineLoad > 0 {
 				assert.Assert(t, replicas[name] >= 2, "seed %d: %s has %d more places", seed, name, replicas[name])
-				assert.Assert(t, !gone[name])
+				assert.Assert(t, !unloaded[name])
 			}
 		}
 	}
@@ -69,7 +69,7 @@
 
 // Where a load takes longer than callers wait, or no copy is left, whoever asks
 // first for a model that is nowhere would not be answered: each keeps its place.
-func TestModelsThatNobodyAsksForKeepTheirPlaceWhereLoadsAreLong(t *testing.T) {
+func TestIdleModelsKeepTheirReplicaWhereLoadsAreLong(t *testing.T) {
 	for seed := range uint64(20) {
 		assert.Equal(t, len(replica.DefaultPolicy.Plan(catalogue(seed, 9*time.Second, 4*time.Second))), 0)
 		in := catalogue(seed, 9*time.Second, 2400*time.Millisecond)
--- a/core/replica/prior.go
+++ b/core/replica/prior.go
@@ -4,16 +4,16 @@
 
 // The load to prepare for of a model that nobody has asked for yet, in engines.
 const (
-	// priorAdapted is above the pressure at which a model gets another replica:
+	// priorWithAdapters is above the pressure at which a model gets another replica:
 	// adapters are made for models that are used.
-	priorAdapted = 0.4
-	// priorPlain is below it, and above what makes a model's only replica give
+	priorWithAdapters = 0.4
+	// priorWithoutAdapters is below it, and above what makes a model's only replica give
 	// way: any of them may be the next to be asked for.
-	priorPlain = 0.12
-	// preparedShare is the part of all engines' time that models which nobody
+	priorWithoutAdapters = 0.12
+	// maxPriorShare is the part of all engines' time that models which nobody
 	// has asked for may be expected to take together, however many there are: a
 	// deployment's engines are there for its usual load and its peaks.
-	preparedShare = 0.5
+	maxPriorShare = 0.5
 )
 
 // PriorLoads guesses the load of models that nobody has asked for yet. The only
@@ -31,24 +31,24 @@
 		if asked(m.Name) {
 			continue
 		}
-		load := priorPlain
+		load := priorWithoutAdapters
 		if m.Adapters > 0 {
-			load = priorAdapted
+			load = priorWithAdapters
 		}
-		out[m.Name] = load * worthPreparing(m)
+		out[m.Name] = load * preparationBenefit(m)
 		sum += out[m.Name]
 	}
-	if most := preparedShare * float64(engines); sum > most {
+	if limit := maxPriorShare * float64(engines); sum > limit {
 		for name := range out {
-			out[name] *= most / sum
+			out[name] *= limit / sum
 		}
 	}
 	return out
 }
 
-// worthPreparing is the part of a load from the weight store that a copy at
+// preparationBenefit is the part of a load from the weight store that a copy at
 // hand saves. Where both take as long, preparing gains nothing.
-func worthPreparing(m *deploy.Model) float64 {
+func preparationBenefit(m *deploy.Model) float64 {
 	if m.StoreLoad <= 0 || m.DiskLoad <= 0 {
 		return 0
 	}
--- a/core/replica/prior_test.go
+++ b/core/replica/prior_test.go
@@ -14,7 +14,7 @@
 // Sequence: 340 models, 15 engines with three places each; nobody has asked yet.
 // Cause: each model is prepared for as if it were one of few; all of them together
 // would need four times the engines that there are.
-func TestManyModelsAreNotAllPreparedFor(t *testing.T) {
+func TestPriorsOfManyModelsAreBounded(t *testing.T) {
 	var names []string
 	for i := range 340 {
 		names = append(names, fmt.Sprint("m", i))
@@ -23,7 +23,7 @@
 	nobody := func(string) bool { return false }
 	in := replica.Input{Engine: e, MaxMoves: 15, StoreLoadsLeft: 15, SomeWaitForLoad: true, Demand: map[string]replica.Demand{}}
 	for i := range 15 {
-		in.Upstreams = append(in.Upstreams, on(fmt.Sprint("u", i), names[2*i], names[2*i+1], "m0"))
+		in.Upstreams = append(in.Upstreams, upstreamWith(fmt.Sprint("u", i), names[2*i], names[2*i+1], "m0"))
 	}
 	in.PriorLoad = replica.PriorLoads(e, len(in.Upstreams), nobody)
 	assert.Equal(t, len(replica.DefaultPolicy.Plan(in)), 0, "nobody gains by it")
@@ -33,7 +33,7 @@
 		sum += load
 	}
 	assert.Assert(t, sum < float64(len(in.Upstreams)), "they may take %v of 15 engines", sum)
-	few := replica.PriorLoads(engine("a", "b"), 15, nobody)
-	assert.Equal(t, few["a"], replica.PriorLoads(engine("a", "b"), 150, nobody)["a"], "few models are prepared for as before")
-	assert.Assert(t, few["a"] > 0)
+	fewPriors := replica.PriorLoads(engine("a", "b"), 15, nobody)
+	assert.Equal(t, fewPriors["a"], replica.PriorLoads(engine("a", "b"), 150, nobody)["a"], "few models are prepared for as before")
+	assert.Assert(t, fewPriors["a"] > 0)
 }
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -137,7 +137,7 @@
 	s := newState(&in)
 	var out []Move
 	for len(out) < in.MaxMoves {
-		c := p.next(s)
+		c := p.nextMove(s)
 		if c == nil {
 			break
 		}
@@ -148,40 +148,40 @@
 }
 
 const (
-	// patientSeconds is what counts for a model that is nowhere and whose
+	// waitingModelSeconds is what counts for a model that is nowhere and whose
 	// callers wait for a load: so many seconds of an engine's time, for as long
 	// as the load keeps a place from serving. A load of 2.5 s takes the place of
 	// idle models only; one of half a second is worth a place of a hot one.
-	patientSeconds = 1.0
-	// shortestLoad bounds what follows from a load time that is not told, in seconds.
-	shortestLoad = 0.2
+	waitingModelSeconds = 1.0
+	// minLoadSeconds bounds what follows from a load time that is not told, in seconds.
+	minLoadSeconds = 0.2
 )
 
-// nowhere weighs the load of a model without a replica that nobody waits for.
-const nowhere = 2.0
+// absentWeight weighs the load of a model without a replica that nobody waits for.
+const absentWeight = 2.0
 
-// next finds the model under the most pressure that can be given a place.
-func (p Policy) next(s *state) *choice {
-	least := p.leastPressure(s)
+// nextMove finds the model under the most pressure that can be given a place.
+func (p Policy) nextMove(s *state) *choice {
+	threshold := p.minPlaceablePressure(s)
 	var wanted []*model
 	for _, m := range s.models {
-		if now := m.pressure(); now > p.MinPressure && now >= least {
+		if pressure := m.pressure(); pressure > p.MinPressure && pressure >= threshold {
 			wanted = append(wanted, m)
 		}
 	}
-	sort.Slice(wanted, func(i, j int) bool { return before(wanted[i], wanted[j]) })
+	sort.Slice(wanted, func(i, j int) bool { return placedBefore(wanted[i], wanted[j]) })
 	for _, m := range wanted {
-		if c := p.place(s, m); c != nil {
+		if c := p.bestPlacement(s, m); c != nil {
 			return c
 		}
 	}
 	return nil
 }
 
-// leastPressure is the pressure below which no model gets a place now. Most
+// minPlaceablePressure is the pressure below which no model gets a place now. Most
 // models are under less, so that most upstreams need not be looked at for them.
-func (p Policy) leastPressure(s *state) float64 {
-	least := math.Inf(1)
+func (p Policy) minPlaceablePressure(s *state) float64 {
+	threshold := math.Inf(1)
 	for i := range s.upstreams {
 		u := &s.upstreams[i]
 		if !u.Movable || u.moved {
@@ -190,21 +190,21 @@
 		if u.FreeMB > 0 {
 			return 0
 		}
-		for j := range u.held {
-			if after, ok := p.afterwards(s, u, &u.held[j], nil); ok {
-				least = min(least, after*p.MinPressureRatio)
+		for j := range u.residents {
+			if after, ok := p.pressureAfterEviction(s, u, &u.residents[j], nil); ok {
+				threshold = min(threshold, after*p.MinPressureRatio)
 			}
 		}
 	}
-	return least
+	return threshold
 }
 
-// before says which of two models gets its place first: the one whose next
+// placedBefore says which of two models gets its place first: the one whose next
 // replica serves more of what nobody can serve now, then the one under more
 // pressure. Loads wait for each other at the weight store. By pressure alone
 // every model that is nowhere would come before the next replica of a hot one,
 // however few call for it.
-func before(a, b *model) bool {
+func placedBefore(a, b *model) bool {
 	if x, y := a.gain(), b.gain(); x != y {
 		return x > y
 	}
@@ -214,35 +214,35 @@
 	return a.name < b.name
 }
 
-// place finds the best upstream for another replica of a model.
-func (p Policy) place(s *state, m *model) *choice {
+// bestPlacement finds the best upstream for another replica of a model.
+func (p Policy) bestPlacement(s *state, m *model) *choice {
 	var best *choice
 	lowest := math.Inf(1)
-	wait := m.demand.WaitsForLoad && s.atHand(m)
+	waitForCopy := m.demand.WaitsForLoad && s.hasLocalCopy(m)
 	for i := range s.upstreams {
 		u := &s.upstreams[i]
-		if !u.Movable || u.moved || u.holds(m) {
+		if !u.Movable || u.moved || u.hasResident(m) {
 			continue
 		}
 		from := u.source(m.name)
-		if from == FromStore && (s.store <= 0 || wait) {
+		if from == FromStore && (s.storeLoadsLeft <= 0 || waitForCopy) {
 			continue
 		}
-		unload, cost, ok := p.victim(s, u, m)
+		unload, cost, ok := p.evictionCandidate(s, u, m)
 		if !ok {
 			continue
 		}
-		cost += m.seconds[from] + busyWeight*u.load()
+		cost += m.loadSeconds[from] + upstreamLoadWeight*u.expectedLoad()
 		if cost < lowest {
-			best, lowest = &choice{at: u, unload: unload, load: m, from: from}, cost
+			best, lowest = &choice{upstream: u, unload: unload, load: m, from: from}, cost
 		}
 	}
 	return best
 }
 
-// atHand says whether some upstream has a copy of a model's weights. Callers
+// hasLocalCopy says whether some upstream has a copy of a model's weights. Callers
 // who wait for a load do not wait for one from the store.
-func (s *state) atHand(m *model) bool {
+func (s *state) hasLocalCopy(m *model) bool {
 	for i := range s.upstreams {
 		if s.upstreams[i].source(m.name) != FromStore {
 			return true
@@ -251,10 +251,10 @@
 	return false
 }
 
-// busyWeight turns an upstream's load into seconds of loading: a place on an
+// upstreamLoadWeight turns an upstream's load into seconds of loading: a place on an
 // engine that is busy all the time is worth a load that is some seconds longer
 // on an idle one.
-const busyWeight = 6.0
+const upstreamLoadWeight = 6.0
 
 // LoadTime is how long a model's load from a source takes by itself.
 func LoadTime(e *deploy.Engine, name string, from Source) time.Duration {
--- a/core/replica/replica_test.go
+++ b/core/replica/replica_test.go
@@ -12,7 +12,7 @@
 	"peridotpier.example/core/replica"
 )
 
-const settled = 10 * time.Second
+const readyFor = 10 * time.Second
 
 func engine(models ...string) *deploy.Engine {
 	e := &deploy.Engine{MemoryMB: 230}
@@ -22,18 +22,18 @@
 	return e
 }
 
-func on(id string, models ...string) replica.Upstream {
+func upstreamWith(id string, models ...string) replica.Upstream {
 	u := replica.Upstream{ID: id, Movable: true, Usable: true, OnDisk: map[string]bool{}}
 	for _, m := range models {
-		u.Residents = append(u.Residents, replica.Resident{Model: m, Ready: true, ReadyFor: settled, IdleFor: settled})
+		u.Residents = append(u.Residents, replica.Resident{Model: m, Ready: true, ReadyFor: readyFor, IdleFor: readyFor})
 		u.OnDisk[m] = true
 	}
 	return u
 }
 
-func TestAHotModelTakesThePlaceOfAnIdleReplica(t *testing.T) {
+func TestAHotModelReplacesAnIdleReplica(t *testing.T) {
 	in := replica.Input{Engine: engine("hot", "idle", "rare"), MaxMoves: 4, StoreLoadsLeft: 4,
-		Upstreams: []replica.Upstream{on("1", "hot", "rare"), on("2", "idle"), on("3", "idle")},
+		Upstreams: []replica.Upstream{upstreamWith("1", "hot", "rare"), upstreamWith("2", "idle"), upstreamWith("3", "idle")},
 		Demand:    map[string]replica.Demand{"hot": {EngineLoad: 0.8}, "idle": {}, "rare": {EngineLoad: 0.01}}}
 	got := replica.DefaultPolicy.Plan(in)
 	assert.DeepEqual(t, got, []replica.Move{{Upstream: "2", Unload: "idle", Load: "hot", From: replica.FromStore}})
@@ -46,7 +46,7 @@
 // Cause: whatever is nowhere goes first, however few ask for it.
 func TestTheLoadThatServesMoreGoesFirst(t *testing.T) {
 	in := replica.Input{Engine: engine("a-rare", "b-rare", "c-rare", "hot"), MaxMoves: 8, StoreLoadsLeft: 2,
-		Upstreams: []replica.Upstream{on("1", "hot"), on("2"), on("3"), on("4"), on("5")},
+		Upstreams: []replica.Upstream{upstreamWith("1", "hot"), upstreamWith("2"), upstreamWith("3"), upstreamWith("4"), upstreamWith("5")},
 		Demand:    map[string]replica.Demand{"hot": {EngineLoad: 3.3}, "a-rare": {EngineLoad: 0.02, Unserved: true}, "b-rare": {EngineLoad: 0.09, Unserved: true}, "c-rare": {EngineLoad: 0.01, Unserved: true}}}
 	for i := 1; i < len(in.Upstreams); i++ {
 		in.Upstreams[i].FreeMB = in.Engine.MemoryMB
@@ -61,7 +61,7 @@
 	in.StoreLoadsLeft = 4
 	assert.DeepEqual(t, loads(), []string{"hot", "hot", "hot", "b-rare"}) // the rest of the hot demand, 0.3, is more than each rare one
 	in.Demand["hot"] = replica.Demand{EngineLoad: 3.3, Unserved: true}
-	in.Upstreams[0] = on("1")
+	in.Upstreams[0] = upstreamWith("1")
 	in.StoreLoadsLeft = 1
 	assert.DeepEqual(t, loads(), []string{"hot"})
 }
@@ -71,17 +71,17 @@
 // planned in the other's place, one after the other.
 // Cause: a replica that is still being loaded counts as one that can answer.
 func TestALoadingReplicaDoesNotFreeTheLastReadyOne(t *testing.T) {
-	loading := on("2")
+	loading := upstreamWith("2")
 	loading.Residents = []replica.Resident{{Model: "a"}}
-	in := replica.Input{Engine: engine("a", "b"), MaxMoves: 4, StoreLoadsLeft: 4, Upstreams: []replica.Upstream{on("1", "a"), loading, on("3", "b")},
+	in := replica.Input{Engine: engine("a", "b"), MaxMoves: 4, StoreLoadsLeft: 4, Upstreams: []replica.Upstream{upstreamWith("1", "a"), loading, upstreamWith("3", "b")},
 		Demand: map[string]replica.Demand{"a": {EngineLoad: 0.1}, "b": {EngineLoad: 2}}}
 	assert.Equal(t, len(replica.DefaultPolicy.Plan(in)), 0)
 }
 
-func TestCallersWhoWaitDoNotWaitForTheWeightStore(t *testing.T) {
-	held := on("1", "a")
-	held.OnDisk["rare"], held.Movable = true, false
-	in := replica.Input{Engine: engine("a", "rare"), MaxMoves: 1, StoreLoadsLeft: 4, Upstreams: []replica.Upstream{held, on("2", "a")},
+func TestNoLoadFromTheWeightStoreForCallersWhoWait(t *testing.T) {
+	withCopy := upstreamWith("1", "a")
+	withCopy.OnDisk["rare"], withCopy.Movable = true, false
+	in := replica.Input{Engine: engine("a", "rare"), MaxMoves: 1, StoreLoadsLeft: 4, Upstreams: []replica.Upstream{withCopy, upstreamWith("2", "a")},
 		Demand: map[string]replica.Demand{"rare": {Unserved: true, WaitsForLoad: true}, "a": {}}}
 	assert.Equal(t, len(replica.DefaultPolicy.Plan(in)), 0, "the upstream with the copy is free again soon")
 	in.Upstreams[0].Movable = true
@@ -97,8 +97,8 @@
 	assert.Equal(t, replica.PriorLoads(e, 12, nobody)["a"], 0.0)
 }
 
-func heldAnywhere(us []replica.Upstream, model string) bool {
-	for _, u := range us {
+func heldAnywhere(upstreams []replica.Upstream, model string) bool {
+	for _, u := range upstreams {
 		for _, h := range u.Residents {
 			if u.Usable && h.Model == model {
 				return true
@@ -112,8 +112,8 @@
 // Sequence: three of nine upstreams are taken away; fewer places are left than
 // models; each of those that are left holds the last replica of some model.
 // Cause: no last replica ever makes way.
-func TestAModelThatNobodyAsksForMakesWayForOneThatIsNowhere(t *testing.T) {
-	busy, idle := on("1", "busy"), on("2", "idle")
+func TestAnIdleModelIsEvictedForOneWithoutAReplica(t *testing.T) {
+	busy, idle := upstreamWith("1", "busy"), upstreamWith("2", "idle")
 	busy.Residents[0].IdleFor = 0
 	in := replica.Input{Engine: engine("hot", "busy", "idle"), MaxMoves: 2, StoreLoadsLeft: 2, Upstreams: []replica.Upstream{busy, idle},
 		Demand: map[string]replica.Demand{"hot": {EngineLoad: 0.8, Unserved: true}, "busy": {EngineLoad: 0.5}, "idle": {}}}
@@ -144,10 +144,10 @@
 		in.PriorLoad = replica.PriorLoads(in.Engine, 12, func(m string) bool { _, ok := in.Demand[m]; return ok })
 		ready := map[string]int{}
 		for i := range rapid.IntRange(1, 30).Draw(t, "upstreams") {
-			u := on(fmt.Sprint("u", i))
+			u := upstreamWith(fmt.Sprint("u", i))
 			u.Usable, u.Movable = rapid.IntRange(0, 9).Draw(t, "usable") > 0, rapid.Bool().Draw(t, "movable")
 			for _, n := range rapid.SliceOfNDistinct(rapid.SampledFrom(names), 0, min(3, len(names)), rapid.ID[string]).Draw(t, "held") {
-				h := replica.Resident{Model: n, Ready: rapid.IntRange(0, 4).Draw(t, "ready") > 0, ReadyFor: settled}
+				h := replica.Resident{Model: n, Ready: rapid.IntRange(0, 4).Draw(t, "ready") > 0, ReadyFor: readyFor}
 				u.Residents = append(u.Residents, h)
 				if u.Usable && h.Ready {
 					ready[n]++
@@ -155,29 +155,29 @@
 			}
 			in.Upstreams = append(in.Upstreams, u)
 		}
-		nowhere := map[string]bool{}
+		absent := map[string]bool{}
 		for _, n := range names {
-			nowhere[n] = !heldAnywhere(in.Upstreams, n)
+			absent[n] = !heldAnywhere(in.Upstreams, n)
 		}
-		moved, store := map[string]bool{}, 0
+		moved, storeLoads := map[string]bool{}, 0
 		for _, m := range replica.DefaultPolicy.Plan(in) {
 			assert.Assert(t, !moved[m.Upstream] && m.Load != m.Unload)
 			moved[m.Upstream] = true
 			if m.From == replica.FromStore {
-				store++
+				storeLoads++
 			}
 			if m.Unload == "" {
 				continue
 			}
 			ready[m.Unload]--
 			d, asked := in.Demand[m.Unload]
-			mayGo := asked && d.WaitsForLoad || !asked && in.SomeWaitForLoad
+			mayBeEvicted := asked && d.WaitsForLoad || !asked && in.SomeWaitForLoad
 			// Where there are fewer places than models, one that is asked for and
 			// nowhere goes before one that is not asked for.
-			mayGo = mayGo || nowhere[m.Load] && in.Demand[m.Load].Unserved
-			assert.Assert(t, ready[m.Unload] > 0 || mayGo, "the last ready replica of %s makes way", m.Unload)
+			mayBeEvicted = mayBeEvicted || absent[m.Load] && in.Demand[m.Load].Unserved
+			assert.Assert(t, ready[m.Unload] > 0 || mayBeEvicted, "the last ready replica of %s makes way", m.Unload)
 		}
-		assert.Assert(t, store <= in.StoreLoadsLeft && len(moved) <= in.MaxMoves)
+		assert.Assert(t, storeLoads <= in.StoreLoadsLeft && len(moved) <= in.MaxMoves)
 	})
 }
 
@@ -186,7 +186,7 @@
 // Sequence: hot models are busy on all upstreams; a rare one, which is nowhere,
 // is asked for by callers who would wait.
 // Cause: it may take the place of idle models only, however short its load is.
-func TestAShortLoadTakesThePlaceOfAHotReplica(t *testing.T) {
+func TestAShortLoadReplacesAHotReplica(t *testing.T) {
 	for _, c := range []struct {
 		load time.Duration
 		want int
@@ -195,7 +195,7 @@
 		e.Models[1].DiskLoad = c.load
 		in := replica.Input{Engine: e, MaxMoves: 1, Demand: map[string]replica.Demand{"hot": {EngineLoad: 2}, "rare": {Unserved: true, WaitsForLoad: true}}}
 		for i := range 4 {
-			u := on(fmt.Sprint(i), "hot")
+			u := upstreamWith(fmt.Sprint(i), "hot")
 			u.OnDisk["rare"] = true
 			in.Upstreams = append(in.Upstreams, u)
 		}
@@ -207,14 +207,14 @@
 // with other models prepared, and those that are asked for are not among them.
 // Sequence: nobody has asked for any model yet.
 // Cause: a model's place in the list is taken for a sign of its demand.
-func TestTheOrderOfAListIsNoSignOfDemand(t *testing.T) {
+func TestTheOrderOfTheModelListDoesNotAffectPriors(t *testing.T) {
 	e := engine("a", "b", "c", "d")
 	e.Models[2].Adapters = 3
-	turned := engine("d", "c", "b", "a")
-	turned.Models[1].Adapters = 3
+	reversed := engine("d", "c", "b", "a")
+	reversed.Models[1].Adapters = 3
 	nobody := func(string) bool { return false }
 	priors := replica.PriorLoads(e, 12, nobody)
-	assert.DeepEqual(t, priors, replica.PriorLoads(turned, 12, nobody))
+	assert.DeepEqual(t, priors, replica.PriorLoads(reversed, 12, nobody))
 	assert.Equal(t, priors["a"], priors["d"])
 	assert.Assert(t, priors["c"] > priors["a"], "adapters are made for models that are used")
 	asked := replica.PriorLoads(e, 12, func(m string) bool { return m == "c" })
@@ -224,9 +224,9 @@
 
 // Guards against callers refused for a model whose only upstream takes hardly any
 // requests, with others idle; and against loads to where few requests go.
-func TestAModelAtAnUpstreamThatTakesLittleGetsAnotherPlace(t *testing.T) {
+func TestAModelAtARateLimitedUpstreamGetsAnotherReplica(t *testing.T) {
 	in := replica.Input{Engine: engine("a", "idle"), MaxMoves: 4, StoreLoadsLeft: 4,
-		Upstreams: []replica.Upstream{on("1", "a"), on("2", "idle"), on("3", "idle")},
+		Upstreams: []replica.Upstream{upstreamWith("1", "a"), upstreamWith("2", "idle"), upstreamWith("3", "idle")},
 		Demand:    map[string]replica.Demand{"a": {EngineLoad: 0.15}, "idle": {}}}
 	assert.Equal(t, len(replica.DefaultPolicy.Plan(in)), 0)
 	in.Upstreams[0].UnavailableShare, in.Upstreams[0].Movable = 0.95, false
--- a/core/residency/traits_test.go
+++ b/core/residency/traits_test.go
@@ -22,16 +22,16 @@
 	now := t0
 	traits := &residency.Traits{}
 	here := []deploy.Resident{{Model: "a"}}
-	b := residency.New(engine, &deploy.Upstream{Residents: here}, now)
-	b.ShareTraits(traits)
-	b.Reconcile(residency.Report{Residents: here, Sequence: 7, Busy: true}, now)
-	o, ok := b.NextAdapterOrder("a", "a3", now)
+	rec := residency.New(engine, &deploy.Upstream{Residents: here}, now)
+	rec.ShareTraits(traits)
+	rec.Reconcile(residency.Report{Residents: here, Sequence: 7, Busy: true}, now)
+	o, ok := rec.NextAdapterOrder("a", "a3", now)
 	assert.Assert(t, ok, "nobody knows yet that it is barred")
-	b.MarkSent(o, now)
-	b.MarkRefused(o)
-	b.Reconcile(residency.Report{Residents: here, Sequence: 7, Busy: true}, now.Add(time.Second))
-	_, ok = b.NextAdapterOrder("a", "a3", now)
-	assert.Assert(t, !ok && b.RefusesAdapterOrders() && !b.NeedsReport())
+	rec.MarkSent(o, now)
+	rec.MarkRefused(o)
+	rec.Reconcile(residency.Report{Residents: here, Sequence: 7, Busy: true}, now.Add(time.Second))
+	_, ok = rec.NextAdapterOrder("a", "a3", now)
+	assert.Assert(t, !ok && rec.RefusesAdapterOrders() && !rec.NeedsReport())
 
 	other := residency.New(engine, &deploy.Upstream{Residents: here}, now)
 	other.ShareTraits(traits)
@@ -42,25 +42,25 @@
 	_, ok = other.NextAdapterOrder("a", "a3", now)
 	assert.Assert(t, !ok, "what one upstream did, the others of its service do")
 
-	b.Reconcile(residency.Report{Residents: holds("a", "b"), Sequence: 7}, now.Add(2*time.Second))
-	o, ok = b.NextAdapterOrder("a", "a3", now)
+	rec.Reconcile(residency.Report{Residents: residentsOf("a", "b"), Sequence: 7}, now.Add(2*time.Second))
+	o, ok = rec.NextAdapterOrder("a", "a3", now)
 	assert.Assert(t, ok && o.Expected == 7, "the end of the order lets it through")
 }
 
 // A refusal for another reason teaches nothing: the number had moved on, or the
 // order that was being carried out is over.
-func TestOnlyARefusalBesideAnotherOrderBars(t *testing.T) {
+func TestOnlyARefusalDuringAnotherOrderStopsAdapterOrders(t *testing.T) {
 	here := []deploy.Resident{{Model: "a"}}
 	for _, after := range []residency.Report{{Residents: here, Sequence: 8, Busy: true}, {Residents: here, Sequence: 7}} {
-		b := residency.New(engine, &deploy.Upstream{Residents: here}, t0)
-		b.ShareTraits(&residency.Traits{})
-		b.Reconcile(residency.Report{Residents: here, Sequence: 7, Busy: true}, t0)
-		o, ok := b.NextAdapterOrder("a", "a3", t0)
+		rec := residency.New(engine, &deploy.Upstream{Residents: here}, t0)
+		rec.ShareTraits(&residency.Traits{})
+		rec.Reconcile(residency.Report{Residents: here, Sequence: 7, Busy: true}, t0)
+		o, ok := rec.NextAdapterOrder("a", "a3", t0)
 		assert.Assert(t, ok)
-		b.MarkRefused(o)
-		b.Reconcile(after, t0.Add(time.Second))
-		assert.Assert(t, !b.RefusesAdapterOrders())
-		_, ok = b.NextAdapterOrder("a", "a3", t0)
+		rec.MarkRefused(o)
+		rec.Reconcile(after, t0.Add(time.Second))
+		assert.Assert(t, !rec.RefusesAdapterOrders())
+		_, ok = rec.NextAdapterOrder("a", "a3", t0)
 		assert.Assert(t, ok)
 	}
 }
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -51,7 +51,7 @@
 try "loads by what they serve" core/replica/replica.go \
   'if x, y := a.gain(), b.gain(); x != y {' 'if x, y := a.gain(), b.gain(); false && x != y {' ./core/replica
 try "bound of what is prepared for" core/replica/prior.go \
-  'sum > most' 'false && sum > most' ./core/replica
+  'sum > limit' 'false && sum > limit' ./core/replica
 try "wait for a model on its way" node/gate/pick.go \
   'if !coming || q.started' 'if true || !coming || q.started' ./node/gate -run 'OnItsWay|TooLate'
 try "bound of prompts at an upstream for all requests" node/gate/pick.go \
