--- a/core/replica/evict.go
+++ b/core/replica/evict.go
@@ -2,8 +2,9 @@
 
 import "math"
 
-// evictionCandidate picks the model that makes way at an upstream, with what that costs
-// in seconds; nil when there is room without one.
+// evictionCandidate returns the model to evict at an upstream for the wanted
+// model, with the cost in seconds; nil and true when there is room without an
+// eviction, false when there is no candidate.
 func (p Policy) evictionCandidate(s *state, u *upstream, wanted *model) (*model, float64, bool) {
 	if u.FreeMB >= wanted.weightsMB {
 		return nil, 0, true
@@ -25,8 +26,9 @@
 	return best, lowest, best != nil
 }
 
-// pressureAfterEviction is the pressure on a model once it has made way at an upstream,
-// if it may; nil stands for any other that it may make way for.
+// pressureAfterEviction returns the pressure on a model once it has been evicted
+// at an upstream, and whether it may be evicted for the wanted model; nil stands
+// for any model.
 func (p Policy) pressureAfterEviction(s *state, u *upstream, v *resident, wanted *model) (float64, bool) {
 	if !v.Ready || v.ReadyFor < p.MinResidency {
 		return 0, false
@@ -34,19 +36,19 @@
 	if v.model.readyReplicas >= 2 {
 		return v.model.pressureWith(v.model.replicas-1, v.model.unavailable-u.UnavailableShare), true
 	}
-	// One that is still being loaded answers nobody yet.
+	// A replica that is still being loaded answers nobody yet, so this is the last one.
 	if wanted != nil && !p.mayBeAbsent(s, u, v.model) && !p.yieldsTo(v, wanted) {
 		return 0, false
 	}
 	return p.EvictedPressure + p.EvictedPressurePerLoad*v.model.demand.EngineLoad, true
 }
 
-// mayBeAbsent says whether a model's last replica may make way at an upstream:
-// its callers would wait for a load, or nobody calls and whoever does is still
-// answered after a load from the copy that is left there. Where each model keeps
-// a place, however long ago it was asked for, the hot ones have hardly more than
-// one when upstreams are few: then a tenth of all requests is refused with engines
-// idle.
+// mayBeAbsent reports whether a model's last replica may be evicted at an
+// upstream: its callers would wait for a load, or nobody asks for it and whoever
+// does is still answered after a load from the copy that remains there. If every
+// model kept a place, however long ago it was asked for, the hot models would have
+// hardly more than one each when upstreams are few: a tenth of all requests was
+// refused then while engines were idle.
 func (p Policy) mayBeAbsent(s *state, u *upstream, m *model) bool {
 	if m.isIdle() && m.loadSeconds[u.source(m.name)] <= s.maxCallerWaitSeconds {
 		return true
@@ -57,9 +59,10 @@
 	return s.someWaitForLoad && m.prior < p.MinKeptPrior
 }
 
-// yieldsTo says whether a model's last replica makes way for one that is nowhere
-// and asked for. When upstreams are lost there may be fewer places than models;
-// then the places go to those that are asked for, and the others in turn.
+// yieldsTo reports whether a model's last replica is evicted for a wanted model
+// that has no replica and is asked for. When upstreams are lost there may be fewer
+// places than models; then the models that are asked for get the places, the
+// others when their turn comes.
 func (p Policy) yieldsTo(v *resident, wanted *model) bool {
 	if wanted.replicas > 0 || !wanted.demand.Unserved {
 		return false
@@ -68,10 +71,13 @@
 }
 
 const (
-	// evictedPressureWeight turns the pressure that a model is left with into seconds.
+	// evictedPressureWeight converts the pressure on a model after its eviction
+	// into seconds.
 	evictedPressureWeight = 4.0
-	// An unload waits for the requests that run. One that had none for a while
-	// is gone at once; beyond longIdle seconds that makes no difference.
+	// idleWeight and maxIdleSeconds favour models that have been idle. An unload
+	// waits for the requests that run: a model without requests for a while is
+	// unloaded at once, and beyond maxIdleSeconds a longer time makes no
+	// difference.
 	idleWeight     = 0.3
 	maxIdleSeconds = 5.0
 )
--- a/core/replica/idle_test.go
+++ b/core/replica/idle_test.go
@@ -12,8 +12,8 @@
 	"peridotpier.example/core/replica"
 )
 
-// catalogue is a service of many models of which a few are asked for: as many
-// places as models, each on one upstream. seed shuffles names and lists.
+// catalogue returns a service of many models of which a few are asked for: as many
+// places as models, each model on one upstream. seed shuffles names and lists.
 func catalogue(seed uint64, store, disk time.Duration) replica.Input {
 	const upstreams, slots, hot = 20, 3, 5
 	rnd := rand.New(rand.NewPCG(seed, 0))
@@ -34,7 +34,7 @@
 	for i := range hot {
 		in.Demand[in.Engine.Models[i*slots].Name] = replica.Demand{EngineLoad: 1.5}
 	}
-	for i := hot; i < 2*hot; i++ { // asked for a while ago
+	for i := hot; i < 2*hot; i++ { // asked for only some time ago
 		in.Demand[in.Engine.Models[i*slots].Name] = replica.Demand{}
 	}
 	rnd.Shuffle(len(in.Engine.Models), func(i, j int) {
@@ -44,12 +44,11 @@
 	return in
 }
 
-// Symptom: a tenth of all requests is refused, and as many are late, with most
-// engines idle.
-// Sequence: there are as many models as places; demand is for five of them, each
-// half as much again as one engine can serve.
-// Cause: every model keeps its place, also those that nobody asks for, though a
-// load is over long before any caller's time.
+// Guards against a tenth of all requests being refused, and as many late, with
+// most engines idle. There are as many models as places; demand is for five of
+// them, each with half as much again as one engine can serve. If every model kept
+// its place, also those that nobody asks for, the hot ones would have one replica
+// each, though a load is over long before any caller's time.
 func TestHotModelsReplaceIdleOnesWhereLoadsAreShort(t *testing.T) {
 	for seed := range uint64(20) {
 		in := catalogue(seed, 9*time.Second, 2400*time.Millisecond)
@@ -60,15 +59,16 @@
 		}
 		for name, d := range in.Demand {
 			if d.EngineLoad > 0 {
-				assert.Assert(t, replicas[name] >= 2, "seed %d: %s has %d more places", seed, name, replicas[name])
+				assert.Assert(t, replicas[name] >= 2, "seed %d: %s gets %d more replicas", seed, name, replicas[name])
 				assert.Assert(t, !unloaded[name])
 			}
 		}
 	}
 }
 
-// Where a load takes longer than callers wait, or no copy is left, whoever asks
-// first for a model that is nowhere would not be answered: each keeps its place.
+// Where a load takes longer than callers wait, or no local copy is left, the first
+// request for a model without a replica would not be answered in time: each model
+// keeps one.
 func TestIdleModelsKeepTheirReplicaWhereLoadsAreLong(t *testing.T) {
 	for seed := range uint64(20) {
 		assert.Equal(t, len(replica.DefaultPolicy.Plan(catalogue(seed, 9*time.Second, 4*time.Second))), 0)
--- a/core/replica/prior.go
+++ b/core/replica/prior.go
@@ -2,28 +2,30 @@
 
 import "peridotpier.example/core/deploy"
 
-// The load to prepare for of a model that nobody has asked for yet, in engines.
+// The assumed load of a model that nobody has asked for yet, in engines.
 const (
-	// priorWithAdapters is above the pressure at which a model gets another replica:
-	// adapters are made for models that are used.
+	// priorWithAdapters is above the pressure at which a model gets another
+	// replica: adapters are made for models that are used.
 	priorWithAdapters = 0.4
-	// priorWithoutAdapters is below it, and above what makes a model's only replica give
-	// way: any of them may be the next to be asked for.
+	// priorWithoutAdapters is below that pressure, and above the one at which a
+	// model's only replica may be evicted: any of these models may be the next to
+	// be asked for.
 	priorWithoutAdapters = 0.12
-	// maxPriorShare is the part of all engines' time that models which nobody
-	// has asked for may be expected to take together, however many there are: a
+	// maxPriorShare is the share of all engines' time that the models which nobody
+	// has asked for are assumed to take together, however many they are: a
 	// deployment's engines are there for its usual load and its peaks.
 	maxPriorShare = 0.5
 )
 
-// PriorLoads guesses the load of models that nobody has asked for yet. The only
-// hint is what the deployment says of them: adapters are made for models that
-// are used. The order of a list says nothing. A wrong guess costs a few loads;
-// without any, models whose demand rises start from one replica, and a load
-// from the weight store takes longer than the rise.
+// PriorLoads estimates the load of models that nobody has asked for yet. The only
+// evidence is whether a model has adapters: adapters are made for models that are
+// used. The order of the list of models has no meaning. A wrong estimate costs a
+// few loads; without any, models whose demand rises start from one replica, and a
+// load from the weight store takes longer than the rise.
 //
-// Of many models each is the less likely to be the next: with 340 of them before
-// 45 places, guesses for one model at a time would outweigh all that is known.
+// The more models there are, the less likely each is to be the next: with 340 of
+// them and 45 places, estimates made for each model alone would outweigh all
+// observed demand.
 func PriorLoads(e *deploy.Engine, engines int, asked func(model string) bool) map[string]float64 {
 	out, sum := map[string]float64{}, 0.0
 	for i := range e.Models {
@@ -46,8 +48,8 @@
 	return out
 }
 
-// preparationBenefit is the part of a load from the weight store that a copy at
-// hand saves. Where both take as long, preparing gains nothing.
+// preparationBenefit returns the share of the load time from the weight store that
+// a local copy saves. Where both take equally long, preparing gains nothing.
 func preparationBenefit(m *deploy.Model) float64 {
 	if m.StoreLoad <= 0 || m.DiskLoad <= 0 {
 		return 0
--- a/core/replica/prior_test.go
+++ b/core/replica/prior_test.go
@@ -9,11 +9,11 @@
 	"peridotpier.example/core/replica"
 )
 
-// Symptom: before the first request every engine drops a replica of what will be
-// asked for most, and a third of the callers' models are nowhere all day.
-// Sequence: 340 models, 15 engines with three places each; nobody has asked yet.
-// Cause: each model is prepared for as if it were one of few; all of them together
-// would need four times the engines that there are.
+// Guards against every engine unloading, before the first request, a replica of
+// what will be asked for most, so that a third of the models have no replica all
+// day. With 340 models and 15 engines with three places each, nobody has asked
+// yet, and a prior made for each model as if it were one of few would need four
+// times the engines that there are.
 func TestPriorsOfManyModelsAreBounded(t *testing.T) {
 	var names []string
 	for i := range 340 {
@@ -26,7 +26,7 @@
 		in.Upstreams = append(in.Upstreams, upstreamWith(fmt.Sprint("u", i), names[2*i], names[2*i+1], "m0"))
 	}
 	in.PriorLoad = replica.PriorLoads(e, len(in.Upstreams), nobody)
-	assert.Equal(t, len(replica.DefaultPolicy.Plan(in)), 0, "nobody gains by it")
+	assert.Equal(t, len(replica.DefaultPolicy.Plan(in)), 0, "a move gains nothing")
 
 	sum := 0.0
 	for _, load := range in.PriorLoad {
@@ -34,6 +34,6 @@
 	}
 	assert.Assert(t, sum < float64(len(in.Upstreams)), "they may take %v of 15 engines", sum)
 	fewPriors := replica.PriorLoads(engine("a", "b"), 15, nobody)
-	assert.Equal(t, fewPriors["a"], replica.PriorLoads(engine("a", "b"), 150, nobody)["a"], "few models are prepared for as before")
+	assert.Equal(t, fewPriors["a"], replica.PriorLoads(engine("a", "b"), 150, nobody)["a"], "the bound does not affect few models")
 	assert.Assert(t, fewPriors["a"] > 0)
 }
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -1,6 +1,6 @@
-// Package replica decides which models should be on more or fewer upstreams,
-// from the demand for each. It does no I/O and has no clock: one plan sees one
-// snapshot.
+// Package replica decides which models should have more or fewer replicas, and on
+// which upstreams, from the demand for each model. It does no I/O and has no
+// clock: a plan is made from one snapshot.
 package replica
 
 import (
@@ -12,30 +12,30 @@
 	"peridotpier.example/core/deploy"
 )
 
-// Source is where a load would come from.
+// Source is the place that the weights of a model are loaded from.
 type Source uint8
 
-// The sources, the nearest first.
+// The sources, fastest first.
 const (
 	FromMemory Source = iota
 	FromDisk
 	FromStore
 )
 
-// String names the source in logs.
+// String returns the name of the source, for logs.
 func (s Source) String() string { return [...]string{"memory", "disk", "store"}[s] }
 
-// Upstream is one that models can be moved on.
+// Upstream describes one upstream of the service in a snapshot.
 type Upstream struct {
 	ID        string
-	Residents []Resident // what it will hold once the move that is under way is over
-	FreeMB    float64    // that another model's weights may take beside what is held
-	InMemory  map[string]bool
-	OnDisk    map[string]bool
-	Movable   bool // usable, and no order is under way or in doubt
-	Usable    bool
-	// Lacking is the part of an engine's time that it does not give, since it
-	// names a limit; 0: it gives all.
+	Residents []Resident      // models at the upstream once the move in progress is done
+	FreeMB    float64         // megabytes that another model's weights may take beside the residents
+	InMemory  map[string]bool // models with a copy in host memory
+	OnDisk    map[string]bool // models with a copy on disk
+	Movable   bool            // models may be loaded and unloaded: usable, no order in progress or unconfirmed
+	Usable    bool            // requests may be sent to it
+	// UnavailableShare is the share of an engine's time that the upstream does not
+	// give because it sets a rate limit; 0: it gives all.
 	UnavailableShare float64
 }
 
@@ -43,96 +43,101 @@
 type Resident struct {
 	Model    string
 	Ready    bool
-	ReadyFor time.Duration // since it became so
-	IdleFor  time.Duration // since its last request there
+	ReadyFor time.Duration // time since the model became ready
+	IdleFor  time.Duration // time since the last request for it at the upstream
 }
 
-// Demand is what callers ask of a model.
+// Demand is the demand of callers for one model.
 type Demand struct {
-	EngineLoad float64 // engines' time for it, each second
-	Unserved   bool    // somebody waits, or was refused, for want of it
-	// Patient says that all who asked for it so far would wait for a load from
-	// a disk. Such a model may be nowhere for a while.
+	EngineLoad float64 // seconds of engine time that its requests take each second
+	Unserved   bool    // a request waits or was refused because the model is not ready anywhere
+	// WaitsForLoad is true when all callers that asked for the model so far would
+	// wait for a load from a disk. Such a model may be without a replica for a
+	// while.
 	WaitsForLoad   bool
-	TimePerRequest time.Duration // of an engine's time for one request; 0: not known
+	TimePerRequest time.Duration // engine time that one request takes; 0: not known
 }
 
-// String writes the demand into logs.
+// String formats the demand for logs.
 func (d Demand) String() string {
 	return fmt.Sprintf("%.2f engines, unserved %t", d.EngineLoad, d.Unserved)
 }
 
-// MaxWaitShare is the part of its time by which a model must be there for a request
-// that waits for it to be answered whole before the rest is over.
+// MaxWaitShare is the share of a request's time that the request may wait for its
+// model to be loaded: the remainder must be enough for the complete answer.
 const MaxWaitShare = 0.5
 
-// Input is one snapshot.
+// Input is the snapshot that a plan is made from.
 type Input struct {
 	Engine    *deploy.Engine
 	Upstreams []Upstream
 	Demand    map[string]Demand
-	// Prior is the load to prepare for of models that nobody asked for yet.
+	// PriorLoad is the assumed load of models that nobody has asked for yet, in
+	// engines.
 	PriorLoad map[string]float64
-	// SomePatient says that the deployment has callers who would wait for a
-	// load; else every model must stay somewhere.
+	// SomeWaitForLoad is true when the deployment has callers who would wait for a
+	// load; otherwise every model must keep a replica.
 	SomeWaitForLoad bool
-	// CallersWait is how long any caller of the service may wait for a load and
-	// still be answered, if late; 0: not at all.
+	// MaxCallerWait is how long any caller of the service may wait for a load and
+	// still be answered, even if late; 0: not at all.
 	MaxCallerWait  time.Duration
 	StoreLoadsLeft int // loads from the weight store that may begin now
-	MaxMoves       int // moves to plan at most
+	MaxMoves       int // maximum number of moves to plan
 }
 
-// Move is one change at one upstream: the unload first, if there is one.
+// Move is one change at one upstream: the unload, if there is one, then the load.
 type Move struct {
 	Upstream string
-	Unload   string // "": none
+	Unload   string // empty: no unload
 	Load     string
 	From     Source
 }
 
-// Policy holds the thresholds.
+// Policy holds the thresholds of planning.
 type Policy struct {
-	// Pressure is the engines' time for each replica above which a model gets
-	// another one.
+	// MinPressure is the engine load per replica above which a model gets another
+	// replica.
 	MinPressure float64
-	// Gain is by how much the pressure on the model that gets a place must
-	// exceed what the one that gives it up would then have.
+	// MinPressureRatio is the factor by which the pressure on the model to load
+	// must exceed the pressure that the model to unload would then have.
 	MinPressureRatio float64
-	// Settled is how long a model stays at least where it was loaded.
+	// MinResidency is how long a model stays at least where it was loaded.
 	MinResidency time.Duration
-	// Absent is the pressure that counts for a model whose last replica makes
-	// way, and AbsentShare what each unit of its load adds to that.
+	// EvictedPressure is the pressure assumed for a model whose last replica is
+	// evicted, and EvictedPressurePerLoad what each unit of its load adds to that.
 	EvictedPressure        float64
 	EvictedPressurePerLoad float64
-	// Idle is how long nobody must have asked for a model, and Outweighs by which
-	// factor more another must be asked for, for its last replica to make way
-	// for one that is nowhere.
+	// For the last replica of a model to be evicted for a model without replicas,
+	// either nobody asked for it for MinIdle, or the demand for the other model is
+	// MinDemandRatio times as high.
 	MinIdle        time.Duration
 	MinDemandRatio float64
-	// Unlikely is the prior below which a model that nobody asked for may be
-	// nowhere.
+	// MinKeptPrior is the prior load below which a model that nobody asked for may
+	// be without a replica.
 	MinKeptPrior float64
 }
 
-// DefaultPolicy policy.
+// DefaultPolicy is the policy that is used when none is given.
 var DefaultPolicy = Policy{
-	// At this share of an engine's time prompts queue rarely; three models share
-	// one engine. At 0.1 there were a tenth more loads for the same worth.
+	// At this share of an engine's time, prompts rarely queue; three models share
+	// one engine. A value of 0.1 caused a tenth more loads without a better
+	// result.
 	MinPressure:      0.2,
 	MinPressureRatio: 1.6,
-	// A load takes one to nine seconds; what is moved back sooner never paid for it.
+	// A load takes one to nine seconds; a move that is undone sooner never paid
+	// for its load.
 	MinResidency: 3 * time.Second,
-	// A request for it would wait for a load, and another model would have to
-	// make way: worth it only when hot models are under pressure.
+	// A request for the evicted model would wait for a load, and another model
+	// would have to be evicted: worth it only when hot models are under pressure.
 	EvictedPressure:        0.3,
 	EvictedPressurePerLoad: 6,
-	MinIdle:                3 * time.Second, // about as long as its load takes
+	MinIdle:                3 * time.Second, // about as long as a load of the model takes
 	MinDemandRatio:         4,
 	MinKeptPrior:           0.09,
 }
 
-// Plan returns the moves that are worth their cost now, the most urgent first.
+// Plan returns the moves whose gain exceeds their cost now, the most urgent first,
+// each upstream at most once and no more than in.MaxMoves.
 func (p Policy) Plan(in Input) []Move {
 	s := newState(&in)
 	var out []Move
@@ -148,19 +153,23 @@
 }
 
 const (
-	// waitingModelSeconds is what counts for a model that is nowhere and whose
-	// callers wait for a load: so many seconds of an engine's time, for as long
-	// as the load keeps a place from serving. A load of 2.5 s takes the place of
-	// idle models only; one of half a second is worth a place of a hot one.
+	// waitingModelSeconds determines the pressure of a model without replicas
+	// whose callers wait for a load: so many seconds of engine time, divided by
+	// the time for which the load keeps a place from serving. A load of 2.5 s
+	// replaces only idle models; one of half a second is worth the place of a hot
+	// one.
 	waitingModelSeconds = 1.0
-	// minLoadSeconds bounds what follows from a load time that is not told, in seconds.
+	// minLoadSeconds is the shortest load time used for that, since the load time
+	// may not be configured.
 	minLoadSeconds = 0.2
 )
 
-// absentWeight weighs the load of a model without a replica that nobody waits for.
+// absentWeight weighs the expected load of a model without replicas that nobody
+// waits for.
 const absentWeight = 2.0
 
-// nextMove finds the model under the most pressure that can be given a place.
+// nextMove returns the next move for the model that most needs one and can be
+// placed; nil when there is none.
 func (p Policy) nextMove(s *state) *choice {
 	threshold := p.minPlaceablePressure(s)
 	var wanted []*model
@@ -178,8 +187,9 @@
 	return nil
 }
 
-// minPlaceablePressure is the pressure below which no model gets a place now. Most
-// models are under less, so that most upstreams need not be looked at for them.
+// minPlaceablePressure returns the pressure below which no model can be placed
+// now. Most models are below it, so that most upstreams need not be examined for
+// them.
 func (p Policy) minPlaceablePressure(s *state) float64 {
 	threshold := math.Inf(1)
 	for i := range s.upstreams {
@@ -199,11 +209,11 @@
 	return threshold
 }
 
-// placedBefore says which of two models gets its place first: the one whose next
-// replica serves more of what nobody can serve now, then the one under more
-// pressure. Loads wait for each other at the weight store. By pressure alone
-// every model that is nowhere would come before the next replica of a hot one,
-// however few call for it.
+// placedBefore reports whether a is placed before b: the model whose next replica
+// serves more of the demand that exceeds the replicas comes first, then the one
+// under more pressure. Loads wait for each other at the weight store. By pressure
+// alone every model without replicas would come before the next replica of a hot
+// one, however few callers ask for it.
 func placedBefore(a, b *model) bool {
 	if x, y := a.gain(), b.gain(); x != y {
 		return x > y
@@ -214,7 +224,8 @@
 	return a.name < b.name
 }
 
-// bestPlacement finds the best upstream for another replica of a model.
+// bestPlacement returns the move at the lowest cost that adds a replica of a
+// model; nil when no upstream can take one.
 func (p Policy) bestPlacement(s *state, m *model) *choice {
 	var best *choice
 	lowest := math.Inf(1)
@@ -240,8 +251,9 @@
 	return best
 }
 
-// hasLocalCopy says whether some upstream has a copy of a model's weights. Callers
-// who wait for a load do not wait for one from the store.
+// hasLocalCopy reports whether some upstream has a copy of a model's weights in
+// host memory or on disk. Callers who wait for a load do not wait for a load from
+// the weight store.
 func (s *state) hasLocalCopy(m *model) bool {
 	for i := range s.upstreams {
 		if s.upstreams[i].source(m.name) != FromStore {
@@ -251,12 +263,13 @@
 	return false
 }
 
-// upstreamLoadWeight turns an upstream's load into seconds of loading: a place on an
-// engine that is busy all the time is worth a load that is some seconds longer
-// on an idle one.
+// upstreamLoadWeight converts an upstream's load into seconds of loading: a place
+// on an idle engine is worth a load that takes some seconds longer than one on an
+// engine that is busy all the time.
 const upstreamLoadWeight = 6.0
 
-// LoadTime is how long a model's load from a source takes by itself.
+// LoadTime returns how long a model's load from a source takes when no other load
+// runs; 0 if the engine does not list the model.
 func LoadTime(e *deploy.Engine, name string, from Source) time.Duration {
 	m, ok := e.Model(name)
 	if !ok {
@@ -265,6 +278,8 @@
 	return loadTime(m, from)
 }
 
+// loadTime returns the load time of a model from a source; without a figure for
+// that source, the time from the weight store.
 func loadTime(m *deploy.Model, from Source) time.Duration {
 	switch {
 	case from == FromMemory && m.MemoryLoad > 0:
--- a/core/replica/replica_test.go
+++ b/core/replica/replica_test.go
@@ -39,11 +39,11 @@
 	assert.DeepEqual(t, got, []replica.Move{{Upstream: "2", Unload: "idle", Load: "hot", From: replica.FromStore}})
 }
 
-// Symptom: most callers are refused for ten seconds after upstreams were
-// replaced; those of models that are hardly asked for are served first.
-// Sequence: the hot model is on one upstream, where four would be needed; three
-// rare ones are nowhere; the weight store takes two loads at a time.
-// Cause: whatever is nowhere goes first, however few ask for it.
+// Guards against refusing most callers for ten seconds after upstreams were
+// replaced, while models that are hardly asked for are loaded first. The hot model
+// is on one upstream and needs four; three rare ones have no replica; the weight
+// store takes two loads at a time. A model without a replica must not come first
+// however few ask for it.
 func TestTheLoadThatServesMoreGoesFirst(t *testing.T) {
 	in := replica.Input{Engine: engine("a-rare", "b-rare", "c-rare", "hot"), MaxMoves: 8, StoreLoadsLeft: 2,
 		Upstreams: []replica.Upstream{upstreamWith("1", "hot"), upstreamWith("2"), upstreamWith("3"), upstreamWith("4"), upstreamWith("5")},
@@ -59,17 +59,17 @@
 	}
 	assert.DeepEqual(t, loads(), []string{"hot", "hot"})
 	in.StoreLoadsLeft = 4
-	assert.DeepEqual(t, loads(), []string{"hot", "hot", "hot", "b-rare"}) // the rest of the hot demand, 0.3, is more than each rare one
+	assert.DeepEqual(t, loads(), []string{"hot", "hot", "hot", "b-rare"}) // the remainder of the hot demand, 0.3, is more than each rare one
 	in.Demand["hot"] = replica.Demand{EngineLoad: 3.3, Unserved: true}
 	in.Upstreams[0] = upstreamWith("1")
 	in.StoreLoadsLeft = 1
 	assert.DeepEqual(t, loads(), []string{"hot"})
 }
 
-// Symptom: a hot model is on no upstream for the nine seconds of a load.
-// Sequence: each of two hot models has replicas, some being loaded; each is
-// planned in the other's place, one after the other.
-// Cause: a replica that is still being loaded counts as one that can answer.
+// Guards against a hot model without a replica for the nine seconds of a load.
+// Each of two hot models has replicas, some being loaded, and each is planned in
+// the other's place, one after the other, if a replica that is still being loaded
+// counts as one that can answer.
 func TestALoadingReplicaDoesNotFreeTheLastReadyOne(t *testing.T) {
 	loading := upstreamWith("2")
 	loading.Residents = []replica.Resident{{Model: "a"}}
@@ -83,7 +83,7 @@
 	withCopy.OnDisk["rare"], withCopy.Movable = true, false
 	in := replica.Input{Engine: engine("a", "rare"), MaxMoves: 1, StoreLoadsLeft: 4, Upstreams: []replica.Upstream{withCopy, upstreamWith("2", "a")},
 		Demand: map[string]replica.Demand{"rare": {Unserved: true, WaitsForLoad: true}, "a": {}}}
-	assert.Equal(t, len(replica.DefaultPolicy.Plan(in)), 0, "the upstream with the copy is free again soon")
+	assert.Equal(t, len(replica.DefaultPolicy.Plan(in)), 0, "the upstream with the copy will be free again soon")
 	in.Upstreams[0].Movable = true
 	assert.DeepEqual(t, replica.DefaultPolicy.Plan(in), []replica.Move{{Upstream: "1", Unload: "a", Load: "rare", From: replica.FromDisk}})
 }
@@ -108,10 +108,10 @@
 	return false
 }
 
-// Symptom: a hot model is nowhere until a lost upstream is back.
-// Sequence: three of nine upstreams are taken away; fewer places are left than
-// models; each of those that are left holds the last replica of some model.
-// Cause: no last replica ever makes way.
+// Guards against a hot model without a replica until a lost upstream is back.
+// Three of nine upstreams are lost; fewer places are left than models, and each
+// remaining upstream holds the last replica of some model, so that some last
+// replica must be evicted.
 func TestAnIdleModelIsEvictedForOneWithoutAReplica(t *testing.T) {
 	busy, idle := upstreamWith("1", "busy"), upstreamWith("2", "idle")
 	busy.Residents[0].IdleFor = 0
@@ -125,9 +125,9 @@
 	assert.Equal(t, len(replica.DefaultPolicy.Plan(in)), 0)
 }
 
-// Property: on any deployment, a plan moves each upstream once at most, never
-// takes the last ready replica of a model whose callers would not wait, and
-// stays within the weight store's allowance.
+// Property: on any deployment, a plan moves each upstream at most once, never
+// evicts the last ready replica of a model whose callers would not wait, and stays
+// within the limit of the weight store.
 func TestAPlanKeepsEveryModelReachable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var names []string
@@ -172,20 +172,19 @@
 			ready[m.Unload]--
 			d, asked := in.Demand[m.Unload]
 			mayBeEvicted := asked && d.WaitsForLoad || !asked && in.SomeWaitForLoad
-			// Where there are fewer places than models, one that is asked for and
-			// nowhere goes before one that is not asked for.
+			// Where there are fewer places than models, a model that is asked for and
+			// has no replica comes before one that is not asked for.
 			mayBeEvicted = mayBeEvicted || absent[m.Load] && in.Demand[m.Load].Unserved
-			assert.Assert(t, ready[m.Unload] > 0 || mayBeEvicted, "the last ready replica of %s makes way", m.Unload)
+			assert.Assert(t, ready[m.Unload] > 0 || mayBeEvicted, "the last ready replica of %s is evicted", m.Unload)
 		}
 		assert.Assert(t, storeLoads <= in.StoreLoadsLeft && len(moved) <= in.MaxMoves)
 	})
 }
 
-// Symptom: a quarter of the callers of rare models is refused though each of
-// their models loads in half a second.
-// Sequence: hot models are busy on all upstreams; a rare one, which is nowhere,
-// is asked for by callers who would wait.
-// Cause: it may take the place of idle models only, however short its load is.
+// Guards against refusing a quarter of the callers of rare models though each of
+// these models loads in half a second. Hot models are busy on all upstreams;
+// callers who would wait ask for a rare model without a replica. It must not be
+// limited to the places of idle models when its load is that short.
 func TestAShortLoadReplacesAHotReplica(t *testing.T) {
 	for _, c := range []struct {
 		load time.Duration
@@ -203,10 +202,9 @@
 	}
 }
 
-// Symptom: a deployment whose list of models is written in another order starts
-// with other models prepared, and those that are asked for are not among them.
-// Sequence: nobody has asked for any model yet.
-// Cause: a model's place in the list is taken for a sign of its demand.
+// Guards against a deployment that starts with other models prepared when its list
+// of models is written in another order, because a model's position in the list is
+// treated as a sign of its demand before anybody has asked for a model.
 func TestTheOrderOfTheModelListDoesNotAffectPriors(t *testing.T) {
 	e := engine("a", "b", "c", "d")
 	e.Models[2].Adapters = 3
@@ -222,8 +220,9 @@
 	assert.Assert(t, !known)
 }
 
-// Guards against callers refused for a model whose only upstream takes hardly any
-// requests, with others idle; and against loads to where few requests go.
+// Guards against refusing callers for a model whose only upstream takes hardly any
+// requests while others are idle, and against loads to upstreams that few requests
+// go to.
 func TestAModelAtARateLimitedUpstreamGetsAnotherReplica(t *testing.T) {
 	in := replica.Input{Engine: engine("a", "idle"), MaxMoves: 4, StoreLoadsLeft: 4,
 		Upstreams: []replica.Upstream{upstreamWith("1", "a"), upstreamWith("2", "idle"), upstreamWith("3", "idle")},
--- a/core/replica/state.go
+++ b/core/replica/state.go
@@ -6,29 +6,32 @@
 	"peridotpier.example/core/deploy"
 )
 
-// model is one model as a plan sees it.
+// model is the state of one model during planning.
 type model struct {
 	name          string
 	demand        Demand
-	requested     bool    // somebody has asked for it
-	prior         float64 // load to prepare for
-	loadSeconds   [FromStore + 1]float64
-	weightsMB     float64 // megabytes
-	replicas      int     // ready or on their way
-	readyReplicas int     // that requests can be sent to
-	unavailable   float64 // engines' time that the replicas do not give
+	requested     bool                   // somebody has asked for the model
+	prior         float64                // assumed load while nobody has asked for the model
+	loadSeconds   [FromStore + 1]float64 // load time by source
+	weightsMB     float64
+	replicas      int     // ready or being loaded
+	readyReplicas int     // replicas that requests can be sent to
+	unavailable   float64 // engines that rate limits withhold from the replicas
 }
 
-// expectedLoad is the engines' time that it brings, or may.
+// expectedLoad returns the engine load of the model, observed or assumed.
 func (m *model) expectedLoad() float64 { return max(m.demand.EngineLoad, m.prior) }
 
-// minReplicaTime bounds the engines' time that replicas are taken to give.
+// minReplicaTime is the least number of engines that a model's replicas are
+// assumed to give together.
 const minReplicaTime = 0.05
 
-// pressure is the load on the engines' time that its replicas give.
+// pressure returns the expected load divided by the engines that the replicas
+// give.
 func (m *model) pressure() float64 { return m.pressureWith(m.replicas, m.unavailable) }
 
-// pressureWith is the same if there were n replicas, which lack so much.
+// pressureWith returns the pressure with n replicas, from which rate limits
+// withhold so many engines.
 func (m *model) pressureWith(n int, unavailable float64) float64 {
 	switch {
 	case n > 0:
@@ -42,22 +45,24 @@
 	}
 }
 
-// isIdle says that nobody asks for the model now.
+// isIdle reports whether nobody asks for the model now.
 func (m *model) isIdle() bool { return !m.requested || m.demand.EngineLoad == 0 && !m.demand.Unserved }
 
-// gain is the engine's time, each second, that one more replica would give to
-// callers whom the others have no time for.
+// gain returns the seconds of engine time, each second, that one more replica
+// would give to callers whom the other replicas cannot serve.
 func (m *model) gain() float64 {
 	return min(max(m.demand.EngineLoad-(float64(m.replicas)-m.unavailable), 0), 1)
 }
 
-// upstream is an Upstream as a plan sees it, with what it held at the start.
+// upstream is the state of an Upstream during planning; residents are those at the
+// start.
 type upstream struct {
 	*Upstream
 	residents []resident
 	moved     bool
 }
 
+// resident is a model at an upstream, with the state of that model.
 type resident struct {
 	*Resident
 	model *model
@@ -83,7 +88,8 @@
 	}
 }
 
-// expectedLoad is the engines' time that its models bring to it.
+// expectedLoad returns the engine load that the models at the upstream bring to
+// it, if each spreads its load evenly over its replicas.
 func (u *upstream) expectedLoad() float64 {
 	sum := 0.0
 	for i := range u.residents {
@@ -93,15 +99,15 @@
 	return sum
 }
 
-// state follows the snapshot through the moves planned so far. Names are looked
-// up once, when it is made: a plan compares hundreds of models with what
-// hundreds of upstreams hold.
+// state is the snapshot with the moves planned so far applied. Names are looked up
+// once, when it is made: a plan compares hundreds of models with the residents of
+// hundreds of upstreams.
 type state struct {
 	someWaitForLoad      bool
-	maxCallerWaitSeconds float64  // seconds
+	maxCallerWaitSeconds float64
 	models               []*model // of the deployment, in its order
 	byName               map[string]*model
-	upstreams            []upstream // usable ones
+	upstreams            []upstream // only the usable ones
 	storeLoadsLeft       int
 }
 
@@ -121,7 +127,7 @@
 	return s
 }
 
-// applySpec notes what the deployment says of a model.
+// applySpec sets the figures that the deployment gives for a model.
 func (m *model) applySpec(spec *deploy.Model) {
 	m.weightsMB = spec.WeightsMB
 	for from := range m.loadSeconds {
@@ -129,7 +135,7 @@
 	}
 }
 
-// addUpstream counts what an upstream holds.
+// addUpstream adds an upstream and counts its residents as replicas.
 func (s *state) addUpstream(in *Input, u *Upstream) {
 	added := upstream{Upstream: u, residents: make([]resident, len(u.Residents))}
 	for i := range u.Residents {
@@ -144,7 +150,8 @@
 	s.upstreams = append(s.upstreams, added)
 }
 
-// findOrAddModel finds a model, or enters one that the deployment does not name any more.
+// findOrAddModel returns a model by name, adding it if the deployment no longer
+// lists it.
 func (s *state) findOrAddModel(in *Input, name string) *model {
 	m := s.byName[name]
 	if m == nil {
@@ -155,6 +162,7 @@
 	return m
 }
 
+// apply applies a chosen move to the state.
 func (s *state) apply(c *choice) {
 	c.upstream.moved = true
 	c.load.replicas++
@@ -172,7 +180,7 @@
 // choice is a move that was chosen.
 type choice struct {
 	upstream *upstream
-	unload   *model // nil: none
+	unload   *model // nil: no unload
 	load     *model
 	from     Source
 }
