--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -18,7 +18,8 @@
 	tint   = Artifact{Model: "alpha", Adapter: "tint", Version: "1"}
 )
 
-// rowWith has a capacity of 100 and a first report with the residents.
+// rowWith returns a row with a capacity of 100 and a first report with the
+// residents.
 func rowWith(fencing config.Fencing, residents ...Resident) Row {
 	r, _ := New("u", 100, fencing).Observe(bounds, report("i1", 1, 0, t0, residents...))
 	return r
@@ -52,10 +53,10 @@
 	}{
 		{"no report yet", New("u", 100, config.FencingChecked), Change{Load, beta, 1}, ErrNoReport},
 		{"too large", full, Change{Load, beta, 31}, ErrNoRoom},
-		{"room taken by an order in doubt", withCharge, Change{Load, Artifact{Model: "gamma"}, 1}, ErrNoRoom},
+		{"room taken by an unconfirmed order", withCharge, Change{Load, Artifact{Model: "gamma"}, 1}, ErrNoRoom},
 		{"adapter without its base", full, Change{Load, Artifact{Model: "beta", Adapter: "x"}, 1}, ErrNoBase},
-		{"base under its adapter", full, Change{Unload, alpha, 0}, ErrAdaptersResident},
-		{"unload of what is not there", full, Change{Unload, beta, 0}, ErrNotResident},
+		{"base with its adapter resident", full, Change{Unload, alpha, 0}, ErrAdaptersResident},
+		{"unload of an artifact that is not resident", full, Change{Unload, beta, 0}, ErrNotResident},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, _, err := c.row.Reserve(t0, bounds, 5, "op", c.want)
@@ -66,9 +67,9 @@
 	assert.ErrorIs(t, err, ErrOldEpoch)
 }
 
-// Symptom: two models where one fits, after an order that nobody heard of again.
-// Sequence: a load order is lost; reports go on without it; another is loaded.
-// Cause: the reports without it were taken as proof that it will never run.
+// Guards against two models where one fits, after an order whose outcome was never
+// reported. A load order is lost, and reports go on without it; they must not be
+// treated as proof that it will never run, or another model is loaded.
 func TestLostOrderStaysCharged(t *testing.T) {
 	r, c := mustReserve(t, rowWith(config.FencingIgnored), t0, 1, Change{Load, alpha, 80})
 	for s := range 100 {
@@ -80,11 +81,11 @@
 	assert.Equal(t, r.CommittedMB(), 0)
 }
 
-// Symptom: an engine holds a model that the books released, and the next load
-// overcommits its memory.
-// Sequence: load, unload, the report shows it gone; then a copy of the load
-// order that was held up arrives, and the engine loads again.
-// Cause: an engine that ignores fences; an engine that checks them refuses.
+// Guards against an engine that holds a model which the ledger counts as free, so
+// that the next load overcommits its memory. After a load and an unload, the
+// report shows the model gone; then a delayed copy of the load order arrives, and
+// the engine loads again. This happens with an engine that ignores fences; an
+// engine that checks them refuses the copy.
 func TestLateOrderAfterItsSuccessor(t *testing.T) {
 	for _, c := range []struct {
 		fencing config.Fencing
@@ -100,19 +101,18 @@
 	}
 }
 
-// Symptom: memory overcommitted after an engine restarted.
-// Sequence: the new process reports empty memory; then a report of another
-// process, unknown so far and in truth older, is read.
-// Cause: the order in which incarnations are first seen is not that of their
-// lives, so neither's memory may be forgotten at once.
+// Guards against overcommitted memory after an engine restarted. The new process
+// reports empty memory; then a report of another process, unknown so far and in
+// truth older, is received. Incarnations are not always first seen in the order in
+// which they ran, so the memory of neither may be released at once.
 func TestRestartCarriesWhatWasResident(t *testing.T) {
 	r := rowWith(config.FencingChecked, ready(alpha, 80))
 	r, _ = r.Observe(bounds, report("i2", 1, 0, t0.Add(time.Second)))
 	assert.Equal(t, r.FreeMB(), 20)
-	r, again := mustReserve(t, r, t0.Add(time.Second), 1, Change{Load, alpha, 80}) // costs nothing new
+	r, again := mustReserve(t, r, t0.Add(time.Second), 1, Change{Load, alpha, 80}) // needs no more memory
 	assert.Equal(t, r.FreeMB(), 20)
 	r, changed := r.Observe(bounds, report("i1", 1, 0, t0.Add(2*time.Second), ready(alpha, 80)))
-	assert.Assert(t, !changed, "a late report of the process before")
+	assert.Assert(t, !changed, "a late report of the former process")
 	assert.Equal(t, r.Incarnation(), "i2")
 	r, _ = r.Observe(bounds, report("i2", 9, again.Fence, t0.Add(2*time.Minute), ready(beta, 10)))
 	r, _ = r.Observe(bounds, report("i2", 10, again.Fence+1, t0.Add(2*time.Minute), ready(beta, 10)))
@@ -147,18 +147,17 @@
 	}
 }
 
-// Symptom: an engine is over its memory right after a model came back to it.
-// Sequence: a model is unloaded while requests run on it, so that its memory is
-// not free yet; a plan loads it again on the same engine, which holds both.
-// Cause: the books count a thing once, and took the copy that goes for the one
-// that comes.
+// Guards against an engine that exceeds its memory right after a model returned to
+// it. A model is unloaded while requests run on it, so that its memory is not free
+// yet; a plan loads it again on the same engine, which holds both copies, while
+// the ledger counts an artifact once.
 func TestAnArtifactBeingUnloadedIsNotLoadedAgain(t *testing.T) {
 	x := Artifact{Model: "x", Version: "1"}
 	load := Change{Kind: Load, Artifact: x, MemoryMB: 60}
 	row := rowWith(config.FencingChecked, ready(x, 60))
 	unconfirmed, _ := mustReserve(t, row, t0, 1, Change{Kind: Unload, Artifact: x})
 	unloading, _ := unconfirmed.Observe(DefaultBounds(), report("i1", 8, unconfirmed.Fence, t0.Add(time.Second), Resident{Artifact: x, State: Unloading, MemoryMB: 60}))
-	for name, r := range map[string]Row{"order in doubt": unconfirmed, "unloading": unloading} {
+	for name, r := range map[string]Row{"unconfirmed order": unconfirmed, "unloading": unloading} {
 		_, _, err := r.Reserve(t0, DefaultBounds(), 1, "again", load)
 		assert.ErrorIs(t, err, ErrMayBeResident, name)
 	}
--- a/core/ledger/machine_test.go
+++ b/core/ledger/machine_test.go
@@ -16,23 +16,25 @@
 
 const engineMB = 100
 
-// engine is a model of an engine that checks its own memory, so that the proof
-// does not rest on the books.
+// engine simulates an engine that checks its own memory, so that the test does not
+// rely on the ledger for it.
 type engine struct {
 	fencing     config.Fencing
 	incarnation int
 	sequence    uint64
 	epoch       uint64
 	memory      map[ledger.Artifact]int
-	maxUsedMB   int // memory ever taken at once
+	maxUsedMB   int // most memory ever in use at once
 }
 
+// orderCopy is one copy of an order in the network.
 type orderCopy struct {
 	ledger.Charge
 	incarnation string
 	sent        time.Time
 }
 
+// agedReport is a report with the time at which it was made.
 type agedReport struct {
 	ledger.Report
 	taken time.Time
@@ -74,7 +76,7 @@
 	return agedReport{rep, now}
 }
 
-// world is one upstream's row, its engine and the network between them.
+// world is the row of one upstream, its engine and the network between them.
 type world struct {
 	now     time.Time
 	bounds  ledger.Bounds
@@ -92,7 +94,7 @@
 	return w
 }
 
-// reserve commits an order to the books and puts copies of it on their way.
+// reserve charges an order to the row and puts copies of it into the network.
 func (w *world) reserve(change ledger.Change, copies int) {
 	w.ops++
 	next, c, err := w.row.Reserve(w.now, w.bounds, 1, strconv.Itoa(w.ops), change)
@@ -117,8 +119,9 @@
 	w.reports = slices.DeleteFunc(w.reports, func(r agedReport) bool { return w.now.Sub(r.taken) > w.bounds.MaxReportAge })
 }
 
-// Memory is never over under any sequence of orders lost, late, repeated or
-// after their successors, restarts, and reports late or out of order.
+// Memory is never exceeded, whichever orders are lost, late, repeated or delivered
+// after their successors, whenever the engine restarts, and whichever reports are
+// late or out of order.
 func TestMemoryIsNeverOver(t *testing.T) {
 	for _, fencing := range []config.Fencing{config.FencingChecked, config.FencingIgnored} {
 		t.Run(string(fencing), func(t *testing.T) {
@@ -130,8 +133,8 @@
 	}
 }
 
-// plan lets the planner decide, at any demand, version and number of replicas,
-// and sends its orders over the same network.
+// plan lets the planner decide, at any demand, version and number of replicas, and
+// sends its orders over the same network.
 func (w *world) plan(t *rapid.T) {
 	version := rapid.SampledFrom([]string{"1", "2"}).Draw(t, "version")
 	s := place.Snapshot{
--- a/core/ledger/mayload.go
+++ b/core/ledger/mayload.go
@@ -1,7 +1,7 @@
 package ledger
 
-// MayStillLoad says whether the load of an order may still happen or is under
-// way: its charge stands, or the thing shows as loading.
+// MayStillLoad reports whether the load of an order may still happen or is in
+// progress: the order is still charged, or the artifact is reported as loading.
 func (r Row) MayStillLoad(op string, a Artifact) bool {
 	for _, c := range r.Charges {
 		if c.Op == op {
--- a/core/ledger/observe.go
+++ b/core/ledger/observe.go
@@ -7,21 +7,22 @@
 	"peridotpier.example/core/config"
 )
 
-// Report is an engine's own word on its memory.
+// Report is the state of an engine's memory as the engine itself reports it.
 type Report struct {
 	Incarnation string
 	Sequence    uint64
-	Epoch       uint64 // highest fence that the engine has seen; 0 when it ignores them
+	Epoch       uint64 // highest fence that the engine has seen; 0 when it ignores fences
 	UsedMB      int
 	Residents   []Resident
-	Read        time.Time // when it was read here; it was taken up to Bounds.ReportAge before
+	Read        time.Time // when this host received it; the engine made it up to Bounds.MaxReportAge earlier
 }
 
-// Observe settles what a report can settle. changed is false when the report
-// tells nothing new, so that it costs no write.
+// Observe applies a report and resolves the charges whose outcome the report
+// shows. changed is false when the report holds nothing new, so that no write is
+// needed.
 //
-// Only a report ends a charge, never an answer to an order: an order that was
-// refused or lost may have a copy on its way.
+// Only a report resolves a charge, never an answer to an order: a copy of an order
+// that was refused or lost may still arrive.
 func (r Row) Observe(b Bounds, rep Report) (next Row, changed bool) {
 	if rep.Incarnation == "" || r.isStale(rep) {
 		return r, false
@@ -40,22 +41,23 @@
 	return next, changed
 }
 
-// isStale reports come late, after a newer one of the same incarnation.
+// isStale reports whether a newer report of the same incarnation was applied
+// before.
 func (r Row) isStale(rep Report) bool {
 	return slices.ContainsFunc(r.LastReports, func(s LastReport) bool {
 		return s.Incarnation == rep.Incarnation && rep.Sequence <= s.Sequence
 	})
 }
 
-// resolves says whether nothing can come of a charge any more that the report
+// resolves reports whether a charge can no longer have any effect that the report
 // does not show.
 //
 // An engine that checks fences begins no order below the highest fence it has
-// seen. An engine that ignores them may begin a copy that was held up after
-// the order that followed it: a load after its unload. One would notice a model
-// resident that the books had released, and the next load overcommits. So its
-// orders stay charged until none can be in flight, and until a report that
-// cannot have been taken before that.
+// seen. An engine that ignores them may begin a delayed copy after the order that
+// followed it: a load after its unload. The engine would then hold a model that
+// the ledger counts as free, and the next load would overcommit its memory. So
+// orders to such an engine stay charged until none can be in flight and a report
+// arrives that cannot have been made before that.
 func (r Row) resolves(rep Report, c Charge) bool {
 	if !rep.Read.Before(c.Until) {
 		return true
@@ -63,16 +65,18 @@
 	return r.Fencing == config.FencingChecked && c.Kind != Carried && rep.Epoch > c.Fence
 }
 
-// carryOver keeps what the incarnation before had resident charged for a while.
-// The report of an incarnation that was never seen before may be an old one
-// that comes late, after the live process has already reported. Loading the
-// same things anew costs nothing, as a thing counts once.
+// carryOver keeps what the former incarnation had resident charged for a while.
+// The report of an incarnation that was never seen before may be an old report
+// that arrives late, after the live process has already reported. Loading the same
+// artifacts again costs nothing, since an artifact counts once.
 func (r *Row) carryOver(until time.Time) {
 	for _, m := range r.Residents {
 		r.Charges = append(r.Charges, Charge{Artifact: m.Artifact, Kind: Carried, MemoryMB: m.MemoryMB, SendBy: until, Until: until})
 	}
 }
 
+// recordReport makes the report the last one of its incarnation, and that
+// incarnation the newest.
 func (r *Row) recordReport(rep Report) {
 	r.LastReports = slices.DeleteFunc(r.LastReports, func(s LastReport) bool { return s.Incarnation == rep.Incarnation })
 	r.LastReports = append(r.LastReports, LastReport{rep.Incarnation, rep.Sequence})
@@ -81,7 +85,7 @@
 	}
 }
 
-// overheadMB is memory in use that no resident accounts for.
+// overheadMB returns the memory in use that no resident accounts for.
 func overheadMB(rep Report) int {
 	sum := 0
 	for _, m := range rep.Residents {
@@ -90,7 +94,7 @@
 	return max(rep.UsedMB-sum, 0)
 }
 
-// Pending lists the orders that may still be sent, again if need be, and whose
+// Pending returns the orders that may still be sent, again if necessary, and whose
 // effect no report shows yet.
 func (r Row) Pending(now time.Time) []Charge {
 	var out []Charge
@@ -102,6 +106,7 @@
 	return out
 }
 
+// effectShown reports whether the residents already show the effect of an order.
 func (r Row) effectShown(c Charge) bool {
 	resident := slices.ContainsFunc(r.Residents, func(m Resident) bool { return m.Artifact == c.Artifact })
 	return resident == (c.Kind == Load)
--- a/core/ledger/reserve.go
+++ b/core/ledger/reserve.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// The reasons for which a reservation is refused.
+// The errors of a refused reservation, and of an order past its send window.
 var (
 	ErrNoRoom             = errors.New("no room in accelerator memory")
-	ErrNoReport           = errors.New("no report seen of the upstream")
-	ErrOldEpoch           = errors.New("a planner of a later epoch holds the row")
-	ErrTooManyUnconfirmed = errors.New("too many orders in doubt")
+	ErrNoReport           = errors.New("no report received from the upstream")
+	ErrOldEpoch           = errors.New("a planner of a later epoch owns the row")
+	ErrTooManyUnconfirmed = errors.New("too many unconfirmed orders")
 	ErrNoBase             = errors.New("the adapter's base model is not resident")
 	ErrAdaptersResident   = errors.New("adapters of the model are resident")
-	ErrNotResident        = errors.New("the thing is not resident")
-	ErrMayBeResident      = errors.New("the thing is or may become resident")
+	ErrNotResident        = errors.New("the artifact is not resident")
+	ErrMayBeResident      = errors.New("the artifact is or may become resident")
 	ErrPastWindow         = errors.New("the window for sending the order has passed")
 )
 
-// Change is what a planner wants an upstream to do.
+// Change is a load or unload that a planner requests at an upstream.
 type Change struct {
 	Kind     Kind // Load or Unload
 	Artifact Artifact
-	MemoryMB int // of a load
+	MemoryMB int // size of what is loaded
 }
 
-// Reserve enters an order into the books before it is sent. The order's fence
-// rises with every order of the upstream, over all planners: an engine that
-// checks it will not begin an order after one that followed it, even when both
-// come from one planner.
+// Reserve charges an order to the row before it is sent, and fails with one of the
+// errors above if that is not allowed. The order's fence increases with every
+// order to the upstream, over all planners: an engine that checks fences does not
+// begin an order after one that followed it, even when both come from one planner.
 func (r Row) Reserve(now time.Time, b Bounds, epoch uint64, op string, change Change) (Row, Charge, error) {
 	if err := r.checkChange(epoch, change); err != nil {
 		return r, Charge{}, fmt.Errorf("%s %v on %s: %w", change.Kind, change.Artifact, r.Upstream, err)
@@ -47,6 +47,7 @@
 	return next, charge, nil
 }
 
+// checkChange returns the reason why a change is not allowed; nil: it is allowed.
 func (r Row) checkChange(epoch uint64, change Change) error {
 	switch {
 	case epoch < r.Epoch:
@@ -62,13 +63,14 @@
 	}
 }
 
+// checkLoad returns the reason why a load is not allowed; nil: it is allowed.
 func (r Row) checkLoad(change Change) error {
 	if change.Artifact.Adapter != "" && !r.isBaseReady(change.Artifact.Model) {
 		return ErrNoBase
 	}
 	// The engine would hold both copies until the last request on the old one
-	// has ended, and the books count a thing once: one would notice an engine
-	// over its memory right after a model came back to where it had just left.
+	// has ended, while the ledger counts an artifact once: the engine would
+	// exceed its memory right after the model was loaded again.
 	if r.MayBeUnloading(change.Artifact) {
 		return ErrMayBeResident
 	}
@@ -80,12 +82,12 @@
 	return nil
 }
 
-// CanUnload says whether the thing is resident and nothing on top of it is or
-// may become so.
+// CanUnload reports whether the artifact is resident and no adapter on top of it
+// is or may become resident.
 func (r Row) CanUnload(a Artifact) bool { return r.checkUnload(a) == nil }
 
-// checkUnload keeps a base model while adapters of it are or may become
-// resident: what an engine does with them is not known.
+// checkUnload refuses to unload a base model while adapters of it are or may
+// become resident: how an engine treats them then is not known.
 func (r Row) checkUnload(a Artifact) error {
 	resident := slices.ContainsFunc(r.Residents, func(m Resident) bool { return m.Artifact == a })
 	if !resident {
@@ -102,21 +104,24 @@
 	return nil
 }
 
+// isBaseReady reports whether a version of the base model is ready and not about
+// to be unloaded.
 func (r Row) isBaseReady(model string) bool {
 	return slices.ContainsFunc(r.Residents, func(m Resident) bool {
 		return m.Model == model && m.Adapter == "" && m.State == Ready && !r.HasUnconfirmed(m.Artifact, Unload)
 	})
 }
 
-// hasOtherBase says whether another version of the base model stays.
+// hasOtherBase reports whether another version of the base model stays resident.
 func (r Row) hasOtherBase(a Artifact) bool {
 	return slices.ContainsFunc(r.Residents, func(m Resident) bool {
 		return m.Model == a.Model && m.Adapter == "" && m.Version != a.Version && r.IsConfirmedReady(m.Artifact)
 	})
 }
 
-// CheckSendWindow says whether the order may still be sent. Past its window it never
-// is: the time for which the books hold it in doubt counts from there.
+// CheckSendWindow returns ErrPastWindow if the order must not be sent any more:
+// the time for which the ledger keeps it as unconfirmed counts from the end of its
+// window.
 func (c Charge) CheckSendWindow(now time.Time) error {
 	if now.After(c.SendBy) {
 		return ErrPastWindow
--- a/core/ledger/row.go
+++ b/core/ledger/row.go
@@ -1,8 +1,8 @@
-// Package ledger keeps the books of accelerator memory: a row per upstream
-// with what its reports confirm and what orders in doubt might still make
-// resident. The sum never exceeds the capacity. It does no I/O: each method
-// takes a row and gives back the next one, which node/planner commits before
-// it acts.
+// Package ledger accounts for accelerator memory: it has a row per upstream with
+// what the reports of the upstream confirm and what unconfirmed orders may still
+// make resident. The sum never exceeds the capacity. The package does no I/O: each
+// method takes a row and returns the next one, which node/planner commits before
+// it acts on it.
 package ledger
 
 import (
@@ -20,60 +20,62 @@
 	Version string `json:"version"`
 }
 
-// isAdapterOf says whether the thing is an adapter of the model, in any version.
+// isAdapterOf reports whether the artifact is an adapter of the model, in any
+// version.
 func (a Artifact) isAdapterOf(model string) bool { return a.Adapter != "" && a.Model == model }
 
 // State is the state of a resident as its engine reports it.
 type State string
 
-// The states; they equal those of the engine protocol.
+// The states of a resident, as in the engine protocol.
 const (
 	Loading   State = "loading"
 	Ready     State = "ready"
 	Unloading State = "unloading"
 )
 
-// Resident is what a report shows in memory.
+// Resident is an artifact that a report shows in memory.
 type Resident struct {
 	Artifact
 	State    State `json:"state"`
 	MemoryMB int   `json:"mb"`
 }
 
-// Kind says what a charge stands for.
+// Kind is what a charge stands for.
 type Kind string
 
-// The kinds of charge.
+// The kinds of a charge.
 const (
-	Load    Kind = "load"    // an order that may still make the thing resident
-	Unload  Kind = "unload"  // an order that may still make it go; takes no memory
+	Load    Kind = "load"    // an order that may still make the artifact resident
+	Unload  Kind = "unload"  // an order that may still unload the artifact; takes no memory
 	Carried Kind = "carried" // resident in an earlier incarnation that may still be the live one
 )
 
-// Charge is memory, or doubt about it, that no report has settled yet.
+// Charge is memory that is reserved until a report resolves whether it is used, or
+// an unload whose effect no report has resolved yet.
 type Charge struct {
 	Artifact
 	Kind        Kind      `json:"kind"`
 	MemoryMB    int       `json:"mb,omitempty"`
 	Op          string    `json:"op,omitempty"`
-	Incarnation string    `json:"for,omitempty"` // the incarnation that the order is for
+	Incarnation string    `json:"for,omitempty"` // incarnation that the order is for
 	Fence       uint64    `json:"fence,omitempty"`
-	SendBy      time.Time `json:"send_by"` // after it the order must not be sent any more
-	Until       time.Time `json:"until"`   // a report read after it settles the charge
+	SendBy      time.Time `json:"send_by"` // the order must not be sent after this time
+	Until       time.Time `json:"until"`   // a report received at or after this time resolves the charge
 }
 
-// LastReport is the newest report known of one incarnation.
+// LastReport identifies the newest known report of one incarnation.
 type LastReport struct {
 	Incarnation string `json:"incarnation"`
 	Sequence    uint64 `json:"sequence"`
 }
 
-// Row is the books of one upstream.
+// Row is the account of one upstream.
 type Row struct {
 	Upstream    string         `json:"upstream"`
 	CapacityMB  int            `json:"capacity_mb"`
 	Fencing     config.Fencing `json:"fencing"`
-	Epoch       uint64         `json:"epoch"`          // of the planner that last reserved
+	Epoch       uint64         `json:"epoch"`          // of the planner that made the last reservation
 	Fence       uint64         `json:"fence"`          // of the newest order
 	LastReports []LastReport   `json:"seen,omitempty"` // newest incarnation last
 	OverheadMB  int            `json:"overhead_mb,omitempty"`
@@ -81,42 +83,44 @@
 	Charges     []Charge       `json:"charges,omitempty"`
 }
 
-// Bounds are what the books assume of the world. docs/design/ledger.md says
-// where each comes from.
+// Bounds are the times that the ledger assumes. docs/design/ledger.md says where
+// each comes from.
 type Bounds struct {
-	SendWindow   time.Duration // from the reservation to the last sending of its order
+	SendWindow   time.Duration // from the reservation to the last time that its order is sent
 	MaxInFlight  time.Duration // from sending an order to the last moment that an engine may begin it
-	MaxReportAge time.Duration // greatest age of a report when it is read
+	MaxReportAge time.Duration // maximum age of a report when it is received
 	MaxClockSkew time.Duration // between the clocks of two hosts
 }
 
-// DefaultBounds are in force unless a site says otherwise.
+// DefaultBounds returns the bounds that apply unless a site configures others.
 func DefaultBounds() Bounds {
 	return Bounds{SendWindow: 10 * time.Second, MaxInFlight: 90 * time.Second, MaxReportAge: 60 * time.Second, MaxClockSkew: 5 * time.Second}
 }
 
-// orderExpiry is how long after its reservation an order is in doubt unless a
-// fence or a report settles it.
+// orderExpiry returns how long after its reservation an order stays unconfirmed
+// unless a fence or a report resolves it.
 func (b Bounds) orderExpiry() time.Duration {
 	return b.SendWindow + b.MaxInFlight + b.MaxReportAge + b.MaxClockSkew
 }
 
+// carriedExpiry returns how long what a former incarnation had resident stays
+// charged.
 func (b Bounds) carriedExpiry() time.Duration { return b.MaxReportAge + b.MaxClockSkew }
 
-// Sizes of a row.
+// Sizes of a row and its fences.
 const (
 	fenceBits       = 24 // orders of one planner epoch: 16 million
-	maxCharges      = 32 // keeps a row small; more doubt than that means wait
-	maxIncarnations = 8  // incarnations remembered
+	maxCharges      = 32 // keeps a row small; with more unconfirmed orders the planner must wait
+	maxIncarnations = 8  // incarnations whose last report is kept
 )
 
-// New makes the row of an upstream of which nothing is known. Nothing may be
+// New returns the row of an upstream of which nothing is known. Nothing can be
 // reserved on it before its first report.
 func New(upstream string, capacityMB int, fencing config.Fencing) Row {
 	return Row{Upstream: upstream, CapacityMB: capacityMB, Fencing: fencing}
 }
 
-// Incarnation is the newest one seen.
+// Incarnation returns the newest incarnation seen; empty before the first report.
 func (r Row) Incarnation() string {
 	if len(r.LastReports) == 0 {
 		return ""
@@ -124,8 +128,8 @@
 	return r.LastReports[len(r.LastReports)-1].Incarnation
 }
 
-// CommittedMB is the most memory that may be taken, now or by any order still
-// in doubt. A thing that is both resident and in doubt counts once.
+// CommittedMB returns the most memory that may be in use, now or after any
+// unconfirmed order. An artifact that is both resident and charged counts once.
 func (r Row) CommittedMB() int {
 	sum := r.OverheadMB
 	for _, m := range r.artifacts() {
@@ -134,15 +138,17 @@
 	return sum
 }
 
-// FreeMB is what may still be reserved; never below zero.
+// FreeMB returns the memory that may still be reserved; never below zero.
 func (r Row) FreeMB() int { return max(r.CapacityMB-r.CommittedMB(), 0) }
 
+// sizedArtifact is an artifact with its size.
 type sizedArtifact struct {
 	Artifact
 	mb int
 }
 
-// artifacts lists each thing that may be in memory, once, at its largest size.
+// artifacts returns each artifact that may be in memory, once, at its largest
+// size.
 func (r Row) artifacts() []sizedArtifact {
 	out := make([]sizedArtifact, 0, len(r.Residents)+len(r.Charges))
 	add := func(a Artifact, mb int) {
@@ -165,7 +171,7 @@
 	return out
 }
 
-// MayBeResident says whether the thing is or may become resident.
+// MayBeResident reports whether the artifact is or may become resident.
 func (r Row) MayBeResident(a Artifact) bool {
 	for i := range r.Residents {
 		if r.Residents[i].Artifact == a {
@@ -180,32 +186,36 @@
 	return false
 }
 
-// IsConfirmedReady says whether the thing was reported ready and no order in doubt may
-// still take it away. Only a firm replica lets another be unloaded.
+// IsConfirmedReady reports whether the artifact was reported ready and no
+// unconfirmed order may still unload it. Only such a replica allows another one to
+// be unloaded.
 func (r Row) IsConfirmedReady(a Artifact) bool {
 	ready := slices.ContainsFunc(r.Residents, func(m Resident) bool { return m.Artifact == a && m.State == Ready })
 	return ready && !r.HasUnconfirmed(a, Unload)
 }
 
-// MayBeUnloading says whether the thing is resident and unloads, or may be about to.
+// MayBeUnloading reports whether the artifact is resident and is being unloaded,
+// or may be about to be.
 func (r Row) MayBeUnloading(a Artifact) bool {
 	return slices.ContainsFunc(r.Residents, func(m Resident) bool {
 		return m.Artifact == a && (m.State == Unloading || r.HasUnconfirmed(a, Unload))
 	})
 }
 
-// HasUnconfirmed says whether an order of the kind for the thing is in doubt.
+// HasUnconfirmed reports whether an order of the kind for the artifact is
+// unconfirmed.
 func (r Row) HasUnconfirmed(a Artifact, k Kind) bool {
 	return slices.ContainsFunc(r.Charges, func(c Charge) bool { return c.Kind == k && c.Artifact == a })
 }
 
-// clone copies what the next row will change, so that the row before stays as
-// it was committed.
+// clone copies the slices that the next row will change, so that the former row
+// stays as it was committed.
 func (r Row) clone() Row {
 	r.LastReports, r.Residents, r.Charges = slices.Clone(r.LastReports), slices.Clone(r.Residents), slices.Clone(r.Charges)
 	return r
 }
 
+// compareResidents orders residents by model, adapter and version.
 func compareResidents(a, b Resident) int {
 	return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(a.Adapter, b.Adapter), cmp.Compare(a.Version, b.Version))
 }
