--- a/core/place/dryrun.go
+++ b/core/place/dryrun.go
@@ -8,26 +8,26 @@
 	"peridotpier.example/core/ledger"
 )
 
-// maxRounds bounds a dry run; one that has not come to rest by then says so.
+// maxRounds bounds the number of plans of a dry run; one that has not converged by
+// then reports so.
 const maxRounds = 500
 
-// Forecast is what a switch to another preset would do.
+// Forecast is the effect that a switch to another preset would have.
 type Forecast struct {
 	Moves     []Move
-	Bound     time.Duration // on the time until the last of them is done
-	Converged bool          // whether the plans came to rest; if not, there are more moves
+	Bound     time.Duration // on the time until the last of the moves is done
+	Converged bool          // whether the plans came to an end; if not, there are more moves
 }
 
-// DryRun tells the moves that a preset would make at the demand of the
-// snapshot. It plans again and again on a copy in which each move is done at
-// once.
+// DryRun returns the moves that a preset would cause at the demand of the
+// snapshot. It plans repeatedly on a copy in which each move takes effect at once.
 func DryRun(s *Snapshot, preset config.Preset, now time.Time) Forecast {
 	next := *s
 	next.Preset, next.LoadsInProgress = preset, 0
 	next.Upstreams = append([]Upstream(nil), s.Upstreams...)
 	next.LastMove = map[Key]time.Time{}
 	for key := range s.LastMove {
-		next.LastMove[key] = time.Time{} // moved once, and settled by then
+		next.LastMove[key] = time.Time{} // moved before, and cooled down by then
 	}
 	var f Forecast
 	for round := range maxRounds {
@@ -47,7 +47,7 @@
 	return f
 }
 
-// applyMove does a move at once and settles it.
+// applyMove applies a move to the snapshot as if it were done and confirmed.
 func (s *Snapshot) applyMove(m Move, at time.Time, op string) {
 	for i := range s.Upstreams {
 		if s.Upstreams[i].Name != m.Upstream {
@@ -77,9 +77,9 @@
 	}
 }
 
-// bound adds up the pace of the preset for what is elective, that of the
-// weight store for all loads, one load at a full store, and the settling of
-// the unloads that must come before a load.
+// bound returns the sum of the time for elective loads at the rate of the preset,
+// the time for all loads at the rate of the weight store, one load while the store
+// is fully used, and the time to confirm the unloads that must precede a load.
 func (f Forecast) bound(s *Snapshot, preset config.Preset) time.Duration {
 	loads, elective, largest, unloads := 0.0, 0.0, 0, 0
 	for _, m := range f.Moves {
--- a/core/place/feasible.go
+++ b/core/place/feasible.go
@@ -9,15 +9,16 @@
 	"peridotpier.example/core/ledger"
 )
 
-// InfeasibleError says that a pool cannot hold all that must be resident at once.
+// InfeasibleError is returned when a pool cannot hold all that must be resident at
+// once.
 type InfeasibleError struct {
 	Pool       string
-	Missing    []Key // without a place
-	NeededMB   int   // by all that must be resident
+	Missing    []Key // models and adapters without an upstream
+	NeededMB   int   // total of all that must be resident
 	CapacityMB int
 }
 
-// Error gives the numbers.
+// Error implements error.
 func (e *InfeasibleError) Error() string {
 	names := make([]string, len(e.Missing))
 	for i, k := range e.Missing {
@@ -26,14 +27,14 @@
 			names[i] = k.Adapter
 		}
 	}
-	return fmt.Sprintf("pool %s: %d MB must be resident, %d MB are there, no place for %s",
+	return fmt.Sprintf("pool %s: %d MB must be resident, the upstreams have %d MB; no room for %s",
 		e.Pool, e.NeededMB, e.CapacityMB, strings.Join(names, ", "))
 }
 
-// Feasible packs a pool of a configuration from empty, as the planner would,
-// and returns *Infeasible when some model or adapter that must be resident
-// finds no place. Packing is not exact: a configuration that only just fits
-// may be refused.
+// Feasible packs a pool of a configuration from empty, as the planner would, and
+// returns an *InfeasibleError when some model or adapter that must be resident
+// finds no upstream. Packing is not exact: a configuration that only just fits may
+// be refused.
 func Feasible(c *config.Config, pool string) error {
 	s := emptySnapshot(c, pool)
 	decision := Plan(s, time.Time{})
@@ -60,7 +61,8 @@
 	return result
 }
 
-// emptySnapshot is the pool with nothing resident and no demand.
+// emptySnapshot returns a snapshot of the pool with nothing resident and no
+// demand.
 func emptySnapshot(c *config.Config, pool string) *Snapshot {
 	s := &Snapshot{Adapters: c.Adapters, LastMove: map[Key]time.Time{}, Bounds: ledger.DefaultBounds()}
 	for _, m := range c.Models {
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -1,6 +1,6 @@
-// Package place decides which upstream loads or unloads which model. It does
-// no I/O and has no clock: Plan takes a snapshot and a time and returns the
-// moves that may begin now, each of which the ledger has room for.
+// Package place decides which upstream loads or unloads which model. It does no
+// I/O and has no clock: Plan takes a snapshot and a time and returns the moves
+// that may begin now, for each of which the ledger has room.
 package place
 
 import (
@@ -12,34 +12,37 @@
 	"peridotpier.example/core/ledger"
 )
 
-// Key names a model, or an adapter of it, whatever the version.
+// Key identifies a model, or an adapter of it, in any version.
 type Key struct {
 	Model   string
-	Adapter string // "" for the base model
+	Adapter string // empty: the base model
 }
 
-// Demand is how many requests for a key are in progress or waiting at once,
-// as means over two windows. A move that costs a load needs both.
+// Demand is how many requests for a key are in progress or waiting at once, as
+// means over two windows. A move that costs a load must be justified by both.
 type Demand struct {
 	Short float64 // over about half a minute
 	Long  float64 // over about five minutes
 }
 
+// sustained returns the lower of the two means.
 func (d Demand) sustained() float64 { return min(d.Short, d.Long) }
-func (d Demand) peak() float64      { return max(d.Short, d.Long) }
 
-// Upstream is one upstream as the planner knows it.
+// peak returns the higher of the two means.
+func (d Demand) peak() float64 { return max(d.Short, d.Long) }
+
+// Upstream is the state of one upstream in a snapshot.
 type Upstream struct {
 	Name        string
 	DataCentre  string
 	Row         ledger.Row
 	MaxBatch    int
-	Draining    bool
-	Down        bool // for long enough that it is not one lost report
-	ReportCount int  // read of its present incarnation
+	Draining    bool // it takes nothing new
+	Down        bool // for long enough that more than one report is missing
+	ReportCount int  // reports received of its present incarnation
 }
 
-// Snapshot is what one plan sees. Plan does not change it.
+// Snapshot is the input of one plan. Plan does not change it.
 type Snapshot struct {
 	Models          []config.Model // of the pool
 	Adapters        []config.Adapter
@@ -47,35 +50,36 @@
 	Demand          map[Key]Demand
 	Preset          config.Preset
 	Store           config.WeightStore
-	LoadsInProgress int               // now under way, over all planners
-	Budget          float64           // elective loads that the preset's pace allows now
-	LastMove        map[Key]time.Time // of what was moved for a reason that may come again
+	LoadsInProgress int               // over all planners
+	Budget          float64           // elective loads that the preset's rate allows now
+	LastMove        map[Key]time.Time // last move of each key, for reasons that may recur
 	Bounds          ledger.Bounds
-	MoveCooldown    time.Duration // a model moved this recently is left alone; 0: two minutes
+	MoveCooldown    time.Duration // a model moved this recently is not moved again; 0: two minutes
 }
 
-// Reason says what a move is for.
+// Reason is the purpose of a move.
 type Reason string
 
-// The reasons, most pressing first.
+// The reasons of a move.
 const (
 	ReasonUnreachable Reason = "unreachable" // no replica can answer
-	ReasonDraining    Reason = "leaving"     // its replicas are on upstreams that leave
+	ReasonDraining    Reason = "leaving"     // its replicas are on draining upstreams
 	ReasonMinimum     Reason = "minimum"     // fewer replicas than configured
 	ReasonVersion     Reason = "version"     // another version is configured
 	ReasonRoom        Reason = "room"        // unloaded so that another may be loaded
 	ReasonInitial     Reason = "initial"     // fewer replicas than configured to start with
 	ReasonSpread      Reason = "spread"      // its replicas are overloaded
-	ReasonAdapter     Reason = "adapter"     // more demand for an adapter than its holders carry
-	ReasonFill        Reason = "fill"        // an on-demand model, where there is room to spare
+	ReasonAdapter     Reason = "adapter"     // more demand for an adapter than its replicas can serve
+	ReasonFill        Reason = "fill"        // an on-demand model, loaded where memory is spare
 )
 
-// StartsCooldown says whether a model that was moved for this reason is left alone
-// for a while. Bringing it up is no such reason.
+// StartsCooldown reports whether a model that was moved for this reason is not
+// moved again for a while. Required loads start no cooldown.
 func (r Reason) StartsCooldown() bool { return r.Elective() || r == ReasonAdapter || r == ReasonRoom }
 
-// Elective moves wait for the preset's pace; the others do not. An adapter is
-// a hundredth of its base model: loads of adapters are bounded for each plan.
+// Elective reports whether moves for this reason are limited to the preset's rate.
+// An adapter is a hundredth of the size of its base model: loads of adapters are
+// limited per plan instead.
 func (r Reason) Elective() bool { return r == ReasonSpread || r == ReasonFill }
 
 // Move is one order to one upstream.
@@ -83,38 +87,38 @@
 	Upstream string
 	Change   ledger.Change
 	Reason   Reason
-	Gain     float64 // requests at once that would no longer wait; 0 for moves that are due anyway
+	Gain     float64 // requests at once that would no longer wait; 0 for moves that are required anyway
 }
 
-// Wait is a model or adapter that has no ready replica, and the bound on the
-// time until it has one.
+// Wait is a model or adapter that has no ready replica, with the bound on the time
+// until it has one.
 type Wait struct {
 	Key   Key
-	Bound time.Duration // 0: no path; the configuration does not fit
+	Bound time.Duration // 0: no way to load it; the configuration does not fit
 }
 
-// Decision is what a plan comes to.
+// Decision is the result of a plan.
 type Decision struct {
 	Moves    []Move
 	Waits    []Wait
-	Deferred int // loads that are due, but for which the weight store has no place now
+	Deferred int // required loads that must wait for the weight store
 }
 
-// Tuning, with the reasons.
+// Thresholds and limits of planning.
 const (
-	defaultThreshold    = 0.7              // utilisation above which queues begin to show in the tail
-	minElectiveGain     = 0.5              // least gain of an elective load: at 2 s a request some 15 requests a minute
-	minAdapterDemand    = 0.2              // the same for an adapter, whose load takes a moment
-	maxDisplacedShare   = 0.25             // of a spread's gain, the most demand that may be displaced for it
-	defaultMoveCooldown = 2 * time.Minute  // default of Snapshot.Settle: sooner, a move's effect does not show in the demand
-	maxIdleDemand       = 0.05             // requests at once below which a surplus replica may make room
-	minReports          = 2                // of an incarnation, before an elective move touches its upstream
-	sendGrace           = 15 * time.Second // past an order's sending window, until it is taken for lost
-	maxElectiveMoves    = 4                // in one plan, so that the next one sees what they did
-	tightMemoryShare    = 0.8              // of all memory taken: beyond it placement packs before it spreads
+	defaultThreshold    = 0.7              // utilisation above which queues begin to show in the tail latency
+	minElectiveGain     = 0.5              // minimum gain of an elective load: at 2 s a request some 15 requests a minute
+	minAdapterDemand    = 0.2              // minimum demand for one more replica of an adapter, whose load takes a moment
+	maxDisplacedShare   = 0.25             // maximum demand that may be displaced for a spread, as a share of the spread's gain
+	defaultMoveCooldown = 2 * time.Minute  // default of Snapshot.MoveCooldown: sooner, a move's effect does not show in the demand
+	maxIdleDemand       = 0.05             // requests at once below which a surplus replica may be evicted
+	minReports          = 2                // of an incarnation, before an elective move changes its upstream
+	sendGrace           = 15 * time.Second // after an order's send window, until it is treated as lost
+	maxElectiveMoves    = 4                // per plan, so that the next plan sees their effect
+	tightMemoryShare    = 0.8              // of all memory in use: above it placement packs before it spreads
 )
 
-// Plan decides the moves that may begin now.
+// Plan returns the moves that may begin now.
 func Plan(s *Snapshot, now time.Time) Decision {
 	p := newPlan(s, now)
 	p.placeMissing()
@@ -127,13 +131,13 @@
 	return p.decide()
 }
 
-// decide cuts the loads to what the weight store has places for. Those for
-// models that nobody can reach and that are asked for come first.
+// decide orders the moves and limits the loads to the free slots of the weight
+// store. Loads of models that nobody can reach and that are asked for come first.
 func (p *plan) decide() Decision {
 	slices.SortStableFunc(p.moves, func(a, b plannedMove) int {
 		byRank := cmp.Compare(reasonRank(a.Reason), reasonRank(b.Reason))
 		if p.memoryTight {
-			return byRank // in the order of placement, or what is left would not fit as placed
+			return byRank // in the order of placement; otherwise what remains would not fit as placed
 		}
 		return cmp.Or(byRank, cmp.Compare(b.demand, a.demand))
 	})
@@ -152,6 +156,7 @@
 	return d
 }
 
+// freeStoreSlots returns how many loads from the weight store may begin now.
 func (p *plan) freeStoreSlots() int {
 	if p.snapshot.Store.Concurrent <= 0 {
 		return len(p.moves)
@@ -159,6 +164,8 @@
 	return p.snapshot.Store.Concurrent - p.snapshot.LoadsInProgress
 }
 
+// reasonRank returns the position of a reason in the order in which moves are
+// sent.
 func reasonRank(r Reason) int {
 	return slices.Index([]Reason{ReasonRoom, ReasonUnreachable, ReasonDraining, ReasonMinimum, ReasonVersion, ReasonInitial, ReasonSpread, ReasonAdapter, ReasonFill}, r)
 }
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -115,9 +115,9 @@
 	assert.Equal(t, len(Plan(hot, t0.Add(defaultMoveCooldown)).Moves), 1)
 }
 
-// Symptom: a model stays unreachable for minutes though there is room.
-// Sequence: its load order is lost; the books keep it charged.
-// Cause: a charge taken for a replica on its way for as long as it is in doubt.
+// Guards against a model that stays unreachable for minutes though there is room.
+// Its load order is lost and the ledger keeps it charged; the charge must not
+// count as a replica that is being loaded for as long as it is unconfirmed.
 func TestLostLoadIsOrderedAgain(t *testing.T) {
 	s := snapshot([]config.Model{model("a", 80, 1)}, upstream("u1", "x", 100))
 	d := Plan(s, t0)
@@ -128,7 +128,8 @@
 	assert.DeepEqual(t, text(Plan(s, c.SendBy.Add(sendGrace+1)).Moves), []string{"load a:1 u1 unreachable"})
 }
 
-// randomSnapshot makes a deployment at random with about this share of memory needed.
+// randomSnapshot returns a random deployment that needs about this share of its
+// memory.
 func randomSnapshot(seed uint64, runners, models, adapters, capacity int, share float64) *Snapshot {
 	src := rand.New(rand.NewPCG(seed, 1))
 	var ups []Upstream
@@ -148,7 +149,8 @@
 	return s
 }
 
-// planUntilStable plans and carries out until the plans come to rest.
+// planUntilStable plans and applies the moves until a plan has none, for at most
+// so many rounds, and returns the number of loads.
 func planUntilStable(s *Snapshot, rounds int) (loads int) {
 	for round := range rounds {
 		at := t0.Add(time.Duration(round) * 10 * time.Minute)
@@ -166,6 +168,7 @@
 	return loads
 }
 
+// countUnreachable returns how many models and adapters have no confirmed replica.
 func countUnreachable(s *Snapshot) int {
 	n, p := 0, newPlan(s, t0)
 	for _, w := range append(p.models, p.adapters...) {
@@ -192,14 +195,14 @@
 					assert.Assert(t, u.Row.CommittedMB() <= u.Row.CapacityMB)
 				}
 				again := planUntilStable(s, 5)
-				assert.Equal(t, again, 0, "seed %d: comes to rest", seed)
+				assert.Equal(t, again, 0, "seed %d: the plans converge", seed)
 			}
 		})
 	}
 }
 
-// Whatever the state, each move has the ledger's leave, and what had a firm
-// replica on a serving upstream keeps one.
+// In any state, the ledger allows each move, and a model with a confirmed replica
+// on a serving upstream keeps one.
 func TestPlanKeepsEveryModelReachable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := randomSnapshot(rapid.Uint64().Draw(t, "seed"), 5, 8, 6, 1000, rapid.Float64Range(0.3, 1.1).Draw(t, "share"))
@@ -254,7 +257,7 @@
 	assert.NilError(t, Feasible(c, "p"))
 	c.Models[0].MinReplicas = 2
 	err := Feasible(c, "p")
-	assert.ErrorContains(t, err, "pool p: 210 MB must be resident, 200 MB are there, no place for")
+	assert.ErrorContains(t, err, "pool p: 210 MB must be resident, the upstreams have 200 MB; no room for")
 }
 
 func BenchmarkPlan(b *testing.B) {
@@ -276,11 +279,10 @@
 	})
 }
 
-// Symptom: an upstream stays swamped while others idle.
-// Sequence: a model is asked for through its adapters only; they fill its one
-// upstream.
-// Cause: only the model's own demand was counted, and the adapters had nowhere
-// else to go.
+// Guards against an upstream that stays overloaded while others idle. A model is
+// asked for only through its adapters, which fill its one upstream; if only the
+// model's own demand counted, it would not be spread, and the adapters have
+// nowhere else to go.
 func TestAModelCalledOnlyThroughAdaptersIsSpread(t *testing.T) {
 	adapter := holds("a", 1)
 	adapter.Adapter = "x"
--- a/core/place/reach.go
+++ b/core/place/reach.go
@@ -8,9 +8,10 @@
 	"peridotpier.example/core/ledger"
 )
 
-// placeMissing places what has fewer replicas than it must have, largest first, so
-// that the small ones fill what the large ones leave. Placed here and not sent
-// yet, for want of a place at the weight store, they still keep their room.
+// placeMissing places the models that have fewer replicas than required, largest
+// first, so that the small ones fill the gaps that the large ones leave. A load
+// that is placed here but not sent yet, for want of a slot at the weight store,
+// still keeps its memory reserved.
 func (p *plan) placeMissing() {
 	var missing []*workload
 	for _, w := range p.models {
@@ -30,8 +31,8 @@
 	}
 }
 
-// requiredReplicas is the replicas that an item must have: an on-demand model one, as
-// soon as it is asked for.
+// requiredReplicas returns how many replicas a workload must have: an on-demand
+// model needs one as soon as it is asked for.
 func (p *plan) requiredReplicas(w *workload) int {
 	if w.minReplicas == 0 && w.demand.peak() > 0 {
 		return 1
@@ -39,7 +40,9 @@
 	return w.minReplicas
 }
 
-// placeReplica places one replica, or makes room for it, or states the wait.
+// placeReplica places one replica and reports whether it could; otherwise it makes
+// room for a later plan. For a model without a ready replica it adds the expected
+// wait.
 func (p *plan) placeReplica(w *workload) bool {
 	reason := p.placementReason(w)
 	unreachable := w.confirmedReplicas == 0
@@ -62,6 +65,7 @@
 	return false
 }
 
+// placementReason returns the reason for loading a required replica.
 func (p *plan) placementReason(w *workload) Reason {
 	switch {
 	case w.confirmedReplicas == 0 && w.onDraining:
@@ -75,8 +79,8 @@
 	}
 }
 
-// memoryWithAdapters is the memory for a replica together with the adapters that are
-// held nowhere: the first replica must have room for them too.
+// memoryWithAdapters returns the memory for a replica together with the adapters
+// that have no replica: the first replica of a model must have room for these too.
 func (p *plan) memoryWithAdapters(w *workload) int {
 	sum := w.memoryMB
 	for _, a := range w.adapters {
@@ -87,7 +91,8 @@
 	return sum
 }
 
-// isBeingUnloaded says whether the item unloads at a host, or this plan lets it go there.
+// isBeingUnloaded reports whether the workload may be unloading at an upstream, or
+// this plan unloads it there.
 func (p *plan) isBeingUnloaded(i int, w *workload) bool {
 	u := &p.upstreams[i]
 	return u.Row.MayBeUnloading(w.artifact) || slices.ContainsFunc(p.moves, func(m plannedMove) bool {
@@ -95,9 +100,9 @@
 	})
 }
 
-// bestUpstream is where a replica that needs so much memory goes: the tightest
-// fit while memory is scarce, the least loaded while it is not. Replicas of
-// one model prefer different data centres.
+// bestUpstream returns the upstream for a replica that needs so much memory, or
+// -1: the tightest fit while memory is scarce, otherwise the least loaded one.
+// Replicas of one model prefer different data centres.
 func (p *plan) bestUpstream(w *workload, need int) int {
 	best, bestCost := -1, 0.0
 	for i := range p.upstreams {
@@ -125,6 +130,7 @@
 	return best
 }
 
+// sameDataCentre reports whether the workload has a replica in the data centre.
 func (p *plan) sameDataCentre(w *workload, dc string) bool {
 	return slices.ContainsFunc(w.replicas, func(i int) bool { return p.upstreams[i].DataCentre == dc })
 }
@@ -137,9 +143,9 @@
 	return all
 }
 
-// readyBound is the longest time until a load decided now is ready: its turn at
-// the weight store after all loads decided before, the load itself at a full
-// store, and a report that shows it.
+// readyBound returns the longest time until a load decided now is ready: its wait
+// at the weight store after all loads decided before, the load itself while the
+// store is fully used, and a report that shows it.
 func (p *plan) readyBound(w *workload, room time.Duration) time.Duration {
 	store := p.snapshot.Store
 	before := float64(len(p.moves) + p.snapshot.LoadsInProgress + 1)
@@ -149,13 +155,14 @@
 	}
 	load := time.Duration(0)
 	if store.MBPerSecond > 0 {
-		share := max(float64(store.Concurrent), 1) // if all places of the store share its speed
+		share := max(float64(store.Concurrent), 1) // all slots of the store share its bandwidth
 		load = time.Duration(float64(w.memoryMB) * share / float64(store.MBPerSecond) * float64(time.Second))
 	}
 	return room + wait + load + p.snapshot.Bounds.SendWindow + p.snapshot.Bounds.MaxReportAge
 }
 
-// placeMissingAdapters gives each adapter at least one place beside its base model.
+// placeMissingAdapters gives each adapter at least one replica beside its base
+// model.
 func (p *plan) placeMissingAdapters() {
 	for _, w := range p.adapters {
 		if len(w.replicas) >= p.requiredReplicas(w) {
@@ -174,7 +181,8 @@
 	}
 }
 
-// upstreamsWithBase are the hosts where the adapter's base model is firm.
+// upstreamsWithBase returns the upstreams where the adapter's base model is
+// confirmed ready and the adapter could be loaded.
 func (p *plan) upstreamsWithBase(w *workload) []int {
 	var out []int
 	for _, i := range w.base.replicas {
@@ -185,6 +193,8 @@
 	return out
 }
 
+// bestUpstreamWithBase returns the least loaded of these upstreams that has room
+// for the adapter, or -1.
 func (p *plan) bestUpstreamWithBase(w *workload) int {
 	best := -1
 	for _, i := range p.upstreamsWithBase(w) {
@@ -196,7 +206,7 @@
 	return best
 }
 
-// fillSpareMemory loads on-demand models that nobody asks for, where there is room to
+// fillSpareMemory loads on-demand models that nobody asks for where memory is
 // spare, so that the first request does not wait for a load.
 func (p *plan) fillSpareMemory() {
 	for _, w := range p.models {
--- a/core/place/room.go
+++ b/core/place/room.go
@@ -6,17 +6,18 @@
 	"peridotpier.example/core/ledger"
 )
 
-// evictionCandidate is a thing that may go to make room.
+// evictionCandidate is a resident artifact that may be unloaded to make room.
 type evictionCandidate struct {
 	workload *workload
 	artifact ledger.Artifact
 	memoryMB int
 }
 
-// makeRoom decides the unloads that free room for the item at one of the
-// hosts: where the least demand is displaced. It says whether there is a way.
-// Room that earlier unloads will free is counted first, so that a second plan
-// does not unload more while the first one's unloads are under way.
+// makeRoom plans the unloads that free room for the workload at one of the
+// candidate upstreams, where the least demand is displaced. It reports whether
+// that is possible. Memory that earlier unloads will free is counted first, so
+// that a second plan does not unload more while the unloads of the first are in
+// progress.
 func (p *plan) makeRoom(w *workload, candidates []int) bool {
 	at, evictions, found := p.findRoom(w, candidates, unlimitedLoss)
 	if !found {
@@ -26,11 +27,11 @@
 	return true
 }
 
-const unlimitedLoss = 1e9 // any loss
+const unlimitedLoss = 1e9 // any demand may be displaced
 
-// findRoom finds the host where room for the item displaces the least demand,
-// and no more than most. Without victims the room is coming already, and is
-// kept for the item.
+// findRoom finds the upstream where room for the workload displaces the least
+// demand, and no more than maxLoss. Without evictions, the memory is free or being
+// freed already. The memory is reserved for the workload.
 func (p *plan) findRoom(w *workload, candidates []int, maxLoss float64) (at int, evictions []evictionCandidate, found bool) {
 	need := w.memoryMB
 	if w.base == nil && len(w.replicas) == 0 {
@@ -57,21 +58,24 @@
 	return best, evictions, best >= 0
 }
 
-// reserve takes room that is free or coming, so that no two models count on
-// the same. What is coming may go below zero until its unloads are counted in.
+// reserve takes memory that is free or being freed, so that no two models count on
+// the same memory. pendingFreeMB may fall below zero until the unloads are
+// applied.
 func (u *upstreamState) reserve(need int) {
 	u.pendingFreeMB -= max(need-u.freeMB, 0)
 	u.freeMB = max(u.freeMB-need, 0)
 }
 
+// planUnloads plans the evictions at an upstream that are possible now.
 func (p *plan) planUnloads(i int, evictions []evictionCandidate) {
 	for _, eviction := range p.unloadableNow(i, evictions) {
 		p.planUnload(i, eviction.workload, eviction.artifact, eviction.memoryMB, ReasonRoom)
 	}
 }
 
-// chooseEvictions are the things at a host that free at least need megabytes, those
-// with the least demand first, and the demand that they carry there.
+// chooseEvictions returns the artifacts at an upstream whose unload frees at least
+// need megabytes, those with the least demand first, and the demand that they
+// serve there; ok is false if they free less.
 func (p *plan) chooseEvictions(i, need int, target *workload) (evictions []evictionCandidate, loss float64, ok bool) {
 	candidates := p.evictionCandidates(i, target)
 	slices.SortStableFunc(candidates, func(a, b evictionCandidate) int {
@@ -83,7 +87,7 @@
 		}
 		evictions = append(evictions, candidate)
 		need -= candidate.memoryMB
-		loss += candidate.workload.demand.peak()/float64(max(candidate.workload.confirmedReplicas, 1)) + 0.01 // of equals, fewer unloads
+		loss += candidate.workload.demand.peak()/float64(max(candidate.workload.confirmedReplicas, 1)) + 0.01 // prefer fewer unloads at equal demand
 	}
 	return evictions, loss, need <= 0
 }
@@ -99,8 +103,9 @@
 	}
 }
 
-// evictionCandidates are the things at a host that may go: never the last firm
-// replica of what must be kept, and never one whose going is in doubt already.
+// evictionCandidates returns the artifacts at an upstream that may be unloaded for
+// the target: never the last confirmed replica of a workload that must be kept,
+// and never one with an unconfirmed unload.
 func (p *plan) evictionCandidates(i int, target *workload) []evictionCandidate {
 	u := &p.upstreams[i]
 	var out []evictionCandidate
@@ -110,7 +115,7 @@
 		}
 		w := p.byKey[Key{r.Model, r.Adapter}]
 		if w == nil {
-			w = &workload{key: Key{r.Model, r.Adapter}, artifact: r.Artifact} // configured no more
+			w = &workload{key: Key{r.Model, r.Adapter}, artifact: r.Artifact} // no longer configured
 		}
 		elective := len(target.replicas) >= p.requiredReplicas(target)
 		if w == target || w.base == target || (elective && !p.hasCooledDown(w)) || !p.mayEvict(w, u, r.Artifact, target) {
@@ -121,7 +126,7 @@
 	return out
 }
 
-// mayEvict says whether a replica may go for another model's sake.
+// mayEvict reports whether a replica may be unloaded for the sake of the target.
 func (p *plan) mayEvict(w *workload, u *upstreamState, artifact ledger.Artifact, target *workload) bool {
 	if p.byKey[w.key] == nil {
 		return true
@@ -132,22 +137,23 @@
 	}
 	for _, a := range w.adapters {
 		if p.isOnlyReplica(a, u) {
-			return false // an adapter would go with its base model
+			return false // the adapter would be unloaded with its base model
 		}
 	}
 	if others >= max(p.requiredReplicas(w), 1) {
 		return true
 	}
-	// An on-demand model gives way to one that must be resident or is asked
-	// for when nobody asks for it, or when it had its turn: so all of them
-	// share what memory is left, each with a stated path back.
+	// An on-demand model is evicted for one that must be resident or is asked
+	// for, when nobody asks for the first or its cooldown has passed: so all
+	// on-demand models share the remaining memory in turn, and each has a stated
+	// bound until it is loaded again.
 	required := len(target.replicas) < p.requiredReplicas(target)
 	hadTurn := p.hasCooledDown(w) && target.confirmedReplicas == 0
 	return w.minReplicas == 0 && required && (w.demand.peak() < maxIdleDemand || hadTurn)
 }
 
-// fitsAfterEvictions says whether some host has room but for on-demand models, which
-// give way in time.
+// fitsAfterEvictions reports whether some upstream would have room without its
+// on-demand models, which are evicted in time.
 func (p *plan) fitsAfterEvictions(need int) bool {
 	for i := range p.upstreams {
 		u := &p.upstreams[i]
@@ -167,15 +173,16 @@
 	return false
 }
 
-// isOnlyReplica says whether the adapter must be kept and has no firm place but
-// this host.
+// isOnlyReplica reports whether the adapter must be kept and has no confirmed
+// replica other than at this upstream.
 func (p *plan) isOnlyReplica(a *workload, u *upstreamState) bool {
 	confirmedHere := u.serving && u.Row.IsConfirmedReady(a.artifact)
 	return confirmedHere && a.confirmedReplicas <= 1 && p.requiredReplicas(a) > 0
 }
 
-// unloadableNow leaves out base models while adapters of them are still held
-// there: these go first, and a later plan unloads the base.
+// unloadableNow returns the evictions with each base model that still has resident
+// adapters replaced by these adapters: they are unloaded first, and a later plan
+// unloads the base model.
 func (p *plan) unloadableNow(i int, evictions []evictionCandidate) []evictionCandidate {
 	u := &p.upstreams[i]
 	var out []evictionCandidate
@@ -198,6 +205,8 @@
 	return out
 }
 
+// adaptersAt returns the adapters of a model at an upstream that are not about to
+// be unloaded.
 func (p *plan) adaptersAt(u *upstreamState, model string) []evictionCandidate {
 	var out []evictionCandidate
 	for _, r := range u.Row.Residents {
--- a/core/place/spread.go
+++ b/core/place/spread.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// spread adds replicas of models whose replicas are all overloaded, best gain
-// first. It unloads nothing to tidy up: a replica that is not needed any more costs nothing
-// until its memory is, and would cost a load to bring back.
+// spread adds replicas of models whose replicas are all overloaded, highest gain
+// first. It does not unload surplus replicas: a replica that is no longer needed
+// costs nothing until its memory is needed, and would cost a load to bring back.
 func (p *plan) spread() {
 	for range maxElectiveMoves {
 		if p.budget < 1 {
@@ -32,7 +32,8 @@
 }
 
 // makeRoomForSpread makes room for another replica of a model that is overloaded
-// everywhere, where that displaces far less than it gains. A later plan loads.
+// everywhere, if that displaces much less demand than it gains. A later plan loads
+// the replica.
 func (p *plan) makeRoomForSpread(w *workload, gain float64) {
 	if w == nil {
 		return
@@ -48,8 +49,8 @@
 	}
 }
 
-// loadInitialReplicas loads the replicas that a model is configured to start with, where
-// there is room, until the first move for any other reason.
+// loadInitialReplicas loads the replicas that a model is configured to start with,
+// where there is room, until the model is moved for any other reason.
 func (p *plan) loadInitialReplicas() {
 	for _, w := range p.models {
 		if _, moved := p.snapshot.LastMove[w.key]; moved {
@@ -65,9 +66,10 @@
 	}
 }
 
-// spreadGain predicts what one more replica is worth: the requests at once above
-// the threshold on its hosts before, less those after. Without a host that has
-// room, at is -1 and the gain leaves out what the new host would suffer.
+// spreadGain estimates the gain of one more replica: the requests at once above
+// the threshold on the upstreams of the model before, less those after. If no
+// upstream has room, at is -1 and the gain leaves out the load added to the new
+// upstream.
 func (p *plan) spreadGain(w *workload) (at int, gain float64) {
 	if !p.hasCooledDown(w) || w.sharedDemand() <= 0 || !p.allOverloaded(w) {
 		return -1, 0
@@ -87,9 +89,9 @@
 	return at, gain
 }
 
-// sharedDemand is the demand that one more replica of a base model would share: its
-// own and that of its adapters, which follow it. Were they left out, a model
-// that is only called through adapters would never be spread.
+// sharedDemand returns the demand that one more replica of a base model would
+// share: its own and that of its adapters, which move with it. Without theirs, a
+// model that is only called through adapters would never be spread.
 func (w *workload) sharedDemand() float64 {
 	sum := w.demand.sustained()
 	for _, a := range w.adapters {
@@ -98,10 +100,10 @@
 	return sum
 }
 
-// overload is the requests at once above the threshold at a host, if its load
-// changed by so much; those far above it weigh more, as waits grow faster than
-// load. Were they weighed alike, taking work from a swamped upstream to one
-// just above the threshold would seem to gain nothing.
+// overload returns the requests at once above the threshold at an upstream, if its
+// demand changed by so much. Requests far above the threshold weigh more, as waits
+// grow faster than load: with equal weights, moving work from a badly overloaded
+// upstream to one just above the threshold would seem to gain nothing.
 func (p *plan) overload(i int, change float64) float64 {
 	u := &p.upstreams[i]
 	batch := float64(max(u.MaxBatch, 1))
@@ -109,6 +111,7 @@
 	return over + over*over/batch
 }
 
+// threshold returns the utilisation above which an upstream counts as overloaded.
 func (p *plan) threshold() float64 {
 	if p.snapshot.Preset.SpreadThreshold > 0 {
 		return p.snapshot.Preset.SpreadThreshold
@@ -116,7 +119,8 @@
 	return defaultThreshold
 }
 
-// allOverloaded: while one replica has room, routing sends the work there.
+// allOverloaded reports whether every replica of the workload is overloaded. While
+// one replica has room, routing sends the work there.
 func (p *plan) allOverloaded(w *workload) bool {
 	for _, i := range w.replicas {
 		if p.upstreams[i].utilisation() <= p.threshold() || p.upstreams[i].ReportCount < minReports {
@@ -126,6 +130,7 @@
 	return len(w.replicas) > 0
 }
 
+// moveCooldown returns how long a workload is not moved again after a move.
 func (p *plan) moveCooldown() time.Duration {
 	if p.snapshot.MoveCooldown > 0 {
 		return p.snapshot.MoveCooldown
@@ -133,13 +138,14 @@
 	return defaultMoveCooldown
 }
 
+// hasCooledDown reports whether the workload may be moved again.
 func (p *plan) hasCooledDown(w *workload) bool {
 	last, moved := p.snapshot.LastMove[w.key]
 	return !w.moved && (!moved || p.now.Sub(last) >= p.moveCooldown())
 }
 
-// spreadAdapters loads an adapter beside more replicas of its base model, when
-// all of its own holders are overloaded and another is not.
+// spreadAdapters loads an adapter beside more replicas of its base model, when all
+// upstreams that serve the adapter are overloaded and another one is not.
 func (p *plan) spreadAdapters() {
 	remaining := maxElectiveMoves
 	for _, w := range p.adapters {
--- a/core/place/state.go
+++ b/core/place/state.go
@@ -8,14 +8,14 @@
 	"peridotpier.example/core/ledger"
 )
 
-// plan is the working state of one Plan: the snapshot, with the moves decided
-// so far counted in.
+// plan is the working state of one call of Plan: the snapshot with the moves
+// decided so far applied.
 type plan struct {
 	snapshot    *Snapshot
 	now         time.Time
 	upstreams   []upstreamState
 	models      []*workload // base models
-	adapters    []*workload // adapters
+	adapters    []*workload
 	byKey       map[Key]*workload
 	moves       []plannedMove
 	waits       []Wait
@@ -23,41 +23,43 @@
 	memoryTight bool
 }
 
+// plannedMove is a move with the demand for what it loads.
 type plannedMove struct {
 	Move
 	demand float64
 }
 
-// upstreamState is an upstream with the moves decided so far.
+// upstreamState is an upstream with the moves decided so far applied.
 type upstreamState struct {
 	*Upstream
-	freeMB        int // megabytes that may be reserved now
-	pendingFreeMB int // megabytes that unloads in doubt will free
-	demand        float64
-	acceptsLoads  bool // takes new loads
-	serving       bool // answers new requests
-	artifacts     []ledger.Artifact
+	freeMB        int               // megabytes that may be reserved now
+	pendingFreeMB int               // megabytes that unconfirmed unloads will free
+	demand        float64           // requests at once that its replicas serve
+	acceptsLoads  bool              // it may load models
+	serving       bool              // it answers new requests
+	artifacts     []ledger.Artifact // resident ones, without planned unloads
 }
 
-// workload is a model or an adapter with its places.
+// workload is a model or an adapter with its replicas.
 type workload struct {
 	key               Key
-	artifact          ledger.Artifact // of the version configured
+	artifact          ledger.Artifact // in the configured version
 	memoryMB          int
-	minReplicas       int   // replicas to keep
-	initialReplicas   int   // replicas to start with
-	replicas          []int // hosts that hold the thing or are about to
-	oldReplicas       []int // hosts that hold another version
-	confirmedReplicas int   // serving hosts with a firm replica of any version
-	currentReplicas   int   // of these, in the version configured
-	onDraining        bool  // held where the upstream leaves
+	minReplicas       int   // number of replicas to keep
+	initialReplicas   int   // number of replicas to start with
+	replicas          []int // indices of the upstreams that hold the artifact or are loading it
+	oldReplicas       []int // indices of the upstreams that hold another version
+	confirmedReplicas int   // replicas of any version confirmed ready on serving upstreams
+	currentReplicas   int   // those of them in the configured version
+	onDraining        bool  // resident on a draining upstream
 	moved             bool  // by an elective move of this plan
-	reservedAt        int   // 1 + the host where room is kept for an adapter that is held nowhere; 0: none
+	reservedAt        int   // 1 + the index of the upstream with memory reserved for an adapter without replicas; 0: none
 	demand            Demand
-	base              *workload   // of an adapter
+	base              *workload   // base model of an adapter
 	adapters          []*workload // adapters of a base model
 }
 
+// newPlan returns the plan of a snapshot without any moves.
 func newPlan(s *Snapshot, now time.Time) *plan {
 	p := &plan{snapshot: s, now: now, byKey: map[Key]*workload{}, budget: s.Budget}
 	for i := range s.Models {
@@ -151,8 +153,9 @@
 	}
 }
 
-// addCharge counts a load that is on its way. Past its window and a grace, or
-// when its engine restarted, it is taken for lost: its memory stays charged, but nobody waits for it.
+// addCharge counts a load that is unconfirmed. When its send window and a grace
+// period have passed, or its engine restarted, it is treated as lost: its memory
+// stays charged, but it no longer counts as a replica.
 func (p *plan) addCharge(i int, c ledger.Charge) {
 	w := p.byKey[Key{c.Model, c.Adapter}]
 	if c.Kind != ledger.Load || w == nil || c.Artifact != w.artifact || p.now.After(c.SendBy.Add(sendGrace)) {
@@ -165,7 +168,8 @@
 	w.replicas = append(w.replicas, i)
 }
 
-// distributeDemand spreads an item's demand evenly over the hosts that hold it.
+// distributeDemand spreads a workload's demand evenly over the upstreams that
+// serve it.
 func (p *plan) distributeDemand(w *workload) {
 	upstreams := w.servingReplicas()
 	for _, i := range upstreams {
@@ -173,6 +177,8 @@
 	}
 }
 
+// servingReplicas returns the upstreams with the configured version or, if there
+// are none, those with another version.
 func (w *workload) servingReplicas() []int {
 	if len(w.replicas) > 0 {
 		return w.replicas
@@ -180,8 +186,9 @@
 	return w.oldReplicas
 }
 
-// reserveForAdapter sets memory aside for an adapter that is held nowhere, beside its
-// base model, so that nothing else takes it before the base is ready.
+// reserveForAdapter reserves memory for an adapter without replicas, beside its
+// base model, so that nothing else takes the memory before the base model is
+// ready.
 func (p *plan) reserveForAdapter(a *workload, bases []int) {
 	if len(a.replicas) > 0 || a.reservedAt > 0 || p.requiredReplicas(a) == 0 {
 		return
@@ -198,8 +205,8 @@
 	}
 }
 
-// freeMBFor is the memory that the item may take at a host, with what is kept
-// there for it.
+// freeMBFor returns the memory that the workload may take at an upstream,
+// including what is reserved there for it.
 func (p *plan) freeMBFor(i int, w *workload) int {
 	u := &p.upstreams[i]
 	if w.reservedAt == i+1 {
@@ -208,15 +215,17 @@
 	return u.freeMB
 }
 
-// isAt says whether the host holds the item, in any version, or is about to.
+// isAt reports whether an upstream holds the workload in any version, or is
+// loading it.
 func (w *workload) isAt(i int) bool {
 	return slices.Contains(w.replicas, i) || slices.Contains(w.oldReplicas, i)
 }
 
+// utilisation returns the upstream's demand as a share of its batch.
 func (u *upstreamState) utilisation() float64 { return u.demand / float64(max(u.MaxBatch, 1)) }
 
-// requiredMB is the memory that loading the thing takes at the host: none when it
-// is charged there already.
+// requiredMB returns the memory that loading the workload takes at the upstream:
+// none when it is charged there already.
 func (u *upstreamState) requiredMB(w *workload) int {
 	if u.Row.MayBeResident(w.artifact) {
 		return 0
@@ -224,7 +233,7 @@
 	return w.memoryMB
 }
 
-// planLoad decides a load and counts it in.
+// planLoad adds a load to the moves and applies it to the state.
 func (p *plan) planLoad(i int, w *workload, reason Reason, gain float64) {
 	u := &p.upstreams[i]
 	if w.reservedAt > 0 {
@@ -240,7 +249,8 @@
 		Move{u.Name, ledger.Change{Kind: ledger.Load, Artifact: w.artifact, MemoryMB: w.memoryMB}, reason, gain}, w.demand.peak()})
 }
 
-// planUnload decides an unload and counts it in; the memory comes later.
+// planUnload adds an unload to the moves and applies it to the state; the memory
+// is free only when the unload is confirmed.
 func (p *plan) planUnload(i int, w *workload, artifact ledger.Artifact, mb int, reason Reason) {
 	u := &p.upstreams[i]
 	confirmed := u.Row.IsConfirmedReady(artifact)
@@ -263,7 +273,7 @@
 	p.moves = append(p.moves, plannedMove{Move{u.Name, ledger.Change{Kind: ledger.Unload, Artifact: artifact}, reason, 0}, 0})
 }
 
-// updateReplicas takes the item's load off its hosts, changes them, and puts it back.
+// updateReplicas changes a workload's replicas and redistributes its demand.
 func (p *plan) updateReplicas(w *workload, change func()) {
 	before := w.servingReplicas()
 	for _, i := range before {
--- a/core/place/versions.go
+++ b/core/place/versions.go
@@ -2,9 +2,9 @@
 
 import "peridotpier.example/core/ledger"
 
-// retireVersions unloads what is configured no more, once the version that is
-// configured is ready: as many firm replicas as must be kept. Until then the
-// old one answers.
+// retireVersions unloads artifacts that are no longer configured, once the
+// configured version is confirmed ready on as many upstreams as replicas must be
+// kept. Until then the old version answers.
 func (p *plan) retireVersions() {
 	for i := range p.upstreams {
 		u := &p.upstreams[i]
@@ -24,14 +24,16 @@
 	}
 }
 
+// retireReplica plans the unload of an artifact that is no longer configured,
+// unless an adapter needs it.
 func (p *plan) retireReplica(i int, w *workload, r ledger.Resident) {
 	u := &p.upstreams[i]
 	if w == nil {
 		w = &workload{key: Key{r.Model, r.Adapter}, artifact: r.Artifact}
 	}
 	if r.Adapter == "" {
-		// An adapter may be served on this very version of its base model, so
-		// it must have a place beside the new one first.
+		// An adapter may be served on this version of its base model, so it must
+		// have a replica beside the new version first.
 		for _, a := range w.adapters {
 			if p.isOnlyReplica(a, u) {
 				return
