--- a/core/deploy/deploy.go
+++ b/core/deploy/deploy.go
@@ -1,22 +1,22 @@
-// Package deploy describes a deployment of routed traffic: which requests go
-// to which services under which promises, and what the engines behind them can
-// hold. It is read by every request, so a value is never changed once it was
-// published.
+// Package deploy describes a deployment of routed traffic: which requests go to
+// which services under which limits and objectives, and what the engines behind
+// them can hold. Every request reads it, so a value is never changed once it has
+// been published.
 package deploy
 
 import "time"
 
-// RequestKind tells what of a request may be repeated.
+// RequestKind determines whether a request may run more than once.
 type RequestKind uint8
 
 // The kinds of requests.
 const (
 	Idempotent    RequestKind = iota // may run more than once
-	NonIdempotent                    // runs once at most
-	Stream                           // answers in events; runs once at most unless its route is resumable
+	NonIdempotent                    // runs at most once
+	Stream                           // answers in events; runs at most once unless its route is resumable
 )
 
-// String names the kind in logs.
+// String returns the name of the kind, for logs.
 func (k RequestKind) String() string {
 	switch k {
 	case Idempotent:
@@ -31,55 +31,56 @@
 // Split is one service's share of a route's traffic.
 type Split struct {
 	Service string
-	Weight  int // of the sum of all splits of the route
+	Weight  int // relative to the sum over all splits of the route
 }
 
-// Route says where requests of one host name and path prefix go.
+// Route determines where requests of one host name and path prefix are sent, and
+// how.
 type Route struct {
 	Name       string
 	Host       string // lower case, without a port
 	Prefix     string // begins and ends with a slash
 	Kind       RequestKind
-	Timeout    time.Duration // longest time that a caller may be kept waiting
-	Objective  time.Duration // time within which an answer earns its full worth
-	PauseBound time.Duration // longest pause between events of an answer in time; 0: none
+	Timeout    time.Duration // longest time for which a caller may be kept waiting
+	Objective  time.Duration // time within which an answer has its full value
+	PauseBound time.Duration // maximum pause between events of a timely answer; 0: none
 	Priority   int           // 0 is the most urgent
-	Attempts   int           // most upstreams that one request may be sent to
+	Attempts   int           // maximum number of upstreams that one request may be sent to
 	Sticky     bool          // requests share parts of their prompts
-	Resumable  bool          // a stream may go on at another upstream
-	Public     bool          // anybody may call it, without a key
-	Splits     []Split       // one at least
+	Resumable  bool          // a stream may be continued at another upstream
+	Public     bool          // it may be called without a key
+	Splits     []Split       // at least one
 }
 
-// Repeatable says whether a request of the route may run a second time from
-// its start.
+// Repeatable reports whether a request of the route may be run again from its
+// start.
 func (r *Route) Repeatable() bool { return r.Kind == Idempotent }
 
-// Model is a set of weights that engines of a service can load.
+// Model is a set of weights that the engines of a service can load.
 type Model struct {
 	Name       string
 	WeightsMB  float64
-	StoreLoad  time.Duration // from the weight store
-	MemoryLoad time.Duration // from the upstream's host memory; 0: no such copies
-	DiskLoad   time.Duration // from the upstream's disk; 0: no such copies
-	Adapters   int           // named a1, a2, and so on
+	StoreLoad  time.Duration // load time from the weight store
+	MemoryLoad time.Duration // load time from the upstream's host memory; 0: no such copies
+	DiskLoad   time.Duration // load time from the upstream's disk; 0: no such copies
+	Adapters   int           // number of adapters, named a1, a2, and so on
 	AdapterMB  float64
 }
 
-// Engine is what each upstream of a service of models can hold.
+// Engine is the capacity of each upstream of a service that runs models.
 type Engine struct {
 	Slots          int     // requests in one batch
-	CacheTokens    int     // tokens that running requests and cached parts share
+	CacheTokens    int     // tokens that running requests and cached prefixes share
 	MemoryMB       float64 // for weights and adapters together
 	AdapterSlots   int
 	LoadsPerSecond float64 // from the weight store, over all upstreams
 	HostMemoryMB   float64 // for copies of weights in host memory
 	DiskMB         float64 // for copies of weights on disk
-	EventTokens    int     // tokens an event of a stream
+	EventTokens    int     // tokens per event of a stream
 	Models         []Model
 }
 
-// Model finds a model by name.
+// Model returns the model with a name.
 func (e *Engine) Model(name string) (*Model, bool) {
 	for i := range e.Models {
 		if e.Models[i].Name == name {
@@ -94,7 +95,7 @@
 	Name            string
 	HealthPath      string
 	ConnectionLimit int     // connections that one upstream accepts from all hosts together; 0: no limit
-	Engine          *Engine // nil: a plain service
+	Engine          *Engine // nil: a plain service, without models
 }
 
 // Limits bound what a caller may send and how long it may take.
--- a/core/deploy/table.go
+++ b/core/deploy/table.go
@@ -9,17 +9,18 @@
 	"peridotpier.example/core/apikey"
 )
 
-// Table finds the route of a request. It is immutable and shared by all
-// requests that were admitted under its version.
+// Table finds the route, service and team of a request. It is immutable and shared
+// by all requests that were admitted under its version.
 type Table struct {
 	Config    *Config
 	services  map[string]*Service
 	byHost    map[string][]*Route // longest prefix first
 	teams     map[apikey.Hash]*Team
-	urgencies []urgency // ascending: the most urgent first
+	urgencies []urgency // ascending, so that the most urgent come first
 }
 
-// NewTable compiles a configuration.
+// NewTable returns the table of a configuration, which must not be changed
+// afterwards.
 func NewTable(c *Config) *Table {
 	t := &Table{Config: c, services: map[string]*Service{}, byHost: map[string][]*Route{}, teams: map[apikey.Hash]*Team{}}
 	for i := range c.Services {
@@ -41,17 +42,17 @@
 	return t
 }
 
-// Team finds the team that a key belongs to.
+// Team returns the team that a key belongs to.
 func (t *Table) Team(key apikey.Hash) (*Team, bool) {
 	team, ok := t.teams[key]
 	return team, ok
 }
 
-// NeedsKey says whether a request on a route has to name a team by a key.
+// NeedsKey reports whether a request on a route must identify a team by a key.
 func (t *Table) NeedsKey(r *Route) bool { return len(t.Config.Teams) > 0 && !r.Public }
 
-// urgency is the urgency of a team's requests on a route. That of the team goes
-// first: teams of the same one are told apart by their routes.
+// urgency is the urgency of a team's requests on a route. The team's urgency takes
+// precedence: requests of equally urgent teams are ordered by their routes.
 type urgency struct{ team, route int }
 
 func (a urgency) compare(b urgency) int {
@@ -61,7 +62,8 @@
 	return a.route - b.route
 }
 
-// urgenciesOf lists all pairs that a configuration allows, in order.
+// urgenciesOf returns all urgencies that a configuration allows, in ascending
+// order.
 func urgenciesOf(c *Config) []urgency {
 	var out []urgency
 	for i := range c.Routes {
@@ -77,8 +79,9 @@
 	return slices.Compact(out)
 }
 
-// UrgencyRank is the place of a team's requests on a route among all that there
-// are, 0 being the most urgent, and how many places there are. team may be nil.
+// UrgencyRank returns the rank of a team's requests on a route among all urgencies
+// of the configuration, 0 being the most urgent, and how many ranks there are.
+// team may be nil.
 func (t *Table) UrgencyRank(team *Team, r *Route) (rank, ranks int) {
 	own := urgency{0, r.Priority}
 	if team != nil {
@@ -88,8 +91,8 @@
 	return at, len(t.urgencies)
 }
 
-// Match returns the route with the longest prefix of the path among the
-// host's, or nil.
+// Match returns the route with the longest prefix of the path among those of the
+// host name, or nil.
 func (t *Table) Match(host, path string) *Route {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -102,14 +105,14 @@
 	return nil
 }
 
-// Service finds a service by name.
+// Service returns the service with a name.
 func (t *Table) Service(name string) (*Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// ChooseService draws the service of one request by the route's weights; at is a
-// number in [0, 1).
+// ChooseService returns the service for one request by the route's weights; point
+// is a number in [0, 1).
 func (r *Route) ChooseService(point float64) string {
 	sum := 0
 	for _, s := range r.Splits {
--- a/core/deploy/team.go
+++ b/core/deploy/team.go
@@ -9,23 +9,25 @@
 	"peridotpier.example/core/quota"
 )
 
-// Team is one party whose requests no other may see or send.
+// Team is a group of callers. No other team may see its requests or send requests
+// in its name.
 type Team struct {
 	Name    string
-	Keys    []apikey.Hash // any of them names the team
-	Urgency int           // 0 is the most urgent; it goes before that of a route
+	Keys    []apikey.Hash // each of them identifies the team
+	Urgency int           // 0 is the most urgent; takes precedence over the priority of a route
 	Limit   quota.Limit
 }
 
-// Most keys and teams of a configuration. It goes to all hosts, at 64 bytes a key.
+// Maximum numbers of teams and keys in a configuration. It is sent to all hosts, at
+// 64 bytes a key.
 const (
 	maxTeams = 4096
 	maxKeys  = 8192
 )
 
-// TeamError says what is wrong with a team of a configuration. It names no key.
+// TeamError describes a fault in a team of a configuration. It contains no key.
 type TeamError struct {
-	Index   int // of the team in the configuration; -1: all together
+	Index   int // of the team in the configuration; -1: the fault concerns all teams
 	Name    string
 	Problem string
 }
@@ -38,8 +40,8 @@
 	return fmt.Sprintf("teams[%d] %q: %s", e.Index, e.Name, e.Problem)
 }
 
-// CheckTeams returns the first fault of a configuration's teams. One key in two
-// teams would show one of them the other's work.
+// CheckTeams returns the first fault of a configuration's teams as a *TeamError.
+// The same key in two teams would let one of them see the other's requests.
 func CheckTeams(teams []Team) error {
 	if len(teams) > maxTeams {
 		return &TeamError{Index: -1, Problem: fmt.Sprintf("are %d, must be %d at most", len(teams), maxTeams)}
@@ -65,7 +67,7 @@
 	return nil
 }
 
-// problem says what is wrong with the team by itself; "": nothing.
+// problem returns the fault of the team by itself; empty: none.
 func (t *Team) problem() string {
 	l := t.Limit
 	switch {
@@ -83,7 +85,8 @@
 	return ""
 }
 
-// claimKeys notes a team's keys; it says whose they are if not only its own.
+// claimKeys records a team's keys as its own; it returns the fault if another team
+// has one of them.
 func claimKeys(owners map[apikey.Hash]int, keys []apikey.Hash, team int) string {
 	for _, k := range keys {
 		if other, ok := owners[k]; ok && other != team {
--- a/core/deploy/team_test.go
+++ b/core/deploy/team_test.go
@@ -21,7 +21,8 @@
 	return t
 }
 
-// Failure: one team's key shows another team's work, or a version that cannot be read takes the service away.
+// Guards against a key that shows one team the requests of another, and against a
+// version that cannot be read and takes the service down.
 func TestFaultyTeamsAreRefusedWithTheirPosition(t *testing.T) {
 	withLimit := func(l quota.Limit) Team { out := teamOf("b", "k2"); out.Limit = l; return out }
 	many := teamOf("b")
@@ -45,13 +46,13 @@
 		t.Run(name, func(t *testing.T) {
 			err := CheckTeams([]Team{teamOf("a", "k1"), c.second})
 			assert.ErrorContains(t, err, c.says)
-			assert.Assert(t, !strings.Contains(err.Error(), "k1"), "no key is named")
+			assert.Assert(t, !strings.Contains(err.Error(), "k1"), "the error contains no key")
 		})
 	}
-	assert.NilError(t, CheckTeams([]Team{teamOf("a", "k1", "k1"), teamOf("b", "k2"), teamOf("c")}), "a key twice in one team harms nobody")
+	assert.NilError(t, CheckTeams([]Team{teamOf("a", "k1", "k1"), teamOf("b", "k2"), teamOf("c")}), "a key may be listed twice in one team")
 }
 
-// A configuration goes from host to host with hashes only.
+// A configuration is sent between hosts with hashes of keys only.
 func TestATeamIsFoundByItsKeyOnEveryHost(t *testing.T) {
 	c := &Config{Teams: []Team{teamOf("a", "k1", "k2"), teamOf("b", "k3")}, Routes: []Route{{Name: "r"}, {Name: "open", Public: true}}}
 	data, err := json.Marshal(c)
@@ -71,21 +72,22 @@
 	}
 	assert.Assert(t, table.NeedsKey(&decoded.Routes[0]))
 	assert.Assert(t, !table.NeedsKey(&decoded.Routes[1]))
-	assert.Assert(t, !NewTable(&Config{}).NeedsKey(&decoded.Routes[0]), "without teams nobody needs a key")
+	assert.Assert(t, !NewTable(&Config{}).NeedsKey(&decoded.Routes[0]), "without teams no request needs a key")
 }
 
-// Failure: the most urgent route of an ordinary team is served after the least urgent one of another.
+// Guards against serving the most urgent route of an ordinary team after the least
+// urgent route of another.
 func TestATeamsUrgencyPrecedesThatOfItsRoutes(t *testing.T) {
 	first, other, same := Team{Name: "first"}, Team{Name: "other", Urgency: 2}, Team{Name: "same", Urgency: 2}
 	c := &Config{Teams: []Team{first, other, same}, Routes: []Route{{Name: "slow", Priority: 5}, {Name: "fast", Priority: 1, Public: true}}}
 	table := NewTable(c)
 	rank := func(team *Team, route int) int { at, _ := table.UrgencyRank(team, &c.Routes[route]); return at }
-	assert.Assert(t, rank(&first, 0) < rank(&other, 1), "the team's first")
-	assert.Assert(t, rank(&other, 1) < rank(&other, 0), "then the route's")
+	assert.Assert(t, rank(&first, 0) < rank(&other, 1), "by the team first")
+	assert.Assert(t, rank(&other, 1) < rank(&other, 0), "then by the route")
 	assert.Equal(t, rank(&other, 0), rank(&same, 0))
 	_, ranks := table.UrgencyRank(&first, &c.Routes[0])
 	assert.Equal(t, ranks, 4)
-	assert.Equal(t, rank(nil, 1), rank(&first, 1), "a public route's requests go as those of the most urgent teams")
+	assert.Equal(t, rank(nil, 1), rank(&first, 1), "requests of a public route have the urgency of the most urgent teams")
 }
 
 func benchmarkKeys(b *testing.B, teams, keys int) {
--- a/core/deploy/upstream.go
+++ b/core/deploy/upstream.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// UpstreamState is what an upstream says of itself.
+// UpstreamState is the state of an upstream as the upstream itself reports it.
 type UpstreamState uint8
 
 // The states of an upstream.
@@ -14,38 +14,39 @@
 	Draining
 )
 
-// Resident is a model that an upstream holds.
+// Resident is a model that is resident at an upstream, with its adapters.
 type Resident struct {
 	Model    string
 	Version  int
 	Adapters []string
 }
 
-// Equal says whether two describe the same model with the same adapters.
+// Equal reports whether both describe the same model with the same adapters.
 func (r Resident) Equal(o Resident) bool {
 	return r.Model == o.Model && r.Version == o.Version && slices.Equal(r.Adapters, o.Adapters)
 }
 
-// Upstream is one process of a service as it describes itself.
+// Upstream is one process of a service, as it describes itself.
 type Upstream struct {
 	ID string
-	// Born is when the process began, in Unix milliseconds by its own clock; 0:
-	// not said. A process may start again under its ID, empty: what was known
-	// of the one before holds for it no more.
+	// Born is when the process started, in Unix milliseconds by its own clock; 0:
+	// not reported. A process may restart under its ID, empty: what was known of
+	// the former process no longer applies.
 	Born       int64
 	Service    string
 	Address    string // IP:port
 	DataCentre string
 	Slots      int
 	State      UpstreamState
-	Remaining  time.Duration // until a leaving upstream is gone; 0: not said
-	Cold       time.Duration // for how much longer it is slow after its start
+	Remaining  time.Duration // until a draining upstream ends; 0: not reported
+	Cold       time.Duration // how much longer it is slow after its start
 	Residents  []Resident
 	InMemory   []string // models with a copy in its host memory
 	OnDisk     []string // models with a copy on its disk
 }
 
-// HasResident says whether the upstream holds a model and, if one is named, the adapter.
+// HasResident reports whether a model and, if one is named, its adapter are
+// resident.
 func (u *Upstream) HasResident(model, adapter string) bool {
 	for i := range u.Residents {
 		r := &u.Residents[i]
