--- a/core/changes/changes_test.go
+++ b/core/changes/changes_test.go
@@ -11,7 +11,7 @@
 	"peridotpier.example/core/changes"
 )
 
-// seed makes every run draw the same; -rapid.seed overrides it.
+// seed fixes the random draws of all runs; -rapid.seed overrides it.
 const seed = "20260704"
 
 func TestMain(m *testing.M) {
@@ -19,8 +19,9 @@
 	os.Exit(m.Run())
 }
 
-// Property: whoever follows a log in parts of any size sees each key's newest
-// change, also of keys that changed many times, and none that was dropped before.
+// Property: a follower that reads a log in parts of any size sees each key's
+// newest change, also of keys that changed many times, and no key that was removed
+// before.
 func TestAFollowerSeesEachNewestChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l changes.Log[int]
@@ -51,7 +52,7 @@
 			default:
 				revision += uint64(rapid.IntRange(0, 1).Draw(t, "by"))
 				if revision == followed {
-					revision++ // what is told is over
+					revision++ // this revision was already followed
 				}
 				l.Record(key, revision)
 				newest[key] = revision
