--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -30,8 +30,8 @@
 	return ledger.Resident{Artifact: ledger.Artifact{Model: model, Version: "1"}, State: ledger.Ready, MemoryMB: mb}
 }
 
-func model(name string, mb, least int) config.Model {
-	return config.Model{Name: name, Version: "1", MemoryMB: mb, MinReplicas: least}
+func model(name string, mb, minReplicas int) config.Model {
+	return config.Model{Name: name, Version: "1", MemoryMB: mb, MinReplicas: minReplicas}
 }
 
 func snapshot(models []config.Model, upstreams ...Upstream) *Snapshot {
@@ -130,14 +130,14 @@
 
 // randomSnapshot returns a random deployment that needs about this share of its
 // memory.
-func randomSnapshot(seed uint64, runners, models, adapters, capacity int, share float64) *Snapshot {
+func randomSnapshot(seed uint64, upstreams, models, adapters, capacity int, share float64) *Snapshot {
 	src := rand.New(rand.NewPCG(seed, 1))
 	var ups []Upstream
-	for i := range runners {
+	for i := range upstreams {
 		ups = append(ups, upstream("u"+strconv.Itoa(i), "dc"+strconv.Itoa(i%3), capacity))
 	}
 	s := snapshot(nil, ups...)
-	mean := share * float64(runners*capacity) / float64(models)
+	mean := share * float64(upstreams*capacity) / float64(models)
 	for i := range models {
 		name := "m" + strconv.Itoa(i)
 		s.Models = append(s.Models, model(name, int(mean*(0.4+1.1*src.Float64())), 1))
--- a/core/replica/evict.go
+++ b/core/replica/evict.go
@@ -13,14 +13,14 @@
 	var best *model
 	lowest := math.Inf(1)
 	for i := range u.residents {
-		v := &u.residents[i]
-		after, ok := p.pressureAfterEviction(s, u, v, wanted)
+		candidate := &u.residents[i]
+		after, ok := p.pressureAfterEviction(s, u, candidate, wanted)
 		if !ok || after*p.MinPressureRatio > pressure {
 			continue
 		}
-		cost := after*evictedPressureWeight - min(v.IdleFor.Seconds(), maxIdleSeconds)*idleWeight
+		cost := after*evictedPressureWeight - min(candidate.IdleFor.Seconds(), maxIdleSeconds)*idleWeight
 		if cost < lowest {
-			best, lowest = v.model, cost
+			best, lowest = candidate.model, cost
 		}
 	}
 	return best, lowest, best != nil
@@ -29,18 +29,18 @@
 // pressureAfterEviction returns the pressure on a model once it has been evicted
 // at an upstream, and whether it may be evicted for the wanted model; nil stands
 // for any model.
-func (p Policy) pressureAfterEviction(s *state, u *upstream, v *resident, wanted *model) (float64, bool) {
-	if !v.Ready || v.ReadyFor < p.MinResidency {
+func (p Policy) pressureAfterEviction(s *state, u *upstream, candidate *resident, wanted *model) (float64, bool) {
+	if !candidate.Ready || candidate.ReadyFor < p.MinResidency {
 		return 0, false
 	}
-	if v.model.readyReplicas >= 2 {
-		return v.model.pressureWith(v.model.replicas-1, v.model.unavailable-u.UnavailableShare), true
+	if candidate.model.readyReplicas >= 2 {
+		return candidate.model.pressureWith(candidate.model.replicas-1, candidate.model.unavailable-u.UnavailableShare), true
 	}
 	// A replica that is still being loaded answers nobody yet, so this is the last one.
-	if wanted != nil && !p.mayBeAbsent(s, u, v.model) && !p.yieldsTo(v, wanted) {
+	if wanted != nil && !p.mayBeAbsent(s, u, candidate.model) && !p.yieldsTo(candidate, wanted) {
 		return 0, false
 	}
-	return p.EvictedPressure + p.EvictedPressurePerLoad*v.model.demand.EngineLoad, true
+	return p.EvictedPressure + p.EvictedPressurePerLoad*candidate.model.demand.EngineLoad, true
 }
 
 // mayBeAbsent reports whether a model's last replica may be evicted at an
@@ -63,11 +63,11 @@
 // that has no replica and is asked for. When upstreams are lost there may be fewer
 // places than models; then the models that are asked for get the places, the
 // others when their turn comes.
-func (p Policy) yieldsTo(v *resident, wanted *model) bool {
+func (p Policy) yieldsTo(candidate *resident, wanted *model) bool {
 	if wanted.replicas > 0 || !wanted.demand.Unserved {
 		return false
 	}
-	return v.IdleFor >= p.MinIdle || p.MinDemandRatio*v.model.demand.EngineLoad < wanted.demand.EngineLoad
+	return candidate.IdleFor >= p.MinIdle || p.MinDemandRatio*candidate.model.demand.EngineLoad < wanted.demand.EngineLoad
 }
 
 const (
--- a/core/replica/idle_test.go
+++ b/core/replica/idle_test.go
@@ -25,11 +25,11 @@
 			StoreLoad: store, DiskLoad: disk, MemoryLoad: disk})
 	}
 	for u := range upstreams {
-		held := []string{}
-		for p := range slots {
-			held = append(held, in.Engine.Models[u*slots+p].Name)
+		residents := []string{}
+		for slot := range slots {
+			residents = append(residents, in.Engine.Models[u*slots+slot].Name)
 		}
-		in.Upstreams = append(in.Upstreams, upstreamWith(fmt.Sprint("u", u), held...))
+		in.Upstreams = append(in.Upstreams, upstreamWith(fmt.Sprint("u", u), residents...))
 	}
 	for i := range hot {
 		in.Demand[in.Engine.Models[i*slots].Name] = replica.Demand{EngineLoad: 1.5}
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -50,7 +50,7 @@
 // Demand is the demand of callers for one model.
 type Demand struct {
 	EngineLoad float64 // seconds of engine time that its requests take each second
-	Unserved   bool    // a request waits or was refused because the model is not ready anywhere
+	Unserved   bool    // a request waits or was refused for want of a ready replica
 	// WaitsForLoad is true when all callers that asked for the model so far would
 	// wait for a load from a disk. Such a model may be without a replica for a
 	// while.
@@ -107,9 +107,10 @@
 	// evicted, and EvictedPressurePerLoad what each unit of its load adds to that.
 	EvictedPressure        float64
 	EvictedPressurePerLoad float64
-	// For the last replica of a model to be evicted for a model without replicas,
-	// either nobody asked for it for MinIdle, or the demand for the other model is
-	// MinDemandRatio times as high.
+	// MinIdle and MinDemandRatio allow the last replica of a model to be evicted
+	// for a model without replicas: nobody asked for the first for at least
+	// MinIdle, or the demand for the other is more than MinDemandRatio times as
+	// high.
 	MinIdle        time.Duration
 	MinDemandRatio float64
 	// MinKeptPrior is the prior load below which a model that nobody asked for may
--- a/core/replica/state.go
+++ b/core/replica/state.go
@@ -22,9 +22,9 @@
 // expectedLoad returns the engine load of the model, observed or assumed.
 func (m *model) expectedLoad() float64 { return max(m.demand.EngineLoad, m.prior) }
 
-// minReplicaTime is the least number of engines that a model's replicas are
+// minEngines is the least number of engines that a model's replicas are
 // assumed to give together.
-const minReplicaTime = 0.05
+const minEngines = 0.05
 
 // pressure returns the expected load divided by the engines that the replicas
 // give.
@@ -35,7 +35,7 @@
 func (m *model) pressureWith(n int, unavailable float64) float64 {
 	switch {
 	case n > 0:
-		return m.expectedLoad() / max(float64(n)-unavailable, minReplicaTime)
+		return m.expectedLoad() / max(float64(n)-unavailable, minEngines)
 	case m.demand.Unserved && m.demand.WaitsForLoad:
 		return waitingModelSeconds / max(m.loadSeconds[FromDisk], minLoadSeconds)
 	case m.demand.Unserved || m.demand.EngineLoad > 0:
--- a/core/residency/residency_test.go
+++ b/core/residency/residency_test.go
@@ -251,9 +251,9 @@
 	rec := residency.New(engine, &deploy.Upstream{Residents: residentsOf("a")}, t0)
 	assert.Assert(t, rec.Models(t0)[0].ReadyFor >= time.Minute)
 	rec.Reconcile(residency.Report{Residents: residentsOf("a", "b"), Sequence: 2}, t0.Add(time.Second))
-	held := rec.Models(t0.Add(2 * time.Second))
-	assert.Assert(t, held[0].ReadyFor >= time.Minute)
-	assert.Equal(t, held[1].ReadyFor, time.Second, "a model loaded since then is new")
+	models := rec.Models(t0.Add(2 * time.Second))
+	assert.Assert(t, models[0].ReadyFor >= time.Minute)
+	assert.Equal(t, models[1].ReadyFor, time.Second, "a model loaded since then is new")
 }
 
 // Guards against adapters that cannot be loaded though adapter slots are free, and
