--- a/node/coordinator/accounts_test.go
+++ b/node/coordinator/accounts_test.go
@@ -16,7 +16,7 @@
 // twice that at once.
 func limited(ts *turns, version uint64, perSecond float64) *deploy.Team {
 	team := deploy.Team{Name: "t", Limit: quota.Limit{Unit: quota.Tokens, PerSecond: perSecond, Burst: 2 * perSecond}}
-	ts.c.deps.Config.Offer(&deploy.Config{Version: version, Services: []deploy.Service{{Name: "s", Engine: &deploy.Engine{}}}, Teams: []deploy.Team{team}}, "test")
+	ts.c.deps.Config.ApplyIfNewer(&deploy.Config{Version: version, Services: []deploy.Service{{Name: "s", Engine: &deploy.Engine{}}}, Teams: []deploy.Team{team}}, "test")
 	return &team
 }
 
--- a/node/coordinator/adapters_test.go
+++ b/node/coordinator/adapters_test.go
@@ -21,8 +21,8 @@
 // its own time is over.
 func TestAWaitForAnAdapterEndsWithItsRequest(t *testing.T) {
 	log := event.NewLog(nil)
-	config := follow.NewConfig(log)
-	config.Offer(&deploy.Config{Version: 1, Services: []deploy.Service{{Name: "s", Engine: &deploy.Engine{MemoryMB: 100, AdapterSlots: 2,
+	config := follow.NewActiveConfig(log)
+	config.ApplyIfNewer(&deploy.Config{Version: 1, Services: []deploy.Service{{Name: "s", Engine: &deploy.Engine{MemoryMB: 100, AdapterSlots: 2,
 		Models: []deploy.Model{{Name: "m", WeightsMB: 10, AdapterMB: 1, Adapters: 3}}}}}}, "test")
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
 	f.Replace([]deploy.Upstream{{ID: "a", Service: "s", Residents: []deploy.Resident{{Model: "m"}}}}, 1)
--- a/node/coordinator/backoff.go
+++ b/node/coordinator/backoff.go
@@ -30,7 +30,7 @@
 func (t *turns) outlook(w *turn, now time.Time) outlook {
 	var o outlook
 	first, perSecond := true, 0.0
-	for _, e := range t.c.deps.Fleet.Holders(w.event.Service, w.ask.Model) {
+	for _, e := range t.c.deps.Fleet.EntriesWithModel(w.event.Service, w.ask.Model) {
 		at := t.endpoint(e, w, now)
 		if balance.Check(&at, &balance.Request{Model: w.ask.Model}) != balance.AllBackoff {
 			continue
--- a/node/coordinator/coming_test.go
+++ b/node/coordinator/coming_test.go
@@ -22,25 +22,25 @@
 		l.take(holder.tellSums(&coordpb.HostReport{Host: "h", Revision: l.revision}, holder.now()))
 	}
 	tell()
-	_, coming := host.deps.Fleet.Coming("s", modelName(200))
+	_, coming := host.deps.Fleet.ExpectedReady("s", modelName(200))
 	assert.Assert(t, !coming)
 
 	u, _ := holder.unit(upstreamName(0))
 	u.moving = &moving{Move: replica.Move{Upstream: upstreamName(0), Unload: modelName(0), Load: modelName(200), From: replica.FromStore}}
 	holder.changed(u)
 	tell()
-	at, coming := host.deps.Fleet.Coming("s", modelName(200))
+	at, coming := host.deps.Fleet.ExpectedReady("s", modelName(200))
 	assert.Assert(t, coming && at.Sub(host.now()) == 9*time.Second, "at the earliest")
 
 	u.moving.loads = holder.now().Add(-4 * time.Second)
 	holder.changed(u)
 	tell()
-	at, coming = host.deps.Fleet.Coming("s", modelName(200))
+	at, coming = host.deps.Fleet.ExpectedReady("s", modelName(200))
 	assert.Assert(t, coming && at.Sub(host.now()) == 5*time.Second)
 
 	u.moving = nil
 	holder.changed(u)
 	tell()
-	_, coming = host.deps.Fleet.Coming("s", modelName(200))
+	_, coming = host.deps.Fleet.ExpectedReady("s", modelName(200))
 	assert.Assert(t, !coming, "it came to nothing")
 }
--- a/node/coordinator/coordinator.go
+++ b/node/coordinator/coordinator.go
@@ -80,7 +80,7 @@
 // Deps are what a Coordinator works with.
 type Deps struct {
 	Fleet  *fleet.Fleet
-	Config *follow.Config
+	Config *follow.ActiveConfig
 	Lease  *lease.Lease
 	Orders OrderClient
 	Table  store.Table
@@ -199,7 +199,7 @@
 
 // pause waits for the next look; it says no when ctx ends.
 func (c *Coordinator) pause(ctx context.Context) bool {
-	taken, acts := c.deps.Lease.Taken(), c.begins.Next()
+	taken, acts := c.deps.Lease.Acquired(), c.begins.Next()
 	if c.Acting() {
 		return pace.Sleep(ctx, tick)
 	}
@@ -245,7 +245,7 @@
 	}
 	c.begins.Notify()
 	c.beginCounts(c.now())
-	c.deps.Log.Emit(event.StandingIn, zap.Duration("store_age", c.deps.Feed.Age()))
+	c.deps.Log.Emit(event.StandingIn, zap.Duration("store_age", c.deps.Feed.StoreAge()))
 }
 
 // beginCounts forgets what this host counted when it acted before: others have
@@ -297,9 +297,9 @@
 	if table == nil {
 		return
 	}
-	next := look{table.Config, c.deps.Fleet.Membership(), c.looked.state}
+	next := look{table.Config, c.deps.Fleet.MembershipVersion(), c.looked.state}
 	var described []*fleet.Entry
-	described, next.state = c.deps.Fleet.Described(c.looked.state)
+	described, next.state = c.deps.Fleet.DescribedSince(c.looked.state)
 	if c.looked.config != next.config || c.looked.membership != next.membership {
 		c.bookAllLocked(table, now)
 	} else {
--- a/node/coordinator/encodings.go
+++ b/node/coordinator/encodings.go
@@ -63,9 +63,9 @@
 
 // packWhole packs the list as it is now; the store's version is for its caller to say.
 func packWhole(f *fleet.Fleet, brief bool, now time.Time) (wholeList, error) {
-	all := f.Since(0, brief)
+	all := f.ChangesSince(0, brief)
 	packed, err := packList(plainOf(all.Put, brief))
-	return wholeList{to: all.To, packed: packed, made: now}, err
+	return wholeList{to: all.Revision, packed: packed, made: now}, err
 }
 
 // plainOf are upstreams as they are told; brief leaves out which copies they have.
@@ -122,12 +122,12 @@
 	for i := range all {
 		l := &all[i]
 		known, ok := e.listed[l.ID]
-		if !ok || known.since != l.Since {
+		if !ok || known.since != l.Revision {
 			data, err := json.Marshal(l.Upstream)
 			if err != nil {
 				return nil, eris.Wrapf(err, "encode upstream %s", l.ID)
 			}
-			known = encodedUpstream{l.Since, data}
+			known = encodedUpstream{l.Revision, data}
 			e.keep(l.ID, known)
 		}
 		out[i] = known.data
--- a/node/coordinator/find.go
+++ b/node/coordinator/find.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return false
 	}
-	l.own.deps.Config.Offer(&cfg, "peer")
+	l.own.deps.Config.ApplyIfNewer(&cfg, "peer")
 	l.own.deps.Fleet.Apply(all, nil, 0)
 	return true
 }
--- a/node/coordinator/fleetplay_test.go
+++ b/node/coordinator/fleetplay_test.go
@@ -128,24 +128,24 @@
 	return nil, at, err
 }
 
-func (d *door) ReadUpstreams(ctx context.Context, more func() error) (follow.Upstreams, uint64, error) {
+func (d *door) ReadUpstreams(ctx context.Context, more func() error) (follow.UpstreamUpdate, uint64, error) {
 	at, err := d.ask(ctx, 0, 0)
 	if d.slow {
 		if err := more(); err != nil {
-			return follow.Upstreams{}, 0, err
+			return follow.UpstreamUpdate{}, 0, err
 		}
 		select {
 		case <-ctx.Done():
-			return follow.Upstreams{}, 0, ctx.Err()
+			return follow.UpstreamUpdate{}, 0, ctx.Err()
 		case <-time.After(time.Minute):
 		}
 	}
-	return follow.Upstreams{Put: d.list}, at, err
+	return follow.UpstreamUpdate{Put: d.list}, at, err
 }
 
-func (d *door) WaitUpstreams(ctx context.Context, after uint64, wait time.Duration) (follow.Upstreams, uint64, error) {
+func (d *door) WaitUpstreams(ctx context.Context, after uint64, wait time.Duration) (follow.UpstreamUpdate, uint64, error) {
 	at, err := d.ask(ctx, after, wait)
-	return follow.Upstreams{}, at, err
+	return follow.UpstreamUpdate{}, at, err
 }
 
 // fleetHost is a host as it runs, without callers.
@@ -174,14 +174,14 @@
 		d := &door{Table: table, since: began, list: o.list, slow: i >= o.ample}
 		log := event.NewLog(nil)
 		h := &fleetHost{door: d}
-		config, f := follow.NewConfig(log), fleet.New(fleet.Config{}, fleet.Deps{})
-		l := lease.New(lease.Config{Name: "l", Holder: HolderName(address, address, "p"), TryBound: 400 * time.Millisecond,
+		config, f := follow.NewActiveConfig(log), fleet.New(fleet.Config{}, fleet.Deps{})
+		l := lease.New(lease.Config{Name: "l", Holder: HolderName(address, address, "p"), TryTimeout: 400 * time.Millisecond,
 			Policy: leasing.Policy{TTL: 1500 * time.Millisecond, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}}, lease.Deps{Table: d})
 		const fresh = 3 * time.Second
-		feed := follow.New(follow.Deps{Source: d, Config: config, Upstreams: f, Log: log, RelayFresh: fresh, Listed: func() {},
-			Patient: func() bool { return !h.link.Candidate() && !h.coord.Acting() },
-			Led:     func() bool { return h.link.LinkedWithoutLease() },
-			Relays:  func() bool { return h.coord.Acting() }})
+		feed := follow.New(follow.Deps{Source: d, Config: config, Upstreams: f, Log: log, MaxRelayAge: fresh, OnListed: func() {},
+			OthersProbeFirst:    func() bool { return !h.link.Candidate() && !h.coord.Acting() },
+			LinkedToCoordinator: func() bool { return h.link.LinkedWithoutLease() },
+			IsRelaying:          func() bool { return h.coord.Acting() }})
 		h.coord = New(Config{Host: address, Address: address, MaxRelayAge: fresh, LinkMbps: o.linkMbps}, Deps{Fleet: f, Config: config, Lease: l, Feed: feed, Log: log})
 		h.coord.sums.reports = fleetReports
 		h.coord.LinkedAddress = func() string { return h.link.CoordinatorAddress() }
@@ -252,7 +252,7 @@
 		oneLink = 12 * time.Second // for all hosts, one after the other
 		aim     = 5 * time.Second  // until all can serve
 	)
-	list := holderSize{1, 400, 20}.holder().deps.Fleet.Since(0, true).Put
+	list := holderSize{1, 400, 20}.holder().deps.Fleet.ChangesSince(0, true).Put
 	packed, err := packList(plainOf(list, true))
 	assert.NilError(t, err)
 	const bitsPerByte, perMega = 8, 1e6
--- a/node/coordinator/fleetsize_test.go
+++ b/node/coordinator/fleetsize_test.go
@@ -189,7 +189,7 @@
 func TestWholeListsAreGivenAtARateThatTheLinkBears(t *testing.T) {
 	c := holderSize{7, 2000, 698}.holder()
 	c.deps.Feed = follow.New(follow.Deps{Config: c.deps.Config, Upstreams: c.deps.Fleet})
-	c.deps.Feed.Take(follow.Relay{UpstreamsAt: 1})
+	c.deps.Feed.ApplyRelay(follow.Relay{UpstreamsVersion: 1})
 	c.cfg.LinkMbps = 100
 	k := &clock{c.now()}
 	c.now = func() time.Time { return k.now }
@@ -238,7 +238,7 @@
 		c := newHolder(k, "a")
 		c.deps.Feed = follow.New(follow.Deps{Config: c.deps.Config, Upstreams: c.deps.Fleet})
 		version := uint64(1)
-		c.deps.Feed.Take(follow.Relay{UpstreamsAt: version})
+		c.deps.Feed.ApplyRelay(follow.Relay{UpstreamsVersion: version})
 		hosts := []*follower{{of: newFleet(k)}, {of: newFleet(k)}}
 		born, left := map[string]int64{}, map[string]bool{} // a process that leaves does not come back
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -278,7 +278,7 @@
 	out := map[string]int64{}
 	for _, e := range f.All() {
 		if e.Usable() {
-			out[e.ID()] = e.Born()
+			out[e.ID()] = e.StartedMs()
 		}
 	}
 	return out
@@ -289,7 +289,7 @@
 func TestUpstreamsThatComeTogetherAreSentOncePackedToAll(t *testing.T) {
 	c := holderSize{7, 4000, 698}.holder()
 	c.deps.Feed = follow.New(follow.Deps{Config: c.deps.Config, Upstreams: c.deps.Fleet})
-	c.deps.Feed.Take(follow.Relay{UpstreamsAt: 1})
+	c.deps.Feed.ApplyRelay(follow.Relay{UpstreamsVersion: 1})
 	k := &clock{c.now()}
 	c.now = func() time.Time { return k.now }
 	told := func(from uint64) *coordpb.SiteState {
@@ -297,7 +297,7 @@
 		assert.NilError(t, c.relay(&coordpb.HostReport{List: from, BriefList: true, PackedList: true}, out))
 		return out
 	}
-	all := c.deps.Fleet.Since(0, false).Put
+	all := c.deps.Fleet.ChangesSince(0, false).Put
 	from := told(0).List
 	for i := range all {
 		all[i].ID, all[i].Address = "new-"+all[i].ID, "new-"+all[i].Address
@@ -323,13 +323,13 @@
 		l := NewLink(LinkConfig{Host: "h1", Address: "a"}, c, nil, c.deps.Log)
 		for i := range 3 {
 			e, _ := c.deps.Fleet.Entry(upstreamName(i))
-			e.Begin(&fleet.Ask{Model: "m"}, fleet.Cost{Prompt: 10})
+			e.Begin(&fleet.Request{Model: "m"}, fleet.Cost{PromptTokens: 10})
 		}
 		out := c.report(l.report())
 		return testing.AllocsPerRun(10, func() {
 			l.report()
 			l.take(&coordpb.SiteState{Hosts: out.Hosts, Others: out.Others[:8]})
-			c.deps.Fleet.Sweep()
+			c.deps.Fleet.RunChecks()
 			c.follow()
 		})
 	}
--- a/node/coordinator/holder_bench_test.go
+++ b/node/coordinator/holder_bench_test.go
@@ -34,7 +34,7 @@
 		e.Models = append(e.Models, deploy.Model{Name: modelName(i), WeightsMB: 70_000, AdapterMB: 200, Adapters: i % 3,
 			StoreLoad: 9 * time.Second, DiskLoad: 2200 * time.Millisecond})
 	}
-	c.deps.Config.Offer(&deploy.Config{Version: 1, Services: []deploy.Service{{Name: "s", Engine: e}}}, "test")
+	c.deps.Config.ApplyIfNewer(&deploy.Config{Version: 1, Services: []deploy.Service{{Name: "s", Engine: e}}}, "test")
 	all := make([]deploy.Upstream, s.upstreams)
 	for i := range all {
 		all[i] = deploy.Upstream{ID: upstreamName(i), Service: "s", Address: fmt.Sprintf("10.0.%d.%d:80", i/256, i%256), Slots: 32,
@@ -161,15 +161,15 @@
 			l := NewLink(LinkConfig{Host: "h1", Address: "a"}, c, nil, c.deps.Log)
 			for i := range 3 {
 				e, _ := c.deps.Fleet.Entry(upstreamName(i))
-				e.Begin(&fleet.Ask{Model: modelName(i)}, fleet.Cost{Prompt: 10})
+				e.Begin(&fleet.Request{Model: modelName(i)}, fleet.Cost{PromptTokens: 10})
 			}
 			known := s.report(1)
 			known.Revision = c.revision
 			answer := c.report(known)
 			b.ReportAllocs()
 			for b.Loop() {
-				c.deps.Fleet.Sweep()
-				c.deps.Fleet.Sweep()
+				c.deps.Fleet.RunChecks()
+				c.deps.Fleet.RunChecks()
 				l.report()
 				l.take(answer)
 			}
--- a/node/coordinator/lead_test.go
+++ b/node/coordinator/lead_test.go
@@ -44,7 +44,7 @@
 	table := &countedTable{}
 	l := lease.New(lease.Config{Name: "l"}, lease.Deps{Table: table})
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
-	own := New(Config{}, Deps{Fleet: f, Config: follow.NewConfig(log), Lease: l, Feed: follow.New(follow.Deps{Log: log}), Log: log})
+	own := New(Config{}, Deps{Fleet: f, Config: follow.NewActiveConfig(log), Lease: l, Feed: follow.New(follow.Deps{Log: log}), Log: log})
 	unreachable := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	link := NewLink(LinkConfig{Host: "poor", Address: "me", Seeds: []string{"seed-1", "seed-2"}}, own, unreachable, log)
 	var answers atomic.Bool
@@ -76,7 +76,7 @@
 	log := event.NewLog(nil)
 	l := lease.New(lease.Config{Name: "l", Policy: leasing.Policy{TTL: 1500 * time.Millisecond, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}}, lease.Deps{Table: table})
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
-	own := New(Config{Address: "me"}, Deps{Fleet: f, Config: follow.NewConfig(log), Lease: l, Feed: follow.New(follow.Deps{Log: log}), Log: log})
+	own := New(Config{Address: "me"}, Deps{Fleet: f, Config: follow.NewActiveConfig(log), Lease: l, Feed: follow.New(follow.Deps{Log: log}), Log: log})
 	unreachable := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	link := NewLink(LinkConfig{Host: "h", Address: "me", Seeds: []string{"seed-1"}, HasSpareCapacity: func(int) bool { return ample }}, own, unreachable, log)
 	return &Elector{Lease: l, Link: link, StoreReachable: func() bool { return true }}, own
@@ -145,7 +145,7 @@
 		lead.CampaignDelay = func() time.Duration { return 10 * time.Second }
 		wg.Go(func() { _ = lead.Run(ctx) })
 		time.Sleep(100 * time.Millisecond)
-		assert.Equal(t, addressOf(own.deps.Lease.Seen().Holder), "large:1")
+		assert.Equal(t, addressOf(own.deps.Lease.LastObserved().Holder), "large:1")
 		cancel()
 		wg.Wait()
 	})
--- a/node/coordinator/link.go
+++ b/node/coordinator/link.go
@@ -98,7 +98,7 @@
 			l.tell(ctx, address)
 		} else {
 			l.pace.set(reportPeriod)
-			l.own.deps.Fleet.SetAlone()
+			l.own.deps.Fleet.SetUncoordinated()
 		}
 	}
 	return ctx.Err()
@@ -189,7 +189,7 @@
 	l.Quarantine.Acknowledge(w, updateOf(s, l.own.now()))
 	l.takeSignals(s, told)
 	l.take(s)
-	if s.ListBrief && l.own.deps.Feed.UpstreamsAt() == 0 {
+	if s.ListBrief && l.own.deps.Feed.UpstreamsVersion() == 0 {
 		l.fetchList(ctx)
 	}
 }
@@ -223,7 +223,7 @@
 		l.hostsNow = int(s.Hosts)
 		l.signals.take(s, told)
 		l.mu.Unlock()
-		l.own.deps.Fleet.HeedAll(decodeSignals(s.Signals, l.own.now()), fromHolder)
+		l.own.deps.Fleet.ApplySignals(decodeSignals(s.Signals, l.own.now()), fromHolder)
 	}
 	l.own.deps.Fleet.SetShare(backpressure.Share{Index: int(s.Place), Count: int(max(s.Hosts, 1))})
 }
@@ -239,7 +239,7 @@
 // introduction is a report that says no more than who this host is and which
 // versions it has, so that a holder that it meets anew does not send it all.
 func (l *Link) introduction() *coordpb.HostReport {
-	r := &coordpb.HostReport{Host: l.cfg.Host, Address: l.cfg.Address, Ample: l.HasSpareCapacity(), ListAt: l.own.deps.Feed.UpstreamsAt(), Packed: true, PackedList: true, BriefList: true}
+	r := &coordpb.HostReport{Host: l.cfg.Host, Address: l.cfg.Address, Ample: l.HasSpareCapacity(), ListAt: l.own.deps.Feed.UpstreamsVersion(), Packed: true, PackedList: true, BriefList: true}
 	if t := l.own.deps.Config.Current(); t != nil {
 		r.Config = t.Config.Version
 	}
@@ -258,10 +258,10 @@
 // report gathers what this host tells.
 func (l *Link) report() *coordpb.HostReport {
 	r := l.introduction()
-	for _, own := range l.own.deps.Fleet.Sent() {
-		r.Loads = append(r.Loads, &coordpb.Load{Upstream: own.Upstream, Requests: uint32(own.Requests), Waiting: uint32(max(own.Waiting, 0)), Tokens: uint32(max(own.Tokens, 0))})
+	for _, own := range l.own.deps.Fleet.OwnLoads() {
+		r.Loads = append(r.Loads, &coordpb.Load{Upstream: own.Upstream, Requests: uint32(own.Requests), Waiting: uint32(max(own.PendingPromptTokens, 0)), Tokens: uint32(max(own.Tokens, 0))})
 	}
-	r.Silent = l.own.deps.Fleet.Down()
+	r.Silent = l.own.deps.Fleet.DownIDs()
 	l.teams.report(r, l.own.now())
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -294,7 +294,7 @@
 	l.mu.Unlock()
 	if was == address {
 		l.moved.Notify()
-		l.own.deps.Fleet.SetAlone()
+		l.own.deps.Fleet.SetUncoordinated()
 		l.log.Emit(event.CoordinatorOff, zap.String(event.FieldPeer, address), zap.Error(err))
 	}
 }
--- a/node/coordinator/linkanswers.go
+++ b/node/coordinator/linkanswers.go
@@ -20,13 +20,13 @@
 const storeFresh = 2500 * time.Millisecond
 
 // StoreReachable says whether the store answered this host itself lately.
-func (l *Link) StoreReachable() bool { return l.own.deps.Feed.Age() < storeFresh }
+func (l *Link) StoreReachable() bool { return l.own.deps.Feed.StoreAge() < storeFresh }
 
 // follows says whether this host goes by what another told. One that acts without
 // the lease is gone by only while the store does not answer this host, or has not
 // since it answered that one: else somebody can take the lease.
 func (l *Link) follows(s *coordpb.SiteState) bool {
-	return s.Holding || s.Acting && (!l.StoreReachable() || l.own.deps.Feed.Age() >= milliseconds(s.StoreAgeMs))
+	return s.Holding || s.Acting && (!l.StoreReachable() || l.own.deps.Feed.StoreAge() >= milliseconds(s.StoreAgeMs))
 }
 
 // LinkedWithoutLease says whether this host is linked to another that acts for all without the lease.
@@ -38,16 +38,16 @@
 
 // takeRelay enters what the holder has from the store.
 func (l *Link) takeRelay(s *coordpb.SiteState) {
-	r := follow.Relay{Age: milliseconds(s.StoreAgeMs), UpstreamsAt: s.ListAt, Full: s.ListFull, Brief: s.ListBrief}
+	r := follow.Relay{StoreAge: milliseconds(s.StoreAgeMs), UpstreamsVersion: s.ListAt, Complete: s.ListFull, Compact: s.ListBrief}
 	var err error
 	if r.Config, err = configOf(s); err == nil {
-		r.Put, r.Gone, err = listOf(s)
+		r.Put, r.Removed, err = listOf(s)
 	}
 	if err != nil {
 		l.log.Emit(event.RoutesUnusable, zap.Error(err))
 		return
 	}
-	l.own.deps.Feed.Take(r)
+	l.own.deps.Feed.ApplyRelay(r)
 	if s.ListAt == 0 {
 		return // it has not read the list itself: what it told was passed over, and is to be told again whole
 	}
@@ -80,9 +80,9 @@
 	until := now.Add(freshFor(milliseconds(s.PeriodMs)))
 	l.teams.tell(s, now, until)
 	l.takeOthers(s, until)
-	l.own.deps.Fleet.Trust(heard, until)
-	l.own.deps.Fleet.Believe(holdings(s, now), now)
-	l.own.deps.Fleet.Tell()
+	l.own.deps.Fleet.CoordinatorSeen(heard, until)
+	l.own.deps.Fleet.ApplyResidency(holdings(s, now), now)
+	l.own.deps.Fleet.NotifyChanged()
 }
 
 // takeOthers enters what the other hosts have sent, which counts until then.
@@ -107,15 +107,15 @@
 		if s.ModelsLater && service.Engine != nil {
 			continue
 		}
-		l.own.deps.Fleet.SetOthers(service.Name, loads[service.Name], until)
+		l.own.deps.Fleet.SetOtherHostsLoad(service.Name, loads[service.Name], until)
 	}
 }
 
 // holdings reads what an answer tells of what upstreams hold.
-func holdings(s *coordpb.SiteState, now time.Time) []fleet.Held {
-	out := make([]fleet.Held, len(s.Holdings))
+func holdings(s *coordpb.SiteState, now time.Time) []fleet.Residency {
+	out := make([]fleet.Residency, len(s.Holdings))
 	for i, h := range s.Holdings {
-		out[i] = fleet.Held{Upstream: h.Upstream, Born: h.Born, Residents: residents(h), Coming: coming(h, now)}
+		out[i] = fleet.Residency{Upstream: h.Upstream, StartedMs: h.Born, Residents: residents(h), Loading: coming(h, now)}
 	}
 	return out
 }
@@ -128,10 +128,10 @@
 	return out
 }
 
-func coming(h *coordpb.Holding, now time.Time) []fleet.Coming {
-	out := make([]fleet.Coming, len(h.Coming))
+func coming(h *coordpb.Holding, now time.Time) []fleet.LoadingModel {
+	out := make([]fleet.LoadingModel, len(h.Coming))
 	for i, m := range h.Coming {
-		out[i] = fleet.Coming{Model: m.Model, At: now.Add(milliseconds(m.ReadyMs))}
+		out[i] = fleet.LoadingModel{Model: m.Model, ReadyAt: now.Add(milliseconds(m.ReadyMs))}
 	}
 	return out
 }
--- a/node/coordinator/linkmodels.go
+++ b/node/coordinator/linkmodels.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	if e, ok := l.own.deps.Fleet.Entry(upstream); ok {
-		e.Gained(model, adapter)
+		e.AdapterLoaded(model, adapter)
 	}
 	return nil
 }
--- a/node/coordinator/listcall.go
+++ b/node/coordinator/listcall.go
@@ -21,7 +21,7 @@
 func (s service) List(context.Context, *coordpb.ListCall) (*coordpb.ListAnswer, error) {
 	c := s.c
 	c.deps.Metrics.CountKind(metrics.PeerCalls, callList, 1)
-	at := c.deps.Feed.UpstreamsAt() // before the list: it may be newer than what is said of it
+	at := c.deps.Feed.UpstreamsVersion() // before the list: it may be newer than what is said of it
 	if at == 0 {
 		return &coordpb.ListAnswer{}, nil
 	}
@@ -60,6 +60,6 @@
 		return false
 	}
 	const unknown = time.Hour
-	l.own.deps.Feed.Take(follow.Relay{Age: unknown, UpstreamsAt: a.At, Full: true, Brief: true, Upstreams: follow.Upstreams{Put: put}})
+	l.own.deps.Feed.ApplyRelay(follow.Relay{StoreAge: unknown, UpstreamsVersion: a.At, Complete: true, Compact: true, UpstreamUpdate: follow.UpstreamUpdate{Put: put}})
 	return true
 }
--- a/node/coordinator/overload_test.go
+++ b/node/coordinator/overload_test.go
@@ -41,7 +41,7 @@
 	f := fleet.New(fleet.Config{}, fleet.Deps{Now: func() time.Time { return k.now }})
 	f.Apply([]deploy.Upstream{{ID: "u", Service: "s", Address: "u", Slots: 32, Residents: []deploy.Resident{{Model: "m"}}}}, nil, 0)
 	log := event.NewLog(nil)
-	c := New(Config{}, Deps{Fleet: f, Config: follow.NewConfig(log), Log: log, Now: func() time.Time { return k.now }})
+	c := New(Config{}, Deps{Fleet: f, Config: follow.NewActiveConfig(log), Log: log, Now: func() time.Time { return k.now }})
 	from := stream()
 	var all, reading []*played
 	inTime, readUntil := 0, k.now
--- a/node/coordinator/plan.go
+++ b/node/coordinator/plan.go
@@ -172,11 +172,11 @@
 
 // snapshot is the upstream as the plan sees it.
 func (u *unit) snapshot(now time.Time) replica.Upstream {
-	d, _ := u.entry.Described()
+	d, _ := u.entry.Description()
 	quiet := u.c.quietFor(u.entry.ID(), now)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	movable := !quiet && !u.book.Busy() && u.moving == nil && now.After(u.rested) && !u.entry.Down()
+	movable := !quiet && !u.book.Busy() && u.moving == nil && now.After(u.rested) && !u.entry.IsDown()
 	out := replica.Upstream{ID: u.entry.ID(), Usable: u.usable(), Movable: movable,
 		InMemory: setOf(d.InMemory), OnDisk: setOf(d.OnDisk), FreeMB: u.book.FreeMB()}
 	coming := ""
--- a/node/coordinator/published.go
+++ b/node/coordinator/published.go
@@ -55,17 +55,17 @@
 	if now.Sub(p.closed) < publishEach {
 		return nil
 	}
-	change := f.Since(p.to, true)
-	if change.Full {
-		p.segments, p.begin = nil, change.To
-	} else if len(change.Put)+len(change.Gone) > 0 {
-		packed, err := packList(listChange{plainOf(change.Put, true), change.Gone})
+	change := f.ChangesSince(p.to, true)
+	if change.Complete {
+		p.segments, p.begin = nil, change.Revision
+	} else if len(change.Put)+len(change.Removed) > 0 {
+		packed, err := packList(listChange{plainOf(change.Put, true), change.Removed})
 		if err != nil {
 			return err
 		}
-		p.segments = append(p.segments, segment{change.To, packed, now})
+		p.segments = append(p.segments, segment{change.Revision, packed, now})
 	}
-	p.to, p.at, p.closed = change.To, at, now
+	p.to, p.at, p.closed = change.Revision, at, now
 	p.dropLocked(now)
 	return nil
 }
--- a/node/coordinator/relay.go
+++ b/node/coordinator/relay.go
@@ -14,24 +14,24 @@
 
 // relay adds what the store told this host and the other does not have yet.
 func (c *Coordinator) relay(r *coordpb.HostReport, out *coordpb.SiteState) error {
-	out.StoreAgeMs = uint32(min(c.deps.Feed.Age(), time.Hour).Milliseconds())
+	out.StoreAgeMs = uint32(min(c.deps.Feed.StoreAge(), time.Hour).Milliseconds())
 	if err := c.relayConfig(r, out); err != nil {
 		return err
 	}
 	if r.BriefList && milliseconds(out.PeriodMs) > reportPeriod {
 		return c.relayBrief(r, out)
 	}
-	at := c.deps.Feed.UpstreamsAt() // before the list: it may be newer than what is said of it
+	at := c.deps.Feed.UpstreamsVersion() // before the list: it may be newer than what is said of it
 	from := c.listedUpTo(r)
 	if from == 0 && r.PackedList { // without a copy of the list for each that asks
 		return c.relayWhole(r, at, out)
 	}
-	change := c.deps.Fleet.Since(from, false)
-	if change.Full && r.PackedList {
+	change := c.deps.Fleet.ChangesSince(from, false)
+	if change.Complete && r.PackedList {
 		return c.relayWhole(r, at, out)
 	}
 	put, err := c.encodings.upstreams(change.Put)
-	out.List, out.ListAt, out.ListFull, out.Put, out.Gone = change.To, at, change.Full, put, change.Gone
+	out.List, out.ListAt, out.ListFull, out.Put, out.Gone = change.Revision, at, change.Complete, put, change.Removed
 	return err
 }
 
@@ -40,7 +40,7 @@
 	if r.List != 0 {
 		return r.List
 	}
-	return c.deps.Fleet.StateAt(r.ListAt)
+	return c.deps.Fleet.RevisionAt(r.ListAt)
 }
 
 // relayWhole adds the whole list, packed.
@@ -66,7 +66,7 @@
 func (c *Coordinator) relayBrief(r *coordpb.HostReport, out *coordpb.SiteState) error {
 	out.ListBrief = true
 	p := &c.published
-	if err := p.publish(c.deps.Fleet, c.deps.Feed.UpstreamsAt(), c.now()); err != nil {
+	if err := p.publish(c.deps.Fleet, c.deps.Feed.UpstreamsVersion(), c.now()); err != nil {
 		return err
 	}
 	changes, to, at, ok := p.since(c.listedUpTo(r))
--- a/node/coordinator/relay_test.go
+++ b/node/coordinator/relay_test.go
@@ -73,17 +73,17 @@
 	l := NewLink(LinkConfig{Host: "h"}, own, nil, own.deps.Log)
 	l.take(all)
 	e, _ := own.deps.Fleet.Entry(all.Others[0].Upstream)
-	loaded := e.Endpoint(&fleet.Ask{}, own.now()).InFlight
+	loaded := e.Endpoint(&fleet.Request{}, own.now()).InFlight
 	assert.Assert(t, loaded > 0)
 	l.take(later)
-	assert.Equal(t, e.Endpoint(&fleet.Ask{}, own.now()).InFlight, loaded, "what was told before goes on")
+	assert.Equal(t, e.Endpoint(&fleet.Request{}, own.now()).InFlight, loaded, "what was told before goes on")
 }
 
 // An encoding is of one upstream at one state of the list.
 func TestAnUpstreamIsEncodedAnewWhenItHasChanged(t *testing.T) {
 	var e encodings
 	say := func(slots int, since uint64) string {
-		out, err := e.upstreams([]fleet.Listed{{Upstream: deploy.Upstream{ID: "u", Slots: slots}, Since: since}})
+		out, err := e.upstreams([]fleet.Listed{{Upstream: deploy.Upstream{ID: "u", Slots: slots}, Revision: since}})
 		assert.NilError(t, err)
 		back, err := decode(out)
 		assert.NilError(t, err)
--- a/node/coordinator/rests.go
+++ b/node/coordinator/rests.go
@@ -52,7 +52,7 @@
 // wait is the time until an upstream may get one more.
 func (r rests) wait(upstream string) time.Duration {
 	if x := r[upstream]; x != nil && x.start.AtLimit() {
-		return fleet.TrialWait
+		return fleet.SlowStartWait
 	}
 	return 0
 }
--- a/node/coordinator/serve.go
+++ b/node/coordinator/serve.go
@@ -52,7 +52,7 @@
 
 func (s service) State(_ context.Context, q *coordpb.StateCall) (*coordpb.StateAnswer, error) {
 	s.c.deps.Metrics.CountKind(metrics.PeerCalls, callState, 1)
-	out := &coordpb.StateAnswer{Coordinator: addressOf(s.c.deps.Lease.Seen().Holder)}
+	out := &coordpb.StateAnswer{Coordinator: addressOf(s.c.deps.Lease.LastObserved().Holder)}
 	if linked := s.c.linked(); linked != "" {
 		out.Coordinator = linked
 	}
@@ -67,7 +67,7 @@
 		out.Config = plain
 	}
 	var err error
-	out.Upstreams, err = s.c.encodings.upstreams(s.c.deps.Fleet.Since(0, false).Put)
+	out.Upstreams, err = s.c.encodings.upstreams(s.c.deps.Fleet.ChangesSince(0, false).Put)
 	return out, err
 }
 
@@ -86,13 +86,13 @@
 // enter notes what a host has sent and what callers asked of it.
 func (c *Coordinator) enter(r *coordpb.HostReport, now time.Time) {
 	c.sums.take(r, now)
-	c.deps.Fleet.HeedAll(decodeSignals(r.Signals, now), fromHost+r.Host)
+	c.deps.Fleet.ApplySignals(decodeSignals(r.Signals, now), fromHost+r.Host)
 	c.accounts.heardOf(r.TeamWords, now)
 	c.accounts.told(r.Teams, now)
 	c.quarantine.receive(r, now)
 	c.demand.take(r.Demand, c.engineTime, now)
 	for _, d := range r.Demand {
-		for _, u := range c.unitsOf(c.deps.Fleet.Holders(d.Service, d.Model)) {
+		for _, u := range c.unitsOf(c.deps.Fleet.EntriesWithModel(d.Service, d.Model)) {
 			u.usedBy(d, now)
 		}
 	}
@@ -155,7 +155,7 @@
 		if d.Unserved == 0 {
 			continue
 		}
-		for _, u := range c.unitsOf(slices.Concat(c.deps.Fleet.Holders(d.Service, d.Model), c.deps.Fleet.Loaders(d.Service, d.Model))) {
+		for _, u := range c.unitsOf(slices.Concat(c.deps.Fleet.EntriesWithModel(d.Service, d.Model), c.deps.Fleet.EntriesLoading(d.Service, d.Model))) {
 			awaited[u] = true
 		}
 	}
@@ -202,7 +202,7 @@
 // tellLease says whether this host holds the lease, and what its successor
 // needs to know when it does not any more.
 func (c *Coordinator) tellLease(out *coordpb.SiteState, now time.Time) {
-	if rows, record, held := c.deps.Lease.Holding(); held {
+	if rows, record, held := c.deps.Lease.HeldRecord(); held {
 		out.Holding, out.Epoch, out.GrantRow, out.BeatRow, out.Grant = true, record.Epoch, rows.Grant, rows.Heartbeat, record.Encode()
 		return
 	}
@@ -229,7 +229,7 @@
 func (u *unit) holding(now time.Time) *coordpb.Holding {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	out := &coordpb.Holding{Upstream: u.entry.ID(), Born: u.entry.Born()}
+	out := &coordpb.Holding{Upstream: u.entry.ID(), Born: u.entry.StartedMs()}
 	for _, r := range u.book.ReadyResidents() {
 		out.Residents = append(out.Residents, &coordpb.Resident{Model: r.Model, Adapters: r.Adapters})
 	}
--- a/node/coordinator/serve_test.go
+++ b/node/coordinator/serve_test.go
@@ -22,8 +22,8 @@
 // Cause: holdings are told as a whole.
 func TestAReportIsAnsweredWithWhatChanged(t *testing.T) {
 	log := event.NewLog(nil)
-	config := follow.NewConfig(log)
-	config.Offer(&deploy.Config{Version: 1, Services: []deploy.Service{{Name: "s", Engine: &deploy.Engine{MemoryMB: 100, AdapterSlots: 2,
+	config := follow.NewActiveConfig(log)
+	config.ApplyIfNewer(&deploy.Config{Version: 1, Services: []deploy.Service{{Name: "s", Engine: &deploy.Engine{MemoryMB: 100, AdapterSlots: 2,
 		Models: []deploy.Model{{Name: "m", WeightsMB: 10, AdapterMB: 1, Adapters: 3}}}}}}, "test")
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
 	f.Replace([]deploy.Upstream{{ID: "a", Service: "s", Residents: []deploy.Resident{{Model: "m"}}},
@@ -54,11 +54,11 @@
 func TestWhatIsToldOfAnUpstreamBeforeTheListIsKept(t *testing.T) {
 	log := event.NewLog(nil)
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
-	own := New(Config{}, Deps{Fleet: f, Config: follow.NewConfig(log), Log: log, Lease: lease.New(lease.Config{Name: "l"}, lease.Deps{Table: noTable{}})})
+	own := New(Config{}, Deps{Fleet: f, Config: follow.NewActiveConfig(log), Log: log, Lease: lease.New(lease.Config{Name: "l"}, lease.Deps{Table: noTable{}})})
 	link := NewLink(LinkConfig{Host: "h"}, own, nil, log)
 	holds := func(id string) bool {
 		e, ok := f.Entry(id)
-		return ok && e.Endpoint(&fleet.Ask{Model: "m"}, time.Now()).ModelResident
+		return ok && e.Endpoint(&fleet.Request{Model: "m"}, time.Now()).ModelResident
 	}
 	link.take(&coordpb.SiteState{Revision: 1, Holdings: []*coordpb.Holding{{Upstream: "u", Residents: []*coordpb.Resident{{Model: "m"}}}}})
 	f.Apply([]deploy.Upstream{{ID: "u", Service: "s"}}, nil, 1)
@@ -77,11 +77,11 @@
 func TestWhatWasToldOfAFormerProcessIsNotBelievedOfItsSuccessor(t *testing.T) {
 	log := event.NewLog(nil)
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
-	own := New(Config{}, Deps{Fleet: f, Config: follow.NewConfig(log), Log: log, Lease: lease.New(lease.Config{Name: "l"}, lease.Deps{Table: noTable{}})})
+	own := New(Config{}, Deps{Fleet: f, Config: follow.NewActiveConfig(log), Log: log, Lease: lease.New(lease.Config{Name: "l"}, lease.Deps{Table: noTable{}})})
 	link := NewLink(LinkConfig{Host: "h"}, own, nil, log)
 	holds := func() bool {
 		e, ok := f.Entry("u")
-		return ok && e.Endpoint(&fleet.Ask{Model: "m"}, time.Now()).ModelResident
+		return ok && e.Endpoint(&fleet.Request{Model: "m"}, time.Now()).ModelResident
 	}
 	f.Apply([]deploy.Upstream{{ID: "u", Service: "s", Born: 1}}, nil, 1)
 	link.take(&coordpb.SiteState{Revision: 1, Holdings: []*coordpb.Holding{{Upstream: "u", Born: 1, Residents: []*coordpb.Resident{{Model: "m"}}}}})
--- a/node/coordinator/signals.go
+++ b/node/coordinator/signals.go
@@ -51,14 +51,14 @@
 	s.of, s.heard, s.told = a.SignalsId, a.SignalsRevision, told
 }
 
-func encodeSignals(all []fleet.Signalled, now time.Time) []*coordpb.UpstreamSignal {
+func encodeSignals(all []fleet.UpstreamSignal, now time.Time) []*coordpb.UpstreamSignal {
 	if len(all) == 0 {
 		return nil
 	}
 	out := make([]*coordpb.UpstreamSignal, len(all))
 	for i := range all {
 		s := &all[i]
-		out[i] = &coordpb.UpstreamSignal{Upstream: s.Upstream, Born: s.Born, Limited: s.Limit.Stated, PerSecond: s.Limit.PerSecond, Leaving: s.Draining,
+		out[i] = &coordpb.UpstreamSignal{Upstream: s.Upstream, Born: s.StartedMs, Limited: s.Limit.Stated, PerSecond: s.Limit.PerSecond, Leaving: s.Draining,
 			SentAgeMs: ageMs(s.SentAt, now), HeardAgeMs: ageMs(s.ReceivedAt, now)}
 	}
 	return out
@@ -69,10 +69,10 @@
 	return uint32(min(max(now.Sub(at), 0), time.Hour).Milliseconds())
 }
 
-func decodeSignals(all []*coordpb.UpstreamSignal, now time.Time) []fleet.Signalled {
-	out := make([]fleet.Signalled, len(all))
+func decodeSignals(all []*coordpb.UpstreamSignal, now time.Time) []fleet.UpstreamSignal {
+	out := make([]fleet.UpstreamSignal, len(all))
 	for i, s := range all {
-		out[i] = fleet.Signalled{Upstream: s.Upstream, Born: s.Born, Signal: backpressure.Signal{
+		out[i] = fleet.UpstreamSignal{Upstream: s.Upstream, StartedMs: s.Born, Signal: backpressure.Signal{
 			Limit: backpressure.Limit{Stated: s.Limited, PerSecond: s.PerSecond}, Draining: s.Leaving,
 			SentAt: now.Add(-milliseconds(s.SentAgeMs)), ReceivedAt: now.Add(-milliseconds(s.HeardAgeMs))}}
 	}
--- a/node/coordinator/signals_test.go
+++ b/node/coordinator/signals_test.go
@@ -40,7 +40,7 @@
 	f.Replace([]deploy.Upstream{{ID: "u", Service: "s"}}, 1)
 	e, _ := f.Entry("u")
 	now := time.Now()
-	e.Heed(backpressure.Signal{Limit: backpressure.Limit{Stated: true, PerSecond: 1}, SentAt: now, ReceivedAt: now}, "answer")
+	e.ApplySignal(backpressure.Signal{Limit: backpressure.Limit{Stated: true, PerSecond: 1}, SentAt: now, ReceivedAt: now}, "answer")
 	var s signals
 	tell := func(holder uint64) int {
 		r := &coordpb.HostReport{}
--- a/node/coordinator/size_test.go
+++ b/node/coordinator/size_test.go
@@ -44,7 +44,7 @@
 func TestAListThatTheHolderHasNotReadIsToldAgain(t *testing.T) {
 	c := holderSize{7, 12, 26}.holder()
 	listed := 0
-	c.deps.Feed = follow.New(follow.Deps{Config: c.deps.Config, Upstreams: c.deps.Fleet, Listed: func() { listed++ }})
+	c.deps.Feed = follow.New(follow.Deps{Config: c.deps.Config, Upstreams: c.deps.Fleet, OnListed: func() { listed++ }})
 	l := NewLink(LinkConfig{Host: "h"}, c, nil, c.deps.Log)
 	l.takeRelay(&coordpb.SiteState{List: 5, ListFull: true})
 	assert.Equal(t, l.report().List, uint64(0), "the whole list is asked for again")
@@ -59,7 +59,7 @@
 func TestAWholeListIsSentPacked(t *testing.T) {
 	c := holderSize{7, 900, 720}.holder()
 	c.deps.Feed = follow.New(follow.Deps{Config: c.deps.Config, Upstreams: c.deps.Fleet})
-	c.deps.Feed.Take(follow.Relay{UpstreamsAt: 1})
+	c.deps.Feed.ApplyRelay(follow.Relay{UpstreamsVersion: 1})
 	plain, packed, again := &coordpb.SiteState{}, &coordpb.SiteState{}, &coordpb.SiteState{}
 	assert.NilError(t, c.relay(&coordpb.HostReport{}, plain), "a host of an earlier release")
 	assert.NilError(t, c.relay(&coordpb.HostReport{PackedList: true}, packed))
--- a/node/coordinator/sums.go
+++ b/node/coordinator/sums.go
@@ -98,7 +98,7 @@
 }
 
 func loadOf(l *coordpb.Load) fleet.Load {
-	return fleet.Load{Requests: int(l.Requests), Waiting: int(l.Waiting), Tokens: int(l.Tokens)}
+	return fleet.Load{Requests: int(l.Requests), PendingPromptTokens: int(l.Waiting), Tokens: int(l.Tokens)}
 }
 
 func (s *sums) addLocked(upstream string, l fleet.Load) {
@@ -117,7 +117,7 @@
 	}
 	h.counted = false
 	for _, l := range h.report.Loads {
-		s.addLocked(l.Upstream, loadOf(l).Negative())
+		s.addLocked(l.Upstream, loadOf(l).Negated())
 	}
 }
 
@@ -158,13 +158,13 @@
 	highest := s.highestLocked(now)
 	room := make([]coordpb.Load, 0, len(highest))
 	for _, id := range highest {
-		sum := s.total[id].Plus(own[id].Negative())
+		sum := s.total[id].Plus(own[id].Negated())
 		if sum.Requests <= 0 || !wanted(id) {
 			continue
 		}
 		room = room[:len(room)+1]
 		l := &room[len(room)-1]
-		l.Upstream, l.Requests, l.Waiting, l.Tokens = id, uint32(sum.Requests), uint32(max(sum.Waiting, 0)), uint32(max(sum.Tokens, 0))
+		l.Upstream, l.Requests, l.Waiting, l.Tokens = id, uint32(sum.Requests), uint32(max(sum.PendingPromptTokens, 0)), uint32(max(sum.Tokens, 0))
 		all = append(all, l)
 	}
 	return all, len(s.hosts)
--- a/node/coordinator/turns.go
+++ b/node/coordinator/turns.go
@@ -41,7 +41,7 @@
 // place is what was granted at one upstream.
 type place struct {
 	load   fleet.Load
-	cache  fleet.Cache
+	cache  fleet.PromptCache
 	newest *turn // of those whose prompts are being read there; nil: none
 }
 
@@ -55,7 +55,7 @@
 type turn struct {
 	key      turnKey
 	event    *coordpb.TurnEvent
-	ask      fleet.Ask
+	ask      fleet.Request
 	tried    map[string]bool
 	warm     map[string]bool
 	rests    map[string]time.Time // until when upstreams want nothing from the host; nil: none does
@@ -139,10 +139,10 @@
 		return
 	}
 	t.dark = t.c.sums.suspects(now)
-	w := &turn{key: k, event: e, ask: fleet.Ask{Model: e.Model, Adapter: e.Adapter}, since: now, tried: setOf(e.Tried), warm: setOf(e.Warm)}
+	w := &turn{key: k, event: e, ask: fleet.Request{Model: e.Model, Adapter: e.Adapter}, since: now, tried: setOf(e.Tried), warm: setOf(e.Warm)}
 	t.rests.enter(w, now)
 	for _, p := range e.Parts {
-		w.ask.Parts = append(w.ask.Parts, fleet.Part{ID: p.Id, Tokens: int(p.Tokens)})
+		w.ask.PromptParts = append(w.ask.PromptParts, fleet.PromptPart{ID: p.Id, Tokens: int(p.Tokens)})
 	}
 	w.waitsFor = t.try(w, now)
 	if !waits(w.waitsFor) || w.waitsFor == balance.AllBackoff && t.inVain(w, now) {
@@ -164,9 +164,9 @@
 // try looks for an upstream among all of the request's service. It answers the
 // host unless the request waits.
 func (t *turns) try(w *turn, now time.Time) balance.Reason {
-	entries := t.c.deps.Fleet.Holders(w.event.Service, w.ask.Model)
+	entries := t.c.deps.Fleet.EntriesWithModel(w.event.Service, w.ask.Model)
 	d := t.pick(w, entries, now)
-	if d.Reason == balance.NoUpstream && t.c.deps.Fleet.Lacks(w.event.Service, w.ask.Model, func(e *fleet.Entry) bool { return t.leftAlone(e, w, now) }) {
+	if d.Reason == balance.NoUpstream && t.c.deps.Fleet.HasUsableWithoutModel(w.event.Service, w.ask.Model, func(e *fleet.Entry) bool { return t.leftAlone(e, w, now) }) {
 		d.Reason = balance.NoModel
 	}
 	if d.Index < 0 && !waits(d.Reason) {
@@ -209,9 +209,9 @@
 		out.PendingPromptTokens = 0
 		return out
 	}
-	out.InFlight, out.InFlightTokens, out.PendingPromptTokens = max(p.load.Requests, out.InFlight), max(p.load.Tokens, out.InFlightTokens), p.load.Waiting
+	out.InFlight, out.InFlightTokens, out.PendingPromptTokens = max(p.load.Requests, out.InFlight), max(p.load.Tokens, out.InFlightTokens), p.load.PendingPromptTokens
 	if out.ModelResident {
-		out.CachedTokens = max(out.CachedTokens, p.cache.Prefix(&w.ask, now))
+		out.CachedTokens = max(out.CachedTokens, p.cache.CachedTokens(&w.ask, now))
 	}
 	return out
 }
@@ -242,10 +242,10 @@
 	p.newest = w
 	within := t.limits.take(e, now)
 	trial := t.rests.granted(w)
-	p.cache.Keep(&w.ask, now)
+	p.cache.Record(&w.ask, now)
 	p.load.Requests++
 	p.load.Tokens += int(w.event.Prompt + w.event.Output)
-	p.load.Waiting += int(w.event.Prompt)
+	p.load.PendingPromptTokens += int(w.event.Prompt)
 	w.key.from.send(&coordpb.TurnAnswer{Id: w.key.id, Kind: coordpb.TurnAnswer_GRANTED, Upstream: w.upstream,
 		PredictedMs: uint32(d.PredictedWait.Milliseconds()), Load: uint32(at.InFlight), Waiting: uint32(at.PendingPromptTokens), Cached: uint32(at.CachedTokens), WithinLimit: within, Trial: trial})
 }
@@ -269,14 +269,14 @@
 	if !ok {
 		return 0
 	}
-	described, _ := e.Described()
+	described, _ := e.Description()
 	return described.Slots
 }
 
 // read takes a request's prompt out of what its upstream has to read.
 func (t *turns) read(g *turn) {
 	if p := t.places[g.upstream]; p != nil && g.reading {
-		p.load.Waiting -= int(g.event.Prompt)
+		p.load.PendingPromptTokens -= int(g.event.Prompt)
 		if p.newest == g {
 			p.newest = nil
 		}
--- a/node/coordinator/turns_test.go
+++ b/node/coordinator/turns_test.go
@@ -21,7 +21,7 @@
 		all = append(all, deploy.Upstream{ID: id, Service: "s", Address: id, Slots: 4, Residents: []deploy.Resident{{Model: "m"}}})
 	}
 	f.Apply(all, nil, 0)
-	c := New(Config{}, Deps{Fleet: f, Config: follow.NewConfig(event.NewLog(nil)), Log: event.NewLog(nil)})
+	c := New(Config{}, Deps{Fleet: f, Config: follow.NewActiveConfig(event.NewLog(nil)), Log: event.NewLog(nil)})
 	return c.turns, f
 }
 
@@ -125,7 +125,7 @@
 			requests := 0
 			for _, p := range ts.places {
 				requests += p.load.Requests
-				assert.Assert(t, p.load.Waiting >= 0 && p.load.Waiting <= p.load.Tokens)
+				assert.Assert(t, p.load.PendingPromptTokens >= 0 && p.load.PendingPromptTokens <= p.load.Tokens)
 			}
 			assert.Equal(t, requests, len(ts.granted))
 		}
@@ -156,7 +156,7 @@
 	ended, other := got[0].Upstream, got[1].Upstream
 	ts.places[other].load = fleet.Load{}
 	e, _ := f.Entry(ended)
-	e.Deny("m", "")
+	e.MarkNotResident("m", "")
 	ts.take(s, &coordpb.TurnEvent{Id: 0, Kind: coordpb.TurnEvent_END})
 	assert.Assert(t, answers(s)[2] == nil, "it was not tried elsewhere, and not sent away for what one upstream lacks")
 	ts.sweep()
--- a/node/coordinator/unit.go
+++ b/node/coordinator/unit.go
@@ -54,7 +54,7 @@
 
 // newUnit opens the book of an upstream.
 func newUnit(c *Coordinator, e *fleet.Entry, engine *deploy.Engine, now time.Time) *unit {
-	described, _ := e.Described()
+	described, _ := e.Description()
 	return &unit{c: c, entry: e, engine: engine, ordering: make(chan struct{}, 1), book: residency.New(engine, &described, now)}
 }
 
@@ -100,7 +100,7 @@
 // describe enters the upstream's newest description, unless it may be older
 // than what is known.
 func (u *unit) describe(now time.Time) (changed bool) {
-	d, at := u.entry.Described()
+	d, at := u.entry.Description()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !at.After(u.taken) || at.Sub(u.changedAt) < describedLag {
@@ -120,7 +120,7 @@
 	if !u.usable() { // it leaves, or has started again and has another account
 		return errNoUpstream
 	}
-	described, _ := u.entry.Described()
+	described, _ := u.entry.Description()
 	t := c.authority()
 	u.mu.Lock()
 	u.book.MarkSent(o, c.now())
@@ -167,7 +167,7 @@
 		return nil
 	}
 	if v == Replaced {
-		u.entry.Replaced()
+		u.entry.MarkReplaced()
 	}
 	u.c.deps.Log.Emit(event.OrderRejected, u.fields(o, zap.Stringer("verdict", v))...)
 	return errRefused
@@ -181,7 +181,7 @@
 	if since < reportLag && !pace.Sleep(ctx, reportLag-since) {
 		return ctx.Err()
 	}
-	described, _ := u.entry.Described()
+	described, _ := u.entry.Description()
 	ctx, cancel := context.WithTimeout(ctx, orderBound)
 	defer cancel()
 	r, err := u.c.deps.Orders.Report(ctx, &described)
--- a/node/fleet/cache.go
+++ b/node/fleet/cache.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Part is one piece of a request's prompt; requests share the leading ones.
-type Part struct {
+// PromptPart is one piece of a request's prompt; requests share the leading ones.
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
@@ -17,16 +17,16 @@
 	cacheFor = 8 * time.Second
 )
 
-// Cache remembers which parts of prompts this host has had read at an
+// PromptCache remembers which parts of prompts this host has had read at an
 // upstream. It is a guess that only parts otherwise equal choices.
-type Cache map[string]time.Time
+type PromptCache map[string]time.Time
 
-func partKey(a *Ask, id string) string { return a.Model + "/" + a.Adapter + "/" + id }
+func partKey(a *Request, id string) string { return a.Model + "/" + a.Adapter + "/" + id }
 
-// Prefix is how many leading tokens of the prompt are probably kept.
-func (c Cache) Prefix(a *Ask, now time.Time) int {
+// CachedTokens is how many leading tokens of the prompt are probably kept.
+func (c PromptCache) CachedTokens(a *Request, now time.Time) int {
 	sum := 0
-	for _, p := range a.Parts {
+	for _, p := range a.PromptParts {
 		at, ok := c[partKey(a, p.ID)]
 		if !ok || now.Sub(at) > cacheFor {
 			break
@@ -36,16 +36,16 @@
 	return sum
 }
 
-// Keep notes that the parts of a prompt were read. The last part is the
+// Record notes that the parts of a prompt were read. The last part is the
 // request's own, and seldom comes again.
-func (c *Cache) Keep(a *Ask, now time.Time) {
-	if len(a.Parts) < 2 {
+func (c *PromptCache) Record(a *Request, now time.Time) {
+	if len(a.PromptParts) < 2 {
 		return
 	}
 	if *c == nil || len(*c) > cacheMost {
-		*c = Cache{}
+		*c = PromptCache{}
 	}
-	for _, p := range a.Parts[:len(a.Parts)-1] {
+	for _, p := range a.PromptParts[:len(a.PromptParts)-1] {
 		(*c)[partKey(a, p.ID)] = now
 	}
 }
--- a/node/fleet/change.go
+++ b/node/fleet/change.go
@@ -9,17 +9,17 @@
 
 // Change is what came after an earlier state of the list.
 type Change struct {
-	To   uint64 // state that it brings to
-	Full bool   // Put is the whole list
-	Put  []Listed
-	Gone []string
+	Revision uint64 // state that it brings to
+	Complete bool   // Put is the whole list
+	Put      []Listed
+	Removed  []string
 }
 
 // Listed is an upstream as the platform's list has it, with the state of the list
 // since which it does: two of one upstream and one state are the same.
 type Listed struct {
 	deploy.Upstream
-	Since uint64
+	Revision uint64
 }
 
 const (
@@ -38,33 +38,33 @@
 	since time.Time
 }
 
-// Since returns what changed in the platform's list after a state, for other
+// ChangesSince returns what changed in the platform's list after a state, for other
 // hosts; 0 asks for all of it. Brief leaves out upstreams of which nothing changed
 // but what they hold or have copies of.
-func (f *Fleet) Since(from uint64, brief bool) Change {
+func (f *Fleet) ChangesSince(from uint64, brief bool) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := Change{To: f.state, Full: from == 0 || from < f.goneFrom || from > f.state}
-	if from == f.state && !out.Full {
+	out := Change{Revision: f.state, Complete: from == 0 || from < f.goneFrom || from > f.state}
+	if from == f.state && !out.Complete {
 		return out // as for nearly every report
 	}
 	byID := f.index.Load().byID
-	for _, e := range f.listedAfter(from, out.Full, brief) {
+	for _, e := range f.listedAfter(from, out.Complete, brief) {
 		if u, at, gone := e.listed(); !gone {
 			out.Put = append(out.Put, Listed{u, at})
 		}
 	}
 	for _, v := range f.gone {
-		if !out.Full && v.at > from && !isListed(byID[v.id]) {
-			out.Gone = append(out.Gone, v.id)
+		if !out.Complete && v.at > from && !isListed(byID[v.id]) {
+			out.Removed = append(out.Removed, v.id)
 		}
 	}
 	return out
 }
 
-// Described returns the entries of which the list said something else after a state,
+// DescribedSince returns the entries of which the list said something else after a state,
 // and the state that it is at.
-func (f *Fleet) Described(after uint64) ([]*Entry, uint64) {
+func (f *Fleet) DescribedSince(after uint64) ([]*Entry, uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.listedAfter(after, false, false), f.state
@@ -100,9 +100,9 @@
 // farther behind gets the whole list.
 const marksMost = 256
 
-// StateAt returns the newest state of the list that holds nothing newer than a
+// RevisionAt returns the newest state of the list that holds nothing newer than a
 // version of the store; 0: none is known.
-func (f *Fleet) StateAt(version uint64) uint64 {
+func (f *Fleet) RevisionAt(version uint64) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := len(f.marks) - 1; i >= 0; i-- {
--- a/node/fleet/coming.go
+++ b/node/fleet/coming.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Coming is a model that an upstream is loading, or will.
-type Coming struct {
-	Model string
-	At    time.Time // when it can be expected to answer, at the earliest
+// LoadingModel is a model that an upstream is loading, or will.
+type LoadingModel struct {
+	Model   string
+	ReadyAt time.Time // when it can be expected to answer, at the earliest
 }
 
 // expectLocked takes what the host that gives orders has the upstream load. It goes
 // for as long as that host's word does.
-func (e *Entry) expectLocked(all []Coming) {
+func (e *Entry) expectLocked(all []LoadingModel) {
 	if e.forgotten {
 		return
 	}
@@ -18,7 +18,7 @@
 	e.coming = all
 }
 
-func modelsOf(all []Coming) []string {
+func modelsOf(all []LoadingModel) []string {
 	out := make([]string, len(all))
 	for i := range all {
 		out[i] = all[i].Model
@@ -35,17 +35,17 @@
 	}
 	for _, c := range e.coming {
 		if c.Model == model {
-			return c.At, true
+			return c.ReadyAt, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// Coming is when a model that no upstream of a service holds can be expected at
+// ExpectedReady is when a model that no upstream of a service holds can be expected at
 // the first of them; false: nobody loads it.
-func (f *Fleet) Coming(service, model string) (at time.Time, ok bool) {
+func (f *Fleet) ExpectedReady(service, model string) (at time.Time, ok bool) {
 	now := f.deps.Now()
-	for _, e := range f.Loaders(service, model) {
+	for _, e := range f.EntriesLoading(service, model) {
 		if here, loads := e.comingAt(model, now); loads && (!ok || here.Before(at)) {
 			at, ok = here, true
 		}
@@ -53,6 +53,6 @@
 	return at, ok
 }
 
-// Loaders returns the upstreams of a service that are loading a model, as the host
+// EntriesLoading returns the upstreams of a service that are loading a model, as the host
 // that gives orders told.
-func (f *Fleet) Loaders(service, model string) []*Entry { return f.loaders.all(service, model) }
+func (f *Fleet) EntriesLoading(service, model string) []*Entry { return f.loaders.all(service, model) }
--- a/node/fleet/entry.go
+++ b/node/fleet/entry.go
@@ -16,21 +16,21 @@
 
 // Load is what was sent to an upstream and has not ended.
 type Load struct {
-	Requests int
-	Waiting  int // prompt tokens whose first event has not come
-	Tokens   int // prompt and expected answer
+	Requests            int
+	PendingPromptTokens int // prompt tokens whose first event has not come
+	Tokens              int // prompt and expected answer
 }
 
 // Plus is the sum of two loads.
 func (l Load) Plus(o Load) Load {
-	return Load{l.Requests + o.Requests, l.Waiting + o.Waiting, l.Tokens + o.Tokens}
+	return Load{l.Requests + o.Requests, l.PendingPromptTokens + o.PendingPromptTokens, l.Tokens + o.Tokens}
 }
 
-// Negative is what takes a load out of a sum.
-func (l Load) Negative() Load { return Load{-l.Requests, -l.Waiting, -l.Tokens} }
+// Negated is what takes a load out of a sum.
+func (l Load) Negated() Load { return Load{-l.Requests, -l.PendingPromptTokens, -l.Tokens} }
 
-// Reported is the load that an upstream told on an answer.
-type Reported struct {
+// ReportedLoad is the load that an upstream told on an answer.
+type ReportedLoad struct {
 	Running int
 	Waiting int
 	Slots   int
@@ -67,7 +67,7 @@
 	own        Load
 	beside     int       // prompt tokens of the others' that were to be read there when a turn was given
 	besideAt   time.Time // when it was
-	reported   Reported
+	reported   ReportedLoad
 	reportedAt time.Time
 	sentSince  int                 // own sends since reportedAt
 	signal     backpressure.Signal // the newest that its answers said, here or at other hosts
@@ -81,13 +81,13 @@
 	start      backpressure.SlowStart // after its rest
 	believed   []deploy.Resident
 	believedAt time.Time
-	believedOf uint64   // whose word that is; see word
-	coming     []Coming // by the same word
-	indexed    []string // models under which the fleet finds it
+	believedOf uint64         // whose word that is; see word
+	coming     []LoadingModel // by the same word
+	indexed    []string       // models under which the fleet finds it
 	forgotten  bool
 	denied     map[string]time.Time // model and adapter, until when
-	cache      Cache
-	movable    map[*Exchange]struct{} // attempts that can go elsewhere
+	cache      PromptCache
+	movable    map[*Attempt]struct{} // attempts that can go elsewhere
 }
 
 // ID names the upstream. Another process of it, started later, is another Entry.
@@ -99,14 +99,14 @@
 // Address is where it listens.
 func (e *Entry) Address() string { return e.address }
 
-// Born is when its process began, in Unix milliseconds by its own clock; 0: not said.
-func (e *Entry) Born() int64 { return e.born }
+// StartedMs is when its process began, in Unix milliseconds by its own clock; 0: not said.
+func (e *Entry) StartedMs() int64 { return e.born }
 
 // DataCentre is where it runs.
 func (e *Entry) DataCentre() string { return e.dataCentre }
 
-// Described returns the upstream's newest description of itself and when it came.
-func (e *Entry) Described() (deploy.Upstream, time.Time) {
+// Description returns the upstream's newest description of itself and when it came.
+func (e *Entry) Description() (deploy.Upstream, time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.up, e.described
@@ -119,9 +119,9 @@
 	return !e.leaving
 }
 
-// Down says whether this host leaves it alone now for what its answers, or its
+// IsDown says whether this host leaves it alone now for what its answers, or its
 // silence, showed.
-func (e *Entry) Down() bool { return e.down(e.fleet.deps.Now()) }
+func (e *Entry) IsDown() bool { return e.down(e.fleet.deps.Now()) }
 
 func (e *Entry) down(now time.Time) bool {
 	e.mu.Lock()
@@ -255,9 +255,9 @@
 
 // readingLocked is how long the prompts that wait there may keep it silent.
 func (e *Entry) readingLocked(now time.Time) time.Duration {
-	waiting := e.loadLocked(now).Waiting
+	waiting := e.loadLocked(now).PendingPromptTokens
 	if now.Sub(e.besideAt) < besideFor {
-		waiting = max(waiting, e.own.Waiting+e.beside)
+		waiting = max(waiting, e.own.PendingPromptTokens+e.beside)
 	}
 	return time.Duration(float64(waiting) / slowestTokensPerMs * float64(time.Millisecond))
 }
@@ -315,9 +315,9 @@
 	return e.own
 }
 
-// Gained notes an adapter that was just loaded there, before the word that all
+// AdapterLoaded notes an adapter that was just loaded there, before the word that all
 // hosts get of it.
-func (e *Entry) Gained(model, adapter string) {
+func (e *Entry) AdapterLoaded(model, adapter string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.fleet.deps.Now()
@@ -357,8 +357,8 @@
 	return held.HasResident(model, adapter)
 }
 
-// Deny notes that the upstream said it does not hold a model or adapter.
-func (e *Entry) Deny(model, adapter string) {
+// MarkNotResident notes that the upstream said it does not hold a model or adapter.
+func (e *Entry) MarkNotResident(model, adapter string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.denied == nil {
@@ -373,8 +373,8 @@
 	e.denied[model+"/"+adapter] = now.Add(deniedFor)
 }
 
-// Replaced notes that another process has the upstream's address.
-func (e *Entry) Replaced() {
+// MarkReplaced notes that another process has the upstream's address.
+func (e *Entry) MarkReplaced() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaveLocked("another process at its address")
@@ -418,20 +418,20 @@
 	}
 }
 
-// Ask is what a snapshot for one request needs to know of it.
-type Ask struct {
-	Model   string
-	Adapter string
-	Parts   []Part
+// Request is what a snapshot for one request needs to know of it.
+type Request struct {
+	Model       string
+	Adapter     string
+	PromptParts []PromptPart
 }
 
 // Endpoint is the upstream as one pick sees it.
-func (e *Entry) Endpoint(a *Ask, now time.Time) balance.Endpoint {
+func (e *Entry) Endpoint(a *Request, now time.Time) balance.Endpoint {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	l := e.loadLocked(now)
 	out := balance.Endpoint{ID: e.id, Address: e.up.Address, Slots: e.up.Slots, SameDataCentre: e.dataCentre == e.fleet.cfg.DataCentre,
-		Draining: e.leaving, InFlight: l.Requests, PendingPromptTokens: l.Waiting, InFlightTokens: l.Tokens}
+		Draining: e.leaving, InFlight: l.Requests, PendingPromptTokens: l.PendingPromptTokens, InFlightTokens: l.Tokens}
 	switch e.health.Status(now) {
 	case health.Down:
 		out.Down = true
@@ -447,7 +447,7 @@
 	}
 	if out.ModelResident { // the rest is of no use for an upstream that cannot get it
 		out.AdapterResident = a.Adapter == "" || e.holdsLocked(a.Model, a.Adapter, now)
-		out.CachedTokens = e.cache.Prefix(a, now)
+		out.CachedTokens = e.cache.CachedTokens(a, now)
 	}
 	return out
 }
--- a/node/fleet/exchange.go
+++ b/node/fleet/exchange.go
@@ -6,18 +6,18 @@
 	"peridotpier.example/node/event"
 )
 
-// Sent is what this host has sent to an upstream and has not ended.
-type Sent struct {
+// UpstreamLoad is what this host has sent to an upstream and has not ended.
+type UpstreamLoad struct {
 	Upstream string
 	Load
 }
 
-// Sent lists the upstreams at which this host has requests.
-func (f *Fleet) Sent() []Sent {
-	var out []Sent
+// OwnLoads lists the upstreams at which this host has requests.
+func (f *Fleet) OwnLoads() []UpstreamLoad {
+	var out []UpstreamLoad
 	for _, e := range f.watched.all() {
 		if own := e.OwnLoad(); own.Requests > 0 {
-			out = append(out, Sent{e.id, own})
+			out = append(out, UpstreamLoad{e.id, own})
 		}
 	}
 	return out
@@ -25,14 +25,14 @@
 
 // Cost is what one request adds to an upstream's load.
 type Cost struct {
-	Prompt int // tokens
-	Output int // tokens to expect
+	PromptTokens int // tokens
+	OutputTokens int // tokens to expect
 }
 
-// Exchange is one attempt at an upstream. It belongs to one goroutine.
-type Exchange struct {
+// Attempt is one attempt at an upstream. It belongs to one goroutine.
+type Attempt struct {
 	e     *Entry
-	ask   *Ask
+	ask   *Request
 	cost  Cost
 	first bool
 	ended bool
@@ -42,14 +42,14 @@
 }
 
 // Entry is the upstream that the attempt is at.
-func (x *Exchange) Entry() *Entry { return x.e }
+func (x *Attempt) Entry() *Entry { return x.e }
 
-// OnFirst has f called when the first bytes of the answer come.
-func (x *Exchange) OnFirst(f func()) { x.heard = f }
+// OnFirstByte has f called when the first bytes of the answer come.
+func (x *Attempt) OnFirstByte(f func()) { x.heard = f }
 
-// OnSilence has abort called if the upstream is found silent while the attempt
+// OnUnresponsive has abort called if the upstream is found silent while the attempt
 // is there. It is for attempts that can go elsewhere.
-func (x *Exchange) OnSilence(abort func()) {
+func (x *Attempt) OnUnresponsive(abort func()) {
 	x.e.mu.Lock()
 	defer x.e.mu.Unlock()
 	x.abort = abort
@@ -57,28 +57,28 @@
 }
 
 // Begin counts an attempt that is about to be sent.
-func (e *Entry) Begin(a *Ask, c Cost) *Exchange {
+func (e *Entry) Begin(a *Request, c Cost) *Attempt {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.own.Requests++
 	e.fleet.watch(e)
-	e.own.Waiting += c.Prompt
-	e.own.Tokens += c.Prompt + c.Output
+	e.own.PendingPromptTokens += c.PromptTokens
+	e.own.Tokens += c.PromptTokens + c.OutputTokens
 	e.sentSince++
 	e.health.RecordSend(e.fleet.deps.Now())
-	return &Exchange{e: e, ask: a, cost: c, trial: e.start.Sent()}
+	return &Attempt{e: e, ask: a, cost: c, trial: e.start.Sent()}
 }
 
-// Beside notes how many prompt tokens of other hosts' requests the upstream has to
+// RecordPendingPrompts notes how many prompt tokens of other hosts' requests the upstream has to
 // read, by who gave the turn for this one.
-func (x *Exchange) Beside(waiting int) {
+func (x *Attempt) RecordPendingPrompts(waiting int) {
 	x.e.mu.Lock()
 	defer x.e.mu.Unlock()
-	x.e.beside, x.e.besideAt = max(waiting-(x.e.own.Waiting-x.cost.Prompt), 0), x.e.fleet.deps.Now()
+	x.e.beside, x.e.besideAt = max(waiting-(x.e.own.PendingPromptTokens-x.cost.PromptTokens), 0), x.e.fleet.deps.Now()
 }
 
-// Heard notes bytes of the answer. The first ones end the wait for the prompt.
-func (x *Exchange) Heard() {
+// ReceivedBytes notes bytes of the answer. The first ones end the wait for the prompt.
+func (x *Attempt) ReceivedBytes() {
 	now := x.e.fleet.deps.Now()
 	if !x.first && x.heard != nil {
 		x.heard()
@@ -90,18 +90,18 @@
 	}
 	x.firstLocked()
 	x.e.health.RecordBytes(now, x.e.own.Requests > 0)
-	x.e.cache.Keep(x.ask, now)
+	x.e.cache.Record(x.ask, now)
 }
 
-func (x *Exchange) firstLocked() {
+func (x *Attempt) firstLocked() {
 	if !x.first {
 		x.first = true
-		x.e.own.Waiting -= x.cost.Prompt
+		x.e.own.PendingPromptTokens -= x.cost.PromptTokens
 	}
 }
 
-// Told takes the load that the upstream put on its answer.
-func (x *Exchange) Told(r Reported) {
+// RecordReportedLoad takes the load that the upstream put on its answer.
+func (x *Attempt) RecordReportedLoad(r ReportedLoad) {
 	x.e.mu.Lock()
 	defer x.e.mu.Unlock()
 	x.e.reported, x.e.reportedAt, x.e.sentSince = r, x.e.fleet.deps.Now(), 0
@@ -109,7 +109,7 @@
 
 // Answered ends an attempt whose answer is whole; failed says that the
 // upstream ran the request and failed it.
-func (x *Exchange) Answered(failed bool) {
+func (x *Attempt) Answered(failed bool) {
 	x.end(func() { x.e.rateLocked(failed) })
 }
 
@@ -122,13 +122,13 @@
 }
 
 // Refused ends an attempt that the upstream did not run, by its own word.
-func (x *Exchange) Refused() { x.end(func() {}) }
+func (x *Attempt) Refused() { x.end(func() {}) }
 
-// Dropped ends an attempt that this host gave up: its caller left or its time is over.
-func (x *Exchange) Dropped() { x.end(func() {}) }
+// Cancelled ends an attempt that this host gave up: its caller left or its time is over.
+func (x *Attempt) Cancelled() { x.end(func() {}) }
 
-// Broken ends an attempt whose connection or answer broke; why goes to the log.
-func (x *Exchange) Broken(why string) {
+// Interrupted ends an attempt whose connection or answer broke; why goes to the log.
+func (x *Attempt) Interrupted(why string) {
 	var resting bool
 	x.end(func() {
 		x.e.rateLocked(true)
@@ -140,9 +140,9 @@
 	}
 }
 
-// Absent ends an attempt at an upstream at whose address nothing listens. Its
+// NotListening ends an attempt at an upstream at whose address nothing listens. Its
 // process has ended, so that there is no need for a second sign.
-func (x *Exchange) Absent() {
+func (x *Attempt) NotListening() {
 	var resting bool
 	x.end(func() { resting = x.e.restLocked(x.e.fleet.deps.Now()) })
 	if resting {
@@ -150,7 +150,7 @@
 	}
 }
 
-func (x *Exchange) end(note func()) {
+func (x *Attempt) end(note func()) {
 	if x.ended {
 		return
 	}
@@ -162,11 +162,11 @@
 		x.e.start.Ended()
 	}
 	x.e.own.Requests--
-	x.e.own.Tokens -= x.cost.Prompt + x.cost.Output
+	x.e.own.Tokens -= x.cost.PromptTokens + x.cost.OutputTokens
 	if x.e.own.Requests == 0 {
 		x.e.health.ClearOutstanding()
 	}
 	note()
 	x.e.mu.Unlock()
-	x.e.fleet.Tell()
+	x.e.fleet.NotifyChanged()
 }
--- a/node/fleet/fleet.go
+++ b/node/fleet/fleet.go
@@ -23,10 +23,10 @@
 	Health     health.Policy
 	// LapseHold is how long after the store's return the entries that ran out
 	// while it was away may take to come back, if their upstreams live.
-	LapseHold time.Duration
+	RecoveryGrace time.Duration
 	// MassHold is how long upstreams are still used whose entries vanish in
 	// great number though the store was not seen to be away.
-	MassHold time.Duration
+	MassRemovalGrace time.Duration
 }
 
 // Deps are what a Fleet works with.
@@ -34,14 +34,14 @@
 	Log *event.Log
 	Now func() time.Time
 	// Left is told the address of an upstream that is forgotten.
-	Left func(address string)
+	OnForgotten func(address string)
 	// Changed is called when something changed that every host has to hear of: who
 	// an upstream is, that it leaves, or is gone. nil: nobody asks.
-	Changed func()
+	OnListChange func()
 	// Noticed is called when this host found something out that the one which acts
 	// for all should hear of at once: an upstream is left alone, or asked all hosts
 	// for something. It must not block. nil: nobody asks.
-	Noticed func()
+	OnUrgentChange func()
 }
 
 // Fleet holds the upstreams. The index is replaced whole when upstreams come
@@ -71,11 +71,11 @@
 	loaders   holders // by what they are loading
 	others    others
 	word      atomic.Pointer[word]
-	rests     deadline             // of upstreams
-	limits    deadline             // for so long some upstream is taken to name a limit
-	signals   signalLog            // of what others have to hear
-	early     map[string]Signalled // of upstreams that the list does not name yet; under mu
-	earlyHeld map[string]Held      // likewise, what they hold
+	rests     deadline                  // of upstreams
+	limits    deadline                  // for so long some upstream is taken to name a limit
+	signals   signalLog                 // of what others have to hear
+	early     map[string]UpstreamSignal // of upstreams that the list does not name yet; under mu
+	earlyHeld map[string]Residency      // likewise, what they hold
 
 	// The entries that time changes something at, so that none of the others is
 	// looked at: their number grows with the fleet.
@@ -106,12 +106,12 @@
 // waiting request go.
 func (f *Fleet) Changed() <-chan struct{} { return f.changes.Next() }
 
-// HoldingsChanged is like Changed for requests that wait for a model: it passes
+// ResidencyChanged is like Changed for requests that wait for a model: it passes
 // over the ends of others' requests, which come hundreds of times a second.
-func (f *Fleet) HoldingsChanged() <-chan struct{} { return f.holdings.Next() }
+func (f *Fleet) ResidencyChanged() <-chan struct{} { return f.holdings.Next() }
 
-// Tell wakes the requests that wait for an upstream.
-func (f *Fleet) Tell() { f.changes.Notify() }
+// NotifyChanged wakes the requests that wait for an upstream.
+func (f *Fleet) NotifyChanged() { f.changes.Notify() }
 
 // tellHoldings wakes those that wait for a model, too.
 func (f *Fleet) tellHoldings() {
@@ -120,13 +120,13 @@
 }
 
 func (f *Fleet) noticed() {
-	if f.deps.Noticed != nil {
-		f.deps.Noticed()
+	if f.deps.OnUrgentChange != nil {
+		f.deps.OnUrgentChange()
 	}
 }
 
-// Service returns the entries of a service.
-func (f *Fleet) Service(name string) []*Entry { return f.index.Load().byService[name] }
+// EntriesOfService returns the entries of a service.
+func (f *Fleet) EntriesOfService(name string) []*Entry { return f.index.Load().byService[name] }
 
 // Entry finds an upstream.
 func (f *Fleet) Entry(id string) (*Entry, bool) {
@@ -144,9 +144,9 @@
 	return out
 }
 
-// Down lists the upstreams that this host leaves alone now for what their
+// DownIDs lists the upstreams that this host leaves alone now for what their
 // answers, or their silence, showed.
-func (f *Fleet) Down() []string {
+func (f *Fleet) DownIDs() []string {
 	now := f.deps.Now()
 	var out []string
 	for _, e := range f.resting.all() {
@@ -191,8 +191,8 @@
 	f.mu.Unlock()
 	f.logSeen(d.seen)
 	f.tellHoldings()
-	if forAll && f.deps.Changed != nil {
-		f.deps.Changed()
+	if forAll && f.deps.OnListChange != nil {
+		f.deps.OnListChange()
 	}
 }
 
@@ -205,7 +205,7 @@
 		return
 	}
 	for _, e := range seen {
-		u, _ := e.Described()
+		u, _ := e.Description()
 		f.deps.Log.Emit(event.UpstreamSeen, zap.String(event.FieldPeer, u.ID), zap.String("service", u.Service),
 			zap.String("address", u.Address), zap.Int64("born_ms", u.Born), zap.Int("residents", len(u.Residents)))
 	}
@@ -223,7 +223,7 @@
 		}
 	}
 	if !known {
-		e = &Entry{fleet: f, id: u.ID, service: u.Service, address: u.Address, dataCentre: u.DataCentre, born: u.Born, up: u, movable: map[*Exchange]struct{}{}}
+		e = &Entry{fleet: f, id: u.ID, service: u.Service, address: u.Address, dataCentre: u.DataCentre, born: u.Born, up: u, movable: map[*Attempt]struct{}{}}
 		d.add(e)
 		f.heedEarlyLocked(e)
 		d.seen = append(d.seen, e)
@@ -248,8 +248,8 @@
 func (f *Fleet) retire(e *Entry) {
 	e.succeeded()
 	f.dropLocked(e)
-	if f.deps.Left != nil {
-		f.deps.Left(e.Address())
+	if f.deps.OnForgotten != nil {
+		f.deps.OnForgotten(e.Address())
 	}
 }
 
@@ -269,7 +269,7 @@
 	for _, id := range gone {
 		delete(f.earlyHeld, id)
 	}
-	away := f.cfg.LapseHold - now.Sub(f.backAt) // what is left of the time after the store's return
+	away := f.cfg.RecoveryGrace - now.Sub(f.backAt) // what is left of the time after the store's return
 	for _, id := range gone {
 		e, ok := ix.byID[id]
 		if !ok {
@@ -278,7 +278,7 @@
 		hold := max(away, 0)
 		n := together[e.Service()]
 		if hold == 0 && n > 1 && float64(n) >= massShare*float64(len(ix.byService[e.Service()])) {
-			hold = f.cfg.MassHold
+			hold = f.cfg.MassRemovalGrace
 		}
 		if e.vanish(now, hold) {
 			f.gone = append(f.gone, vanished{id, f.state, now})
@@ -300,8 +300,8 @@
 	}
 }
 
-// StoreBack notes that the store is reached again after it was away.
-func (f *Fleet) StoreBack() {
+// StoreRecovered notes that the store is reached again after it was away.
+func (f *Fleet) StoreRecovered() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.backAt = f.deps.Now()
@@ -314,19 +314,19 @@
 	}
 }
 
-// Watching says whether there is anything that Sweep has to look at often.
-func (f *Fleet) Watching() bool { return !f.watched.empty() }
+// HasPendingChecks says whether there is anything that Sweep has to look at often.
+func (f *Fleet) HasPendingChecks() bool { return !f.watched.empty() }
 
-// Stir has those woken that wait until there is something to watch.
-func (f *Fleet) Stir() { f.stirred.Notify() }
+// WakeChecks has those woken that wait until there is something to watch.
+func (f *Fleet) WakeChecks() { f.stirred.Notify() }
 
-// Stirred returns a channel that is closed once there is again.
-func (f *Fleet) Stirred() <-chan struct{} { return f.stirred.Next() }
+// ChecksNeeded returns a channel that is closed once there is again.
+func (f *Fleet) ChecksNeeded() <-chan struct{} { return f.stirred.Next() }
 
-// Sweep forgets upstreams that have left and answer nothing any more, ends
+// RunChecks forgets upstreams that have left and answer nothing any more, ends
 // holds that are over, and leaves alone those that are silent or stand out by
 // their failures. It is called several times a second.
-func (f *Fleet) Sweep() {
+func (f *Fleet) RunChecks() {
 	now := f.deps.Now()
 	var forget []string
 	for _, e := range f.watched.all() {
@@ -339,7 +339,7 @@
 		rated[e.Service()] = append(rated[e.Service()], e)
 	}
 	for service, entries := range rated {
-		f.judge(entries, len(f.Service(service)), now)
+		f.judge(entries, len(f.EntriesOfService(service)), now)
 	}
 	if len(forget) > 0 {
 		f.forget(forget)
@@ -356,8 +356,8 @@
 			continue
 		}
 		f.dropLocked(e)
-		if f.deps.Left != nil {
-			f.deps.Left(e.Address())
+		if f.deps.OnForgotten != nil {
+			f.deps.OnForgotten(e.Address())
 		}
 		d.remove(id)
 	}
--- a/node/fleet/fleet_test.go
+++ b/node/fleet/fleet_test.go
@@ -25,19 +25,19 @@
 	f.Replace([]deploy.Upstream{upstream("a", 1), upstream("b", 1)}, 100)
 	f.Apply([]deploy.Upstream{upstream("a", 2)}, nil, 110)
 	f.Apply([]deploy.Upstream{upstream("c", 1)}, []string{"b"}, 120)
-	assert.Equal(t, f.StateAt(99), uint64(0), "older than all that is known")
-	all := f.Since(0, false)
-	assert.Assert(t, all.Full && len(all.Put) == 2)
-	some := f.Since(f.StateAt(115), false) // the other's view lies between two changes
-	assert.Assert(t, !some.Full)
+	assert.Equal(t, f.RevisionAt(99), uint64(0), "older than all that is known")
+	all := f.ChangesSince(0, false)
+	assert.Assert(t, all.Complete && len(all.Put) == 2)
+	some := f.ChangesSince(f.RevisionAt(115), false) // the other's view lies between two changes
+	assert.Assert(t, !some.Complete)
 	assert.Equal(t, len(some.Put), 1)
 	assert.Equal(t, some.Put[0].ID, "c")
-	assert.DeepEqual(t, some.Gone, []string{"b"})
-	none := f.Since(f.StateAt(500), false)
-	assert.Assert(t, !none.Full && len(none.Put)+len(none.Gone) == 0)
+	assert.DeepEqual(t, some.Removed, []string{"b"})
+	none := f.ChangesSince(f.RevisionAt(500), false)
+	assert.Assert(t, !none.Complete && len(none.Put)+len(none.Removed) == 0)
 	f.Replace([]deploy.Upstream{upstream("a", 2), upstream("c", 1)}, 600) // read anew, as it was
-	again := f.Since(f.StateAt(500), false)
-	assert.Assert(t, !again.Full && len(again.Put)+len(again.Gone) == 0)
+	again := f.ChangesSince(f.RevisionAt(500), false)
+	assert.Assert(t, !again.Complete && len(again.Put)+len(again.Removed) == 0)
 }
 
 // Whatever two hosts have seen of the store, what one sends the other by its
@@ -57,11 +57,11 @@
 				holder.Apply([]deploy.Upstream{upstream(id, rapid.IntRange(1, 3).Draw(t, "slots"))}, nil, version)
 			}
 			if rapid.IntRange(0, 4).Draw(t, "link") == 0 {
-				c := holder.Since(holder.StateAt(seen), false)
-				if c.Full {
+				c := holder.ChangesSince(holder.RevisionAt(seen), false)
+				if c.Complete {
 					host.Replace(plain(c.Put), version)
 				} else {
-					host.Apply(plain(c.Put), c.Gone, version)
+					host.Apply(plain(c.Put), c.Removed, version)
 				}
 				seen = version
 				assert.DeepEqual(t, listed(host), listed(holder))
@@ -73,7 +73,7 @@
 // listed is what the store's list says, by id.
 func listed(f *fleet.Fleet) map[string]int {
 	out := map[string]int{}
-	for _, u := range f.Since(0, false).Put {
+	for _, u := range f.ChangesSince(0, false).Put {
 		out[u.ID] = u.Slots
 	}
 	return out
@@ -85,14 +85,14 @@
 // Cause: an entry that ran out is taken for an upstream that leaves.
 func TestOneEntryThatRanOutWithTheStoreIsHeld(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	f := fleet.New(fleet.Config{LapseHold: 2 * time.Second}, fleet.Deps{Now: func() time.Time { return now }})
+	f := fleet.New(fleet.Config{RecoveryGrace: 2 * time.Second}, fleet.Deps{Now: func() time.Time { return now }})
 	f.Replace([]deploy.Upstream{upstream("a", 1), upstream("b", 1), upstream("c", 1), upstream("d", 1)}, 1)
-	f.StoreBack()
+	f.StoreRecovered()
 	f.Apply(nil, []string{"a"}, 2)
 	e, _ := f.Entry("a")
 	assert.Assert(t, e.Usable())
 	now = now.Add(2100 * time.Millisecond)
-	f.Sweep()
+	f.RunChecks()
 	assert.Assert(t, !e.Usable(), "it did not come back in time")
 	f.Apply(nil, []string{"b"}, 3)
 	e, _ = f.Entry("b")
@@ -108,7 +108,7 @@
 func TestAProcessThatStartsAgainIsAnotherUpstream(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	var left []string
-	f := fleet.New(fleet.Config{}, fleet.Deps{Now: func() time.Time { return now }, Left: func(a string) { left = append(left, a) }})
+	f := fleet.New(fleet.Config{}, fleet.Deps{Now: func() time.Time { return now }, OnForgotten: func(a string) { left = append(left, a) }})
 	born := func(at int64, models ...string) deploy.Upstream {
 		u := upstream("a", 4)
 		u.Born = at
@@ -117,16 +117,16 @@
 		}
 		return u
 	}
-	ask := &fleet.Ask{Model: "m"}
+	ask := &fleet.Request{Model: "m"}
 	f.Replace([]deploy.Upstream{born(1000, "m")}, 1)
 	former, _ := f.Entry("a")
-	f.Believe([]fleet.Held{{Upstream: "a", Born: 1000, Residents: []deploy.Resident{{Model: "m"}}}}, now)
+	f.ApplyResidency([]fleet.Residency{{Upstream: "a", StartedMs: 1000, Residents: []deploy.Resident{{Model: "m"}}}}, now)
 	moved := false
-	x := former.Begin(ask, fleet.Cost{Prompt: 10})
-	x.OnSilence(func() { moved = true })
-	x.Broken("reset")
-	y := former.Begin(ask, fleet.Cost{Prompt: 10})
-	y.OnSilence(func() { moved = true })
+	x := former.Begin(ask, fleet.Cost{PromptTokens: 10})
+	x.OnUnresponsive(func() { moved = true })
+	x.Interrupted("reset")
+	y := former.Begin(ask, fleet.Cost{PromptTokens: 10})
+	y.OnUnresponsive(func() { moved = true })
 	f.Apply([]deploy.Upstream{born(2000)}, nil, 2)
 	e, _ := f.Entry("a")
 	assert.Assert(t, e != former && !former.Usable() && e.Usable())
@@ -134,7 +134,7 @@
 	assert.DeepEqual(t, left, []string{"a"})
 	at := e.Endpoint(ask, now)
 	assert.Assert(t, !at.ModelResident && !at.Down && at.InFlight == 0 && at.CachedTokens == 0)
-	y.Dropped() // its end does not touch the new process's account
+	y.Cancelled() // its end does not touch the new process's account
 	assert.Equal(t, e.OwnLoad().Requests, 0)
 	f.Apply([]deploy.Upstream{born(1000, "m")}, nil, 3)
 	again, _ := f.Entry("a")
@@ -143,7 +143,7 @@
 	f.Apply([]deploy.Upstream{unsaid}, nil, 4)
 	again, _ = f.Entry("a")
 	assert.Assert(t, again == e && e.Endpoint(ask, now).ModelResident, "one that does not say speaks of the process that is known")
-	assert.Equal(t, f.Since(0, false).Put[0].Born, int64(2000), "other hosts are told of the same process")
+	assert.Equal(t, f.ChangesSince(0, false).Put[0].Born, int64(2000), "other hosts are told of the same process")
 }
 
 // BenchmarkSinceUnchanged is what each report of a host costs while the list
@@ -155,9 +155,9 @@
 		all = append(all, upstream(strconv.Itoa(i), 1))
 	}
 	f.Replace(all, 1)
-	state := f.Since(0, false).To
+	state := f.ChangesSince(0, false).Revision
 	for b.Loop() {
-		f.Since(state, false)
+		f.ChangesSince(state, false)
 	}
 }
 
--- a/node/fleet/holders.go
+++ b/node/fleet/holders.go
@@ -46,11 +46,11 @@
 	h.of[k] = left
 }
 
-// Holders returns the upstreams of a service that may hold a model; with no model
+// EntriesWithModel returns the upstreams of a service that may hold a model; with no model
 // all of them.
-func (f *Fleet) Holders(service, model string) []*Entry {
+func (f *Fleet) EntriesWithModel(service, model string) []*Entry {
 	if model == "" {
-		return f.Service(service)
+		return f.EntriesOfService(service)
 	}
 	return f.holders.all(service, model)
 }
@@ -61,14 +61,14 @@
 	return h.of[holding{service, model}]
 }
 
-// Lacks says whether upstreams of a service may be sent work that cannot hold a
+// HasUsableWithoutModel says whether upstreams of a service may be sent work that cannot hold a
 // model, but for those passed over: what keeps a request for it is then the model.
-func (f *Fleet) Lacks(service, model string, passed func(*Entry) bool) bool {
+func (f *Fleet) HasUsableWithoutModel(service, model string, passed func(*Entry) bool) bool {
 	if model == "" {
 		return false
 	}
-	now, holders := f.deps.Now(), f.Holders(service, model)
-	return slices.ContainsFunc(f.Service(service), func(e *Entry) bool {
+	now, holders := f.deps.Now(), f.EntriesWithModel(service, model)
+	return slices.ContainsFunc(f.EntriesOfService(service), func(e *Entry) bool {
 		return e.Usable() && !e.down(now) && !slices.Contains(holders, e) && !passed(e)
 	})
 }
--- a/node/fleet/holders_test.go
+++ b/node/fleet/holders_test.go
@@ -37,25 +37,25 @@
 				f.Apply(nil, []string{id}, 0)
 			case 2:
 				if known {
-					f.Believe([]fleet.Held{{Upstream: id, Born: e.Born(), Residents: residents()}}, now)
+					f.ApplyResidency([]fleet.Residency{{Upstream: id, StartedMs: e.StartedMs(), Residents: residents()}}, now)
 				}
 			case 3:
 				if known {
-					e.Gained("a", "y")
+					e.AdapterLoaded("a", "y")
 				}
 			default:
 				now = now.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "seconds")) * time.Second)
-				f.Sweep()
+				f.RunChecks()
 			}
 			for _, m := range models {
-				found := f.Holders("s", m)
-				for _, e := range f.Service("s") {
-					if e.Endpoint(&fleet.Ask{Model: m}, now).ModelResident {
+				found := f.EntriesWithModel("s", m)
+				for _, e := range f.EntriesOfService("s") {
+					if e.Endpoint(&fleet.Request{Model: m}, now).ModelResident {
 						assert.Assert(t, slices.Contains(found, e), "%s of %s", m, e.ID())
 					}
 				}
 				for _, e := range found {
-					assert.Assert(t, slices.Contains(f.Service("s"), e), "%s is not there any more", e.ID())
+					assert.Assert(t, slices.Contains(f.EntriesOfService("s"), e), "%s is not there any more", e.ID())
 				}
 			}
 		}
--- a/node/fleet/index.go
+++ b/node/fleet/index.go
@@ -46,5 +46,5 @@
 	return d.index
 }
 
-// Membership is a number that rises when upstreams come or are forgotten.
-func (f *Fleet) Membership() uint64 { return f.index.Load().number }
+// MembershipVersion is a number that rises when upstreams come or are forgotten.
+func (f *Fleet) MembershipVersion() uint64 { return f.index.Load().number }
--- a/node/fleet/limits.go
+++ b/node/fleet/limits.go
@@ -17,12 +17,12 @@
 // fleet is taken to have one: many times as long as between two looks.
 const limitedFor = 10 * time.Second
 
-// Limited says whether any upstream of a service that gets work names a limit.
-func (f *Fleet) Limited(service string) bool {
+// HasLimit says whether any upstream of a service that gets work names a limit.
+func (f *Fleet) HasLimit(service string) bool {
 	if f.limits.passed(f.deps.Now()) {
 		return false
 	}
-	for _, e := range f.Service(service) {
+	for _, e := range f.EntriesOfService(service) {
 		if e.Usable() && e.Limit().Stated {
 			return true
 		}
@@ -45,8 +45,8 @@
 	}
 }
 
-// SetAlone says that nobody counts for all: this host goes by its share from now on.
-func (f *Fleet) SetAlone() {
+// SetUncoordinated says that nobody counts for all: this host goes by its share from now on.
+func (f *Fleet) SetUncoordinated() {
 	if was := f.sharing.Load(); !was.alone {
 		f.sharing.Store(&sharing{share: was.share, alone: true, since: f.deps.Now()})
 	}
@@ -60,7 +60,7 @@
 func (e *Entry) backoffLocked(now time.Time) time.Duration {
 	rest := max(e.restUntil.Sub(now), 0)
 	if e.start.AtLimit() {
-		rest = max(rest, TrialWait)
+		rest = max(rest, SlowStartWait)
 	}
 	if !e.signal.Limit.Stated {
 		return rest
@@ -80,8 +80,8 @@
 	return e.pacer
 }
 
-// Pass says whether a request without a turn may go to the upstream, and counts it.
-func (e *Entry) Pass(now time.Time) bool {
+// AdmitWithoutPermit says whether a request without a turn may go to the upstream, and counts it.
+func (e *Entry) AdmitWithoutPermit(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.signal.Limit.Stated {
--- a/node/fleet/others.go
+++ b/node/fleet/others.go
@@ -32,9 +32,9 @@
 	return told.loads[e.id], true
 }
 
-// SetOthers takes the sums of the other hosts' loads at a service's upstreams, which
+// SetOtherHostsLoad takes the sums of the other hosts' loads at a service's upstreams, which
 // are gone by until then.
-func (f *Fleet) SetOthers(service string, loads map[string]Load, until time.Time) {
+func (f *Fleet) SetOtherHostsLoad(service string, loads map[string]Load, until time.Time) {
 	told := &otherLoads{loads: loads, until: until}
 	for {
 		former := f.others.of.Load()
--- a/node/fleet/signalled.go
+++ b/node/fleet/signalled.go
@@ -13,18 +13,18 @@
 	"peridotpier.example/node/event"
 )
 
-// Signalled is what an upstream's answers asked of all hosts last.
-type Signalled struct {
-	Upstream string
-	Born     int64 // start of the process that asked; 0: not said
+// UpstreamSignal is what an upstream's answers asked of all hosts last.
+type UpstreamSignal struct {
+	Upstream  string
+	StartedMs int64 // start of the process that asked; 0: not said
 	backpressure.Signal
 }
 
 // noLimit stands in logs for an upstream that names no limit.
 const noLimit = -1.0
 
-// Heed takes what an answer of the upstream said to this host.
-func (e *Entry) Heed(s backpressure.Signal, source string) {
+// ApplySignal takes what an answer of the upstream said to this host.
+func (e *Entry) ApplySignal(s backpressure.Signal, source string) {
 	if e.heed(s, source) {
 		e.fleet.noticed()
 	}
@@ -58,7 +58,7 @@
 			zap.Float64("was", logged(was.Limit)), zap.String("source", source))
 	}
 	if changed {
-		e.fleet.Tell()
+		e.fleet.NotifyChanged()
 	}
 	return changed
 }
@@ -70,32 +70,32 @@
 	return l.PerSecond
 }
 
-// Asking is what one upstream asks for now.
-type Asking struct {
-	Upstream string
-	Service  string
-	Leaving  bool // its answers say so
-	Limit    backpressure.Limit
-	Rest     time.Duration // that is left of what it asked this host for
-	Starting bool          // after a rest requests come back by a slow start
-	Since    time.Time     // when its answers said so first, of leaving and limit
-	Source   string        // who heard that
+// Restriction is what one upstream asks for now.
+type Restriction struct {
+	Upstream    string
+	Service     string
+	Draining    bool // its answers say so
+	Limit       backpressure.Limit
+	Backoff     time.Duration // that is left of what it asked this host for
+	InSlowStart bool          // after a rest requests come back by a slow start
+	SignalledAt time.Time     // when its answers said so first, of leaving and limit
+	Source      string        // who heard that
 }
 
-// Asking lists the upstreams that ask for something.
-func (f *Fleet) Asking() []Asking {
+// Restrictions lists the upstreams that ask for something.
+func (f *Fleet) Restrictions() []Restriction {
 	now := f.deps.Now()
-	var out []Asking
+	var out []Restriction
 	for _, e := range f.All() {
 		e.mu.Lock()
-		a := Asking{Upstream: e.id, Service: e.service, Leaving: e.signal.Draining, Limit: e.signal.Limit, Rest: max(e.restUntil.Sub(now), 0),
-			Starting: e.start.Active(), Since: e.askedAt, Source: e.askedBy}
+		a := Restriction{Upstream: e.id, Service: e.service, Draining: e.signal.Draining, Limit: e.signal.Limit, Backoff: max(e.restUntil.Sub(now), 0),
+			InSlowStart: e.start.Active(), SignalledAt: e.askedAt, Source: e.askedBy}
 		e.mu.Unlock()
-		if a.Leaving || a.Limit.Stated || a.Rest > 0 || a.Starting {
+		if a.Draining || a.Limit.Stated || a.Backoff > 0 || a.InSlowStart {
 			out = append(out, a)
 		}
 	}
-	slices.SortFunc(out, func(a, b Asking) int { return strings.Compare(a.Upstream, b.Upstream) })
+	slices.SortFunc(out, func(a, b Restriction) int { return strings.Compare(a.Upstream, b.Upstream) })
 	return out
 }
 
@@ -140,29 +140,29 @@
 
 // SignalsSince returns what upstreams asked that is newer than a revision, the
 // oldest first, and the revision that it brings whoever hears it to.
-func (f *Fleet) SignalsSince(revision uint64) ([]Signalled, uint64) {
+func (f *Fleet) SignalsSince(revision uint64) ([]UpstreamSignal, uint64) {
 	changed, to := f.signals.since(revision)
 	if len(changed) == 0 {
 		return nil, to
 	}
-	out := make([]Signalled, len(changed))
+	out := make([]UpstreamSignal, len(changed))
 	for i, e := range changed {
 		e.mu.Lock()
-		out[i] = Signalled{e.id, e.born, e.signal}
+		out[i] = UpstreamSignal{e.id, e.born, e.signal}
 		e.mu.Unlock()
 	}
 	return out, to
 }
 
-// HeedAll takes what another host heard.
-func (f *Fleet) HeedAll(all []Signalled, source string) {
+// ApplySignals takes what another host heard.
+func (f *Fleet) ApplySignals(all []UpstreamSignal, source string) {
 	for i := range all {
 		e, ok := f.Entry(all[i].Upstream)
 		if !ok {
 			f.keepEarly(all[i])
 			continue
 		}
-		if e.Born() == all[i].Born {
+		if e.StartedMs() == all[i].StartedMs {
 			e.heed(all[i].Signal, source)
 		}
 	}
@@ -170,11 +170,11 @@
 
 // keepEarly keeps what is told of an upstream before the list names it here: it
 // is told once only.
-func (f *Fleet) keepEarly(s Signalled) {
+func (f *Fleet) keepEarly(s UpstreamSignal) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.early == nil || len(f.early) >= signalsMost {
-		f.early = map[string]Signalled{}
+		f.early = map[string]UpstreamSignal{}
 	}
 	f.early[s.Upstream] = s
 }
@@ -189,7 +189,7 @@
 		return
 	}
 	delete(f.early, e.id)
-	if s.Born == e.born {
+	if s.StartedMs == e.born {
 		e.heed(s.Signal, earlySource)
 	}
 }
--- a/node/fleet/signalled_bench_test.go
+++ b/node/fleet/signalled_bench_test.go
@@ -23,7 +23,7 @@
 	now := time.Now()
 	b.ReportAllocs()
 	for b.Loop() {
-		if f.Rests("s") != nil || f.Limited("s") || !e.Pass(now) || !e.Takes() {
+		if f.Backoffs("s") != nil || f.HasLimit("s") || !e.AdmitWithoutPermit(now) || !e.AcceptsRequests() {
 			b.Fatal("nobody asks")
 		}
 	}
--- a/node/fleet/signalled_test.go
+++ b/node/fleet/signalled_test.go
@@ -29,13 +29,13 @@
 
 // Guards against an upstream that gets work again since an older entry of it says that it is ready.
 func TestWhatAnUpstreamSaidOfLeavingIsNotUndoneByTheList(t *testing.T) {
-	f := fleet.New(fleet.Config{LapseHold: time.Hour, MassHold: time.Hour}, fleet.Deps{})
+	f := fleet.New(fleet.Config{RecoveryGrace: time.Hour, MassRemovalGrace: time.Hour}, fleet.Deps{})
 	ready := deploy.Upstream{ID: "a", Service: "s", Address: "a", State: deploy.Ready, Born: 1}
 	f.Replace([]deploy.Upstream{ready}, 1)
-	entry(t, f, "a").Heed(told(backpressure.Limit{}, true), "answer")
+	entry(t, f, "a").ApplySignal(told(backpressure.Limit{}, true), "answer")
 	f.Apply([]deploy.Upstream{ready}, nil, 2)
 	assert.Assert(t, !entry(t, f, "a").Usable())
-	f.StoreBack()
+	f.StoreRecovered()
 	f.Apply(nil, []string{"a"}, 3)
 	f.Apply([]deploy.Upstream{ready}, nil, 4)
 	assert.Assert(t, !entry(t, f, "a").Usable(), "its entry had only run out")
@@ -43,7 +43,7 @@
 	again.Born = 2
 	f.Apply([]deploy.Upstream{again}, nil, 5)
 	assert.Assert(t, entry(t, f, "a").Usable(), "another process of it")
-	entry(t, f, "a").Heed(told(perSecond, false), "answer")
+	entry(t, f, "a").ApplySignal(told(perSecond, false), "answer")
 	again.Born = 3
 	f.Apply([]deploy.Upstream{again}, nil, 6)
 	assert.Equal(t, entry(t, f, "a").Limit(), backpressure.Limit{}, "owes nothing of the former's")
@@ -53,22 +53,22 @@
 func TestASignalIsToldOnceAndAgainToWhoeverContradicts(t *testing.T) {
 	one, other := fleet.New(fleet.Config{}, fleet.Deps{}), fleet.New(fleet.Config{}, fleet.Deps{})
 	one.Replace([]deploy.Upstream{upstream("a", 1), upstream("b", 1)}, 1)
-	entry(t, one, "a").Heed(told(perSecond, false), "answer")
+	entry(t, one, "a").ApplySignal(told(perSecond, false), "answer")
 	all, revision := one.SignalsSince(0)
 	assert.Equal(t, len(all), 1)
-	other.HeedAll(all, "host") // before the list names it there
+	other.ApplySignals(all, "host") // before the list names it there
 	other.Replace([]deploy.Upstream{upstream("a", 1)}, 1)
 	assert.Equal(t, entry(t, other, "a").Limit(), perSecond)
 	none, _ := one.SignalsSince(revision)
 	assert.Equal(t, len(none), 0)
-	entry(t, one, "a").Heed(told(perSecond, false), "answer")
+	entry(t, one, "a").ApplySignal(told(perSecond, false), "answer")
 	none, _ = one.SignalsSince(revision)
 	assert.Equal(t, len(none), 0, "nothing new")
-	entry(t, one, "a").Heed(told(backpressure.Limit{Stated: true, PerSecond: 0.95}, false), "answer")
+	entry(t, one, "a").ApplySignal(told(backpressure.Limit{Stated: true, PerSecond: 0.95}, false), "answer")
 	none, _ = one.SignalsSince(revision)
 	assert.Equal(t, len(none), 0, "hardly another limit")
-	stale := fleet.Signalled{Upstream: "a", Signal: backpressure.Signal{SentAt: time.Now().Add(-time.Hour), ReceivedAt: time.Now().Add(-time.Hour)}}
-	one.HeedAll([]fleet.Signalled{stale}, "host")
+	stale := fleet.UpstreamSignal{Upstream: "a", Signal: backpressure.Signal{SentAt: time.Now().Add(-time.Hour), ReceivedAt: time.Now().Add(-time.Hour)}}
+	one.ApplySignals([]fleet.UpstreamSignal{stale}, "host")
 	again, _ := one.SignalsSince(revision)
 	assert.Equal(t, len(again), 1, "whoever has told what does not hold any more must hear it")
 	assert.Equal(t, again[0].Limit, backpressure.Limit{Stated: true, PerSecond: 0.95})
@@ -83,11 +83,11 @@
 	}
 	f.Replace(list, 1)
 	for i := range list {
-		entry(t, f, list[i].ID).Heed(told(perSecond, false), "answer")
+		entry(t, f, list[i].ID).ApplySignal(told(perSecond, false), "answer")
 	}
 	seen, revision := map[string]bool{}, uint64(0)
 	for range 3 {
-		var part []fleet.Signalled
+		var part []fleet.UpstreamSignal
 		part, revision = f.SignalsSince(revision)
 		assert.Assert(t, len(part) <= 250)
 		for _, s := range part {
@@ -104,21 +104,21 @@
 	f := fleet.New(fleet.Config{}, fleet.Deps{Now: func() time.Time { return now }})
 	f.Replace([]deploy.Upstream{upstream("a", 1)}, 1)
 	e := entry(t, f, "a")
-	assert.Assert(t, e.Pass(now), "it names no limit")
-	e.Heed(told(perSecond, false), "answer")
+	assert.Assert(t, e.AdmitWithoutPermit(now), "it names no limit")
+	e.ApplySignal(told(perSecond, false), "answer")
 	passed := func(lasts time.Duration) (n int) {
 		for end := now.Add(lasts); now.Before(end); now = now.Add(10 * time.Millisecond) {
-			if e.Endpoint(&fleet.Ask{}, now).Backoff == 0 && e.Pass(now) {
+			if e.Endpoint(&fleet.Request{}, now).Backoff == 0 && e.AdmitWithoutPermit(now) {
 				n++
 			}
 		}
 		return n
 	}
-	f.SetAlone()
+	f.SetUncoordinated()
 	assert.Equal(t, passed(time.Second), 0, "it does not know its part")
 	f.SetShare(backpressure.Share{Index: 1, Count: 2})
 	assert.Equal(t, passed(time.Second), 0, "another counts for all")
-	f.SetAlone()
+	f.SetUncoordinated()
 	n := passed(40 * time.Second)
 	assert.Assert(t, n >= 19 && n <= 21, "%d", n)
 }
--- a/node/fleet/word.go
+++ b/node/fleet/word.go
@@ -14,18 +14,18 @@
 	until time.Time
 }
 
-// Held is what one process of an upstream holds and is loading, as the host that
+// Residency is what one process of an upstream holds and is loading, as the host that
 // gives orders knows it.
-type Held struct {
+type Residency struct {
 	Upstream  string
-	Born      int64
+	StartedMs int64
 	Residents []deploy.Resident
-	Coming    []Coming
+	Loading   []LoadingModel
 }
 
-// Trust says that the host that gives orders, the of-th one that is heard here, was
+// CoordinatorSeen says that the host that gives orders, the of-th one that is heard here, was
 // heard. What it told goes until then, and so does what it tells later.
-func (f *Fleet) Trust(of uint64, until time.Time) {
+func (f *Fleet) CoordinatorSeen(of uint64, until time.Time) {
 	was := f.word.Load()
 	f.word.Store(&word{of, until})
 	if was.of != of {
@@ -35,15 +35,15 @@
 	}
 }
 
-// Believe takes what the host that gives orders told of upstreams since its last
+// ApplyResidency takes what the host that gives orders told of upstreams since its last
 // word. What it tells before the list names an upstream is kept until that comes: it
 // is told once only.
-func (f *Fleet) Believe(all []Held, now time.Time) {
+func (f *Fleet) ApplyResidency(all []Residency, now time.Time) {
 	news := false
 	for i := range all {
 		h := &all[i]
 		e, ok := f.Entry(h.Upstream)
-		if !ok || e.Born() != h.Born {
+		if !ok || e.StartedMs() != h.StartedMs {
 			f.keepEarlyHeld(h)
 			continue
 		}
@@ -58,11 +58,11 @@
 // more than come at a time.
 const earlyHeldMost = 16384
 
-func (f *Fleet) keepEarlyHeld(h *Held) {
+func (f *Fleet) keepEarlyHeld(h *Residency) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.earlyHeld == nil || len(f.earlyHeld) >= earlyHeldMost {
-		f.earlyHeld = map[string]Held{}
+		f.earlyHeld = map[string]Residency{}
 	}
 	f.earlyHeld[h.Upstream] = *h
 }
@@ -70,7 +70,7 @@
 // believeEarlyLocked enters what was told of an upstream that has just come; f.mu is held.
 func (f *Fleet) believeEarlyLocked(e *Entry, now time.Time) {
 	h, ok := f.earlyHeld[e.id]
-	if !ok || h.Born != e.born {
+	if !ok || h.StartedMs != e.born {
 		return
 	}
 	delete(f.earlyHeld, e.id)
@@ -78,12 +78,12 @@
 }
 
 // believe enters a word; it says whether the upstream holds something else by it.
-func (e *Entry) believe(h *Held, now time.Time) (news bool) {
+func (e *Entry) believe(h *Residency, now time.Time) (news bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	news = !slices.EqualFunc(h.Residents, e.believed, deploy.Resident.Equal)
 	e.believed, e.believedAt, e.believedOf = h.Residents, now, e.fleet.word.Load().of
-	e.expectLocked(h.Coming)
+	e.expectLocked(h.Loading)
 	if news {
 		e.reindexLocked()
 	}
--- a/node/follow/config.go
+++ b/node/follow/config.go
@@ -9,30 +9,32 @@
 	"peridotpier.example/node/event"
 )
 
-// Config holds the configuration in force at this host. It never goes back to
+// ActiveConfig holds the configuration in force at this host. It never goes back to
 // a lower version while the process lives.
-type Config struct {
+type ActiveConfig struct {
 	log   *event.Log
 	table atomic.Pointer[deploy.Table]
 	first chan struct{}
 	after func() // called after each change; nil: nobody asks
 }
 
-// NewConfig makes one with nothing in force.
-func NewConfig(log *event.Log) *Config { return &Config{log: log, first: make(chan struct{})} }
+// NewActiveConfig makes one with nothing in force.
+func NewActiveConfig(log *event.Log) *ActiveConfig {
+	return &ActiveConfig{log: log, first: make(chan struct{})}
+}
 
 // Current returns the table in force, or nil before the first.
-func (c *Config) Current() *deploy.Table { return c.table.Load() }
+func (c *ActiveConfig) Current() *deploy.Table { return c.table.Load() }
 
-// First is closed when a configuration is in force.
-func (c *Config) First() <-chan struct{} { return c.first }
+// FirstApplied is closed when a configuration is in force.
+func (c *ActiveConfig) FirstApplied() <-chan struct{} { return c.first }
 
 // OnChange has f called after each change. It is set before the first.
-func (c *Config) OnChange(f func()) { c.after = f }
+func (c *ActiveConfig) OnChange(f func()) { c.after = f }
 
-// Offer puts a configuration in force if it is newer; source says where it
+// ApplyIfNewer puts a configuration in force if it is newer; source says where it
 // came from.
-func (c *Config) Offer(next *deploy.Config, source string) bool {
+func (c *ActiveConfig) ApplyIfNewer(next *deploy.Config, source string) bool {
 	var t *deploy.Table
 	if err := contained(func() error { t = deploy.NewTable(next); return nil }); err != nil {
 		c.log.Emit(event.RoutesUnusable, zap.Error(err))
--- a/node/follow/contain_test.go
+++ b/node/follow/contain_test.go
@@ -23,9 +23,9 @@
 
 // Guards against a value in the store that ends every host which reads it, again at each start.
 func TestAValueThatCannotBeReadEndsNoHost(t *testing.T) {
-	config := follow.NewConfig(event.NewLog(nil))
+	config := follow.NewActiveConfig(event.NewLog(nil))
 	s := &fatalSource{source{version: 3}}
-	f := follow.New(follow.Deps{Source: s, Config: config, Log: event.NewLog(nil), Listed: func() {}})
+	f := follow.New(follow.Deps{Source: s, Config: config, Log: event.NewLog(nil), OnListed: func() {}})
 	ctx, stop := context.WithTimeout(t.Context(), time.Second)
 	defer stop()
 	assert.ErrorIs(t, f.RunConfig(ctx), context.DeadlineExceeded)
@@ -36,8 +36,8 @@
 
 // Guards against the same by the word of another host.
 func TestAConfigurationThatCannotBeCompiledEndsNoHost(t *testing.T) {
-	config := follow.NewConfig(event.NewLog(nil))
-	assert.Assert(t, config.Offer(&deploy.Config{Version: 3}, "test"))
-	assert.Assert(t, !config.Offer(nil, "test"))
+	config := follow.NewActiveConfig(event.NewLog(nil))
+	assert.Assert(t, config.ApplyIfNewer(&deploy.Config{Version: 3}, "test"))
+	assert.Assert(t, !config.ApplyIfNewer(nil, "test"))
 	assert.Equal(t, config.Current().Config.Version, uint64(3))
 }
--- a/node/follow/feed.go
+++ b/node/follow/feed.go
@@ -30,7 +30,7 @@
 
 // storeBack notes that the upstreams' feed is answered again.
 func (f *Follower) storeBack() {
-	f.deps.Upstreams.StoreBack()
+	f.deps.Upstreams.StoreRecovered()
 	f.away.Store(false)
 	select {
 	case f.returned <- struct{}{}:
@@ -53,7 +53,7 @@
 		case err == nil && at == 0: // a store in which nothing was ever written has nothing to wait for
 			f.heard(d, at)
 			wait := pause.NextBackOff()
-			if f.deps.Patient() {
+			if f.deps.OthersProbeFirst() {
 				wait = emptyPause
 			}
 			pace.Sleep(ctx, wait)
@@ -82,9 +82,9 @@
 // least is the time from one call for changes to the next.
 func (f *Follower) least() time.Duration {
 	switch {
-	case f.deps.Relays():
+	case f.deps.IsRelaying():
 		return relayEach
-	case f.deps.Patient():
+	case f.deps.OthersProbeFirst():
 		return pace.DefaultRand().Jitter(patientEach, pauseJitter)
 	default:
 		return pace.DefaultRand().Jitter(aloneEach, pauseJitter)
@@ -94,13 +94,13 @@
 // rest waits between two tries while the store is away.
 func (f *Follower) rest(ctx context.Context, d *feed, wait time.Duration) {
 	quiet := d.second && f.away.Load()
-	if !f.deps.Patient() || wait <= onceMore && !quiet {
+	if !f.deps.OthersProbeFirst() || wait <= onceMore && !quiet {
 		pace.Sleep(ctx, wait)
 		return
 	}
 	if !quiet {
 		between := patientPause
-		if f.deps.Led() {
+		if f.deps.LinkedToCoordinator() {
 			between = ledPause
 		}
 		pace.Sleep(ctx, pace.DefaultRand().Jitter(between, pauseJitter))
@@ -143,7 +143,7 @@
 	}
 	wait, why := aloneWait, waitAlone
 	switch {
-	case !f.deps.Patient() && f.silent(d):
+	case !f.deps.OthersProbeFirst() && f.silent(d):
 		// A host that may act next has to know whether the store answers before a
 		// call that waits for changes would tell.
 		wait, why = 0, lookForStore
@@ -151,9 +151,9 @@
 		// The store may come back without a word on a call that it never heard;
 		// short calls find it within a second, and what changed meanwhile.
 		wait, why = 0, lookForStore
-	case f.deps.Relays():
+	case f.deps.IsRelaying():
 		wait, why = d.relayWait, waitForAll
-	case !f.deps.Patient():
+	case !f.deps.OthersProbeFirst():
 		wait = d.relayWait // it may relay before the call ends, and tells how old its last answer is
 	}
 	f.count(d.name, why)
--- a/node/follow/follow.go
+++ b/node/follow/follow.go
@@ -21,17 +21,17 @@
 	"peridotpier.example/node/store"
 )
 
-// Upstreams is a change of the list of upstreams.
-type Upstreams struct {
-	Put  []deploy.Upstream
-	Gone []string // ids
+// UpstreamUpdate is a change of the list of upstreams.
+type UpstreamUpdate struct {
+	Put     []deploy.Upstream
+	Removed []string // ids
 	// Unreadable are entries that name no upstream. Others than the upstreams
 	// themselves may write there.
-	Unreadable []Unreadable
+	Unreadable []UnreadableEntry
 }
 
-// Unreadable is an entry of the list that cannot be used.
-type Unreadable struct {
+// UnreadableEntry is an entry of the list that cannot be used.
+type UnreadableEntry struct {
 	ID  string
 	Err error
 }
@@ -45,8 +45,8 @@
 	WaitConfig(ctx context.Context, after uint64, wait time.Duration) (*deploy.Config, uint64, error)
 	// ReadUpstreams reads the list whole, a part at a time; more is called before
 	// each part but the first, and ends the reading by an error.
-	ReadUpstreams(ctx context.Context, more func() error) (Upstreams, uint64, error)
-	WaitUpstreams(ctx context.Context, after uint64, wait time.Duration) (Upstreams, uint64, error)
+	ReadUpstreams(ctx context.Context, more func() error) (UpstreamUpdate, uint64, error)
+	WaitUpstreams(ctx context.Context, after uint64, wait time.Duration) (UpstreamUpdate, uint64, error)
 }
 
 const (
@@ -109,36 +109,36 @@
 // pauseJitter spreads the hosts' tries, as a share.
 const pauseJitter = 0.2
 
-// Listener takes the list of upstreams.
-type Listener interface {
+// UpstreamReceiver takes the list of upstreams.
+type UpstreamReceiver interface {
 	// Replace and Apply take a list, or changes of it, that bring it to a
 	// version of the store.
 	Replace(all []deploy.Upstream, at uint64)
 	Apply(put []deploy.Upstream, gone []string, at uint64)
-	StoreBack()
+	StoreRecovered()
 }
 
 // Deps are what a Follower works with.
 type Deps struct {
 	Source    Source
-	Config    *Config
-	Upstreams Listener
+	Config    *ActiveConfig
+	Upstreams UpstreamReceiver
 	Log       *event.Log
 	// Relays says whether this host relays to the others.
-	Relays func() bool
+	IsRelaying func() bool
 	// Patient says that others look for the store's return before this host
 	// does; nil: nobody else does.
-	Patient func() bool
+	OthersProbeFirst func() bool
 	// Led says that this host is linked to one that looks for the store's return
 	// and tells of it within a fraction of a second; nil: it is not.
-	Led func() bool
+	LinkedToCoordinator func() bool
 	// Unneeded says that nobody waits for this host yet, so that it need not ask
 	// the store itself for what another will tell it soon; nil: it is needed.
-	Unneeded func() bool
+	NotNeededYet func() bool
 	// RelayFresh replaces its default; 0: the default.
-	RelayFresh time.Duration
+	MaxRelayAge time.Duration
 	// Listed is called after the list of upstreams was first known.
-	Listed func()
+	OnListed func()
 	// Metrics are the host's; nil: nothing is counted.
 	Metrics *metrics.Set
 }
@@ -167,20 +167,20 @@
 
 // New makes a Follower; Run makes it work.
 func New(d Deps) *Follower {
-	if d.Relays == nil {
-		d.Relays = func() bool { return false }
+	if d.IsRelaying == nil {
+		d.IsRelaying = func() bool { return false }
 	}
-	if d.Patient == nil {
-		d.Patient = func() bool { return false }
+	if d.OthersProbeFirst == nil {
+		d.OthersProbeFirst = func() bool { return false }
 	}
-	if d.Led == nil {
-		d.Led = func() bool { return false }
+	if d.LinkedToCoordinator == nil {
+		d.LinkedToCoordinator = func() bool { return false }
 	}
-	if d.Unneeded == nil {
-		d.Unneeded = func() bool { return false }
+	if d.NotNeededYet == nil {
+		d.NotNeededYet = func() bool { return false }
 	}
-	if d.RelayFresh == 0 {
-		d.RelayFresh = defaultRelayFresh
+	if d.MaxRelayAge == 0 {
+		d.MaxRelayAge = defaultRelayFresh
 	}
 	return &Follower{deps: d, from: time.Now(), returned: make(chan struct{}, 1), sized: make(chan struct{})}
 }
@@ -188,8 +188,8 @@
 // sinceStart is the steady clock; never 0.
 func (f *Follower) sinceStart() int64 { return max(int64(time.Since(f.from)), 1) }
 
-// Age is how long ago the store answered, for the older of the two feeds.
-func (f *Follower) Age() time.Duration {
+// StoreAge is how long ago the store answered, for the older of the two feeds.
+func (f *Follower) StoreAge() time.Duration {
 	heard := min(f.config.heard.Load(), f.upstreams.heard.Load())
 	if heard == 0 {
 		return time.Hour
@@ -197,8 +197,8 @@
 	return time.Duration(f.sinceStart() - heard)
 }
 
-// UpstreamsAt is the version that the list of upstreams is of.
-func (f *Follower) UpstreamsAt() uint64 { return f.upstreams.at.Load() }
+// UpstreamsVersion is the version that the list of upstreams is of.
+func (f *Follower) UpstreamsVersion() uint64 { return f.upstreams.at.Load() }
 
 // RunConfig follows the configuration until ctx ends. One that cannot be used
 // leaves the one in force as it is.
@@ -210,7 +210,7 @@
 			return at, nil
 		}
 		if err == nil && cfg != nil {
-			f.deps.Config.Offer(cfg, "store")
+			f.deps.Config.ApplyIfNewer(cfg, "store")
 		}
 		return at, err
 	}
@@ -229,7 +229,7 @@
 // RunUpstreams follows the upstreams until ctx ends.
 func (f *Follower) RunUpstreams(ctx context.Context) error {
 	return f.run(ctx, &feed{name: upstreamsFeed, progress: &f.upstreams, relayWait: relayUpstreamsWait, back: f.storeBack,
-		lacks: func() bool { return f.brief.Load() && f.deps.Relays() },
+		lacks: func() bool { return f.brief.Load() && f.deps.IsRelaying() },
 		read: func(ctx context.Context) (uint64, error) {
 			all, at, err := f.readParts(ctx)
 			if errors.Is(err, errTold) {
@@ -244,7 +244,7 @@
 			if at >= f.upstreams.at.Load() {
 				f.deps.Upstreams.Replace(all.Put, at)
 				f.brief.Store(false)
-				f.deps.Listed()
+				f.deps.OnListed()
 			}
 			return at, nil
 		},
@@ -256,8 +256,8 @@
 			f.tellUnreadable(u.Unreadable)
 			f.applying.Lock()
 			defer f.applying.Unlock()
-			if at >= f.upstreams.at.Load() && len(u.Put)+len(u.Gone) > 0 {
-				f.deps.Upstreams.Apply(u.Put, u.Gone, at)
+			if at >= f.upstreams.at.Load() && len(u.Put)+len(u.Removed) > 0 {
+				f.deps.Upstreams.Apply(u.Put, u.Removed, at)
 			}
 			return at, nil
 		}})
@@ -270,7 +270,7 @@
 )
 
 // tellUnreadable logs the entries that name no upstream.
-func (f *Follower) tellUnreadable(all []Unreadable) {
+func (f *Follower) tellUnreadable(all []UnreadableEntry) {
 	for _, u := range all {
 		f.deps.Log.Emit(event.EntryUnreadable, zap.String(event.FieldPeer, u.ID), zap.Error(u.Err))
 	}
--- a/node/follow/follow_test.go
+++ b/node/follow/follow_test.go
@@ -76,12 +76,12 @@
 	return &deploy.Config{Version: v}, v, nil
 }
 
-func (s *source) ReadUpstreams(context.Context, func() error) (follow.Upstreams, uint64, error) {
+func (s *source) ReadUpstreams(context.Context, func() error) (follow.UpstreamUpdate, uint64, error) {
 	v, err := s.call(&s.lists)
-	return follow.Upstreams{}, v, err
+	return follow.UpstreamUpdate{}, v, err
 }
 
-func (s *source) WaitUpstreams(ctx context.Context, after uint64, wait time.Duration) (follow.Upstreams, uint64, error) {
+func (s *source) WaitUpstreams(ctx context.Context, after uint64, wait time.Duration) (follow.UpstreamUpdate, uint64, error) {
 	v, err := s.call(&s.lists)
 	if err == nil && v == after {
 		select {
@@ -89,21 +89,21 @@
 		case <-time.After(min(wait, 50*time.Millisecond)):
 		}
 	}
-	return follow.Upstreams{}, v, err
+	return follow.UpstreamUpdate{}, v, err
 }
 
 type listener struct{}
 
 func (listener) Replace([]deploy.Upstream, uint64)         {}
 func (listener) Apply([]deploy.Upstream, []string, uint64) {}
-func (listener) StoreBack()                                {}
+func (listener) StoreRecovered()                           {}
 
 // following runs a host's two feeds; patient says that others look for the store first.
-func following(t *testing.T, s *source, patient bool) *follow.Config {
+func following(t *testing.T, s *source, patient bool) *follow.ActiveConfig {
 	t.Helper()
 	log := event.NewLog(nil)
-	config := follow.NewConfig(log)
-	f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, Patient: func() bool { return patient }, Listed: func() {}})
+	config := follow.NewActiveConfig(log)
+	f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, OthersProbeFirst: func() bool { return patient }, OnListed: func() {}})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for _, run := range []func(context.Context) error{f.RunConfig, f.RunUpstreams} {
@@ -136,7 +136,7 @@
 	}
 }
 
-func inForce(t *testing.T, c *follow.Config, version uint64, within time.Duration) {
+func inForce(t *testing.T, c *follow.ActiveConfig, version uint64, within time.Duration) {
 	t.Helper()
 	for until := time.Now().Add(within); ; time.Sleep(5 * time.Millisecond) {
 		if table := c.Current(); table != nil && table.Config.Version == version {
@@ -191,10 +191,10 @@
 		synctest.Test(t, func(t *testing.T) {
 			log := event.NewLog(nil)
 			s := &source{version: 1}
-			config := follow.NewConfig(log)
-			f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, Listed: func() {},
-				Patient: func() bool { return patient }, RelayFresh: 3 * time.Second})
-			f.Take(follow.Relay{Config: &deploy.Config{Version: 1}, UpstreamsAt: 1})
+			config := follow.NewActiveConfig(log)
+			f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, OnListed: func() {},
+				OthersProbeFirst: func() bool { return patient }, MaxRelayAge: 3 * time.Second})
+			f.ApplyRelay(follow.Relay{Config: &deploy.Config{Version: 1}, UpstreamsVersion: 1})
 			ctx, cancel := context.WithCancel(t.Context())
 			var wg sync.WaitGroup
 			wg.Go(func() { _ = f.RunUpstreams(ctx) })
@@ -216,7 +216,7 @@
 	whole atomic.Int32
 }
 
-func (s *wholeSource) ReadUpstreams(ctx context.Context, more func() error) (follow.Upstreams, uint64, error) {
+func (s *wholeSource) ReadUpstreams(ctx context.Context, more func() error) (follow.UpstreamUpdate, uint64, error) {
 	s.whole.Add(1)
 	return s.source.ReadUpstreams(ctx, more)
 }
@@ -228,11 +228,11 @@
 		synctest.Test(t, func(t *testing.T) {
 			log := event.NewLog(nil)
 			s := &wholeSource{source: source{version: 1}}
-			config := follow.NewConfig(log)
+			config := follow.NewActiveConfig(log)
 			var acts atomic.Bool
-			f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, Listed: func() {}, Relays: acts.Load})
-			f.Take(follow.Relay{Config: &deploy.Config{Version: 1}, UpstreamsAt: 1, Full: true, Brief: brief})
-			f.Take(follow.Relay{UpstreamsAt: 1}) // no news
+			f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, OnListed: func() {}, IsRelaying: acts.Load})
+			f.ApplyRelay(follow.Relay{Config: &deploy.Config{Version: 1}, UpstreamsVersion: 1, Complete: true, Compact: brief})
+			f.ApplyRelay(follow.Relay{UpstreamsVersion: 1}) // no news
 			ctx, cancel := context.WithCancel(t.Context())
 			var wg sync.WaitGroup
 			wg.Go(func() { _ = f.RunUpstreams(ctx) })
@@ -253,10 +253,10 @@
 	parts int
 }
 
-func (s *partedSource) ReadUpstreams(ctx context.Context, more func() error) (follow.Upstreams, uint64, error) {
+func (s *partedSource) ReadUpstreams(ctx context.Context, more func() error) (follow.UpstreamUpdate, uint64, error) {
 	for range s.parts - 1 {
 		if err := more(); err != nil {
-			return follow.Upstreams{}, 0, err
+			return follow.UpstreamUpdate{}, 0, err
 		}
 	}
 	return s.source.ReadUpstreams(ctx, more)
@@ -273,8 +273,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			log := event.NewLog(nil)
 			s := &partedSource{source{version: 1}, c.parts}
-			config := follow.NewConfig(log)
-			f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, Listed: func() {}, Patient: func() bool { return c.patient }})
+			config := follow.NewActiveConfig(log)
+			f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, OnListed: func() {}, OthersProbeFirst: func() bool { return c.patient }})
 			ctx, cancel := context.WithCancel(t.Context())
 			var wg sync.WaitGroup
 			wg.Go(func() { _ = f.RunUpstreams(ctx) })
--- a/node/follow/parts.go
+++ b/node/follow/parts.go
@@ -15,7 +15,7 @@
 // a slow link takes longer for a long list than any single answer may take, and
 // would begin anew for ever. A host that others will tell takes its time between
 // the parts: a list of several is mostly told before it is read.
-func (f *Follower) readParts(ctx context.Context) (Upstreams, uint64, error) {
+func (f *Follower) readParts(ctx context.Context) (UpstreamUpdate, uint64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	late := time.AfterFunc(readBound, cancel)
@@ -27,7 +27,7 @@
 		f.foundSize(true)
 		parts++
 		f.count(upstreamsFeed, readWhole)
-		for rest := time.Duration(parts) * partPause; f.deps.Patient() && rest > 0; rest -= relayedPause {
+		for rest := time.Duration(parts) * partPause; f.deps.OthersProbeFirst() && rest > 0; rest -= relayedPause {
 			if f.isRelayed() {
 				return errTold
 			}
@@ -55,7 +55,7 @@
 // awaitSize waits until it is known whether the list has several parts. Where it has,
 // the configuration is large, too, and a host that others will tell leaves both to them.
 func (f *Follower) awaitSize(ctx context.Context) {
-	if !f.deps.Patient() || f.deps.Unneeded() {
+	if !f.deps.OthersProbeFirst() || f.deps.NotNeededYet() {
 		return
 	}
 	timer := time.NewTimer(sizeBound)
--- a/node/follow/parts_test.go
+++ b/node/follow/parts_test.go
@@ -24,31 +24,31 @@
 	read  atomic.Int32 // parts
 }
 
-func (s *slowList) ReadUpstreams(ctx context.Context, more func() error) (follow.Upstreams, uint64, error) {
+func (s *slowList) ReadUpstreams(ctx context.Context, more func() error) (follow.UpstreamUpdate, uint64, error) {
 	s.begun.Add(1)
 	for part := range s.parts {
 		if part > 0 {
 			if err := more(); err != nil {
-				return follow.Upstreams{}, 0, err
+				return follow.UpstreamUpdate{}, 0, err
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return follow.Upstreams{}, 0, ctx.Err()
+			return follow.UpstreamUpdate{}, 0, ctx.Err()
 		case <-time.After(s.each):
 		}
 		s.read.Add(1)
 	}
-	return follow.Upstreams{Put: []deploy.Upstream{{ID: "u"}}}, 1, nil
+	return follow.UpstreamUpdate{Put: []deploy.Upstream{{ID: "u"}}}, 1, nil
 }
 
 // listedBy runs a host's upstreams' feed for a time and says whether it has a list.
 func listedBy(s *slowList, patient bool, within time.Duration, meanwhile func(context.Context, *follow.Follower)) bool {
 	var listed atomic.Bool
 	log := event.NewLog(nil)
-	config := follow.NewConfig(log)
-	config.Offer(&deploy.Config{Version: 1}, "test")
-	f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, Patient: func() bool { return patient }, Listed: func() { listed.Store(true) }})
+	config := follow.NewActiveConfig(log)
+	config.ApplyIfNewer(&deploy.Config{Version: 1}, "test")
+	f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, OthersProbeFirst: func() bool { return patient }, OnListed: func() { listed.Store(true) }})
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	if meanwhile != nil {
@@ -88,7 +88,7 @@
 		s := &slowList{parts: 7, each: 100 * time.Millisecond}
 		told := func(ctx context.Context, f *follow.Follower) {
 			for pace.Sleep(ctx, 150*time.Millisecond) {
-				f.Take(follow.Relay{Age: time.Millisecond, UpstreamsAt: 3, Full: true, Upstreams: follow.Upstreams{Put: []deploy.Upstream{{ID: "u"}}}})
+				f.ApplyRelay(follow.Relay{StoreAge: time.Millisecond, UpstreamsVersion: 3, Complete: true, UpstreamUpdate: follow.UpstreamUpdate{Put: []deploy.Upstream{{ID: "u"}}}})
 			}
 		}
 		assert.Assert(t, listedBy(s, true, 3*time.Second, told))
--- a/node/follow/relay.go
+++ b/node/follow/relay.go
@@ -8,57 +8,57 @@
 
 // Relay is what the host that follows the store closely hands on.
 type Relay struct {
-	Config      *deploy.Config // nil: none newer
-	Age         time.Duration  // since the store last answered that host, for the older of its two feeds
-	UpstreamsAt uint64         // version that the list is of
-	Full        bool           // Put is the whole list
-	Brief       bool           // Put lacks copies, and upstreams of which nothing changed but what they hold
-	Upstreams
+	Config           *deploy.Config // nil: none newer
+	StoreAge         time.Duration  // since the store last answered that host, for the older of its two feeds
+	UpstreamsVersion uint64         // version that the list is of
+	Complete         bool           // Put is the whole list
+	Compact          bool           // Put lacks copies, and upstreams of which nothing changed but what they hold
+	UpstreamUpdate
 }
 
-// Take enters what was relayed. An upstreams' list that is older than what
+// ApplyRelay enters what was relayed. An upstreams' list that is older than what
 // this host has itself is passed over.
-func (f *Follower) Take(r Relay) {
+func (f *Follower) ApplyRelay(r Relay) {
 	if r.Config != nil {
-		f.deps.Config.Offer(r.Config, "relay")
+		f.deps.Config.ApplyIfNewer(r.Config, "relay")
 	}
 	f.applying.Lock()
 	defer f.applying.Unlock()
-	if r.UpstreamsAt >= f.upstreams.at.Load() && r.UpstreamsAt > 0 {
-		if r.Full {
-			f.deps.Upstreams.Replace(r.Put, r.UpstreamsAt)
-			f.deps.Listed()
-		} else if len(r.Put)+len(r.Gone) > 0 {
-			f.deps.Upstreams.Apply(r.Put, r.Gone, r.UpstreamsAt)
+	if r.UpstreamsVersion >= f.upstreams.at.Load() && r.UpstreamsVersion > 0 {
+		if r.Complete {
+			f.deps.Upstreams.Replace(r.Put, r.UpstreamsVersion)
+			f.deps.OnListed()
+		} else if len(r.Put)+len(r.Removed) > 0 {
+			f.deps.Upstreams.Apply(r.Put, r.Removed, r.UpstreamsVersion)
 		}
-		f.upstreams.at.Store(r.UpstreamsAt)
-		f.brief.Store(r.Brief || !r.Full && f.brief.Load())
+		f.upstreams.at.Store(r.UpstreamsVersion)
+		f.brief.Store(r.Compact || !r.Complete && f.brief.Load())
 	}
-	if r.Age < f.deps.RelayFresh {
-		f.relayed.Store(f.sinceStart() - int64(r.Age))
+	if r.StoreAge < f.deps.MaxRelayAge {
+		f.relayed.Store(f.sinceStart() - int64(r.StoreAge))
 	}
 }
 
 // relayFresh is how old the relaying host's last answer from the store may be here. A
 // host that should act next finds out soonest that just that one is turned away.
 func (f *Follower) relayFresh() time.Duration {
-	if f.deps.Patient() {
-		return f.deps.RelayFresh
+	if f.deps.OthersProbeFirst() {
+		return f.deps.MaxRelayAge
 	}
-	return min(f.deps.RelayFresh, defaultRelayFresh)
+	return min(f.deps.MaxRelayAge, defaultRelayFresh)
 }
 
 // isRelayed says whether the relay is fresh enough to do without the store.
 func (f *Follower) isRelayed() bool {
 	at := f.relayed.Load()
-	return at != 0 && f.sinceStart()-at < int64(f.relayFresh()) && !f.deps.Relays() && f.deps.Config.Current() != nil && f.upstreams.at.Load() != 0
+	return at != 0 && f.sinceStart()-at < int64(f.relayFresh()) && !f.deps.IsRelaying() && f.deps.Config.Current() != nil && f.upstreams.at.Load() != 0
 }
 
 // relayedFor is how long a relay that is fresh stays so, within relayedPause and
 // longestRelayedPause. A host that may soon relay itself looks often.
 func (f *Follower) relayedFor() time.Duration {
-	left := f.deps.RelayFresh - time.Duration(f.sinceStart()-f.relayed.Load())
-	if !f.deps.Patient() {
+	left := f.deps.MaxRelayAge - time.Duration(f.sinceStart()-f.relayed.Load())
+	if !f.deps.OthersProbeFirst() {
 		return relayedPause
 	}
 	return min(max(left, relayedPause), longestRelayedPause)
@@ -77,16 +77,16 @@
 // waits for yet, or where the list has several parts. Hosts that start together would
 // each read the store whole, and ask it again several times until they are linked.
 func (f *Follower) spared() bool {
-	if !f.deps.Patient() {
+	if !f.deps.OthersProbeFirst() {
 		return false
 	}
 	now := f.sinceStart()
-	if !f.deps.Unneeded() {
+	if !f.deps.NotNeededYet() {
 		return f.large.Load() && f.deps.Config.Current() == nil && now < int64(startPatience)
 	}
 	if now < int64(startPatience) {
 		return true
 	}
 	at := f.relayed.Load()
-	return at != 0 && now-at < int64(f.deps.RelayFresh) && now < int64(relayPatience)
+	return at != 0 && now-at < int64(f.deps.MaxRelayAge) && now < int64(relayPatience)
 }
--- a/node/gate/again_test.go
+++ b/node/gate/again_test.go
@@ -61,7 +61,7 @@
 			table := *g.deps.Config.Current().Config
 			table.Version++
 			table.Routes[0].Kind, table.Routes[0].Attempts = c.kind, c.attempts
-			g.deps.Config.Offer(&table, "test")
+			g.deps.Config.ApplyIfNewer(&table, "test")
 			w := httptest.NewRecorder()
 			g.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "http://example.com/x", nil))
 			assert.Equal(t, taken.Load(), c.runs)
--- a/node/gate/answer_test.go
+++ b/node/gate/answer_test.go
@@ -27,7 +27,7 @@
 	table := *g.deps.Config.Current().Config
 	table.Version++
 	table.Services = []deploy.Service{{Name: "s"}}
-	g.deps.Config.Offer(&table, "test")
+	g.deps.Config.ApplyIfNewer(&table, "test")
 	host := httptest.NewServer(g)
 	defer host.Close()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, host.URL+"/x", nil)
@@ -77,7 +77,7 @@
 	table.Version++
 	table.Routes = []deploy.Route{table.Routes[0]}
 	change(&table.Routes[0])
-	g.deps.Config.Offer(&table, "test")
+	g.deps.Config.ApplyIfNewer(&table, "test")
 }
 
 // Symptom: a caller that is still sending when its time is over is told that its
--- a/node/gate/attempt.go
+++ b/node/gate/attempt.go
@@ -39,9 +39,9 @@
 	defer cancel(nil)
 	x := e.Begin(&q.ask, q.cost)
 	if p.turn != nil {
-		x.Beside(p.waiting)
-		if q.ask.Model != "" || p.turn.Trial { // of other calls the end is what counts
-			x.OnFirst(p.turn.Began)
+		x.RecordPendingPrompts(p.waiting)
+		if q.ask.Model != "" || p.turn.IsProbe { // of other calls the end is what counts
+			x.OnFirstByte(p.turn.Began)
 		}
 		defer p.turn.Release()
 	}
@@ -51,7 +51,7 @@
 	l := &elsewhere{q: q, ctx: ctx, cancel: cancel}
 	defer l.end()
 	if q.mayRunAgain() && q.sends < q.route.Attempts {
-		x.OnSilence(l.silent)
+		x.OnUnresponsive(l.silent)
 		if q.route.Repeatable() && q.route.Objective > 0 {
 			defer time.AfterFunc(hedgeShare*q.route.Objective, l.slow).Stop()
 		}
@@ -59,7 +59,7 @@
 	now := d.Now()
 	q.sentAt = now
 	d.Log.Emit(event.RequestSent, q.id(), q.routeName(), q.teamName(), zap.String(event.FieldPeer, e.ID()), zap.Int("among", p.among),
-		zap.Int("load", p.load), zap.Int("prompt", q.cost.Prompt), zap.Int("cached", p.cached), zap.Int("waiting", p.waiting), zap.Int64("predicted_ms", p.PredictedWait.Milliseconds()), zap.Uint64("version", q.version),
+		zap.Int("load", p.load), zap.Int("prompt", q.cost.PromptTokens), zap.Int("cached", p.cached), zap.Int("waiting", p.waiting), zap.Int64("predicted_ms", p.PredictedWait.Milliseconds()), zap.Uint64("version", q.version),
 		zap.Int64("held_ms", now.Sub(q.start).Milliseconds()), zap.String("model", q.ask.Model), zap.String("adapter", q.ask.Adapter),
 		zap.Bool("by_turn", p.turn != nil), limitOf(e))
 	d.Metrics.Add(metrics.Attempts, q.service.Name, e.ID(), 1)
@@ -90,34 +90,34 @@
 		s.HasUrgency = true
 	}
 	q.g.deps.Codec.SetAttempt(h, s)
-	return &conn.Request{Address: e.Address(), Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host, Header: h, Body: q.body, Wanted: e.Takes}
+	return &conn.Request{Address: e.Address(), Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host, Header: h, Body: q.body, StillWanted: e.AcceptsRequests}
 }
 
 // unanswered ends an attempt that brought no head of an answer.
-func (q *request) unanswered(ctx context.Context, x *fleet.Exchange, err error) result {
+func (q *request) unanswered(ctx context.Context, x *fleet.Attempt, err error) result {
 	notRun := fault.From(fault.StepDispatch, err).Outcome == outcome.NotRun
 	if !notRun {
 		q.maybe++
 	}
 	if q.ctx.Err() != nil {
-		x.Dropped()
+		x.Cancelled()
 		return result{notRun: notRun, why: "time_up"}
 	}
 	why := "broken"
 	switch {
 	case leftBecause(ctx) != "":
-		x.Dropped() // silence was counted when it was found
+		x.Cancelled() // silence was counted when it was found
 		return result{notRun: notRun, why: leftBecause(ctx), allowed: true}
 	case errors.Is(err, syscall.ECONNREFUSED):
 		q.sends--
-		x.Absent()
+		x.NotListening()
 		return result{notRun: true, why: "absent", absent: true}
-	case errors.Is(err, conn.ErrUnwanted):
-		x.Dropped()
+	case errors.Is(err, conn.ErrNoLongerWanted):
+		x.Cancelled()
 		return result{notRun: true, why: "asked_meanwhile", allowed: true}
 	case notRun:
 		why = "no_connection"
-		x.Broken(why)
+		x.Interrupted(why)
 	default:
 		q.broken(x, why)
 	}
@@ -125,10 +125,10 @@
 }
 
 // answered checks the head of an answer and takes what it is for.
-func (q *request) answered(ctx context.Context, l *elsewhere, e *fleet.Entry, x *fleet.Exchange, resp *conn.Response) result {
+func (q *request) answered(ctx context.Context, l *elsewhere, e *fleet.Entry, x *fleet.Attempt, resp *conn.Response) result {
 	facts := q.g.deps.Codec.DecodeResponse(resp.Status, resp.Header)
 	if facts.Load != nil {
-		x.Told(*facts.Load)
+		x.RecordReportedLoad(*facts.Load)
 	}
 	q.heed(e, resp.Status, &facts)
 	if facts.NotRun {
@@ -145,7 +145,7 @@
 	case resp.Status >= 300 && resp.Status < 400:
 		return q.distrust(x, resp, "redirect")
 	}
-	x.Heard()
+	x.ReceivedBytes()
 	if q.route.Kind == deploy.Stream && resp.Status < 300 {
 		return q.stream(ctx, l, x, resp)
 	}
@@ -153,14 +153,14 @@
 }
 
 // distrust ends an attempt whose answer cannot be passed on.
-func (q *request) distrust(x *fleet.Exchange, resp *conn.Response, why string) result {
+func (q *request) distrust(x *fleet.Attempt, resp *conn.Response, why string) result {
 	resp.Abort()
-	x.Broken(why)
+	x.Interrupted(why)
 	return result{why: why}
 }
 
 // refused takes an upstream's word that it did not run the request.
-func (q *request) refused(e *fleet.Entry, x *fleet.Exchange, resp *conn.Response, facts ResponseInfo) result {
+func (q *request) refused(e *fleet.Entry, x *fleet.Attempt, resp *conn.Response, facts ResponseInfo) result {
 	x.Refused()
 	after := retryAfter(resp.Header)
 	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, refusalMost)); err != nil {
@@ -171,9 +171,9 @@
 	q.g.deps.Metrics.Add(metrics.Refused, q.service.Name, e.ID(), 1)
 	if resp.Status == http.StatusMisdirectedRequest {
 		if facts.Upstream != "" && facts.Upstream != e.ID() {
-			e.Replaced()
+			e.MarkReplaced()
 		} else {
-			e.Deny(q.ask.Model, q.ask.Adapter)
+			e.MarkNotResident(q.ask.Model, q.ask.Adapter)
 		}
 	}
 	return result{notRun: true, why: "refused_" + strconv.Itoa(resp.Status), retryAfter: after}
@@ -200,7 +200,7 @@
 const wholeMost = 1 << 20
 
 // whole relays an answer that is not a stream.
-func (q *request) whole(ctx context.Context, l *elsewhere, x *fleet.Exchange, resp *conn.Response) result {
+func (q *request) whole(ctx context.Context, l *elsewhere, x *fleet.Attempt, resp *conn.Response) result {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, wholeMost+1))
 	if err != nil {
 		return q.cut(ctx, x, resp)
@@ -222,7 +222,7 @@
 }
 
 // large relays an answer that is too big to be taken in first.
-func (q *request) large(ctx context.Context, x *fleet.Exchange, resp *conn.Response, head []byte) result {
+func (q *request) large(ctx context.Context, x *fleet.Attempt, resp *conn.Response, head []byte) result {
 	q.head(resp)
 	if resp.Length >= 0 {
 		q.w.Header().Set("Content-Length", strconv.FormatInt(resp.Length, 10))
@@ -242,14 +242,14 @@
 }
 
 // cut ends an attempt whose answer broke off.
-func (q *request) cut(ctx context.Context, x *fleet.Exchange, resp *conn.Response) result {
+func (q *request) cut(ctx context.Context, x *fleet.Attempt, resp *conn.Response) result {
 	resp.Abort()
 	switch {
 	case leftBecause(ctx) != "":
-		x.Dropped()
+		x.Cancelled()
 		return result{why: leftBecause(ctx), allowed: true}
 	case q.ctx.Err() != nil:
-		x.Dropped()
+		x.Cancelled()
 		return result{why: "time_up"}
 	}
 	q.broken(x, "cut")
--- a/node/gate/caller_test.go
+++ b/node/gate/caller_test.go
@@ -63,7 +63,7 @@
 	table.Version++
 	table.Teams = []deploy.Team{{Name: "limited", Urgency: 1, Keys: []apikey.Hash{apikey.HashOf("l")}, Limit: quota.Limit{Unit: quota.Tokens, PerSecond: 10, Burst: 10}},
 		{Name: "first", Keys: []apikey.Hash{apikey.HashOf("f")}}}
-	g.deps.Config.Offer(&table, "test")
+	g.deps.Config.ApplyIfNewer(&table, "test")
 	return g
 }
 
--- a/node/gate/coming_test.go
+++ b/node/gate/coming_test.go
@@ -19,10 +19,10 @@
 	for {
 		now := time.Now()
 		if now.After(at) {
-			f.Believe([]fleet.Held{{Upstream: upstream, Residents: []deploy.Resident{{Model: model}}}}, now)
+			f.ApplyResidency([]fleet.Residency{{Upstream: upstream, Residents: []deploy.Resident{{Model: model}}}}, now)
 			return
 		}
-		f.Believe([]fleet.Held{{Upstream: upstream, Residents: []deploy.Resident{{Model: "old"}}, Coming: []fleet.Coming{{Model: model, At: at}}}}, now)
+		f.ApplyResidency([]fleet.Residency{{Upstream: upstream, Residents: []deploy.Resident{{Model: "old"}}, Loading: []fleet.LoadingModel{{Model: model, ReadyAt: at}}}}, now)
 		select {
 		case <-done:
 			return
@@ -61,7 +61,7 @@
 	g, f := waiting(&modelless{}, "127.0.0.1:1")
 	began := time.Now()
 	at := began.Add(9 * time.Second) // of the 10 s that the caller has
-	f.Believe([]fleet.Held{{Upstream: "u", Residents: []deploy.Resident{{Model: "old"}}, Coming: []fleet.Coming{{Model: "new", At: at}}}}, began)
+	f.ApplyResidency([]fleet.Residency{{Upstream: "u", Residents: []deploy.Resident{{Model: "old"}}, Loading: []fleet.LoadingModel{{Model: "new", ReadyAt: at}}}}, began)
 	r := httptest.NewRequest(http.MethodPost, "http://example.com/x", nil)
 	r.Header.Set("Model", "new")
 	w := httptest.NewRecorder()
--- a/node/gate/crowded_test.go
+++ b/node/gate/crowded_test.go
@@ -42,7 +42,7 @@
 	table.Services = []deploy.Service{{Name: "s"}}
 	table.Routes = []deploy.Route{table.Routes[0]}
 	table.Routes[0].Timeout = 1200 * time.Millisecond
-	g.deps.Config.Offer(&table, "test")
+	g.deps.Config.ApplyIfNewer(&table, "test")
 	e, _ := f.Entry("u")
 	othersSent(g, e, fleet.Load{Requests: others})
 	return g
--- a/node/gate/gate.go
+++ b/node/gate/gate.go
@@ -62,7 +62,7 @@
 
 // Deps are what a Gate works with.
 type Deps struct {
-	Config        *follow.Config
+	Config        *follow.ActiveConfig
 	Fleet         *fleet.Fleet
 	Client        *conn.Client
 	Codec         Codec
@@ -160,7 +160,7 @@
 	taken    bool // the body was read whole
 	start    time.Time
 	deadline time.Time
-	ask      fleet.Ask
+	ask      fleet.Request
 	cost     fleet.Cost
 
 	tried       map[string]bool // upstreams that had an attempt
@@ -228,11 +228,11 @@
 		return false
 	}
 	if q.service.Engine != nil { // a plain service runs no models, whatever its caller names
-		q.ask = fleet.Ask{Model: q.facts.Model, Adapter: q.facts.Adapter, Parts: q.facts.Parts}
+		q.ask = fleet.Request{Model: q.facts.Model, Adapter: q.facts.Adapter, PromptParts: q.facts.PromptParts}
 	}
-	q.cost = fleet.Cost{Prompt: q.facts.PromptTokens, Output: q.output()}
+	q.cost = fleet.Cost{PromptTokens: q.facts.PromptTokens, OutputTokens: q.output()}
 	if q.ask.Model != "" {
-		d.Coordinator.RecordDemand(q.service.Name, &q.facts, q.cost.Output, q.route.Objective, false)
+		d.Coordinator.RecordDemand(q.service.Name, &q.facts, q.cost.OutputTokens, q.route.Objective, false)
 	}
 	d.RetryBudget.RecordRequest(q.service.Name, q.start)
 	return true
--- a/node/gate/overload_test.go
+++ b/node/gate/overload_test.go
@@ -51,7 +51,7 @@
 	defer close(done)
 	go func() {
 		for {
-			othersSent(g, e, fleet.Load{Requests: 4, Waiting: 9000, Tokens: 9400})
+			othersSent(g, e, fleet.Load{Requests: 4, PendingPromptTokens: 9000, Tokens: 9400})
 			select {
 			case <-done:
 				return
@@ -77,10 +77,10 @@
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	defer up.Close()
 	g, e := reading(up.Listener.Addr().String())
-	othersSent(g, e, fleet.Load{Requests: 4, Waiting: 9000, Tokens: 9400})
+	othersSent(g, e, fleet.Load{Requests: 4, PendingPromptTokens: 9000, Tokens: 9400})
 	time.AfterFunc(300*time.Millisecond, func() {
-		othersSent(g, e, fleet.Load{Requests: 3, Waiting: 100, Tokens: 500})
-		g.deps.Fleet.Tell()
+		othersSent(g, e, fleet.Load{Requests: 3, PendingPromptTokens: 100, Tokens: 500})
+		g.deps.Fleet.NotifyChanged()
 	})
 	r := httptest.NewRequest(http.MethodPost, "http://example.com/x", nil)
 	r.Header.Set("Model", "m")
@@ -100,12 +100,12 @@
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { sent.Add(1) }))
 	defer up.Close()
 	g, e := reading(up.Listener.Addr().String())
-	othersSent(g, e, fleet.Load{Requests: 4, Waiting: 9000, Tokens: 9400})
+	othersSent(g, e, fleet.Load{Requests: 4, PendingPromptTokens: 9000, Tokens: 9400})
 	q := &request{g: g, start: time.Now().Add(-600 * time.Millisecond), tried: map[string]bool{}}
 	table := g.deps.Config.Current()
 	q.route = &table.Config.Routes[0]
 	q.service, _ = table.Service("s")
-	q.ask = fleet.Ask{Model: "m"}
+	q.ask = fleet.Request{Model: "m"}
 	q.deadline = q.start.Add(q.route.Timeout)
 	found, _ := q.pick()
 	assert.Assert(t, found == nil, "it is new")
@@ -116,5 +116,5 @@
 
 // othersSent has the others' load at an upstream told, alone of its service.
 func othersSent(g *Gate, e *fleet.Entry, l fleet.Load) {
-	g.deps.Fleet.SetOthers(e.Service(), map[string]fleet.Load{e.ID(): l}, time.Now().Add(1500*time.Millisecond))
+	g.deps.Fleet.SetOtherHostsLoad(e.Service(), map[string]fleet.Load{e.ID(): l}, time.Now().Add(1500*time.Millisecond))
 }
--- a/node/gate/pick.go
+++ b/node/gate/pick.go
@@ -59,7 +59,7 @@
 func (q *request) pickCounted() (*fleet.Entry, picked) {
 	for {
 		e, p := q.pick()
-		if e == nil || e.Pass(q.g.deps.Now()) {
+		if e == nil || e.AdmitWithoutPermit(q.g.deps.Now()) {
 			return e, p
 		}
 	}
@@ -76,12 +76,12 @@
 // several times what a call takes: together they fill one upstream's queue, so
 // that its answers are late and the rest is refused, with the next one idle.
 func (q *request) crowded() bool {
-	if q.g.deps.Fleet.Limited(q.service.Name) {
+	if q.g.deps.Fleet.HasLimit(q.service.Name) {
 		return true
 	}
 	now := q.g.deps.Now()
 	requests, slots := 0, 0
-	for _, e := range q.g.deps.Fleet.Service(q.service.Name) {
+	for _, e := range q.g.deps.Fleet.EntriesOfService(q.service.Name) {
 		at := e.Endpoint(&q.ask, now)
 		if !at.Draining && !at.Down {
 			requests, slots = requests+at.InFlight, slots+at.Slots
@@ -97,14 +97,14 @@
 func (q *request) pickAs(lost bool) (*fleet.Entry, picked) {
 	d := &q.g.deps
 	now := d.Now()
-	entries := d.Fleet.Holders(q.service.Name, q.ask.Model)
+	entries := d.Fleet.EntriesWithModel(q.service.Name, q.ask.Model)
 	endpoints := make([]balance.Endpoint, len(entries))
 	for i, e := range entries {
 		endpoints[i] = e.Endpoint(&q.ask, now)
 		endpoints[i].Tried = q.tried[endpoints[i].ID]
-		endpoints[i].HasIdleConn = d.Client.Warm(e.Address())
+		endpoints[i].HasIdleConn = d.Client.HasIdleConnection(e.Address())
 	}
-	r := balance.Request{Model: q.ask.Model, Adapter: q.ask.Adapter, PromptTokens: q.cost.Prompt, OutputTokens: q.cost.Output}
+	r := balance.Request{Model: q.ask.Model, Adapter: q.ask.Adapter, PromptTokens: q.cost.PromptTokens, OutputTokens: q.cost.OutputTokens}
 	if q.service.Engine != nil {
 		r.CacheTokens = q.service.Engine.CacheTokens
 		r.MaxPendingPromptTokens = q.reading(now, lost)
@@ -113,7 +113,7 @@
 	if p.AdapterTarget >= 0 {
 		p.home = entries[p.AdapterTarget]
 	}
-	if p.Reason == balance.NoUpstream && d.Fleet.Lacks(q.service.Name, q.ask.Model, func(e *fleet.Entry) bool { return q.tried[e.ID()] }) {
+	if p.Reason == balance.NoUpstream && d.Fleet.HasUsableWithoutModel(q.service.Name, q.ask.Model, func(e *fleet.Entry) bool { return q.tried[e.ID()] }) {
 		p.Reason = balance.NoModel
 	}
 	if p.Index < 0 {
@@ -182,7 +182,7 @@
 	ctx, cancel := context.WithDeadline(q.ctx, until)
 	defer cancel()
 	if p.MinBackoff > 0 {
-		defer time.AfterFunc(p.MinBackoff, q.g.deps.Fleet.Tell).Stop()
+		defer time.AfterFunc(p.MinBackoff, q.g.deps.Fleet.NotifyChanged).Stop()
 	}
 	defer q.endsWithStop(cancel)()
 	q.tellWait(p, until.Sub(now))
@@ -221,7 +221,7 @@
 	defer cancel()
 	defer q.endsWithStop(cancel)()
 	for {
-		held := q.g.deps.Fleet.HoldingsChanged()
+		held := q.g.deps.Fleet.ResidencyChanged()
 		if e, p := q.pick(); e != nil || p.Reason != balance.NoModel {
 			return true
 		}
@@ -231,7 +231,7 @@
 			return q.giveUpModel(now)
 		}
 		q.tellWait(p, until.Sub(now))
-		q.g.deps.Coordinator.RecordDemand(q.service.Name, &q.facts, q.cost.Output, q.route.Objective, true)
+		q.g.deps.Coordinator.RecordDemand(q.service.Name, &q.facts, q.cost.OutputTokens, q.route.Objective, true)
 		look, cancel := context.WithTimeout(ctx, min(modelLook, until.Sub(now)))
 		select {
 		case <-held:
@@ -254,7 +254,7 @@
 // that any wait is in vain.
 func (q *request) modelBy() (until time.Time, late bool) {
 	usual := q.start.Add(q.hold(balance.NoModel))
-	at, coming := q.g.deps.Fleet.Coming(q.service.Name, q.ask.Model)
+	at, coming := q.g.deps.Fleet.ExpectedReady(q.service.Name, q.ask.Model)
 	if !coming || q.started || q.g.deps.Draining() {
 		return usual, false
 	}
@@ -271,7 +271,7 @@
 // giveUpModel answers a request whose model will not come in its time. A caller
 // may come back when it is there.
 func (q *request) giveUpModel(now time.Time) bool {
-	at, coming := q.g.deps.Fleet.Coming(q.service.Name, q.ask.Model)
+	at, coming := q.g.deps.Fleet.ExpectedReady(q.service.Name, q.ask.Model)
 	if after := at.Sub(now); coming && after > 0 && q.kept == nil && q.r.Context().Err() == nil {
 		q.unserved(http.StatusBadGateway, balance.NoModel.String(), after)
 		return false
--- a/node/gate/poison.go
+++ b/node/gate/poison.go
@@ -50,8 +50,8 @@
 
 // broken notes an exchange that broke while the upstream may have been running
 // the request: the request may have ended it.
-func (q *request) broken(x *fleet.Exchange, why string) {
-	x.Broken(why)
+func (q *request) broken(x *fleet.Attempt, why string) {
+	x.Interrupted(why)
 	if !q.ranSince.IsZero() && q.g.deps.Now().Sub(q.ranSince) > longRun {
 		q.completed()
 		return
--- a/node/gate/poison_test.go
+++ b/node/gate/poison_test.go
@@ -132,8 +132,8 @@
 	table := *g.deps.Config.Current().Config
 	table.Version++
 	table.Routes[0].Attempts = 3
-	g.deps.Config.Offer(&table, "test")
-	one := g.deps.Fleet.Service("s")[0]
+	g.deps.Config.ApplyIfNewer(&table, "test")
+	one := g.deps.Fleet.EntriesOfService("s")[0]
 	g.deps.Fleet.Apply([]deploy.Upstream{{ID: "v", Service: "s", Address: one.Address(), Slots: 4}}, nil, 0)
 	assert.Equal(t, serve(g, "/a").Code, http.StatusBadGateway, "nothing is promised of what may have run")
 	assert.Equal(t, reached.Load(), int32(1))
--- a/node/gate/signals.go
+++ b/node/gate/signals.go
@@ -27,9 +27,9 @@
 	if a.LimitUnreadable || !a.Sealed && !a.Limit.Stated {
 		s.Limit = e.Limit()
 	}
-	e.Heed(s, ownAnswer)
+	e.ApplySignal(s, ownAnswer)
 	if a.Backoff > 0 {
-		e.Rest(a.Backoff)
+		e.StartBackoff(a.Backoff)
 		q.g.deps.Metrics.Add(metrics.BackoffsRequested, q.service.Name, e.ID(), 1)
 		q.g.deps.Log.Emit(event.UpstreamAsked, q.id(), zap.String(event.FieldPeer, e.ID()), zap.Int64("for_ms", a.Backoff.Milliseconds()))
 	}
--- a/node/gate/signals_test.go
+++ b/node/gate/signals_test.go
@@ -33,7 +33,7 @@
 	e, ok := f.Entry("u")
 	assert.Assert(t, ok)
 	now := time.Now()
-	e.Heed(backpressure.Signal{Limit: backpressure.Limit{Stated: true, PerSecond: 1}, SentAt: now.Add(-time.Millisecond), ReceivedAt: now}, "test")
+	e.ApplySignal(backpressure.Signal{Limit: backpressure.Limit{Stated: true, PerSecond: 1}, SentAt: now.Add(-time.Millisecond), ReceivedAt: now}, "test")
 }
 
 // Guards against turns of a host that does not know of a limit yet: nobody counts them.
--- a/node/gate/silent_test.go
+++ b/node/gate/silent_test.go
@@ -44,7 +44,7 @@
 	table.Version++
 	table.Routes = []deploy.Route{table.Routes[0]}
 	table.Routes[0].Kind, table.Routes[0].Attempts, table.Routes[0].Resumable = kind, 2, true
-	g.deps.Config.Offer(&table, "test")
+	g.deps.Config.ApplyIfNewer(&table, "test")
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
 	go func() {
@@ -54,7 +54,7 @@
 				each.Stop()
 				return
 			case <-each.C:
-				f.Sweep()
+				f.RunChecks()
 			}
 		}
 	}()
@@ -160,9 +160,9 @@
 	defer second.Close()
 	f.Apply([]deploy.Upstream{{ID: "v", Service: "s", Address: second.Listener.Addr().String(), Slots: 4}}, nil, 0)
 	e, _ := f.Entry("v")
-	var others []*fleet.Exchange
+	var others []*fleet.Attempt
 	for range 12 { // its queue's bound
-		others = append(others, e.Begin(&fleet.Ask{}, fleet.Cost{}))
+		others = append(others, e.Begin(&fleet.Request{}, fleet.Cost{}))
 	}
 	go func() {
 		time.Sleep(700 * time.Millisecond)
@@ -227,7 +227,7 @@
 	f.Apply([]deploy.Upstream{{ID: "v", Service: "s", Address: quick.Listener.Addr().String(), Slots: 4}}, nil, 0)
 	v, _ := f.Entry("v")
 	for range 3 { // so that it is not chosen first
-		defer v.Begin(&fleet.Ask{}, fleet.Cost{}).Dropped()
+		defer v.Begin(&fleet.Request{}, fleet.Cost{}).Cancelled()
 	}
 	routed(g, func(r *deploy.Route) { r.Kind, r.Attempts, r.Objective = deploy.Idempotent, 2, slowObjective })
 	began := time.Now()
--- a/node/gate/stream.go
+++ b/node/gate/stream.go
@@ -16,13 +16,13 @@
 
 // stream relays events as they arrive. One that breaks off ends without its
 // proper end, or goes on at another upstream where its route allows that.
-func (q *request) stream(ctx context.Context, l *elsewhere, x *fleet.Exchange, resp *conn.Response) result {
+func (q *request) stream(ctx context.Context, l *elsewhere, x *fleet.Attempt, resp *conn.Response) result {
 	events := splitter{whole: q.mayRunAgain(), last: q.after}
 	buf := make([]byte, streamBuffer)
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
-			x.Heard()
+			x.ReceivedBytes()
 			l.heard.Add(1)
 			q.piece()
 			if werr := q.pass(resp, events.take(buf[:n])); werr != nil {
@@ -106,9 +106,9 @@
 func (w callerWriter) Write(b []byte) (int, error) { return w.q.write(b) }
 
 // unread ends a stream whose caller does not take it any more.
-func (q *request) unread(x *fleet.Exchange, resp *conn.Response) result {
+func (q *request) unread(x *fleet.Attempt, resp *conn.Response) result {
 	resp.Abort()
-	x.Dropped()
+	x.Cancelled()
 	q.left()
 	return result{done: true}
 }
--- a/node/gate/turn.go
+++ b/node/gate/turn.go
@@ -16,17 +16,17 @@
 // PermitRequest asks the host that decides for all where a request may go.
 type PermitRequest struct {
 	Service                string
-	Ask                    *fleet.Ask
+	Request                *fleet.Request
 	Cost                   fleet.Cost
 	Priority               int
-	MaxPendingPromptTokens int           // prompt tokens that may wait beside it; 0: not bounded
-	Excluded               []string      // upstreams not to go to: tried, or left alone by this host
-	Warm                   []string      // upstreams with an idle connection from here
-	Backoffs               fleet.Rests   // that upstreams of the service asked this host for
-	ObjectiveLeft          time.Duration // for so long an answer that begins is in time
-	MaxWait                time.Duration // for so long it waits
-	Team                   *deploy.Team  // whose limit is charged with the turn; nil: nobody's
-	Charge                 float64       // in what the limit counts
+	MaxPendingPromptTokens int            // prompt tokens that may wait beside it; 0: not bounded
+	Excluded               []string       // upstreams not to go to: tried, or left alone by this host
+	WithIdleConn           []string       // upstreams with an idle connection from here
+	Backoffs               fleet.Backoffs // that upstreams of the service asked this host for
+	ObjectiveLeft          time.Duration  // for so long an answer that begins is in time
+	MaxWait                time.Duration  // for so long it waits
+	Team                   *deploy.Team   // whose limit is charged with the turn; nil: nobody's
+	Charge                 float64        // in what the limit counts
 }
 
 // Permit is the answer. Of one with an upstream, First is called when the answer
@@ -44,7 +44,7 @@
 	CachedTokens        int
 	// WithinLimit says that the upstream names a limit and the request is counted.
 	WithinLimit bool
-	Trial       bool // First is waited for: the upstream has turned requests away
+	IsProbe     bool // First is waited for: the upstream has turned requests away
 
 	Began        func()
 	NotListening func()
@@ -63,14 +63,14 @@
 	ctx, cancel := context.WithTimeout(q.ctx, left)
 	defer cancel()
 	defer q.endsWithStop(cancel)()
-	ask := &PermitRequest{Service: q.service.Name, Ask: &q.ask, Cost: q.cost, Priority: q.urgency(), MaxPendingPromptTokens: q.reading(now, q.lost),
+	ask := &PermitRequest{Service: q.service.Name, Request: &q.ask, Cost: q.cost, Priority: q.urgency(), MaxPendingPromptTokens: q.reading(now, q.lost),
 		ObjectiveLeft: q.start.Add(q.route.Objective).Sub(now), MaxWait: left}
-	ask.Warm, ask.Backoffs = q.warm(), d.Fleet.Rests(q.service.Name)
+	ask.WithIdleConn, ask.Backoffs = q.warm(), d.Fleet.Backoffs(q.service.Name)
 	if q.caller.owes() {
 		ask.Team, ask.Charge = q.caller.team, q.caller.cost
 	}
-	for _, e := range d.Fleet.Holders(q.service.Name, q.ask.Model) {
-		if q.tried[e.ID()] || e.Down() {
+	for _, e := range d.Fleet.EntriesWithModel(q.service.Name, q.ask.Model) {
+		if q.tried[e.ID()] || e.IsDown() {
 			ask.Excluded = append(ask.Excluded, e.ID())
 		}
 	}
@@ -92,7 +92,7 @@
 		t.Release() // what this host knows is newer
 		return nil, picked{}, false
 	}
-	p = picked{Decision: balance.Decision{PredictedWait: t.Predicted}, among: len(d.Fleet.Service(q.service.Name)),
+	p = picked{Decision: balance.Decision{PredictedWait: t.Predicted}, among: len(d.Fleet.EntriesOfService(q.service.Name)),
 		load: t.InFlight, waiting: t.PendingPromptTokens, cached: t.CachedTokens, turn: t}
 	d.Log.Emit(event.TurnGiven, q.id(), zap.String(event.FieldPeer, t.Upstream), zap.Int64("waited_ms", d.Now().Sub(now).Milliseconds()),
 		zap.Int("load", t.InFlight), zap.Int("waiting", t.PendingPromptTokens), zap.Int("cached", t.CachedTokens))
@@ -128,8 +128,8 @@
 // idle connection to.
 func (q *request) warm() []string {
 	var out []string
-	for _, e := range q.g.deps.Fleet.Holders(q.service.Name, q.ask.Model) {
-		if q.g.deps.Client.Warm(e.Address()) {
+	for _, e := range q.g.deps.Fleet.EntriesWithModel(q.service.Name, q.ask.Model) {
+		if q.g.deps.Client.HasIdleConnection(e.Address()) {
 			out = append(out, e.ID())
 		}
 	}
@@ -138,7 +138,7 @@
 
 // noTurn turns an answer without an upstream into what the wait goes by.
 func (q *request) noTurn(t *Permit) (*fleet.Entry, picked, bool) {
-	p := picked{Decision: balance.Decision{Index: -1, Reason: t.Reason, AdapterTarget: -1, MinBackoff: t.RetryAfter}, inVain: t.RetryAfter > 0, among: len(q.g.deps.Fleet.Service(q.service.Name))}
+	p := picked{Decision: balance.Decision{Index: -1, Reason: t.Reason, AdapterTarget: -1, MinBackoff: t.RetryAfter}, inVain: t.RetryAfter > 0, among: len(q.g.deps.Fleet.EntriesOfService(q.service.Name))}
 	if home, ok := q.g.deps.Fleet.Entry(t.AdapterUpstream); ok && t.Reason == balance.NoAdapter {
 		p.home = home
 	}
--- a/node/gate/wait_test.go
+++ b/node/gate/wait_test.go
@@ -56,8 +56,8 @@
 	u.ID, u.Service = "u", "s"
 	r.Name, r.Host, r.Prefix, r.Timeout, r.Attempts, r.Splits = "r", "example.com", "/", 10*time.Second, 1, []deploy.Split{{Service: "s", Weight: 1}}
 	log := event.NewLog(nil)
-	config := follow.NewConfig(log)
-	config.Offer(&deploy.Config{Version: 1, Services: []deploy.Service{{Name: "s", Engine: &deploy.Engine{}}}, Routes: []deploy.Route{r}}, "test")
+	config := follow.NewActiveConfig(log)
+	config.ApplyIfNewer(&deploy.Config{Version: 1, Services: []deploy.Service{{Name: "s", Engine: &deploy.Engine{}}}, Routes: []deploy.Route{r}}, "test")
 	f := fleet.New(fleet.Config{}, fleet.Deps{Log: log})
 	f.Apply([]deploy.Upstream{u}, nil, 0)
 	never := func() bool { return false }
@@ -90,12 +90,12 @@
 		return poll.Continue("the request does not wait yet")
 	}, poll.WithDelay(time.Millisecond))
 	for range 100 {
-		f.Tell()
+		f.NotifyChanged()
 		time.Sleep(time.Millisecond)
 	}
 	assert.Equal(t, models.asked.Load(), int32(1))
 	began := time.Now()
-	f.Believe([]fleet.Held{{Upstream: "u", Residents: []deploy.Resident{{Model: "new"}}}}, began)
+	f.ApplyResidency([]fleet.Residency{{Upstream: "u", Residents: []deploy.Resident{{Model: "new"}}}}, began)
 	<-done
 	assert.Assert(t, time.Since(began) < modelLook/2, "it goes on as soon as an upstream holds the model")
 	assert.Equal(t, w.Code, http.StatusOK)
--- a/node/gate/wire.go
+++ b/node/gate/wire.go
@@ -18,7 +18,7 @@
 	PromptTokens    int // tokens
 	MaxOutputTokens int // tokens, at most
 	OutputHint      int // tokens, the caller's guess; 0: none
-	Parts           []fleet.Part
+	PromptParts     []fleet.PromptPart
 	LastEventID     string // last event that the caller has of a stream; "": from the start
 	DeclaresTokens  bool   // it names its tokens
 	Key             apikey.Hash
@@ -42,7 +42,7 @@
 	Sealed    bool   // the upstream vouches for its bytes
 	NotRun    bool   // the upstream did not run the request, and will not
 	Upstream  string // process that answered, if it says so
-	Load      *fleet.Reported
+	Load      *fleet.ReportedLoad
 	Draining  bool          // the upstream's process takes nothing new
 	Backoff   time.Duration // for so long the upstream wants nothing from this host; 0: not said
 	Limit     backpressure.Limit
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -39,14 +39,14 @@
 
 // Deps are what a Host is made of.
 type Deps struct {
-	Settings *Settings
-	Platform Platform
-	Client   *conn.Client // towards upstreams
-	Log      *event.Log
-	Metrics  *metrics.Set
-	Dropped  func() int64              // lines that the log had no room for; nil: none
-	Reread   func() (*Settings, error) // the settings file, on SIGHUP
-	Hangup   <-chan struct{}
+	Settings       *Settings
+	Platform       Platform
+	Client         *conn.Client // towards upstreams
+	Log            *event.Log
+	Metrics        *metrics.Set
+	DroppedLines   func() int64              // lines that the log had no room for; nil: none
+	ReloadSettings func() (*Settings, error) // the settings file, on SIGHUP
+	ReloadSignal   <-chan struct{}
 }
 
 // Host is one entry host.
@@ -54,7 +54,7 @@
 	deps     Deps
 	set      *Settings
 	log      *event.Log
-	config   *follow.Config
+	config   *follow.ActiveConfig
 	fleet    *fleet.Fleet
 	gate     *gate.Gate
 	crashes  *quarantine.CrashDetector
@@ -79,9 +79,9 @@
 // New puts a host together and opens its listeners.
 func New(d Deps) (*Host, error) {
 	set := d.Settings
-	h := &Host{deps: d, set: set, log: d.Log, config: follow.NewConfig(d.Log), listed: make(chan struct{}), stopped: make(chan struct{}), started: time.Now()}
-	h.fleet = fleet.New(fleet.Config{DataCentre: set.DataCentre, LapseHold: milliseconds(set.Bounds.LapseMs), MassHold: milliseconds(set.Bounds.DrainMs * massHoldShare)},
-		fleet.Deps{Log: d.Log, Left: d.Client.Forget, Changed: h.announce, Noticed: h.hasten})
+	h := &Host{deps: d, set: set, log: d.Log, config: follow.NewActiveConfig(d.Log), listed: make(chan struct{}), stopped: make(chan struct{}), started: time.Now()}
+	h.fleet = fleet.New(fleet.Config{DataCentre: set.DataCentre, RecoveryGrace: milliseconds(set.Bounds.LapseMs), MassRemovalGrace: milliseconds(set.Bounds.DrainMs * massHoldShare)},
+		fleet.Deps{Log: d.Log, OnForgotten: d.Client.Forget, OnListChange: h.announce, OnUrgentChange: h.hasten})
 	h.config.OnChange(h.announce)
 	h.controlPath()
 	policy := budget.Policy{Ratio: set.Bounds.RepeatRatio, Slack: set.Bounds.RepeatSlack, Window: seconds(set.Bounds.RepeatWindowS)}
@@ -91,7 +91,7 @@
 	h.leave = leave
 	h.guard = quarantine.NewGuard(quarantine.GuardDeps{Connected: h.link.Linked, Log: d.Log, Metrics: d.Metrics})
 	h.link.Quarantine = h.guard
-	h.crashes = quarantine.NewCrashDetector(quarantine.CrashDetectorDeps{NotListening: d.Client.Refuses, OnCrash: h.crashed, Log: d.Log, Metrics: d.Metrics})
+	h.crashes = quarantine.NewCrashDetector(quarantine.CrashDetectorDeps{NotListening: d.Client.NotListening, OnCrash: h.crashed, Log: d.Log, Metrics: d.Metrics})
 	h.gate = gate.New(gate.Deps{HoldsLimited: leaving, Stopping: ending, Config: h.config, Fleet: h.fleet, Client: d.Client, Codec: d.Platform.Codec, Coordinator: h.link, TeamLimits: h.link, CrashRecorder: h.crashes, PoisonGuard: h.guard,
 		RetryBudget: gate.NewRetryBudget(policy, h.link.Hosts), Log: d.Log, Metrics: d.Metrics, Draining: h.draining.Load, RejectsNew: h.closing.Load, DisconnectReason: connGone})
 	h.limitMemory()
@@ -150,15 +150,15 @@
 	table := countedTable{d.Platform.Table, d.Metrics}
 	relayFresh := milliseconds(set.Bounds.DrainMs * relayFreshShare)
 	holder := coordinator.HolderName(set.Host, set.Peers, uuid.NewString())
-	h.lease = lease.New(lease.Config{Name: leaseName, Holder: holder, Ended: coordinator.FormerProcessOf(holder),
-		TryBound: leaseTry, Policy: leasing.Policy{TTL: leaseTTL, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}},
+	h.lease = lease.New(lease.Config{Name: leaseName, Holder: holder, HasTerminated: coordinator.FormerProcessOf(holder),
+		TryTimeout: leaseTry, Policy: leasing.Policy{TTL: leaseTTL, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}},
 		lease.Deps{Table: table, Log: d.Log})
 	h.feed = follow.New(follow.Deps{Source: d.Platform.Source, Config: h.config, Upstreams: h.fleet, Log: d.Log, Metrics: d.Metrics,
-		Patient:    func() bool { return !h.link.Candidate() && !h.coord.Acting() },
-		Led:        func() bool { return h.link.LinkedWithoutLease() },
-		Unneeded:   func() bool { return set.FirstStart },
-		RelayFresh: relayFresh,
-		Relays:     func() bool { return h.coord.Acting() }, Listed: h.upstreamsListed})
+		OthersProbeFirst:    func() bool { return !h.link.Candidate() && !h.coord.Acting() },
+		LinkedToCoordinator: func() bool { return h.link.LinkedWithoutLease() },
+		NotNeededYet:        func() bool { return set.FirstStart },
+		MaxRelayAge:         relayFresh,
+		IsRelaying:          func() bool { return h.coord.Acting() }, OnListed: h.upstreamsListed})
 	h.coord = coordinator.New(coordinator.Config{Host: set.Host, Holder: holder, Address: set.Peers, QuietPeriod: milliseconds(set.Bounds.LeaseMs) + orderFlight,
 		CeilingWindow: seconds(set.Bounds.CeilingWindowS), CeilingFactor: set.Bounds.CeilingOver, LimitSlack: set.Bounds.LimitSlack, MaxRelayAge: relayFresh, LinkMbps: set.Limits.LinkMbps, NoModelMoves: set.NoModelMoves},
 		coordinator.Deps{Fleet: h.fleet, Config: h.config, Lease: h.lease, Orders: d.Platform.Orders, Table: table, Feed: h.feed, Log: d.Log, Metrics: d.Metrics})
@@ -315,7 +315,7 @@
 
 // logReady logs when the host has what it needs.
 func (h *Host) logReady(ctx context.Context) error {
-	for _, c := range []<-chan struct{}{h.config.First(), h.listed} {
+	for _, c := range []<-chan struct{}{h.config.FirstApplied(), h.listed} {
 		select {
 		case <-c:
 		case <-ctx.Done():
@@ -339,7 +339,7 @@
 	dropped := int64(0)
 	for h.sweepPause(ctx) {
 		dropped = h.tellDropped(dropped)
-		h.fleet.Sweep()
+		h.fleet.RunChecks()
 		h.callers.sweep(time.Now())
 		if h.draining.Load() {
 			h.leave()
@@ -350,8 +350,8 @@
 
 // sweepPause waits for the next look; it says no when ctx ends.
 func (h *Host) sweepPause(ctx context.Context) bool {
-	stirred := h.fleet.Stirred()
-	if h.fleet.Watching() {
+	stirred := h.fleet.ChecksNeeded()
+	if h.fleet.HasPendingChecks() {
 		return pace.Sleep(ctx, sweepEach)
 	}
 	return pace.SleepOrWake(ctx, sweepIdle, stirred) && pace.Sleep(ctx, sweepEach)
@@ -359,10 +359,10 @@
 
 // tellDropped logs that lines were dropped since it was called last.
 func (h *Host) tellDropped(before int64) int64 {
-	if h.deps.Dropped == nil {
+	if h.deps.DroppedLines == nil {
 		return 0
 	}
-	now := h.deps.Dropped()
+	now := h.deps.DroppedLines()
 	if now > before {
 		h.log.Emit(event.LogDropped, zap.Int64("count", now-before))
 	}
--- a/node/host/stop.go
+++ b/node/host/stop.go
@@ -37,7 +37,7 @@
 	}
 	began := time.Now()
 	h.draining.Store(true)
-	h.fleet.Stir() // those who wait are let go by the next look
+	h.fleet.WakeChecks() // those who wait are let go by the next look
 	h.log.Emit(event.HostStopping, zap.Int("active", h.callers.drain.Active()))
 	grace := seconds(h.set.Bounds.GraceS) - stopReserve
 	wait := context.WithoutCancel(ctx)
@@ -70,8 +70,8 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-h.deps.Hangup:
-			next, err := h.deps.Reread()
+		case <-h.deps.ReloadSignal:
+			next, err := h.deps.ReloadSettings()
 			if err != nil {
 				h.log.Emit(event.SettingsBad, zap.Error(err))
 				continue
