--- a/core/changes/changes_test.go
+++ b/core/changes/changes_test.go
@@ -11,7 +11,7 @@
 	"peridotpier.example/core/changes"
 )
 
-// seed makes every run draw the same; -rapid.seed overrides it.
+// seed fixes the random draws of all runs; -rapid.seed overrides it.
 const seed = "20260704"
 
 func TestMain(m *testing.M) {
@@ -19,18 +19,19 @@
 	os.Exit(m.Run())
 }
 
-// Property: whoever follows a log in parts of any size sees each key's newest
-// change, also of keys that changed many times, and none that was dropped before.
-func TestAFollowerMissesNothing(t *testing.T) {
+// Property: a follower that reads a log in parts of any size sees each key's
+// newest change, also of keys that changed many times, and no key that was removed
+// before.
+func TestAFollowerSeesEachNewestChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l changes.Log[int]
-		now, followed := map[int]uint64{}, uint64(0)
+		newest, followed := map[int]uint64{}, uint64(0)
 		seen := map[int]uint64{}
 		revision := uint64(0)
-		follow := func(most int) bool {
-			keys, to, whole := l.Since(followed, most)
+		follow := func(limit int) bool {
+			keys, to, complete := l.Since(followed, limit)
 			if len(keys) == 0 {
-				assert.Assert(t, whole)
+				assert.Assert(t, complete)
 				return true
 			}
 			assert.Assert(t, to > followed)
@@ -38,28 +39,28 @@
 			for _, k := range keys {
 				seen[k] = to
 			}
-			return whole
+			return complete
 		}
 		for range rapid.IntRange(0, 400).Draw(t, "steps") {
 			key := rapid.IntRange(0, 20).Draw(t, "key")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
 				l.Forget(key)
-				delete(now, key)
+				delete(newest, key)
 			case 1:
 				follow(rapid.IntRange(1, 5).Draw(t, "most"))
 			default:
 				revision += uint64(rapid.IntRange(0, 1).Draw(t, "by"))
 				if revision == followed {
-					revision++ // what is told is over
+					revision++ // this revision was already followed
 				}
 				l.Record(key, revision)
-				now[key] = revision
+				newest[key] = revision
 			}
 		}
 		for !follow(3) {
 		}
-		for key, at := range now {
+		for key, at := range newest {
 			assert.Assert(t, seen[key] >= at, "key %d changed at %d, seen at %d", key, at, seen[key])
 		}
 	})
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -51,7 +51,7 @@
 try "loads by what they serve" core/replica/replica.go \
   'if x, y := a.gain(), b.gain(); x != y {' 'if x, y := a.gain(), b.gain(); false && x != y {' ./core/replica
 try "bound of what is prepared for" core/replica/prior.go \
-  'sum > most' 'false && sum > most' ./core/replica
+  'sum > limit' 'false && sum > limit' ./core/replica
 try "wait for a model on its way" node/gate/pick.go \
   'if !coming || q.started' 'if true || !coming || q.started' ./node/gate -run 'OnItsWay|TooLate'
 try "bound of prompts at an upstream for all requests" node/gate/pick.go \
@@ -68,11 +68,11 @@
 try "number of orders in an order" platform/upstream.go \
   'Expected: o.Expected' 'Expected: 0' ./platform -run 'Adapter|Order'
 try "room for adapters beside models" core/residency/residency.go \
-  'b.engine.MemoryMB - b.weights() - b.adapterReserve()' 'b.engine.MemoryMB - b.weights()' ./core/residency
+  'rec.engine.MemoryMB - rec.usedMB() - rec.adapterReserveMB()' 'rec.engine.MemoryMB - rec.usedMB()' ./core/residency
 try "report after a refusal" core/residency/residency.go \
-  'b.unsure, b.sequence = true, 0' 'b.sequence = 0' ./core/residency
-try "end of a former holder's load" core/residency/settle.go \
-  'b.foreign = r.Busy && b.busy == nil' 'b.foreign = false' ./core/residency
+  'rec.needsReport, rec.sequence = true, 0' 'rec.sequence = 0' ./core/residency
+try "end of a former holder's load" core/residency/reconcile.go \
+  'rec.formerHolderOrder = r.Busy && rec.currentOrder == nil' 'rec.formerHolderOrder = false' ./core/residency
 try "loads counted when they begin" node/coordinator/authority.go \
   's.undo(at)
 	if' 'if' ./node/coordinator
