--- a/core/admit/fair.go
+++ b/core/admit/fair.go
@@ -20,17 +20,17 @@
 type flow struct {
 	weight float64
 	finish float64
-	items  []tagged
+	items  []taggedItem
 }
 
-type tagged struct {
+type taggedItem struct {
 	Item
 	start float64
 }
 
 func newFairQueue() fairQueue { return fairQueue{flows: map[string]*flow{}} }
 
-func (q *fairQueue) flowOf(it Item) *flow {
+func (q *fairQueue) flowFor(it Item) *flow {
 	f := q.flows[it.Team]
 	if f == nil {
 		f = &flow{finish: q.virtual}
@@ -40,31 +40,31 @@
 	return f
 }
 
-// startOf is the tag that a request of the team would get now.
-func (q *fairQueue) startOf(team string) float64 {
+// startTag is the tag that a request of the team would get now.
+func (q *fairQueue) startTag(team string) float64 {
 	if f := q.flows[team]; f != nil {
 		return max(q.virtual, f.finish)
 	}
 	return q.virtual
 }
 
-// waits says whether the team has a request here.
-func (q *fairQueue) waits(team string) bool {
+// hasWaiting says whether the team has a request here.
+func (q *fairQueue) hasWaiting(team string) bool {
 	f := q.flows[team]
 	return f != nil && len(f.items) > 0
 }
 
 func (q *fairQueue) push(it Item) {
-	f := q.flowOf(it)
+	f := q.flowFor(it)
 	start := max(q.virtual, f.finish)
 	f.finish = start + 1/f.weight
-	f.items = append(f.items, tagged{it, start})
+	f.items = append(f.items, taggedItem{it, start})
 	q.n++
 }
 
-// pass accounts for a request that was admitted without waiting.
-func (q *fairQueue) pass(it Item) {
-	f := q.flowOf(it)
+// recordAdmitted accounts for a request that was admitted without waiting.
+func (q *fairQueue) recordAdmitted(it Item) {
+	f := q.flowFor(it)
 	q.virtual = max(q.virtual, f.finish)
 	f.finish = q.virtual + 1/f.weight
 }
@@ -94,7 +94,7 @@
 // remove takes one request out, wherever it stands.
 func (q *fairQueue) remove(id uint64) bool {
 	for _, f := range q.flows {
-		at := slices.IndexFunc(f.items, func(t tagged) bool { return t.ID == id })
+		at := slices.IndexFunc(f.items, func(t taggedItem) bool { return t.ID == id })
 		if at < 0 {
 			continue
 		}
@@ -132,8 +132,8 @@
 	return last.Item, true
 }
 
-// ahead counts the requests that would be served before one with this tag.
-func (q *fairQueue) ahead(start float64) int {
+// countAhead counts the requests that would be served before one with this tag.
+func (q *fairQueue) countAhead(start float64) int {
 	n := 0
 	for _, f := range q.flows {
 		for _, it := range f.items {
@@ -147,12 +147,12 @@
 }
 
 // ordered lists the waiting requests as they will be served.
-func (q *fairQueue) ordered() []tagged {
-	all := make([]tagged, 0, q.n)
+func (q *fairQueue) ordered() []taggedItem {
+	all := make([]taggedItem, 0, q.n)
 	for _, f := range q.flows {
 		all = append(all, f.items...)
 	}
-	slices.SortFunc(all, func(a, b tagged) int {
+	slices.SortFunc(all, func(a, b taggedItem) int {
 		switch {
 		case a.start != b.start:
 			if a.start < b.start {
@@ -168,9 +168,9 @@
 	return all
 }
 
-// forget drops the flows that wait for nothing and owe nothing, so that the
+// dropIdle drops the flows that wait for nothing and owe nothing, so that the
 // queue does not grow with every team ever seen.
-func (q *fairQueue) forget() {
+func (q *fairQueue) dropIdle() {
 	for team, f := range q.flows {
 		if len(f.items) == 0 && f.finish <= q.virtual {
 			delete(q.flows, team)
@@ -178,7 +178,7 @@
 	}
 }
 
-// pastDeadline says whether a request that starts after wait misses its deadline.
-func pastDeadline(now time.Time, it Item, wait time.Duration) bool {
+// missesDeadline says whether a request that starts after wait misses its deadline.
+func missesDeadline(now time.Time, it Item, wait time.Duration) bool {
 	return !it.Deadline.IsZero() && now.Add(wait+it.MinDuration).After(it.Deadline)
 }
--- a/core/admit/policy.go
+++ b/core/admit/policy.go
@@ -30,16 +30,16 @@
 
 	// A team counts for the fair shares this long after its last request. Long
 	// enough that a team with a request every few seconds keeps its share.
-	activeFor = 30 * time.Second
+	activeWindow = 30 * time.Second
 
-	holdWeight = 1.0 / 16 // of a new sample in the mean time that a slot is held
+	holdSampleWeight = 1.0 / 16 // of a new sample in the mean time that a slot is held
 
 	// Part of the predicted wait that must still fit for a queued request to be
 	// kept: one already queued is given up only when even half the prediction
 	// is too long, since the prediction is noisy and a refusal is final.
-	keepShare = 0.5
+	keepWaitShare = 0.5
 
-	leastRetry = 250 * time.Millisecond // shortest advice; an instant retry meets the same queue
+	minRetryAfter = 250 * time.Millisecond // shortest advice; an instant retry meets the same queue
 
 	// hostImbalance is by how much one host may exceed an even part of the
 	// capacity: the balancer does not spread long streams evenly.
@@ -69,9 +69,9 @@
 	return int(math.Ceil(float64(batches) * hostImbalance / float64(max(hosts, 1))))
 }
 
-// limit is the most slots that requests of class c and all more patient ones
+// maxSlots is the most slots that requests of class c and all more patient ones
 // may hold together.
-func (p Policy) limit(c class.Class) int {
+func (p Policy) maxSlots(c class.Class) int {
 	if c == class.Urgent || p.Slots <= 1 {
 		return p.Slots
 	}
--- a/core/admit/pool.go
+++ b/core/admit/pool.go
@@ -9,26 +9,26 @@
 
 // Pool is the admission of one host to one pool.
 type Pool struct {
-	policy Policy
-	queues [class.Count]fairQueue
-	used   [class.Count]int
-	teams  map[string]*teamUse
-	weight float64   // of the active teams together
-	swept  time.Time // when the active teams were last counted
-	hold   time.Duration
+	policy       Policy
+	queues       [class.Count]fairQueue
+	used         [class.Count]int
+	teams        map[string]*teamUsage
+	activeWeight float64   // of the active teams together
+	countedAt    time.Time // when the active teams were last counted
+	meanHold     time.Duration
 }
 
-type teamUse struct {
-	weight float64
-	used   int
-	peak   float64 // most slots held at once, decayed since
-	peaked time.Time
-	seen   time.Time
+type teamUsage struct {
+	weight    float64
+	used      int
+	peak      float64 // most slots held at once, decayed since
+	decayedAt time.Time
+	lastSeen  time.Time
 }
 
 // NewPool makes the admission of a pool.
 func NewPool(p Policy) *Pool {
-	pool := &Pool{policy: p, teams: map[string]*teamUse{}}
+	pool := &Pool{policy: p, teams: map[string]*teamUsage{}}
 	for i := range pool.queues {
 		pool.queues[i] = newFairQueue()
 	}
@@ -38,22 +38,22 @@
 // Arrive judges a new request. A refusal of another one that it displaced
 // may come with it.
 func (p *Pool) Arrive(now time.Time, it Item) (Verdict, Refusal, *Refusal) {
-	p.see(now, it)
-	limit := p.policy.limit(it.Class)
+	p.recordArrival(now, it)
+	limit := p.policy.maxSlots(it.Class)
 	switch {
 	case p.policy.Slots <= 0 || (limit <= 0 && it.Class != class.Bulk):
 		return Refused, p.refusal(it, CauseNoCapacity, time.Second), nil
 	case it.Class == class.Bulk && (!p.policy.AcceptBulk || limit <= 0):
 		return Refused, p.refusal(it, CauseBulkDisabled, time.Minute), nil
-	case pastDeadline(now, it, 0):
+	case missesDeadline(now, it, 0):
 		return Refused, p.refusal(it, CauseDeadlineUnreachable, 0), nil
 	}
 	// Whoever waits now may not take what is free: the slots left to newcomers
 	// are not for a team over its share. So a free slot is this request's,
 	// unless its own team waits already.
-	if !p.queues[it.Class].waits(it.Team) && p.mayTake(it.Class, it.Team) {
-		p.queues[it.Class].pass(it)
-		p.take(it)
+	if !p.queues[it.Class].hasWaiting(it.Team) && p.canTake(it.Class, it.Team) {
+		p.queues[it.Class].recordAdmitted(it)
+		p.assign(it)
 		return Admitted, Refusal{}, nil
 	}
 	return p.enqueue(now, it)
@@ -61,8 +61,8 @@
 
 func (p *Pool) enqueue(now time.Time, it Item) (Verdict, Refusal, *Refusal) {
 	q := &p.queues[it.Class]
-	wait := p.waitFor(it.Class, q.ahead(q.startOf(it.Team))+p.waitingAbove(it.Class))
-	if pastDeadline(now, it, wait) {
+	wait := p.predictWait(it.Class, q.countAhead(q.startTag(it.Team))+p.waitingAbove(it.Class))
+	if missesDeadline(now, it, wait) {
 		return Refused, p.refusal(it, CauseDeadlineUnreachable, wait), nil
 	}
 	if q.n < p.policy.QueueMax[it.Class] {
@@ -84,10 +84,10 @@
 	if t := p.teams[team]; t != nil {
 		t.used--
 	}
-	if p.hold == 0 {
-		p.hold = held
+	if p.meanHold == 0 {
+		p.meanHold = held
 	}
-	p.hold += time.Duration(holdWeight * float64(held-p.hold))
+	p.meanHold += time.Duration(holdSampleWeight * float64(held-p.meanHold))
 	return Result{Granted: p.grant()}
 }
 
@@ -113,15 +113,15 @@
 	for c := class.Urgent; ; c-- {
 		q := &p.queues[c]
 		for _, it := range q.ordered() {
-			wait := p.waitFor(c, kept)
-			if pastDeadline(now, it.Item, time.Duration(keepShare*float64(wait))) {
+			wait := p.predictWait(c, kept)
+			if missesDeadline(now, it.Item, time.Duration(keepWaitShare*float64(wait))) {
 				q.remove(it.ID)
 				r.Refused = append(r.Refused, p.refusal(it.Item, CauseDeadlineUnreachable, wait))
 				continue
 			}
 			kept++
 		}
-		q.forget()
+		q.dropIdle()
 		if c == class.Bulk {
 			break
 		}
@@ -141,11 +141,11 @@
 	var out []uint64
 	for c := class.Urgent; ; c-- {
 		for p.queues[c].n > 0 {
-			it, ok := p.queues[c].pop(func(team string) bool { return p.mayTake(c, team) })
+			it, ok := p.queues[c].pop(func(team string) bool { return p.canTake(c, team) })
 			if !ok {
 				break
 			}
-			p.take(it)
+			p.assign(it)
 			out = append(out, it.ID)
 		}
 		if c == class.Bulk {
@@ -154,48 +154,48 @@
 	}
 }
 
-func (p *Pool) take(it Item) {
+func (p *Pool) assign(it Item) {
 	p.used[it.Class]++
 	t := p.teams[it.Team]
 	t.used++
 	t.peak = max(t.peak, float64(t.used))
 }
 
-// mayTake says whether there is a slot for the team in the class: a team over
+// canTake says whether there is a slot for the team in the class: a team over
 // its fair share leaves free what those under theirs have lately needed at
 // once, and a few slots for newcomers.
-func (p *Pool) mayTake(c class.Class, team string) bool {
-	free := p.room(c)
+func (p *Pool) canTake(c class.Class, team string) bool {
+	free := p.freeSlots(c)
 	if free <= 0 {
 		return false
 	}
 	t := p.teams[team]
-	if float64(t.used) < p.share(t) {
+	if float64(t.used) < p.fairShare(t) {
 		return true
 	}
-	return float64(free) > max(p.keptFrom(team), newcomerShare*float64(p.policy.limit(c)))
+	return float64(free) > max(p.reservedFrom(team), newcomerShare*float64(p.policy.maxSlots(c)))
 }
 
-// share is the slots that the team may count on.
-func (p *Pool) share(t *teamUse) float64 {
-	return t.weight / max(p.weight, t.weight) * float64(p.policy.Slots)
+// fairShare is the slots that the team may count on.
+func (p *Pool) fairShare(t *teamUsage) float64 {
+	return t.weight / max(p.activeWeight, t.weight) * float64(p.policy.Slots)
 }
 
-// keptFrom is the slots that other teams, under their shares, have lately held
+// reservedFrom is the slots that other teams, under their shares, have lately held
 // at once and do not hold now. Without them a quiet team waits for a release
 // of the flood: with few slots that is a good part of a request's time.
-func (p *Pool) keptFrom(team string) float64 {
+func (p *Pool) reservedFrom(team string) float64 {
 	kept := 0.0
 	for name, t := range p.teams {
 		if name != team {
-			kept += max(min(t.peak, p.share(t))-float64(t.used), 0)
+			kept += max(min(t.peak, p.fairShare(t))-float64(t.used), 0)
 		}
 	}
 	return kept
 }
 
-// room is the free slots that class c may use.
-func (p *Pool) room(c class.Class) int {
+// freeSlots is the free slots that class c may use.
+func (p *Pool) freeSlots(c class.Class) int {
 	free, held := p.policy.Slots, 0
 	for k := class.Bulk; k < class.Count; k++ {
 		free -= p.used[k]
@@ -203,7 +203,7 @@
 	for k := class.Bulk; k < class.Urgent && c != class.Urgent; k++ {
 		held += p.used[k]
 		if k >= c {
-			free = min(free, p.policy.limit(k)-held)
+			free = min(free, p.policy.maxSlots(k)-held)
 		}
 	}
 	return free
@@ -218,57 +218,57 @@
 	return n
 }
 
-// waitFor predicts the wait with so many ahead.
-func (p *Pool) waitFor(c class.Class, ahead int) time.Duration {
-	limit := p.policy.limit(c)
+// predictWait predicts the wait with so many ahead.
+func (p *Pool) predictWait(c class.Class, ahead int) time.Duration {
+	limit := p.policy.maxSlots(c)
 	if limit <= 0 {
 		return time.Hour // longer than any deadline: nothing will be granted
 	}
-	return p.hold * time.Duration(ahead+1) / time.Duration(limit)
+	return p.meanHold * time.Duration(ahead+1) / time.Duration(limit)
 }
 
 func (p *Pool) refusal(it Item, cause Cause, wait time.Duration) Refusal {
-	return Refusal{ID: it.ID, Cause: cause, RetryAfter: max(wait, leastRetry)}
+	return Refusal{ID: it.ID, Cause: cause, RetryAfter: max(wait, minRetryAfter)}
 }
 
-func (p *Pool) see(now time.Time, it Item) {
+func (p *Pool) recordArrival(now time.Time, it Item) {
 	t := p.teams[it.Team]
 	if t == nil {
-		t = &teamUse{}
+		t = &teamUsage{}
 		p.teams[it.Team] = t
-		p.swept = time.Time{}
+		p.countedAt = time.Time{}
 	}
-	t.weight, t.seen = float64(max(it.Weight, 1)), now
-	if now.Sub(p.swept) >= time.Second {
+	t.weight, t.lastSeen = float64(max(it.Weight, 1)), now
+	if now.Sub(p.countedAt) >= time.Second {
 		p.countActive(now)
 	}
 }
 
 func (p *Pool) countActive(now time.Time) {
-	p.weight, p.swept = 0, now
+	p.activeWeight, p.countedAt = 0, now
 	for name, t := range p.teams {
-		if t.used == 0 && now.Sub(t.seen) > activeFor && !p.waits(name) {
+		if t.used == 0 && now.Sub(t.lastSeen) > activeWindow && !p.hasWaiting(name) {
 			delete(p.teams, name)
 			continue
 		}
-		p.weight += t.weight
+		p.activeWeight += t.weight
 		t.decay(now)
 	}
 }
 
 // decay lets the peak sink towards what is held, so that a burst of long ago
 // keeps nothing from others.
-func (t *teamUse) decay(now time.Time) {
-	if !t.peaked.IsZero() {
-		keep := math.Exp(-now.Sub(t.peaked).Seconds() / activeFor.Seconds())
+func (t *teamUsage) decay(now time.Time) {
+	if !t.decayedAt.IsZero() {
+		keep := math.Exp(-now.Sub(t.decayedAt).Seconds() / activeWindow.Seconds())
 		t.peak = max(t.peak*keep, float64(t.used))
 	}
-	t.peaked = now
+	t.decayedAt = now
 }
 
-func (p *Pool) waits(team string) bool {
+func (p *Pool) hasWaiting(team string) bool {
 	for c := range p.queues {
-		if p.queues[c].waits(team) {
+		if p.queues[c].hasWaiting(team) {
 			return true
 		}
 	}
@@ -277,4 +277,6 @@
 
 // ReleaseUnused gives back a slot that was granted to a request which had left by
 // then. It tells nothing of how long slots are held.
-func (p *Pool) ReleaseUnused(c class.Class, team string) Result { return p.Release(c, team, p.hold) }
+func (p *Pool) ReleaseUnused(c class.Class, team string) Result {
+	return p.Release(c, team, p.meanHold)
+}
--- a/core/admit/pool_test.go
+++ b/core/admit/pool_test.go
@@ -112,7 +112,7 @@
 	v, _, _ := p.Arrive(start, it)
 	assert.Equal(t, v, Queued)
 	assert.Equal(t, len(p.ExpireQueued(start).Refused), 0)
-	p.hold = 30 * time.Second
+	p.meanHold = 30 * time.Second
 	r := p.ExpireQueued(start.Add(time.Second))
 	assert.Equal(t, len(r.Refused), 1)
 	assert.Equal(t, r.Refused[0].ID, uint64(7))
@@ -256,8 +256,8 @@
 			},
 			"": func(t *rapid.T) {
 				assert.Assert(t, len(held) <= policy.Slots)
-				assert.Assert(t, p.used[class.Bulk] <= max(policy.limit(class.Bulk), 1))
-				assert.Assert(t, p.used[class.Bulk]+p.used[class.Standard] <= policy.limit(class.Standard))
+				assert.Assert(t, p.used[class.Bulk] <= max(policy.maxSlots(class.Bulk), 1))
+				assert.Assert(t, p.used[class.Bulk]+p.used[class.Standard] <= policy.maxSlots(class.Standard))
 				assert.Equal(t, p.queues[0].n+p.queues[1].n+p.queues[2].n, len(waiting))
 				assert.Assert(t, p.queues[class.Standard].n <= 3)
 			},
--- a/core/backpressure/retryafter.go
+++ b/core/backpressure/retryafter.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// longestAfter bounds what is read of a time to stay away.
-const longestAfter = 24 * time.Hour
+// maxRetryAfter bounds what is read of a time to stay away.
+const maxRetryAfter = 24 * time.Hour
 
 // ParseRetryAfter reads for how long to stay away, in seconds with a fraction; 0: it names
 // no time, or a date, which upstreams here do not send.
@@ -16,5 +16,5 @@
 	if err != nil || !(seconds > 0) {
 		return 0
 	}
-	return time.Duration(min(seconds, longestAfter.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
--- a/core/backpressure/signal.go
+++ b/core/backpressure/signal.go
@@ -18,16 +18,16 @@
 	return l.Stated && (!o.Stated || l.PerSecond < o.PerSecond)
 }
 
-// sameShare is by how much two limits may differ that hosts need not tell each other
+// materialShare is by how much two limits may differ that hosts need not tell each other
 // of: an upstream may name a slightly other one on each answer.
-const sameShare = 0.1
+const materialShare = 0.1
 
 // DiffersMaterially says whether hosts have to tell each other of the one that know of the other.
 func (l Limit) DiffersMaterially(o Limit) bool {
 	if l.Stated != o.Stated {
 		return true
 	}
-	return math.Abs(l.PerSecond-o.PerSecond) > sameShare*max(l.PerSecond, o.PerSecond)
+	return math.Abs(l.PerSecond-o.PerSecond) > materialShare*max(l.PerSecond, o.PerSecond)
 }
 
 // Signal is what one answer of an upstream said. The upstream made the answer
--- a/core/backpressure/slowstart.go
+++ b/core/backpressure/slowstart.go
@@ -4,28 +4,28 @@
 // by little: one at first, and twice as many with each that it answers. The zero
 // value holds nothing back. Its owner guards it.
 type SlowStart struct {
-	room int // requests that may be out; 0: any number
-	out  int
+	limit    int // requests that may be out; 0: any number
+	inFlight int
 }
 
-// usualSlots is how many requests an upstream of unknown size is taken to run.
-const usualSlots = 8
+// defaultSlots is how many requests an upstream of unknown size is taken to run.
+const defaultSlots = 8
 
 // Start starts with one request.
-func (s *SlowStart) Start() { s.room = 1 }
+func (s *SlowStart) Start() { s.limit = 1 }
 
 // Active says whether requests are held back.
-func (s *SlowStart) Active() bool { return s.room > 0 }
+func (s *SlowStart) Active() bool { return s.limit > 0 }
 
 // AtLimit says whether no more may be sent until one is answered, or ends.
-func (s *SlowStart) AtLimit() bool { return s.room > 0 && s.out >= s.room }
+func (s *SlowStart) AtLimit() bool { return s.limit > 0 && s.inFlight >= s.limit }
 
 // Sent notes a request; it says whether its end and answer are to be told.
 func (s *SlowStart) Sent() (counted bool) {
-	if s.room == 0 {
+	if s.limit == 0 {
 		return false
 	}
-	s.out++
+	s.inFlight++
 	return true
 }
 
@@ -33,12 +33,12 @@
 // many at a time, 0: not known.
 func (s *SlowStart) Answered(slots int) {
 	if slots == 0 {
-		slots = usualSlots
+		slots = defaultSlots
 	}
-	if s.room *= 2; s.room > slots {
-		s.room = 0
+	if s.limit *= 2; s.limit > slots {
+		s.limit = 0
 	}
 }
 
 // Ended notes the end of one that counts.
-func (s *SlowStart) Ended() { s.out-- }
+func (s *SlowStart) Ended() { s.inFlight-- }
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -67,11 +67,11 @@
 	return Reason(n)
 }
 
-// nearness orders the reasons: the higher, the less is missing.
-var nearness = [...]int{NoUpstream: 0, NoModel: 1, AllBackoff: 2, NoAdapter: 3, AllFull: 4, AllPrefilling: 5, Found: 6}
+// closeness orders the reasons: the higher, the less is missing.
+var closeness = [...]int{NoUpstream: 0, NoModel: 1, AllBackoff: 2, NoAdapter: 3, AllFull: 4, AllPrefilling: 5, Found: 6}
 
 // CloserToFound says whether less is missing than for another reason.
-func (r Reason) CloserToFound(o Reason) bool { return nearness[r] > nearness[o] }
+func (r Reason) CloserToFound(o Reason) bool { return closeness[r] > closeness[o] }
 
 // String names the reason in logs.
 func (r Reason) String() string {
@@ -106,7 +106,7 @@
 		if reason != Found && reason != NoAdapter {
 			continue
 		}
-		s := score(e, r) + draw()*drawMs
+		s := score(e, r) + draw()*tieBreakMs
 		if reason == NoAdapter {
 			if best.AdapterTarget < 0 || s < lowestHome {
 				best.AdapterTarget, lowestHome = i, s
@@ -135,9 +135,9 @@
 		return AllBackoff
 	case r.Adapter != "" && !e.AdapterResident:
 		return NoAdapter
-	case full(e, r):
+	case isFull(e, r):
 		return AllFull
-	case reading(e, r):
+	case prefillSaturated(e, r):
 		return AllPrefilling
 	}
 	return Found
--- a/core/balance/reading.go
+++ b/core/balance/reading.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// reading says that the upstream has so many prompt tokens to read that one
+// prefillSaturated says that the upstream has so many prompt tokens to read that one
 // more prompt would make the streams there pause for too long: an engine reads
 // a piece of the waiting prompts between any two tokens that it makes. What is
 // not sent yet can still go to whichever upstream is done first.
-func reading(e *Endpoint, r *Request) bool {
+func prefillSaturated(e *Endpoint, r *Request) bool {
 	return r.MaxPendingPromptTokens > 0 && e.PendingPromptTokens > 0 && e.PendingPromptTokens+r.PromptTokens > r.MaxPendingPromptTokens
 }
 
@@ -16,13 +16,13 @@
 	if bound <= 0 {
 		return 0
 	}
-	perToken := bound.Seconds()*1000/float64(max(eventTokens, 1)) - stepMs - stepMargin
-	return max(int(perToken*prefillTokensPerMs), leastReading)
+	perToken := bound.Seconds()*1000/float64(max(eventTokens, 1)) - stepMs - stepMarginMs
+	return max(int(perToken*prefillTokensPerMs), minPendingPromptLimit)
 }
 
 const (
-	// stepMargin covers the batch's own growth of a step, in milliseconds.
-	stepMargin = 2.0
-	// leastReading lets a usual prompt through under any bound, in tokens.
-	leastReading = 2000
+	// stepMarginMs covers the batch's own growth of a step, in milliseconds.
+	stepMarginMs = 2.0
+	// minPendingPromptLimit lets a usual prompt through under any bound, in tokens.
+	minPendingPromptLimit = 2000
 )
--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -14,31 +14,31 @@
 }
 
 const (
-	// caution is the part of the allowance that is used. The rest covers hosts
+	// safetyFactor is the part of the allowance that is used. The rest covers hosts
 	// whose views of the membership differ while some come or go.
-	caution = 0.8
-	// buckets divide a window. One more is counted than a window has, so that
+	safetyFactor = 0.8
+	// bucketCount divide a window. One more is counted than a window has, so that
 	// a span which begins inside a bucket is covered too.
-	buckets = 20
+	bucketCount = 20
 )
 
 // Window counts the requests and repeats of one service at one host. Its owner
 // guards it.
 type Window struct {
 	policy   Policy
-	from     time.Time // buckets are counted from here on the steady clock
-	requests [buckets + 1]int
-	repeats  [buckets + 1]int
-	at       int64 // number of the newest bucket
+	origin   time.Time // buckets are counted from here on the steady clock
+	requests [bucketCount + 1]int
+	repeats  [bucketCount + 1]int
+	newest   int64 // number of the newest bucket
 }
 
 // NewWindow makes an empty window.
-func NewWindow(p Policy, now time.Time) *Window { return &Window{policy: p, from: now} }
+func NewWindow(p Policy, now time.Time) *Window { return &Window{policy: p, origin: now} }
 
 // CountRequest counts the first send of a request.
 func (w *Window) CountRequest(now time.Time) {
 	w.advance(now)
-	w.requests[w.slot(w.at)]++
+	w.requests[w.index(w.newest)]++
 }
 
 // Take asks for one more send; hosts is how many share the slack.
@@ -49,24 +49,24 @@
 		requests += w.requests[i]
 		repeats += w.repeats[i]
 	}
-	allowed := caution * (w.policy.Ratio*float64(requests) + w.policy.Slack/float64(max(hosts, 1)))
+	allowed := safetyFactor * (w.policy.Ratio*float64(requests) + w.policy.Slack/float64(max(hosts, 1)))
 	if float64(repeats+1) > allowed {
 		return false
 	}
-	w.repeats[w.slot(w.at)]++
+	w.repeats[w.index(w.newest)]++
 	return true
 }
 
 // advance clears the buckets that the window has left behind.
 func (w *Window) advance(now time.Time) {
-	at := int64(now.Sub(w.from) / (w.policy.Window / buckets))
-	if at <= w.at {
+	at := int64(now.Sub(w.origin) / (w.policy.Window / bucketCount))
+	if at <= w.newest {
 		return
 	}
-	for n := max(w.at+1, at-buckets); n <= at; n++ {
-		w.requests[w.slot(n)], w.repeats[w.slot(n)] = 0, 0
+	for n := max(w.newest+1, at-bucketCount); n <= at; n++ {
+		w.requests[w.index(n)], w.repeats[w.index(n)] = 0, 0
 	}
-	w.at = at
+	w.newest = at
 }
 
-func (w *Window) slot(n int64) int64 { return n % (buckets + 1) }
+func (w *Window) index(n int64) int64 { return n % (bucketCount + 1) }
--- a/core/poison/digest.go
+++ b/core/poison/digest.go
@@ -22,12 +22,12 @@
 	Body   []byte
 }
 
-// digestBytes are enough that nobody finds a second content for a digest.
-const digestBytes = 16
+// digestSize are enough that nobody finds a second content for a digest.
+const digestSize = 16
 
 // Digest identifies a Content without telling anything of it. The team is a part
 // of it, so that no team can have another's requests barred.
-type Digest [digestBytes]byte
+type Digest [digestSize]byte
 
 // ErrInvalidDigest says that bytes or text are no digest.
 var ErrInvalidDigest = errors.New("no digest of a request")
@@ -61,7 +61,7 @@
 // DigestFromBytes takes a digest's bytes.
 func DigestFromBytes(data []byte) (Digest, error) {
 	var d Digest
-	if len(data) != digestBytes {
+	if len(data) != digestSize {
 		return d, ErrInvalidDigest
 	}
 	copy(d[:], data)
@@ -97,9 +97,9 @@
 // Request is a Content whose digest is worked out at most once. It belongs to one
 // goroutine.
 type Request struct {
-	content Content
-	mark    Fingerprint
-	marked  bool
+	content     Content
+	fingerprint Fingerprint
+	computed    bool
 }
 
 // NewRequest makes one of a content that does not change any more.
@@ -107,16 +107,16 @@
 
 // Shape is that of the content.
 func (r *Request) Shape() Shape {
-	if r.marked {
-		return r.mark.Shape
+	if r.computed {
+		return r.fingerprint.Shape
 	}
 	return r.content.Shape()
 }
 
 // Fingerprint is that of the content.
 func (r *Request) Fingerprint() Fingerprint {
-	if !r.marked {
-		r.mark, r.marked = r.content.Fingerprint(), true
+	if !r.computed {
+		r.fingerprint, r.computed = r.content.Fingerprint(), true
 	}
-	return r.mark
+	return r.fingerprint
 }
--- a/core/poison/judge.go
+++ b/core/poison/judge.go
@@ -30,29 +30,29 @@
 	MaxBar:         time.Hour,
 }
 
-// judge bars the requests that what happened can not be explained without. The
+// updateBars bars the requests that what happened can not be explained without. The
 // one that most crashes have in common explains these, and clears the others
 // that ran there of them; then the next one is looked for.
-func (l *Ledger) judge(now time.Time) {
-	for found := l.strongest(); len(found) > 0; found = l.strongest() {
+func (l *Ledger) updateBars(now time.Time) {
+	for found := l.strongestSuspects(); len(found) > 0; found = l.strongestSuspects() {
 		for _, e := range found {
 			l.bar(e, now)
 		}
 	}
-	l.reconsider(now)
+	l.liftExplainedBars(now)
 }
 
-// strongest are the suspects that most crashes speak against, if these are enough to
+// strongestSuspects are the suspects that most crashes speak against, if these are enough to
 // bar them.
-func (l *Ledger) strongest() []*entry {
+func (l *Ledger) strongestSuspects() []*entry {
 	most := 0
 	var found []*entry
 	for _, e := range l.entries {
 		if e.State != Suspected || e.BarCount == 0 && len(e.crashes) < l.policy.MinSoleCrashes {
 			continue
 		}
-		n := l.score(e, l.explained)
-		if n < fullWeight*l.needed(e) || n < most {
+		n := l.evidence(e, l.explainedByBar)
+		if n < fullWeight*l.neededCrashes(e) || n < most {
 			continue
 		}
 		if n > most {
@@ -70,9 +70,9 @@
 	explainedWeight = 1
 )
 
-// score adds up the crashes that speak against a request, in halves. Those of a
+// evidence adds up the crashes that speak against a request, in halves. Those of a
 // moment in which many upstreams ended speak as one.
-func (l *Ledger) score(e *entry, explained func(c *crash, e *entry) bool) int {
+func (l *Ledger) evidence(e *entry, explained func(c *crash, e *entry) bool) int {
 	sum, mass := 0, 0
 	for id := range e.crashes {
 		c := l.crashes[id]
@@ -105,8 +105,8 @@
 	return all >= l.policy.MinMassCrashes && 2*ran < all
 }
 
-// explained says whether something that is barred ran there.
-func (l *Ledger) explained(c *crash, _ *entry) bool {
+// explainedByBar says whether something that is barred ran there.
+func (l *Ledger) explainedByBar(c *crash, _ *entry) bool {
 	for d := range c.ran {
 		if l.entries[d].State == Barred {
 			return true
@@ -115,20 +115,20 @@
 	return false
 }
 
-// needed is how many crashes it takes to bar a suspect.
-func (l *Ledger) needed(e *entry) int {
+// neededCrashes is how many crashes it takes to bar a suspect.
+func (l *Ledger) neededCrashes(e *entry) int {
 	switch {
 	case e.BarCount > 0:
-		return probationOne
-	case l.alone(e):
+		return probationCrashes
+	case l.isSoleCandidate(e):
 		return l.policy.MinSoleCrashes
 	default:
 		return l.policy.MinCrashes
 	}
 }
 
-// alone says whether nothing else that ran in a suspect's crashes ran in as many.
-func (l *Ledger) alone(e *entry) bool {
+// isSoleCandidate says whether nothing else that ran in a suspect's crashes ran in as many.
+func (l *Ledger) isSoleCandidate(e *entry) bool {
 	for id := range e.crashes {
 		for d := range l.crashes[id].ran {
 			if o := l.entries[d]; o != e && o.State == Suspected && len(o.crashes) >= len(e.crashes) {
@@ -140,34 +140,34 @@
 }
 
 func (l *Ledger) bar(e *entry, now time.Time) {
-	e.BarredUntil = now.Add(min(l.policy.InitialBar<<min(e.BarCount, barDoublings), l.policy.MaxBar))
+	e.BarredUntil = now.Add(min(l.policy.InitialBar<<min(e.BarCount, maxBarDoublings), l.policy.MaxBar))
 	e.BarCount++
-	l.decide(e, Barred, ByCrashes)
-	l.change(e, now)
+	l.transition(e, Barred, ByCrashes)
+	l.touch(e, now)
 }
 
-// barDoublings bounds the shift in bar; far more than lead to BarMost.
-const barDoublings = 16
+// maxBarDoublings bounds the shift in bar; far more than lead to BarMost.
+const maxBarDoublings = 16
 
-// reconsider ends the bars of requests whose crashes others explain that were in
+// liftExplainedBars ends the bars of requests whose crashes others explain that were in
 // more of them: a request that ran beside several poisons by chance is barred
 // only until these are known. More than a few crashes are no chance.
-func (l *Ledger) reconsider(now time.Time) {
+func (l *Ledger) liftExplainedBars(now time.Time) {
 	for _, e := range l.entries {
 		if e.State != Barred || len(e.crashes) < l.policy.MinSoleCrashes || len(e.crashes) >= l.policy.MinCrashes {
 			continue // of one with fewer, as when it was adopted, the crashes are not all here
 		}
-		if l.score(e, l.explainedBetter) < fullWeight*l.policy.MinSoleCrashes {
+		if l.evidence(e, l.explainedByStrongerBar) < fullWeight*l.policy.MinSoleCrashes {
 			e.BarredUntil, e.BarCount = time.Time{}, e.BarCount-1
-			l.decide(e, Suspected, ByOtherSuspects)
-			l.change(e, now)
+			l.transition(e, Suspected, ByOtherSuspects)
+			l.touch(e, now)
 		}
 	}
 }
 
-// explainedBetter says whether another barred request ran there that more
+// explainedByStrongerBar says whether another barred request ran there that more
 // upstreams ended under.
-func (l *Ledger) explainedBetter(c *crash, e *entry) bool {
+func (l *Ledger) explainedByStrongerBar(c *crash, e *entry) bool {
 	for d := range c.ran {
 		if o := l.entries[d]; o != e && o.State == Barred && len(o.crashes) > len(e.crashes) {
 			return true
--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -10,19 +10,19 @@
 // Bounds of a Ledger. What is least suspect goes first, so that many new
 // suspects can not push out what is known.
 const (
-	crashesMost  = 512
-	ranMost      = 512  // of one crash: several hosts fill an engine's batch
-	entriesMost  = 4096 // suspects, barred and cleared
-	clearedFor   = time.Minute
-	probationOne = 1 // crashes after which one whose bar is over is barred again
+	maxCrashes          = 512
+	maxRequestsPerCrash = 512  // of one crash: several hosts fill an engine's batch
+	maxEntries          = 4096 // suspects, barred and cleared
+	clearedTTL          = time.Minute
+	probationCrashes    = 1 // crashes after which one whose bar is over is barred again
 )
 
 // entry is an Entry with what the ledger needs besides.
 type entry struct {
 	Entry
-	revision uint64
-	at       time.Time // of the last change
-	crashes  map[string]bool
+	revision  uint64
+	changedAt time.Time // of the last change
+	crashes   map[string]bool
 }
 
 // crash is the end of one upstream.
@@ -34,12 +34,12 @@
 // Ledger holds which requests ran on upstreams that ended, as all hosts tell, and
 // finds out which of them ended these. Its owner guards it.
 type Ledger struct {
-	policy    Policy
-	crashes   map[string]*crash // by upstream: each process ends once
-	entries   map[Digest]*entry
-	revision  uint64
-	expired   time.Time // when it was last looked for what is over
-	decisions []Transition
+	policy      Policy
+	crashes     map[string]*crash // by upstream: each process ends once
+	entries     map[Digest]*entry
+	revision    uint64
+	lastExpired time.Time // when it was last looked for what is over
+	transitions []Transition
 }
 
 // NewLedger makes one in which nothing is known.
@@ -58,19 +58,19 @@
 		l.crashes[upstream] = c
 	}
 	for _, m := range ran {
-		if c.ran[m.Digest] || len(c.ran) >= ranMost {
+		if c.ran[m.Digest] || len(c.ran) >= maxRequestsPerCrash {
 			continue
 		}
-		if l.suspect(m, upstream, now) {
+		if l.addCrash(m, upstream, now) {
 			c.ran[m.Digest] = true
 		}
 	}
-	l.judge(now)
+	l.updateBars(now)
 }
 
 // makeRoom drops the oldest crash if there are as many as may be.
 func (l *Ledger) makeRoom() {
-	if len(l.crashes) < crashesMost {
+	if len(l.crashes) < maxCrashes {
 		return
 	}
 	oldest := ""
@@ -82,8 +82,8 @@
 	l.dropCrash(oldest)
 }
 
-// suspect holds one crash against a request. It says no if there is no room.
-func (l *Ledger) suspect(m Fingerprint, upstream string, now time.Time) bool {
+// addCrash holds one crash against a request. It says no if there is no room.
+func (l *Ledger) addCrash(m Fingerprint, upstream string, now time.Time) bool {
 	e := l.entry(m)
 	if e == nil {
 		return false
@@ -92,14 +92,14 @@
 	if e.State == Cleared {
 		e.State = Suspected
 	}
-	l.change(e, now)
+	l.touch(e, now)
 	return true
 }
 
 // entry finds a request's entry, or makes it; nil: there is no room.
 func (l *Ledger) entry(m Fingerprint) *entry {
 	e := l.entries[m.Digest]
-	if e == nil && (len(l.entries) < entriesMost || l.evict()) {
+	if e == nil && (len(l.entries) < maxEntries || l.evict()) {
 		e = &entry{Entry: Entry{Fingerprint: m}, crashes: map[string]bool{}}
 		l.entries[m.Digest] = e
 	}
@@ -110,22 +110,22 @@
 func (l *Ledger) evict() bool {
 	all := slices.Collect(maps.Values(l.entries))
 	all = slices.DeleteFunc(all, func(e *entry) bool { return e.State == Barred })
-	slices.SortFunc(all, compare)
-	for _, e := range all[:min(len(all), evictedAtOnce)] {
-		l.forget(e)
+	slices.SortFunc(all, compareEvidence)
+	for _, e := range all[:min(len(all), evictionBatch)] {
+		l.remove(e)
 	}
 	return len(all) > 0
 }
 
-// evictedAtOnce is a small part of all entries, so that room is seldom looked for.
-const evictedAtOnce = entriesMost / 16
+// evictionBatch is a small part of all entries, so that room is seldom looked for.
+const evictionBatch = maxEntries / 16
 
-// compare puts what is least held against first.
-func compare(a, b *entry) int {
-	return cmp.Or(cmp.Compare(a.State, b.State), cmp.Compare(len(a.crashes), len(b.crashes)), a.at.Compare(b.at))
+// compareEvidence puts what is least held against first.
+func compareEvidence(a, b *entry) int {
+	return cmp.Or(cmp.Compare(a.State, b.State), cmp.Compare(len(a.crashes), len(b.crashes)), a.changedAt.Compare(b.changedAt))
 }
 
-func (l *Ledger) forget(e *entry) {
+func (l *Ledger) remove(e *entry) {
 	delete(l.entries, e.Digest)
 	for id := range e.crashes {
 		if c := l.crashes[id]; c != nil {
@@ -134,9 +134,9 @@
 	}
 }
 
-func (l *Ledger) change(e *entry, now time.Time) {
+func (l *Ledger) touch(e *entry, now time.Time) {
 	l.revision++
-	e.revision, e.at, e.CrashCount = l.revision, now, len(e.crashes)
+	e.revision, e.changedAt, e.CrashCount = l.revision, now, len(e.crashes)
 }
 
 // Clear notes that a request ran to its end, or for long after it had begun:
@@ -145,7 +145,7 @@
 	if e := l.entries[d]; e != nil && e.State != Cleared {
 		l.clear(e, ByCompletion, now)
 		e.BarCount = 0
-		l.judge(now)
+		l.updateBars(now)
 	}
 }
 
@@ -162,7 +162,7 @@
 
 func (l *Ledger) clear(e *entry, why Cause, now time.Time) {
 	if e.State == Barred {
-		l.decide(e, Cleared, why)
+		l.transition(e, Cleared, why)
 	}
 	for id := range e.crashes {
 		if c := l.crashes[id]; c != nil {
@@ -170,7 +170,7 @@
 		}
 	}
 	e.crashes, e.State, e.BarredUntil = map[string]bool{}, Cleared, time.Time{}
-	l.change(e, now)
+	l.touch(e, now)
 }
 
 // Adopt takes over a bar that another ledger found.
@@ -184,36 +184,36 @@
 	}
 	e.BarredUntil, e.BarCount = b.BarredUntil, max(e.BarCount, b.BarCount)
 	if e.State != Barred {
-		l.decide(e, Barred, ByReport)
+		l.transition(e, Barred, ByReport)
 	}
-	l.change(e, now)
+	l.touch(e, now)
 }
 
-// decide notes the begin or the end of a bar.
-func (l *Ledger) decide(e *entry, s State, why Cause) {
+// transition notes the begin or the end of a bar.
+func (l *Ledger) transition(e *entry, s State, why Cause) {
 	e.State, e.CrashCount = s, len(e.crashes)
-	if len(l.decisions) < entriesMost {
-		l.decisions = append(l.decisions, Transition{Entry: e.Entry, Cause: why, Upstreams: slices.Sorted(maps.Keys(e.crashes))})
+	if len(l.transitions) < maxEntries {
+		l.transitions = append(l.transitions, Transition{Entry: e.Entry, Cause: why, Upstreams: slices.Sorted(maps.Keys(e.crashes))})
 	}
 }
 
 // TakeTransitions returns the bars that began and ended since it was called last.
 func (l *Ledger) TakeTransitions() []Transition {
-	out := l.decisions
-	l.decisions = nil
+	out := l.transitions
+	l.transitions = nil
 	return out
 }
 
-// expireEach is how often it is looked for what is over: each host asks for changes
+// expireInterval is how often it is looked for what is over: each host asks for changes
 // several times a second.
-const expireEach = 500 * time.Millisecond
+const expireInterval = 500 * time.Millisecond
 
 // expire drops what is over.
 func (l *Ledger) expire(now time.Time) {
-	if now.Sub(l.expired) < expireEach {
+	if now.Sub(l.lastExpired) < expireInterval {
 		return
 	}
-	l.expired = now
+	l.lastExpired = now
 	for id, c := range l.crashes {
 		if now.Sub(c.at) > l.policy.CrashRetention {
 			l.dropCrash(id)
@@ -223,7 +223,7 @@
 		switch {
 		case e.State == Barred && !now.Before(e.BarredUntil), e.State == Suspected && len(e.crashes) == 0:
 			l.clear(e, ByExpiry, now)
-		case e.State == Cleared && e.BarCount == 0 && now.Sub(e.at) > clearedFor, e.State == Cleared && now.Sub(e.at) > l.policy.MaxBar:
+		case e.State == Cleared && e.BarCount == 0 && now.Sub(e.changedAt) > clearedTTL, e.State == Cleared && now.Sub(e.changedAt) > l.policy.MaxBar:
 			delete(l.entries, e.Digest)
 		}
 	}
@@ -262,7 +262,7 @@
 
 // All returns what is suspected and barred.
 func (l *Ledger) All(now time.Time) []Entry {
-	all, _ := l.ChangedSince(0, entriesMost, now)
+	all, _ := l.ChangedSince(0, maxEntries, now)
 	return all
 }
 
--- a/core/poison/ledger_test.go
+++ b/core/poison/ledger_test.go
@@ -149,7 +149,7 @@
 func TestAFloodOfSuspectsLeavesWhatIsBarred(t *testing.T) {
 	l := NewLedger(DefaultPolicy)
 	now := crashes(l, start, []string{"x"}, []string{"x"})
-	for i := range 2 * crashesMost {
+	for i := range 2 * maxCrashes {
 		var ran []Fingerprint
 		for j := range 16 {
 			ran = append(ran, named(fmt.Sprint(i, "-", j)))
@@ -158,8 +158,8 @@
 		l.RecordCrash(fmt.Sprint("flood", i), ran, now, now)
 	}
 	assert.Assert(t, isBarred(l, "x", now))
-	assert.Assert(t, len(l.entries) <= entriesMost)
-	assert.Assert(t, len(l.crashes) <= crashesMost)
+	assert.Assert(t, len(l.entries) <= maxEntries)
+	assert.Assert(t, len(l.crashes) <= maxCrashes)
 	assert.Equal(t, len(l.All(now.Add(2*DefaultPolicy.CrashRetention))), 0)
 }
 
--- a/core/poison/play_test.go
+++ b/core/poison/play_test.go
@@ -275,7 +275,7 @@
 		return
 	}
 	p.told = p.ledger.Revision()
-	entries, _ := p.ledger.ChangedSince(0, entriesMost, p.now)
+	entries, _ := p.ledger.ChangedSince(0, maxEntries, p.now)
 	state := map[Digest]bool{}
 	for _, e := range entries {
 		if e.State != Barred {
--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -23,31 +23,31 @@
 
 // Ledger counts for all hosts what teams ask for. Its owner guards it.
 type Ledger struct {
-	accounts map[string]*account
-	slack    float64 // that may come at once beyond a burst
-	part     float64 // of the limits that may be given out here
+	accounts       map[string]*account
+	slack          float64 // that may come at once beyond a burst
+	connectedShare float64 // of the limits that may be given out here
 }
 
 // account is one limited team's.
 type account struct {
-	limit  Limit // in force
-	bucket *Bucket
-	asked  asked
-	blind  time.Time // until when it may have begun too full, since nothing was known; zero: it has not
-	given  float64   // until then
+	limit        Limit // in force
+	bucket       *Bucket
+	demand       demand
+	correctUntil time.Time // until when it may have begun too full, since nothing was known; zero: it has not
+	admitted     float64   // until then
 }
 
-// slackShare is the part of what operators allow a limit to be missed by that
+// usedSlackShare is the part of what operators allow a limit to be missed by that
 // callers get on purpose. A burst may be hardly more than one request; requests
 // that all hosts together let through in a slightly other order than they came
 // would be refused, though the team is well within its rate. The rest is for what
 // hosts pass by themselves.
-const slackShare = 0.25
+const usedSlackShare = 0.25
 
 // NewLedger makes one without teams; slack is by how much operators allow a limit
 // to be missed, in what it counts.
 func NewLedger(slack float64) *Ledger {
-	return &Ledger{accounts: map[string]*account{}, slack: slack * slackShare, part: 1}
+	return &Ledger{accounts: map[string]*account{}, slack: slack * usedSlackShare, connectedShare: 1}
 }
 
 // SetTeams puts the limits of a configuration in force. The account of a team that
@@ -61,49 +61,49 @@
 		a := l.accounts[t.Name]
 		switch {
 		case a == nil:
-			a = &account{limit: t.Limit, bucket: NewBucket(l.given(t.Limit), now), asked: newAsked()}
-			a.inherit(t.Name, begin, now)
+			a = &account{limit: t.Limit, bucket: NewBucket(l.effectiveLimit(t.Limit), now), demand: newDemand()}
+			a.restore(t.Name, begin, now)
 		case a.limit != t.Limit:
 			a.limit = t.Limit
-			a.bucket.SetLimit(l.given(t.Limit), now)
+			a.bucket.SetLimit(l.effectiveLimit(t.Limit), now)
 		}
 		kept[t.Name] = a
 	}
 	l.accounts = kept
 }
 
-// inherit starts an account where another host's stood. What hosts have passed
+// restore starts an account where another host's stood. What hosts have passed
 // since then they tell with their next reports.
-func (a *account) inherit(team string, begin func(string) (KnownState, bool), now time.Time) {
+func (a *account) restore(team string, begin func(string) (KnownState, bool), now time.Time) {
 	if begin == nil {
 		return
 	}
 	w, ok := begin(team)
 	if !ok { // a process that has just started: a burst was gained meanwhile, but hosts pass more unheard
 		a.bucket.level = a.limit.capacity()
-		a.blind = now.Add(settleFor)
+		a.correctUntil = now.Add(correctionWindow)
 		return
 	}
 	if w.Constrained {
 		a.bucket.level = min(w.Level, a.bucket.limit.capacity())
-		a.asked.usual.add(w.Demand*rateWindow.Seconds(), now)
+		a.demand.longTerm.add(w.Demand*rateWindow.Seconds(), now)
 	}
-	a.bucket.Credit(a.limit.PerSecond*min(w.Age, reportFor).Seconds(), now.Add(settleFor))
+	a.bucket.Credit(a.limit.PerSecond*min(w.Age, usageTTL).Seconds(), now.Add(correctionWindow))
 }
 
-// settleFor is how long after a host began to count others may still tell what
+// correctionWindow is how long after a host began to count others may still tell what
 // they passed before: a few of their reports.
-const settleFor = time.Second
+const correctionWindow = time.Second
 
 // Correct takes how an account stood when a host was told last. One that began with
 // nothing known is corrected by it: each process that counts would else give every
 // team a burst of its own.
 func (l *Ledger) Correct(team string, w KnownState, now time.Time) {
 	a := l.accounts[team]
-	if a == nil || !w.Constrained || !now.Before(a.blind) {
+	if a == nil || !w.Constrained || !now.Before(a.correctUntil) {
 		return
 	}
-	if stands := w.Level + a.limit.PerSecond*w.Age.Seconds() - a.given; stands < a.bucket.Level(now) {
+	if stands := w.Level + a.limit.PerSecond*w.Age.Seconds() - a.admitted; stands < a.bucket.Level(now) {
 		a.bucket.level = stands
 	}
 }
@@ -112,17 +112,17 @@
 // and go on by their shares; these are withheld, so that all together stay
 // within the limits.
 func (l *Ledger) SetConnectedShare(part float64, now time.Time) {
-	if part == l.part {
+	if part == l.connectedShare {
 		return
 	}
-	l.part = part
+	l.connectedShare = part
 	for _, a := range l.accounts {
-		a.bucket.SetLimit(l.given(a.limit), now)
+		a.bucket.SetLimit(l.effectiveLimit(a.limit), now)
 	}
 }
 
-func (l *Ledger) given(limit Limit) Limit {
-	limit.PerSecond *= l.part
+func (l *Ledger) effectiveLimit(limit Limit) Limit {
+	limit.PerSecond *= l.connectedShare
 	limit.Burst += l.slack
 	return limit
 }
@@ -133,10 +133,10 @@
 	if a == nil {
 		return 0, true
 	}
-	a.asked.add(cost, now)
+	a.demand.add(cost, now)
 	wait, ok = a.bucket.Take(cost, now)
-	if ok && now.Before(a.blind) {
-		a.given += cost
+	if ok && now.Before(a.correctUntil) {
+		a.admitted += cost
 	}
 	return wait, ok
 }
@@ -147,7 +147,7 @@
 	if a == nil {
 		return
 	}
-	a.asked.add(max(passed, 0)+refused, now)
+	a.demand.add(max(passed, 0)+refused, now)
 	if passed >= 0 {
 		a.bucket.Charge(passed, now)
 	} else {
@@ -156,18 +156,18 @@
 }
 
 const (
-	// scarceLevel and scarceRate tell accounts that hosts have to know of: less
+	// constrainedLevel and scarceRate tell accounts that hosts have to know of: less
 	// than this share of a burst is there, or so much of the rate is asked for.
-	scarceLevel = 0.5
-	scarceRate  = 0.7
+	constrainedLevel = 0.5
+	constrainedRate  = 0.7
 )
 
 // Constrained returns how the teams stand whose limits may bind; all others have enough.
 func (l *Ledger) Constrained(now time.Time) map[string]AccountState {
 	var out map[string]AccountState
 	for name, a := range l.accounts {
-		s := AccountState{Level: a.bucket.Level(now), Demand: a.asked.perSecond(now)}
-		if s.Level >= scarceLevel*a.limit.capacity() && s.Demand < scarceRate*a.limit.PerSecond {
+		s := AccountState{Level: a.bucket.Level(now), Demand: a.demand.perSecond(now)}
+		if s.Level >= constrainedLevel*a.limit.capacity() && s.Demand < constrainedRate*a.limit.PerSecond {
 			continue
 		}
 		if out == nil {
--- a/core/quota/ledger_test.go
+++ b/core/quota/ledger_test.go
@@ -20,7 +20,7 @@
 		"a debt that is partly paid":       {unknown, KnownState{AccountState: AccountState{Level: -900}, Constrained: true, Age: 500 * time.Millisecond}, 0, -400 - 200},
 		"more than is there":               {unknown, KnownState{AccountState: AccountState{Level: 900}, Constrained: true, Age: time.Second}, 0, 1000 - 200},
 		"enough":                           {unknown, KnownState{}, 0, 1000 - 200},
-		"too late: others have told since": {unknown, KnownState{AccountState: AccountState{Level: -900}, Constrained: true}, settleFor, 1000},
+		"too late: others have told since": {unknown, KnownState{AccountState: AccountState{Level: -900}, Constrained: true}, correctionWindow, 1000},
 		"one that knew how the account stood": {func(string) (KnownState, bool) {
 			return KnownState{AccountState: AccountState{Level: 500}, Constrained: true}, true
 		}, KnownState{AccountState: AccountState{Level: -900}, Constrained: true}, 0, 300},
--- a/core/quota/rate.go
+++ b/core/quota/rate.go
@@ -9,58 +9,60 @@
 	// rateWindow is over what time the rate of what is asked for is averaged: long
 	// against the gaps between the requests of a small team.
 	rateWindow = 3 * time.Second
-	// risingWindow is the same for a rate that rises. Many requests show within it
+	// shortRateWindow is the same for a rate that rises. Many requests show within it
 	// that their team has begun to send several times its usual.
-	risingWindow = 800 * time.Millisecond
-	// sure is how many times its chance deviation a rise must exceed to be believed.
-	sure = 2
+	shortRateWindow = 800 * time.Millisecond
+	// minDeviations is how many times its chance deviation a rise must exceed to be believed.
+	minDeviations = 2
 )
 
-// rate is a decaying sum of what was asked for.
-type rate struct {
-	window  time.Duration
-	sum     float64
-	squares float64 // of the costs; they decay twice as fast
-	at      time.Time
+// decayingSum is a decaying sum of what was asked for.
+type decayingSum struct {
+	window     time.Duration
+	sum        float64
+	squaredSum float64 // of the costs; they decay twice as fast
+	decayedAt  time.Time
 }
 
-func (r *rate) add(cost float64, now time.Time) {
-	r.advance(now)
+func (r *decayingSum) add(cost float64, now time.Time) {
+	r.decay(now)
 	r.sum += cost
-	r.squares += cost * cost
+	r.squaredSum += cost * cost
 }
 
 // perSecond is the rate now.
-func (r *rate) perSecond(now time.Time) float64 {
-	r.advance(now)
+func (r *decayingSum) perSecond(now time.Time) float64 {
+	r.decay(now)
 	return r.sum / r.window.Seconds()
 }
 
-// least is the rate that is asked for at least, but for chance.
-func (r *rate) least(now time.Time) float64 {
-	r.advance(now)
-	return (r.sum - sure*math.Sqrt(r.squares)) / r.window.Seconds()
+// lowerBound is the rate that is asked for at least, but for chance.
+func (r *decayingSum) lowerBound(now time.Time) float64 {
+	r.decay(now)
+	return (r.sum - minDeviations*math.Sqrt(r.squaredSum)) / r.window.Seconds()
 }
 
-func (r *rate) advance(now time.Time) {
-	if passed := now.Sub(r.at); passed > 0 {
+func (r *decayingSum) decay(now time.Time) {
+	if passed := now.Sub(r.decayedAt); passed > 0 {
 		share := math.Exp(-passed.Seconds() / r.window.Seconds())
 		r.sum *= share
-		r.squares *= share * share
-		r.at = now
+		r.squaredSum *= share * share
+		r.decayedAt = now
 	}
 }
 
-// asked follows what a team asks for: evenly, but for a rise that is sure.
-type asked struct{ usual, rising rate }
+// demand follows what a team asks for: evenly, but for a rise that is sure.
+type demand struct{ longTerm, shortTerm decayingSum }
 
-func newAsked() asked { return asked{rate{window: rateWindow}, rate{window: risingWindow}} }
+func newDemand() demand {
+	return demand{decayingSum{window: rateWindow}, decayingSum{window: shortRateWindow}}
+}
 
-func (a *asked) add(cost float64, now time.Time) {
-	a.usual.add(cost, now)
-	a.rising.add(cost, now)
+func (a *demand) add(cost float64, now time.Time) {
+	a.longTerm.add(cost, now)
+	a.shortTerm.add(cost, now)
 }
 
-func (a *asked) perSecond(now time.Time) float64 {
-	return max(a.usual.perSecond(now), a.rising.least(now))
+func (a *demand) perSecond(now time.Time) float64 {
+	return max(a.longTerm.perSecond(now), a.shortTerm.lowerBound(now))
 }
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -65,14 +65,14 @@
 
 // Request follows the attempts of one request. It belongs to one goroutine.
 type Request struct {
-	cfg        Config
-	repeatable bool
-	deadline   time.Time
-	attempts   int
-	avoided    int
-	avoid      [MaxExcluded]string
-	mayHaveRun bool
-	pauses     *backoff.ExponentialBackOff
+	cfg           Config
+	repeatable    bool
+	deadline      time.Time
+	attempts      int
+	excludedCount int
+	excluded      [MaxExcluded]string
+	mayHaveRun    bool
+	backoffs      *backoff.ExponentialBackOff
 }
 
 // NewRequest starts to follow a request; a zero Config stands for the
@@ -84,20 +84,20 @@
 	p := backoff.NewExponentialBackOff()
 	p.InitialInterval, p.MaxInterval, p.RandomizationFactor = cfg.InitialBackoff, cfg.MaxBackoff, jitter
 	p.Reset()
-	return &Request{cfg: cfg, repeatable: repeatable, deadline: deadline, pauses: p}
+	return &Request{cfg: cfg, repeatable: repeatable, deadline: deadline, backoffs: p}
 }
 
 // Next says what follows the attempt a, which ended at now. It takes from
 // the budget only when it decides to retry.
 func (r *Request) Next(a Attempt, b *Budget, now time.Time) Decision {
 	if a.ExcludeUpstream != "" {
-		r.avoid[r.avoided%MaxExcluded] = a.ExcludeUpstream
-		r.avoided++
+		r.excluded[r.excludedCount%MaxExcluded] = a.ExcludeUpstream
+		r.excludedCount++
 	}
 	r.attempts++
 	r.mayHaveRun = r.mayHaveRun || a.Outcome == outcome.Unknown
-	d := Decision{Excluded: r.avoid, Outcome: r.told(a.Outcome)}
-	d.Backoff = r.pause(a)
+	d := Decision{Excluded: r.excluded, Outcome: r.overallOutcome(a.Outcome)}
+	d.Backoff = r.nextBackoff(a)
 	d.Reason = r.reason(a, d.Backoff, now)
 	if d.Reason == RetryAllowed && !b.Take() {
 		d.Reason = BudgetExhausted
@@ -106,17 +106,17 @@
 	return d
 }
 
-// told is the request's outcome over all attempts: one that may have run is
+// overallOutcome is the request's outcome over all attempts: one that may have run is
 // not made "not run" by a later one that did not.
-func (r *Request) told(last outcome.Outcome) outcome.Outcome {
+func (r *Request) overallOutcome(last outcome.Outcome) outcome.Outcome {
 	if last == outcome.NotRun && r.mayHaveRun {
 		return outcome.Unknown
 	}
 	return last
 }
 
-func (r *Request) pause(a Attempt) time.Duration {
-	p := r.pauses.NextBackOff()
+func (r *Request) nextBackoff(a Attempt) time.Duration {
+	p := r.backoffs.NextBackOff()
 	if a.TryOthers {
 		return p
 	}
--- a/core/route/baseline.go
+++ b/core/route/baseline.go
@@ -4,15 +4,15 @@
 
 // NewRoundRobin makes the baseline that takes the usable endpoints in turn and
 // looks at no load.
-func NewRoundRobin() Picker { return &roundRobin{filters: usable()} }
+func NewRoundRobin() Picker { return &roundRobin{filters: requiredFilters()} }
 
 // NewLeastReported makes the baseline that trusts the lagged report as it is:
 // the least running and waiting, the first of equals.
-func NewLeastReported() Picker { return leastReported{filters: usable()} }
+func NewLeastReported() Picker { return leastReported{filters: requiredFilters()} }
 
-// usable are the filters that no policy may leave out.
-func usable() *staged {
-	return &staged{filters: []filter{leavingFilter{}, downFilter{}, avoidFilter{}, readyFilter{}}}
+// requiredFilters are the filters that no policy may leave out.
+func requiredFilters() *staged {
+	return &staged{filters: []filter{drainingFilter{}, downFilter{}, excludedFilter{}, readyFilter{}}}
 }
 
 type roundRobin struct {
@@ -22,7 +22,7 @@
 
 // Pick implements Picker.
 func (p *roundRobin) Pick(s *Snapshot, r *Request, _ Source) Decision {
-	candidates := candidatesOf(s, r)
+	candidates := findCandidates(s, r)
 	start := p.next.Add(1)
 	for k := range candidates {
 		i := candidates[(start+uint64(k))%uint64(len(candidates))]
@@ -30,7 +30,7 @@
 			return Decision{Index: int(i)}
 		}
 	}
-	return noneOf(candidates)
+	return noEndpoint(candidates)
 }
 
 type leastReported struct {
@@ -39,7 +39,7 @@
 
 // Pick implements Picker.
 func (p leastReported) Pick(s *Snapshot, r *Request, _ Source) Decision {
-	candidates := candidatesOf(s, r)
+	candidates := findCandidates(s, r)
 	best, least := -1, 0
 	for _, i := range candidates {
 		e := &s.Endpoints[i]
@@ -49,12 +49,12 @@
 		}
 	}
 	if best < 0 {
-		return noneOf(candidates)
+		return noEndpoint(candidates)
 	}
 	return Decision{Index: best, Score: float64(least)}
 }
 
-func noneOf(candidates []int32) Decision {
+func noEndpoint(candidates []int32) Decision {
 	if len(candidates) == 0 {
 		return Decision{Index: -1, Reason: NoReplica}
 	}
--- a/core/route/choices.go
+++ b/core/route/choices.go
@@ -1,12 +1,12 @@
 package route
 
-// contest compares a few endpoints for one request and keeps the best.
+// selection compares a few endpoints for one request and keeps the best.
 //
 // Comparing all of them would send every host that shares one stale report to
 // the same endpoint until the next report: one would notice queues that jump
 // from endpoint to endpoint at the pace of the reports. Comparing a few drawn
 // at random spreads the hosts, and still avoids the long queues.
-type contest struct {
+type selection struct {
 	p    *staged
 	s    *Snapshot
 	r    *Request
@@ -14,8 +14,8 @@
 	home int32
 }
 
-// offer enters one endpoint; it tells why the endpoint was refused.
-func (c *contest) offer(index int32) Reason {
+// consider enters one endpoint; it tells why the endpoint was refused.
+func (c *selection) consider(index int32) Reason {
 	if index < 0 {
 		return NoReplica
 	}
@@ -30,17 +30,17 @@
 	return Found
 }
 
-// drawRandom enters Choices distinct endpoints drawn at random. When random
+// sampleRandom enters Choices distinct endpoints drawn at random. When random
 // probes find too few that pass the filters, a full pass from a random start
 // makes sure that none is overlooked.
-func (c *contest) drawRandom(candidates []int32, src Source) Reason {
+func (c *selection) sampleRandom(candidates []int32, src Source) Reason {
 	n, want := uint64(len(candidates)), min(c.p.cfg.Choices, len(candidates))
 	var seen [maxChoices * probesPerChoice]int32
 	drawn, found := 0, 0
 	for drawn < want*probesPerChoice && found < want {
 		i := candidates[src.Uint64N(n)]
 		seen[drawn] = i
-		if !contains(seen[:drawn], i) && c.offer(i) == Found {
+		if !contains(seen[:drawn], i) && c.consider(i) == Found {
 			found++
 		}
 		drawn++
@@ -48,19 +48,19 @@
 	if found == want {
 		return Found
 	}
-	return c.pass(candidates, src.Uint64N(n), seen[:drawn], want-found)
+	return c.scan(candidates, src.Uint64N(n), seen[:drawn], want-found)
 }
 
-// pass offers the endpoints not yet seen, from a random start, until enough
+// scan offers the endpoints not yet seen, from a random start, until enough
 // were found. AllBusy outweighs AllAvoid: a busy replica may free itself.
-func (c *contest) pass(candidates []int32, start uint64, seen []int32, want int) Reason {
+func (c *selection) scan(candidates []int32, start uint64, seen []int32, want int) Reason {
 	worst, at := AllExcluded, int(start)
 	for range candidates {
 		i := candidates[at]
 		if at++; at == len(candidates) {
 			at = 0
 		}
-		switch c.offer(i) {
+		switch c.consider(i) {
 		case Found:
 			if contains(seen, i) {
 				continue // offered before; to offer it again changes nothing
--- a/core/route/filter_avoid.go
+++ b/core/route/filter_avoid.go
@@ -1,10 +1,10 @@
 package route
 
-// avoidFilter trusts the request's own history: an upstream that refused or
+// excludedFilter trusts the request's own history: an upstream that refused or
 // failed it is not tried again for it.
-type avoidFilter struct{}
+type excludedFilter struct{}
 
-func (avoidFilter) keep(e *Endpoint, r *Request) Reason {
+func (excludedFilter) keep(e *Endpoint, r *Request) Reason {
 	for i := range r.Excluded {
 		if r.Excluded[i] == "" {
 			break // filled from the front
--- a/core/route/filter_leaving.go
+++ b/core/route/filter_leaving.go
@@ -1,10 +1,10 @@
 package route
 
-// leavingFilter trusts the first signal from anywhere that an upstream is
+// drainingFilter trusts the first signal from anywhere that an upstream is
 // leaving. Within an incarnation leaving is never undone.
-type leavingFilter struct{}
+type drainingFilter struct{}
 
-func (leavingFilter) keep(e *Endpoint, _ *Request) Reason {
+func (drainingFilter) keep(e *Endpoint, _ *Request) Reason {
 	if e.Draining {
 		return AllExcluded
 	}
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -66,10 +66,10 @@
 	Excluded     [4]string // upstreams that already refused or failed this request, filled from the front
 }
 
-// hopeless says that the answer would come after the deadline even from an
+// deadlineUnreachable says that the answer would come after the deadline even from an
 // engine that had nothing else to do. Started, it would be thrown away in the
 // end, at the cost of those behind it.
-func (r *Request) hopeless() bool {
+func (r *Request) deadlineUnreachable() bool {
 	return r.RemainingMs > 0 && float64(r.AnswerTokens)*r.IdleStepMs > r.RemainingMs
 }
 
--- a/core/route/score_affinity.go
+++ b/core/route/score_affinity.go
@@ -28,10 +28,10 @@
 	}
 }
 
-// homeOf names the endpoint where requests of one prefix meet while no cache
+// homeEndpoint names the endpoint where requests of one prefix meet while no cache
 // event tells where it is held. All hosts that see the same candidates agree
 // on it without a word between them.
-func homeOf(candidates []int32, prefix uint64) int32 {
+func homeEndpoint(candidates []int32, prefix uint64) int32 {
 	if prefix == 0 {
 		return -1
 	}
--- a/core/route/score_first_token.go
+++ b/core/route/score_first_token.go
@@ -4,9 +4,9 @@
 
 // Figures for endpoints whose speed is not known.
 const (
-	unknownServiceMs = 5.0 // a look-up at a plain service
-	batchSlowdown    = 1.0 // a step in a full batch takes about this share longer than alone
-	prefillShare     = 0.5 // of those in the batch, the part of a prefill that each delays a new one by, over a full batch
+	plainServiceMs = 5.0 // a look-up at a plain service
+	batchSlowdown  = 1.0 // a step in a full batch takes about this share longer than alone
+	prefillShare   = 0.5 // of those in the batch, the part of a prefill that each delays a new one by, over a full batch
 )
 
 // firstTokenScorer trusts the corrected load and the endpoint's known speed:
@@ -15,9 +15,9 @@
 	typicalTokens int
 }
 
-// step is the time of one decoding step: as seen lately, or as the model's
+// predictStepMs is the time of one decoding step: as seen lately, or as the model's
 // speed and the load would make it.
-func (e *Endpoint) step(r *Request, fill float64) float64 {
+func (e *Endpoint) predictStepMs(r *Request, fill float64) float64 {
 	if e.RecentStepMs > 0 {
 		return e.RecentStepMs
 	}
@@ -36,14 +36,14 @@
 	if r.AnswerTokens <= 1 {
 		return 0
 	}
-	return float64(r.AnswerTokens-1) * e.step(r, float64(e.load())/float64(max(e.MaxBatch, 1)))
+	return float64(r.AnswerTokens-1) * e.predictStepMs(r, float64(e.load())/float64(max(e.MaxBatch, 1)))
 }
 
 func (f firstTokenScorer) score(e *Endpoint, r *Request, _ bool) float64 {
 	load, batch := float64(e.load()), float64(max(e.MaxBatch, 1))
-	prefill, step := e.PrefillMs, e.step(r, load/batch)
+	prefill, step := e.PrefillMs, e.predictStepMs(r, load/batch)
 	if prefill <= 0 && step <= 0 {
-		prefill = unknownServiceMs
+		prefill = plainServiceMs
 	}
 	firstToken := prefill*(1+prefillShare*load/batch) + step
 	if load < batch {
--- a/core/route/staged.go
+++ b/core/route/staged.go
@@ -14,18 +14,18 @@
 
 // Defaults, with their reasons.
 const (
-	defaultChoices       = 2    // more choices herd on a stale report, one ignores it
-	maxChoices           = 8    // bounds the work of one pick
-	defaultTokens        = 128  // a short summary or classification
-	defaultAffinityBound = 0.75 // past this a hit saves less than the queue behind it costs
-	defaultAffinityShare = 0.8  // the rest of the prompt is not shared
-	defaultHomeShare     = 0.25 // a hint only: enough to break ties, never to outweigh a queue
-	probesPerChoice      = 4    // random probes before the full pass
+	defaultChoices         = 2    // more choices herd on a stale report, one ignores it
+	maxChoices             = 8    // bounds the work of one pick
+	defaultAnswerTokens    = 128  // a short summary or classification
+	defaultAffinityMaxLoad = 0.75 // past this a hit saves less than the queue behind it costs
+	defaultAffinityShare   = 0.8  // the rest of the prompt is not shared
+	defaultHomeShare       = 0.25 // a hint only: enough to break ties, never to outweigh a queue
+	probesPerChoice        = 4    // random probes before the full pass
 )
 
-// defaultLoadBound lets urgent work queue at an engine, since the engine's
+// defaultMaxLoad lets urgent work queue at an engine, since the engine's
 // priorities put it in front, and bulk only fill free places.
-var defaultLoadBound = [class.Count]float64{class.Bulk: 1, class.Standard: 2, class.Urgent: 4}
+var defaultMaxLoad = [class.Count]float64{class.Bulk: 1, class.Standard: 2, class.Urgent: 4}
 
 // staged is the picker in use: filters, scorers, then power of two choices.
 type staged struct {
@@ -51,7 +51,7 @@
 	return &staged{
 		cfg: cfg,
 		// The map look-up last: the index by model makes it nearly always true.
-		filters: []filter{leavingFilter{}, downFilter{}, boundFilter{cfg.MaxLoad}, avoidFilter{}, readyFilter{}},
+		filters: []filter{drainingFilter{}, downFilter{}, loadFilter{cfg.MaxLoad}, excludedFilter{}, readyFilter{}},
 		scorers: []scorer{firstTokenScorer{cfg.TypicalTokens}, lengthScorer{}, distanceScorer{}, affinityScorer{cfg}},
 	}
 }
@@ -63,14 +63,14 @@
 	c.Choices = min(c.Choices, maxChoices)
 	for i := range c.MaxLoad {
 		if c.MaxLoad[i] <= 0 {
-			c.MaxLoad[i] = defaultLoadBound[i]
+			c.MaxLoad[i] = defaultMaxLoad[i]
 		}
 	}
 	if c.TypicalTokens <= 0 {
-		c.TypicalTokens = defaultTokens
+		c.TypicalTokens = defaultAnswerTokens
 	}
 	if c.AffinityMaxLoad <= 0 {
-		c.AffinityMaxLoad = defaultAffinityBound
+		c.AffinityMaxLoad = defaultAffinityMaxLoad
 	}
 	if c.AffinityShare <= 0 {
 		c.AffinityShare = defaultAffinityShare
@@ -83,28 +83,28 @@
 
 // Pick implements Picker.
 func (p *staged) Pick(s *Snapshot, r *Request, src Source) Decision {
-	candidates := candidatesOf(s, r)
+	candidates := findCandidates(s, r)
 	if len(candidates) == 0 {
 		return Decision{Index: -1, Reason: NoReplica}
 	}
-	if r.hopeless() {
+	if r.deadlineUnreachable() {
 		return Decision{Index: -1, Reason: DeadlineUnreachable}
 	}
-	c := contest{p: p, s: s, r: r, best: Decision{Index: -1}, home: homeOf(candidates, r.Prefix)}
+	c := selection{p: p, s: s, r: r, best: Decision{Index: -1}, home: homeEndpoint(candidates, r.Prefix)}
 	if r.Prefix != 0 {
-		c.offer(c.home)
-		c.offer(prefixHolder(s, candidates, r.Prefix))
+		c.consider(c.home)
+		c.consider(prefixHolder(s, candidates, r.Prefix))
 	}
-	reason := c.drawRandom(candidates, src)
+	reason := c.sampleRandom(candidates, src)
 	if c.best.Index < 0 {
 		c.best.Reason = reason
 	}
 	return c.best
 }
 
-// candidatesOf lists the endpoints that hold the model, or all of the pool
+// findCandidates lists the endpoints that hold the model, or all of the pool
 // for a plain service.
-func candidatesOf(s *Snapshot, r *Request) []int32 {
+func findCandidates(s *Snapshot, r *Request) []int32 {
 	if r.PlainService {
 		return s.ByPool[r.Pool]
 	}
--- a/core/speed/speed.go
+++ b/core/speed/speed.go
@@ -11,16 +11,16 @@
 // What is expected before anything was seen. It decides for the first second
 // or two of a deployment's first holder only.
 const (
-	priorReadMs = 1 / 20.0 // for a token of prompt
-	priorMakeMs = 10.0     // for a token of an answer
-	priorRead   = 1.0      // share of a prompt that is read: nothing is kept
+	priorPrefillMs     = 1 / 20.0 // for a token of prompt
+	priorGenerationMs  = 10.0     // for a token of an answer
+	priorUncachedShare = 1.0      // share of a prompt that is read: nothing is kept
 )
 
 // Observations is what was seen of one model, or of all models of a service.
 type Observations struct {
-	reading line  // ms until the first event, by tokens that had to be read
-	making  ratio // ms from the first event to the last, by tokens of the answer
-	read    ratio // tokens that had to be read, by tokens of the prompt
+	prefill    regression    // ms until the first event, by tokens that had to be read
+	generation decayingRatio // ms from the first event to the last, by tokens of the answer
+	uncached   decayingRatio // tokens that had to be read, by tokens of the prompt
 }
 
 // Estimator is what is known of one model: what was seen of it, and of the others
@@ -30,7 +30,7 @@
 // AddPrompt notes that a request was sent of whose prompt so many tokens had to be read.
 func (m Estimator) AddPrompt(prompt, toRead int) {
 	for _, e := range []*Observations{m.Own, m.Service} {
-		e.read.add(float64(prompt), float64(toRead))
+		e.uncached.add(float64(prompt), float64(toRead))
 	}
 }
 
@@ -38,40 +38,40 @@
 // prompt to read.
 func (m Estimator) Read(tokens int, took time.Duration) {
 	x, y := float64(tokens), ms(took)
-	m.Own.reading.add(x, y, m.servicePrior())
-	m.Service.reading.add(x, y, priorReadMs)
+	m.Own.prefill.add(x, y, m.servicePrefillMs())
+	m.Service.prefill.add(x, y, priorPrefillMs)
 }
 
 // AddGeneration notes how long an answer took from its first event to its end; tokens is
 // what was expected of its length, as it is of the next ones.
 func (m Estimator) AddGeneration(tokens int, took time.Duration) {
 	for _, e := range []*Observations{m.Own, m.Service} {
-		e.making.add(float64(tokens), ms(took))
+		e.generation.add(float64(tokens), ms(took))
 	}
 }
 
-func (m Estimator) servicePrior() float64 { return m.Service.reading.slope(priorReadMs) }
+func (m Estimator) servicePrefillMs() float64 { return m.Service.prefill.slope(priorPrefillMs) }
 
 // PrefillMsPerToken is how long an engine that reads nothing else takes for a token of
 // prompt, in milliseconds.
-func (m Estimator) PrefillMsPerToken() float64 { return m.Own.reading.slope(m.servicePrior()) }
+func (m Estimator) PrefillMsPerToken() float64 { return m.Own.prefill.slope(m.servicePrefillMs()) }
 
-// makeMs is how long a token of an answer takes, in milliseconds.
-func (m Estimator) makeMs() float64 {
-	return m.Own.making.value(m.Service.making.value(priorMakeMs))
+// generationMsPerToken is how long a token of an answer takes, in milliseconds.
+func (m Estimator) generationMsPerToken() float64 {
+	return m.Own.generation.value(m.Service.generation.value(priorGenerationMs))
 }
 
-// readShare is how much of a prompt has to be read.
-func (m Estimator) readShare() float64 {
-	return m.Own.read.value(m.Service.read.value(priorRead))
+// uncachedShare is how much of a prompt has to be read.
+func (m Estimator) uncachedShare() float64 {
+	return m.Own.uncached.value(m.Service.uncached.value(priorUncachedShare))
 }
 
 // EngineTime is what requests with so many tokens of prompt and of answer take
 // of one engine's time. Prompts are read one after the other; answers are made
 // together, as many at once as the engine has slots.
 func (m Estimator) EngineTime(prompt, output, slots int) time.Duration {
-	reading := float64(prompt) * m.readShare() * m.PrefillMsPerToken()
-	making := float64(output) * m.makeMs() / float64(max(slots, 1))
+	reading := float64(prompt) * m.uncachedShare() * m.PrefillMsPerToken()
+	making := float64(output) * m.generationMsPerToken() / float64(max(slots, 1))
 	return time.Duration((reading + making) * float64(time.Millisecond))
 }
 
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -193,11 +193,11 @@
   '	defer q.giveBack()
 ' '' ./node/gate
 try "hosts that hear nobody pass a part" core/quota/share.go \
-  'draw*asked >= aloneShare*s.limit.PerSecond' 'draw*asked < 0' ./core/quota
+  'draw*asked >= withoutLedgerShare*s.limit.PerSecond' 'draw*asked < 0' ./core/quota
 try "hosts without a word pass little" core/quota/share.go \
-  'startShare = 0.02' 'startShare = 1.0' ./core/quota
+  'initialShare = 0.02' 'initialShare = 1.0' ./core/quota
 try "the part of hosts that are not heard is withheld" core/quota/ledger.go \
-  'limit.PerSecond *= l.part' '' ./core/quota ./node/coordinator -run 'NotHeard|Limit'
+  'limit.PerSecond *= l.connectedShare' '' ./core/quota ./node/coordinator -run 'NotHeard|Limit'
 try "a new count goes on from the former's" node/coordinator/accounts.go \
   'a.ledger.Follow(teams, a.word, now)' 'a.ledger.Follow(teams, nil, now)' ./node/coordinator
 try "a process that begins to count hears how accounts stood" node/coordinator/serve.go \
@@ -205,11 +205,11 @@
 try "a holder that is back at once hears how accounts stood" node/coordinator/link.go \
   'return l.failed > 0 || l.begun' 'return false' ./node/coordinator -run 'BackAtOnce'
 try "a crash blames all that ran there" core/poison/ledger.go \
-  'len(c.ran) >= ranMost' 'len(c.ran) >= 1' ./core/poison
+  'len(c.ran) >= maxRequestsPerCrash' 'len(c.ran) >= 1' ./core/poison
 try "what a known one explains speaks half" core/poison/judge.go \
-  'explained(c, e) && len(e.crashes) < l.policy.Crashes' 'false' ./core/poison
+  'explained(c, e) && len(e.crashes) < l.policy.MinCrashes' 'false' ./core/poison
 try "the loss of a rack names nobody" core/poison/judge.go \
-  'return all >= l.policy.MassCrashes && 2*ran < all' 'return false' ./core/poison
+  'return all >= l.policy.MinMassCrashes && 2*ran < all' 'return false' ./core/poison
 try "a broken way is no crash" node/quarantine/watch.go \
   '	if ended {
 		w.deps.Metrics' '	if true {
@@ -235,9 +235,9 @@
 try "hosts alone have a turn each" node/coordinator/signals.go \
   'out.Place = uint32(c.sums.place(r.Host))' '' ./node/coordinator -run 'PlaceOfItsOwn'
 try "turns that nobody took do not pile up" core/backpressure/pacer.go \
-  'return max(p.taken+1/perSecond, at-keepFor.Seconds()-keepTurns/perSecond)' 'return p.taken+1/perSecond' ./core/backpressure
+  'return max(p.lastTaken+1/perSecond, at-unusedPermitTTL.Seconds()-maxUnusedPermits/perSecond)' 'return p.lastTaken+1/perSecond' ./core/backpressure
 try "a turn lies a period after the last" core/backpressure/pacer.go \
-  'after := max(p.taken+period-rounding,' 'after := max(p.taken+rounding,' ./core/backpressure
+  'after := max(p.lastTaken+period-roundingTolerance,' 'after := max(p.lastTaken+roundingTolerance,' ./core/backpressure
 try "what is told on" node/coordinator/signals.go \
   'out.SignalsId, out.SignalsRevision, out.Signals = c.id, revision, encodeSignals(all, now)' \
   '_ = all; out.SignalsId, out.SignalsRevision = c.id, revision' ./platform -run 'OtherHosts'
