--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -1,65 +1,67 @@
-// Package balance picks the upstream for one attempt of a routed request:
-// filters drop those that must not get it, a score predicts when each of the
-// rest would begin to answer, and the lowest wins. It does no I/O and has no
-// clock; one pick sees one snapshot.
+// Package balance picks the upstream for one attempt of a routed request.
+// Filters remove the upstreams that must not receive it, a score predicts when
+// each of the others would begin to answer, and the upstream with the lowest
+// score is picked. The package does no I/O and has no clock; one pick works on
+// one snapshot.
 package balance
 
 import "time"
 
-// Endpoint is one upstream at the time of the snapshot. Loads are of all hosts
-// together as far as this host knows them.
+// Endpoint is one upstream at the time of the snapshot. Its load figures cover
+// the requests of all hosts, as far as this host knows them.
 type Endpoint struct {
 	ID                  string
 	Address             string
 	Slots               int
-	SameDataCentre      bool // in this host's data centre
-	HasIdleConn         bool // the sending host has an idle connection to it
-	Draining            bool
-	Down                bool // its answers, or their absence, speak against it
-	HalfOpen            bool // was down; one request at a time is let through
-	ProbeInFlight       bool // that one request is out
-	Tried               bool // had an attempt of this request
-	ModelResident       bool
-	AdapterResident     bool
-	ExecutingOrder      bool          // carries out an order
-	InFlight            int           // sent and not ended
-	PendingPromptTokens int           // prompt tokens sent whose first event has not come
-	InFlightTokens      int           // prompt and expected answer of all requests there
-	CachedTokens        int           // prompt tokens of this request that it probably keeps
-	WarmupRemaining     time.Duration // slow for this much longer after its start
-	// Backoff is for how long it asked to be sent nothing more, or what it takes is
-	// used up; 0: it takes a request now.
+	SameDataCentre      bool          // it is in the data centre of the sending host
+	HasIdleConn         bool          // the sending host has an idle connection to it
+	Draining            bool          // it takes no new requests
+	Down                bool          // it is excluded after failures or missing answers
+	HalfOpen            bool          // it was down, and receives one probe request at a time
+	ProbeInFlight       bool          // the probe request of a half-open endpoint has not ended
+	Tried               bool          // it already received an attempt of this request
+	ModelResident       bool          // the request's model is in the accelerator's memory
+	AdapterResident     bool          // so is its adapter
+	ExecutingOrder      bool          // it is executing an order of the coordinator
+	InFlight            int           // requests sent to it that have not ended
+	PendingPromptTokens int           // prompt tokens sent to it that have produced no first event yet
+	InFlightTokens      int           // prompt and expected answer tokens of all in-flight requests
+	CachedTokens        int           // prompt tokens of this request that are probably in its cache
+	WarmupRemaining     time.Duration // for how much longer it is slow after its start
+	// Backoff is how long nothing may be sent to it, because it asked for that or
+	// because its limit is used up; 0 if a request may be sent now.
 	Backoff time.Duration
 }
 
-// Request is what picking needs to know of a request.
+// Request holds the properties of a request that a pick depends on.
 type Request struct {
-	Model        string // "": any upstream of the service answers
-	Adapter      string // "": none
-	PromptTokens int    // tokens
-	OutputTokens int    // tokens to expect
-	CacheTokens  int    // that one upstream has room for; 0: not bounded
-	// Reading is how many prompt tokens may wait to be read at an upstream
-	// beside others, so that streams there keep their pace; 0: not bounded.
+	Model        string // "" if any upstream of the service can answer
+	Adapter      string // "" if it needs none
+	PromptTokens int
+	OutputTokens int // expected tokens of the answer
+	CacheTokens  int // capacity of one upstream's token cache; 0 if it is not bounded
+	// MaxPendingPromptTokens is how many prompt tokens may be waiting for prefill
+	// at one upstream, this request's included, so that the streams there do not
+	// pause for too long; 0 if they are not bounded.
 	MaxPendingPromptTokens int
 }
 
-// Reason says why no endpoint was found.
+// Reason is the result of checking one or all endpoints.
 type Reason uint8
 
-// The reasons. Hosts tell each other their numbers; nearness orders them.
+// The reasons. Hosts send each other these numbers; closeness orders them.
 const (
 	Found         Reason = iota
 	NoUpstream           // the service has no upstream that may be used
-	NoModel              // usable ones exist; none holds the model
-	NoAdapter            // holders exist; none has the adapter
-	AllFull              // those that could answer have no room
-	AllPrefilling        // those that could answer read prompts of others just now
-	AllBackoff           // those that could answer asked to be sent nothing for now
+	NoModel              // there are usable upstreams, but the model is not resident on any
+	NoAdapter            // the model is resident, but not together with the adapter
+	AllFull              // the upstreams that could answer have no capacity left
+	AllPrefilling        // the upstreams that could answer are busy with the prompts of others
+	AllBackoff           // the upstreams that could answer asked for a backoff, or are at their limits
 )
 
-// ReasonFromCode reads a reason that another host told; one of a later release counts as
-// no room.
+// ReasonFromCode converts a reason received from another host. A code that only
+// a later release knows is taken as AllFull.
 func ReasonFromCode(n uint32) Reason {
 	if n > uint32(AllBackoff) {
 		return AllFull
@@ -67,33 +69,35 @@
 	return Reason(n)
 }
 
-// closeness orders the reasons: the higher, the less is missing.
+// closeness ranks the reasons: the higher the rank, the fewer conditions are missing.
 var closeness = [...]int{NoUpstream: 0, NoModel: 1, AllBackoff: 2, NoAdapter: 3, AllFull: 4, AllPrefilling: 5, Found: 6}
 
-// CloserToFound says whether less is missing than for another reason.
+// CloserToFound reports whether fewer conditions are missing for r than for o.
 func (r Reason) CloserToFound(o Reason) bool { return closeness[r] > closeness[o] }
 
-// String names the reason in logs.
+// String returns the reason's name in logs.
 func (r Reason) String() string {
 	return [...]string{"found", "no_server", "no_model", "no_adapter", "all_full", "all_reading", "all_backoff"}[r]
 }
 
 // Decision is the result of a pick.
 type Decision struct {
-	Index         int // in the snapshot; -1: none
+	Index         int // of the picked endpoint in the snapshot; -1 if there is none
 	Reason        Reason
-	PredictedWait time.Duration // until the first event
-	// Home is where an adapter should be loaded when Reason is NoAdapter; -1: nowhere.
+	PredictedWait time.Duration // predicted time until the first event
+	// AdapterTarget is the index of the endpoint on which the adapter should be
+	// loaded when Reason is NoAdapter; -1 if there is none.
 	AdapterTarget int
-	// Backoff is the shortest of those that were passed over for theirs.
+	// MinBackoff is the shortest backoff of the endpoints that were skipped for theirs.
 	MinBackoff time.Duration
 }
 
-// Pick chooses an endpoint for the request. Draw gives random numbers in
-// [0, 1); they only part equals, so that hosts with the same view spread.
-func Pick(endpoints []Endpoint, r *Request, draw func() float64) Decision {
+// Pick chooses an endpoint for the request. random returns numbers in
+// [0, 1), which only decide between endpoints of nearly equal scores, so that
+// hosts with the same view choose different ones.
+func Pick(endpoints []Endpoint, r *Request, random func() float64) Decision {
 	best := Decision{Index: -1, Reason: NoUpstream, AdapterTarget: -1}
-	lowest, lowestHome := 0.0, 0.0
+	lowest, lowestTarget := 0.0, 0.0
 	for i := range endpoints {
 		e := &endpoints[i]
 		reason := Check(e, r)
@@ -106,10 +110,10 @@
 		if reason != Found && reason != NoAdapter {
 			continue
 		}
-		s := score(e, r) + draw()*tieBreakMs
+		s := score(e, r) + random()*tieBreakMs
 		if reason == NoAdapter {
-			if best.AdapterTarget < 0 || s < lowestHome {
-				best.AdapterTarget, lowestHome = i, s
+			if best.AdapterTarget < 0 || s < lowestTarget {
+				best.AdapterTarget, lowestTarget = i, s
 			}
 			continue
 		}
@@ -124,14 +128,14 @@
 	return best
 }
 
-// Check says what keeps a request from an endpoint; Found: nothing does.
+// Check returns the reason why an endpoint cannot take a request, or Found if it can.
 func Check(e *Endpoint, r *Request) Reason {
 	switch {
 	case e.Draining, e.Tried, e.Down, e.HalfOpen && e.ProbeInFlight:
 		return NoUpstream
 	case r.Model != "" && !e.ModelResident:
 		return NoModel
-	case e.Backoff > 0: // before what would be loaded there
+	case e.Backoff > 0: // checked before the adapter: no adapter is loaded on an endpoint in backoff
 		return AllBackoff
 	case r.Adapter != "" && !e.AdapterResident:
 		return NoAdapter
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -9,7 +9,7 @@
 	"peridotpier.example/core/balance"
 )
 
-func still() float64 { return 0 }
+func noTieBreak() float64 { return 0 }
 
 func engine(id string, change ...func(*balance.Endpoint)) balance.Endpoint {
 	e := balance.Endpoint{ID: id, Slots: 64, SameDataCentre: true, ModelResident: true, AdapterResident: true}
@@ -19,58 +19,57 @@
 	return e
 }
 
-var ask = balance.Request{Model: "m", PromptTokens: 2000, OutputTokens: 50, CacheTokens: 100_000}
+var request = balance.Request{Model: "m", PromptTokens: 2000, OutputTokens: 50, CacheTokens: 100_000}
 
-func TestTheReasonNamesWhatWouldHelpMost(t *testing.T) {
-	leaving := engine("leaving", func(e *balance.Endpoint) { e.Draining = true })
-	without := engine("without", func(e *balance.Endpoint) { e.ModelResident = false })
-	bare := engine("bare", func(e *balance.Endpoint) { e.AdapterResident = false })
+func TestTheReasonClosestToFoundIsReturned(t *testing.T) {
+	draining := engine("leaving", func(e *balance.Endpoint) { e.Draining = true })
+	noModel := engine("without", func(e *balance.Endpoint) { e.ModelResident = false })
+	noAdapter := engine("bare", func(e *balance.Endpoint) { e.AdapterResident = false })
 	full := engine("full", func(e *balance.Endpoint) { e.InFlight = 100 })
-	asked := ask
-	asked.Adapter = "a1"
+	withAdapter := request
+	withAdapter.Adapter = "a1"
 	for _, c := range []struct {
 		name string
 		in   []balance.Endpoint
 		want balance.Reason
 	}{
 		{"none", nil, balance.NoUpstream},
-		{"leaving", []balance.Endpoint{leaving}, balance.NoUpstream},
-		{"no holder", []balance.Endpoint{leaving, without}, balance.NoModel},
-		{"no adapter", []balance.Endpoint{without, bare}, balance.NoAdapter},
-		{"full", []balance.Endpoint{bare, full, without}, balance.AllFull},
-		{"found", []balance.Endpoint{bare, full, engine("ok")}, balance.Found},
+		{"leaving", []balance.Endpoint{draining}, balance.NoUpstream},
+		{"no holder", []balance.Endpoint{draining, noModel}, balance.NoModel},
+		{"no adapter", []balance.Endpoint{noModel, noAdapter}, balance.NoAdapter},
+		{"full", []balance.Endpoint{noAdapter, full, noModel}, balance.AllFull},
+		{"found", []balance.Endpoint{noAdapter, full, engine("ok")}, balance.Found},
 	} {
-		d := balance.Pick(c.in, &asked, still)
+		d := balance.Pick(c.in, &withAdapter, noTieBreak)
 		assert.Equal(t, d.Reason, c.want, c.name)
 		assert.Equal(t, d.Index >= 0, c.want == balance.Found, c.name)
 	}
 }
 
-// Symptom: streams pause for longer than their bound while other engines idle.
-// Sequence: prompts arrive together; all go to the engine with fewest requests.
-// Cause: prompts that are still to be read hold up every step of a batch, and
-// counting requests does not show them.
-func TestPromptsNotYetReadCountMoreThanRequests(t *testing.T) {
-	reading := engine("reading", func(e *balance.Endpoint) { e.InFlight, e.PendingPromptTokens = 3, 9000 })
+// Guards against streams that pause for longer than their bound while other
+// engines are idle. Prompts that arrived together all went to the engine with the
+// fewest requests: pending prompts slow down every step of a batch, and a count of
+// requests does not show them.
+func TestPendingPromptsCountMoreThanRequests(t *testing.T) {
+	prefilling := engine("reading", func(e *balance.Endpoint) { e.InFlight, e.PendingPromptTokens = 3, 9000 })
 	running := engine("running", func(e *balance.Endpoint) { e.InFlight = 30 })
-	d := balance.Pick([]balance.Endpoint{reading, running}, &ask, still)
+	d := balance.Pick([]balance.Endpoint{prefilling, running}, &request, noTieBreak)
 	assert.Equal(t, d.Index, 1)
 }
 
-// Symptom: an upstream that was found dark swallows a burst as soon as its
-// pause is over. Sequence: it goes dark; the pause ends; many requests are due.
-// Cause: it is let back with all its share at once.
-func TestAnUpstreamOnTrialGetsOneRequestAtATime(t *testing.T) {
-	trial := engine("trial", func(e *balance.Endpoint) { e.HalfOpen = true })
-	assert.Equal(t, balance.Pick([]balance.Endpoint{trial}, &ask, still).Reason, balance.Found)
-	trial.InFlight = 30 // stuck there since before
-	assert.Equal(t, balance.Pick([]balance.Endpoint{trial}, &ask, still).Reason, balance.Found)
-	trial.ProbeInFlight = true
-	assert.Equal(t, balance.Pick([]balance.Endpoint{trial}, &ask, still).Reason, balance.NoUpstream)
+// Guards against a burst that is sent to an upstream as soon as its exclusion
+// ends, because it gets its whole share of the waiting requests at once.
+func TestAHalfOpenUpstreamGetsOneRequestAtATime(t *testing.T) {
+	halfOpen := engine("trial", func(e *balance.Endpoint) { e.HalfOpen = true })
+	assert.Equal(t, balance.Pick([]balance.Endpoint{halfOpen}, &request, noTieBreak).Reason, balance.Found)
+	halfOpen.InFlight = 30 // these have been stuck there since before the exclusion
+	assert.Equal(t, balance.Pick([]balance.Endpoint{halfOpen}, &request, noTieBreak).Reason, balance.Found)
+	halfOpen.ProbeInFlight = true
+	assert.Equal(t, balance.Pick([]balance.Endpoint{halfOpen}, &request, noTieBreak).Reason, balance.NoUpstream)
 }
 
-// Property: whatever the snapshot, a pick never breaks a filter.
-func TestAPickKeepsEveryFilter(t *testing.T) {
+// Property: whatever the snapshot, the picked endpoint passes every filter.
+func TestAPickPassesEveryFilter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		es := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) balance.Endpoint {
 			return balance.Endpoint{Slots: rapid.IntRange(0, 64).Draw(t, "slots"), Draining: rapid.Bool().Draw(t, "leaving"),
@@ -78,9 +77,9 @@
 				AdapterResident: rapid.Bool().Draw(t, "adapter"), InFlight: rapid.IntRange(0, 200).Draw(t, "requests"),
 				PendingPromptTokens: rapid.IntRange(0, 1<<17).Draw(t, "waiting"), InFlightTokens: rapid.IntRange(0, 1<<18).Draw(t, "tokens")}
 		}), 0, 12).Draw(t, "endpoints")
-		r := ask
+		r := request
 		r.Adapter = rapid.SampledFrom([]string{"", "a1"}).Draw(t, "adapter")
-		d := balance.Pick(es, &r, still)
+		d := balance.Pick(es, &r, noTieBreak)
 		if d.Index < 0 {
 			return
 		}
@@ -90,8 +89,8 @@
 	})
 }
 
-// Guards against a handler that ends on what a host of a later release tells.
-func TestAReasonOfALaterReleaseCountsAsNoRoom(t *testing.T) {
+// Guards against a handler that panics on a reason sent by a host of a later release.
+func TestAReasonOfALaterReleaseCountsAsAllFull(t *testing.T) {
 	assert.Equal(t, balance.ReasonFromCode(uint32(balance.NoModel)), balance.NoModel)
 	assert.Equal(t, balance.ReasonFromCode(uint32(balance.AllBackoff)), balance.AllBackoff)
 	assert.Equal(t, balance.ReasonFromCode(200).String(), "all_full")
--- a/core/balance/score.go
+++ b/core/balance/score.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// What a request costs the others at an upstream, in milliseconds of delay.
+// Costs of a request at an upstream, in milliseconds of delay unless said otherwise.
 const (
-	// prefillTokensPerMs is how fast an engine reads prompts. Only the order
-	// of the predictions depends on it, not which upstreams are considered.
+	// prefillTokensPerMs is the assumed prefill speed of an engine. The order of the
+	// predictions and PendingPromptLimit depend on it.
 	prefillTokensPerMs = 20.0
-	// stepMs is one decoding step, and rowMs what each request in the batch
-	// adds to it: with 40 requests a step is a tenth longer.
+	// stepMs is the time of one decoding step, and perRequestMs what each
+	// request in the batch adds to it: with 40 requests a step is a tenth longer.
 	stepMs       = 10.0
 	perRequestMs = 0.33
-	// plainCallMs is a call of a plain service when its size is not known.
+	// plainCallMs is the assumed time of a call to a plain service, whose size is not known.
 	plainCallMs = 15.0
-	// remoteMs is the way to another data centre and back; as a score it also
-	// stands for the price of the bytes that cross.
+	// remoteMs is the round trip to another data centre. In the score it also
+	// stands for the price of the transferred bytes.
 	remoteMs = 3.0
-	// connectMs stands for a new connection: its way and back, and its price.
+	// connectMs is the round trip for opening a connection and the cost of doing so.
 	connectMs = 8.0
-	// warmupMs counts against an upstream that has just started.
+	// warmupMs is the penalty of an upstream that has just started.
 	warmupMs = 200.0
-	// tieBreakMs spreads hosts that see equals.
+	// tieBreakMs is the range of the random amount that is added to each score, so
+	// that hosts which see equal endpoints choose different ones.
 	tieBreakMs = 2.0
 )
 
-// score predicts the milliseconds until the first event, plus what the request
-// costs the others that run there.
+// score predicts the milliseconds until the first event, plus the delay that the
+// request causes to the others on the upstream.
 func score(e *Endpoint, r *Request) float64 {
 	s := 0.0
 	if !e.SameDataCentre {
@@ -46,12 +47,13 @@
 	return s
 }
 
-// stepsToFirstToken is how many decoding steps the first event waits for about: one when
-// the batch has room, more when requests must end before this one begins.
+// stepsToFirstToken estimates how many decoding steps pass before the first event:
+// one when the batch has room, more when other requests must end before this one
+// can start.
 func stepsToFirstToken(e *Endpoint) float64 {
-	over := e.InFlight - e.Slots
-	if e.Slots == 0 || over < 0 {
+	excess := e.InFlight - e.Slots
+	if e.Slots == 0 || excess < 0 {
 		return 1
 	}
-	return 1 + float64(over)*stepMs
+	return 1 + float64(excess)*stepMs
 }
