--- a/core/backpressure/retryafter.go
+++ b/core/backpressure/retryafter.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// maxRetryAfter bounds what is read of a time to stay away.
+// maxRetryAfter bounds the backoff that an upstream may ask for.
 const maxRetryAfter = 24 * time.Hour
 
-// ParseRetryAfter reads for how long to stay away, in seconds with a fraction; 0: it names
-// no time, or a date, which upstreams here do not send.
+// ParseRetryAfter parses a Retry-After value of seconds, which may have a fraction. It
+// returns 0 for an invalid value and for a date, which upstreams here do not send.
 func ParseRetryAfter(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || !(seconds > 0) {
--- a/core/backpressure/signal.go
+++ b/core/backpressure/signal.go
@@ -1,5 +1,6 @@
-// Package backpressure holds what upstreams ask of all hosts on their answers,
-// and paces what hosts send by it. It does no I/O and has no clock.
+// Package backpressure combines what upstreams ask of all hosts in their answers
+// (rate limits, backoff, draining) and paces requests accordingly. It does no I/O
+// and has no clock.
 package backpressure
 
 import (
@@ -7,22 +8,22 @@
 	"time"
 )
 
-// Limit is how many requests a second an upstream takes from all hosts together.
+// Limit is the number of requests a second that an upstream takes from all hosts together.
 type Limit struct {
-	Stated    bool // else it takes what comes
+	Stated    bool // whether the upstream states a limit
 	PerSecond float64
 }
 
-// stricter says whether a limit allows less than another.
+// stricter reports whether l allows less than o.
 func (l Limit) stricter(o Limit) bool {
 	return l.Stated && (!o.Stated || l.PerSecond < o.PerSecond)
 }
 
-// materialShare is by how much two limits may differ that hosts need not tell each other
-// of: an upstream may name a slightly other one on each answer.
+// materialShare is by what share two limits must differ for hosts to announce the change:
+// an upstream may state a slightly different limit on each answer.
 const materialShare = 0.1
 
-// DiffersMaterially says whether hosts have to tell each other of the one that know of the other.
+// DiffersMaterially reports whether a change from one limit to the other must be announced to other hosts.
 func (l Limit) DiffersMaterially(o Limit) bool {
 	if l.Stated != o.Stated {
 		return true
@@ -30,19 +31,20 @@
 	return math.Abs(l.PerSecond-o.PerSecond) > materialShare*max(l.PerSecond, o.PerSecond)
 }
 
-// Signal is what one answer of an upstream said. The upstream made the answer
-// at some time between the sending of its request and its arrival.
+// Signal is what one answer of an upstream asked for. The upstream created the answer
+// at some time between SentAt, when the request was sent, and ReceivedAt, when the
+// answer arrived.
 type Signal struct {
 	Limit      Limit
-	Draining   bool // its process takes nothing new, for the rest of its life
+	Draining   bool // the process takes no new requests until it terminates
 	SentAt     time.Time
 	ReceivedAt time.Time
 }
 
-// Merge is what holds of two signals of one upstream. Answers may overtake each
-// other, on the way and at different hosts: of two that may have been made in either
-// order the stricter one holds, until a request that was sent after both were heard
-// brings another.
+// Merge returns the signal in effect after two signals of one upstream. Answers can
+// overtake each other, on the network and at different hosts. If it is not known which
+// of two answers was created first, the stricter limit applies until an answer arrives
+// to a request that was sent after both were received.
 func Merge(a, b Signal) Signal {
 	out := a
 	switch {
--- a/core/backpressure/signal_test.go
+++ b/core/backpressure/signal_test.go
@@ -12,7 +12,7 @@
 	"peridotpier.example/core/backpressure"
 )
 
-// seed makes every run draw the same; -rapid.seed overrides it.
+// seed makes the property tests draw the same inputs on every run; -rapid.seed overrides it.
 const seed = "20260704"
 
 func TestMain(m *testing.M) {
@@ -20,21 +20,21 @@
 	os.Exit(m.Run())
 }
 
-// at is a time of a test's own clock.
+// at returns a time that is the given number of seconds after the start of a test.
 func at(seconds float64) time.Time {
 	return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func named(perSecond float64) backpressure.Limit {
+func statedLimit(perSecond float64) backpressure.Limit {
 	return backpressure.Limit{Stated: true, PerSecond: perSecond}
 }
 
-// Guards against a limit that is taken back, or kept, by an answer that was overtaken.
-func TestTheNewestSignalHoldsWhateverTheOrderOfArrival(t *testing.T) {
+// Guards against a limit that is lifted, or kept, because of an answer that was overtaken.
+func TestTheNewestSignalWinsWhateverTheOrderOfArrival(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limits := rapid.SampledFrom([]backpressure.Limit{{}, named(0), named(1), named(50)})
+		limits := rapid.SampledFrom([]backpressure.Limit{{}, statedLimit(0), statedLimit(1), statedLimit(50)})
 		var all []backpressure.Signal
-		newest := 0.0 // when the last answer was heard
+		newest := 0.0 // when the last answer was received
 		for range rapid.IntRange(0, 12).Draw(t, "signals") {
 			made := rapid.Float64Range(0, 10).Draw(t, "made")
 			s := backpressure.Signal{Limit: limits.Draw(t, "limit"), SentAt: at(made - rapid.Float64Range(0, 2).Draw(t, "way")),
@@ -44,15 +44,15 @@
 		}
 		last := backpressure.Signal{Limit: limits.Draw(t, "last"), SentAt: at(newest + 0.1), ReceivedAt: at(newest + 0.2)}
 		all = append(all, last)
-		var held backpressure.Signal
-		for _, i := range rapid.Permutation(order(len(all))).Draw(t, "order") {
-			held = backpressure.Merge(held, all[i])
+		var merged backpressure.Signal
+		for _, i := range rapid.Permutation(indexes(len(all))).Draw(t, "order") {
+			merged = backpressure.Merge(merged, all[i])
 		}
-		assert.Equal(t, held.Limit, last.Limit)
+		assert.Equal(t, merged.Limit, last.Limit)
 	})
 }
 
-func order(n int) []int {
+func indexes(n int) []int {
 	out := make([]int, n)
 	for i := range out {
 		out[i] = i
@@ -60,13 +60,13 @@
 	return out
 }
 
-// Guards against a moment without a limit between two answers that name it.
-func TestOfAnswersThatCrossTheStricterHolds(t *testing.T) {
-	limited := backpressure.Signal{Limit: named(1), SentAt: at(0), ReceivedAt: at(1)}
-	crossing := backpressure.Signal{SentAt: at(0.5), ReceivedAt: at(1.2)}
-	again := backpressure.Signal{Limit: named(1), SentAt: at(0.9), ReceivedAt: at(3)}
-	assert.Equal(t, backpressure.Merge(limited, crossing).Limit, named(1))
-	assert.Equal(t, backpressure.Merge(crossing, limited).Limit, named(1))
+// Guards against a moment without a limit between two answers that state it.
+func TestOfOvertakingAnswersTheStricterWins(t *testing.T) {
+	limited := backpressure.Signal{Limit: statedLimit(1), SentAt: at(0), ReceivedAt: at(1)}
+	overtaking := backpressure.Signal{SentAt: at(0.5), ReceivedAt: at(1.2)}
+	again := backpressure.Signal{Limit: statedLimit(1), SentAt: at(0.9), ReceivedAt: at(3)}
+	assert.Equal(t, backpressure.Merge(limited, overtaking).Limit, statedLimit(1))
+	assert.Equal(t, backpressure.Merge(overtaking, limited).Limit, statedLimit(1))
 	before := backpressure.Signal{SentAt: at(2), ReceivedAt: at(2.5)}
-	assert.Equal(t, backpressure.Merge(backpressure.Merge(limited, again), before).Limit, named(1))
+	assert.Equal(t, backpressure.Merge(backpressure.Merge(limited, again), before).Limit, statedLimit(1))
 }
--- a/core/backpressure/slowstart.go
+++ b/core/backpressure/slowstart.go
@@ -1,26 +1,27 @@
 package backpressure
 
-// SlowStart lets an upstream that has turned requests away have them back little
-// by little: one at first, and twice as many with each that it answers. The zero
-// value holds nothing back. Its owner guards it.
+// SlowStart gradually increases the requests in flight at an upstream that has refused
+// requests: one at first, and twice as many with each request that it answers. The zero
+// value holds nothing back. Its owner must guard it.
 type SlowStart struct {
-	limit    int // requests that may be out; 0: any number
+	limit    int // maximum of requests in flight; 0 if there is none
 	inFlight int
 }
 
-// defaultSlots is how many requests an upstream of unknown size is taken to run.
+// defaultSlots is how many requests an upstream of unknown size is assumed to run.
 const defaultSlots = 8
 
-// Start starts with one request.
+// Start limits the upstream to one request in flight.
 func (s *SlowStart) Start() { s.limit = 1 }
 
-// Active says whether requests are held back.
+// Active reports whether requests are held back.
 func (s *SlowStart) Active() bool { return s.limit > 0 }
 
-// AtLimit says whether no more may be sent until one is answered, or ends.
+// AtLimit reports whether no further request may be sent until one is answered or ends.
 func (s *SlowStart) AtLimit() bool { return s.limit > 0 && s.inFlight >= s.limit }
 
-// Sent notes a request; it says whether its end and answer are to be told.
+// Sent records the sending of a request. It reports whether the request counts, so that
+// its answer and its end must be recorded too.
 func (s *SlowStart) Sent() (counted bool) {
 	if s.limit == 0 {
 		return false
@@ -29,8 +30,8 @@
 	return true
 }
 
-// Answered notes that one that counts was not turned away; the upstream runs so
-// many at a time, 0: not known.
+// Answered records that a request which counts was answered and not refused. slots is
+// how many requests the upstream runs at a time; 0 if that is not known.
 func (s *SlowStart) Answered(slots int) {
 	if slots == 0 {
 		slots = defaultSlots
@@ -40,5 +41,5 @@
 	}
 }
 
-// Ended notes the end of one that counts.
+// Ended records the end of a request that counts.
 func (s *SlowStart) Ended() { s.inFlight-- }
--- a/core/backpressure/slowstart_test.go
+++ b/core/backpressure/slowstart_test.go
@@ -8,8 +8,8 @@
 	"peridotpier.example/core/backpressure"
 )
 
-// Guards against an upstream that is flooded again as soon as its rest is over.
-func TestAfterARestRequestsComeBackLittleByLittle(t *testing.T) {
+// Guards against an upstream that is flooded again as soon as its backoff is over.
+func TestAfterABackoffRequestsIncreaseGradually(t *testing.T) {
 	var s backpressure.SlowStart
 	assert.Assert(t, !s.Active() && !s.AtLimit() && !s.Sent())
 	s.Start()
