--- a/core/quota/bucket.go
+++ b/core/quota/bucket.go
@@ -2,78 +2,78 @@
 
 import "time"
 
-// maxDebtTime bounds the debt that Charge leaves, in time of the rate: what was
-// passed longer ago than this does not count against a team any more.
+// maxDebtTime bounds the debt that Charge leaves, in time at the limit's rate: requests
+// admitted longer ago do not count against a team any more.
 const maxDebtTime = 8 * time.Second
 
-// Bucket holds a team to its limit: it gains the rate and keeps a burst at most.
-// Its level falls below zero when something was passed without asking it.
+// Bucket is a token bucket that enforces a team's limit. It refills at the limit's rate
+// up to its burst. Its level falls below zero when requests were admitted without Take.
 type Bucket struct {
 	limit       Limit
 	level       float64
 	refilledAt  time.Time
-	credit      float64   // beyond a burst, until settled
-	creditUntil time.Time // when it ends
+	credit      float64 // by how much the level may exceed the burst until creditUntil
+	creditUntil time.Time
 }
 
-// NewBucket makes a full one.
+// NewBucket returns a full bucket.
 func NewBucket(l Limit, now time.Time) *Bucket {
 	return &Bucket{limit: l, level: l.capacity(), refilledAt: now}
 }
 
-// SetLimit puts another limit in force. What is kept beyond its burst is lost.
+// SetLimit changes the limit. What the bucket holds beyond the new burst is lost.
 func (b *Bucket) SetLimit(l Limit, now time.Time) {
 	b.refill(now)
 	b.limit = l
 	b.clamp()
 }
 
-// Take asks for leave for a request. When refused it tells after what time the
-// bucket holds enough, if nothing else is taken. One that costs more than a
-// burst is let through when the bucket is full, and leaves a debt: it could
-// never be served otherwise.
+// Take takes the cost of a request from the bucket and reports whether the request is
+// admitted. If it is not, wait is the time after which the bucket will hold enough if
+// nothing else is taken. A request that costs more than a burst could never be served;
+// it is admitted when the bucket is full, and leaves a debt.
 func (b *Bucket) Take(cost float64, now time.Time) (wait time.Duration, ok bool) {
 	b.refill(now)
-	if lacks := min(cost, b.limit.capacity()) - b.level; lacks > roundingTolerance {
-		return time.Duration(lacks / b.limit.PerSecond * float64(time.Second)), false
+	if missing := min(cost, b.limit.capacity()) - b.level; missing > roundingTolerance {
+		return time.Duration(missing / b.limit.PerSecond * float64(time.Second)), false
 	}
 	b.level -= cost
 	return 0, true
 }
 
-// roundingTolerance is what a level may be short of a cost by the rounding of times.
+// roundingTolerance is by how much a level may fall short of a cost because times are rounded.
 const roundingTolerance = 1e-3
 
-// Credit adds what was gained while nobody counted. It may lie beyond a burst
-// for a while, in which Charge takes what was passed at that time.
-func (b *Bucket) Credit(cost float64, settled time.Time) {
-	b.credit, b.creditUntil = cost, settled
+// Credit adds what was gained while no ledger counted. The level may exceed the burst
+// by it until the given time, so that Charge can deduct what was admitted meanwhile.
+func (b *Bucket) Credit(cost float64, until time.Time) {
+	b.credit, b.creditUntil = cost, until
 	b.level += cost
 }
 
-// Charge takes what was passed without asking.
+// Charge deducts the cost of requests that were admitted without Take.
 func (b *Bucket) Charge(cost float64, now time.Time) {
 	b.refill(now)
-	most := -b.limit.PerSecond*maxDebtTime.Seconds() - b.limit.capacity()
-	b.level = max(b.level-cost, min(b.level, most))
+	floor := -b.limit.PerSecond*maxDebtTime.Seconds() - b.limit.capacity()
+	b.level = max(b.level-cost, min(b.level, floor))
 }
 
-// Refund gives back what was taken for a request that has not run.
+// Refund returns what was taken for a request that has not run.
 func (b *Bucket) Refund(cost float64, now time.Time) {
 	b.refill(now)
 	b.level += cost
 	b.clamp()
 }
 
-// Level is what the bucket holds; negative: a debt.
+// Level returns what the bucket holds; a negative level is a debt.
 func (b *Bucket) Level(now time.Time) float64 {
 	b.refill(now)
 	return b.level
 }
 
 func (b *Bucket) refill(now time.Time) {
-	if passed := now.Sub(b.refilledAt); passed > 0 {
-		b.level += b.limit.PerSecond * passed.Seconds()
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
+		b.level += b.limit.PerSecond * elapsed.Seconds()
 		b.refilledAt = now
 	}
 	b.clamp()
--- a/core/quota/bucket_test.go
+++ b/core/quota/bucket_test.go
@@ -8,38 +8,39 @@
 	"pgregory.net/rapid"
 )
 
-// In no span is more let through than the rate makes and a burst, but for one
-// request that costs more than a burst.
-func TestABucketHoldsTheRateOverAnySpan(t *testing.T) {
+// Guards against admitting, in any time span, more than the rate and a burst allow, apart
+// from one request that costs more than a burst.
+func TestABucketEnforcesTheRateOverAnySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{Unit: Tokens, PerSecond: rapid.Float64Range(1, 1000).Draw(t, "rate"), Burst: rapid.Float64Range(1, 2000).Draw(t, "burst")}
 		now := at(0)
 		b := NewBucket(l, now)
-		type passed struct {
+		type admission struct {
 			at   time.Time
 			cost float64
 		}
-		var all []passed
+		var all []admission
 		for range rapid.IntRange(1, 60).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.Float64Range(0, 2).Draw(t, "gap") * float64(time.Second)))
 			cost := rapid.Float64Range(0, 3000).Draw(t, "cost")
 			if _, ok := b.Take(cost, now); ok {
-				all = append(all, passed{now, cost})
+				all = append(all, admission{now, cost})
 			}
 		}
 		for i := range all {
 			sum, largest := 0.0, 0.0
 			for _, p := range all[i:] {
 				sum, largest = sum+p.cost, max(largest, p.cost)
-				most := l.PerSecond*p.at.Sub(all[i].at).Seconds() + l.Burst + max(largest-l.Burst, 0)
-				assert.Assert(t, sum <= most+0.1, "%f of %f", sum, most)
+				allowed := l.PerSecond*p.at.Sub(all[i].at).Seconds() + l.Burst + max(largest-l.Burst, 0)
+				assert.Assert(t, sum <= allowed+0.1, "%f of %f", sum, allowed)
 			}
 		}
 	})
 }
 
-// Failure: a caller comes back when it was told to, alone, and is refused again.
-func TestTheTimeToldIsTrue(t *testing.T) {
+// Guards against a caller that is refused again although it returned after the stated wait
+// and nobody else sent anything.
+func TestARequestIsAdmittedAfterTheStatedWait(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{Unit: Tokens, PerSecond: rapid.Float64Range(1, 1e6).Draw(t, "rate"), Burst: rapid.Float64Range(1, 1e6).Draw(t, "burst")}
 		now := at(0)
@@ -55,8 +56,8 @@
 	})
 }
 
-// A request that costs more than a burst is let through by a full bucket only,
-// and others wait until it is paid for.
+// Guards against refusing a request that costs more than a burst for ever. Only a full
+// bucket admits it, and others wait until its debt is paid.
 func TestARequestLargerThanABurstIsNotRefusedForEver(t *testing.T) {
 	b := NewBucket(Limit{PerSecond: 100, Burst: 100}, at(0))
 	_, ok := b.Take(250, at(0))
@@ -66,7 +67,7 @@
 	assert.Equal(t, wait.Round(time.Millisecond), time.Second)
 }
 
-func TestALowerLimitBindsAtOnceAndWhatWasGivenBackIsThere(t *testing.T) {
+func TestALowerLimitAppliesAtOnceAndRefundsAreAvailable(t *testing.T) {
 	b := NewBucket(Limit{PerSecond: 100, Burst: 1000}, at(0))
 	b.SetLimit(Limit{PerSecond: 10, Burst: 50}, at(0))
 	assert.Equal(t, b.Level(at(0)), 50.0)
--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -2,57 +2,57 @@
 
 import "time"
 
-// Team is one team's limit by name.
+// Team is the name of a team and its limit.
 type Team struct {
 	Name  string
 	Limit Limit
 }
 
-// AccountState is how a team's account stands, as told to the hosts.
-type AccountState struct {
-	Level  float64 // what may come at once; negative: a debt
+// AccountState is the state of a team's account, as announced to the hosts.
+type AccountState struct { // cost that may be admitted at once; negative for a debt
+	Level  float64 // cost a second that the team requests, refused requests included
 	Demand float64 // a second, what was refused too
 }
 
-// KnownState is what a host knows of an account when it begins to count itself.
+// KnownState is the last state of an account that a host knows when it begins to count itself.
 type KnownState struct {
 	AccountState
-	Constrained bool          // else the account had enough
-	Age         time.Duration // for which nobody may have counted
+	Constrained bool          // whether the limit may bind; otherwise the level was sufficient
+	Age         time.Duration // time since then, during which possibly nobody counted
 }
 
-// Ledger counts for all hosts what teams ask for. Its owner guards it.
+// Ledger counts the requests of teams at all hosts together. Its owner must guard it.
 type Ledger struct {
 	accounts       map[string]*account
-	slack          float64 // that may come at once beyond a burst
-	connectedShare float64 // of the limits that may be given out here
+	slack          float64 // cost that may be admitted at once beyond a burst
+	connectedShare float64 // share of the limits that may be granted here
 }
 
-// account is one limited team's.
+// account is the account of one team with a limit.
 type account struct {
-	limit        Limit // in force
+	limit        Limit
 	bucket       *Bucket
 	demand       demand
-	correctUntil time.Time // until when it may have begun too full, since nothing was known; zero: it has not
-	admitted     float64   // until then
+	correctUntil time.Time // until when the level may be too high because it was unknown at the start; zero if it was known
+	admitted     float64   // cost admitted until then
 }
 
-// usedSlackShare is the part of what operators allow a limit to be missed by that
-// callers get on purpose. A burst may be hardly more than one request; requests
-// that all hosts together let through in a slightly other order than they came
-// would be refused, though the team is well within its rate. The rest is for what
-// hosts pass by themselves.
+// usedSlackShare is the share of the slack by which operators allow a limit to be exceeded
+// that is granted on purpose. A burst may be hardly larger than one request. Requests that
+// all hosts together admit in a slightly different order than they arrived would then be
+// refused, although the team is well within its rate. The remainder covers what hosts
+// admit without the ledger.
 const usedSlackShare = 0.25
 
-// NewLedger makes one without teams; slack is by how much operators allow a limit
-// to be missed, in what it counts.
+// NewLedger returns a ledger without teams. slack is by how much operators allow a limit
+// to be exceeded, in the limit's unit.
 func NewLedger(slack float64) *Ledger {
 	return &Ledger{accounts: map[string]*account{}, slack: slack * usedSlackShare, connectedShare: 1}
 }
 
-// SetTeams puts the limits of a configuration in force. The account of a team that
-// is new starts by what begin tells of it, full if that knows nothing or is nil.
-func (l *Ledger) SetTeams(teams []Team, begin func(team string) (KnownState, bool), now time.Time) {
+// SetTeams applies the limits of a configuration. The account of a new team starts with
+// the state that lastKnown returns for it, or full if that is unknown or lastKnown is nil.
+func (l *Ledger) SetTeams(teams []Team, lastKnown func(team string) (KnownState, bool), now time.Time) {
 	kept := make(map[string]*account, len(teams))
 	for _, t := range teams {
 		if !t.Limit.Limited() {
@@ -62,7 +62,7 @@
 		switch {
 		case a == nil:
 			a = &account{limit: t.Limit, bucket: NewBucket(l.effectiveLimit(t.Limit), now), demand: newDemand()}
-			a.restore(t.Name, begin, now)
+			a.restore(t.Name, lastKnown, now)
 		case a.limit != t.Limit:
 			a.limit = t.Limit
 			a.bucket.SetLimit(l.effectiveLimit(t.Limit), now)
@@ -72,50 +72,50 @@
 	l.accounts = kept
 }
 
-// restore starts an account where another host's stood. What hosts have passed
-// since then they tell with their next reports.
-func (a *account) restore(team string, begin func(string) (KnownState, bool), now time.Time) {
-	if begin == nil {
+// restore starts an account with the state it had at another host. Hosts report what
+// they have admitted since then in their next reports.
+func (a *account) restore(team string, lastKnown func(string) (KnownState, bool), now time.Time) {
+	if lastKnown == nil {
 		return
 	}
-	w, ok := begin(team)
-	if !ok { // a process that has just started: a burst was gained meanwhile, but hosts pass more unheard
+	state, ok := lastKnown(team)
+	if !ok { // this process has just started: a burst was gained meanwhile, but hosts admit more that is not reported yet
 		a.bucket.level = a.limit.capacity()
 		a.correctUntil = now.Add(correctionWindow)
 		return
 	}
-	if w.Constrained {
-		a.bucket.level = min(w.Level, a.bucket.limit.capacity())
-		a.demand.longTerm.add(w.Demand*rateWindow.Seconds(), now)
+	if state.Constrained {
+		a.bucket.level = min(state.Level, a.bucket.limit.capacity())
+		a.demand.longTerm.add(state.Demand*rateWindow.Seconds(), now)
 	}
-	a.bucket.Credit(a.limit.PerSecond*min(w.Age, usageTTL).Seconds(), now.Add(correctionWindow))
+	a.bucket.Credit(a.limit.PerSecond*min(state.Age, usageTTL).Seconds(), now.Add(correctionWindow))
 }
 
-// correctionWindow is how long after a host began to count others may still tell what
-// they passed before: a few of their reports.
+// correctionWindow is how long after a host began to count other hosts may still report
+// what they admitted before. It is the time of a few reports.
 const correctionWindow = time.Second
 
-// Correct takes how an account stood when a host was told last. One that began with
-// nothing known is corrected by it: each process that counts would else give every
-// team a burst of its own.
-func (l *Ledger) Correct(team string, w KnownState, now time.Time) {
+// Correct applies the state of an account that a host received last from another ledger.
+// It lowers the level of an account that started with an unknown state; otherwise each
+// process that begins to count would grant every team another burst.
+func (l *Ledger) Correct(team string, state KnownState, now time.Time) {
 	a := l.accounts[team]
-	if a == nil || !w.Constrained || !now.Before(a.correctUntil) {
+	if a == nil || !state.Constrained || !now.Before(a.correctUntil) {
 		return
 	}
-	if stands := w.Level + a.limit.PerSecond*w.Age.Seconds() - a.admitted; stands < a.bucket.Level(now) {
-		a.bucket.level = stands
+	if corrected := state.Level + a.limit.PerSecond*state.Age.Seconds() - a.admitted; corrected < a.bucket.Level(now) {
+		a.bucket.level = corrected
 	}
 }
 
-// SetConnectedShare says what part of the hosts is heard here. The others may be cut off,
-// and go on by their shares; these are withheld, so that all together stay
-// within the limits.
-func (l *Ledger) SetConnectedShare(part float64, now time.Time) {
-	if part == l.connectedShare {
+// SetConnectedShare sets the share of all hosts that report to this ledger. The others may
+// be disconnected and admit requests by their shares of the limits. These shares are
+// withheld here, so that all hosts together stay within the limits.
+func (l *Ledger) SetConnectedShare(share float64, now time.Time) {
+	if share == l.connectedShare {
 		return
 	}
-	l.connectedShare = part
+	l.connectedShare = share
 	for _, a := range l.accounts {
 		a.bucket.SetLimit(l.effectiveLimit(a.limit), now)
 	}
@@ -127,7 +127,8 @@
 	return limit
 }
 
-// Take asks for leave for a request. A team without a limit is always let through.
+// Take requests the admission of a request. A team without a limit is always admitted.
+// If the request is refused, wait is the time after which it could be admitted.
 func (l *Ledger) Take(team string, cost float64, now time.Time) (wait time.Duration, ok bool) {
 	a := l.accounts[team]
 	if a == nil {
@@ -141,28 +142,28 @@
 	return wait, ok
 }
 
-// AddUsage enters what a host passed by itself, less what it gives back, and what it refused.
-func (l *Ledger) AddUsage(team string, passed, refused float64, now time.Time) {
+// AddUsage records what a host admitted without the ledger, less its refunds, and what it refused.
+func (l *Ledger) AddUsage(team string, admitted, refused float64, now time.Time) {
 	a := l.accounts[team]
 	if a == nil {
 		return
 	}
-	a.demand.add(max(passed, 0)+refused, now)
-	if passed >= 0 {
-		a.bucket.Charge(passed, now)
+	a.demand.add(max(admitted, 0)+refused, now)
+	if admitted >= 0 {
+		a.bucket.Charge(admitted, now)
 	} else {
-		a.bucket.Refund(-passed, now)
+		a.bucket.Refund(-admitted, now)
 	}
 }
 
 const (
-	// constrainedLevel and scarceRate tell accounts that hosts have to know of: less
-	// than this share of a burst is there, or so much of the rate is asked for.
+	// constrainedLevel and constrainedRate select the accounts that hosts have to know of:
+	// their level is below this share of a burst, or their demand above this share of the rate.
 	constrainedLevel = 0.5
 	constrainedRate  = 0.7
 )
 
-// Constrained returns how the teams stand whose limits may bind; all others have enough.
+// Constrained returns the states of the teams whose limits may bind. All others have enough.
 func (l *Ledger) Constrained(now time.Time) map[string]AccountState {
 	var out map[string]AccountState
 	for name, a := range l.accounts {
--- a/core/quota/rate.go
+++ b/core/quota/rate.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// rateWindow is over what time the rate of what is asked for is averaged: long
-	// against the gaps between the requests of a small team.
+	// rateWindow is the time over which the rate of requested cost is averaged. It is long
+	// compared with the gaps between the requests of a small team.
 	rateWindow = 3 * time.Second
-	// shortRateWindow is the same for a rate that rises. Many requests show within it
-	// that their team has begun to send several times its usual.
+	// shortRateWindow is the window for detecting a rising rate. If a team with many
+	// requests begins to send several times its usual rate, it shows within this time.
 	shortRateWindow = 800 * time.Millisecond
-	// minDeviations is how many times its chance deviation a rise must exceed to be believed.
+	// minDeviations is how many standard deviations a rise must exceed to be taken as real.
 	minDeviations = 2
 )
 
-// decayingSum is a decaying sum of what was asked for.
+// decayingSum is an exponentially decaying sum of the costs requested.
 type decayingSum struct {
 	window     time.Duration
 	sum        float64
-	squaredSum float64 // of the costs; they decay twice as fast
+	squaredSum float64 // sum of the squared costs, which decays twice as fast
 	decayedAt  time.Time
 }
 
@@ -30,39 +30,40 @@
 	r.squaredSum += cost * cost
 }
 
-// perSecond is the rate now.
+// perSecond returns the current rate.
 func (r *decayingSum) perSecond(now time.Time) float64 {
 	r.decay(now)
 	return r.sum / r.window.Seconds()
 }
 
-// lowerBound is the rate that is asked for at least, but for chance.
+// lowerBound returns a lower bound of the current rate that chance rarely exceeds.
 func (r *decayingSum) lowerBound(now time.Time) float64 {
 	r.decay(now)
 	return (r.sum - minDeviations*math.Sqrt(r.squaredSum)) / r.window.Seconds()
 }
 
 func (r *decayingSum) decay(now time.Time) {
-	if passed := now.Sub(r.decayedAt); passed > 0 {
-		share := math.Exp(-passed.Seconds() / r.window.Seconds())
+	if elapsed := now.Sub(r.decayedAt); elapsed > 0 {
+		share := math.Exp(-elapsed.Seconds() / r.window.Seconds())
 		r.sum *= share
 		r.squaredSum *= share * share
 		r.decayedAt = now
 	}
 }
 
-// demand follows what a team asks for: evenly, but for a rise that is sure.
+// demand tracks the rate that a team requests: the long-term rate, or the short-term one
+// if its lower bound is higher.
 type demand struct{ longTerm, shortTerm decayingSum }
 
 func newDemand() demand {
 	return demand{decayingSum{window: rateWindow}, decayingSum{window: shortRateWindow}}
 }
 
-func (a *demand) add(cost float64, now time.Time) {
-	a.longTerm.add(cost, now)
-	a.shortTerm.add(cost, now)
+func (d *demand) add(cost float64, now time.Time) {
+	d.longTerm.add(cost, now)
+	d.shortTerm.add(cost, now)
 }
 
-func (a *demand) perSecond(now time.Time) float64 {
-	return max(a.longTerm.perSecond(now), a.shortTerm.lowerBound(now))
+func (d *demand) perSecond(now time.Time) float64 {
+	return max(d.longTerm.perSecond(now), d.shortTerm.lowerBound(now))
 }
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -193,7 +193,7 @@
   '	defer q.giveBack()
 ' '' ./node/gate
 try "hosts that hear nobody pass a part" core/quota/share.go \
-  'draw*asked >= withoutLedgerShare*s.limit.PerSecond' 'draw*asked < 0' ./core/quota
+  'draw*demand >= withoutLedgerShare*s.limit.PerSecond' 'draw*demand < 0' ./core/quota
 try "hosts without a word pass little" core/quota/share.go \
   'initialShare = 0.02' 'initialShare = 1.0' ./core/quota
 try "the part of hosts that are not heard is withheld" core/quota/ledger.go \
