--- a/core/poison/digest.go
+++ b/core/poison/digest.go
@@ -1,6 +1,7 @@
-// Package poison finds requests that end the upstreams that run them (poison
-// requests, queries of death). One crash blames all that ran there; what several
-// crashes have in common is barred.
+// Package poison detects poison requests (queries of death): requests that crash the
+// upstreams that run them. Each crash makes all requests that ran on the upstream
+// suspects. A request that several crashes have in common is barred: hosts refuse it
+// for some time without sending it to an upstream.
 package poison
 
 import (
@@ -12,32 +13,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Content is what makes two arrivals the same request. Attempts' ids and times
-// differ from one arrival to the next and are no part of it.
+// Content is what identifies two arrivals as the same request. It excludes the ids and
+// times of attempts, which differ from one arrival to the next.
 type Content struct {
-	Team   string // whose request it is; "": nobody's
+	Team   string // the team whose request it is; "" if there is none
 	Method string
 	Host   string
-	Target string // path and query as the caller sent them
+	Target string // path and query as sent by the caller
 	Body   []byte
 }
 
-// digestSize are enough that nobody finds a second content for a digest.
+// digestSize is long enough that nobody can find another content with the same digest.
 const digestSize = 16
 
-// Digest identifies a Content without telling anything of it. The team is a part
-// of it, so that no team can have another's requests barred.
+// Digest identifies a Content without revealing any of it. The team is a part of the
+// content, so that no team can get another team's requests barred.
 type Digest [digestSize]byte
 
-// ErrInvalidDigest says that bytes or text are no digest.
+// ErrInvalidDigest is returned for bytes or text that are not a digest.
 var ErrInvalidDigest = errors.New("no digest of a request")
 
-// Digest works the digest out.
+// Digest computes the digest of the content.
 func (c *Content) Digest() Digest {
 	h := sha256.New()
 	var length [8]byte
 	for _, part := range [][]byte{[]byte(c.Team), []byte(c.Method), []byte(c.Host), []byte(c.Target), c.Body} {
-		binary.BigEndian.PutUint64(length[:], uint64(len(part))) // else two parts could share their bytes otherwise
+		binary.BigEndian.PutUint64(length[:], uint64(len(part))) // without the lengths, bytes could move from one part to the next without changing the digest
 		h.Write(length[:])
 		h.Write(part)
 	}
@@ -46,10 +47,10 @@
 	return d
 }
 
-// String is the digest in hexadecimal digits, as logs and operators have it.
+// String returns the digest in hexadecimal digits, as used in logs and by operators.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// ParseDigest reads what String wrote.
+// ParseDigest parses the result of String. It returns ErrInvalidDigest for other text.
 func ParseDigest(text string) (Digest, error) {
 	data, err := hex.DecodeString(text)
 	if err != nil {
@@ -58,7 +59,8 @@
 	return DigestFromBytes(data)
 }
 
-// DigestFromBytes takes a digest's bytes.
+// DigestFromBytes converts the bytes of a digest. It returns ErrInvalidDigest if their
+// number is wrong.
 func DigestFromBytes(data []byte) (Digest, error) {
 	var d Digest
 	if len(data) != digestSize {
@@ -68,16 +70,16 @@
 	return d, nil
 }
 
-// Shape is a cheap hash of what a Content is beside its body, and of its body's
-// length. Contents of other shapes are other requests, so that a digest is worked
-// out only of those that have the shape of one that is known.
+// Shape is a cheap hash of all parts of a Content except the body, and of the body's
+// length. Contents of different shapes are different requests, so that a digest is
+// computed only for requests that have the shape of a known one.
 type Shape uint64
 
-// Shape works the shape out.
+// Shape computes the shape of the content.
 func (c *Content) Shape() Shape {
 	h := xxhash.New()
 	for _, part := range []string{c.Team, c.Method, c.Host, c.Target} {
-		_, _ = h.WriteString(part) // it never fails
+		_, _ = h.WriteString(part) // never fails
 		_, _ = h.Write(partEnd)
 	}
 	return Shape(h.Sum64() ^ uint64(len(c.Body)))
@@ -85,27 +87,27 @@
 
 var partEnd = []byte{0}
 
-// Fingerprint is how a request is known to other hosts.
+// Fingerprint identifies a request to other hosts.
 type Fingerprint struct {
 	Digest Digest
 	Shape  Shape
 }
 
-// Fingerprint works both out.
+// Fingerprint computes the digest and the shape of the content.
 func (c *Content) Fingerprint() Fingerprint { return Fingerprint{Digest: c.Digest(), Shape: c.Shape()} }
 
-// Request is a Content whose digest is worked out at most once. It belongs to one
-// goroutine.
+// Request is a Content whose fingerprint is computed at most once. It must be used by
+// one goroutine only.
 type Request struct {
 	content     Content
 	fingerprint Fingerprint
 	computed    bool
 }
 
-// NewRequest makes one of a content that does not change any more.
+// NewRequest returns a Request for a content that does not change any more.
 func NewRequest(c Content) *Request { return &Request{content: c} }
 
-// Shape is that of the content.
+// Shape returns the shape of the content.
 func (r *Request) Shape() Shape {
 	if r.computed {
 		return r.fingerprint.Shape
@@ -113,7 +115,7 @@
 	return r.content.Shape()
 }
 
-// Fingerprint is that of the content.
+// Fingerprint returns the fingerprint of the content.
 func (r *Request) Fingerprint() Fingerprint {
 	if !r.computed {
 		r.fingerprint, r.computed = r.content.Fingerprint(), true
--- a/core/poison/digest_test.go
+++ b/core/poison/digest_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestADigestIsOfTheContentAlone(t *testing.T) {
+func TestADigestDependsOnTheContentAlone(t *testing.T) {
 	a := Content{Team: "red", Method: "POST", Host: "h", Target: "/a?b", Body: []byte("body")}
 	same := a
 	same.Body = []byte("body")
@@ -22,8 +22,8 @@
 	}
 }
 
-// Guards against a team that bars another's request by moving bytes from one part to the next.
-func TestPartsDoNotRunIntoEachOther(t *testing.T) {
+// Guards against a team that bars another team's request by moving bytes from one part to the next.
+func TestPartsOfADigestAreSeparated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(2, 20, -1).Draw(t, "text")
 		runes := []rune(text)
@@ -35,7 +35,7 @@
 	})
 }
 
-func TestADigestIsReadAsItIsWritten(t *testing.T) {
+func TestADigestIsParsedAsWritten(t *testing.T) {
 	d := (&Content{Target: "/"}).Digest()
 	back, err := ParseDigest(d.String())
 	assert.NilError(t, err)
--- a/core/poison/entry.go
+++ b/core/poison/entry.go
@@ -2,49 +2,49 @@
 
 import "time"
 
-// State is what is held of a request.
+// State is the state of a request in a Ledger.
 type State uint8
 
 // The states.
 const (
-	Cleared   State = iota // nothing, by now
-	Suspected              // an upstream ended while it ran there
-	Barred                 // it ends upstreams
+	Cleared   State = iota // no longer suspected
+	Suspected              // an upstream crashed while the request ran there
+	Barred                 // it is taken to crash upstreams, and refused
 )
 
-// String names the state in logs.
+// String returns the state's name in logs.
 func (s State) String() string { return [...]string{"cleared", "suspected", "barred"}[s] }
 
-// Entry is what is known of one request.
+// Entry is what a Ledger knows of one request.
 type Entry struct {
 	Fingerprint
 	State       State
-	CrashCount  int       // upstreams that ended while it ran there, lately
-	BarredUntil time.Time // of one that is barred: when the bar ends
-	BarCount    int       // how often it was barred
+	CrashCount  int       // recent crashes of upstreams on which it ran
+	BarredUntil time.Time // when the bar ends, if the request is barred
+	BarCount    int       // how often it has been barred
 }
 
-// Cause says what changed what is held of a request.
+// Cause is the cause of a transition.
 type Cause uint8
 
 // The causes.
 const (
-	ByCrashes       Cause = iota // upstreams ended under it
-	ByReport                     // another ledger found out
-	ByCompletion                 // it ran to its end
-	ByExpiry                     // the bar was over
+	ByCrashes       Cause = iota // upstreams crashed while running the request
+	ByReport                     // another ledger barred it
+	ByCompletion                 // it ran to completion
+	ByExpiry                     // the bar expired
 	ByOperator                   // an operator released it
-	ByOtherSuspects              // others explain the crashes better
+	ByOtherSuspects              // other requests explain its crashes better
 )
 
-// String names the cause in logs.
+// String returns the cause's name in logs.
 func (c Cause) String() string {
 	return [...]string{"crashes", "report", "completion", "time", "operator", "others"}[c]
 }
 
-// Transition is a bar that began, or one that ended.
+// Transition is the beginning or the end of a bar.
 type Transition struct {
 	Entry
 	Cause     Cause
-	Upstreams []string // that ended while the request ran there
+	Upstreams []string // that crashed while the request ran there
 }
--- a/core/poison/judge.go
+++ b/core/poison/judge.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Policy bounds what is held against a request, and for how long.
+// Policy sets how many crashes lead to a bar, and how long bars and crashes last.
 type Policy struct {
-	// SoleCrashes is in how many crashes a request must have run to be barred if it is
-	// the only one that all of these have in common. Crashes is the same for one
-	// that is not.
+	// MinSoleCrashes is the number of crashes after which a request is barred if it is the
+	// only one that all these crashes have in common. MinCrashes is the number for a
+	// request that is not the only one.
 	MinSoleCrashes, MinCrashes int
-	// MassWindow is within which time MassCrashes upstreams or more end of something else
-	// than a request, as when a rack is lost, unless most of them ran it.
+	// MassWindow is the time within which MinMassCrashes or more crashes have a cause other
+	// than a request, such as the loss of a rack, unless most of these upstreams ran it.
 	MassWindow     time.Duration
 	MinMassCrashes int
-	// Memory is how long a crash is held against what ran there.
+	// CrashRetention is how long a crash counts against the requests that ran on the upstream.
 	CrashRetention time.Duration
-	// Bar is how long a request is barred at first. Each further bar is twice as
-	// long as the one before, up to BarMost.
+	// InitialBar is the length of a request's first bar. Each further bar is twice as
+	// long as the previous one, up to MaxBar.
 	InitialBar, MaxBar time.Duration
 }
 
-// DefaultPolicy is what hosts go by.
+// DefaultPolicy is the policy that hosts use.
 var DefaultPolicy = Policy{
 	MinSoleCrashes: 2,
 	MinCrashes:     3,
-	MassWindow:     50 * time.Millisecond, // hosts notice one crash within a few
+	MassWindow:     50 * time.Millisecond, // hosts notice the same crash within a few milliseconds of each other
 	MinMassCrashes: 3,
-	CrashRetention: 10 * time.Minute, // such a request may come once a minute
-	InitialBar:     2 * time.Minute,  // far above an upstream's restart, so that what one costs is little
+	CrashRetention: 10 * time.Minute, // a poison request may arrive only once a minute
+	InitialBar:     2 * time.Minute,  // far longer than the restart of an upstream, so that a crash costs little in comparison
 	MaxBar:         time.Hour,
 }
 
-// updateBars bars the requests that what happened can not be explained without. The
-// one that most crashes have in common explains these, and clears the others
-// that ran there of them; then the next one is looked for.
+// updateBars bars the requests without which the crashes cannot be explained. The request
+// that most crashes have in common explains these, which then count less against the
+// other requests that ran in them. This is repeated until no request is found.
 func (l *Ledger) updateBars(now time.Time) {
 	for found := l.strongestSuspects(); len(found) > 0; found = l.strongestSuspects() {
 		for _, e := range found {
@@ -42,8 +42,8 @@
 	l.liftExplainedBars(now)
 }
 
-// strongestSuspects are the suspects that most crashes speak against, if these are enough to
-// bar them.
+// strongestSuspects returns the suspects with the most evidence against them, if it is
+// enough to bar them.
 func (l *Ledger) strongestSuspects() []*entry {
 	most := 0
 	var found []*entry
@@ -63,15 +63,15 @@
 	return found
 }
 
-// A crash that something else explains speaks half against a request: two that
-// end upstreams may have run in the same batches.
+// Weights of a crash as evidence. An explained crash still counts half, because two poison
+// requests may have run in the same batches.
 const (
-	fullWeight      = 2 // of a crash that nothing explains
+	fullWeight      = 2 // a crash that nothing explains
 	explainedWeight = 1
 )
 
-// evidence adds up the crashes that speak against a request, in halves. Those of a
-// moment in which many upstreams ended speak as one.
+// evidence returns the evidence of the crashes against a request, in halves of a crash.
+// Crashes that are part of a mass failure count as one.
 func (l *Ledger) evidence(e *entry, explained func(c *crash, e *entry) bool) int {
 	sum, mass := 0, 0
 	for id := range e.crashes {
@@ -89,8 +89,9 @@
 	return sum + mass
 }
 
-// partOfMass says whether so many upstreams ended in the moment of a crash, most of
-// which did not run the request, that something else ended them.
+// partOfMass reports whether a crash is part of a mass failure: so many upstreams crashed
+// at about the same time, most of them without running the request, that the cause must
+// be something else.
 func (l *Ledger) partOfMass(c *crash, e *entry) bool {
 	all, ran := 0, 0
 	for _, o := range l.crashes {
@@ -105,7 +106,7 @@
 	return all >= l.policy.MinMassCrashes && 2*ran < all
 }
 
-// explainedByBar says whether something that is barred ran there.
+// explainedByBar reports whether a barred request ran on the upstream.
 func (l *Ledger) explainedByBar(c *crash, _ *entry) bool {
 	for d := range c.ran {
 		if l.entries[d].State == Barred {
@@ -115,7 +116,7 @@
 	return false
 }
 
-// neededCrashes is how many crashes it takes to bar a suspect.
+// neededCrashes returns how many crashes it takes to bar a suspect.
 func (l *Ledger) neededCrashes(e *entry) int {
 	switch {
 	case e.BarCount > 0:
@@ -127,7 +128,8 @@
 	}
 }
 
-// isSoleCandidate says whether nothing else that ran in a suspect's crashes ran in as many.
+// isSoleCandidate reports whether no other suspect that was part of one of e's crashes
+// was part of as many crashes as e.
 func (l *Ledger) isSoleCandidate(e *entry) bool {
 	for id := range e.crashes {
 		for d := range l.crashes[id].ran {
@@ -146,16 +148,17 @@
 	l.touch(e, now)
 }
 
-// maxBarDoublings bounds the shift in bar; far more than lead to BarMost.
+// maxBarDoublings bounds the shift in bar. It is far more than it takes to reach MaxBar.
 const maxBarDoublings = 16
 
-// liftExplainedBars ends the bars of requests whose crashes others explain that were in
-// more of them: a request that ran beside several poisons by chance is barred
-// only until these are known. More than a few crashes are no chance.
+// liftExplainedBars ends the bars of requests whose crashes are explained by other barred
+// requests that were part of more crashes: a request that by chance ran beside several
+// poison requests stays barred only until these are known. A request that was part of
+// many crashes was not there by chance, and stays barred.
 func (l *Ledger) liftExplainedBars(now time.Time) {
 	for _, e := range l.entries {
 		if e.State != Barred || len(e.crashes) < l.policy.MinSoleCrashes || len(e.crashes) >= l.policy.MinCrashes {
-			continue // of one with fewer, as when it was adopted, the crashes are not all here
+			continue // with fewer crashes, for example after Adopt, the ledger does not know all of them
 		}
 		if l.evidence(e, l.explainedByStrongerBar) < fullWeight*l.policy.MinSoleCrashes {
 			e.BarredUntil, e.BarCount = time.Time{}, e.BarCount-1
@@ -165,8 +168,8 @@
 	}
 }
 
-// explainedByStrongerBar says whether another barred request ran there that more
-// upstreams ended under.
+// explainedByStrongerBar reports whether another barred request ran on the upstream that
+// was part of more crashes than e.
 func (l *Ledger) explainedByStrongerBar(c *crash, e *entry) bool {
 	for d := range c.ran {
 		if o := l.entries[d]; o != e && o.State == Barred && len(o.crashes) > len(e.crashes) {
--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -7,49 +7,49 @@
 	"time"
 )
 
-// Bounds of a Ledger. What is least suspect goes first, so that many new
-// suspects can not push out what is known.
+// Bounds of a Ledger. The entries with the least evidence are evicted first, so that many
+// new suspects cannot displace known poison requests.
 const (
 	maxCrashes          = 512
-	maxRequestsPerCrash = 512  // of one crash: several hosts fill an engine's batch
-	maxEntries          = 4096 // suspects, barred and cleared
+	maxRequestsPerCrash = 512  // several hosts together fill an engine's batch
+	maxEntries          = 4096 // suspected, barred and cleared requests
 	clearedTTL          = time.Minute
-	probationCrashes    = 1 // crashes after which one whose bar is over is barred again
+	probationCrashes    = 1 // crashes that bar a request again after its bar has expired
 )
 
-// entry is an Entry with what the ledger needs besides.
+// entry is an Entry with the ledger's own data about the request.
 type entry struct {
 	Entry
 	revision  uint64
-	changedAt time.Time // of the last change
+	changedAt time.Time
 	crashes   map[string]bool
 }
 
-// crash is the end of one upstream.
+// crash is the crash of one upstream.
 type crash struct {
 	at  time.Time
 	ran map[Digest]bool
 }
 
-// Ledger holds which requests ran on upstreams that ended, as all hosts tell, and
-// finds out which of them ended these. Its owner guards it.
+// Ledger records which requests ran on upstreams that crashed, as reported by all hosts,
+// and determines which of them caused the crashes. Its owner must guard it.
 type Ledger struct {
 	policy      Policy
-	crashes     map[string]*crash // by upstream: each process ends once
+	crashes     map[string]*crash // by upstream; each process crashes once
 	entries     map[Digest]*entry
 	revision    uint64
-	lastExpired time.Time // when it was last looked for what is over
+	lastExpired time.Time // when expired entries were last removed
 	transitions []Transition
 }
 
-// NewLedger makes one in which nothing is known.
+// NewLedger returns an empty ledger.
 func NewLedger(p Policy) *Ledger {
 	return &Ledger{policy: p, crashes: map[string]*crash{}, entries: map[Digest]*entry{}}
 }
 
-// RecordCrash notes that an upstream ended while requests were under way there, and
-// when. Each host tells its own, at its own time.
-func (l *Ledger) RecordCrash(upstream string, ran []Fingerprint, at, now time.Time) {
+// RecordCrash records that an upstream crashed, at what time, and the requests in progress
+// there. Each host reports its own requests, at its own time.
+func (l *Ledger) RecordCrash(upstream string, running []Fingerprint, at, now time.Time) {
 	l.expire(now)
 	c := l.crashes[upstream]
 	if c == nil {
@@ -57,7 +57,7 @@
 		c = &crash{at: at, ran: map[Digest]bool{}}
 		l.crashes[upstream] = c
 	}
-	for _, m := range ran {
+	for _, m := range running {
 		if c.ran[m.Digest] || len(c.ran) >= maxRequestsPerCrash {
 			continue
 		}
@@ -68,7 +68,7 @@
 	l.updateBars(now)
 }
 
-// makeRoom drops the oldest crash if there are as many as may be.
+// makeRoom removes the oldest crash if the ledger holds the maximum number of crashes.
 func (l *Ledger) makeRoom() {
 	if len(l.crashes) < maxCrashes {
 		return
@@ -82,9 +82,9 @@
 	l.dropCrash(oldest)
 }
 
-// addCrash holds one crash against a request. It says no if there is no room.
-func (l *Ledger) addCrash(m Fingerprint, upstream string, now time.Time) bool {
-	e := l.entry(m)
+// addCrash counts a crash against a request. It reports whether there was room for that.
+func (l *Ledger) addCrash(f Fingerprint, upstream string, now time.Time) bool {
+	e := l.entry(f)
 	if e == nil {
 		return false
 	}
@@ -96,17 +96,18 @@
 	return true
 }
 
-// entry finds a request's entry, or makes it; nil: there is no room.
-func (l *Ledger) entry(m Fingerprint) *entry {
-	e := l.entries[m.Digest]
+// entry returns a request's entry, which it creates if necessary; nil if there is no room.
+func (l *Ledger) entry(f Fingerprint) *entry {
+	e := l.entries[f.Digest]
 	if e == nil && (len(l.entries) < maxEntries || l.evict()) {
-		e = &entry{Entry: Entry{Fingerprint: m}, crashes: map[string]bool{}}
-		l.entries[m.Digest] = e
+		e = &entry{Entry: Entry{Fingerprint: f}, crashes: map[string]bool{}}
+		l.entries[f.Digest] = e
 	}
 	return e
 }
 
-// evict drops the entries that are least held against; it says no if all are barred.
+// evict removes the entries with the least evidence against them. It reports false if all
+// entries are barred.
 func (l *Ledger) evict() bool {
 	all := slices.Collect(maps.Values(l.entries))
 	all = slices.DeleteFunc(all, func(e *entry) bool { return e.State == Barred })
@@ -117,10 +118,10 @@
 	return len(all) > 0
 }
 
-// evictionBatch is a small part of all entries, so that room is seldom looked for.
+// evictionBatch is a small part of all entries; evicting that many at once keeps evictions rare.
 const evictionBatch = maxEntries / 16
 
-// compareEvidence puts what is least held against first.
+// compareEvidence orders the entries with the least evidence against them first.
 func compareEvidence(a, b *entry) int {
 	return cmp.Or(cmp.Compare(a.State, b.State), cmp.Compare(len(a.crashes), len(b.crashes)), a.changedAt.Compare(b.changedAt))
 }
@@ -139,8 +140,8 @@
 	e.revision, e.changedAt, e.CrashCount = l.revision, now, len(e.crashes)
 }
 
-// Clear notes that a request ran to its end, or for long after it had begun:
-// what upstreams ended of before was something else.
+// Clear records that a request ran to completion, or for a long time: it is not the cause of
+// the earlier crashes.
 func (l *Ledger) Clear(d Digest, now time.Time) {
 	if e := l.entries[d]; e != nil && e.State != Cleared {
 		l.clear(e, ByCompletion, now)
@@ -149,7 +150,7 @@
 	}
 }
 
-// Release ends a bar by an operator's word. It says no if there is none.
+// Release ends a bar on behalf of an operator. It reports whether there was one.
 func (l *Ledger) Release(d Digest, now time.Time) bool {
 	e := l.entries[d]
 	if e == nil || e.State != Barred {
@@ -160,9 +161,9 @@
 	return true
 }
 
-func (l *Ledger) clear(e *entry, why Cause, now time.Time) {
+func (l *Ledger) clear(e *entry, cause Cause, now time.Time) {
 	if e.State == Barred {
-		l.transition(e, Cleared, why)
+		l.transition(e, Cleared, cause)
 	}
 	for id := range e.crashes {
 		if c := l.crashes[id]; c != nil {
@@ -173,7 +174,7 @@
 	l.touch(e, now)
 }
 
-// Adopt takes over a bar that another ledger found.
+// Adopt records a bar that another ledger has begun.
 func (l *Ledger) Adopt(b Entry, now time.Time) {
 	if b.State != Barred || !b.BarredUntil.After(now) {
 		return
@@ -189,26 +190,26 @@
 	l.touch(e, now)
 }
 
-// transition notes the begin or the end of a bar.
-func (l *Ledger) transition(e *entry, s State, why Cause) {
+// transition records the beginning or the end of a bar.
+func (l *Ledger) transition(e *entry, s State, cause Cause) {
 	e.State, e.CrashCount = s, len(e.crashes)
 	if len(l.transitions) < maxEntries {
-		l.transitions = append(l.transitions, Transition{Entry: e.Entry, Cause: why, Upstreams: slices.Sorted(maps.Keys(e.crashes))})
+		l.transitions = append(l.transitions, Transition{Entry: e.Entry, Cause: cause, Upstreams: slices.Sorted(maps.Keys(e.crashes))})
 	}
 }
 
-// TakeTransitions returns the bars that began and ended since it was called last.
+// TakeTransitions returns the transitions since the previous call.
 func (l *Ledger) TakeTransitions() []Transition {
 	out := l.transitions
 	l.transitions = nil
 	return out
 }
 
-// expireInterval is how often it is looked for what is over: each host asks for changes
-// several times a second.
+// expireInterval is the interval between two removals of expired entries. Without it there
+// would be several a second: each host polls for changes that often.
 const expireInterval = 500 * time.Millisecond
 
-// expire drops what is over.
+// expire removes expired crashes, bars and entries.
 func (l *Ledger) expire(now time.Time) {
 	if now.Sub(l.lastExpired) < expireInterval {
 		return
@@ -238,7 +239,7 @@
 	delete(l.crashes, id)
 }
 
-// BarredUntil says until when a request is barred.
+// BarredUntil returns until when a request is barred, and whether it is.
 func (l *Ledger) BarredUntil(d Digest, now time.Time) (until time.Time, ok bool) {
 	e := l.entries[d]
 	if e == nil || e.State != Barred || !now.Before(e.BarredUntil) {
@@ -247,7 +248,7 @@
 	return e.BarredUntil, true
 }
 
-// Counts are how many requests are suspected, and barred.
+// Counts returns how many requests are suspected and how many are barred.
 func (l *Ledger) Counts() (suspected, barred int) {
 	for _, e := range l.entries {
 		switch e.State {
@@ -260,18 +261,18 @@
 	return suspected, barred
 }
 
-// All returns what is suspected and barred.
+// All returns the entries of all suspected and barred requests.
 func (l *Ledger) All(now time.Time) []Entry {
 	all, _ := l.ChangedSince(0, maxEntries, now)
 	return all
 }
 
-// Revision rises with each change of what is known.
+// Revision returns a number that increases with each change of an entry.
 func (l *Ledger) Revision() uint64 { return l.revision }
 
-// ChangedSince returns up to most entries that changed after a revision, oldest change
-// first, and the revision up to which they bring who asks.
-func (l *Ledger) ChangedSince(revision uint64, most int, now time.Time) (changed []Entry, to uint64) {
+// ChangedSince returns up to limit entries that changed after a revision, in the order of
+// their changes, and the revision up to which the caller is then current.
+func (l *Ledger) ChangedSince(revision uint64, limit int, now time.Time) (changed []Entry, to uint64) {
 	l.expire(now)
 	if revision == l.revision {
 		return nil, revision
@@ -280,8 +281,8 @@
 	all = slices.DeleteFunc(all, func(e *entry) bool { return e.revision <= revision || revision == 0 && e.State == Cleared })
 	slices.SortFunc(all, func(a, b *entry) int { return cmp.Compare(a.revision, b.revision) })
 	to = l.revision
-	if len(all) > most {
-		all, to = all[:most], all[most-1].revision
+	if len(all) > limit {
+		all, to = all[:limit], all[limit-1].revision
 	}
 	for _, e := range all {
 		changed = append(changed, e.Entry)
--- a/core/poison/ledger_test.go
+++ b/core/poison/ledger_test.go
@@ -18,7 +18,7 @@
 	return ok
 }
 
-// crashes notes ends of upstreams a second apart, under the named requests each.
+// crashes records crashes of upstreams, a second apart, each with the named requests running.
 func crashes(l *Ledger, from time.Time, ran ...[]string) time.Time {
 	for i, names := range ran {
 		var marks []Fingerprint
@@ -57,8 +57,9 @@
 	}
 }
 
-// Guards against blame for the loss of a rack: a popular request runs on a few of many upstreams that end at once.
-func TestManyUpstreamsThatEndAtOnceNameNobody(t *testing.T) {
+// Guards against blaming a popular request for the loss of a rack, when it ran on a few of
+// many upstreams that crashed at the same time.
+func TestAMassFailureBarsNothing(t *testing.T) {
 	l := NewLedger(DefaultPolicy)
 	for i := range 6 {
 		ran := []Fingerprint{named(fmt.Sprint("other", i))}
@@ -70,7 +71,7 @@
 	assert.Assert(t, !isBarred(l, "popular", start))
 }
 
-func TestCopiesThatEndTheirUpstreamsAtOnceAreBarred(t *testing.T) {
+func TestCopiesThatCrashUpstreamsAtOnceAreBarred(t *testing.T) {
 	l := NewLedger(DefaultPolicy)
 	for i := range 3 {
 		l.RecordCrash(fmt.Sprint("u", i), []Fingerprint{named("x"), named(fmt.Sprint("other", i))}, start, start)
@@ -78,7 +79,7 @@
 	assert.Assert(t, isBarred(l, "x", start))
 }
 
-func TestARunToTheEndClears(t *testing.T) {
+func TestCompletionClearsASuspect(t *testing.T) {
 	l := NewLedger(DefaultPolicy)
 	now := crashes(l, start, []string{"x", "a"})
 	l.Clear(named("x").Digest, now)
@@ -96,40 +97,40 @@
 	assert.Assert(t, !isBarred(l, "x", until))
 	now = crashes(l, until, []string{"x", "a"})
 	again, ok := l.BarredUntil(named("x").Digest, now)
-	assert.Assert(t, ok, "one crash is enough for one that was barred before")
+	assert.Assert(t, ok, "one crash is enough for a request that was barred before")
 	assert.Equal(t, again.Sub(until), 2*DefaultPolicy.InitialBar)
 	assert.Assert(t, l.Release(named("x").Digest, now))
 	assert.Assert(t, !isBarred(l, "x", now))
 	assert.Assert(t, !l.Release(named("x").Digest, now))
 	crashes(l, now, []string{"x", "b"})
-	assert.Assert(t, !isBarred(l, "x", now), "an operator's word counts as innocence")
+	assert.Assert(t, !isBarred(l, "x", now), "a release by an operator clears the request")
 }
 
-// Guards against a bar that lasts for what several poisons beside it explain.
+// Guards against a bar that lasts although other poison requests explain its crashes.
 func TestABarEndsWhenOthersExplainItsCrashes(t *testing.T) {
 	l := NewLedger(DefaultPolicy)
 	now := crashes(l, start, []string{"p", "x"}, []string{"q", "x"})
-	assert.Assert(t, isBarred(l, "x", now), "alone in two")
+	assert.Assert(t, isBarred(l, "x", now), "sole candidate in two crashes")
 	now = crashes(l, now, []string{"p"}, []string{"p"}, []string{"q"}, []string{"q"})
 	assert.Assert(t, isBarred(l, "p", now) && isBarred(l, "q", now))
 	assert.Assert(t, !isBarred(l, "x", now))
 }
 
-func TestABarIsHandedOver(t *testing.T) {
+func TestAnAdoptedBarApplies(t *testing.T) {
 	from, to := NewLedger(DefaultPolicy), NewLedger(DefaultPolicy)
 	now := crashes(from, start, []string{"x"}, []string{"x"})
 	for _, e := range from.All(now) {
 		to.Adopt(e, now)
 	}
 	assert.Assert(t, isBarred(to, "x", now))
-	crashes(to, now, []string{"x", "a"}) // under way when it was barred
+	crashes(to, now, []string{"x", "a"}) // was in progress when it was barred
 	assert.Assert(t, isBarred(to, "x", now))
 	decisions := to.TakeTransitions()
 	assert.Equal(t, len(decisions), 1)
 	assert.Equal(t, decisions[0].Cause, ByReport)
 }
 
-func TestChangesAreToldOnce(t *testing.T) {
+func TestEachChangeIsReturnedOnce(t *testing.T) {
 	l := NewLedger(DefaultPolicy)
 	now := crashes(l, start, []string{"x"}, []string{"x", "a"})
 	first, at := l.ChangedSince(0, 1, now)
@@ -145,8 +146,8 @@
 	assert.Equal(t, cleared[0].State, Cleared)
 }
 
-// Guards against many new poisons that push out the known ones, and against growth without a bound.
-func TestAFloodOfSuspectsLeavesWhatIsBarred(t *testing.T) {
+// Guards against many new suspects that displace known poison requests, and against unbounded growth.
+func TestAFloodOfSuspectsKeepsBars(t *testing.T) {
 	l := NewLedger(DefaultPolicy)
 	now := crashes(l, start, []string{"x"}, []string{"x"})
 	for i := range 2 * maxCrashes {
@@ -163,9 +164,9 @@
 	assert.Equal(t, len(l.All(now.Add(2*DefaultPolicy.CrashRetention))), 0)
 }
 
-// Whatever is told in whatever order, entries and crashes name each other, and
-// nothing is barred that ran in fewer crashes than it takes.
-func TestALedgerStaysWhole(t *testing.T) {
+// Property: whatever is recorded in whatever order, entries and crashes refer to each other,
+// and no request is barred that ran in fewer crashes than a bar takes.
+func TestEntriesAndCrashesStayConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, now := NewLedger(DefaultPolicy), start
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -196,7 +197,7 @@
 	})
 }
 
-// BenchmarkCrash is what one crash with a full batch costs a ledger that is full of suspects.
+// BenchmarkCrash measures recording one crash with a full batch in a ledger that is full of suspects.
 func BenchmarkCrash(b *testing.B) {
 	l, now := NewLedger(DefaultPolicy), start
 	i := 0
@@ -211,7 +212,7 @@
 	}
 }
 
-// BenchmarkShape is what each request costs while nothing is held against any that looks like it.
+// BenchmarkShape measures what each request costs while its shape is not that of a suspect.
 func BenchmarkShape(b *testing.B) {
 	c := Content{Team: "team", Method: "POST", Host: "site.example", Target: "/v1/generate/0815?page=2", Body: make([]byte, 4700)}
 	for b.Loop() {
@@ -219,7 +220,7 @@
 	}
 }
 
-// BenchmarkDigest is what a request costs that is compared, or blamed.
+// BenchmarkDigest measures what a request costs that is compared with suspects, or suspected.
 func BenchmarkDigest(b *testing.B) {
 	c := Content{Team: "team", Method: "POST", Host: "site.example", Target: "/v1/generate/0815?page=2", Body: make([]byte, 4700)}
 	for b.Loop() {
