--- a/core/admit/fair.go
+++ b/core/admit/fair.go
@@ -5,12 +5,11 @@
 	"time"
 )
 
-// fairQueue holds the waiting requests of one class in the order of start-time
-// fair queueing: a request's start tag is the later of the queue's virtual
-// time and the finish tag of its team's previous request, and a finish tag
-// lies 1/weight after its start. Deficit round robin would serve as well in
-// the long run, but lets a team send a whole quantum at once; with few slots
-// that is a burst that others wait behind.
+// fairQueue orders the waiting requests of one class by start-time fair queueing. The
+// start tag of a request is the later of the queue's virtual time and the finish tag of
+// its team's previous request; the finish tag is the start tag plus 1/weight. Deficit
+// round robin would be as fair in the long run, but lets a team send a whole quantum at
+// once; with few slots that is a burst that delays the others.
 type fairQueue struct {
 	virtual float64
 	flows   map[string]*flow
@@ -40,7 +39,7 @@
 	return f
 }
 
-// startTag is the tag that a request of the team would get now.
+// startTag returns the tag that a request of the team would get now.
 func (q *fairQueue) startTag(team string) float64 {
 	if f := q.flows[team]; f != nil {
 		return max(q.virtual, f.finish)
@@ -48,7 +47,7 @@
 	return q.virtual
 }
 
-// hasWaiting says whether the team has a request here.
+// hasWaiting reports whether a request of the team is waiting.
 func (q *fairQueue) hasWaiting(team string) bool {
 	f := q.flows[team]
 	return f != nil && len(f.items) > 0
@@ -69,7 +68,7 @@
 	f.finish = q.virtual + 1/f.weight
 }
 
-// pop takes the request with the least start tag among the teams allowed.
+// pop removes the request with the lowest start tag of the allowed teams.
 func (q *fairQueue) pop(allowed func(team string) bool) (Item, bool) {
 	var first *flow
 	var name string
@@ -91,7 +90,7 @@
 	return head.Item, true
 }
 
-// remove takes one request out, wherever it stands.
+// remove removes a request from any position, and reports whether it was there.
 func (q *fairQueue) remove(id uint64) bool {
 	for _, f := range q.flows {
 		at := slices.IndexFunc(f.items, func(t taggedItem) bool { return t.ID == id })
@@ -105,20 +104,19 @@
 	return false
 }
 
-// dropLongest takes the newest request of the team that holds the most of
-// the queue for its weight, when that is more than the asking team would hold.
-// Without it a team that floods would fill the queue, and every other team's
-// requests would be refused at the door.
+// dropLongest removes the newest request of the team with the most waiting requests for
+// its weight, if that is more than the asking team would have. Without it, one team's
+// flood would fill the queue and the requests of all other teams would be refused.
 func (q *fairQueue) dropLongest(asking Item) (Item, bool) {
 	own := 1.0
 	if f := q.flows[asking.Team]; f != nil {
 		own += float64(len(f.items))
 	}
-	most, name := own/float64(max(asking.Weight, 1)), ""
+	largest, name := own/float64(max(asking.Weight, 1)), ""
 	for team, f := range q.flows {
 		held := float64(len(f.items)) / f.weight
-		if team != asking.Team && (held > most || (held == most && name != "" && team < name)) {
-			most, name = held, team
+		if team != asking.Team && (held > largest || (held == largest && name != "" && team < name)) {
+			largest, name = held, team
 		}
 	}
 	if name == "" {
@@ -132,13 +130,13 @@
 	return last.Item, true
 }
 
-// countAhead counts the requests that would be served before one with this tag.
+// countAhead counts the requests that would be served before one with this start tag.
 func (q *fairQueue) countAhead(start float64) int {
 	n := 0
 	for _, f := range q.flows {
 		for _, it := range f.items {
 			if it.start > start {
-				break // tags rise within a flow
+				break // tags increase within a flow
 			}
 			n++
 		}
@@ -146,7 +144,7 @@
 	return n
 }
 
-// ordered lists the waiting requests as they will be served.
+// ordered returns the waiting requests in the order in which they will be served.
 func (q *fairQueue) ordered() []taggedItem {
 	all := make([]taggedItem, 0, q.n)
 	for _, f := range q.flows {
@@ -168,8 +166,8 @@
 	return all
 }
 
-// dropIdle drops the flows that wait for nothing and owe nothing, so that the
-// queue does not grow with every team ever seen.
+// dropIdle removes the flows without waiting requests whose finish tag has passed, so that
+// the queue does not grow with every team ever seen.
 func (q *fairQueue) dropIdle() {
 	for team, f := range q.flows {
 		if len(f.items) == 0 && f.finish <= q.virtual {
@@ -178,7 +176,7 @@
 	}
 }
 
-// missesDeadline says whether a request that starts after wait misses its deadline.
+// missesDeadline reports whether a request that starts after wait misses its deadline.
 func missesDeadline(now time.Time, it Item, wait time.Duration) bool {
 	return !it.Deadline.IsZero() && now.Add(wait+it.MinDuration).After(it.Deadline)
 }
--- a/core/admit/limit.go
+++ b/core/admit/limit.go
@@ -7,55 +7,55 @@
 	"peridotpier.example/core/config"
 )
 
-// Tuning of the team limits.
+// Parameters of the team limits.
 const (
-	rateWindow  = time.Second // over which the offered rate is averaged; longer, and a host that lost its load keeps its share
-	burstWindow = time.Second // of a host's share that may come at once
+	rateWindow  = time.Second // time over which the offered rate is averaged; if it were longer, a host that lost its load would keep its share
+	burstWindow = time.Second // how much of a host's share may be used at once
 
-	// floorShare of a limit is spread evenly over the hosts whatever they ask
-	// for, so that a host with no demand so far can start at once.
+	// floorShare is the share of a limit that is divided evenly between the hosts whatever
+	// their demand, so that a host with no demand so far can start at once.
 	floorShare = 0.1
 
-	// priorShare of a limit is the weight of the belief that the balancer
-	// spreads a team's requests evenly, against what the peers told.
+	// priorShare is the weight, as a share of the limit, of the assumption that the balancer
+	// distributes a team's requests evenly, against what the peers have reported.
 	priorShare = 0.05
 )
 
-// Limiter holds one host to its share of one team's limits. The share follows
-// what this host and its peers are asked for: while all agree on the figures
-// the shares add up to the limit; what changed since they last told is the
-// error, which docs/design/admission.md states.
+// Limiter limits one host to its share of one team's limits. The share follows the demand
+// at this host and at its peers. While all hosts use the same figures, the shares add up
+// to the limit; the error is what has changed since their last reports, and is stated in
+// docs/design/admission.md.
 type Limiter struct {
 	limits         config.TeamLimits
 	hosts          int
 	peerRate       peerDemand // requests a second
 	peerConcurrent peerDemand // requests at once
 
-	offered    float64 // decayed count of arrivals
+	offered    float64 // decaying count of arrivals
 	meanHold   time.Duration
 	inUse      int
 	tokens     float64
 	advancedAt time.Time
 }
 
-// NewLimiter makes the limiter of a team on a host that knows of hosts in all.
+// NewLimiter returns the limiter of a team. hosts is the number of hosts, this one included.
 func NewLimiter(limits config.TeamLimits, hosts int, now time.Time) *Limiter {
 	l := &Limiter{limits: limits, hosts: max(hosts, 1), advancedAt: now}
 	l.tokens = l.burst()
 	return l
 }
 
-// SetLimits puts new limits in force.
+// SetLimits changes the limits.
 func (l *Limiter) SetLimits(limits config.TeamLimits) { l.limits = limits }
 
-// SetPeerDemand tells what the peers together are asked for.
+// SetPeerDemand sets the total demand at the peers and the number of all hosts.
 func (l *Limiter) SetPeerDemand(rate, concurrent float64, hosts int) {
 	l.hosts = max(hosts, 1)
 	l.peerRate = peerDemand{rate, l.offered / rateWindow.Seconds()}
 	l.peerConcurrent = peerDemand{concurrent, l.wantedConcurrency()}
 }
 
-// Take asks for leave for one request; when refused it tells how long to wait.
+// Take requests the admission of one request. If it is refused, wait is how long to wait.
 func (l *Limiter) Take(now time.Time) (ok bool, wait time.Duration) {
 	l.advance(now)
 	l.offered++
@@ -72,7 +72,7 @@
 	return true, 0
 }
 
-// Done ends a request that was let through, after it was held for a time.
+// Done ends an admitted request that was in progress for a time.
 func (l *Limiter) Done(held time.Duration) {
 	l.inUse--
 	if l.meanHold == 0 {
@@ -81,12 +81,12 @@
 	l.meanHold += time.Duration(holdSampleWeight * float64(held-l.meanHold))
 }
 
-// Cancel ends a request that was let through here but never dispatched. It
-// tells nothing of how long requests are held.
+// Cancel ends an admitted request that was never dispatched. It does not count for the
+// mean time that requests are held.
 func (l *Limiter) Cancel() { l.inUse-- }
 
-// Demand is what this host is asked for, to be told to its peers: the rate
-// offered, and the concurrency that it would make by Little's law.
+// Demand returns the demand at this host, for its peers: the offered rate, and the
+// concurrency that follows from it by Little's law.
 func (l *Limiter) Demand(now time.Time) (rate, concurrent float64) {
 	l.advance(now)
 	rate = l.offered / rateWindow.Seconds()
@@ -109,41 +109,39 @@
 	return l.share(l.limits.RequestsPerSecond, l.offered/rateWindow.Seconds(), l.peerRate)
 }
 
-// concurrentShare is at least one: a limit below the number of hosts would
-// otherwise shut out the team at most of them.
+// concurrentShare returns at least one: a limit lower than the number of hosts would
+// otherwise exclude the team from most of them.
 func (l *Limiter) concurrentShare() int {
 	return max(1, int(math.Round(l.share(float64(l.limits.Concurrent), l.wantedConcurrency(), l.peerConcurrent))))
 }
 
-// wantedConcurrency is the concurrency that the offered rate makes, by Little's law.
+// wantedConcurrency returns the concurrency that the offered rate causes by Little's law.
 func (l *Limiter) wantedConcurrency() float64 {
 	return max(float64(l.inUse), l.offered/rateWindow.Seconds()*l.meanHold.Seconds())
 }
 
-// share splits a limit by demand, with an even floor.
-func (l *Limiter) share(limit, own float64, t peerDemand) float64 {
+// share returns this host's share of a limit: an even floor, and the remainder by demand.
+func (l *Limiter) share(limit, own float64, peers peerDemand) float64 {
 	even := limit / float64(l.hosts)
 	if own <= 0 {
 		return even
 	}
-	return floorShare*even + (1-floorShare)*limit*own/(own+t.estimate(own, limit, l.hosts))
+	return floorShare*even + (1-floorShare)*limit*own/(own+peers.estimate(own, limit, l.hosts))
 }
 
-// peerDemand is what the peers said they are asked for, and what this host was asked
-// for at that time.
+// peerDemand is the demand that the peers reported, and the demand at this host at that time.
 type peerDemand struct {
 	peers   float64
 	ownThen float64
 }
 
-// estimate is what the peers are asked for now: in the proportion that they
-// had to this host when they told, and evenly while nobody was asked for
-// anything. Were the figure itself taken, a flood that begins at all hosts at
-// once would find each of them believing that it is alone: one would notice the
-// limit passed as many times over as there are hosts, until they tell again.
-func (t peerDemand) estimate(own, limit float64, hosts int) float64 {
+// estimate estimates the peers' demand now from its ratio to this host's demand at the time
+// of the report, or as even if there was no demand. If the reported figure itself were
+// used, each host would take itself to be alone when a flood begins at all hosts at once,
+// and until the next reports the limit would be exceeded by a factor of the number of hosts.
+func (d peerDemand) estimate(own, limit float64, hosts int) float64 {
 	others := float64(hosts - 1)
 	prior := priorShare * limit
-	scaled := own * (t.peers + prior*others/float64(hosts)) / (t.ownThen + prior/float64(hosts))
-	return min(scaled, max(t.peers, own*others))
+	scaled := own * (d.peers + prior*others/float64(hosts)) / (d.ownThen + prior/float64(hosts))
+	return min(scaled, max(d.peers, own*others))
 }
--- a/core/admit/limit_test.go
+++ b/core/admit/limit_test.go
@@ -10,42 +10,42 @@
 	"peridotpier.example/core/config"
 )
 
-// limitModel offers a load to seven hosts, which tell each other their demand
-// every exchange, and returns what was let through: the mean a second after
-// the first ten, and the most in any second. shares gives each host's part of
-// the load by second.
-func limitModel(shares func(second int) [7]float64, offered, limit float64, exchange time.Duration) (mean, most float64) {
+// simulateLimit simulates seven hosts under a load. They report their demand to each other
+// once per exchange interval. It returns the mean number of requests a second admitted
+// after the first ten seconds, and the maximum in any second. shares gives each host's
+// share of the load by second.
+func simulateLimit(shares func(second int) [7]float64, offered, limit float64, exchange time.Duration) (mean, highest float64) {
 	src := rand.New(rand.NewPCG(1, 2))
 	now, hosts := start, make([]*Limiter, 7)
 	for i := range hosts {
 		hosts[i] = NewLimiter(config.TeamLimits{RequestsPerSecond: limit}, len(hosts), now)
 	}
 	const step, seconds, warm = time.Millisecond, 60, 10
-	through := make([]float64, seconds)
+	admitted := make([]float64, seconds)
 	for tick := range seconds * 1000 {
 		now = now.Add(step)
 		if now.Sub(start)%exchange == 0 {
-			tellPeers(hosts, now)
+			exchangeDemand(hosts, now)
 		}
 		for i, share := range shares(tick / 1000) {
 			if src.Float64() < offered*share*step.Seconds() {
 				if ok, _ := hosts[i].Take(now); ok {
 					hosts[i].Done(0)
-					through[tick/1000]++
+					admitted[tick/1000]++
 				}
 			}
 		}
 	}
-	for i, n := range through {
-		most = max(most, n)
+	for i, n := range admitted {
+		highest = max(highest, n)
 		if i >= warm {
 			mean += n / (seconds - warm)
 		}
 	}
-	return mean, most
+	return mean, highest
 }
 
-func tellPeers(hosts []*Limiter, now time.Time) {
+func exchangeDemand(hosts []*Limiter, now time.Time) {
 	rates, total := make([]float64, len(hosts)), 0.0
 	for i, l := range hosts {
 		rates[i], _ = l.Demand(now)
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestRateLimitHoldsOverHosts(t *testing.T) {
+func TestRateLimitHoldsOverAllHosts(t *testing.T) {
 	fixed := func(shares [7]float64) func(int) [7]float64 { return func(int) [7]float64 { return shares } }
 	even := [7]float64{1. / 7, 1. / 7, 1. / 7, 1. / 7, 1. / 7, 1. / 7, 1. / 7}
 	sudden := func(second int) [7]float64 {
@@ -67,11 +67,11 @@
 	}
 	wandering := func(second int) (shares [7]float64) { shares[second/5%7] = 1; return shares }
 	for _, c := range []struct {
-		name        string
-		shares      func(int) [7]float64
-		offer       float64
-		limit       float64
-		least, most float64 // mean a second at least, any second at most
+		name            string
+		shares          func(int) [7]float64
+		offer           float64
+		limit           float64
+		minMean, maxAny float64 // mean a second at least, any second at most
 	}{
 		{"even", fixed(even), 500, 100, 93, 210},
 		{"one host", fixed([7]float64{1}), 500, 100, 90, 210},
@@ -82,10 +82,10 @@
 		{"wanders from host to host", wandering, 500, 100, 55, 210},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			mean, most := limitModel(c.shares, c.offer, c.limit, 2*time.Second)
+			mean, most := simulateLimit(c.shares, c.offer, c.limit, 2*time.Second)
 			t.Logf("limit %.0f, offered %.0f: %.1f a second through, most %.0f", c.limit, c.offer, mean, most)
-			assert.Assert(t, mean <= c.limit*1.05 && mean >= c.least, "mean %.1f", mean)
-			assert.Assert(t, most <= c.most, "most %.0f", most)
+			assert.Assert(t, mean <= c.limit*1.05 && mean >= c.minMean, "mean %.1f", mean)
+			assert.Assert(t, most <= c.maxAny, "most %.0f", most)
 		})
 	}
 }
--- a/core/admit/policy.go
+++ b/core/admit/policy.go
@@ -1,6 +1,6 @@
-// Package admit decides which requests of one host may be dispatched now,
-// which wait and which are refused before they ran. It has no goroutines, no
-// locks and no clock: node/admission executes what it decides.
+// Package admit decides which requests of one host may be dispatched now, which wait and
+// which are refused without having run. It has no goroutines, locks or clock;
+// node/admission carries out its decisions.
 package admit
 
 import (
@@ -11,38 +11,38 @@
 	"peridotpier.example/core/config"
 )
 
-// Policy is what a preset, the classes and the capacity say for one pool.
+// Policy is the combination of a preset, the class rules and the capacity for one pool.
 type Policy struct {
 	Slots          int     // requests that this host may have in flight in the pool
-	UrgentHeadroom float64 // share of the slots kept for urgent requests
-	BulkShare      float64 // most of the slots that bulk may hold
+	UrgentHeadroom float64 // share of the slots reserved for urgent requests
+	BulkShare      float64 // largest share of the slots that bulk requests may hold
 	AcceptBulk     bool
-	QueueMax       [class.Count]int // waiting requests by class
+	QueueMax       [class.Count]int // maximum of waiting requests by class
 }
 
-// Tuning of admission, with the reasons.
+// Parameters of admission.
 const (
-	defaultQueueMax = 64 // waiting requests of a class that names no bound
+	defaultQueueMax = 64 // maximum of waiting requests of a class without a bound of its own
 
-	// Slots that a team over its fair share leaves free, so that a team under
-	// its share finds one at once instead of waiting for a release.
+	// newcomerShare is the share of the slots that a team above its fair share leaves free,
+	// so that a team below its share gets one at once instead of waiting for a release.
 	newcomerShare = 1.0 / 8
 
-	// A team counts for the fair shares this long after its last request. Long
-	// enough that a team with a request every few seconds keeps its share.
+	// activeWindow is how long after its last request a team counts for the fair shares. It is
+	// long enough that a team with a request every few seconds keeps its share.
 	activeWindow = 30 * time.Second
 
-	holdSampleWeight = 1.0 / 16 // of a new sample in the mean time that a slot is held
+	holdSampleWeight = 1.0 / 16 // weight of a new sample in the mean time that a slot is held
 
-	// Part of the predicted wait that must still fit for a queued request to be
-	// kept: one already queued is given up only when even half the prediction
-	// is too long, since the prediction is noisy and a refusal is final.
+	// keepWaitShare is the share of its predicted wait that must still fit for a queued
+	// request to be kept: a queued request is given up only when even half the predicted
+	// wait is too long, because the prediction is noisy and a refusal is final.
 	keepWaitShare = 0.5
 
-	minRetryAfter = 250 * time.Millisecond // shortest advice; an instant retry meets the same queue
+	minRetryAfter = 250 * time.Millisecond // shortest Retry-After; an immediate retry would meet the same queue
 
-	// hostImbalance is by how much one host may exceed an even part of the
-	// capacity: the balancer does not spread long streams evenly.
+	// hostImbalance is the factor by which one host may exceed an even share of the
+	// capacity, because the balancer does not distribute long streams evenly.
 	hostImbalance = 1.25
 )
 
@@ -60,8 +60,7 @@
 	return out
 }
 
-// HostSlots is one host's part of the places that a pool's endpoints have
-// together.
+// HostSlots returns one host's share of the batch slots that a pool's endpoints have together.
 func HostSlots(batches, hosts int) int {
 	if batches <= 0 {
 		return 0
@@ -69,7 +68,7 @@
 	return int(math.Ceil(float64(batches) * hostImbalance / float64(max(hosts, 1))))
 }
 
-// maxSlots is the most slots that requests of class c and all more patient ones
+// maxSlots returns how many slots the requests of class c and of all less urgent classes
 // may hold together.
 func (p Policy) maxSlots(c class.Class) int {
 	if c == class.Urgent || p.Slots <= 1 {
--- a/core/admit/pool.go
+++ b/core/admit/pool.go
@@ -7,13 +7,13 @@
 	"peridotpier.example/core/class"
 )
 
-// Pool is the admission of one host to one pool.
+// Pool decides on the admission of one host's requests to one pool.
 type Pool struct {
 	policy       Policy
 	queues       [class.Count]fairQueue
 	used         [class.Count]int
 	teams        map[string]*teamUsage
-	activeWeight float64   // of the active teams together
+	activeWeight float64   // sum of the active teams' weights
 	countedAt    time.Time // when the active teams were last counted
 	meanHold     time.Duration
 }
@@ -21,12 +21,12 @@
 type teamUsage struct {
 	weight    float64
 	used      int
-	peak      float64 // most slots held at once, decayed since
+	peak      float64 // most slots held at once, decaying since
 	decayedAt time.Time
 	lastSeen  time.Time
 }
 
-// NewPool makes the admission of a pool.
+// NewPool returns a pool in which no slot is held.
 func NewPool(p Policy) *Pool {
 	pool := &Pool{policy: p, teams: map[string]*teamUsage{}}
 	for i := range pool.queues {
@@ -35,8 +35,8 @@
 	return pool
 }
 
-// Arrive judges a new request. A refusal of another one that it displaced
-// may come with it.
+// Arrive decides on a new request. The last result is the refusal of another request that
+// the new one displaced, or nil.
 func (p *Pool) Arrive(now time.Time, it Item) (Verdict, Refusal, *Refusal) {
 	p.recordArrival(now, it)
 	limit := p.policy.maxSlots(it.Class)
@@ -48,9 +48,9 @@
 	case missesDeadline(now, it, 0):
 		return Refused, p.refusal(it, CauseDeadlineUnreachable, 0), nil
 	}
-	// Whoever waits now may not take what is free: the slots left to newcomers
-	// are not for a team over its share. So a free slot is this request's,
-	// unless its own team waits already.
+	// A free slot may go to the new request unless its own team has requests waiting. The
+	// requests of other teams that wait now may not take it: the slots left free for
+	// newcomers are not available to a team above its fair share.
 	if !p.queues[it.Class].hasWaiting(it.Team) && p.canTake(it.Class, it.Team) {
 		p.queues[it.Class].recordAdmitted(it)
 		p.assign(it)
@@ -78,7 +78,7 @@
 	return Queued, Refusal{}, &displaced
 }
 
-// Release gives back a slot that was held for a time, and grants what waits.
+// Release returns a slot that was held for a time, and grants slots to waiting requests.
 func (p *Pool) Release(c class.Class, team string, held time.Duration) Result {
 	p.used[c]--
 	if t := p.teams[team]; t != nil {
@@ -91,11 +91,10 @@
 	return Result{Granted: p.grant()}
 }
 
-// Cancel takes a waiting request out; false when it does not wait any more.
+// Cancel removes a waiting request. It returns false if the request is no longer waiting.
 func (p *Pool) Cancel(c class.Class, id uint64) bool { return p.queues[c].remove(id) }
 
-// SetPolicy puts a new policy in force. Requests that hold a slot keep it, as
-// they were admitted under the policy before.
+// SetPolicy changes the policy. Requests that hold a slot under the previous policy keep it.
 func (p *Pool) SetPolicy(now time.Time, policy Policy) Result {
 	p.policy = policy
 	granted := p.grant()
@@ -104,8 +103,8 @@
 	return r
 }
 
-// ExpireQueued gives up the waiting requests that cannot make their deadline any
-// more, so that their callers hear it now and not when the deadline has come.
+// ExpireQueued refuses the waiting requests that cannot meet their deadlines any more, so
+// that their callers learn it now and not at the deadline.
 func (p *Pool) ExpireQueued(now time.Time) Result {
 	p.countActive(now)
 	var r Result
@@ -130,13 +129,13 @@
 	return r
 }
 
-// Used tells the slots held by a class.
+// Used returns how many slots a class holds.
 func (p *Pool) Used(c class.Class) int { return p.used[c] }
 
-// Waiting tells the requests of a class that wait.
+// Waiting returns how many requests of a class are waiting.
 func (p *Pool) Waiting(c class.Class) int { return p.queues[c].n }
 
-// grant hands free slots to those that wait, most urgent class first.
+// grant assigns free slots to waiting requests, the most urgent class first.
 func (p *Pool) grant() []uint64 {
 	var out []uint64
 	for c := class.Urgent; ; c-- {
@@ -161,9 +160,9 @@
 	t.peak = max(t.peak, float64(t.used))
 }
 
-// canTake says whether there is a slot for the team in the class: a team over
-// its fair share leaves free what those under theirs have lately needed at
-// once, and a few slots for newcomers.
+// canTake reports whether the team may take a slot for a request of the class. A team above
+// its fair share leaves free what the teams below theirs have recently needed at once, and
+// a few slots for newcomers.
 func (p *Pool) canTake(c class.Class, team string) bool {
 	free := p.freeSlots(c)
 	if free <= 0 {
@@ -176,14 +175,15 @@
 	return float64(free) > max(p.reservedFrom(team), newcomerShare*float64(p.policy.maxSlots(c)))
 }
 
-// fairShare is the slots that the team may count on.
+// fairShare returns the number of slots that the team is entitled to.
 func (p *Pool) fairShare(t *teamUsage) float64 {
 	return t.weight / max(p.activeWeight, t.weight) * float64(p.policy.Slots)
 }
 
-// reservedFrom is the slots that other teams, under their shares, have lately held
-// at once and do not hold now. Without them a quiet team waits for a release
-// of the flood: with few slots that is a good part of a request's time.
+// reservedFrom returns the number of slots that other teams, within their fair shares, have
+// recently held at once and do not hold now. If these were not reserved, a team with few
+// requests would wait for a release by a flooding team; with few slots that takes a good
+// part of a request's time.
 func (p *Pool) reservedFrom(team string) float64 {
 	kept := 0.0
 	for name, t := range p.teams {
@@ -194,7 +194,7 @@
 	return kept
 }
 
-// freeSlots is the free slots that class c may use.
+// freeSlots returns the number of free slots that class c may use.
 func (p *Pool) freeSlots(c class.Class) int {
 	free, held := p.policy.Slots, 0
 	for k := class.Bulk; k < class.Count; k++ {
@@ -209,7 +209,7 @@
 	return free
 }
 
-// waitingAbove counts those of more urgent classes.
+// waitingAbove counts the waiting requests of more urgent classes.
 func (p *Pool) waitingAbove(c class.Class) int {
 	n := 0
 	for k := c + 1; k < class.Count; k++ {
@@ -218,11 +218,11 @@
 	return n
 }
 
-// predictWait predicts the wait with so many ahead.
+// predictWait predicts the wait of a request with that many requests ahead of it.
 func (p *Pool) predictWait(c class.Class, ahead int) time.Duration {
 	limit := p.policy.maxSlots(c)
 	if limit <= 0 {
-		return time.Hour // longer than any deadline: nothing will be granted
+		return time.Hour // longer than any deadline: no slot will be granted
 	}
 	return p.meanHold * time.Duration(ahead+1) / time.Duration(limit)
 }
@@ -256,8 +256,7 @@
 	}
 }
 
-// decay lets the peak sink towards what is held, so that a burst of long ago
-// keeps nothing from others.
+// decay lowers the peak towards the current usage, so that an old burst reserves nothing.
 func (t *teamUsage) decay(now time.Time) {
 	if !t.decayedAt.IsZero() {
 		keep := math.Exp(-now.Sub(t.decayedAt).Seconds() / activeWindow.Seconds())
@@ -275,8 +274,8 @@
 	return false
 }
 
-// ReleaseUnused gives back a slot that was granted to a request which had left by
-// then. It tells nothing of how long slots are held.
+// ReleaseUnused returns a slot that was granted to a request after its caller had left. It
+// does not count for the mean time that slots are held.
 func (p *Pool) ReleaseUnused(c class.Class, team string) Result {
 	return p.Release(c, team, p.meanHold)
 }
--- a/core/admit/pool_test.go
+++ b/core/admit/pool_test.go
@@ -23,7 +23,7 @@
 	return Item{ID: id, Team: team, Weight: 1, Class: c}
 }
 
-// fill makes n requests of a class and tells how many were admitted.
+// fill sends n requests of a class and returns how many were admitted.
 func fill(p *Pool, first uint64, n int, team string, c class.Class) int {
 	admitted := 0
 	for i := range n {
@@ -34,11 +34,11 @@
 	return admitted
 }
 
-func TestClassesKeepTheirSlots(t *testing.T) {
+func TestClassesStayWithinTheirSlots(t *testing.T) {
 	p := NewPool(NewPolicy(preset, nil, 20))
 	assert.Equal(t, fill(p, 0, 30, "a", class.Bulk), 6)        // 0.3 of 20
 	assert.Equal(t, fill(p, 100, 30, "a", class.Standard), 10) // up to 16 with bulk
-	assert.Equal(t, fill(p, 200, 30, "a", class.Urgent), 4)    // the headroom, at once
+	assert.Equal(t, fill(p, 200, 30, "a", class.Urgent), 4)    // the headroom is available at once
 	r := p.Release(class.Bulk, "a", time.Second)
 	assert.DeepEqual(t, r.Granted, []uint64{204}) // urgent first, bulk last
 }
@@ -99,12 +99,10 @@
 	assert.Equal(t, served, 12)
 }
 
-// Symptom: a caller hears "not run" only when its deadline has come, and its
-// own retry comes too late.
-// Sequence: a request is queued behind quick ones; then the slots are held far
-// longer than before.
-// Cause: the prediction was made once, on arrival.
-func TestSweepGivesUpAtOnce(t *testing.T) {
+// Guards against a caller that learns "not run" only at its deadline, too late for a retry
+// of its own. A request is queued behind quick ones, and then the slots are held far longer
+// than before; a prediction made only on arrival does not show it.
+func TestExpireQueuedRefusesAtOnce(t *testing.T) {
 	p := NewPool(NewPolicy(preset, nil, 1))
 	fill(p, 0, 1, "a", class.Standard)
 	it := item(7, "a", class.Standard)
@@ -118,9 +116,8 @@
 	assert.Equal(t, r.Refused[0].ID, uint64(7))
 }
 
-// Symptom: every other team is refused at the door while one floods.
-// Sequence: the flood fills the bounded queue; another team's request comes.
-// Cause: first come, first served for places in the queue.
+// Guards against refusing every other team while one floods. The flood fills the bounded
+// queue before a request of another team arrives.
 func TestFloodIsDisplacedFromAFullQueue(t *testing.T) {
 	p := NewPool(NewPolicy(preset, []config.ClassRule{{Class: class.Standard, MaxQueue: 4}}, 10))
 	fill(p, 0, 100, "flood", class.Standard)
@@ -130,15 +127,15 @@
 		assert.Equal(t, displaced.Cause, CauseDisplaced)
 		assert.Assert(t, displaced.ID < 200)
 	}
-	v, refusal, _ := p.Arrive(start, item(302, "b", class.Standard)) // b holds half of the queue now
+	v, refusal, _ := p.Arrive(start, item(302, "b", class.Standard)) // team b has half of the queue now
 	assert.Equal(t, v, Refused)
 	assert.Equal(t, refusal.Cause, CauseQueueFull)
 	assert.Equal(t, p.Waiting(class.Standard), 4)
 }
 
-// floodModel runs two teams through one pool in steps of a millisecond and
-// returns the times from arrival to end of the quiet team's requests.
-func floodModel(flood bool, slots int, seed uint64) []time.Duration {
+// simulateFlood simulates two teams in one pool in steps of a millisecond and returns the
+// times from arrival to end of the quiet team's requests.
+func simulateFlood(flood bool, slots int, seed uint64) []time.Duration {
 	const steps, held = 60_000, 200
 	type running struct {
 		id  uint64
@@ -186,14 +183,13 @@
 	return out
 }
 
-// Symptom: one team's p99 rises while another floods.
-// Sequence: the flood takes every slot and fills the queue; a request of the
-// quiet team waits for a release, behind the flood.
-// Cause: slots and queue places handed out by arrival only.
-func TestFloodMovesNoOtherP99(t *testing.T) {
+// Guards against one team's flood raising the p99 of another. The flood takes every slot and
+// fills the queue; if slots and queue places were granted by arrival only, a request of the
+// quiet team would wait for a release, behind the flood.
+func TestAFloodDoesNotRaiseTheP99OfOthers(t *testing.T) {
 	for _, run := range [][2]int{{40, 0}, {40, 1}, {40, 2}, {16, 0}, {16, 1}, {16, 2}} {
 		slots, seed := run[0], uint64(run[1])
-		alone, beside := floodModel(false, slots, seed), floodModel(true, slots, seed)
+		alone, beside := simulateFlood(false, slots, seed), simulateFlood(true, slots, seed)
 		p99 := func(d []time.Duration) float64 { return d[len(d)*99/100].Seconds() }
 		ratio := p99(beside) / p99(alone)
 		t.Logf("%d slots, seed %d: p99 alone %.3f s, beside a flood %.3f s, ratio %.3f", slots, seed, p99(alone), p99(beside), ratio)
@@ -201,14 +197,14 @@
 	}
 }
 
-// Slots, headroom and queue bounds hold in every sequence of events, and no
+// Property: slots, headroom and queue bounds hold in every sequence of events, and no
 // request is granted or refused twice.
-func TestPoolProperties(t *testing.T) {
+func TestPoolBoundsHoldInAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := NewPolicy(preset, []config.ClassRule{{Class: class.Standard, MaxQueue: 3}}, rapid.IntRange(1, 12).Draw(t, "slots"))
 		p, next, now := NewPool(policy), uint64(0), start
 		held, waiting := map[uint64]Item{}, map[uint64]Item{}
-		settle := func(r Result) {
+		applyResult := func(r Result) {
 			for _, id := range r.Granted {
 				it, ok := waiting[id]
 				assert.Assert(t, ok)
@@ -232,14 +228,14 @@
 				case Queued:
 					waiting[it.ID] = it
 					if displaced != nil {
-						settle(Result{Refused: []Refusal{*displaced}})
+						applyResult(Result{Refused: []Refusal{*displaced}})
 					}
 				}
 			},
 			"release": func(t *rapid.T) {
 				for id, it := range held {
 					delete(held, id)
-					settle(p.Release(it.Class, it.Team, time.Duration(rapid.IntRange(1, 9).Draw(t, "held"))*time.Second))
+					applyResult(p.Release(it.Class, it.Team, time.Duration(rapid.IntRange(1, 9).Draw(t, "held"))*time.Second))
 					return
 				}
 			},
@@ -252,7 +248,7 @@
 			},
 			"sweep": func(*rapid.T) {
 				now = now.Add(time.Second)
-				settle(p.ExpireQueued(now))
+				applyResult(p.ExpireQueued(now))
 			},
 			"": func(t *rapid.T) {
 				assert.Assert(t, len(held) <= policy.Slots)
