--- a/core/route/baseline.go
+++ b/core/route/baseline.go
@@ -2,15 +2,16 @@
 
 import "sync/atomic"
 
-// NewRoundRobin makes the baseline that takes the usable endpoints in turn and
-// looks at no load.
+// NewRoundRobin returns a baseline picker that uses the usable endpoints in turn,
+// regardless of their load.
 func NewRoundRobin() Picker { return &roundRobin{filters: requiredFilters()} }
 
-// NewLeastReported makes the baseline that trusts the lagged report as it is:
-// the least running and waiting, the first of equals.
+// NewLeastReported returns a baseline picker that uses the delayed reports without
+// correction: it picks the endpoint with the fewest running and waiting requests, the
+// first of equals.
 func NewLeastReported() Picker { return leastReported{filters: requiredFilters()} }
 
-// requiredFilters are the filters that no policy may leave out.
+// requiredFilters returns a picker with the filters that every policy must apply.
 func requiredFilters() *staged {
 	return &staged{filters: []filter{drainingFilter{}, downFilter{}, excludedFilter{}, readyFilter{}}}
 }
--- a/core/route/filter_down.go
+++ b/core/route/filter_down.go
@@ -1,6 +1,6 @@
 package route
 
-// downFilter trusts this host's own connections: they fail or went silent.
+// downFilter applies the state of this host's own connections: they fail or are unresponsive.
 type downFilter struct{}
 
 func (downFilter) keep(e *Endpoint, _ *Request) Reason {
--- a/core/route/filter_leaving.go
+++ b/core/route/filter_draining.go
@@ -1,7 +1,7 @@
 package route
 
-// drainingFilter trusts the first signal from anywhere that an upstream is
-// leaving. Within an incarnation leaving is never undone.
+// drainingFilter applies the first signal from any source that an upstream is draining.
+// Draining is never undone within an incarnation.
 type drainingFilter struct{}
 
 func (drainingFilter) keep(e *Endpoint, _ *Request) Reason {
--- a/core/route/filter_avoid.go
+++ b/core/route/filter_excluded.go
@@ -1,13 +1,13 @@
 package route
 
-// excludedFilter trusts the request's own history: an upstream that refused or
-// failed it is not tried again for it.
+// excludedFilter applies the request's own history: an upstream that has refused or failed
+// the request is not tried again for it.
 type excludedFilter struct{}
 
 func (excludedFilter) keep(e *Endpoint, r *Request) Reason {
 	for i := range r.Excluded {
 		if r.Excluded[i] == "" {
-			break // filled from the front
+			break // the list is filled from the front
 		}
 		if r.Excluded[i] == e.Upstream {
 			return AllExcluded
--- a/core/route/filter_bound.go
+++ b/core/route/filter_load.go
@@ -2,10 +2,10 @@
 
 import "peridotpier.example/core/class"
 
-// loadFilter trusts the corrected load: past a multiple of its batch that
-// depends on the class, an endpoint takes no more of that class. Waiting here,
-// where a request can still be refused as not run, is better than waiting in
-// an engine's queue, where it cannot.
+// loadFilter applies the corrected load. Above a multiple of its batch size that depends
+// on the class, an endpoint receives no more requests of that class. It is better for a
+// request to wait here, where it can still be refused as not run, than in an engine's
+// queue, where it cannot.
 type loadFilter struct {
 	maxLoad [class.Count]float64
 }
--- a/core/route/filter_ready.go
+++ b/core/route/filter_ready.go
@@ -1,8 +1,8 @@
 package route
 
-// readyFilter trusts the newest report for what an engine can answer: an
-// adapter needs its own entry, which an engine only reports when its base
-// model is ready too. The snapshot's index by model may lag the endpoint.
+// readyFilter applies the newest report of what an engine can answer. An adapter needs its
+// own entry, which an engine reports only while the base model is ready too. The
+// snapshot's index by model may be older than the endpoint's state.
 type readyFilter struct{}
 
 func (readyFilter) keep(e *Endpoint, r *Request) Reason {
--- a/core/route/score_affinity.go
+++ b/core/route/score_affinity.go
@@ -1,14 +1,13 @@
 package route
 
-// affinityScan bounds how many endpoints are asked for a cached prefix in one
-// pick; a model seldom has more replicas.
+// affinityScan bounds how many endpoints are checked for a cached prefix in one pick. A
+// model rarely has more replicas.
 const affinityScan = 32
 
-// affinityScorer credits an endpoint whose cache is said to hold the
-// request's prefix. Cache events come late and with gaps, so the credit is
-// never more than the prefill it would save, and nothing at all on an endpoint
-// that is loaded past the bound: otherwise a popular prefix would pull all its
-// requests into one queue.
+// affinityScorer gives a credit to an endpoint whose cache is reported to contain the
+// request's prefix. Cache events arrive late and with gaps, so the credit never exceeds
+// the prefill time that a hit would save. An endpoint with a load above the bound gets no
+// credit; otherwise a popular prefix would draw all its requests into one queue.
 type affinityScorer struct {
 	cfg Config
 }
@@ -28,9 +27,9 @@
 	}
 }
 
-// homeEndpoint names the endpoint where requests of one prefix meet while no cache
-// event tells where it is held. All hosts that see the same candidates agree
-// on it without a word between them.
+// homeEndpoint returns the endpoint to which the requests of one prefix are drawn while no
+// cache event tells where the prefix is cached. All hosts with the same candidates choose
+// the same endpoint without communication.
 func homeEndpoint(candidates []int32, prefix uint64) int32 {
 	if prefix == 0 {
 		return -1
@@ -38,8 +37,8 @@
 	return candidates[mix(prefix)%uint64(len(candidates))]
 }
 
-// prefixHolder finds an endpoint said to hold the prefix, nearest after its
-// home in the candidates' order; -1 when none of those asked does.
+// prefixHolder returns an endpoint that is reported to have the prefix cached: the nearest
+// after the prefix's home in the order of the candidates, or -1 if none of those checked has.
 func prefixHolder(s *Snapshot, candidates []int32, prefix uint64) int32 {
 	n := uint64(len(candidates))
 	start := mix(prefix) % n
@@ -51,7 +50,7 @@
 	return -1
 }
 
-// mix spreads a hash whose low bits may be poor (the finaliser of SplitMix64).
+// mix scrambles a hash whose low bits may be poorly distributed (the finaliser of SplitMix64).
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/core/route/score_distance.go
+++ b/core/route/score_distance.go
@@ -1,7 +1,7 @@
 package route
 
-// distanceScorer trusts the configured round trip between data centres: the
-// request goes there and the first token comes back, one round trip.
+// distanceScorer adds the configured round trip between data centres, which the request and
+// its first token take once.
 type distanceScorer struct{}
 
 func (distanceScorer) score(e *Endpoint, _ *Request, _ bool) float64 { return e.DistanceMs }
--- a/core/route/score_first_token.go
+++ b/core/route/score_first_token.go
@@ -2,21 +2,22 @@
 
 import "peridotpier.example/core/class"
 
-// Figures for endpoints whose speed is not known.
+// Defaults for endpoints of unknown speed.
 const (
-	plainServiceMs = 5.0 // a look-up at a plain service
-	batchSlowdown  = 1.0 // a step in a full batch takes about this share longer than alone
-	prefillShare   = 0.5 // of those in the batch, the part of a prefill that each delays a new one by, over a full batch
+	plainServiceMs = 5.0 // time of a look-up at a plain service
+	batchSlowdown  = 1.0 // share by which a full batch lengthens a decoding step
+	prefillShare   = 0.5 // share by which a full batch lengthens the prefill of a new request
 )
 
-// firstTokenScorer trusts the corrected load and the endpoint's known speed:
-// queueing for a slot, then the prefill beside those that run, then one step.
+// firstTokenScorer predicts the time to the first token from the corrected load and the
+// endpoint's speed: waiting for a slot, the prefill beside the running requests, and one
+// decoding step.
 type firstTokenScorer struct {
 	typicalTokens int
 }
 
-// predictStepMs is the time of one decoding step: as seen lately, or as the model's
-// speed and the load would make it.
+// predictStepMs returns the time of one decoding step: the recently observed time, or an
+// estimate from the model's speed and the load.
 func (e *Endpoint) predictStepMs(r *Request, fill float64) float64 {
 	if e.RecentStepMs > 0 {
 		return e.RecentStepMs
@@ -28,8 +29,8 @@
 	return token * (1 + batchSlowdown*min(fill, 1))
 }
 
-// lengthScorer trusts the expected length and the endpoint's pace: the time
-// from the first token to the last.
+// lengthScorer predicts the time from the first token to the last from the expected length
+// of the answer and the endpoint's speed.
 type lengthScorer struct{}
 
 func (lengthScorer) score(e *Endpoint, r *Request, _ bool) float64 {
@@ -51,7 +52,7 @@
 	}
 	queued := load - batch
 	if r.Class == class.Urgent {
-		queued = 0 // engines honour priorities: urgent work passes those that wait
+		queued = 0 // engines respect priorities: urgent requests pass those that wait
 	}
 	tokens := e.MeanAnswerTokens
 	if tokens <= 0 {
--- a/core/route/choices.go
+++ b/core/route/selection.go
@@ -2,10 +2,10 @@
 
 // selection compares a few endpoints for one request and keeps the best.
 //
-// Comparing all of them would send every host that shares one stale report to
-// the same endpoint until the next report: one would notice queues that jump
-// from endpoint to endpoint at the pace of the reports. Comparing a few drawn
-// at random spreads the hosts, and still avoids the long queues.
+// If all endpoints were compared, every host with the same stale report would choose the
+// same endpoint until the next report, and long queues would move from endpoint to
+// endpoint with each report. Comparing a few random ones spreads the hosts and still
+// avoids the long queues.
 type selection struct {
 	p    *staged
 	s    *Snapshot
@@ -14,7 +14,8 @@
 	home int32
 }
 
-// consider enters one endpoint; it tells why the endpoint was refused.
+// consider compares one endpoint with the best so far. It returns Found, or the reason why
+// the endpoint cannot be used.
 func (c *selection) consider(index int32) Reason {
 	if index < 0 {
 		return NoReplica
@@ -30,9 +31,9 @@
 	return Found
 }
 
-// sampleRandom enters Choices distinct endpoints drawn at random. When random
-// probes find too few that pass the filters, a full pass from a random start
-// makes sure that none is overlooked.
+// sampleRandom considers Choices distinct random endpoints. If random probes find too few
+// that pass the filters, it scans all candidates from a random position, so that no
+// usable endpoint is missed.
 func (c *selection) sampleRandom(candidates []int32, src Source) Reason {
 	n, want := uint64(len(candidates)), min(c.p.cfg.Choices, len(candidates))
 	var seen [maxChoices * probesPerChoice]int32
@@ -51,28 +52,28 @@
 	return c.scan(candidates, src.Uint64N(n), seen[:drawn], want-found)
 }
 
-// scan offers the endpoints not yet seen, from a random start, until enough
-// were found. AllBusy outweighs AllAvoid: a busy replica may free itself.
+// scan considers the endpoints not yet seen, from position start on, until enough are
+// found. AllBusy takes precedence over AllExcluded, because a busy replica may become free.
 func (c *selection) scan(candidates []int32, start uint64, seen []int32, want int) Reason {
-	worst, at := AllExcluded, int(start)
+	reason, position := AllExcluded, int(start)
 	for range candidates {
-		i := candidates[at]
-		if at++; at == len(candidates) {
-			at = 0
+		i := candidates[position]
+		if position++; position == len(candidates) {
+			position = 0
 		}
 		switch c.consider(i) {
 		case Found:
 			if contains(seen, i) {
-				continue // offered before; to offer it again changes nothing
+				continue // considered before; considering it again changes nothing
 			}
 			if want--; want <= 0 {
 				return Found
 			}
 		case AllBusy:
-			worst = AllBusy
+			reason = AllBusy
 		}
 	}
-	return worst
+	return reason
 }
 
 func contains(list []int32, i int32) bool {
--- a/core/route/staged.go
+++ b/core/route/staged.go
@@ -2,55 +2,55 @@
 
 import "peridotpier.example/core/class"
 
-// Config tunes the staged picker. The zero value of a field takes its default.
+// Config configures the staged picker. Fields with a zero value get their defaults.
 type Config struct {
 	Choices         int                  // endpoints compared for one pick, 1 to maxChoices
-	MaxLoad         [class.Count]float64 // most load, as a multiple of MaxBatch, that a class still joins
+	MaxLoad         [class.Count]float64 // load, as a multiple of MaxBatch, from which on a class is not accepted
 	TypicalTokens   int                  // tokens of a typical answer, to predict how long a slot is held
-	AffinityMaxLoad float64              // load, as a share of MaxBatch, above which a cached prefix counts nothing
-	AffinityShare   float64              // part of the prefill that a cached prefix saves
-	HomeShare       float64              // part of that saving credited to a prefix's home when no event vouches for it
+	AffinityMaxLoad float64              // load, as a share of MaxBatch, from which on a cached prefix gives no credit
+	AffinityShare   float64              // share of the prefill that a cached prefix saves
+	HomeShare       float64              // share of that saving credited to a prefix's home while no cache event confirms one
 }
 
-// Defaults, with their reasons.
+// Default values.
 const (
-	defaultChoices         = 2    // more choices herd on a stale report, one ignores it
+	defaultChoices         = 2    // with more choices hosts with a stale report choose the same endpoint; with one the load is ignored
 	maxChoices             = 8    // bounds the work of one pick
 	defaultAnswerTokens    = 128  // a short summary or classification
-	defaultAffinityMaxLoad = 0.75 // past this a hit saves less than the queue behind it costs
-	defaultAffinityShare   = 0.8  // the rest of the prompt is not shared
-	defaultHomeShare       = 0.25 // a hint only: enough to break ties, never to outweigh a queue
-	probesPerChoice        = 4    // random probes before the full pass
+	defaultAffinityMaxLoad = 0.75 // above this load, a hit saves less than the queue costs
+	defaultAffinityShare   = 0.8  // the remainder of the prompt is not shared
+	defaultHomeShare       = 0.25 // only a hint: enough to break ties, but never to outweigh a queue
+	probesPerChoice        = 4    // random probes before the full scan
 )
 
-// defaultMaxLoad lets urgent work queue at an engine, since the engine's
-// priorities put it in front, and bulk only fill free places.
+// defaultMaxLoad lets urgent requests queue at an engine, because the engine's priorities
+// put them first, and lets bulk requests only fill free slots.
 var defaultMaxLoad = [class.Count]float64{class.Bulk: 1, class.Standard: 2, class.Urgent: 4}
 
-// staged is the picker in use: filters, scorers, then power of two choices.
+// staged is the standard picker: filters, scorers, then power of two choices.
 type staged struct {
 	cfg     Config
 	filters []filter
 	scorers []scorer
 }
 
-// filter drops endpoints that must not be used for a request. Found keeps the
-// endpoint; any other reason tells why it was dropped.
+// filter removes endpoints that must not be used for a request. keep returns Found to keep
+// the endpoint, or the reason why it is removed.
 type filter interface {
 	keep(e *Endpoint, r *Request) Reason
 }
 
-// scorer adds its share, in milliseconds, to the predicted time to first token.
+// scorer adds its part, in milliseconds, to the predicted time of the answer.
 type scorer interface {
 	score(e *Endpoint, r *Request, home bool) float64
 }
 
-// New makes the staged picker.
+// New returns the staged picker.
 func New(cfg Config) Picker {
 	cfg = withDefaults(cfg)
 	return &staged{
 		cfg: cfg,
-		// The map look-up last: the index by model makes it nearly always true.
+		// readyFilter looks up a map and comes last: the index by model makes it nearly always true.
 		filters: []filter{drainingFilter{}, downFilter{}, loadFilter{cfg.MaxLoad}, excludedFilter{}, readyFilter{}},
 		scorers: []scorer{firstTokenScorer{cfg.TypicalTokens}, lengthScorer{}, distanceScorer{}, affinityScorer{cfg}},
 	}
@@ -102,8 +102,8 @@
 	return c.best
 }
 
-// findCandidates lists the endpoints that hold the model, or all of the pool
-// for a plain service.
+// findCandidates returns the endpoints that have the model, or for a plain service all
+// endpoints of the pool.
 func findCandidates(s *Snapshot, r *Request) []int32 {
 	if r.PlainService {
 		return s.ByPool[r.Pool]
@@ -111,7 +111,7 @@
 	return s.ByModel[r.Key]
 }
 
-// check runs the filters.
+// check applies the filters. It returns Found if all of them keep the endpoint.
 func (p *staged) check(e *Endpoint, r *Request) Reason {
 	for _, f := range p.filters {
 		if reason := f.keep(e, r); reason != Found {
@@ -121,7 +121,7 @@
 	return Found
 }
 
-// predict adds up the scorers.
+// predict returns the sum of the scores.
 func (p *staged) predict(e *Endpoint, r *Request, home bool) float64 {
 	total := 0.0
 	for _, s := range p.scorers {
--- a/core/route/staged_test.go
+++ b/core/route/staged_test.go
@@ -12,7 +12,7 @@
 
 var testKey = ModelKey{Model: "m"}
 
-// snapshotOf indexes endpoints that all hold testKey.
+// snapshotOf returns a snapshot of endpoints that all have testKey.
 func snapshotOf(endpoints ...Endpoint) *Snapshot {
 	s := &Snapshot{Endpoints: endpoints, ByModel: map[ModelKey][]int32{}, ByPool: map[string][]int32{}}
 	for i := range s.Endpoints {
@@ -33,7 +33,7 @@
 	return s
 }
 
-func TestPickFilters(t *testing.T) {
+func TestPickAppliesTheFilters(t *testing.T) {
 	other := map[ModelKey]bool{{Model: "x"}: true}
 	cases := []struct {
 		name      string
@@ -66,9 +66,9 @@
 	}
 }
 
-// Each of two endpoints is like the other but for one figure; the first is the
-// worse.
-func TestScores(t *testing.T) {
+// Guards against ignoring a figure of an endpoint. The two endpoints of each case differ
+// only in it, and the first one is worse.
+func TestTheWorseEndpointIsNotPicked(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		worse, better Endpoint
@@ -90,10 +90,9 @@
 	}
 }
 
-// Symptom: one of 350 replicas is usable and requests are refused.
-// Sequence: all random probes hit endpoints that leave.
-// Cause: probing alone proves nothing of those not probed; the full pass does.
-func TestPickFindsTheOnlyUsable(t *testing.T) {
+// Guards against refusing requests although one of 350 replicas is usable. If all random
+// probes hit draining endpoints, only a full scan finds it.
+func TestPickFindsTheOnlyUsableEndpoint(t *testing.T) {
 	endpoints := make([]Endpoint, 350)
 	for i := range endpoints {
 		endpoints[i].Draining = i != 123
@@ -118,11 +117,10 @@
 	}
 }
 
-// Symptom: the queue of one endpoint jumps up at the pace of the reports
-// while others idle.
-// Sequence: seven hosts share one report, in which one endpoint is slightly
-// less loaded; each dispatches twenty requests before the next report.
-// Cause: each takes the reported minimum; nobody sees the others' dispatches.
+// Guards against queues that jump from endpoint to endpoint with each report while other
+// endpoints are idle. Seven hosts share one report, in which one endpoint has slightly less
+// load, and each dispatches twenty requests before the next report. If each took the
+// reported minimum, all would choose that endpoint, as none sees the others' dispatches.
 func TestHostsSharingAStaleReportDoNotHerd(t *testing.T) {
 	const hosts, each, replicas = 7, 20, 10
 	largest := func(p Picker) int {
@@ -181,7 +179,7 @@
 	}
 }
 
-// BenchmarkPickAllBusy is the worst case: every endpoint is looked at.
+// BenchmarkPickAllBusy measures the worst case, in which every endpoint is checked.
 func BenchmarkPickAllBusy(b *testing.B) {
 	s := benchmarkSnapshot(350)
 	for i := range s.Endpoints {
@@ -194,11 +192,10 @@
 	}
 }
 
-// Symptom: an engine is always busy and answers hardly anyone in time.
-// Sequence: requests come whose answers take longer than their deadlines even
-// alone; each is started, and thrown away when its deadline comes.
-// Cause: nobody compares the two before the start.
-func TestHopelessRequestsAreNotStarted(t *testing.T) {
+// Guards against an engine that is always busy and answers hardly any request in time.
+// Requests arrive whose answers take longer than their deadlines even on an idle engine;
+// if they were started, each would be aborted at its deadline.
+func TestRequestsWithUnreachableDeadlinesAreNotStarted(t *testing.T) {
 	s := snapshotOf(Endpoint{})
 	r := Request{Key: testKey, AnswerTokens: 100, IdleStepMs: 10, RemainingMs: 999}
 	assert.Equal(t, New(Config{}).Pick(s, &r, rand.New(rand.NewPCG(1, 1))).Reason, DeadlineUnreachable)
