--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry decides, in one place, whether another attempt follows one
-// that ended, when, and where it must not go.
+// Package retry decides in one place whether another attempt follows one that ended, when,
+// and which upstreams it must avoid.
 package retry
 
 import (
@@ -10,41 +10,41 @@
 	"peridotpier.example/core/outcome"
 )
 
-// Config bounds retries.
+// Config limits the attempts of a request.
 type Config struct {
-	MaxAttempts    int           // most attempts of one request, the first included
-	InitialBackoff time.Duration // mean pause before the second attempt
-	MaxBackoff     time.Duration // longest mean pause
-	MinRemaining   time.Duration // an attempt with less time left than this is not worth starting
+	MaxAttempts    int           // including the first
+	InitialBackoff time.Duration // mean backoff before the second attempt
+	MaxBackoff     time.Duration // longest mean backoff
+	MinRemaining   time.Duration // no attempt is started with less time left than this
 }
 
-// defaults suit upstreams a few milliseconds away: by the fourth attempt
-// a request has tried four upstreams, and more would only spread an overload.
+// defaults suit upstreams a few milliseconds away. By the fourth attempt a request has
+// tried four upstreams, and more attempts would only spread an overload.
 var defaults = Config{MaxAttempts: 4, InitialBackoff: 5 * time.Millisecond, MaxBackoff: 200 * time.Millisecond, MinRemaining: 10 * time.Millisecond}
 
-// jitter spreads pauses over half to one and a half of their mean, so that
-// requests which failed together do not come back together.
+// jitter varies each backoff between half and one and a half times its mean, so that
+// requests which failed together do not return together.
 const jitter = 0.5
 
-// MaxExcluded is how many upstreams a request remembers not to go back to; it is
-// the size of route.Request.Avoid.
+// MaxExcluded is how many upstreams a request remembers not to try again. It is the size
+// of route.Request.Excluded.
 const MaxExcluded = 4
 
-// Reason says why an exchange of attempts goes on or ends.
+// Reason is the reason why the attempts of a request continue or end.
 type Reason uint8
 
 // The reasons.
 const (
 	RetryAllowed      Reason = iota
 	Completed                // the last attempt completed
-	NotRepeatable            // it may have run, and may not run twice
-	AttemptsExhausted        // as many attempts as allowed were made
-	DeadlineTooClose         // the deadline would pass
-	BudgetExhausted          // retries already are their share of the traffic
+	NotRepeatable            // an attempt may have run, and the request must not run twice
+	AttemptsExhausted        // the maximum of attempts was made
+	DeadlineTooClose         // another attempt would pass the deadline
+	BudgetExhausted          // retries already have their share of the traffic
 )
 
-// Decision says whether to try again. When Retry is false, Outcome is what
-// the caller must be told.
+// Decision is the decision whether to retry. If Retry is false, Outcome is the outcome to
+// report to the caller.
 type Decision struct {
 	Retry    bool
 	Reason   Reason
@@ -53,17 +53,17 @@
 	Outcome  outcome.Outcome
 }
 
-// Attempt is how an attempt ended.
+// Attempt is the result of an attempt.
 type Attempt struct {
 	Outcome         outcome.Outcome
-	ExcludeUpstream string        // not to go back to; "" when it did not refuse
-	RetryAfter      time.Duration // asked for by the upstream; 0: nothing asked
-	// Elsewhere tells that another upstream may be tried at once, whatever
-	// this one asked for: it alone is full, leaving or unreachable.
+	ExcludeUpstream string        // the upstream not to try again; "" if it did not refuse
+	RetryAfter      time.Duration // requested by the upstream; 0 if it requested nothing
+	// TryOthers is whether another upstream may be tried at once, regardless of
+	// RetryAfter: only this upstream is full, draining or unreachable.
 	TryOthers bool
 }
 
-// Request follows the attempts of one request. It belongs to one goroutine.
+// Request tracks the attempts of one request. It must be used by one goroutine only.
 type Request struct {
 	cfg           Config
 	repeatable    bool
@@ -75,8 +75,7 @@
 	backoffs      *backoff.ExponentialBackOff
 }
 
-// NewRequest starts to follow a request; a zero Config stands for the
-// defaults.
+// NewRequest returns a Request without attempts. A zero Config stands for the defaults.
 func NewRequest(cfg Config, repeatable bool, deadline time.Time) *Request {
 	if cfg == (Config{}) {
 		cfg = defaults
@@ -87,8 +86,8 @@
 	return &Request{cfg: cfg, repeatable: repeatable, deadline: deadline, backoffs: p}
 }
 
-// Next says what follows the attempt a, which ended at now. It takes from
-// the budget only when it decides to retry.
+// Next decides what follows the attempt a, which ended at now. It takes from the budget
+// only when it decides to retry.
 func (r *Request) Next(a Attempt, b *Budget, now time.Time) Decision {
 	if a.ExcludeUpstream != "" {
 		r.excluded[r.excludedCount%MaxExcluded] = a.ExcludeUpstream
@@ -106,8 +105,8 @@
 	return d
 }
 
-// overallOutcome is the request's outcome over all attempts: one that may have run is
-// not made "not run" by a later one that did not.
+// overallOutcome returns the request's outcome over all attempts. If any attempt may have
+// run, a later attempt that did not run does not make the outcome "not run".
 func (r *Request) overallOutcome(last outcome.Outcome) outcome.Outcome {
 	if last == outcome.NotRun && r.mayHaveRun {
 		return outcome.Unknown
@@ -123,7 +122,7 @@
 	return max(p, a.RetryAfter)
 }
 
-func (r *Request) reason(a Attempt, pause time.Duration, now time.Time) Reason {
+func (r *Request) reason(a Attempt, backoff time.Duration, now time.Time) Reason {
 	switch {
 	case a.Outcome == outcome.Completed:
 		return Completed
@@ -131,7 +130,7 @@
 		return NotRepeatable
 	case r.attempts >= r.cfg.MaxAttempts:
 		return AttemptsExhausted
-	case now.Add(pause + r.cfg.MinRemaining).After(r.deadline):
+	case now.Add(backoff + r.cfg.MinRemaining).After(r.deadline):
 		return DeadlineTooClose
 	default:
 		return RetryAllowed
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-func TestAfter(t *testing.T) {
+func TestNextDecidesByTheOutcomeAndTheBounds(t *testing.T) {
 	far, near := start.Add(time.Minute), start.Add(12*time.Millisecond)
 	for _, c := range []struct {
 		name       string
@@ -41,9 +41,9 @@
 	}
 }
 
-// Symptom: a caller is told "not run" of a request that an upstream executed.
-// The first attempt broke off after its first byte; the second was refused by
-// another upstream, and only the second's outcome was reported.
+// Guards against telling a caller "not run" about a request that an upstream executed. The
+// first attempt broke off after its first byte, and another upstream refused the second;
+// the second's outcome alone must not be reported.
 func TestLaterRefusalDoesNotHideABrokenAttempt(t *testing.T) {
 	r, b := NewRequest(Config{MaxAttempts: 2}, true, start.Add(time.Minute)), NewBudget(1)
 	assert.Assert(t, r.Next(Attempt{Outcome: outcome.Unknown, ExcludeUpstream: "a"}, b, start).Retry)
@@ -68,7 +68,7 @@
 	})
 }
 
-func TestNeverPastTheDeadline(t *testing.T) {
+func TestNoRetryPassesTheDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		left := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "left"))
 		asked := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "asked"))
