--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -1,38 +1,37 @@
-// Package budget bounds how many sends beyond the first of each request one
-// host may make in a sliding window. All hosts share one allowance: each
-// spends the part that its view of the membership gives it, so that no message
-// is needed on the way of a request.
+// Package budget limits how many repeats, sends of a request beyond its first, one host
+// may make in a sliding window. All hosts share one allowance. Each host spends the share
+// that follows from its view of the membership, so that no request waits for a message
+// between hosts.
 package budget
 
 import "time"
 
 // Policy is the allowance that all hosts share.
 type Policy struct {
-	Ratio  float64       // sends beyond the first for each request of the window
-	Slack  float64       // sends beyond that, over all hosts
-	Window time.Duration // any span of this length counts
+	Ratio  float64       // repeats for each request in the window
+	Slack  float64       // additional repeats, over all hosts
+	Window time.Duration // the allowance holds for any time span of this length
 }
 
 const (
-	// safetyFactor is the part of the allowance that is used. The rest covers hosts
-	// whose views of the membership differ while some come or go.
+	// safetyFactor is the share of the allowance that is used. The remainder covers hosts
+	// whose views of the membership differ while hosts join or leave.
 	safetyFactor = 0.8
-	// bucketCount divide a window. One more is counted than a window has, so that
-	// a span which begins inside a bucket is covered too.
+	// bucketCount is the number of buckets in a window. One more bucket is counted, so that a
+	// span which begins inside a bucket is covered too.
 	bucketCount = 20
 )
 
-// Window counts the requests and repeats of one service at one host. Its owner
-// guards it.
+// Window counts the requests and repeats of one service at one host. Its owner must guard it.
 type Window struct {
 	policy   Policy
-	origin   time.Time // buckets are counted from here on the steady clock
+	origin   time.Time // start of the first bucket, on the monotonic clock
 	requests [bucketCount + 1]int
 	repeats  [bucketCount + 1]int
 	newest   int64 // number of the newest bucket
 }
 
-// NewWindow makes an empty window.
+// NewWindow returns an empty window.
 func NewWindow(p Policy, now time.Time) *Window { return &Window{policy: p, origin: now} }
 
 // CountRequest counts the first send of a request.
@@ -41,7 +40,8 @@
 	w.requests[w.index(w.newest)]++
 }
 
-// Take asks for one more send; hosts is how many share the slack.
+// Take counts one repeat if the allowance permits it, and reports whether it does. hosts is
+// the number of hosts that share the slack.
 func (w *Window) Take(now time.Time, hosts int) bool {
 	w.advance(now)
 	requests, repeats := 0, 0
@@ -57,7 +57,7 @@
 	return true
 }
 
-// advance clears the buckets that the window has left behind.
+// advance clears the buckets that are no longer part of the window.
 func (w *Window) advance(now time.Time) {
 	at := int64(now.Sub(w.origin) / (w.policy.Window / bucketCount))
 	if at <= w.newest {
@@ -69,4 +69,5 @@
 	w.newest = at
 }
 
+// index returns the array index of the n-th bucket.
 func (w *Window) index(n int64) int64 { return n % (bucketCount + 1) }
--- a/core/budget/budget_test.go
+++ b/core/budget/budget_test.go
@@ -12,10 +12,10 @@
 
 var policy = budget.Policy{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
 
-// Symptom: an overload of a service multiplies itself by the repeats of all hosts.
-// Sequence: each of seven hosts repeats what it may at any times.
-// Cause: each host counts as if it were alone, or by windows that do not slide.
-func TestNoSpanHoldsMoreRepeatsThanAllowed(t *testing.T) {
+// Guards against an overload of a service that the repeats of all hosts amplify, because
+// each host counts as if it were alone, or in windows that do not slide. Each of seven
+// hosts makes the repeats that it may, at any times.
+func TestNoSpanContainsMoreRepeatsThanAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const hosts = 7
 		ws := make([]*budget.Window, hosts)
