--- a/core/speed/bench_test.go
+++ b/core/speed/bench_test.go
@@ -7,8 +7,8 @@
 	"peridotpier.example/core/speed"
 )
 
-// BenchmarkEngineTime is what each entry of a host's demand costs the holder of
-// the lease: 71 ns.
+// BenchmarkEngineTime measures the cost of each entry of a host's demand for the lease
+// holder: 71 ns.
 func BenchmarkEngineTime(b *testing.B) {
 	m := speed.Estimator{Own: &speed.Observations{}, Service: &speed.Observations{}}
 	for range 100 {
--- a/core/speed/main_test.go
+++ b/core/speed/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// seed makes every run draw the same; -rapid.seed overrides it.
+// seed makes the property tests draw the same inputs on every run; -rapid.seed overrides it.
 const seed = "20261202"
 
 func TestMain(m *testing.M) {
--- a/core/speed/speed.go
+++ b/core/speed/speed.go
@@ -1,49 +1,49 @@
-// Package speed learns what requests take of a service's engines from what
-// their answers show: how fast prompts are read, how fast answers are made, and
-// how much of a prompt the engines have kept. Deployments differ in it by
-// several times, and so do the models of one; a constant for it makes hot models
-// seem hotter than they are and take the places of the rare ones, or the other
-// way round. It does no I/O and has no clock.
+// Package speed estimates from the answers of a service's engines how much engine time its
+// requests take: how fast prompts are prefilled, how fast answers are generated, and which
+// share of a prompt the engines have cached. These differ by a factor of several between
+// deployments, and between the models of one deployment. With constants instead, busy models
+// would seem busier than they are and displace rarely used ones, or the reverse. The package
+// does no I/O and has no clock.
 package speed
 
 import "time"
 
-// What is expected before anything was seen. It decides for the first second
-// or two of a deployment's first holder only.
+// Priors, which are used before anything was observed. They matter only during the first
+// second or two of a deployment's first lease holder.
 const (
-	priorPrefillMs     = 1 / 20.0 // for a token of prompt
+	priorPrefillMs     = 1 / 20.0 // for a token of a prompt
 	priorGenerationMs  = 10.0     // for a token of an answer
-	priorUncachedShare = 1.0      // share of a prompt that is read: nothing is kept
+	priorUncachedShare = 1.0      // share of a prompt that needs prefill; 1 means that nothing is cached
 )
 
-// Observations is what was seen of one model, or of all models of a service.
+// Observations are the observations of one model, or of all models of a service.
 type Observations struct {
-	prefill    regression    // ms until the first event, by tokens that had to be read
+	prefill    regression    // ms until the first event, by prompt tokens that needed prefill
 	generation decayingRatio // ms from the first event to the last, by tokens of the answer
-	uncached   decayingRatio // tokens that had to be read, by tokens of the prompt
+	uncached   decayingRatio // tokens that needed prefill, by tokens of the prompt
 }
 
-// Estimator is what is known of one model: what was seen of it, and of the others
-// of its service as long as that is little.
+// Estimator estimates one model's speed from the observations of the model, and from those
+// of its whole service as long as there are few of the model.
 type Estimator struct{ Own, Service *Observations }
 
-// AddPrompt notes that a request was sent of whose prompt so many tokens had to be read.
-func (m Estimator) AddPrompt(prompt, toRead int) {
+// AddPrompt records a request with a prompt of which uncached tokens need prefill.
+func (m Estimator) AddPrompt(prompt, uncached int) {
 	for _, e := range []*Observations{m.Own, m.Service} {
-		e.uncached.add(float64(prompt), float64(toRead))
+		e.uncached.add(float64(prompt), float64(uncached))
 	}
 }
 
-// Read notes how long a prompt took to be read on an upstream that had no other
-// prompt to read.
+// Read records how long the prefill of a prompt took on an upstream that had no other
+// prompt to prefill.
 func (m Estimator) Read(tokens int, took time.Duration) {
 	x, y := float64(tokens), ms(took)
 	m.Own.prefill.add(x, y, m.servicePrefillMs())
 	m.Service.prefill.add(x, y, priorPrefillMs)
 }
 
-// AddGeneration notes how long an answer took from its first event to its end; tokens is
-// what was expected of its length, as it is of the next ones.
+// AddGeneration records how long an answer took from its first event to its end. tokens is
+// the expected length of the answer, as it is for later estimates.
 func (m Estimator) AddGeneration(tokens int, took time.Duration) {
 	for _, e := range []*Observations{m.Own, m.Service} {
 		e.generation.add(float64(tokens), ms(took))
@@ -52,23 +52,23 @@
 
 func (m Estimator) servicePrefillMs() float64 { return m.Service.prefill.slope(priorPrefillMs) }
 
-// PrefillMsPerToken is how long an engine that reads nothing else takes for a token of
-// prompt, in milliseconds.
+// PrefillMsPerToken returns the time, in milliseconds, that an engine takes for the prefill
+// of one prompt token while it prefills nothing else.
 func (m Estimator) PrefillMsPerToken() float64 { return m.Own.prefill.slope(m.servicePrefillMs()) }
 
-// generationMsPerToken is how long a token of an answer takes, in milliseconds.
+// generationMsPerToken returns the time of one answer token, in milliseconds.
 func (m Estimator) generationMsPerToken() float64 {
 	return m.Own.generation.value(m.Service.generation.value(priorGenerationMs))
 }
 
-// uncachedShare is how much of a prompt has to be read.
+// uncachedShare returns the share of a prompt that needs prefill.
 func (m Estimator) uncachedShare() float64 {
 	return m.Own.uncached.value(m.Service.uncached.value(priorUncachedShare))
 }
 
-// EngineTime is what requests with so many tokens of prompt and of answer take
-// of one engine's time. Prompts are read one after the other; answers are made
-// together, as many at once as the engine has slots.
+// EngineTime returns how much of one engine's time requests take that have prompt and output
+// tokens in total. Prompts are prefilled one after the other; answers are generated together,
+// as many at a time as the engine has slots.
 func (m Estimator) EngineTime(prompt, output, slots int) time.Duration {
 	reading := float64(prompt) * m.uncachedShare() * m.PrefillMsPerToken()
 	making := float64(output) * m.generationMsPerToken() / float64(max(slots, 1))
--- a/core/speed/speed_test.go
+++ b/core/speed/speed_test.go
@@ -11,17 +11,16 @@
 	"peridotpier.example/core/speed"
 )
 
-// engine is one whose speed is to be found.
+// engine simulates an engine whose speed is to be estimated.
 type engine struct {
 	tokenMs float64 // for a token of prompt
 	makeMs  float64 // for a token of an answer
-	firstMs float64 // for any first event
-	kept    float64 // share of each prompt
+	firstMs float64 // for every first event
+	kept    float64 // cached share of each prompt
 	rnd     *rand.Rand
 }
 
-// run has n requests seen; one in ten is held up for up to two seconds by
-// something else.
+// run records n requests. One in ten is delayed by up to two seconds for another reason.
 func (e *engine) run(m speed.Estimator, n int) {
 	for range n {
 		prompt := 200 + e.rnd.IntN(6000)
@@ -36,20 +35,21 @@
 	}
 }
 
-// expected is what an engine with 64 slots takes for a request.
+// expected returns the time in milliseconds that an engine with 64 slots takes for a request.
 func (e *engine) expected(prompt, output float64) float64 {
 	return prompt*(1-e.kept)*e.tokenMs*1.1 + output*e.makeMs/64
 }
 
-func near(t *rapid.T, m speed.Estimator, e *engine, when string) {
+func assertNear(t *rapid.T, m speed.Estimator, e *engine, when string) {
 	got := m.EngineTime(3000, 100, 64).Seconds() * 1000
 	want := e.expected(3000, 100)
 	assert.Assert(t, got > 0.5*want-10 && got < 2*want+10, "%s: %.1f ms, not %.1f", when, got, want)
 }
 
-// Property: whatever the engines, their time for a request is known to a factor of
-// two, and 10 ms, within 70 requests of a model, and a change of their speed within 100 more.
-func TestEnginesAreFound(t *testing.T) {
+// Property: whatever the engines, the estimate of their time for a request is within a factor
+// of two and 10 ms after 70 requests of a model, and again after 100 more when their speed
+// has changed.
+func TestEngineTimesAreEstimated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := &engine{tokenMs: 0.05 * rapid.Float64Range(0.2, 5).Draw(t, "read"), makeMs: 10 * rapid.Float64Range(0.2, 5).Draw(t, "make"),
 			firstMs: rapid.Float64Range(1, 20).Draw(t, "first"), kept: rapid.Float64Range(0, 0.7).Draw(t, "kept"),
@@ -57,18 +57,17 @@
 		service := &speed.Observations{}
 		m := speed.Estimator{Own: &speed.Observations{}, Service: service}
 		e.run(m, 70)
-		near(t, m, e, "at first")
+		assertNear(t, m, e, "at first")
 		e.tokenMs *= rapid.SampledFrom([]float64{0.4, 2.5}).Draw(t, "change")
 		e.run(m, 100)
-		near(t, m, e, "after the change")
+		assertNear(t, m, e, "after the change")
 	})
 }
 
-// Symptom: a model that was seldom asked for seems several times as heavy as it is.
-// Sequence: engines that read five times as fast as was assumed; one model is busy;
-// another gets its first request.
-// Cause: the models of a service are learnt one by one from the same guess.
-func TestAModelThatIsHardlyKnownIsTakenForItsServicesOthers(t *testing.T) {
+// Guards against a rarely used model that seems to take several times its engine time. The
+// engines prefill five times as fast as the prior; one model is busy, and another gets its
+// first request. If each model were estimated alone, it would start from the prior.
+func TestARareModelIsEstimatedFromItsService(t *testing.T) {
 	e := &engine{tokenMs: 0.01, makeMs: 3, rnd: rand.New(rand.NewPCG(1, 1))}
 	service := &speed.Observations{}
 	e.run(speed.Estimator{Own: &speed.Observations{}, Service: service}, 100)
@@ -77,9 +76,8 @@
 	assert.Assert(t, got > 0.6*want && got < 1.7*want, "%.1f ms, not %.1f", got, want)
 }
 
-// Symptom: a model's demand falls to nothing while it is asked for.
-// Sequence: all its prompts have one size, and their times vary.
-// Cause: noise decides the slope, which comes out at or below 0.
+// Guards against a model whose estimated demand drops to nothing while it is in use. All its
+// prompts have the same size and varying times, and noise would make the slope 0 or negative.
 func TestPromptsOfOneSizeDoNotMakeAnEngineInfinitelyFast(t *testing.T) {
 	m := speed.Estimator{Own: &speed.Observations{}, Service: &speed.Observations{}}
 	for i := range 200 {
