--- a/core/class/class.go
+++ b/core/class/class.go
@@ -1,5 +1,5 @@
-// Package class names the service classes of a request: how urgent its
-// answer is, and so what it may displace and how long it may wait.
+// Package class defines the service classes of requests. The class of a request sets how
+// urgent its answer is, and so which requests it may displace and how long it may wait.
 package class
 
 import "fmt"
@@ -7,7 +7,7 @@
 // Class is the urgency of one request.
 type Class uint8
 
-// The classes, most patient first, so that a larger value is more urgent.
+// The classes, least urgent first, so that a larger value is more urgent.
 const (
 	Bulk Class = iota
 	Standard
@@ -19,7 +19,7 @@
 
 var names = [Count]string{"bulk", "standard", "urgent"}
 
-// String returns the class's name as it stands in settings and headers.
+// String returns the class's name as used in settings and headers.
 func (c Class) String() string {
 	if int(c) < len(names) {
 		return names[c]
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("class(%d)", uint8(c))
 }
 
-// Parse reads a class's name. The empty name is Standard.
+// Parse parses a class's name. The empty name stands for Standard; an unknown name is an error.
 func Parse(name string) (Class, error) {
 	if name == "" {
 		return Standard, nil
@@ -40,10 +40,10 @@
 	return Standard, fmt.Errorf("class %q is none of urgent, standard, bulk", name)
 }
 
-// MarshalText writes the class's name.
+// MarshalText returns the class's name.
 func (c Class) MarshalText() ([]byte, error) { return []byte(c.String()), nil }
 
-// UnmarshalText reads the class's name.
+// UnmarshalText parses the class's name.
 func (c *Class) UnmarshalText(text []byte) error {
 	v, err := Parse(string(text))
 	*c = v
