--- a/core/admit/limit.go
+++ b/core/admit/limit.go
@@ -94,13 +94,13 @@
 }
 
 func (l *Limiter) advance(now time.Time) {
-	passed := now.Sub(l.advancedAt)
-	if passed <= 0 {
+	elapsed := now.Sub(l.advancedAt)
+	if elapsed <= 0 {
 		return
 	}
 	l.advancedAt = now
-	l.tokens = min(l.tokens+l.rateShare()*passed.Seconds(), l.burst())
-	l.offered *= math.Exp(-passed.Seconds() / rateWindow.Seconds())
+	l.tokens = min(l.tokens+l.rateShare()*elapsed.Seconds(), l.burst())
+	l.offered *= math.Exp(-elapsed.Seconds() / rateWindow.Seconds())
 }
 
 func (l *Limiter) burst() float64 { return max(1, l.rateShare()*burstWindow.Seconds()) }
--- a/core/admit/limit_test.go
+++ b/core/admit/limit_test.go
@@ -82,10 +82,10 @@
 		{"wanders from host to host", wandering, 500, 100, 55, 210},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			mean, most := simulateLimit(c.shares, c.offer, c.limit, 2*time.Second)
-			t.Logf("limit %.0f, offered %.0f: %.1f a second through, most %.0f", c.limit, c.offer, mean, most)
+			mean, highest := simulateLimit(c.shares, c.offer, c.limit, 2*time.Second)
+			t.Logf("limit %.0f, offered %.0f: %.1f a second through, most %.0f", c.limit, c.offer, mean, highest)
 			assert.Assert(t, mean <= c.limit*1.05 && mean >= c.minMean, "mean %.1f", mean)
-			assert.Assert(t, most <= c.maxAny, "most %.0f", most)
+			assert.Assert(t, highest <= c.maxAny, "most %.0f", highest)
 		})
 	}
 }
--- a/core/backpressure/simulation_test.go
+++ b/core/backpressure/simulation_test.go
@@ -119,14 +119,14 @@
 // maxInWindow returns the largest number of arrivals in any window.
 func (s *simulation) maxInWindow() int {
 	slices.Sort(s.arrived)
-	most, from := 0, 0
+	highest, from := 0, 0
 	for i := range s.arrived {
 		for s.arrived[i]-s.arrived[from] >= window {
 			from++
 		}
-		most = max(most, i-from+1)
+		highest = max(highest, i-from+1)
 	}
-	return most
+	return highest
 }
 
 func (s *simulation) assertLimitHolds(t rapid.TB) {
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -35,7 +35,7 @@
 	}{
 		{"none", nil, balance.NoUpstream},
 		{"leaving", []balance.Endpoint{draining}, balance.NoUpstream},
-		{"no holder", []balance.Endpoint{draining, noModel}, balance.NoModel},
+		{"not resident", []balance.Endpoint{draining, noModel}, balance.NoModel},
 		{"no adapter", []balance.Endpoint{noModel, noAdapter}, balance.NoAdapter},
 		{"full", []balance.Endpoint{noAdapter, full, noModel}, balance.AllFull},
 		{"found", []balance.Endpoint{noAdapter, full, engine("ok")}, balance.Found},
--- a/core/poison/judge.go
+++ b/core/poison/judge.go
@@ -45,18 +45,18 @@
 // strongestSuspects returns the suspects with the most evidence against them, if it is
 // enough to bar them.
 func (l *Ledger) strongestSuspects() []*entry {
-	most := 0
+	highest := 0
 	var found []*entry
 	for _, e := range l.entries {
 		if e.State != Suspected || e.BarCount == 0 && len(e.crashes) < l.policy.MinSoleCrashes {
 			continue
 		}
 		n := l.evidence(e, l.explainedByBar)
-		if n < fullWeight*l.neededCrashes(e) || n < most {
+		if n < fullWeight*l.neededCrashes(e) || n < highest {
 			continue
 		}
-		if n > most {
-			most, found = n, nil
+		if n > highest {
+			highest, found = n, nil
 		}
 		found = append(found, e)
 	}
--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -205,8 +205,8 @@
 	return out
 }
 
-// expireInterval is the interval between two removals of expired entries. Without it there
-// would be several a second: each host polls for changes that often.
+// expireInterval is the least time between two removals of expired entries. Each host polls
+// for changes several times a second, and removals at each poll are not needed.
 const expireInterval = 500 * time.Millisecond
 
 // expire removes expired crashes, bars and entries.
--- a/core/poison/simulation_test.go
+++ b/core/poison/simulation_test.go
@@ -234,19 +234,19 @@
 	if p.crashes[by.Digest] == DefaultPolicy.MinCrashes {
 		p.thirdCrash[by.Digest] = p.now
 	}
-	told := map[int][]Fingerprint{}
+	running := map[int][]Fingerprint{}
 	for _, r := range u.running {
 		if p.now.Sub(r.began) < maxSuspectAge {
-			told[r.host] = append(told[r.host], Fingerprint{Digest: r.digest})
+			running[r.host] = append(running[r.host], Fingerprint{Digest: r.digest})
 		}
 		if !r.poison {
 			p.retry(Fingerprint{Digest: r.digest}, r.tries)
 		}
 	}
 	id, at := u.id, p.now
-	for host, marks := range told {
+	for host, fingerprints := range running {
 		p.after(p.reportDelay(host), func() {
-			p.ledger.RecordCrash(id, marks, at, p.now)
+			p.ledger.RecordCrash(id, fingerprints, at, p.now)
 			p.announceBars()
 		})
 	}
--- a/core/quota/share.go
+++ b/core/quota/share.go
@@ -35,8 +35,8 @@
 	// meanwhile, and what they admitted before the ledger noticed their absence was not
 	// counted anywhere. It is more than most teams request.
 	withoutLedgerShare = 0.65
-	// usageTTL is how long admitted requests are still reported. No ledger counts for longer
-	// than this only if a host is disconnected; its share is then withheld elsewhere.
+	// usageTTL is how long admitted requests are still reported. A host finds no ledger for
+	// longer only if it is disconnected; its share of the limits is then withheld elsewhere.
 	usageTTL = 2 * time.Second
 	// assumedDemandShare is the share of its limit that a team is assumed to request if the
 	// ledger announced that its level is sufficient.
--- a/core/route/baseline.go
+++ b/core/route/baseline.go
@@ -41,18 +41,18 @@
 // Pick implements Picker.
 func (p leastReported) Pick(s *Snapshot, r *Request, _ Source) Decision {
 	candidates := findCandidates(s, r)
-	best, least := -1, 0
+	best, lowest := -1, 0
 	for _, i := range candidates {
 		e := &s.Endpoints[i]
 		reported := e.Running + e.Waiting
-		if (best < 0 || reported < least) && p.filters.check(e, r) == Found {
-			best, least = int(i), reported
+		if (best < 0 || reported < lowest) && p.filters.check(e, r) == Found {
+			best, lowest = int(i), reported
 		}
 	}
 	if best < 0 {
 		return noEndpoint(candidates)
 	}
-	return Decision{Index: best, Score: float64(least)}
+	return Decision{Index: best, Score: float64(lowest)}
 }
 
 func noEndpoint(candidates []int32) Decision {
--- a/core/route/staged_test.go
+++ b/core/route/staged_test.go
@@ -42,13 +42,13 @@
 		index     int
 		reason    Reason
 	}{
-		{"nobody holds it", nil, Request{Key: testKey}, -1, NoReplica},
+		{"no endpoint has it", nil, Request{Key: testKey}, -1, NoReplica},
 		{"leaving", []Endpoint{{Draining: true}, {}}, Request{Key: testKey}, 1, Found},
 		{"down", []Endpoint{{Down: true}, {}}, Request{Key: testKey}, 1, Found},
 		{"index ahead of the report", []Endpoint{{Ready: other}, {}}, Request{Key: testKey}, 1, Found},
 		{"refused before", []Endpoint{{}, {}}, Request{Key: testKey, Excluded: [4]string{"u0"}}, 1, Found},
-		{"all tried or leaving", []Endpoint{{}, {Draining: true}}, Request{Key: testKey, Excluded: [4]string{"u0"}}, -1, AllExcluded},
-		{"one busy, one leaving", []Endpoint{{Running: 8, Waiting: 8}, {Draining: true}},
+		{"all tried or draining", []Endpoint{{}, {Draining: true}}, Request{Key: testKey, Excluded: [4]string{"u0"}}, -1, AllExcluded},
+		{"one busy, one draining", []Endpoint{{Running: 8, Waiting: 8}, {Draining: true}},
 			Request{Key: testKey, Class: class.Standard}, -1, AllBusy},
 		{"urgent passes the bound of others", []Endpoint{{Running: 8, Waiting: 8}},
 			Request{Key: testKey, Class: class.Urgent}, 0, Found},
@@ -106,14 +106,14 @@
 
 func TestAffinityIsBoundedByLoad(t *testing.T) {
 	const prefix = 77
-	holder := func(running int) *Snapshot {
+	withPrefix := func(running int) *Snapshot {
 		return snapshotOf(Endpoint{Running: running, Prefixes: map[uint64]bool{prefix: true}}, Endpoint{}, Endpoint{})
 	}
 	request := &Request{Key: testKey, Prefix: prefix, Class: class.Standard}
 	for seed := range uint64(50) {
 		src := rand.New(rand.NewPCG(seed, 3))
-		assert.Equal(t, New(Config{}).Pick(holder(3), request, src).Index, 0)
-		assert.Assert(t, New(Config{}).Pick(holder(8), request, src).Index != 0)
+		assert.Equal(t, New(Config{}).Pick(withPrefix(3), request, src).Index, 0)
+		assert.Assert(t, New(Config{}).Pick(withPrefix(8), request, src).Index != 0)
 	}
 }
 
@@ -140,11 +140,11 @@
 				total[d.Index]++
 			}
 		}
-		most := 0
+		highest := 0
 		for _, n := range total {
-			most = max(most, n)
+			highest = max(highest, n)
 		}
-		return most
+		return highest
 	}
 	fair := hosts * each / replicas
 	assert.Assert(t, largest(New(Config{})) <= 2*fair)
