--- a/core/route/baseline.go
+++ b/core/route/baseline.go
@@ -2,17 +2,18 @@
 
 import "sync/atomic"
 
-// NewRoundRobin makes the baseline that takes the usable endpoints in turn and
-// looks at no load.
-func NewRoundRobin() Picker { return &roundRobin{filters: usable()} }
-
-// NewLeastReported makes the baseline that trusts the lagged report as it is:
-// the least running and waiting, the first of equals.
-func NewLeastReported() Picker { return leastReported{filters: usable()} }
-
-// usable are the filters that no policy may leave out.
-func usable() *staged {
-	return &staged{filters: []filter{leavingFilter{}, downFilter{}, avoidFilter{}, readyFilter{}}}
+// NewRoundRobin returns a baseline picker that uses the usable endpoints in turn,
+// regardless of their load.
+func NewRoundRobin() Picker { return &roundRobin{filters: requiredFilters()} }
+
+// NewLeastReported returns a baseline picker that uses the delayed reports without
+// correction: it picks the endpoint with the fewest running and waiting requests, the
+// first of equals.
+func NewLeastReported() Picker { return leastReported{filters: requiredFilters()} }
+
+// requiredFilters returns a picker with the filters that every policy must apply.
+func requiredFilters() *staged {
+	return &staged{filters: []filter{drainingFilter{}, downFilter{}, excludedFilter{}, readyFilter{}}}
 }
 
 type roundRobin struct {
@@ -22,7 +23,7 @@
 
 // Pick implements Picker.
 func (p *roundRobin) Pick(s *Snapshot, r *Request, _ Source) Decision {
-	candidates := candidatesOf(s, r)
+	candidates := findCandidates(s, r)
 	start := p.next.Add(1)
 	for k := range candidates {
 		i := candidates[(start+uint64(k))%uint64(len(candidates))]
@@ -30,7 +31,7 @@
 			return Decision{Index: int(i)}
 		}
 	}
-	return noneOf(candidates)
+	return noEndpoint(candidates)
 }
 
 type leastReported struct {
@@ -39,22 +40,22 @@
 
 // Pick implements Picker.
 func (p leastReported) Pick(s *Snapshot, r *Request, _ Source) Decision {
-	candidates := candidatesOf(s, r)
-	best, least := -1, 0
+	candidates := findCandidates(s, r)
+	best, lowest := -1, 0
 	for _, i := range candidates {
 		e := &s.Endpoints[i]
 		reported := e.Running + e.Waiting
-		if (best < 0 || reported < least) && p.filters.check(e, r) == Found {
-			best, least = int(i), reported
+		if (best < 0 || reported < lowest) && p.filters.check(e, r) == Found {
+			best, lowest = int(i), reported
 		}
 	}
 	if best < 0 {
-		return noneOf(candidates)
+		return noEndpoint(candidates)
 	}
-	return Decision{Index: best, Score: float64(least)}
+	return Decision{Index: best, Score: float64(lowest)}
 }
 
-func noneOf(candidates []int32) Decision {
+func noEndpoint(candidates []int32) Decision {
 	if len(candidates) == 0 {
 		return Decision{Index: -1, Reason: NoReplica}
 	}
