--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -22,8 +22,8 @@
 	// or slow; quartz stays below 0.0002, a clock under correction below 0.001.
 	DefaultClockRate = 0.005
 
-	renewShare = 3 // renewals a TTL: two may fail before the lease ends
-	pollShare  = 4 // looks of a candidate a TTL: a released lease stands empty for a quarter of it
+	renewalsPerTTL = 3 // renewals a TTL: two may fail before the lease ends
+	pollsPerTTL    = 4 // looks of a candidate a TTL: a released lease stands empty for a quarter of it
 )
 
 // Record is the grant of a lease, the value of its row. The row is never
@@ -119,9 +119,9 @@
 // have stood unchanged for the holder's whole TTL and the margins, all on the
 // candidate's own clock.
 func (p Policy) DecideForCandidate(holder string, o Observed, now time.Time) Decision {
-	left := p.silence(o.Record) - now.Sub(o.UnchangedSince)
+	left := p.takeoverWait(o.Record) - now.Sub(o.UnchangedSince)
 	if o.Record.Holder != "" && !o.SteppedDown && left > 0 {
-		return Decision{Action: Wait, Wait: min(left, p.TTL/pollShare)}
+		return Decision{Action: Wait, Wait: min(left, p.TTL/pollsPerTTL)}
 	}
 	next := Record{Holder: holder, Epoch: o.Record.Epoch + 1, TTLMs: p.TTL.Milliseconds()}
 	return Decision{Action: Acquire, Next: next}
@@ -132,7 +132,7 @@
 	if p.Remaining(h, now) <= 0 {
 		return Decision{Action: StepDown}
 	}
-	due := h.Record.ttl()/renewShare - elapsed(h.TTLStart, now)
+	due := h.Record.ttl()/renewalsPerTTL - elapsed(h.TTLStart, now)
 	if due <= 0 {
 		return Decision{Action: Renew}
 	}
@@ -142,13 +142,15 @@
 // Remaining is how long the holder may still act; not above 0 means stop.
 func (p Policy) Remaining(h Held, now time.Time) time.Duration {
 	ttl := h.Record.ttl()
-	return ttl - p.drift(ttl) - p.Margin - elapsed(h.TTLStart, now)
+	return ttl - p.maxDrift(ttl) - p.Margin - elapsed(h.TTLStart, now)
 }
 
-// silence is how long a candidate waits for a silent holder.
-func (p Policy) silence(r Record) time.Duration { return r.ttl() + p.drift(r.ttl()) + p.Margin }
+// takeoverWait is how long a candidate waits for a silent holder.
+func (p Policy) takeoverWait(r Record) time.Duration { return r.ttl() + p.maxDrift(r.ttl()) + p.Margin }
 
-func (p Policy) drift(d time.Duration) time.Duration { return time.Duration(float64(d) * p.ClockRate) }
+func (p Policy) maxDrift(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * p.ClockRate)
+}
 
 func (r Record) ttl() time.Duration { return time.Duration(r.TTLMs) * time.Millisecond }
 
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -181,7 +181,7 @@
 	}
 }
 
-func BenchmarkKeep(b *testing.B) {
+func BenchmarkDecideForHolder(b *testing.B) {
 	t0 := time.Unix(1000, 0)
 	h := lease.Held{Record: lease.Record{Holder: "a", Epoch: 3, TTLMs: 9000}, TTLStart: t0}
 	b.ReportAllocs()
