--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -41,7 +41,7 @@
 // Symptom: a request that ran before its engine restarted runs again. The
 // restarted engine answers "unseen" in good faith; its memory is empty. Only
 // the incarnation that the attempt was sent to can say that it never came.
-func TestUnseenAfterRestartSettlesNothing(t *testing.T) {
+func TestUnseenAfterRestartResolvesNothing(t *testing.T) {
 	row := Row{State: Dispatched, Route: Route{Upstream: "e1", Incarnation: "i1", Attempt: "a1"}}
 	next, settled := ApplyReport(row, Report{State: AttemptUnseen, Incarnation: "i2"})
 	assert.Assert(t, !settled)
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -86,7 +86,7 @@
 // "Unseen" from another incarnation settles nothing: a restarted upstream has
 // no memory, and the attempt may have run before. One would notice a dispatch
 // note packed twice after an engine's restart.
-func ApplyReport(row Row, rep Report) (next Row, settled bool) {
+func ApplyReport(row Row, rep Report) (next Row, resolved bool) {
 	var err error
 	switch rep.State {
 	case AttemptCompleted:
@@ -95,16 +95,16 @@
 		next, err = row.Release()
 	case AttemptUnseen:
 		if row.Route.Incarnation == "" || rep.Incarnation != row.Route.Incarnation {
-			return lost(row), false
+			return markUnresolved(row), false
 		}
 		next, err = row.Release()
 	default:
-		return lost(row), false
+		return markUnresolved(row), false
 	}
 	return next, err == nil
 }
 
-func lost(row Row) Row {
+func markUnresolved(row Row) Row {
 	next, err := row.MarkUnknown()
 	if err != nil {
 		return row
