--- a/core/health/health.go
+++ b/core/health/health.go
@@ -46,56 +46,56 @@
 
 // Tracker is what is known of one upstream. Its owner guards it.
 type Tracker struct {
-	heard   time.Time // anything came from it
-	asked   time.Time // the oldest send since it was heard; zero: none
-	strikes int
-	rests   int // in a row
-	until   time.Time
-	errors  float64 // decaying share of failures among answers
-	answers float64 // decaying count of answers
+	lastReceived  time.Time // anything came from it
+	awaitingSince time.Time // the oldest send since it was heard; zero: none
+	failures      int
+	exclusions    int // in a row
+	excludedUntil time.Time
+	failedAnswers float64 // decaying share of failures among answers
+	answers       float64 // decaying count of answers
 }
 
-// forget is the weight that older answers keep with each new one: about the
+// answerDecay is the weight that older answers keep with each new one: about the
 // last twenty count.
-const forget = 0.95
+const answerDecay = 0.95
 
 // RecordSend notes a request that was handed to the upstream.
 func (r *Tracker) RecordSend(now time.Time) {
-	if r.asked.IsZero() {
-		r.asked = now
+	if r.awaitingSince.IsZero() {
+		r.awaitingSince = now
 	}
 }
 
 // RecordBytes notes bytes of any answer; outstanding says whether more is due.
 func (r *Tracker) RecordBytes(now time.Time, outstanding bool) {
-	r.heard, r.strikes = now, 0
-	if r.until.IsZero() || now.Before(r.until) {
-		r.asked = time.Time{}
+	r.lastReceived, r.failures = now, 0
+	if r.excludedUntil.IsZero() || now.Before(r.excludedUntil) {
+		r.awaitingSince = time.Time{}
 		if outstanding {
-			r.asked = now
+			r.awaitingSince = now
 		}
 		return
 	}
-	r.until, r.rests = time.Time{}, 0
-	r.asked = time.Time{}
+	r.excludedUntil, r.exclusions = time.Time{}, 0
+	r.awaitingSince = time.Time{}
 	if outstanding {
-		r.asked = now
+		r.awaitingSince = now
 	}
 }
 
 // IsAwaitingBytes says that a request was sent since anything was heard.
-func (r *Tracker) IsAwaitingBytes() bool { return !r.asked.IsZero() }
+func (r *Tracker) IsAwaitingBytes() bool { return !r.awaitingSince.IsZero() }
 
 // ClearOutstanding notes that nothing is outstanding any more.
-func (r *Tracker) ClearOutstanding() { r.asked = time.Time{} }
+func (r *Tracker) ClearOutstanding() { r.awaitingSince = time.Time{} }
 
 // RecordAnswer notes the end of an answer; failed says that the upstream ran the
 // request and failed it.
 func (r *Tracker) RecordAnswer(failed bool) {
-	r.answers = r.answers*forget + 1
-	r.errors *= forget
+	r.answers = r.answers*answerDecay + 1
+	r.failedAnswers *= answerDecay
 	if failed {
-		r.errors++
+		r.failedAnswers++
 	}
 }
 
@@ -104,44 +104,44 @@
 	if r.answers == 0 {
 		return 0, 0
 	}
-	return r.errors / r.answers, r.answers
+	return r.failedAnswers / r.answers, r.answers
 }
 
 // RecordFailure notes an exchange that broke: refused, reset, cut or garbled. It says
 // whether the upstream is to be left alone from now on.
 func (r *Tracker) RecordFailure(p Policy, now time.Time) bool {
-	r.strikes++
-	if r.strikes < p.MaxConsecutiveFailures && r.rests == 0 {
+	r.failures++
+	if r.failures < p.MaxConsecutiveFailures && r.exclusions == 0 {
 		return false
 	}
-	return r.rest(p, now)
+	return r.exclude(p, now)
 }
 
 // Exclude leaves the upstream alone for a while. It says whether that is news.
-func (r *Tracker) Exclude(p Policy, now time.Time) bool { return r.rest(p, now) }
+func (r *Tracker) Exclude(p Policy, now time.Time) bool { return r.exclude(p, now) }
 
-func (r *Tracker) rest(p Policy, now time.Time) bool {
-	if now.Before(r.until) {
+func (r *Tracker) exclude(p Policy, now time.Time) bool {
+	if now.Before(r.excludedUntil) {
 		return false
 	}
-	pause := p.FirstExclusion << min(r.rests, 8)
-	r.until = now.Add(min(pause, p.MaxExclusion))
-	r.rests++
-	r.asked = time.Time{}
+	exclusion := p.FirstExclusion << min(r.exclusions, 8)
+	r.excludedUntil = now.Add(min(exclusion, p.MaxExclusion))
+	r.exclusions++
+	r.awaitingSince = time.Time{}
 	return true
 }
 
 // IsUnresponsive says that requests are outstanding and nothing was heard for too long.
 func (r *Tracker) IsUnresponsive(p Policy, now time.Time, allow time.Duration) bool {
-	return !r.asked.IsZero() && now.Sub(r.asked) > p.UnresponsiveAfter+allow
+	return !r.awaitingSince.IsZero() && now.Sub(r.awaitingSince) > p.UnresponsiveAfter+allow
 }
 
 // Status says what to do with the upstream now.
 func (r *Tracker) Status(now time.Time) Status {
 	switch {
-	case r.until.IsZero():
+	case r.excludedUntil.IsZero():
 		return Up
-	case now.Before(r.until):
+	case now.Before(r.excludedUntil):
 		return Down
 	default:
 		return Trial
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -16,7 +16,7 @@
 // Symptom: hundreds of requests wait at an upstream until their deadlines.
 // Sequence: it goes dark with requests outstanding; more are sent.
 // Cause: nothing failed, so nothing counted against it.
-func TestSilenceWithRequestsOutstandingIsNoticed(t *testing.T) {
+func TestAnUnresponsiveUpstreamIsNoticed(t *testing.T) {
 	var r health.Tracker
 	r.RecordSend(after(0))
 	r.RecordBytes(after(100), true)
@@ -43,7 +43,7 @@
 // before it failed. Sequence: it breaks exchanges; a late event of an old
 // stream arrives within its rest.
 // Cause: any byte clears the record.
-func TestALateEventDoesNotEndARest(t *testing.T) {
+func TestALateEventDoesNotEndAnExclusion(t *testing.T) {
 	var r health.Tracker
 	r.RecordFailure(health.DefaultPolicy, after(0))
 	r.RecordFailure(health.DefaultPolicy, after(1))
@@ -54,7 +54,7 @@
 // Symptom: a service whose calls fail by nature has no upstream left.
 // Sequence: one in seven answers of each is a failure.
 // Cause: failures are judged without looking at the others.
-func TestOnlyThoseThatStandOutAreFailing(t *testing.T) {
+func TestOnlyOutliersAreFailing(t *testing.T) {
 	assert.DeepEqual(t, health.Outliers(health.DefaultPolicy, []float64{0.14, 0.16, 0.12}, 3), []bool{false, false, false})
 	assert.DeepEqual(t, health.Outliers(health.DefaultPolicy, []float64{0.14, 0.6, 0.12}, 3), []bool{false, true, false})
 	assert.DeepEqual(t, health.Outliers(health.DefaultPolicy, []float64{0.9, 0.9, 0.1}, 3), []bool{true, false, false})
