--- a/core/member/choose.go
+++ b/core/member/choose.go
@@ -26,23 +26,23 @@
 			far = append(far, h)
 		}
 	}
-	return append(top(self.Name, near, local), top(self.Name, far, remote)...)
+	return append(topByWeight(self.Name, near, local), topByWeight(self.Name, far, remote)...)
 }
 
 // Rendezvous returns the host with the highest weight for a key. There must be one.
 func Rendezvous(key string, hosts []Host) Host {
 	hash, best := xxhash.Sum64String(key), 0
-	var most uint64
+	var highest uint64
 	for i := range hosts {
 		w := mix(hash, xxhash.Sum64String(hosts[i].Name))
-		if i == 0 || w > most || w == most && hosts[i].Name < hosts[best].Name {
-			best, most = i, w
+		if i == 0 || w > highest || w == highest && hosts[i].Name < hosts[best].Name {
+			best, highest = i, w
 		}
 	}
 	return hosts[best]
 }
 
-func top(key string, hosts []Host, n int) []Host {
+func topByWeight(key string, hosts []Host, n int) []Host {
 	type weighed struct {
 		weight uint64
 		host   *Host
@@ -65,8 +65,8 @@
 // so that one may fail, and one elsewhere, which still sees it when the hosts
 // of that data centre are all gone.
 const (
-	watchersNear = 2
-	watchersFar  = 1
+	localWatchers  = 2
+	remoteWatchers = 1
 )
 
 // Assignment answers which upstreams one host watches, and for which keys it is
@@ -74,23 +74,23 @@
 // It hashes each host once: hashing each pair of 2,500 upstreams and 420 hosts
 // took half of a fleet's control time.
 type Assignment struct {
-	self   uint64 // hash of the host that asks
-	centre string
-	near   map[string][]uint64 // hashes of the other hosts by data centre
-	all    []uint64            // of all others
+	self               uint64 // hash of the host that asks
+	dataCentre         string
+	othersByDataCentre map[string][]uint64 // hashes of the other hosts by data centre
+	others             []uint64            // of all others
 }
 
 // NewAssignment prepares for questions of the host named self.
 func NewAssignment(self string, hosts []Host) *Assignment {
-	w := &Assignment{self: xxhash.Sum64String(self), near: map[string][]uint64{}}
+	w := &Assignment{self: xxhash.Sum64String(self), othersByDataCentre: map[string][]uint64{}}
 	for _, h := range hosts {
 		switch {
 		case h.Name == self:
-			w.centre = h.DataCentre
+			w.dataCentre = h.DataCentre
 		case h.State == Alive:
 			hash := xxhash.Sum64String(h.Name)
-			w.near[h.DataCentre] = append(w.near[h.DataCentre], hash)
-			w.all = append(w.all, hash)
+			w.othersByDataCentre[h.DataCentre] = append(w.othersByDataCentre[h.DataCentre], hash)
+			w.others = append(w.others, hash)
 		}
 	}
 	return w
@@ -101,21 +101,21 @@
 func (w *Assignment) Watches(upstream, dataCentre string) bool {
 	key := xxhash.Sum64String(upstream)
 	own := mix(key, w.self)
-	near := above(key, own, w.near[dataCentre])
-	if w.centre == dataCentre {
-		return near < watchersNear
+	near := countAbove(key, own, w.othersByDataCentre[dataCentre])
+	if w.dataCentre == dataCentre {
+		return near < localWatchers
 	}
-	return above(key, own, w.all)-near < watchersFar
+	return countAbove(key, own, w.others)-near < remoteWatchers
 }
 
 // IsAmongFirst says whether the host is among the first n by weight for a key.
 func (w *Assignment) IsAmongFirst(key string, n int) bool {
 	hash := xxhash.Sum64String(key)
-	return above(hash, mix(hash, w.self), w.all) < n
+	return countAbove(hash, mix(hash, w.self), w.others) < n
 }
 
-// above counts the hosts with a higher weight than own.
-func above(key, own uint64, hosts []uint64) int {
+// countAbove counts the hosts with a higher weight than own.
+func countAbove(key, own uint64, hosts []uint64) int {
 	n := 0
 	for _, h := range hosts {
 		if mix(key, h) > own {
--- a/core/member/host.go
+++ b/core/member/host.go
@@ -39,11 +39,11 @@
 	State       State
 }
 
-// newer says whether h is later word than o: of a later process, else a later
+// supersedes says whether h is later word than o: of a later process, else a later
 // word of the process itself, else a graver state.
-func (h Host) newer(o Host) bool {
-	return cmp.Or(cmp.Compare(h.Incarnation, o.Incarnation), cmp.Compare(h.Sequence, o.Sequence),
-		cmp.Compare(h.State, o.State), cmp.Compare(h.Process, o.Process)) > 0
+func (h Host) supersedes(other Host) bool {
+	return cmp.Or(cmp.Compare(h.Incarnation, other.Incarnation), cmp.Compare(h.Sequence, other.Sequence),
+		cmp.Compare(h.State, other.State), cmp.Compare(h.Process, other.Process)) > 0
 }
 
 // Hosts is a mergeable set of hosts. It is not safe for concurrent use.
@@ -58,7 +58,7 @@
 // Merge takes a word in; true when it was news.
 func (s *Hosts) Merge(h Host) bool {
 	old, ok := s.byName[h.Name]
-	if ok && !h.newer(old) {
+	if ok && !h.supersedes(old) {
 		return false
 	}
 	if ok {
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -11,15 +11,15 @@
 	"peridotpier.example/core/member"
 )
 
-func hostWord(t *rapid.T) member.Host {
+func hostRecord(t *rapid.T) member.Host {
 	inc := rapid.Uint64Range(1, 3).Draw(t, "incarnation")
 	return member.Host{Name: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "host"), Incarnation: inc, Process: fmt.Sprint(inc),
 		Sequence: rapid.Uint64Range(0, 3).Draw(t, "sequence"), State: member.State(rapid.IntRange(0, 3).Draw(t, "state"))}
 }
 
-// upstreamWord draws words as upstreams cause them: one report of one process
+// upstreamRecord draws words as upstreams cause them: one report of one process
 // says the same to every host that reads it.
-func upstreamWord(t *rapid.T) member.Upstream {
+func upstreamRecord(t *rapid.T) member.Upstream {
 	process := rapid.IntRange(1, 3).Draw(t, "process")
 	seq := rapid.Uint64Range(1, 4).Draw(t, "sequence")
 	return member.Upstream{Name: rapid.SampledFrom([]string{"u", "v"}).Draw(t, "upstream"), Incarnation: fmt.Sprint(process),
@@ -31,10 +31,10 @@
 // that left comes back.
 // Sequence: words arrive late, repeated and in any order.
 // Cause: a word is taken because it came last, not because it is newer.
-func TestWordsMergeInAnyOrder(t *testing.T) {
+func TestRecordsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		hosts := rapid.SliceOfN(rapid.Custom(hostWord), 0, 20).Draw(t, "hosts")
-		upstreams := rapid.SliceOfN(rapid.Custom(upstreamWord), 0, 20).Draw(t, "upstreams")
+		hosts := rapid.SliceOfN(rapid.Custom(hostRecord), 0, 20).Draw(t, "hosts")
+		upstreams := rapid.SliceOfN(rapid.Custom(upstreamRecord), 0, 20).Draw(t, "upstreams")
 		h1, u1 := member.NewHosts(), member.NewUpstreams()
 		for _, w := range hosts {
 			h1.Merge(w)
@@ -56,7 +56,7 @@
 	})
 }
 
-func TestALeavingHostOfTheSameProcessNeverComesBack(t *testing.T) {
+func TestADrainingHostOfTheSameProcessNeverComesBack(t *testing.T) {
 	s := member.NewHosts()
 	assert.Assert(t, s.Merge(member.Host{Name: "a", Incarnation: 1, Sequence: 2, State: member.Draining}))
 	assert.Assert(t, !s.Merge(member.Host{Name: "a", Incarnation: 1, Sequence: 1, State: member.Alive}))
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestTheFirstForAKeyAreThoseOfTheRanking(t *testing.T) {
+func TestIsAmongFirstAgreesWithRendezvous(t *testing.T) {
 	hosts := fleet(42)
 	for k := range 50 {
 		key := fmt.Sprint("planner/", k)
--- a/core/member/upstream.go
+++ b/core/member/upstream.go
@@ -20,9 +20,9 @@
 	Residents   []string
 }
 
-// maxProcesses bounds the processes remembered of one upstream. Late words of
+// maxIncarnations bounds the processes remembered of one upstream. Late words of
 // older ones than these are dropped.
-const maxProcesses = 4
+const maxIncarnations = 4
 
 // Upstreams is a mergeable set of words on upstreams. It is not safe for
 // concurrent use.
@@ -35,55 +35,55 @@
 func NewUpstreams() *Upstreams { return &Upstreams{byName: map[string][]Upstream{}} }
 
 // Merge takes a word in; true when it was news about the newest process.
-func (s *Upstreams) Merge(w Upstream) bool {
-	list := s.byName[w.Name]
-	i := slices.IndexFunc(list, func(x Upstream) bool { return x.Incarnation == w.Incarnation })
+func (s *Upstreams) Merge(u Upstream) bool {
+	list := s.byName[u.Name]
+	i := slices.IndexFunc(list, func(x Upstream) bool { return x.Incarnation == u.Incarnation })
 	if i < 0 {
-		return s.add(list, w)
+		return s.add(list, u)
 	}
 	old := list[i]
-	next := old.merge(w)
-	if next.same(old) && next.Sequence == old.Sequence && next.FirstSeenMs == old.FirstSeenMs {
+	next := old.merge(u)
+	if next.sameState(old) && next.Sequence == old.Sequence && next.FirstSeenMs == old.FirstSeenMs {
 		return false
 	}
 	s.digest ^= old.hash() ^ next.hash()
 	list[i] = next
-	sortProcesses(list)
-	return list[0].Incarnation == w.Incarnation && !next.same(old)
+	sortNewestFirst(list)
+	return list[0].Incarnation == u.Incarnation && !next.sameState(old)
 }
 
-func (s *Upstreams) add(list []Upstream, w Upstream) bool {
-	list = append(list, w)
-	sortProcesses(list)
-	s.digest ^= w.hash()
-	if len(list) > maxProcesses {
-		s.digest ^= list[maxProcesses].hash()
-		list = list[:maxProcesses]
+func (s *Upstreams) add(list []Upstream, u Upstream) bool {
+	list = append(list, u)
+	sortNewestFirst(list)
+	s.digest ^= u.hash()
+	if len(list) > maxIncarnations {
+		s.digest ^= list[maxIncarnations].hash()
+		list = list[:maxIncarnations]
 	}
-	s.byName[w.Name] = list
-	return list[0].Incarnation == w.Incarnation
+	s.byName[u.Name] = list
+	return list[0].Incarnation == u.Incarnation
 }
 
-func sortProcesses(list []Upstream) {
+func sortNewestFirst(list []Upstream) {
 	slices.SortFunc(list, func(a, b Upstream) int {
 		return cmp.Or(cmp.Compare(b.FirstSeenMs, a.FirstSeenMs), cmp.Compare(b.Incarnation, a.Incarnation))
 	})
 }
 
 // merge joins two words on the same process.
-func (w Upstream) merge(o Upstream) Upstream {
-	next := w
-	if o.Sequence > w.Sequence {
-		next = o
+func (u Upstream) merge(other Upstream) Upstream {
+	next := u
+	if other.Sequence > u.Sequence {
+		next = other
 	}
-	next.FirstSeenMs = min(w.FirstSeenMs, o.FirstSeenMs)
-	next.Draining = w.Draining || o.Draining
+	next.FirstSeenMs = min(u.FirstSeenMs, other.FirstSeenMs)
+	next.Draining = u.Draining || other.Draining
 	return next
 }
 
-// same says whether two words on one process mean the same to routing.
-func (w Upstream) same(o Upstream) bool {
-	return w.Draining == o.Draining && slices.Equal(w.Residents, o.Residents)
+// sameState says whether two words on one process mean the same to routing.
+func (u Upstream) sameState(other Upstream) bool {
+	return u.Draining == other.Draining && slices.Equal(u.Residents, other.Residents)
 }
 
 // Current returns the word on the newest process of an upstream.
@@ -112,8 +112,8 @@
 		if known(name) {
 			continue
 		}
-		for _, w := range list {
-			s.digest ^= w.hash()
+		for _, u := range list {
+			s.digest ^= u.hash()
 		}
 		delete(s.byName, name)
 	}
@@ -123,14 +123,14 @@
 // that changed nothing else do not count.
 func (s *Upstreams) Digest() uint64 { return s.digest }
 
-func (w Upstream) hash() uint64 {
+func (u Upstream) hash() uint64 {
 	d := xxhash.New()
-	_, _ = d.WriteString(w.Name + "\x00" + w.Incarnation) // a Digest's writes never fail
-	for _, r := range w.Residents {
+	_, _ = d.WriteString(u.Name + "\x00" + u.Incarnation) // a Digest's writes never fail
+	for _, r := range u.Residents {
 		_, _ = d.WriteString("\x00" + r)
 	}
 	leaving := uint64(0)
-	if w.Draining {
+	if u.Draining {
 		leaving = 1
 	}
 	return mix(d.Sum64(), leaving)
