--- a/core/revision/revision.go
+++ b/core/revision/revision.go
@@ -101,55 +101,55 @@
 // Changes tells what differs between two configurations, item by item and
 // without values: key hashes, for one, do not belong into an audit trail.
 // old is nil for the first configuration.
-func Changes(old, now *config.Config) []string {
+func Changes(old, next *config.Config) []string {
 	if old == nil {
 		return []string{"first configuration"}
 	}
 	var out []string
-	out = diff(out, "team", old.Teams, now.Teams, func(x config.Team) string { return x.Name })
-	out = diff(out, "pool", old.Pools, now.Pools, func(x config.Pool) string { return x.Name })
-	out = diff(out, "model", old.Models, now.Models, func(x config.Model) string { return x.Name })
-	out = diff(out, "adapter", old.Adapters, now.Adapters, func(x config.Adapter) string { return x.Name })
-	out = diff(out, "upstream", old.Upstreams, now.Upstreams, func(x config.Upstream) string { return x.Name })
-	out = diff(out, "service", old.Services, now.Services, func(x config.Service) string { return x.Name })
-	out = diff(out, "class", old.Classes, now.Classes, func(x config.ClassRule) string { return x.Class.String() })
-	out = diff(out, "preset", old.Presets, now.Presets, func(x config.Preset) string { return x.Name })
+	out = appendDiff(out, "team", old.Teams, next.Teams, func(x config.Team) string { return x.Name })
+	out = appendDiff(out, "pool", old.Pools, next.Pools, func(x config.Pool) string { return x.Name })
+	out = appendDiff(out, "model", old.Models, next.Models, func(x config.Model) string { return x.Name })
+	out = appendDiff(out, "adapter", old.Adapters, next.Adapters, func(x config.Adapter) string { return x.Name })
+	out = appendDiff(out, "upstream", old.Upstreams, next.Upstreams, func(x config.Upstream) string { return x.Name })
+	out = appendDiff(out, "service", old.Services, next.Services, func(x config.Service) string { return x.Name })
+	out = appendDiff(out, "class", old.Classes, next.Classes, func(x config.ClassRule) string { return x.Class.String() })
+	out = appendDiff(out, "preset", old.Presets, next.Presets, func(x config.Preset) string { return x.Name })
 	for _, f := range []struct {
 		name     string
 		old, now any
-	}{{"site", old.Site, now.Site}, {"data_centres", old.DataCentres, now.DataCentres},
-		{"weight_store", old.WeightStore, now.WeightStore}, {"limits", old.Limits, now.Limits}} {
-		if !same(f.old, f.now) {
+	}{{"site", old.Site, next.Site}, {"data_centres", old.DataCentres, next.DataCentres},
+		{"weight_store", old.WeightStore, next.WeightStore}, {"limits", old.Limits, next.Limits}} {
+		if !equalJSON(f.old, f.now) {
 			out = append(out, f.name+" changed")
 		}
 	}
 	return out
 }
 
-func diff[T any](out []string, kind string, old, now []T, name func(T) string) []string {
+func appendDiff[T any](out []string, kind string, old, next []T, name func(T) string) []string {
 	before := map[string]T{}
 	for _, x := range old {
 		before[name(x)] = x
 	}
-	for _, x := range now {
-		was, ok := before[name(x)]
+	for _, x := range next {
+		prev, ok := before[name(x)]
 		delete(before, name(x))
 		switch {
 		case !ok:
 			out = append(out, fmt.Sprintf("%s %s added", kind, name(x)))
-		case !same(was, x):
+		case !equalJSON(prev, x):
 			out = append(out, fmt.Sprintf("%s %s changed", kind, name(x)))
 		}
 	}
 	for _, x := range old {
-		if _, gone := before[name(x)]; gone {
+		if _, removed := before[name(x)]; removed {
 			out = append(out, fmt.Sprintf("%s %s removed", kind, name(x)))
 		}
 	}
 	return out
 }
 
-func same(a, b any) bool {
+func equalJSON(a, b any) bool {
 	x, errA := json.Marshal(a)
 	y, errB := json.Marshal(b)
 	return errA == nil && errB == nil && string(x) == string(y)
--- a/core/revision/standing.go
+++ b/core/revision/standing.go
@@ -29,8 +29,8 @@
 )
 
 // String returns the standing as operators see it.
-func (s Freshness) String() string {
-	return [...]string{"confirmed", "unconfirmed", "urgent_only"}[s]
+func (f Freshness) String() string {
+	return [...]string{"confirmed", "unconfirmed", "urgent_only"}[f]
 }
 
 // FreshnessAt returns the standing of a host whose version was last known to
@@ -49,4 +49,4 @@
 // Admits says whether a new request of a class may be taken. Urgent requests
 // always may: the harm of a late answer is certain, that of an old
 // configuration only possible.
-func (s Freshness) Admits(c class.Class) bool { return s != UrgentOnly || c == class.Urgent }
+func (f Freshness) Admits(c class.Class) bool { return f != UrgentOnly || c == class.Urgent }
