--- a/core/config/fault.go
+++ b/core/config/fault.go
@@ -11,8 +11,8 @@
 // String writes path and problem on one line.
 func (f Fault) String() string { return f.Path + ": " + f.Problem }
 
-// root is the path of the whole document.
-const root = "$"
+// rootPath is the path of the whole document.
+const rootPath = "$"
 
 // collector gathers faults, so that an operator sees all of them at once.
 type collector struct{ faults []Fault }
@@ -28,28 +28,28 @@
 	}
 }
 
-// share checks that x lies between 0 and most; it is written so that NaN fails.
-func (c *collector) share(x, most float64, path string) {
-	c.check(x >= 0 && x <= most, path, "is %g, must be from 0 to %g", x, most)
+// checkShare checks that x lies between 0 and most; it is written so that NaN fails.
+func (c *collector) checkShare(x, limit float64, path string) {
+	c.check(x >= 0 && x <= limit, path, "is %g, must be from 0 to %g", x, limit)
 }
 
 // maxQuantity bounds every quantity, so that sums of them cannot overflow and
 // turn a model that never fits into one that seems to.
 const maxQuantity = 1_000_000_000_000
 
-func (c *collector) positive(x int, path string) {
+func (c *collector) checkPositive(x int, path string) {
 	c.check(x > 0 && x <= maxQuantity, path, "is %d, must be from 1 to %d", x, maxQuantity)
 }
 
-func (c *collector) notNegative(x int, path string) {
+func (c *collector) checkNotNegative(x int, path string) {
 	c.check(x >= 0, path, "is %d, must not be negative", x)
 }
 
-// unique tells names that stand twice in one namespace.
-type unique map[string]string
+// firstUses tells names that stand twice in one namespace.
+type firstUses map[string]string
 
-// name checks that a name is set and new.
-func (c *collector) name(seen unique, name, path string) {
+// checkName checks that a name is set and new.
+func (c *collector) checkName(seen firstUses, name, path string) {
 	if name == "" {
 		c.add(path, "is empty")
 		return
@@ -61,7 +61,7 @@
 	seen[name] = path
 }
 
-func at(list string, i int, field string) string {
+func itemPath(list string, i int, field string) string {
 	if field == "" {
 		return fmt.Sprintf("%s[%d]", list, i)
 	}
--- a/core/config/feasible.go
+++ b/core/config/feasible.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// feasible refuses what could not be served: a model that no upstream can
+// checkFeasible refuses what could not be served: a model that no upstream can
 // hold, replicas that do not fit beside each other, an on-demand model that
 // never finds room or cannot be loaded within its stated bound. Accepted, any
 // of these would show only as a model that never answers.
-func (v *validator) feasible() {
+func (v *validator) checkFeasible() {
 	for i, p := range v.cfg.Pools {
 		if p.Kind != KindEngine {
 			continue
 		}
 		before := len(v.faults)
-		v.sizes(p.Name)
+		v.checkModelSizes(p.Name)
 		if len(v.faults) == before {
-			v.fits(p.Name, at("pools", i, ""))
+			v.checkPacking(p.Name, itemPath("pools", i, ""))
 		}
 	}
 }
 
-func (v *validator) sizes(pool string) {
+func (v *validator) checkModelSizes(pool string) {
 	largest, count := 0, 0
 	for _, u := range v.cfg.Upstreams {
 		if u.Pool == pool {
@@ -34,39 +34,39 @@
 			continue
 		}
 		need := Footprint(v.cfg, m.Name)
-		v.check(need.FirstReplica <= largest, at("models", i, "memory_mb"),
+		v.check(need.FirstReplica <= largest, itemPath("models", i, "memory_mb"),
 			"needs %d MB with its adapters (%d MB alone), the largest upstream of pool %q has %d MB",
 			need.FirstReplica, m.MemoryMB, pool, largest)
-		v.check(m.InitialReplicas <= count, at("models", i, "initial_replicas"),
+		v.check(m.InitialReplicas <= count, itemPath("models", i, "initial_replicas"),
 			"is %d, pool %q has %d upstreams", m.InitialReplicas, pool, count)
-		v.onDemand(i, m)
+		v.checkOnDemand(i, m)
 	}
 }
 
-func (v *validator) onDemand(i int, m Model) {
+func (v *validator) checkOnDemand(i int, m Model) {
 	if m.MinReplicas > 0 {
 		return
 	}
 	w := v.cfg.WeightStore
 	seconds := float64(m.MemoryMB)/float64(w.MBPerSecond) + 1/w.LoadsPerSecond
-	v.check(seconds <= float64(m.MaxOnDemandSeconds), at("models", i, "max_on_demand_s"),
+	v.check(seconds <= float64(m.MaxOnDemandSeconds), itemPath("models", i, "max_on_demand_s"),
 		"is %d s, a load takes %.1f s (%d MB at %d MB/s, %g loads/s)",
 		m.MaxOnDemandSeconds, seconds, m.MemoryMB, w.MBPerSecond, w.LoadsPerSecond)
 }
 
-func (v *validator) fits(pool, path string) {
+func (v *validator) checkPacking(pool, path string) {
 	p := Pack(v.cfg, pool)
 	if len(p.Unplaced) > 0 {
 		v.add(path, "models of pool %q do not fit at min_replicas: they need %d MB, %d upstreams have %d MB; no room for %q (%d MB), most free on one upstream %d MB",
-			pool, p.RequiredMB, len(p.FreeMB), p.CapacityMB, p.Unplaced[0].Model, p.Unplaced[0].MemoryMB, p.mostFree())
+			pool, p.RequiredMB, len(p.FreeMB), p.CapacityMB, p.Unplaced[0].Model, p.Unplaced[0].MemoryMB, p.maxFreeMB())
 		return
 	}
 	for i, m := range v.cfg.Models {
 		if m.Pool == pool && m.MinReplicas == 0 {
 			need := Footprint(v.cfg, m.Name).OtherReplicas
-			v.check(need <= p.mostFree(), at("models", i, "min_replicas"),
+			v.check(need <= p.maxFreeMB(), itemPath("models", i, "min_replicas"),
 				"is 0, and once the others are placed no upstream has room to load %q: needs %d MB, most free %d MB",
-				m.Name, need, p.mostFree())
+				m.Name, need, p.maxFreeMB())
 		}
 	}
 }
@@ -109,12 +109,12 @@
 	CapacityMB int
 }
 
-func (p Packing) mostFree() int {
-	most := 0
+func (p Packing) maxFreeMB() int {
+	largest := 0
 	for _, mb := range p.FreeMB {
-		most = max(most, mb)
+		largest = max(largest, mb)
 	}
-	return most
+	return largest
 }
 
 // Pack places a pool's models at their min_replicas, largest first, each
@@ -123,7 +123,7 @@
 // is a heuristic: a pool filled to the last percent may be refused though
 // some packing exists, and a planner would not find that one either.
 func Pack(c *Config, pool string) Packing {
-	want := wanted(c, pool)
+	want := requiredReplicas(c, pool)
 	p := pack(c, pool, want, func(free, best int) bool { return free < best })
 	if len(p.Unplaced) > 0 {
 		if q := pack(c, pool, want, func(free, best int) bool { return free > best }); len(q.Unplaced) == 0 {
@@ -133,7 +133,7 @@
 	return p
 }
 
-func wanted(c *Config, pool string) []Placement {
+func requiredReplicas(c *Config, pool string) []Placement {
 	var want []Placement
 	for _, m := range c.Models {
 		if m.Pool != pool {
--- a/core/config/parse.go
+++ b/core/config/parse.go
@@ -41,9 +41,9 @@
 // are read by it as well.
 func ParseStrict(data []byte, out any) []Fault {
 	if len(data) > MaxBytes {
-		return []Fault{{root, fmt.Sprintf("is %d bytes long, at most %d are read", len(data), MaxBytes)}}
+		return []Fault{{rootPath, fmt.Sprintf("is %d bytes long, at most %d are read", len(data), MaxBytes)}}
 	}
-	s := strict{dec: json.NewDecoder(bytes.NewReader(data)), fields: map[reflect.Type]map[string]reflect.Type{}}
+	s := strictReader{dec: json.NewDecoder(bytes.NewReader(data)), fields: map[reflect.Type]map[string]reflect.Type{}}
 	s.dec.UseNumber()
 	err := s.value(reflect.TypeOf(out).Elem(), "", 0)
 	if err == nil {
@@ -52,28 +52,28 @@
 		}
 	}
 	if err != nil {
-		s.add(root, "is not JSON: %v at byte %d", err, s.dec.InputOffset())
+		s.add(rootPath, "is not JSON: %v at byte %d", err, s.dec.InputOffset())
 		return s.faults
 	}
 	if len(s.faults) == 0 {
 		if err := json.Unmarshal(data, out); err != nil {
-			s.add(root, "cannot be decoded: %v", err)
+			s.add(rootPath, "cannot be decoded: %v", err)
 		}
 	}
 	return s.faults
 }
 
-// strict walks a document beside the type that it is decoded into. The
+// strictReader walks a document beside the type that it is decoded into. The
 // decoder of the library would name an unknown field without its path, take
 // "Name" for "name", and keep the last of two equal keys without a word.
-type strict struct {
+type strictReader struct {
 	collector
 	dec    *json.Decoder
 	fields map[reflect.Type]map[string]reflect.Type // of the types met, by name
 }
 
 // value reads one value that should be a t; nil takes anything.
-func (s *strict) value(t reflect.Type, path string, depth int) error {
+func (s *strictReader) value(t reflect.Type, path string, depth int) error {
 	if depth > maxDepth {
 		return fmt.Errorf("nested deeper than %d", maxDepth)
 	}
@@ -89,43 +89,43 @@
 	}
 	switch tok {
 	case json.Delim('{'):
-		return s.object(s.expect(t, reflect.Struct, "an object", path), path, depth)
+		return s.object(s.expectKind(t, reflect.Struct, "an object", path), path, depth)
 	case json.Delim('['):
-		return s.array(s.expect(t, reflect.Slice, "a list", path), path, depth)
+		return s.array(s.expectKind(t, reflect.Slice, "a list", path), path, depth)
 	}
 	if t != nil {
-		s.leaf(t, tok, path)
+		s.scalar(t, tok, path)
 	}
 	return nil
 }
 
-// expect returns t when it has the kind, and nil after a fault.
-func (s *strict) expect(t reflect.Type, kind reflect.Kind, found, path string) reflect.Type {
+// expectKind returns t when it has the kind, and nil after a fault.
+func (s *strictReader) expectKind(t reflect.Type, kind reflect.Kind, found, path string) reflect.Type {
 	if t == nil || t.Kind() == kind {
 		return t
 	}
-	s.add(orRoot(path), "is %s, must be %s", found, describe(t))
+	s.add(pathOrRoot(path), "is %s, must be %s", found, describe(t))
 	return nil
 }
 
-func (s *strict) object(t reflect.Type, path string, depth int) error {
-	fields, seen := s.fieldsOf(t), map[string]bool{}
+func (s *strictReader) object(t reflect.Type, path string, depth int) error {
+	fields, seen := s.jsonFields(t), map[string]bool{}
 	for s.dec.More() {
 		tok, err := s.dec.Token()
 		if err != nil {
 			return err
 		}
 		name, _ := tok.(string)
-		below := strings.TrimPrefix(path+"."+name, ".")
+		fieldPath := strings.TrimPrefix(path+"."+name, ".")
 		field, known := fields[name]
 		switch {
 		case t != nil && !known:
-			s.add(below, "unknown field %q", name)
+			s.add(fieldPath, "unknown field %q", name)
 		case seen[name]:
-			s.add(below, "stands twice")
+			s.add(fieldPath, "stands twice")
 		}
 		seen[name] = true
-		if err := s.value(field, below, depth+1); err != nil {
+		if err := s.value(field, fieldPath, depth+1); err != nil {
 			return err
 		}
 	}
@@ -133,13 +133,13 @@
 	return err
 }
 
-func (s *strict) array(t reflect.Type, path string, depth int) error {
+func (s *strictReader) array(t reflect.Type, path string, depth int) error {
 	var elem reflect.Type
 	if t != nil {
 		elem = t.Elem()
 	}
 	for i := 0; s.dec.More(); i++ {
-		if err := s.value(elem, at(path, i, ""), depth+1); err != nil {
+		if err := s.value(elem, itemPath(path, i, ""), depth+1); err != nil {
 			return err
 		}
 	}
@@ -147,8 +147,8 @@
 	return err
 }
 
-func (s *strict) leaf(t reflect.Type, tok json.Token, path string) {
-	path = orRoot(path)
+func (s *strictReader) scalar(t reflect.Type, tok json.Token, path string) {
+	path = pathOrRoot(path)
 	switch v := tok.(type) {
 	case string:
 		if u, ok := reflect.New(t).Interface().(encoding.TextUnmarshaler); ok {
@@ -168,10 +168,10 @@
 	}
 }
 
-func (s *strict) number(t reflect.Type, v json.Number, path string) {
+func (s *strictReader) number(t reflect.Type, v json.Number, path string) {
 	var err error
 	switch {
-	case isText(t):
+	case decodesFromText(t):
 		err = errors.New("a number")
 	case t.Kind() == reflect.Int || t.Kind() == reflect.Int64:
 		_, err = strconv.ParseInt(v.String(), 10, 64)
@@ -183,12 +183,12 @@
 	s.check(err == nil, path, "is %.40s, must be %s", v, describe(t))
 }
 
-func isText(t reflect.Type) bool {
+func decodesFromText(t reflect.Type) bool {
 	return reflect.PointerTo(t).Implements(reflect.TypeFor[encoding.TextUnmarshaler]())
 }
 
 func describe(t reflect.Type) string {
-	if isText(t) {
+	if decodesFromText(t) {
 		return "a string"
 	}
 	switch t.Kind() {
@@ -207,7 +207,7 @@
 	}
 }
 
-func (s *strict) fieldsOf(t reflect.Type) map[string]reflect.Type {
+func (s *strictReader) jsonFields(t reflect.Type) map[string]reflect.Type {
 	if t == nil || s.fields[t] != nil {
 		return s.fields[t]
 	}
@@ -221,9 +221,9 @@
 	return fields
 }
 
-func orRoot(path string) string {
+func pathOrRoot(path string) string {
 	if path == "" {
-		return root
+		return rootPath
 	}
 	return path
 }
