--- a/core/token/token.go
+++ b/core/token/token.go
@@ -115,7 +115,7 @@
 	if !ok || err != nil {
 		return nil, ErrMalformed
 	}
-	key, ok := k.find(id)
+	key, ok := k.findKey(id)
 	// hmac.Equal takes the same time wherever the first difference is; with
 	// bytes.Equal a signature could be guessed byte by byte.
 	if !ok || !hmac.Equal(sig, sign(key, signed)) {
@@ -128,7 +128,7 @@
 	return payload, nil
 }
 
-func (k *Keys) find(id string) (Key, bool) {
+func (k *Keys) findKey(id string) (Key, bool) {
 	for _, key := range k.keys {
 		if key.ID == id {
 			return key, true
