--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -1,8 +1,8 @@
-// Package lease decides when a lease may be taken, must be renewed and has
-// ended, from what one node saw of its rows and that node's own clock. No two
-// clocks are ever compared: the holder counts from before it asked for its
-// time, a candidate from after it saw that time granted, and a margin covers
-// clocks that run at different rates.
+// Package lease decides when a lease may be acquired, must be renewed and has
+// expired, from the versions of its rows that one node read and that node's own
+// clock. Two nodes' clocks are never compared: the holder counts its TTL from
+// before it sent the request, a candidate counts from after it read the grant,
+// and a margin covers clocks that run at different rates.
 package lease
 
 import (
@@ -11,39 +11,42 @@
 	"time"
 )
 
-// Defaults of a policy.
+// Defaults of a Policy.
 const (
-	// DefaultTTL bounds how long a role stays empty after its holder died; at
+	// DefaultTTL bounds how long a role has no holder after its holder died; with
 	// one renewal every 3.3 s, 100 leases cost the table 33 writes/s.
 	DefaultTTL = 10 * time.Second
-	// DefaultMargin covers scheduling between a check and the act it allows.
+	// DefaultMargin covers scheduling delays between a check and the action that
+	// it allows.
 	DefaultMargin = 250 * time.Millisecond
-	// DefaultClockRate is the largest share by which a host's clock runs fast
-	// or slow; quartz stays below 0.0002, a clock under correction below 0.001.
+	// DefaultClockRate is the largest fraction by which a host's clock may run
+	// fast or slow; quartz stays below 0.0002, a clock that is being corrected
+	// below 0.001.
 	DefaultClockRate = 0.005
 
-	renewalsPerTTL = 3 // renewals a TTL: two may fail before the lease ends
-	pollsPerTTL    = 4 // looks of a candidate a TTL: a released lease stands empty for a quarter of it
+	renewalsPerTTL = 3 // renewals per TTL: two may fail before the lease expires
+	pollsPerTTL    = 4 // polls by a candidate per TTL: a released lease stays free for a quarter of it
 )
 
-// Record is the grant of a lease, the value of its row. The row is never
-// deleted, so that epochs rise for ever.
+// Record is the grant of a lease, stored as the value of its grant row. The row
+// is never deleted, so that epochs only increase.
 type Record struct {
-	Holder string `json:"holder"` // one process, not one host: a restarted process is another holder; "": free
-	Epoch  uint64 `json:"epoch"`  // rises with every grant: the fencing number of acts under it
-	TTLMs  int64  `json:"ttl_ms"` // as the holder counts it; candidates wait by it whatever their own policy
+	Holder string `json:"holder"` // identifies one process, not one host: a restarted process is another holder; "": the lease is free
+	Epoch  uint64 `json:"epoch"`  // increases with every grant; the fencing number of actions under it
+	TTLMs  int64  `json:"ttl_ms"` // TTL that the holder counts, in milliseconds; candidates wait for it whatever their own policy says
 }
 
-// Encode writes the row's value.
+// Encode returns the row's value.
 func (r Record) Encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // two numbers and a string always encode
+		panic(err) // a struct of a string and two numbers always encodes
 	}
 	return b
 }
 
-// Decode reads a row's value; no value is a lease that nobody ever held.
+// Decode parses a row's value. An empty value is the record of a lease that was
+// never held.
 func Decode(b []byte) (Record, error) {
 	var r Record
 	if len(b) == 0 {
@@ -55,34 +58,37 @@
 	return r, nil
 }
 
-// Rows are the versions of a lease's two rows. The grant row changes with its
-// holder only, so that writes under the lease can be made conditional on it;
-// the beat row changes with every renewal.
+// Rows holds the versions of a lease's two rows. The grant row changes only when
+// the holder changes, so that writes under the lease can be conditional on it;
+// the heartbeat row changes with every renewal.
 type Rows struct{ Grant, Heartbeat uint64 }
 
-// Policy holds the times of a lease.
+// Policy holds the timing parameters of a lease; the Default constants describe
+// them.
 type Policy struct {
 	TTL       time.Duration
 	Margin    time.Duration
 	ClockRate float64
 }
 
-// DefaultPolicy returns the policy for all roles.
+// DefaultPolicy returns the policy that all roles use.
 func DefaultPolicy() Policy {
 	return Policy{TTL: DefaultTTL, Margin: DefaultMargin, ClockRate: DefaultClockRate}
 }
 
-// Observed is what a candidate knows of a lease.
+// Observed is a lease as a candidate has read it.
 type Observed struct {
 	Rows           Rows
 	Record         Record
-	UnchangedSince time.Time // when the answer that first showed these rows had come in
-	// Yielded says that the holder told itself that it acts in this epoch no more.
+	UnchangedSince time.Time // when the read that first returned these row versions had completed
+	// SteppedDown reports that the holder no longer acts in this epoch: it said so
+	// itself, or its process is known to have ended.
 	SteppedDown bool
 }
 
-// Observe takes in a read whose answer came in at now. A row version that is
-// still the same keeps its first time: that is what makes silence count.
+// Observe returns o updated with a read that completed at now. Row versions that
+// have not changed keep the time at which they were first read, so that the time
+// without a renewal adds up.
 func (o Observed) Observe(rows Rows, r Record, now time.Time) Observed {
 	if o.Rows == rows && !o.UnchangedSince.IsZero() {
 		return o
@@ -90,11 +96,11 @@
 	return Observed{Rows: rows, Record: r, UnchangedSince: now}
 }
 
-// Held is a lease as its holder knows it.
+// Held is a lease from the point of view of its holder.
 type Held struct {
 	Rows     Rows
 	Record   Record
-	TTLStart time.Time // just before the newest granted acquisition or renewal was first sent
+	TTLStart time.Time // just before the request of the latest successful acquisition or renewal was first sent
 }
 
 // Action is what a node should do next about a lease.
@@ -102,22 +108,22 @@
 
 // The actions.
 const (
-	Wait     Action = iota // nothing until Decision.Wait has passed
-	Acquire                // try to take it, with Decision.Next
-	Renew                  // try to renew it
-	StepDown               // stop acting: the time is up
+	Wait     Action = iota // do nothing until Decision.Wait has passed
+	Acquire                // try to acquire the lease with Decision.Next
+	Renew                  // try to renew the lease
+	StepDown               // stop acting: the lease has expired
 )
 
-// Decision is the next action and the wait before the next decision.
+// Decision is the next action and how long to wait before the next decision.
 type Decision struct {
 	Action Action
 	Wait   time.Duration
-	Next   Record // for Take
+	Next   Record // set for Acquire
 }
 
-// DecideForCandidate decides for a candidate. A held lease may be taken once its rows
-// have stood unchanged for the holder's whole TTL and the margins, all on the
-// candidate's own clock.
+// DecideForCandidate returns what a candidate should do. It may acquire a held
+// lease once the rows have not changed for the holder's whole TTL and the
+// margins, measured on the candidate's own clock.
 func (p Policy) DecideForCandidate(holder string, o Observed, now time.Time) Decision {
 	left := p.takeoverWait(o.Record) - now.Sub(o.UnchangedSince)
 	if o.Record.Holder != "" && !o.SteppedDown && left > 0 {
@@ -127,7 +133,7 @@
 	return Decision{Action: Acquire, Next: next}
 }
 
-// DecideForHolder decides for a holder.
+// DecideForHolder returns what the holder should do.
 func (p Policy) DecideForHolder(h Held, now time.Time) Decision {
 	if p.Remaining(h, now) <= 0 {
 		return Decision{Action: StepDown}
@@ -139,26 +145,29 @@
 	return Decision{Action: Wait, Wait: due}
 }
 
-// Remaining is how long the holder may still act; not above 0 means stop.
+// Remaining returns how long the holder may still act; if it is 0 or less, the
+// holder must stop.
 func (p Policy) Remaining(h Held, now time.Time) time.Duration {
 	ttl := h.Record.ttl()
 	return ttl - p.maxDrift(ttl) - p.Margin - elapsed(h.TTLStart, now)
 }
 
-// takeoverWait is how long a candidate waits for a silent holder.
+// takeoverWait returns how long a candidate waits for a holder whose rows do not
+// change.
 func (p Policy) takeoverWait(r Record) time.Duration { return r.ttl() + p.maxDrift(r.ttl()) + p.Margin }
 
+// maxDrift returns the largest error of a host's clock over d.
 func (p Policy) maxDrift(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * p.ClockRate)
 }
 
 func (r Record) ttl() time.Duration { return time.Duration(r.TTLMs) * time.Millisecond }
 
-// elapsed is the longer of the monotonic and the wall time between two
-// readings. The monotonic clock stands still while a machine is suspended or
-// a guest is frozen; its holder would wake, find time left, and act beside
-// its successor. The wall clock, once corrected, shows the gap. A wall clock
-// that jumps ahead for no reason costs only a lease given up early.
+// elapsed returns the longer of the monotonic and the wall-clock time between two
+// readings. The monotonic clock stops while a machine is suspended or a guest is
+// frozen; on resuming, the holder would find time left and act at the same time
+// as its successor. The wall clock, once corrected, shows the gap. A wall clock
+// that jumps ahead by mistake only makes the holder give up the lease early.
 func elapsed(from, now time.Time) time.Duration {
 	return max(now.Sub(from), now.Round(0).Sub(from.Round(0)))
 }
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -33,9 +33,9 @@
 	assert.Equal(t, policy.DecideForCandidate("b", free, t0).Next.Epoch, uint64(1))
 }
 
-// Symptom: a holder that was frozen acts beside its successor. Sequence: the
-// machine is suspended for a minute, its monotonic clock with it; on waking
-// the monotonic reading shows time left. Cause: only one clock was asked.
+// Guards against a holder that acts at the same time as its successor after its
+// machine was suspended for a minute: the monotonic clock stops meanwhile, and a
+// check of that clock alone finds time left.
 func TestSuspendedHolderHasNoTimeLeft(t *testing.T) {
 	from := time.Now() // carries a monotonic reading
 	woken := from.Add(time.Minute).Round(0)
@@ -43,8 +43,8 @@
 	assert.Assert(t, policy.Remaining(h, woken) <= 0)
 }
 
-// node is one process of the model, with a clock that starts anywhere and
-// runs up to policy.ClockRate fast or slow.
+// node is one process of the simulation, with a clock that starts at any time
+// and runs up to policy.ClockRate fast or slow.
 type node struct {
 	name    string
 	offset  time.Duration
@@ -54,8 +54,8 @@
 	pending *call
 }
 
-// call is a commit on its way: sent, then perhaps applied, then perhaps
-// answered, with any time between.
+// call is a commit in progress: sent, then possibly applied, then possibly
+// answered, with any delay between the steps.
 type call struct {
 	cond    lease.Rows
 	next    lease.Held
@@ -70,7 +70,7 @@
 	record  lease.Record
 	version uint64
 	nodes   []*node
-	epochs  map[uint64]string // who acted in an epoch
+	epochs  map[uint64]string // the process that acted in each epoch
 }
 
 func (w *world) clock(n *node) time.Time {
@@ -121,8 +121,8 @@
 	n.pending = nil
 }
 
-// Whatever the order of reads, commits, late answers, pauses and clock rates,
-// at any true time at most one process may act, and an epoch has one holder.
+// At any true time at most one process may act, and each epoch has one holder,
+// whatever the order of reads, commits, late answers, pauses and clock rates.
 func TestAtMostOneHolderAtAnyTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{epochs: map[uint64]string{}}
@@ -151,7 +151,7 @@
 					w.answer(n)
 				}
 			},
-			"crash": func(t *rapid.T) { // the commit on its way takes effect, unknown to the new process
+			"crash": func(t *rapid.T) { // the commit in progress is applied, but the new process does not know of it
 				n := pick()
 				if n.pending != nil {
 					w.apply(n.pending)
