--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -21,13 +21,13 @@
 	}{
 		{"no row", nil, "b", Run},
 		{"another body", row(Completed, later, later), "x", KeyReused},
-		{"another body of a forgotten key", row(Completed, before, before), "x", Run},
+		{"another body of an expired key", row(Completed, before, before), "x", Run},
 		{"completed", row(Completed, before, later), "b", Replay},
 		{"freed", row(NotRun, before, later), "b", Run},
-		{"lost from sight", row(Unknown, later, later), "b", ResolveOutcome},
+		{"outcome unknown", row(Unknown, later, later), "b", ResolveOutcome},
 		{"running", row(Dispatched, later, later), "b", InProgress},
 		{"running for too long", row(Dispatched, before, later), "b", ResolveOutcome},
-		{"running past the key's life", row(Dispatched, before, before), "b", ResolveOutcome},
+		{"running after the key expired", row(Dispatched, before, before), "b", ResolveOutcome},
 		{"held", row(Claimed, later, later), "b", InProgress},
 		{"held for too long", row(Claimed, before, later), "b", Run},
 	} {
@@ -38,21 +38,22 @@
 	assert.Equal(t, Decide(row(Dispatched, later, later), Arrival{ID: "old"}, now).Action, OwnClaim)
 }
 
-// Symptom: a request that ran before its engine restarted runs again. The
-// restarted engine answers "unseen" in good faith; its memory is empty. Only
-// the incarnation that the attempt was sent to can say that it never came.
+// Guards against running a request again that had run before its engine
+// restarted. The restarted engine reports the attempt as unseen because it lost
+// its memory; only the incarnation that the attempt was sent to can report that
+// it never arrived.
 func TestUnseenAfterRestartResolvesNothing(t *testing.T) {
 	row := Row{State: Dispatched, Route: Route{Upstream: "e1", Incarnation: "i1", Attempt: "a1"}}
-	next, settled := ApplyReport(row, Report{State: AttemptUnseen, Incarnation: "i2"})
-	assert.Assert(t, !settled)
+	next, resolved := ApplyReport(row, Report{State: AttemptUnseen, Incarnation: "i2"})
+	assert.Assert(t, !resolved)
 	assert.Equal(t, next.State, Unknown)
 
-	next, settled = ApplyReport(row, Report{State: AttemptUnseen, Incarnation: "i1"})
-	assert.Assert(t, settled)
+	next, resolved = ApplyReport(row, Report{State: AttemptUnseen, Incarnation: "i1"})
+	assert.Assert(t, resolved)
 	assert.Equal(t, next.State, NotRun)
 
-	_, settled = ApplyReport(row, Report{State: AttemptCompleted, Incarnation: "i2"})
-	assert.Assert(t, settled, "what a log kept over the restart counts")
+	_, resolved = ApplyReport(row, Report{State: AttemptCompleted, Incarnation: "i2"})
+	assert.Assert(t, resolved, "an outcome that a log kept across the restart counts")
 }
 
 func TestCompletedIsFinal(t *testing.T) {
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Action is what to do with an arrival.
+// Action is how to handle an arrival.
 type Action uint8
 
 // The actions.
 const (
-	Run            Action = iota // write New over the row that was judged, then run
-	Replay                       // give the stored answer
-	InProgress                   // another is at it; come back after Decision.After
-	ResolveOutcome               // ask the upstream for the fate of Row.Route, apply Judge, decide again
-	KeyReused                    // the key belongs to another body
+	Run            Action = iota // write New over the row that was read, then run the request
+	Replay                       // return the stored answer
+	InProgress                   // the request is being run already; retry after Decision.RetryAfter
+	ResolveOutcome               // ask the upstream what became of the attempt in Row.Route, call ApplyReport, decide again
+	KeyReused                    // the key was used with another request
 	OwnClaim                     // the row is this arrival's own claim: its write took effect
 )
 
-// Decision is the answer of Decide.
+// Decision is the result of Decide.
 type Decision struct {
 	Action     Action
-	RetryAfter time.Duration // for InProgress
+	RetryAfter time.Duration // set for InProgress
 }
 
-// Decide says what an arrival gets, given the row seen under its key (nil:
-// none). A row that must be taken over is only taken over as it was seen, so
-// that of two arrivals which decide alike one wins.
+// Decide returns how to handle an arrival, given the row read under its key; nil
+// means that there is none. A row is replaced only if it is still the row that
+// was read, so that one wins if two arrivals decide alike.
 func Decide(row *Row, a Arrival, now time.Time) Decision {
 	switch {
 	case row == nil:
@@ -46,8 +46,8 @@
 	case wait > 0:
 		return Decision{Action: InProgress, RetryAfter: wait}
 	case row.State == Claimed:
-		// The owner dispatches only after it wrote Dispatched over this very
-		// row, which fails once the row is taken over.
+		// The owner dispatches only after it wrote Dispatched over this very row,
+		// and that write fails once the row has been replaced.
 		return Decision{Action: Run}
 	default:
 		return Decision{Action: ResolveOutcome}
@@ -56,36 +56,37 @@
 
 func expired(row *Row, now time.Time) bool { return now.UnixMilli() >= row.ExpiresMs }
 
-// mayHaveRun says whether the row's attempt is out of sight: such a row is
-// settled before its key is forgotten.
+// mayHaveRun reports whether the attempt's outcome is not known. Such a claim is
+// resolved before its key is forgotten.
 func (r Row) mayHaveRun() bool { return r.State == Dispatched || r.State == Unknown }
 
-// AttemptState is what an upstream says of an attempt.
+// AttemptState is what an upstream reports about an attempt.
 type AttemptState uint8
 
-// The fates.
+// The states of an attempt.
 const (
 	AttemptUnknown   AttemptState = iota // the upstream could not be asked, or does not know
-	AttemptUnseen                        // never reached it, and refused from now on
-	AttemptRefused                       // reached it and was refused before execution
-	AttemptRunning                       // being executed
-	AttemptCompleted                     // done; Report.Answer holds what it keeps of it
-	AttemptCancelled                     // stopped halfway
+	AttemptUnseen                        // never reached the upstream, which refuses it from now on
+	AttemptRefused                       // reached the upstream and was refused before execution
+	AttemptRunning                       // is being executed
+	AttemptCompleted                     // completed; Report.Answer holds what the upstream keeps of the answer
+	AttemptCancelled                     // stopped before its end
 )
 
-// Report is an upstream's word on an attempt.
+// Report is an upstream's report about an attempt.
 type Report struct {
 	State       AttemptState
-	Incarnation string // of the upstream that answers
+	Incarnation string // of the upstream that sent the report
 	Answer      Answer
 }
 
-// ApplyReport applies an upstream's word to a row. Settled is false when the word
-// settles nothing; the row then is the one given, but Unknown.
+// ApplyReport applies an upstream's report to a row. If the report does not
+// resolve the attempt's outcome, resolved is false, and next is the row given,
+// with state Unknown where its state allows that.
 //
-// "Unseen" from another incarnation settles nothing: a restarted upstream has
-// no memory, and the attempt may have run before. One would notice a dispatch
-// note packed twice after an engine's restart.
+// AttemptUnseen from another incarnation resolves nothing: a restarted upstream
+// has lost its memory of attempts, and this one may have run before the restart.
+// Otherwise a request could run twice after an engine's restart.
 func ApplyReport(row Row, rep Report) (next Row, resolved bool) {
 	var err error
 	switch rep.State {
@@ -112,18 +113,18 @@
 	return next
 }
 
-// ExpiryAction is what to do with a row that a sweeper meets.
+// ExpiryAction is what the sweeper should do with a row.
 type ExpiryAction uint8
 
-// The answers of Sweepable.
+// The results of DecideExpiry.
 const (
 	Keep                ExpiryAction = iota
-	Delete                           // delete it as it was seen
-	ResolveBeforeDelete              // its attempt is out of sight: ask for its fate first
+	Delete                           // delete the row if it has not changed since it was read
+	ResolveBeforeDelete              // the attempt's outcome is not known: ask the upstream first
 )
 
-// DecideExpiry judges a row for the sweeper. A row whose attempt may have run is
-// kept for a second lifetime when no fate can be learned.
+// DecideExpiry returns what the sweeper should do with a row. A row whose attempt
+// may have run is kept for a second TTL if its outcome cannot be resolved.
 func DecideExpiry(row Row, ttl time.Duration, now time.Time) ExpiryAction {
 	switch {
 	case !expired(&row, now):
