--- a/core/health/bound.go
+++ b/core/health/bound.go
@@ -1,13 +1,15 @@
 package health
 
-// maxOutlierShare is the part of a service that error rates alone may take out of
-// use: when all of its upstreams fail alike, the fault lies elsewhere, and
-// leaving them alone would turn some failures into none served.
+// maxOutlierShare is the fraction of a service's upstreams that may be excluded
+// for their error rates alone. When all of them fail alike, the cause lies
+// elsewhere, and excluding them would turn some failures into no answers at all.
 const maxOutlierShare = 0.34
 
-// Outliers picks, from the failure shares of some of a service's upstreams, those
-// that stand out; all is how many it has. A share below 0 is one that stands on
-// too few answers, as are those of the others.
+// Outliers reports which of a service's upstreams are outliers: their failure
+// share exceeds the mean of the others' by p.ErrorRateMargin or more. shares are
+// those of some of its upstreams; one below 0 is based on too few answers to
+// count. total is the number of upstreams that the service has; those without a
+// share do not count either.
 func Outliers(p Policy, shares []float64, total int) []bool {
 	out := make([]bool, len(shares))
 	counted, sum := 0, 0.0
--- a/core/health/health.go
+++ b/core/health/health.go
@@ -1,72 +1,75 @@
-// Package health judges one upstream by what its answers, or their absence,
-// show to the hosts that send to it. Its own word about its health is not
-// heard: it may be false either way.
+// Package health tracks the health of one upstream passively, from the answers
+// that hosts receive from it or fail to receive. What the upstream reports about
+// its own health is not used, since it may be wrong either way.
 package health
 
 import "time"
 
-// Policy says when an upstream is left alone and for how long.
+// Policy says when an upstream is excluded and for how long.
 type Policy struct {
-	MaxConsecutiveFailures int           // failed exchanges in a row
-	UnresponsiveAfter      time.Duration // with requests outstanding and nothing heard
-	FirstExclusion         time.Duration
-	MaxExclusion           time.Duration
-	ErrorRateMargin        float64 // of its answers, beyond what the service's others have
-	MinAnswers             int     // answers that the rate is taken over, at least
+	MaxConsecutiveFailures int           // failed exchanges in a row that exclude the upstream
+	UnresponsiveAfter      time.Duration // time without a byte while requests are outstanding
+	FirstExclusion         time.Duration // doubles with each further exclusion in a row
+	MaxExclusion           time.Duration // longest exclusion
+	ErrorRateMargin        float64       // by how much its failure share must exceed that of the service's other upstreams
+	MinAnswers             int           // answers needed before the failure share is used
 }
 
-// DefaultPolicy suits upstreams a few milliseconds away whose first event may take
-// some hundred milliseconds under load.
+// DefaultPolicy suits upstreams a few milliseconds away whose first event may
+// take some hundred milliseconds under load.
 var DefaultPolicy = Policy{
-	// Two: a single reset may be a connection that was dropped while idle.
+	// Two, since a single reset may be a connection that was dropped while idle.
 	MaxConsecutiveFailures: 2,
-	// An engine that runs anything makes an event every 10 to 250 ms, the
-	// longest for a full piece of prompt between two steps.
+	// An engine that runs anything sends an event every 10 to 250 ms; the longest
+	// gap is that of a full prompt chunk processed between two steps.
 	UnresponsiveAfter: 700 * time.Millisecond,
-	// Short at first, since a restarted upstream is back within seconds, and
-	// a trial costs one request.
+	// Short at first, since a restarted upstream is back within seconds and a
+	// trial costs one request.
 	FirstExclusion:  400 * time.Millisecond,
 	MaxExclusion:    2 * time.Second,
 	ErrorRateMargin: 0.3,
 	MinAnswers:      12,
 }
 
-// Status is what a host should do with an upstream.
+// Status is how a host should treat an upstream: the state of a circuit breaker.
 type Status uint8
 
-// The standings.
+// The statuses.
 const (
-	Up    Status = iota
-	Down         // send nothing
-	Trial        // send one request and see
+	Up    Status = iota // closed: send requests
+	Down                // open: the upstream is excluded, send nothing
+	Trial               // half-open: the exclusion is over, send one request and wait for its result
 )
 
-// String names the standing in logs.
+// String returns the status's name in logs.
 func (s Status) String() string { return [...]string{"up", "down", "trial"}[s] }
 
-// Tracker is what is known of one upstream. Its owner guards it.
+// Tracker holds the health record of one upstream. It does no locking; its owner
+// must.
 type Tracker struct {
-	lastReceived  time.Time // anything came from it
-	awaitingSince time.Time // the oldest send since it was heard; zero: none
+	lastReceived  time.Time // when any byte was last received
+	awaitingSince time.Time // since when bytes are due, from the first send or from the last bytes received; zero: none are due
 	failures      int
-	exclusions    int // in a row
+	exclusions    int // exclusions in a row
 	excludedUntil time.Time
-	failedAnswers float64 // decaying share of failures among answers
+	failedAnswers float64 // decaying count of failed answers
 	answers       float64 // decaying count of answers
 }
 
-// answerDecay is the weight that older answers keep with each new one: about the
-// last twenty count.
+// answerDecay is the factor by which the weight of earlier answers shrinks with
+// each new one: about the last twenty count.
 const answerDecay = 0.95
 
-// RecordSend notes a request that was handed to the upstream.
+// RecordSend records a request that was handed to the upstream.
 func (r *Tracker) RecordSend(now time.Time) {
 	if r.awaitingSince.IsZero() {
 		r.awaitingSince = now
 	}
 }
 
-// RecordBytes notes bytes of any answer; outstanding says whether more is due.
+// RecordBytes records bytes of any answer; outstanding is whether more are due.
+// Bytes that arrive after an exclusion end it; those that arrive during one do
+// not.
 func (r *Tracker) RecordBytes(now time.Time, outstanding bool) {
 	r.lastReceived, r.failures = now, 0
 	if r.excludedUntil.IsZero() || now.Before(r.excludedUntil) {
@@ -83,13 +86,13 @@
 	}
 }
 
-// IsAwaitingBytes says that a request was sent since anything was heard.
+// IsAwaitingBytes reports whether bytes are due and none have arrived since.
 func (r *Tracker) IsAwaitingBytes() bool { return !r.awaitingSince.IsZero() }
 
-// ClearOutstanding notes that nothing is outstanding any more.
+// ClearOutstanding records that no request is outstanding any more.
 func (r *Tracker) ClearOutstanding() { r.awaitingSince = time.Time{} }
 
-// RecordAnswer notes the end of an answer; failed says that the upstream ran the
+// RecordAnswer records the end of an answer; failed is whether the upstream ran the
 // request and failed it.
 func (r *Tracker) RecordAnswer(failed bool) {
 	r.answers = r.answers*answerDecay + 1
@@ -99,7 +102,8 @@
 	}
 }
 
-// ErrorShare is the decaying share of failures and how many answers it stands on.
+// ErrorShare returns the decaying share of failed answers and the decaying count
+// of answers that it is based on.
 func (r *Tracker) ErrorShare() (share, answers float64) {
 	if r.answers == 0 {
 		return 0, 0
@@ -107,8 +111,8 @@
 	return r.failedAnswers / r.answers, r.answers
 }
 
-// RecordFailure notes an exchange that broke: refused, reset, cut or garbled. It says
-// whether the upstream is to be left alone from now on.
+// RecordFailure records an exchange that was refused, reset, cut off or garbled.
+// It reports whether the upstream is newly excluded because of it.
 func (r *Tracker) RecordFailure(p Policy, now time.Time) bool {
 	r.failures++
 	if r.failures < p.MaxConsecutiveFailures && r.exclusions == 0 {
@@ -117,7 +121,8 @@
 	return r.exclude(p, now)
 }
 
-// Exclude leaves the upstream alone for a while. It says whether that is news.
+// Exclude excludes the upstream for a while. It reports whether the exclusion is
+// new.
 func (r *Tracker) Exclude(p Policy, now time.Time) bool { return r.exclude(p, now) }
 
 func (r *Tracker) exclude(p Policy, now time.Time) bool {
@@ -131,12 +136,13 @@
 	return true
 }
 
-// IsUnresponsive says that requests are outstanding and nothing was heard for too long.
+// IsUnresponsive reports whether bytes are due and none have arrived for longer
+// than p.UnresponsiveAfter and allow together.
 func (r *Tracker) IsUnresponsive(p Policy, now time.Time, allow time.Duration) bool {
 	return !r.awaitingSince.IsZero() && now.Sub(r.awaitingSince) > p.UnresponsiveAfter+allow
 }
 
-// Status says what to do with the upstream now.
+// Status returns how to treat the upstream at now.
 func (r *Tracker) Status(now time.Time) Status {
 	switch {
 	case r.excludedUntil.IsZero():
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -13,9 +13,9 @@
 
 func after(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
-// Symptom: hundreds of requests wait at an upstream until their deadlines.
-// Sequence: it goes dark with requests outstanding; more are sent.
-// Cause: nothing failed, so nothing counted against it.
+// Guards against requests that wait at an unresponsive upstream until their
+// deadlines, while more are sent to it: no exchange failed, so no failure was
+// counted.
 func TestAnUnresponsiveUpstreamIsNoticed(t *testing.T) {
 	var r health.Tracker
 	r.RecordSend(after(0))
@@ -34,15 +34,13 @@
 	assert.Equal(t, r.Status(after(3)), health.Down)
 	assert.Equal(t, r.Status(after(500)), health.Trial)
 	assert.Assert(t, r.RecordFailure(health.DefaultPolicy, after(500)), "a failed trial is enough by itself")
-	assert.Equal(t, r.Status(after(1200)), health.Down, "the second rest is longer")
+	assert.Equal(t, r.Status(after(1200)), health.Down, "the second exclusion is longer")
 	r.RecordBytes(after(1400), false)
 	assert.Equal(t, r.Status(after(1401)), health.Up)
 }
 
-// Symptom: a flapping upstream is let back by an answer that was under way
-// before it failed. Sequence: it breaks exchanges; a late event of an old
-// stream arrives within its rest.
-// Cause: any byte clears the record.
+// Guards against ending an exclusion because of bytes that were in flight before
+// the upstream failed, such as a late event of an old stream.
 func TestALateEventDoesNotEndAnExclusion(t *testing.T) {
 	var r health.Tracker
 	r.RecordFailure(health.DefaultPolicy, after(0))
@@ -51,9 +49,9 @@
 	assert.Equal(t, r.Status(after(101)), health.Down)
 }
 
-// Symptom: a service whose calls fail by nature has no upstream left.
-// Sequence: one in seven answers of each is a failure.
-// Cause: failures are judged without looking at the others.
+// Guards against excluding all upstreams of a service whose calls often fail, as
+// when one in seven answers of each upstream is a failure: a failure share counts
+// only against the other upstreams' shares.
 func TestOnlyOutliersAreFailing(t *testing.T) {
 	assert.DeepEqual(t, health.Outliers(health.DefaultPolicy, []float64{0.14, 0.16, 0.12}, 3), []bool{false, false, false})
 	assert.DeepEqual(t, health.Outliers(health.DefaultPolicy, []float64{0.14, 0.6, 0.12}, 3), []bool{false, true, false})
