--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -1,19 +1,19 @@
-// Package outcome holds what can be said about the execution of a request or
-// of one attempt at it, and what may follow from each.
+// Package outcome holds what is known about the execution of a request or of one
+// attempt at it, and whether it may be retried.
 package outcome
 
 // Outcome says whether a request ran.
 type Outcome uint8
 
-// The outcomes. The zero value is Unknown: an outcome that nobody set must
-// never be read as "not run", since a retry would then run the request twice.
+// The outcomes. The zero value is Unknown: an outcome that was never set must
+// not be read as NotRun, since a retry would then run the request twice.
 const (
-	Unknown   Outcome = iota // may have run, in part or in whole
+	Unknown   Outcome = iota // may have run, in part or completely
 	NotRun                   // certainly did not run and never will
-	Completed                // ran, and its whole answer is at hand
+	Completed                // ran, and its complete answer is available
 )
 
-// String returns the outcome as it stands in error bodies and reports.
+// String returns the outcome as written in error bodies and reports.
 func (o Outcome) String() string {
 	switch o {
 	case NotRun:
@@ -25,10 +25,10 @@
 	}
 }
 
-// MarshalText writes the outcome's name.
+// MarshalText returns the outcome's name.
 func (o Outcome) MarshalText() ([]byte, error) { return []byte(o.String()), nil }
 
-// UnmarshalText reads the outcome's name; any other text is Unknown.
+// UnmarshalText sets o from its name; any other text sets Unknown.
 func (o *Outcome) UnmarshalText(text []byte) error {
 	switch string(text) {
 	case "not_run":
@@ -41,9 +41,9 @@
 	return nil
 }
 
-// MayRetry says whether another attempt may be dispatched after one that
-// ended with o. A repeatable request may follow anything but completion; any
-// other may follow only an attempt that certainly did not run.
+// MayRetry reports whether another attempt may be dispatched after one that ended
+// with o. A repeatable request may be retried unless it completed; any other only
+// after an attempt that certainly did not run.
 func (o Outcome) MayRetry(repeatable bool) bool {
 	switch o {
 	case NotRun:
