--- a/core/fault/fault.go
+++ b/core/fault/fault.go
@@ -1,6 +1,6 @@
-// Package fault is the error that crosses package borders: it carries the
-// step at which a request or an act failed, the peer it failed with, what is
-// known of the request's execution, and when to come back.
+// Package fault defines the error type that packages exchange. It carries the
+// step at which a request or an operation failed, the peer involved, what is
+// known about the request's execution, and when to retry.
 package fault
 
 import (
@@ -11,7 +11,7 @@
 	"peridotpier.example/core/outcome"
 )
 
-// Step is the part of the path where an error arose.
+// Step is the processing step at which an error occurred.
 type Step string
 
 // The steps of a request and of the control path.
@@ -35,7 +35,7 @@
 	StepDrain        Step = "drain"
 )
 
-// Code is the stable, machine-readable reason that callers and operators see.
+// Code is the stable, machine-readable error code that callers and operators see.
 type Code string
 
 // The codes. docs/callers.md says what a caller should do on each.
@@ -60,17 +60,17 @@
 	CodeInternal               Code = "internal"
 )
 
-// Error is one failure with its place and consequence.
+// Error is a failure: where it occurred, and what follows for the request.
 type Error struct {
 	Step       Step
-	Peer       string // host:port or name of the other side; "" when local
+	Peer       string // host:port or name of the other side; "" for a local failure
 	Code       Code
 	Outcome    outcome.Outcome
 	RetryAfter time.Duration // 0: no advice
 	Err        error         // cause; may be nil
 }
 
-// Error writes step, peer and cause on one line.
+// Error returns step, code, peer and cause on one line.
 func (e *Error) Error() string {
 	s := string(e.Step) + ": " + string(e.Code)
 	if e.Peer != "" {
@@ -85,21 +85,21 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// NotRun makes an error that promises that the request did not run.
+// NotRun returns an error that guarantees that the request did not run.
 func NotRun(step Step, peer string, code Code, format string, args ...any) *Error {
 	return &Error{Step: step, Peer: peer, Code: code, Outcome: outcome.NotRun, Err: fmt.Errorf(format, args...)}
 }
 
-// Unknown makes an error after which the request may have run.
+// Unknown returns an error after which the request may have run.
 func Unknown(step Step, peer string, code Code, format string, args ...any) *Error {
 	return &Error{Step: step, Peer: peer, Code: code, Outcome: outcome.Unknown, Err: fmt.Errorf(format, args...)}
 }
 
-// WithRetryAfter sets the advice when to come back.
+// WithRetryAfter sets how long to wait before a retry and returns e.
 func (e *Error) WithRetryAfter(d time.Duration) *Error { e.RetryAfter = d; return e }
 
-// From returns the first *Error in err's chain, or wraps err as an internal
-// error with unknown outcome at the given step.
+// From returns the first *Error in err's chain, or wraps err as an internal error
+// with unknown outcome at the given step.
 func From(step Step, err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
