--- a/core/member/choose.go
+++ b/core/member/choose.go
@@ -7,14 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The rendezvous weight of a key and a host mixes their hashes. A host that
-// comes or goes moves only the choices that fall on it.
+// Hosts are chosen by rendezvous hashing; the weight of a key and a host mixes
+// their hashes. When a host joins or leaves, only the choices that fall on it
+// change.
 
-// ChooseLinks chooses the hosts to which self keeps a link: local ones of its own
-// data centre and remote ones of others, by rendezvous hash. Each host thus
-// pays for a fixed number of links however large the fleet is; others' choices
-// add about as many. The choices at random make the links' graph connected
-// almost surely, and its diameter grows with the logarithm of the fleet.
+// ChooseLinks returns the hosts to which self keeps a link: local ones in its own
+// data centre and remote ones elsewhere, chosen by rendezvous hashing. Each host
+// thus opens a fixed number of links however large the fleet is, and about as many
+// are opened to it. Since the choices are random, the graph of links is connected
+// almost surely, and its diameter grows with the logarithm of the fleet's size.
 func ChooseLinks(self Host, hosts []Host, local, remote int) []Host {
 	var near, far []Host
 	for _, h := range hosts {
@@ -29,7 +30,8 @@
 	return append(topByWeight(self.Name, near, local), topByWeight(self.Name, far, remote)...)
 }
 
-// Rendezvous returns the host with the highest weight for a key. There must be one.
+// Rendezvous returns the host with the highest weight for a key. hosts must not
+// be empty.
 func Rendezvous(key string, hosts []Host) Host {
 	hash, best := xxhash.Sum64String(key), 0
 	var highest uint64
@@ -42,6 +44,8 @@
 	return hosts[best]
 }
 
+// topByWeight returns the n hosts with the highest weights for a key, highest
+// first.
 func topByWeight(key string, hosts []Host, n int) []Host {
 	type weighed struct {
 		weight uint64
@@ -61,26 +65,27 @@
 	return out
 }
 
-// Watchers are how many hosts watch one upstream: two in its own data centre,
-// so that one may fail, and one elsewhere, which still sees it when the hosts
-// of that data centre are all gone.
+// The numbers of hosts that watch one upstream: two in its own data centre, so
+// that one may fail, and one elsewhere, which still sees the upstream when all
+// hosts of that data centre have failed.
 const (
 	localWatchers  = 2
 	remoteWatchers = 1
 )
 
-// Assignment answers which upstreams one host watches, and for which keys it is
-// among the first, for a given set of hosts.
-// It hashes each host once: hashing each pair of 2,500 upstreams and 420 hosts
-// took half of a fleet's control time.
+// Assignment says which upstreams one host watches, and for which keys it is among
+// the hosts with the highest weights, given a set of hosts. It hashes each host
+// name once: hashing each pair of 2,500 upstreams and 420 hosts took half of the
+// time that a fleet spent on control.
 type Assignment struct {
-	self               uint64 // hash of the host that asks
+	self               uint64 // hash of the host's name
 	dataCentre         string
-	othersByDataCentre map[string][]uint64 // hashes of the other hosts by data centre
-	others             []uint64            // of all others
+	othersByDataCentre map[string][]uint64 // hashes of the names of all other hosts, by data centre
+	others             []uint64            // hashes of the names of all other hosts
 }
 
-// NewAssignment prepares for questions of the host named self.
+// NewAssignment returns the assignment of the host named self. Of the other hosts
+// only those in state Alive count.
 func NewAssignment(self string, hosts []Host) *Assignment {
 	w := &Assignment{self: xxhash.Sum64String(self), othersByDataCentre: map[string][]uint64{}}
 	for _, h := range hosts {
@@ -96,8 +101,8 @@
 	return w
 }
 
-// Watches says whether the host is among the watchers of an upstream: the
-// first by weight among those of its data centre, or among all others.
+// Watches reports whether the host watches an upstream: whether it is among the
+// first by weight in the upstream's data centre, or among all other hosts.
 func (w *Assignment) Watches(upstream, dataCentre string) bool {
 	key := xxhash.Sum64String(upstream)
 	own := mix(key, w.self)
@@ -108,13 +113,14 @@
 	return countAbove(key, own, w.others)-near < remoteWatchers
 }
 
-// IsAmongFirst says whether the host is among the first n by weight for a key.
+// IsAmongFirst reports whether the host is among the n hosts with the highest
+// weights for a key.
 func (w *Assignment) IsAmongFirst(key string, n int) bool {
 	hash := xxhash.Sum64String(key)
 	return countAbove(hash, mix(hash, w.self), w.others) < n
 }
 
-// countAbove counts the hosts with a higher weight than own.
+// countAbove returns the number of hosts with a higher weight than own.
 func countAbove(key, own uint64, hosts []uint64) int {
 	n := 0
 	for _, h := range hosts {
--- a/core/member/host.go
+++ b/core/member/host.go
@@ -1,6 +1,6 @@
-// Package member holds what entry hosts tell one another about hosts and
-// upstreams, as sets that merge in any order: a late or repeated word never
-// takes state back. It does no I/O and has no clock.
+// Package member holds the state about hosts and upstreams that entry hosts
+// gossip, as sets that merge in any order: a late or repeated record never
+// reverts a newer one. It does no I/O and has no clock.
 package member
 
 import (
@@ -10,16 +10,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is the state of an entry host. Of two words under the same sequence
-// the higher state wins.
+// State is the state of an entry host. Of two records with the same incarnation
+// and sequence the one with the higher state wins.
 type State uint8
 
 // The states.
 const (
 	Alive      State = iota
 	Suspect          // some host could not reach it; it refutes that with a higher sequence
-	Draining         // it said so itself: it takes no new requests
-	Terminated       // it said so itself: it has ended
+	Draining         // announced by the host itself: it accepts no new requests
+	Terminated       // announced by the host itself: its process has ended
 )
 
 // String returns the state's name.
@@ -27,8 +27,8 @@
 	return [...]string{"alive", "suspect", "leaving", "gone"}[s]
 }
 
-// Host is what is known of one entry host. Incarnation orders the processes
-// that ran under its name; Sequence is raised by the process itself only.
+// Host is a record about one entry host. Incarnation orders the processes that
+// ran under the host's name; only the process itself increases Sequence.
 type Host struct {
 	Name        string
 	Address     string // IP:port of its peer listener
@@ -39,23 +39,23 @@
 	State       State
 }
 
-// supersedes says whether h is later word than o: of a later process, else a later
-// word of the process itself, else a graver state.
+// supersedes reports whether h replaces o: it is from a later process, else has a
+// higher sequence, else a higher state. The process name only breaks ties.
 func (h Host) supersedes(other Host) bool {
 	return cmp.Or(cmp.Compare(h.Incarnation, other.Incarnation), cmp.Compare(h.Sequence, other.Sequence),
 		cmp.Compare(h.State, other.State), cmp.Compare(h.Process, other.Process)) > 0
 }
 
-// Hosts is a mergeable set of hosts. It is not safe for concurrent use.
+// Hosts is a mergeable set of host records. It is not safe for concurrent use.
 type Hosts struct {
 	byName map[string]Host
 	digest uint64
 }
 
-// NewHosts makes an empty set.
+// NewHosts returns an empty set.
 func NewHosts() *Hosts { return &Hosts{byName: map[string]Host{}} }
 
-// Merge takes a word in; true when it was news.
+// Merge adds a record and reports whether it replaced what the set had.
 func (s *Hosts) Merge(h Host) bool {
 	old, ok := s.byName[h.Name]
 	if ok && !h.supersedes(old) {
@@ -69,10 +69,10 @@
 	return true
 }
 
-// Get finds a host.
+// Get returns the record of a host.
 func (s *Hosts) Get(name string) (Host, bool) { h, ok := s.byName[name]; return h, ok }
 
-// Remove forgets a host that the platform does not list any more.
+// Remove deletes a host that the platform no longer lists.
 func (s *Hosts) Remove(name string) {
 	if h, ok := s.byName[name]; ok {
 		s.digest ^= h.hash()
@@ -80,7 +80,7 @@
 	}
 }
 
-// All returns the hosts by name.
+// All returns all records, sorted by name.
 func (s *Hosts) All() []Host {
 	out := make([]Host, 0, len(s.byName))
 	for _, h := range s.byName {
@@ -90,13 +90,13 @@
 	return out
 }
 
-// Digest is equal for two sets that hold the same words, and almost surely
-// differs for others. It is kept up to date word by word.
+// Digest returns a hash that is equal for sets with the same records and almost
+// surely differs for others. It is updated with each change.
 func (s *Hosts) Digest() uint64 { return s.digest }
 
 func (h Host) hash() uint64 {
 	d := xxhash.New()
-	_, _ = d.WriteString(h.Name + "\x00" + h.Process) // a Digest's writes never fail
+	_, _ = d.WriteString(h.Name + "\x00" + h.Process) // writes to a Digest never fail
 	return mix(d.Sum64(), h.Incarnation, h.Sequence, uint64(h.State))
 }
 
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -17,8 +17,8 @@
 		Sequence: rapid.Uint64Range(0, 3).Draw(t, "sequence"), State: member.State(rapid.IntRange(0, 3).Draw(t, "state"))}
 }
 
-// upstreamRecord draws words as upstreams cause them: one report of one process
-// says the same to every host that reads it.
+// upstreamRecord draws records as upstreams cause them: one report of one process
+// means the same to every host that reads it.
 func upstreamRecord(t *rapid.T) member.Upstream {
 	process := rapid.IntRange(1, 3).Draw(t, "process")
 	seq := rapid.Uint64Range(1, 4).Draw(t, "sequence")
@@ -27,10 +27,9 @@
 		Residents: []string{fmt.Sprintf("m%d-%d", process, seq)}}
 }
 
-// Symptom: two hosts that heard the same words act differently, or a host
-// that left comes back.
-// Sequence: words arrive late, repeated and in any order.
-// Cause: a word is taken because it came last, not because it is newer.
+// Guards against hosts that received the same records but act differently, and
+// against a host that comes back after it left. Records arrive late, repeated and
+// in any order; one must count because it is newer, not because it arrived last.
 func TestRecordsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.SliceOfN(rapid.Custom(hostRecord), 0, 20).Draw(t, "hosts")
@@ -71,9 +70,8 @@
 	return out
 }
 
-// Symptom: a change never reaches some hosts.
-// Sequence: every tenth host dies at once.
-// Cause: the links of the rest do not connect it.
+// Guards against changes that never reach some hosts after every tenth host has
+// failed at once, because the links of the remaining hosts do not connect them.
 func TestLinksConnectWhatIsLeftOfAFleet(t *testing.T) {
 	hosts := slices.DeleteFunc(fleet(420), func(h member.Host) bool { return h.Name[3] == '5' })
 	next := map[string][]string{}
@@ -143,7 +141,8 @@
 	}
 }
 
-// BenchmarkWatches is one host's choice among the upstreams of the design size.
+// BenchmarkWatches measures one host's choice of the upstreams that it watches,
+// at the design size.
 func BenchmarkWatches(b *testing.B) {
 	hosts := fleet(420)
 	names := make([]string, 2500)
--- a/core/member/upstream.go
+++ b/core/member/upstream.go
@@ -7,34 +7,35 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Upstream is what is known of one process of an upstream.
+// Upstream is a record about one process of an upstream.
 type Upstream struct {
 	Name        string
 	Incarnation string
-	// SeenMs is when any host first saw the process, in Unix milliseconds by
-	// that host's clock. It orders the processes of one upstream, whose names
-	// have no order: a restart takes longer than hosts' clocks differ.
+	// FirstSeenMs is when any host first saw the process, in Unix milliseconds by
+	// that host's clock. It orders the processes of one upstream, whose
+	// incarnations have no order: a restart takes longer than hosts' clocks differ.
 	FirstSeenMs uint64
-	Sequence    uint64 // of the upstream's report that the rest is from
-	Draining    bool   // never undone
+	Sequence    uint64 // of the upstream's report that Residents is from
+	Draining    bool   // never reverted
 	Residents   []string
 }
 
-// maxIncarnations bounds the processes remembered of one upstream. Late words of
-// older ones than these are dropped.
+// maxIncarnations bounds the processes that are remembered per upstream. Late
+// records of older ones are dropped.
 const maxIncarnations = 4
 
-// Upstreams is a mergeable set of words on upstreams. It is not safe for
+// Upstreams is a mergeable set of records about upstreams. It is not safe for
 // concurrent use.
 type Upstreams struct {
 	byName map[string][]Upstream // newest process first
 	digest uint64
 }
 
-// NewUpstreams makes an empty set.
+// NewUpstreams returns an empty set.
 func NewUpstreams() *Upstreams { return &Upstreams{byName: map[string][]Upstream{}} }
 
-// Merge takes a word in; true when it was news about the newest process.
+// Merge adds a record and reports whether it changed what routing knows of the
+// upstream's newest process.
 func (s *Upstreams) Merge(u Upstream) bool {
 	list := s.byName[u.Name]
 	i := slices.IndexFunc(list, func(x Upstream) bool { return x.Incarnation == u.Incarnation })
@@ -70,7 +71,7 @@
 	})
 }
 
-// merge joins two words on the same process.
+// merge combines two records of the same process.
 func (u Upstream) merge(other Upstream) Upstream {
 	next := u
 	if other.Sequence > u.Sequence {
@@ -81,12 +82,12 @@
 	return next
 }
 
-// sameState says whether two words on one process mean the same to routing.
+// sameState reports whether two records of one process mean the same to routing.
 func (u Upstream) sameState(other Upstream) bool {
 	return u.Draining == other.Draining && slices.Equal(u.Residents, other.Residents)
 }
 
-// Current returns the word on the newest process of an upstream.
+// Current returns the record of an upstream's newest process.
 func (s *Upstreams) Current(name string) (Upstream, bool) {
 	if list := s.byName[name]; len(list) > 0 {
 		return list[0], true
@@ -94,7 +95,8 @@
 	return Upstream{}, false
 }
 
-// All returns every word, those on older processes too.
+// All returns all records, older processes included, sorted by name and
+// incarnation.
 func (s *Upstreams) All() []Upstream {
 	var out []Upstream
 	for _, list := range s.byName {
@@ -106,7 +108,8 @@
 	return out
 }
 
-// Retain forgets all upstreams that are not in the configuration any more.
+// Retain deletes all upstreams for which known returns false: they are no longer
+// in the configuration.
 func (s *Upstreams) Retain(known func(name string) bool) {
 	for name, list := range s.byName {
 		if known(name) {
@@ -119,13 +122,13 @@
 	}
 }
 
-// Digest is equal for two sets that mean the same; sequence and time of a word
-// that changed nothing else do not count.
+// Digest returns a hash that is equal for sets that mean the same to routing; it
+// leaves out Sequence and FirstSeenMs.
 func (s *Upstreams) Digest() uint64 { return s.digest }
 
 func (u Upstream) hash() uint64 {
 	d := xxhash.New()
-	_, _ = d.WriteString(u.Name + "\x00" + u.Incarnation) // a Digest's writes never fail
+	_, _ = d.WriteString(u.Name + "\x00" + u.Incarnation) // writes to a Digest never fail
 	for _, r := range u.Residents {
 		_, _ = d.WriteString("\x00" + r)
 	}
