--- a/core/revision/document.go
+++ b/core/revision/document.go
@@ -9,9 +9,9 @@
 	"peridotpier.example/core/config"
 )
 
-// Compress packs a document for the store and for peers: every host reads
-// each new document, and at the design size the plain text alone would use
-// up a host's budget of bytes for control.
+// Compress compresses a document for the store and for peers: every host reads
+// each new document, and at the design size the uncompressed text alone would use
+// up a host's budget of bytes for control traffic.
 func Compress(doc []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
@@ -24,7 +24,8 @@
 	return b.Bytes(), nil
 }
 
-// DecompressVerified unpacks a document and checks that it is the one that digest names.
+// DecompressVerified decompresses a document and checks that it has the given
+// digest.
 func DecompressVerified(packed []byte, digest string) ([]byte, error) {
 	doc, err := Decompress(packed)
 	if err != nil {
@@ -36,8 +37,8 @@
 	return doc, nil
 }
 
-// Decompress undoes Compress. It reads no more than the largest document, whatever
-// the packed one claims.
+// Decompress reverses Compress. It reads at most one byte more than the largest
+// document, whatever size the compressed data claims.
 func Decompress(packed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/core/revision/freshness.go
+++ b/core/revision/freshness.go
@@ -6,35 +6,36 @@
 	"peridotpier.example/core/class"
 )
 
-// Bounds of how long a host may go on without word from the table, its own or
-// through a peer, that its version is the newest.
+// Limits on how long a host may serve without confirmation, from the table itself
+// or through a peer, that its version is the newest.
 const (
-	// UnconfirmedAfter is when a host says so: the time within which a change
-	// must be in force everywhere.
+	// UnconfirmedAfter is when a host reports itself unconfirmed: the time within
+	// which a change must be in force everywhere.
 	UnconfirmedAfter = 16 * time.Second
-	// UrgentOnlyAfter is when a host takes urgent requests only. It lies above
-	// the longest store outage that must not be felt, ten minutes; a change
-	// counts as in force once every host that did not confirm it is past it.
+	// UrgentOnlyAfter is when a host starts to accept urgent requests only. It is
+	// longer than the longest store outage that callers must not notice, ten
+	// minutes; a change counts as in force once this time has passed for every
+	// host that did not confirm the change.
 	UrgentOnlyAfter = 15 * time.Minute
 )
 
-// Freshness is how far a host may rely on its version.
+// Freshness says how far a host may rely on its version of the configuration.
 type Freshness uint8
 
-// The standings.
+// The degrees of freshness.
 const (
-	Confirmed   Freshness = iota // lately known to be the newest
-	Unconfirmed                  // may be old; serving goes on, operators are told
-	UrgentOnly                   // too old to take anything but urgent requests
+	Confirmed   Freshness = iota // recently confirmed to be the newest
+	Unconfirmed                  // may be outdated; the host goes on serving and tells operators
+	UrgentOnly                   // too old to accept anything but urgent requests
 )
 
-// String returns the standing as operators see it.
+// String returns the freshness as operators see it.
 func (f Freshness) String() string {
 	return [...]string{"confirmed", "unconfirmed", "urgent_only"}[f]
 }
 
-// FreshnessAt returns the standing of a host whose version was last known to
-// be the newest at confirmed.
+// FreshnessAt returns the freshness of a host whose version was last known to be
+// the newest at confirmed.
 func FreshnessAt(confirmed, now time.Time) Freshness {
 	switch age := now.Sub(confirmed); {
 	case age <= UnconfirmedAfter:
@@ -46,7 +47,7 @@
 	}
 }
 
-// Admits says whether a new request of a class may be taken. Urgent requests
-// always may: the harm of a late answer is certain, that of an old
-// configuration only possible.
+// Admits reports whether a new request of a class may be accepted. Urgent ones
+// always are: a late answer certainly does harm, an outdated configuration only
+// possibly.
 func (f Freshness) Admits(c class.Class) bool { return f != UrgentOnly || c == class.Urgent }
--- a/core/revision/revision.go
+++ b/core/revision/revision.go
@@ -1,6 +1,6 @@
-// Package revision holds the records of a deployment configuration's versions
-// as they stand in the platform's stores: the head, which names what is in
-// force, and the audit trail.
+// Package revision defines the records of a deployment configuration's versions
+// that the platform's stores hold: the head, which names the version in force,
+// and the audit trail.
 package revision
 
 import (
@@ -14,30 +14,30 @@
 	"peridotpier.example/core/config"
 )
 
-// Keys of the table and names of the object store.
+// Row keys of the table and object names of the object store.
 const (
-	HeadKey     = "config/head"      // the one row that says what is in force
-	ArchiveKey  = "config/archived"  // row: number of audit batches moved to the object store
-	docPrefix   = "config/"          // objects: documents by content
+	HeadKey     = "config/head"      // the one row that holds the Head
+	ArchiveKey  = "config/archived"  // row: the number of audit batches moved to the object store
+	docPrefix   = "config/"          // objects: documents, named by their digest
 	AuditPrefix = "config/audit/"    // rows: newest version first
 	archiveName = "audit/%016x.json" // objects: one batch of the audit trail each
 )
 
-// BatchSize is the number of versions in one archived batch of the audit
-// trail: one object of some tens of KB.
+// BatchSize is the number of versions in one archived batch of the audit trail,
+// which makes one object of some tens of KB.
 const BatchSize = 100
 
-// Head says what is in force: one configuration and one preset. It is one
-// row, so that there is no moment with two presets or none.
+// Head names what is in force: one configuration and one preset. Both are in one
+// row, so that at no moment two presets or none are in force.
 type Head struct {
-	Version uint64    `json:"version"` // rises by one with every change of configuration or preset
+	Version uint64    `json:"version"` // increases by one with every change of configuration or preset
 	Digest  string    `json:"digest"`  // of the document
 	Preset  string    `json:"preset"`
 	Author  string    `json:"author"`
-	At      time.Time `json:"at"` // by the clock of the host that took the change; for people only
+	At      time.Time `json:"at"` // by the clock of the host that accepted the change; for display only
 }
 
-// Action is what a change did.
+// Action is the kind of a change.
 type Action string
 
 // The actions.
@@ -50,35 +50,37 @@
 type Entry struct {
 	Head
 	Action      Action   `json:"action"`
-	FromVersion uint64   `json:"from"` // the version that it changed; 0: the first
+	FromVersion uint64   `json:"from"` // the version that was changed; 0: this is the first
 	FromDigest  string   `json:"from_digest,omitempty"`
 	FromPreset  string   `json:"from_preset,omitempty"`
 	Changes     []string `json:"changes"`
 }
 
-// Snapshot is a head with its document, as peers hand it on. Without the
-// document it is enough for a host that has the same one in force already.
+// Snapshot is a head with its document, as peers send it. The document may be left
+// out: a host that already has the same one in force needs the head only.
 type Snapshot struct {
 	Head     Head   `json:"head"`
 	Document []byte `json:"document,omitempty"` // compressed, as in the object store
 }
 
-// Digest names a document by its content.
+// Digest returns the SHA-256 of a document in hexadecimal, which identifies it.
 func Digest(doc []byte) string {
 	sum := sha256.Sum256(doc)
 	return hex.EncodeToString(sum[:])
 }
 
-// DocumentName is the object that holds a document, compressed. The name is
-// of the content, so whatever stands under it already is the same document.
+// DocumentName returns the name of the object that holds a document, compressed.
+// The name depends only on the content, so an object that already exists under it
+// is the same document.
 func DocumentName(digest string) string { return docPrefix + digest + ".json.gz" }
 
-// AuditKey is the row of a version's audit entry.
+// AuditKey returns the row key of a version's audit entry. Newer versions sort
+// first.
 func AuditKey(version uint64) string {
 	return fmt.Sprintf("%s%016x", AuditPrefix, math.MaxUint64-version)
 }
 
-// BatchOf returns the batch of a version's audit entry.
+// BatchOf returns the batch that holds a version's audit entry.
 func BatchOf(version uint64) uint64 { return (version - 1) / BatchSize }
 
 // BatchVersions returns the first and the last version of a batch.
@@ -86,10 +88,11 @@
 	return batch*BatchSize + 1, (batch + 1) * BatchSize
 }
 
-// ArchiveName is the object that holds a batch of the audit trail.
+// ArchiveName returns the name of the object that holds a batch of the audit
+// trail.
 func ArchiveName(batch uint64) string { return fmt.Sprintf(archiveName, batch) }
 
-// Decode reads a record of the store.
+// Decode parses a record of the store.
 func Decode[T any](data []byte) (T, error) {
 	var v T
 	if err := json.Unmarshal(data, &v); err != nil {
@@ -98,9 +101,9 @@
 	return v, nil
 }
 
-// Changes tells what differs between two configurations, item by item and
-// without values: key hashes, for one, do not belong into an audit trail.
-// old is nil for the first configuration.
+// Changes lists what differs between two configurations, item by item and without
+// values: key hashes, for example, must not get into an audit trail. old is nil
+// for the first configuration.
 func Changes(old, next *config.Config) []string {
 	if old == nil {
 		return []string{"first configuration"}
