--- a/core/config/config.go
+++ b/core/config/config.go
@@ -1,11 +1,11 @@
-// Package config is the deployment configuration: teams, models, adapters,
+// Package config defines the deployment configuration: teams, models, adapters,
 // upstreams, services, classes, limits and presets. It is one versioned JSON
-// document, agreed through the table service and the same on every host.
+// document that is stored in the table service and is the same on every host.
 package config
 
 import "peridotpier.example/core/class"
 
-// Config is one whole deployment configuration.
+// Config is a complete deployment configuration.
 type Config struct {
 	Site        string      `json:"site"`
 	DataCentres []string    `json:"data_centres,omitempty"`
@@ -21,7 +21,7 @@
 	Limits      Limits      `json:"limits"`
 }
 
-// Team is one party whose work no other may see.
+// Team is a tenant; other teams must not see its work.
 type Team struct {
 	Name      string     `json:"name"`
 	KeyHashes []string   `json:"key_hashes,omitempty"` // SHA-256 of each accepted key, hex; two while a key is rotated
@@ -31,14 +31,14 @@
 	Limits    TeamLimits `json:"limits"`
 }
 
-// TeamLimits hold over all entry hosts together, within the error that
-// docs/design states.
+// TeamLimits are limits on a team over all entry hosts together, within the error
+// that docs/design states.
 type TeamLimits struct {
 	RequestsPerSecond float64 `json:"requests_per_second"` // 0: no limit
 	Concurrent        int     `json:"concurrent"`          // 0: no limit
 }
 
-// PoolKind tells what a pool's upstreams are.
+// PoolKind says what a pool's upstreams are.
 type PoolKind string
 
 // The kinds of pool.
@@ -53,19 +53,19 @@
 	Kind PoolKind `json:"kind"`
 }
 
-// Model is a base model that engines of its pool can load.
+// Model is a base model that the engines of its pool can load.
 type Model struct {
 	Name               string `json:"name"`
 	Pool               string `json:"pool"`
 	Version            string `json:"version"`
-	MemoryMB           int    `json:"memory_mb"`         // of accelerator memory for one replica
+	MemoryMB           int    `json:"memory_mb"`         // accelerator memory of one replica
 	MinReplicas        int    `json:"min_replicas"`      // ready at all times; 0: loaded on demand
-	MaxOnDemandSeconds int    `json:"max_on_demand_s"`   // for MinReplicas 0: the stated bound to become ready
-	InitialReplicas    int    `json:"initial_replicas"`  // to start with; planner decides later
-	TokensPerSecond    int    `json:"tokens_per_second"` // one stream alone on an engine
+	MaxOnDemandSeconds int    `json:"max_on_demand_s"`   // if MinReplicas is 0: within this time the model must become ready
+	InitialReplicas    int    `json:"initial_replicas"`  // at the start; the planner decides later
+	TokensPerSecond    int    `json:"tokens_per_second"` // of a single stream on an otherwise idle engine
 }
 
-// Adapter is a small set of weights upon a base model.
+// Adapter is a small set of weights that is applied to a base model.
 type Adapter struct {
 	Name     string `json:"name"`
 	Model    string `json:"model"`
@@ -73,13 +73,13 @@
 	MemoryMB int    `json:"memory_mb"`
 }
 
-// Fencing tells what an upstream does with an order's fencing number.
+// Fencing says how an upstream treats the fencing number of an order.
 type Fencing string
 
-// The ways of engines with old fencing numbers.
+// The ways in which engines treat orders with old fencing numbers.
 const (
-	FencingChecked Fencing = "checked" // refuses an order under an old number
-	FencingIgnored Fencing = "ignored" // carries out any order
+	FencingChecked Fencing = "checked" // refuses an order with an old number
+	FencingIgnored Fencing = "ignored" // executes any order
 )
 
 // Upstream is one model engine or one instance of a plain service.
@@ -90,7 +90,7 @@
 	DataCentre   string  `json:"data_centre"`
 	Accelerators int     `json:"accelerators"`
 	MemoryMB     int     `json:"memory_mb"` // accelerator memory for weights
-	MaxBatch     int     `json:"max_batch"` // requests at once
+	MaxBatch     int     `json:"max_batch"` // concurrent requests
 	Fencing      Fencing `json:"fencing"`
 }
 
@@ -98,43 +98,43 @@
 type Service struct {
 	Name   string         `json:"name"`
 	Pool   string         `json:"pool"`
-	Routes []ServiceRoute `json:"routes,omitempty"` // first match counts; no match: repeatable only for GET and HEAD
+	Routes []ServiceRoute `json:"routes,omitempty"` // the first match applies; without a match only GET and HEAD are repeatable
 }
 
-// ServiceRoute declares how calls to a part of a service may be treated.
+// ServiceRoute declares whether calls to a part of a service may be repeated.
 type ServiceRoute struct {
 	Method     string `json:"method"` // "*" for any
 	Prefix     string `json:"prefix"` // of the path below the service
 	Repeatable bool   `json:"repeatable"`
 }
 
-// ClassRule states what a class promises.
+// ClassRule states the targets and limits of a request class.
 type ClassRule struct {
 	Class        class.Class `json:"class"`
 	FirstTokenMs int         `json:"first_token_ms"` // target for the first byte of the answer
-	DeadlineMs   int         `json:"deadline_ms"`    // default deadline for the whole answer
-	MaxQueue     int         `json:"queue_max"`      // waiting requests of this class on one host
+	DeadlineMs   int         `json:"deadline_ms"`    // default deadline for the complete answer
+	MaxQueue     int         `json:"queue_max"`      // queued requests of this class on one host
 }
 
-// Preset is one way of running the site; exactly one is in force.
+// Preset is one mode of operating the site; exactly one is in force.
 type Preset struct {
 	Name            string  `json:"name"`
-	UrgentHeadroom  float64 `json:"urgent_headroom"`  // share of dispatch slots only urgent requests may use, 0 to 0.9
+	UrgentHeadroom  float64 `json:"urgent_headroom"`  // share of dispatch slots reserved for urgent requests, 0 to 0.9
 	MovesPerMinute  float64 `json:"moves_per_minute"` // over all planners
-	SpreadThreshold float64 `json:"spread_threshold"` // utilisation above which another replica earns its load
-	BulkShare       float64 `json:"bulk_share"`       // most of the slots that bulk may use, 0 to 1
+	SpreadThreshold float64 `json:"spread_threshold"` // utilisation above which another replica is worth loading
+	BulkShare       float64 `json:"bulk_share"`       // largest share of the slots that bulk requests may use, 0 to 1
 	AcceptBulk      bool    `json:"accept_bulk"`
 }
 
-// WeightStore states what the platform's weight store allows.
+// WeightStore states the limits of the platform's weight store.
 type WeightStore struct {
 	LoadsPerSecond float64 `json:"loads_per_second"`
-	Concurrent     int     `json:"concurrent"` // at full speed
+	Concurrent     int     `json:"concurrent"` // concurrent loads at full speed
 	MBPerSecond    int     `json:"mb_per_second"`
 }
 
-// MaxAnswerBytes bounds Limits.AnswerBytes. A host holds such an answer in
-// memory while it passes it on.
+// MaxAnswerBytes bounds Limits.AnswerBytes. A host holds such an answer in memory
+// while it forwards it.
 const MaxAnswerBytes = 8 << 20
 
 // Limits bound what one request or host may use.
--- a/core/config/fault.go
+++ b/core/config/fault.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// Fault is one thing wrong with a configuration.
+// Fault is one error in a configuration or settings document.
 type Fault struct {
-	Path    string `json:"path"` // JSON path, as in models[3].pool; "$" for the whole document
+	Path    string `json:"path"` // JSON path such as models[3].pool; "$" for the whole document
 	Problem string `json:"problem"`
 }
 
-// String writes path and problem on one line.
+// String returns path and problem on one line.
 func (f Fault) String() string { return f.Path + ": " + f.Problem }
 
 // rootPath is the path of the whole document.
 const rootPath = "$"
 
-// collector gathers faults, so that an operator sees all of them at once.
+// collector collects faults, so that an operator sees all of them at once.
 type collector struct{ faults []Fault }
 
 func (c *collector) add(path, format string, args ...any) {
@@ -28,13 +28,14 @@
 	}
 }
 
-// checkShare checks that x lies between 0 and most; it is written so that NaN fails.
+// checkShare checks that x is from 0 to limit; the condition is written so that NaN
+// fails.
 func (c *collector) checkShare(x, limit float64, path string) {
 	c.check(x >= 0 && x <= limit, path, "is %g, must be from 0 to %g", x, limit)
 }
 
-// maxQuantity bounds every quantity, so that sums of them cannot overflow and
-// turn a model that never fits into one that seems to.
+// maxQuantity bounds every quantity, so that sums cannot overflow; an overflow
+// could make a model that never fits seem to fit.
 const maxQuantity = 1_000_000_000_000
 
 func (c *collector) checkPositive(x int, path string) {
@@ -45,10 +46,11 @@
 	c.check(x >= 0, path, "is %d, must not be negative", x)
 }
 
-// firstUses tells names that stand twice in one namespace.
+// firstUses maps each name of one namespace to the path of its first use, to find
+// names used twice.
 type firstUses map[string]string
 
-// checkName checks that a name is set and new.
+// checkName checks that a name is not empty and not used before.
 func (c *collector) checkName(seen firstUses, name, path string) {
 	if name == "" {
 		c.add(path, "is empty")
@@ -61,6 +63,7 @@
 	seen[name] = path
 }
 
+// itemPath returns the path of a list's item, or of one of the item's fields.
 func itemPath(list string, i int, field string) string {
 	if field == "" {
 		return fmt.Sprintf("%s[%d]", list, i)
--- a/core/config/feasible.go
+++ b/core/config/feasible.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// checkFeasible refuses what could not be served: a model that no upstream can
-// hold, replicas that do not fit beside each other, an on-demand model that
-// never finds room or cannot be loaded within its stated bound. Accepted, any
-// of these would show only as a model that never answers.
+// checkFeasible refuses what could not be served: a model that fits on no
+// upstream, replicas that do not fit together, or an on-demand model that never
+// finds free memory or takes longer to load than its stated bound. If accepted,
+// any of these would show only as a model that never answers.
 func (v *validator) checkFeasible() {
 	for i, p := range v.cfg.Pools {
 		if p.Kind != KindEngine {
@@ -22,6 +22,7 @@
 	}
 }
 
+// checkModelSizes checks each model of a pool by itself.
 func (v *validator) checkModelSizes(pool string) {
 	largest, count := 0, 0
 	for _, u := range v.cfg.Upstreams {
@@ -54,6 +55,7 @@
 		m.MaxOnDemandSeconds, seconds, m.MemoryMB, w.MBPerSecond, w.LoadsPerSecond)
 }
 
+// checkPacking checks the models of a pool together.
 func (v *validator) checkPacking(pool, path string) {
 	p := Pack(v.cfg, pool)
 	if len(p.Unplaced) > 0 {
@@ -71,13 +73,13 @@
 	}
 }
 
-// MemoryNeed is the accelerator memory of a model's replicas in MB.
+// MemoryNeed is the accelerator memory that a model's replicas need, in MB.
 type MemoryNeed struct {
-	FirstReplica  int // the base and all its adapters, so that every adapter can answer without a load
-	OtherReplicas int // the base and its largest adapter
+	FirstReplica  int // the base model and all its adapters, so that every adapter can answer without a load
+	OtherReplicas int // the base model and its largest adapter
 }
 
-// Footprint returns what replicas of a model need.
+// Footprint returns the memory that replicas of a model need.
 func Footprint(c *Config, model string) MemoryNeed {
 	var base, sum, largest int
 	for _, m := range c.Models {
@@ -117,11 +119,12 @@
 	return largest
 }
 
-// Pack places a pool's models at their min_replicas, largest first, each
-// replica of a model on another upstream. It tries the fullest upstream that
-// has room first, which leaves the largest gaps, then the emptiest first. It
-// is a heuristic: a pool filled to the last percent may be refused though
-// some packing exists, and a planner would not find that one either.
+// Pack places a pool's models at their min_replicas, largest first, each replica
+// of a model on another upstream. It tries the fullest upstream that has room
+// first (best-fit decreasing bin packing), which leaves the largest gaps; if
+// replicas remain unplaced, it tries the emptiest first (worst-fit). It is a
+// heuristic: a pool filled to the last percent may be refused although some
+// packing exists, and a planner would not find that one either.
 func Pack(c *Config, pool string) Packing {
 	want := requiredReplicas(c, pool)
 	p := pack(c, pool, want, func(free, best int) bool { return free < best })
@@ -133,6 +136,8 @@
 	return p
 }
 
+// requiredReplicas returns the replicas that a pool's models must have, largest
+// first.
 func requiredReplicas(c *Config, pool string) []Placement {
 	var want []Placement
 	for _, m := range c.Models {
--- a/core/config/index.go
+++ b/core/config/index.go
@@ -11,16 +11,17 @@
 // Wildcard in a team's list allows every model or service.
 const Wildcard = "*"
 
-// Target is what a caller's model name stands for.
+// Target is what the model name of a request refers to.
 type Target struct {
 	Model   string
 	Adapter string // "" for the base model
 	Pool    string
-	// TokensPerSecond is the speed of the model alone on an engine; 0: not stated.
+	// TokensPerSecond is the speed of a single stream of the model on an otherwise
+	// idle engine; 0: not stated.
 	TokensPerSecond int
 }
 
-// Index answers look-ups in a Config without scanning it. It is immutable.
+// Index looks up the parts of a Config without scanning it. It is immutable.
 type Index struct {
 	*Config
 	targets   map[string]Target
@@ -29,7 +30,7 @@
 	upstreams map[string]*Upstream
 	presets   map[string]*Preset
 	allowed   map[string]map[string]bool // team -> model, adapter or "service/"+name
-	rules     [class.Count]ClassRule
+	rules     [class.Count]ClassRule     // by class
 }
 
 const servicePrefix = "service/"
@@ -65,7 +66,7 @@
 
 func (x *Index) addTeam(t *Team) {
 	for _, text := range t.KeyHashes {
-		if h, err := apikey.Parse(text); err == nil { // else Validate refuses the configuration
+		if h, err := apikey.Parse(text); err == nil { // Validate refuses a configuration with invalid hashes
 			x.teams[h] = t
 		}
 	}
@@ -79,12 +80,12 @@
 	x.allowed[t.Name] = set
 }
 
-// TeamByKey finds the team that a key belongs to.
+// TeamByKey returns the team that a key belongs to.
 func (x *Index) TeamByKey(key apikey.Hash) (*Team, bool) { t, ok := x.teams[key]; return t, ok }
 
-// Target resolves a model or adapter name for a team. A model that the team
-// may not call is not found, just like one that does not exist: the answer
-// must not tell a team what others have.
+// Target resolves a model or adapter name for a team. A model that the team may
+// not call is not found, just like one that does not exist, since the answer must
+// not reveal to a team what others have.
 func (x *Index) Target(team, name string) (Target, bool) {
 	t, ok := x.targets[name]
 	set := x.allowed[team]
@@ -98,16 +99,16 @@
 	return s, ok && (set[servicePrefix+name] || set[servicePrefix+Wildcard])
 }
 
-// Upstream finds an upstream by name.
+// Upstream returns the upstream with the given name.
 func (x *Index) Upstream(name string) (*Upstream, bool) { u, ok := x.upstreams[name]; return u, ok }
 
-// Preset finds a preset by name.
+// Preset returns the preset with the given name.
 func (x *Index) Preset(name string) (*Preset, bool) { p, ok := x.presets[name]; return p, ok }
 
-// Rule returns what a class promises.
+// Rule returns the rule of a class.
 func (x *Index) Rule(c class.Class) ClassRule { return x.rules[c] }
 
-// Repeatable says whether a call to a service may be run more than once.
+// Repeatable reports whether a call to the service may be executed more than once.
 func (s *Service) Repeatable(method, path string) bool {
 	for _, r := range s.Routes {
 		if (r.Method == Wildcard || r.Method == method) && strings.HasPrefix(path, r.Prefix) {
--- a/core/config/parse.go
+++ b/core/config/parse.go
@@ -12,19 +12,19 @@
 	"strings"
 )
 
-// Bounds of a document.
+// Limits on a document.
 const (
-	// MaxBytes is the largest document; the design size (2,500 upstreams, 720
-	// models) takes about 1 MB.
+	// MaxBytes is the size of the largest document; one of the design size (2,500
+	// upstreams, 720 models) takes about 1 MB.
 	MaxBytes = 8 << 20
-	// maxDepth is the deepest nesting; a valid document has 5 levels. Without
-	// it, a document of opening brackets alone would exhaust the stack.
+	// maxDepth is the deepest nesting; a valid document has 5 levels. Without this
+	// limit, a document of opening brackets alone would exhaust the stack.
 	maxDepth = 16
 )
 
-// Parse reads a configuration strictly and validates it. It returns either a
-// valid configuration or every fault found: unknown, repeated and mistyped
-// fields first, and only when there are none, what Validate finds.
+// Parse decodes a configuration strictly and validates it. It returns either a
+// valid configuration or every fault found: unknown, repeated and mistyped fields
+// first and, only if there are none, the faults that Validate finds.
 func Parse(data []byte) (*Config, []Fault) {
 	c := new(Config)
 	if faults := ParseStrict(data, c); len(faults) > 0 {
@@ -37,8 +37,8 @@
 }
 
 // ParseStrict decodes one JSON document into out, a pointer to a struct, and
-// returns every unknown, repeated or mistyped field with its path. Settings
-// are read by it as well.
+// returns a fault with its path for every unknown, repeated or mistyped field.
+// Hosts' settings are decoded by it as well.
 func ParseStrict(data []byte, out any) []Fault {
 	if len(data) > MaxBytes {
 		return []Fault{{rootPath, fmt.Sprintf("is %d bytes long, at most %d are read", len(data), MaxBytes)}}
@@ -63,16 +63,16 @@
 	return s.faults
 }
 
-// strictReader walks a document beside the type that it is decoded into. The
-// decoder of the library would name an unknown field without its path, take
-// "Name" for "name", and keep the last of two equal keys without a word.
+// strictReader walks a document together with the type that it is decoded into.
+// The decoder of encoding/json would report an unknown field without its path,
+// accept "Name" for "name", and silently keep the last of two equal keys.
 type strictReader struct {
 	collector
 	dec    *json.Decoder
-	fields map[reflect.Type]map[string]reflect.Type // of the types met, by name
+	fields map[reflect.Type]map[string]reflect.Type // JSON fields of the types met so far, by name
 }
 
-// value reads one value that should be a t; nil takes anything.
+// value reads one value that should be of type t; a nil t accepts anything.
 func (s *strictReader) value(t reflect.Type, path string, depth int) error {
 	if depth > maxDepth {
 		return fmt.Errorf("nested deeper than %d", maxDepth)
@@ -82,7 +82,7 @@
 		return err
 	}
 	if t != nil && t.Kind() == reflect.Pointer {
-		if tok == nil { // null: left out, as the library writes it
+		if tok == nil { // null: a pointer field that was left out, as encoding/json writes it
 			return nil
 		}
 		t = t.Elem()
@@ -99,7 +99,8 @@
 	return nil
 }
 
-// expectKind returns t when it has the kind, and nil after a fault.
+// expectKind returns t if it has the kind; otherwise it adds a fault and returns
+// nil.
 func (s *strictReader) expectKind(t reflect.Type, kind reflect.Kind, found, path string) reflect.Type {
 	if t == nil || t.Kind() == kind {
 		return t
@@ -163,7 +164,7 @@
 	case bool:
 		s.check(t.Kind() == reflect.Bool, path, "is %t, must be %s", v, describe(t))
 	default:
-		// The library writes an empty list as null, so null is one on reading too.
+		// encoding/json writes an empty list as null, so null is read as one too.
 		s.check(t.Kind() == reflect.Slice, path, "is null, must be %s", describe(t))
 	}
 }
@@ -183,6 +184,7 @@
 	s.check(err == nil, path, "is %.40s, must be %s", v, describe(t))
 }
 
+// decodesFromText reports whether a value of type t is written as a string.
 func decodesFromText(t reflect.Type) bool {
 	return reflect.PointerTo(t).Implements(reflect.TypeFor[encoding.TextUnmarshaler]())
 }
@@ -207,6 +209,7 @@
 	}
 }
 
+// jsonFields returns the types of a struct's fields by their JSON names.
 func (s *strictReader) jsonFields(t reflect.Type) map[string]reflect.Type {
 	if t == nil || s.fields[t] != nil {
 		return s.fields[t]
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -8,15 +8,15 @@
 	"peridotpier.example/core/class"
 )
 
-// Bounds of values.
+// Limits on values.
 const (
 	maxTeamWeight     = 1000
-	maxKeysPerTeam    = 2   // of a team: two while a key is rotated
-	maxUrgentHeadroom = 0.9 // of urgent requests: more would starve all others
+	maxKeysPerTeam    = 2   // two while a key is rotated
+	maxUrgentHeadroom = 0.9 // a larger share would starve all other requests
 )
 
-// Validate returns every fault of a configuration, in the order of its
-// fields. A configuration without faults can be served: every model fits.
+// Validate returns every fault of a configuration, in the order of its fields. A
+// configuration without faults can be served: every model fits.
 func Validate(c *Config) []Fault {
 	v := validator{cfg: c, pools: map[string]PoolKind{}, centres: map[string]bool{},
 		targets: firstUses{}, services: firstUses{}}
@@ -43,7 +43,7 @@
 	cfg      *Config
 	pools    map[string]PoolKind
 	centres  map[string]bool
-	targets  firstUses // models and adapters share one namespace: callers name either
+	targets  firstUses // models and adapters share one namespace, since callers may name either
 	services firstUses
 }
 
@@ -66,7 +66,7 @@
 	}
 }
 
-// checkPool checks that a pool exists and is of a kind.
+// checkPool checks that a pool exists and is of the given kind.
 func (v *validator) checkPool(name string, kind PoolKind, path string) {
 	got, ok := v.pools[name]
 	if !ok {
@@ -129,8 +129,8 @@
 	}
 }
 
-// checkAddress checks for an IP number with port: a name would need DNS, and the
-// wildcard address or port 0 cannot be called.
+// checkAddress checks that an address is an IP address with a port: a host name
+// would need DNS, and the unspecified address or port 0 cannot be called.
 func (v *validator) checkAddress(seen firstUses, address, path string) {
 	ap, err := netip.ParseAddrPort(address)
 	if err != nil || ap.Port() == 0 || ap.Addr().IsUnspecified() {
@@ -175,8 +175,9 @@
 	}
 }
 
-// checkKeyHash checks one hash. Two teams with one key would see each other's
-// work. The hash itself stays out of the message: it goes to logs.
+// checkKeyHash checks one key hash. Two teams with the same key would see each
+// other's work. The hash itself stays out of the message, since messages get into
+// logs.
 func (v *validator) checkKeyHash(seen firstUses, hash, path string) {
 	h, err := apikey.Parse(hash)
 	if err != nil {
@@ -191,6 +192,7 @@
 	seen[hash] = path
 }
 
+// checkKnown checks that each name is in all or is the wildcard, and occurs once.
 func (v *validator) checkKnown(all firstUses, names []string, path, kind string) {
 	seen := firstUses{}
 	for i, n := range names {
--- a/core/config/validate_test.go
+++ b/core/config/validate_test.go
@@ -119,9 +119,9 @@
 	}
 }
 
-// Symptom: a process dies on a hostile document. Sequence: millions of
-// opening brackets, or two documents in one. Cause: recursion without bound;
-// a decoder that stops at the first end.
+// Guards against a process that crashes on a hostile document: unbounded recursion
+// on millions of opening brackets, or a decoder that accepts two documents in one
+// because it stops at the end of the first.
 func TestHostileDocuments(t *testing.T) {
 	for _, doc := range []string{"", "{", strings.Repeat("[", 1<<20), strings.Repeat(`{"a":`, 1<<16), "{} {}", `{"site":"a","site":"b"}`} {
 		c, faults := config.Parse([]byte(doc))
