--- a/core/token/token.go
+++ b/core/token/token.go
@@ -1,6 +1,6 @@
-// Package token makes and checks resume tokens: what a caller shows to any
-// entry host to take up its broken stream again. A token is signed, so that
-// nobody can make one, and names its team, so that no other team can use it.
+// Package token signs and verifies resume tokens, with which a caller resumes an
+// interrupted stream through any entry host. A token is signed, so that it cannot
+// be forged, and names its team, so that no other team can use it.
 package token
 
 import (
@@ -21,13 +21,13 @@
 	ErrExpired   = errors.New("resume token expired")
 )
 
-// Bounds.
+// Size limits.
 const (
-	maxEncoded = 2048 // bytes; a header's fair share, and nothing larger is parsed
-	minSecret  = 32   // bytes; as long as the hash
+	maxEncoded = 2048 // bytes; leaves room for a request's other headers, and nothing larger is parsed
+	minSecret  = 32   // bytes; the length of the hash
 )
 
-// Token says which stream may be resumed and where it runs.
+// Token names the stream that may be resumed and where it runs.
 type Token struct {
 	Team        string `json:"t"`
 	Request     string `json:"r"`
@@ -40,35 +40,35 @@
 
 // Key is one signing key.
 type Key struct {
-	ID     string // without a dot
+	ID     string // must not contain a dot
 	Secret []byte
 }
 
-// Keys signs with the first key and accepts all: while keys rotate, hosts
-// that have the new key and hosts that have not must accept each other's
-// tokens. Add the new key last everywhere, then move it first, then drop the
-// old one after the longest life of a token.
+// Keys signs with its first key and accepts all of its keys: during a rotation,
+// hosts with and without the new key must accept each other's tokens. Add the new
+// key last on every host, then move it to the front, and remove the old key after
+// the longest lifetime of a token.
 type Keys struct{ keys []Key }
 
-// NewKeys checks the keys.
+// NewKeys checks the keys and returns them as Keys.
 func NewKeys(keys ...Key) (*Keys, error) {
 	if len(keys) == 0 {
-		return nil, errors.New("no key for resume tokens")
+		return nil, errors.New("no resume token key")
 	}
 	seen := map[string]bool{}
 	for _, k := range keys {
 		switch {
 		case k.ID == "" || strings.Contains(k.ID, ".") || seen[k.ID]:
-			return nil, errors.New("id of a key for resume tokens is empty, has a dot or stands twice: " + k.ID)
+			return nil, errors.New("id of a resume token key is empty, contains a dot or is used twice: " + k.ID)
 		case len(k.Secret) < minSecret:
-			return nil, errors.New("key for resume tokens is shorter than 32 bytes: " + k.ID)
+			return nil, errors.New("resume token key is shorter than 32 bytes: " + k.ID)
 		}
 		seen[k.ID] = true
 	}
 	return &Keys{keys: append([]Key(nil), keys...)}, nil
 }
 
-// Encode signs t: "<key id>.<payload>.<signature>".
+// Encode returns t signed, as "<key id>.<payload>.<signature>".
 func (k *Keys) Encode(t Token) (string, error) {
 	payload, err := json.Marshal(t)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return out, nil
 }
 
-// Decode checks a token that a caller of the given team showed.
+// Decode verifies a token that a caller of the given team presented.
 func (k *Keys) Decode(s, team string, now time.Time) (Token, error) {
 	payload, err := k.verify(s)
 	if err != nil {
@@ -101,11 +101,11 @@
 	return t, nil
 }
 
-// verify returns the payload of a rightly signed token. Nothing of the payload
-// is parsed before the signature holds.
+// verify returns the payload of a token with a valid signature. It parses nothing
+// of the payload before the signature is verified.
 func (k *Keys) verify(s string) ([]byte, error) {
 	cut := strings.LastIndexByte(s, '.')
-	// base64 skips line breaks, so that one token would have many spellings.
+	// base64 decoding ignores line breaks, so one token would have many spellings.
 	if len(s) > maxEncoded || cut < 0 || strings.ContainsAny(s, "\r\n") {
 		return nil, ErrMalformed
 	}
--- a/core/token/token_test.go
+++ b/core/token/token_test.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// FuzzDecode: only the one token that was made decodes, and nothing panics.
+// FuzzDecode checks that nothing but the issued token decodes, and that nothing
+// panics.
 func FuzzDecode(f *testing.F) {
 	k := keys(f, k1, k2)
 	s, err := k.Encode(mine)
