--- a/core/apikey/apikey.go
+++ b/core/apikey/apikey.go
@@ -1,5 +1,5 @@
-// Package apikey holds callers' keys as hashes, so that no host, relay, log or
-// dump keeps the key itself.
+// Package apikey holds callers' API keys as hashes, so that no host, relay, log or
+// dump contains a key itself.
 package apikey
 
 import (
@@ -9,17 +9,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// Hash is the SHA-256 of a key. The zero value is of no key.
+// Hash is the SHA-256 of a key. The zero value means that there is no key.
 type Hash [sha256.Size]byte
 
-// HexLen is the length of a hash in hexadecimal, in characters.
+// HexLen is the number of characters of a hash in hexadecimal.
 const HexLen = 2 * sha256.Size
 
-// ErrInvalidHash says that a text is not a hash in hexadecimal. The text is left
-// out: it may be a key.
+// ErrInvalidHash is returned for a text that is not a hash in hexadecimal. It
+// leaves the text out, which may be a key.
 var ErrInvalidHash = eris.New("is not the SHA-256 of a key in hexadecimal")
 
-// HashOf hashes a key; that of an empty one is the zero value.
+// HashOf returns the hash of a key; that of an empty key is the zero value.
 func HashOf(key string) Hash {
 	if key == "" {
 		return Hash{}
@@ -27,7 +27,7 @@
 	return sha256.Sum256([]byte(key))
 }
 
-// Parse reads a hash in hexadecimal of either case.
+// Parse decodes a hash from hexadecimal in either case.
 func Parse(text string) (Hash, error) {
 	var h Hash
 	if len(text) != HexLen {
@@ -39,10 +39,10 @@
 	return h, nil
 }
 
-// IsZero says whether there is no key.
+// IsZero reports whether there is no key.
 func (h Hash) IsZero() bool { return h == Hash{} }
 
-// String is the hash in lower-case hexadecimal.
+// String returns the hash in lower-case hexadecimal.
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
--- a/core/apikey/apikey_test.go
+++ b/core/apikey/apikey_test.go
@@ -21,7 +21,7 @@
 	assert.Assert(t, !HashOf("x").IsZero())
 }
 
-// Failure: a key stands in the log.
+// Guards against a key in the log.
 func TestAnErrorDoesNotRepeatTheText(t *testing.T) {
 	for _, text := range []string{"", "my-secret-key", strings.Repeat("z", HexLen)} {
 		_, err := Parse(text)
