--- /dev/null
+++ b/node/quarantine/detector.go
@@ -0,0 +1,174 @@
+// Package quarantine is a host's part in finding requests that crash the upstreams
+// that run them, and in barring such requests.
+package quarantine
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"peridotpier.example/core/poison"
+	"peridotpier.example/node/event"
+	"peridotpier.example/node/metrics"
+	"peridotpier.example/node/pace"
+)
+
+const (
+	// checkWorkers bounds the concurrent checks of addresses, and checkTimeout each
+	// attempt to connect: one to an unreachable machine takes all of that time, and a
+	// whole rack of such machines must not delay the checks of others.
+	checkWorkers = 16
+	checkTimeout = 500 * time.Millisecond
+	// maxPendingChecks bounds the upstreams that wait for a check. It is far above
+	// the number that can terminate within a second.
+	maxPendingChecks = 256
+	// recheckAfter is the delay before an address that still listens is checked once
+	// more: a process that terminates closes its connections and its listener one by
+	// one.
+	recheckAfter = 100 * time.Millisecond
+	// keepCheckedFor is how long the result of a check is kept: requests find an
+	// upstream broken one after the other.
+	keepCheckedFor = 5 * time.Second
+	// maxSuspects bounds the requests that one host suspects of one crash: an
+	// engine's batch.
+	maxSuspects = 128
+)
+
+// CrashDetectorDeps are the dependencies of a CrashDetector.
+type CrashDetectorDeps struct {
+	// NotListening reports whether nothing listens at an address.
+	NotListening func(ctx context.Context, address string) bool
+	// OnCrash is called for an upstream that terminated, with the time at which the
+	// first broken exchange was recorded and the requests of this host that were
+	// running there; it is called again for requests that are recorded later.
+	OnCrash func(upstream string, at time.Time, ran []poison.Fingerprint)
+	Log     *event.Log
+	Metrics *metrics.Set
+	Now     func() time.Time
+}
+
+// CrashDetector finds out whether an upstream terminated when exchanges with it
+// broke. A connection can also break on the network, or be closed by an upstream
+// that goes on working.
+type CrashDetector struct {
+	deps   CrashDetectorDeps
+	checks chan string // names of upstreams to check
+
+	mu     sync.Mutex
+	broken map[string]*brokenUpstream // by upstream
+}
+
+// brokenUpstream is an upstream with which exchanges broke.
+type brokenUpstream struct {
+	address    string
+	at         time.Time
+	terminated bool
+	checked    bool // the check has completed
+	suspects   []poison.Fingerprint
+}
+
+// NewCrashDetector returns a CrashDetector; Run performs its checks.
+func NewCrashDetector(d CrashDetectorDeps) *CrashDetector {
+	if d.Now == nil {
+		d.Now = time.Now
+	}
+	if d.Log == nil {
+		d.Log = event.NewLog(nil)
+	}
+	return &CrashDetector{deps: d, checks: make(chan string, maxPendingChecks), broken: map[string]*brokenUpstream{}}
+}
+
+// RecordBroken records a request whose exchange with an upstream broke before its
+// end. It does not block.
+func (w *CrashDetector) RecordBroken(upstream, address string, request poison.Fingerprint) {
+	w.mu.Lock()
+	now := w.deps.Now()
+	w.removeOldLocked(now)
+	e := w.broken[upstream]
+	if e == nil || e.checked && !e.terminated {
+		e = &brokenUpstream{address: address, at: now}
+		select {
+		case w.checks <- upstream:
+			w.broken[upstream] = e
+		default: // too many checks are pending; this exchange is not followed up
+		}
+	}
+	if len(e.suspects) < maxSuspects {
+		e.suspects = append(e.suspects, request)
+	}
+	terminated, at := e.terminated, e.at
+	w.mu.Unlock()
+	if terminated {
+		w.report(upstream, at, []poison.Fingerprint{request})
+	}
+}
+
+// removeOldLocked removes the results of checks that are older than keepCheckedFor.
+func (w *CrashDetector) removeOldLocked(now time.Time) {
+	for id, e := range w.broken {
+		if e.checked && now.Sub(e.at) > keepCheckedFor {
+			delete(w.broken, id)
+		}
+	}
+}
+
+// Run performs checks until ctx ends.
+func (w *CrashDetector) Run(ctx context.Context) error {
+	var workers sync.WaitGroup
+	for range checkWorkers {
+		workers.Go(func() { w.work(ctx) })
+	}
+	workers.Wait()
+	return ctx.Err()
+}
+
+func (w *CrashDetector) work(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case upstream := <-w.checks:
+			w.check(ctx, upstream)
+		}
+	}
+}
+
+// check finds out whether an upstream has terminated.
+func (w *CrashDetector) check(ctx context.Context, upstream string) {
+	w.mu.Lock()
+	e := w.broken[upstream]
+	w.mu.Unlock()
+	terminated := w.notListening(ctx, e.address)
+	if !terminated && pace.Sleep(ctx, recheckAfter) {
+		terminated = w.notListening(ctx, e.address)
+	}
+	w.mu.Lock()
+	e.checked, e.terminated = true, terminated
+	ran, at := slices.Clone(e.suspects), e.at
+	w.mu.Unlock()
+	if terminated {
+		w.deps.Metrics.Count(metrics.UpstreamsTerminated, 1)
+		w.report(upstream, at, ran)
+	}
+}
+
+func (w *CrashDetector) notListening(ctx context.Context, address string) bool {
+	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
+	defer cancel()
+	return w.deps.NotListening(ctx, address)
+}
+
+// report logs a terminated upstream and the requests that ran on it, and passes
+// them to OnCrash.
+func (w *CrashDetector) report(upstream string, at time.Time, ran []poison.Fingerprint) {
+	digests := make([]poison.Digest, len(ran))
+	for i, m := range ran {
+		digests[i] = m.Digest
+	}
+	w.deps.Log.Emit(event.UpstreamEnded, zap.String(event.FieldPeer, upstream), zap.Stringers("under_way", digests),
+		zap.Int64("age_ms", w.deps.Now().Sub(at).Milliseconds()))
+	w.deps.OnCrash(upstream, at, ran)
+}
--- a/node/quarantine/watch_test.go
+++ b/node/quarantine/detector_test.go
@@ -16,8 +16,9 @@
 	"peridotpier.example/node/metrics"
 )
 
-// watched is a running Watch whose addresses answer as refuses says.
-func watched(t *testing.T, refuses func(address string) bool) (*CrashDetector, *observer.ObservedLogs) {
+// newDetector returns a running CrashDetector for which notListening tells which
+// addresses do not listen.
+func newDetector(t *testing.T, refuses func(address string) bool) (*CrashDetector, *observer.ObservedLogs) {
 	core, lines := observer.New(zap.DebugLevel)
 	w := NewCrashDetector(CrashDetectorDeps{NotListening: func(_ context.Context, a string) bool { return refuses(a) }, Log: event.NewLog(zap.New(core)),
 		Metrics: metrics.New(), OnCrash: func(string, time.Time, []poison.Fingerprint) {}})
@@ -28,11 +29,13 @@
 	return w, lines
 }
 
-func content(text string) poison.Fingerprint { return (&poison.Content{Target: text}).Fingerprint() }
+func fingerprintOf(text string) poison.Fingerprint {
+	return (&poison.Content{Target: text}).Fingerprint()
+}
 
-func TestAnUpstreamThatRefusesHasEnded(t *testing.T) {
-	w, lines := watched(t, func(a string) bool { return a == "dead" })
-	w.RecordBroken("u", "dead", content("a"))
+func TestAnUpstreamThatDoesNotListenHasTerminated(t *testing.T) {
+	w, lines := newDetector(t, func(a string) bool { return a == "dead" })
+	w.RecordBroken("u", "dead", fingerprintOf("a"))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if lines.FilterMessage(event.UpstreamEnded.Name).Len() == 0 {
 			return poll.Continue("no line")
@@ -41,18 +44,19 @@
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(5*time.Second))
 	fields := lines.All()[0].ContextMap()
 	assert.Equal(t, fields["peer"], "u")
-	assert.DeepEqual(t, fields["under_way"], []any{content("a").Digest.String()})
+	assert.DeepEqual(t, fields["under_way"], []any{fingerprintOf("a").Digest.String()})
 }
 
-// Guards against blame for a connection that broke on the way, or an answer that was lost.
-func TestAnUpstreamThatListensHasNotEnded(t *testing.T) {
+// Guards against suspecting a request because a connection broke on the network or
+// an answer was lost.
+func TestAnUpstreamThatListensHasNotTerminated(t *testing.T) {
 	var asked atomic.Int32
-	w, lines := watched(t, func(string) bool { asked.Add(1); return false })
-	w.RecordBroken("u", "alive", content("a"))
+	w, lines := newDetector(t, func(string) bool { asked.Add(1); return false })
+	w.RecordBroken("u", "alive", fingerprintOf("a"))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if !w.broken["u"].asked {
+		if !w.broken["u"].checked {
 			return poll.Continue("not answered")
 		}
 		return poll.Success()
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -210,8 +210,8 @@
   'explained(c, e) && len(e.crashes) < l.policy.Crashes' 'false' ./core/poison
 try "the loss of a rack names nobody" core/poison/judge.go \
   'return all >= l.policy.MassCrashes && 2*ran < all' 'return false' ./core/poison
-try "a broken way is no crash" node/quarantine/watch.go \
-  '	if ended {
+try "a broken way is no crash" node/quarantine/detector.go \
+  '	if terminated {
 		w.deps.Metrics' '	if true {
 		w.deps.Metrics' ./node/quarantine
 try "hosts are told what is barred" node/coordinator/quarantine.go \
