--- a/node/inflight/inflight.go
+++ b/node/inflight/inflight.go
@@ -1,5 +1,5 @@
-// Package inflight knows the requests that this host is serving and those it
-// served last: for draining, for cancelling, and for showing to operators and
+// Package inflight registers the requests that this host is serving and those it
+// served last: for draining, for cancellation, and to show them to operators and
 // to the team they belong to.
 package inflight
 
@@ -18,45 +18,47 @@
 	"peridotpier.example/core/class"
 )
 
-// ErrHandedOver is the cause of the end of a stream that outlived a graceful
-// shutdown's bound: its caller takes it up again through another host.
+// ErrHandedOver is the cause with which a stream ends that outlives the bound of a
+// graceful shutdown: its caller resumes it through another host.
 var ErrHandedOver = errors.New("host is shutting down")
 
 const (
-	shards = 16
-	// endedMost bounds the ended requests remembered in one shard.
-	endedMost = 64
+	numShards = 16
+	// maxEndedPerShard bounds the ended requests remembered in one shard.
+	maxEndedPerShard = 64
 )
 
-// Request is what is told of a request.
+// Request is what is shown of a request.
 type Request struct {
 	ID       string      `json:"id"`
 	Team     string      `json:"team"`
 	Target   string      `json:"target"` // model, adapter or service
 	Class    class.Class `json:"class"`
 	Started  time.Time   `json:"started"`
-	State    string      `json:"state"` // "running" or the outcome
+	State    string      `json:"state"` // StateRunning, or the outcome
 	Upstream string      `json:"upstream,omitempty"`
 	Attempt  string      `json:"attempt,omitempty"`
 	Code     string      `json:"code,omitempty"`
 }
 
-// AllTeams, in place of a team, stands for all; no team has an empty name.
+// AllTeams, in place of a team, means all teams; no team has an empty name.
 const AllTeams = ""
 
 // StateRunning is the state of a request that has not ended.
 const StateRunning = "running"
 
-// Ids are "r-<host>-<uuid>", so that any host knows where to ask for one.
+// Ids have the form "r-<host>-<uuid>", so that any host knows which host to ask
+// for a request.
 const (
 	idPrefix = "r-"
 	uuidLen  = 36
 )
 
-// NewID makes the id of a new request on a host.
+// NewID returns a new request id for a host.
 func NewID(host string) string { return idPrefix + host + "-" + uuid.NewString() }
 
-// HostOf returns the host that serves a request; "" when id is not one.
+// HostOf returns the host that serves the request with the given id; "" if id is
+// not a request id.
 func HostOf(id string) string {
 	rest, ok := strings.CutPrefix(id, idPrefix)
 	if !ok || len(rest) <= uuidLen {
@@ -65,10 +67,10 @@
 	return rest[:len(rest)-uuidLen-1]
 }
 
-// Registry holds requests in shards, each under its own lock.
+// Registry holds requests in shards, each with its own lock.
 type Registry struct {
-	parts [shards]shard
-	count atomic.Int64
+	shards [numShards]shard
+	count  atomic.Int64
 }
 
 type shard struct {
@@ -86,19 +88,19 @@
 	cancel context.CancelCauseFunc
 }
 
-// New makes an empty registry.
+// New returns an empty registry.
 func New() *Registry {
 	r := &Registry{}
-	for i := range r.parts {
-		r.parts[i].live = map[string]*Entry{}
+	for i := range r.shards {
+		r.shards[i].live = map[string]*Entry{}
 	}
 	return r
 }
 
-func (r *Registry) shard(id string) *shard { return &r.parts[xxhash.Sum64String(id)%shards] }
+func (r *Registry) shard(id string) *shard { return &r.shards[xxhash.Sum64String(id)%numShards] }
 
-// Begin registers a request; the returned context ends when it is cancelled
-// by name or handed over. End must follow.
+// Begin registers a request. The returned context ends when the request is
+// cancelled by its id or handed over. End must follow.
 func (r *Registry) Begin(ctx context.Context, q Request) (context.Context, *Entry) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	q.State = StateRunning
@@ -111,14 +113,14 @@
 	return ctx, e
 }
 
-// RecordDispatch notes where the request's answer comes from.
+// RecordDispatch records which attempt, at which upstream, answers the request.
 func (e *Entry) RecordDispatch(upstream, attempt string) {
 	e.mu.Lock()
 	e.req.Upstream, e.req.Attempt = upstream, attempt
 	e.mu.Unlock()
 }
 
-// End moves the request to those that ended.
+// End moves the request to the ended ones.
 func (e *Entry) End(state, code string) {
 	e.mu.Lock()
 	e.req.State, e.req.Code = state, code
@@ -128,11 +130,11 @@
 	s := e.reg.shard(q.ID)
 	s.mu.Lock()
 	delete(s.live, q.ID)
-	if len(s.ended) < endedMost {
+	if len(s.ended) < maxEndedPerShard {
 		s.ended = append(s.ended, q)
 	} else {
 		s.ended[s.next] = q
-		s.next = (s.next + 1) % endedMost
+		s.next = (s.next + 1) % maxEndedPerShard
 	}
 	s.mu.Unlock()
 	e.reg.count.Add(-1)
@@ -141,8 +143,8 @@
 // LiveCount returns the number of requests being served.
 func (r *Registry) LiveCount() int { return int(r.count.Load()) }
 
-// Get finds a live or lately ended request. A team sees its own only; an
-// empty team, which no caller has, sees all.
+// Get returns a live or recently ended request. A team sees only its own; AllTeams
+// sees all.
 func (r *Registry) Get(id, team string) (Request, bool) {
 	s := r.shard(id)
 	s.mu.Lock()
@@ -165,11 +167,11 @@
 	return e.req
 }
 
-// List returns up to limit live requests of a team, or of all, oldest first.
+// List returns up to limit live requests of a team, or of AllTeams, oldest first.
 func (r *Registry) List(team string, limit int) []Request {
 	var out []Request
-	for i := range r.parts {
-		s := &r.parts[i]
+	for i := range r.shards {
+		s := &r.shards[i]
 		s.mu.Lock()
 		for _, e := range s.live {
 			if q := e.snapshot(); team == "" || q.Team == team {
@@ -182,7 +184,8 @@
 	return out[:min(limit, len(out))]
 }
 
-// Cancel ends a live request of a team with the given cause; false when there is none.
+// Cancel ends a live request of a team, or of any with AllTeams, with the given
+// cause. It reports whether there was one.
 func (r *Registry) Cancel(id, team string, cause error) bool {
 	s := r.shard(id)
 	s.mu.Lock()
@@ -195,11 +198,11 @@
 	return true
 }
 
-// HandOver ends every live request with ErrHandOver.
+// HandOver ends every live request with ErrHandedOver and returns their number.
 func (r *Registry) HandOver() int {
 	n := 0
-	for i := range r.parts {
-		s := &r.parts[i]
+	for i := range r.shards {
+		s := &r.shards[i]
 		s.mu.Lock()
 		for _, e := range s.live {
 			e.cancel(ErrHandedOver)
