--- a/core/member/upstream.go
+++ b/core/member/upstream.go
@@ -132,9 +132,9 @@
 	for _, r := range u.Residents {
 		_, _ = d.WriteString("\x00" + r)
 	}
-	leaving := uint64(0)
+	draining := uint64(0)
 	if u.Draining {
-		leaving = 1
+		draining = 1
 	}
-	return mix(d.Sum64(), leaving)
+	return mix(d.Sum64(), draining)
 }
