--- a/node/callerapi/fuzz_test.go
+++ b/node/callerapi/fuzz_test.go
@@ -42,7 +42,7 @@
 }
 
 func (a *alone) Current() (*query.State, bool)                                 { return &query.State{Index: a.index}, true }
-func (*alone) Standing() revision.Freshness                                    { return revision.Confirmed }
+func (*alone) Freshness() revision.Freshness                                   { return revision.Confirmed }
 func (*alone) Admit(context.Context, AdmitRequest) (release func(), err error) { return func() {}, nil }
 func (*alone) Begin(place.Key)                                                 {}
 func (*alone) End(place.Key, bool)                                             {}
@@ -50,7 +50,7 @@
 
 type noGrant struct{ dispatch.Grant }
 
-func (noGrant) NotRun(context.Context) error { return nil }
+func (noGrant) Release(context.Context) error { return nil }
 
 func (a *alone) Claim(context.Context, nodeclaim.Request) (dispatch.Grant, *nodeclaim.Answer, error) {
 	a.claims++
--- a/node/callerapi/generate.go
+++ b/node/callerapi/generate.go
@@ -60,7 +60,7 @@
 		Body: body, Stream: g.Stream, Deadline: t.deadline, Repeatable: t.key == "", Prefix: a.prefix(c.team.Name, target.Model, &g)}
 	w.MaxTokens = max(g.MaxTokens, g.MaxCompletionTokens)
 	if target.TokensPerSecond > 0 {
-		w.TokenMs = 1000 / float64(target.TokensPerSecond)
+		w.IdleStepMs = 1000 / float64(target.TokensPerSecond)
 	}
 	if t.key != "" {
 		a.claimed(c, w, t.key, body)
@@ -85,7 +85,7 @@
 // claimed marks a request as one that may not be repeated.
 func (a *API) claimed(c *call, w *dispatch.Work, key string, body []byte) {
 	w.Repeatable = false
-	w.KeepBytes = c.state.Index.Limits.AnswerBytes
+	w.MaxRetainedBytes = c.state.Index.Limits.AnswerBytes
 	r := nodeclaim.Request{Team: w.Team, Key: key, BodyHash: hashRequest(w, body), Deadline: w.Deadline}
 	w.Claim = func(ctx context.Context, first claim.Route) (dispatch.Grant, *nodeclaim.Answer, error) {
 		r.Route = first
@@ -132,7 +132,7 @@
 // counted keeps the demand that the planners follow. What was refused for want
 // of a replica or of room counts too: it is what another replica is for.
 func (a *API) counted(ctx context.Context, c *call, w *dispatch.Work, e *inflight.Entry, target string) error {
-	if w.Service {
+	if w.PlainService {
 		return a.admitted(ctx, c, w, e, target)
 	}
 	k := place.Key{Model: w.Key.Model, Adapter: w.Key.Adapter}
@@ -148,7 +148,7 @@
 }
 
 func (a *API) admitted(ctx context.Context, c *call, w *dispatch.Work, e *inflight.Entry, target string) error {
-	if standing := a.deps.Config.Standing(); !standing.Admits(w.Class) {
+	if standing := a.deps.Config.Freshness(); !standing.Admits(w.Class) {
 		return fault.NotRun(fault.StepConfig, "", fault.CodeStoreUnavailable, "this host has not known for long whether its configuration is the newest (%s): it takes urgent requests only", standing).WithRetryAfter(retryNoConfig)
 	}
 	release, err := a.deps.Admission.Admit(ctx, AdmitRequest{Team: w.Team, Class: w.Class, Pool: w.Pool, Deadline: w.Deadline})
--- a/node/callerapi/requests.go
+++ b/node/callerapi/requests.go
@@ -50,7 +50,7 @@
 		return unknownRequest()
 	}
 	a.deps.Requests.Cancel(t.Request, c.team.Name, dispatch.ErrCancelled)
-	if err := a.deps.Dispatcher.Upstreams().Cancel(c.ctx(), u.Address, t.Attempt); err != nil {
+	if err := a.deps.Dispatcher.UpstreamClient().Cancel(c.ctx(), u.Address, t.Attempt); err != nil {
 		return err
 	}
 	return c.NoContent(http.StatusNoContent)
--- a/node/callerapi/service.go
+++ b/node/callerapi/service.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	w := &dispatch.Work{RequestID: c.id, Team: c.team.Name, Class: t.class, Pool: s.Pool, Service: true,
+	w := &dispatch.Work{RequestID: c.id, Team: c.team.Name, Class: t.class, Pool: s.Pool, PlainService: true,
 		Method: r.Method, Path: strings.TrimSuffix(engineapi.PathService, "/") + path, Query: r.URL.RawQuery,
 		Header: passOn(r.Header), Deadline: t.deadline, Repeatable: s.Repeatable(r.Method, path)}
 	w.Header.Set(engineapi.HeaderTeam, c.team.Name)
--- a/node/callerapi/sink.go
+++ b/node/callerapi/sink.go
@@ -37,8 +37,8 @@
 	return &sink{w: w, rc: http.NewResponseController(w), api: a, call: c, entry: e, target: target, stream: stream, expires: deadline}
 }
 
-// Head implements dispatch.Sink.
-func (s *sink) Head(h dispatch.Head) {
+// WriteHead implements dispatch.Sink.
+func (s *sink) WriteHead(h dispatch.Head) {
 	to := s.w.Header()
 	for k, v := range h.Header {
 		to[k] = v
--- a/node/claim/batch.go
+++ b/node/claim/batch.go
@@ -11,15 +11,15 @@
 
 // BatchConfig bounds a Batcher.
 type BatchConfig struct {
-	Window   time.Duration // between commits under load; a few may follow at once
-	Most     int           // transactions in one commit
-	Parallel int           // commits under way; a slow one then does not hold up the next
+	Interval      time.Duration // between commits under load; a few may follow at once
+	MaxTxns       int           // transactions in one commit
+	MaxConcurrent int           // commits under way; a slow one then does not hold up the next
 }
 
 // DefaultBatchConfig makes at most 20 commits a second, so that 7 entry hosts
 // stay under half of 300 writes a second.
 func DefaultBatchConfig() BatchConfig {
-	return BatchConfig{Window: 50 * time.Millisecond, Most: 512, Parallel: 4}
+	return BatchConfig{Interval: 50 * time.Millisecond, MaxTxns: 512, MaxConcurrent: 4}
 }
 
 // commitMost bounds one merged commit that is in doubt: as long as those who
@@ -53,7 +53,7 @@
 
 // NewBatcher merges transactions onto tb. Nothing is committed unless Run runs.
 func NewBatcher(cfg BatchConfig, tb store.Table) *Batcher {
-	return &Batcher{Table: tb, cfg: cfg, in: make(chan *waiting), slots: make(chan struct{}, cfg.Parallel),
+	return &Batcher{Table: tb, cfg: cfg, in: make(chan *waiting), slots: make(chan struct{}, cfg.MaxConcurrent),
 		stopped: make(chan struct{})}
 }
 
@@ -73,14 +73,14 @@
 	case r := <-w.reply:
 		return r.version, r.err
 	case <-ctx.Done():
-		return 0, store.ErrInDoubt
+		return 0, store.ErrUnconfirmed
 	}
 }
 
 // Run collects and commits until ctx ends, then commits what waits.
 func (b *Batcher) Run(ctx context.Context) error {
 	defer close(b.stopped)
-	arrivals := newCollector(b.in, b.cfg.Window, b.cfg.Most)
+	arrivals := newCollector(b.in, b.cfg.Interval, b.cfg.MaxTxns)
 	var held []*waiting // same keys as another of its batch: goes with the next
 	for {
 		batch, err := arrivals.next(ctx, held)
@@ -153,7 +153,7 @@
 // Commit implements store.Table.
 func (d doubted) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
 	v, err := d.Table.Commit(ctx, txn)
-	if errors.Is(err, store.ErrInDoubt) {
+	if errors.Is(err, store.ErrUnconfirmed) {
 		d.inDoubt()
 	}
 	return v, err
--- a/node/claim/claim_test.go
+++ b/node/claim/claim_test.go
@@ -231,7 +231,7 @@
 		f, err := c.arrive(0, "k", true)
 		assert.NilError(t, err)
 		time.Sleep(2 * simDeadline)
-		err = f.grant.Dispatching(context.Background(), f.route, f.deadline)
+		err = f.grant.RecordDispatch(context.Background(), f.route, f.deadline)
 		assert.Equal(t, code(err), fault.CodeDeadlineExceeded)
 	})
 }
--- a/node/claim/fate.go
+++ b/node/claim/fate.go
@@ -24,7 +24,7 @@
 // settleByFate asks the upstream of a claim whose owner is out of sight what
 // became of the attempt, and writes it over the row that was seen. The answer
 // is the row to decide on next; an error ends the arrival.
-func (s *Store) settleByFate(ctx context.Context, key string, seen Seen) (Seen, error) {
+func (s *Store) settleByFate(ctx context.Context, key string, seen VersionedRow) (VersionedRow, error) {
 	row := *seen.Row
 	rep, err := s.ask(ctx, row)
 	if rep.State == claim.AttemptRunning {
@@ -46,7 +46,7 @@
 }
 
 // write swaps in the row; a conflict is no error: the row there is answered.
-func (s *Store) write(ctx context.Context, key string, seen Seen, next claim.Row) (Seen, error) {
+func (s *Store) write(ctx context.Context, key string, seen VersionedRow, next claim.Row) (VersionedRow, error) {
 	if next.Answer != nil {
 		if err := s.keep(ctx, key, next.ID, next.Answer); err != nil {
 			return seen, err
@@ -61,10 +61,10 @@
 }
 
 func (s *Store) ask(ctx context.Context, row claim.Row) (claim.Report, error) {
-	if s.deps.Fates == nil || row.Route.Attempt == "" {
+	if s.deps.Attempts == nil || row.Route.Attempt == "" {
 		return claim.Report{}, nil
 	}
-	a, err := s.deps.Fates.Fate(ctx, row.Route.Upstream, row.Route.Attempt)
+	a, err := s.deps.Attempts.QueryAttempt(ctx, row.Route.Upstream, row.Route.Attempt)
 	if err != nil || a.ID != row.Route.Attempt {
 		return claim.Report{}, err // an answer about another attempt says nothing of this one
 	}
--- a/node/claim/grant.go
+++ b/node/claim/grant.go
@@ -20,13 +20,13 @@
 	until   time.Time // with the monotonic clock: the request's deadline
 }
 
-// Dispatching must return nil before the first byte of an attempt goes out:
+// RecordDispatch must return nil before the first byte of an attempt goes out:
 // the claim then durably names the attempt, so that another host can ask the
 // upstream for its fate if this one dies. It writes nothing when the claim
 // named this very route. Any attempt before it must have ended as not run.
 // After an error nothing may be dispatched, and the grant must be ended with
 // NotRun.
-func (g *Grant) Dispatching(ctx context.Context, route claim.Route, deadline time.Time) error {
+func (g *Grant) RecordDispatch(ctx context.Context, route claim.Route, deadline time.Time) error {
 	if !time.Now().Before(g.until) {
 		// This host was paused. Others look after the claim from now on; the
 		// upstream's refusal of an attempt they fenced is the second line.
@@ -63,12 +63,12 @@
 	return g.end(ctx, &stored, func(r claim.Row) (claim.Row, error) { return r.Complete(stored) })
 }
 
-// NotRun frees the key: no attempt ran and none will.
-func (g *Grant) NotRun(ctx context.Context) error { return g.end(ctx, nil, release) }
+// Release frees the key: no attempt ran and none will.
+func (g *Grant) Release(ctx context.Context) error { return g.end(ctx, nil, release) }
 
-// Unknown tells that the last attempt may have run; a repeat of the request
+// MarkUnknown tells that the last attempt may have run; a repeat of the request
 // asks the upstream.
-func (g *Grant) Unknown(ctx context.Context) error {
+func (g *Grant) MarkUnknown(ctx context.Context) error {
 	return g.end(ctx, nil, func(r claim.Row) (claim.Row, error) { return r.MarkUnknown() })
 }
 
--- a/node/claim/range.go
+++ b/node/claim/range.go
@@ -23,14 +23,14 @@
 
 // RangeConfig bounds a Range.
 type RangeConfig struct {
-	TTL    time.Duration // of keys, as in Config
-	Window time.Duration // between appends under load; a few may follow at once
-	Most   int           // changes in one append
+	TTL        time.Duration // of keys, as in Config
+	Interval   time.Duration // between appends under load; a few may follow at once
+	MaxChanges int           // changes in one append
 }
 
 // DefaultRangeConfig makes at most 16 appends a second, 128 for 8 ranges.
 func DefaultRangeConfig() RangeConfig {
-	return RangeConfig{TTL: time.Hour, Window: 60 * time.Millisecond, Most: 1024}
+	return RangeConfig{TTL: time.Hour, Interval: 60 * time.Millisecond, MaxChanges: 1024}
 }
 
 // RangeDeps are what a Range works with.
@@ -72,34 +72,34 @@
 }
 
 type swapped struct {
-	seen Seen
+	seen VersionedRow
 	err  error
 }
 
 // Read answers from memory. An owner that lost its range may answer an old
 // row; every act on it goes through Swap, which then fails.
-func (r *Range) Read(_ context.Context, key string) (Seen, error) {
+func (r *Range) Read(_ context.Context, key string) (VersionedRow, error) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	h := r.rows[key]
-	return Seen{Row: h.row, Version: h.version}, nil
+	return VersionedRow{Row: h.row, Version: h.version}, nil
 }
 
 // Swap waits for the append that decides on the change.
-func (r *Range) Swap(ctx context.Context, key string, version uint64, row *claim.Row) (Seen, error) {
+func (r *Range) Swap(ctx context.Context, key string, version uint64, row *claim.Row) (VersionedRow, error) {
 	c := &change{key: key, version: version, row: row, reply: make(chan swapped, 1)}
 	select {
 	case r.in <- c:
 	case <-r.stopped:
-		return Seen{}, store.ErrUnavailable
+		return VersionedRow{}, store.ErrUnavailable
 	case <-ctx.Done():
-		return Seen{}, store.ErrUnavailable // not taken in: nothing took effect
+		return VersionedRow{}, store.ErrUnavailable // not taken in: nothing took effect
 	}
 	select {
 	case s := <-c.reply:
 		return s.seen, s.err
 	case <-ctx.Done():
-		return Seen{}, store.ErrInDoubt
+		return VersionedRow{}, store.ErrUnconfirmed
 	}
 }
 
@@ -107,7 +107,7 @@
 // opened anew.
 func (r *Range) Run(ctx context.Context) error {
 	defer close(r.stopped)
-	arrivals := newCollector(r.in, r.cfg.Window, r.cfg.Most)
+	arrivals := newCollector(r.in, r.cfg.Interval, r.cfg.MaxChanges)
 	for {
 		batch, done := arrivals.next(ctx, nil)
 		if err := r.append(context.WithoutCancel(ctx), batch); err != nil {
@@ -147,8 +147,8 @@
 	case errors.Is(err, store.ErrConflict):
 		refuse(batch, store.ErrUnavailable) // another owner wrote the head: nothing took effect
 		return err
-	case errors.Is(err, store.ErrInDoubt):
-		refuse(batch, store.ErrInDoubt)
+	case errors.Is(err, store.ErrUnconfirmed):
+		refuse(batch, store.ErrUnconfirmed)
 		return err
 	default:
 		refuse(batch, err)
@@ -159,12 +159,12 @@
 // judge decides each change against memory and the changes before it.
 func (r *Range) judge(batch []*change) (answers []swapped, accepted []logEntry) {
 	answers = make([]swapped, len(batch))
-	fresh := map[string]Seen{}
+	fresh := map[string]VersionedRow{}
 	for i, c := range batch {
 		seen, ok := fresh[c.key]
 		if !ok {
 			h := r.rows[c.key]
-			seen = Seen{Row: h.row, Version: h.version}
+			seen = VersionedRow{Row: h.row, Version: h.version}
 		}
 		switch {
 		case seen.Row != nil && c.row != nil && seen.Row.Op == c.row.Op:
@@ -173,7 +173,7 @@
 			answers[i] = swapped{seen: seen, err: store.ErrConflict}
 		default:
 			r.version++
-			next := Seen{Row: c.row, Version: r.version}
+			next := VersionedRow{Row: c.row, Version: r.version}
 			if c.row == nil {
 				next.Version = store.Absent
 			}
--- a/node/claim/ranged_test.go
+++ b/node/claim/ranged_test.go
@@ -39,7 +39,7 @@
 func newRanged() *ranged { return &ranged{} }
 
 func (r *ranged) host(c *cluster, _ int) (nodeclaim.Records, func()) {
-	g := nodeclaim.NewGrouped(1, r)
+	g := nodeclaim.NewRangeRouter(1, r)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.epoch++
 	if own, err := openRange(c.table, r.epoch); err == nil {
@@ -50,16 +50,16 @@
 	return g, cancel
 }
 
-func (r *ranged) Read(ctx context.Context, _ int, key string) (nodeclaim.Seen, error) {
+func (r *ranged) Read(ctx context.Context, _ int, key string) (nodeclaim.VersionedRow, error) {
 	if r.owner == nil {
-		return nodeclaim.Seen{}, store.ErrUnavailable
+		return nodeclaim.VersionedRow{}, store.ErrUnavailable
 	}
 	return r.owner.Read(ctx, key)
 }
 
-func (r *ranged) Swap(ctx context.Context, _ int, key string, v uint64, row *claim.Row) (nodeclaim.Seen, error) {
+func (r *ranged) Swap(ctx context.Context, _ int, key string, v uint64, row *claim.Row) (nodeclaim.VersionedRow, error) {
 	if r.owner == nil {
-		return nodeclaim.Seen{}, store.ErrUnavailable
+		return nodeclaim.VersionedRow{}, store.ErrUnavailable
 	}
 	return r.owner.Swap(ctx, key, v, row)
 }
--- a/node/claim/ranges.go
+++ b/node/claim/ranges.go
@@ -13,42 +13,42 @@
 	"peridotpier.example/node/store"
 )
 
-// Groups is the fixed number of groups that keys are hashed to. A range is a
+// HashSlots is the fixed number of groups that keys are hashed to. A range is a
 // run of groups; its number can change with the size of a site without any
 // key changing its group.
-const Groups = 1024
+const HashSlots = 1024
 
 // Forwarder reaches the host that writes a range's claims: the owner of a
 // Range, or any host that batches rows. A lost answer is store.ErrInDoubt;
 // no such host is store.ErrUnavailable.
 type Forwarder interface {
-	Read(ctx context.Context, rng int, key string) (Seen, error)
-	Swap(ctx context.Context, rng int, key string, version uint64, row *claim.Row) (Seen, error)
+	Read(ctx context.Context, rng int, key string) (VersionedRow, error)
+	Swap(ctx context.Context, rng int, key string, version uint64, row *claim.Row) (VersionedRow, error)
 }
 
-// Grouped splits claims by ranges of groups, so that few hosts write the
+// RangeRouter splits claims by ranges of groups, so that few hosts write the
 // changes of many claims in few commits, whatever the number of hosts.
-type Grouped struct {
+type RangeRouter struct {
 	ranges  int
 	forward Forwarder
 	mu      sync.RWMutex
 	own     map[int]Records
 }
 
-// NewGrouped splits the groups into ranges; forward reaches those that this
+// NewRangeRouter splits the groups into ranges; forward reaches those that this
 // host does not serve.
-func NewGrouped(ranges int, forward Forwarder) *Grouped {
-	return &Grouped{ranges: ranges, forward: forward, own: map[int]Records{}}
+func NewRangeRouter(ranges int, forward Forwarder) *RangeRouter {
+	return &RangeRouter{ranges: ranges, forward: forward, own: map[int]Records{}}
 }
 
 // RangeOf is the range of a key.
-func (g *Grouped) RangeOf(key string) int {
-	return int(xxhash.Sum64String(key)%Groups) * g.ranges / Groups
+func (g *RangeRouter) RangeOf(key string) int {
+	return int(xxhash.Sum64String(key)%HashSlots) * g.ranges / HashSlots
 }
 
 // Serve makes this host answer for a range itself, with a Range that it opened
 // or with Rows over a Batcher; nil ends it.
-func (g *Grouped) Serve(rng int, r Records) {
+func (g *RangeRouter) Serve(rng int, r Records) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r == nil {
@@ -58,9 +58,9 @@
 	g.own[rng] = r
 }
 
-// Own is the range if this host serves it. The peer layer answers forwarded
+// Local is the range if this host serves it. The peer layer answers forwarded
 // calls with it.
-func (g *Grouped) Own(rng int) (Records, bool) {
+func (g *RangeRouter) Local(rng int) (Records, bool) {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	r, ok := g.own[rng]
@@ -68,9 +68,9 @@
 }
 
 // Read implements Records.
-func (g *Grouped) Read(ctx context.Context, key string) (Seen, error) {
+func (g *RangeRouter) Read(ctx context.Context, key string) (VersionedRow, error) {
 	rng := g.RangeOf(key)
-	if r, ok := g.Own(rng); ok {
+	if r, ok := g.Local(rng); ok {
 		return r.Read(ctx, key)
 	}
 	return g.forward.Read(ctx, rng, key)
@@ -78,27 +78,27 @@
 
 // Swap implements Records. A change in doubt is asked for again, of whoever
 // owns the range by then; an owner knows a change that took effect by its Op.
-func (g *Grouped) Swap(ctx context.Context, key string, version uint64, row *claim.Row) (Seen, error) {
+func (g *RangeRouter) Swap(ctx context.Context, key string, version uint64, row *claim.Row) (VersionedRow, error) {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval, wait.MaxInterval = 20*time.Millisecond, 500*time.Millisecond
 	inDoubt := false
 	for {
 		seen, err := g.swapOnce(ctx, key, version, row)
-		inDoubt = inDoubt || errors.Is(err, store.ErrInDoubt)
+		inDoubt = inDoubt || errors.Is(err, store.ErrUnconfirmed)
 		if err == nil || errors.Is(err, store.ErrConflict) || !inDoubt {
 			return seen, err
 		}
 		select {
 		case <-ctx.Done():
-			return Seen{}, store.ErrInDoubt
+			return VersionedRow{}, store.ErrUnconfirmed
 		case <-time.After(wait.NextBackOff()):
 		}
 	}
 }
 
-func (g *Grouped) swapOnce(ctx context.Context, key string, version uint64, row *claim.Row) (Seen, error) {
+func (g *RangeRouter) swapOnce(ctx context.Context, key string, version uint64, row *claim.Row) (VersionedRow, error) {
 	rng := g.RangeOf(key)
-	if r, ok := g.Own(rng); ok {
+	if r, ok := g.Local(rng); ok {
 		return r.Swap(ctx, key, version, row)
 	}
 	return g.forward.Swap(ctx, rng, key, version, row)
--- a/node/claim/records.go
+++ b/node/claim/records.go
@@ -11,18 +11,18 @@
 	"peridotpier.example/node/store"
 )
 
-// Seen is a claim's row as it was last seen.
-type Seen struct {
+// VersionedRow is a claim's row as it was last seen.
+type VersionedRow struct {
 	Row     *claim.Row // nil: there is none
 	Version uint64
 }
 
 // Records is where claims are kept. Its errors are those of store.Table.
 type Records interface {
-	Read(ctx context.Context, key string) (Seen, error)
+	Read(ctx context.Context, key string) (VersionedRow, error)
 	// Swap replaces the row of which the given version was seen; a nil row
 	// deletes it. On store.ErrConflict it answers the row that is there.
-	Swap(ctx context.Context, key string, version uint64, row *claim.Row) (Seen, error)
+	Swap(ctx context.Context, key string, version uint64, row *claim.Row) (VersionedRow, error)
 }
 
 // rowPrefix starts the table key of each claim that has a row of its own.
@@ -37,10 +37,10 @@
 func NewRows(tb store.Table) *Rows { return &Rows{table: tb} }
 
 // Read implements Records.
-func (r *Rows) Read(ctx context.Context, key string) (Seen, error) {
+func (r *Rows) Read(ctx context.Context, key string) (VersionedRow, error) {
 	rows, err := r.table.Get(ctx, rowPrefix+key)
 	if err != nil || len(rows) == 0 {
-		return Seen{}, err
+		return VersionedRow{}, err
 	}
 	return decode(rows[0])
 }
@@ -50,22 +50,22 @@
 // Batcher's commit, our own earlier write looks like a conflict: the row's Op
 // then tells whose it is. Without that, a host would take its own claim for
 // another's, and the caller would hear "in progress" while nobody runs it.
-func (r *Rows) Swap(ctx context.Context, key string, version uint64, row *claim.Row) (Seen, error) {
+func (r *Rows) Swap(ctx context.Context, key string, version uint64, row *claim.Row) (VersionedRow, error) {
 	txn, err := swapTxn(rowPrefix+key, version, row)
 	if err != nil {
-		return Seen{}, err
+		return VersionedRow{}, err
 	}
 	v, err := store.CommitResolved(ctx, r.table, txn)
 	if err == nil {
-		return Seen{Row: row, Version: v}, nil
+		return VersionedRow{Row: row, Version: v}, nil
 	}
 	if !errors.Is(err, store.ErrConflict) {
-		return Seen{}, err
+		return VersionedRow{}, err
 	}
 	now, readErr := r.Read(ctx, key)
 	switch {
 	case readErr != nil:
-		return Seen{}, errors.Join(store.ErrInDoubt, readErr)
+		return VersionedRow{}, errors.Join(store.ErrUnconfirmed, readErr)
 	case row == nil && now.Row == nil:
 		return now, nil
 	case row != nil && now.Row != nil && now.Row.Op == row.Op:
@@ -87,10 +87,10 @@
 	return store.Txn{Op: op, Conds: []store.Cond{{Key: key, Version: version}}, Writes: []store.Write{w}}, nil
 }
 
-func decode(r store.Row) (Seen, error) {
+func decode(r store.Row) (VersionedRow, error) {
 	var row claim.Row
 	if err := json.Unmarshal(r.Value, &row); err != nil {
-		return Seen{}, eris.Wrapf(err, "decode claim %s", r.Key)
+		return VersionedRow{}, eris.Wrapf(err, "decode claim %s", r.Key)
 	}
-	return Seen{Row: &row, Version: r.Version}, nil
+	return VersionedRow{Row: &row, Version: r.Version}, nil
 }
--- a/node/claim/settle.go
+++ b/node/claim/settle.go
@@ -44,7 +44,7 @@
 		if err != nil {
 			return nil // settled already, in a state that this one may not change
 		}
-		seen, err := s.write(ctx, st.key, Seen{Row: &st.row, Version: st.version}, next)
+		seen, err := s.write(ctx, st.key, VersionedRow{Row: &st.row, Version: st.version}, next)
 		if err != nil {
 			return err
 		}
@@ -61,9 +61,9 @@
 // names it.
 func (s *Store) keep(ctx context.Context, key, id string, a *claim.Answer) error {
 	switch {
-	case len(a.Body) <= s.cfg.InlineBytes:
+	case len(a.Body) <= s.cfg.MaxInlineBytes:
 		return nil
-	case len(a.Body) > s.limits.Load().AnswerBytes || s.deps.Objects == nil:
+	case len(a.Body) > s.limits.Load().MaxAnswerBytes || s.deps.Objects == nil:
 		a.Body, a.Dropped = nil, true
 		return nil
 	}
--- a/node/claim/settle_test.go
+++ b/node/claim/settle_test.go
@@ -39,7 +39,7 @@
 
 func smallStore(tb store.Table, objects store.Objects) *nodeclaim.Store {
 	cfg := nodeclaim.DefaultConfig()
-	cfg.InlineBytes, cfg.AnswerBytes, cfg.QueueCount, cfg.QueueBytes = 10, 100, 2, 150
+	cfg.MaxInlineBytes, cfg.MaxAnswerBytes, cfg.MaxQueued, cfg.MaxQueuedBytes = 10, 100, 2, 150
 	return nodeclaim.New(cfg, nodeclaim.Deps{Records: nodeclaim.NewRows(tb), Objects: objects,
 		Log: event.NewLog(nil), Now: time.Now, Owner: claim.Owner{Host: "h"}})
 }
@@ -93,8 +93,8 @@
 		big := nodeclaim.Answer{Status: 200, Body: make([]byte, 90)}
 		assert.NilError(t, grants[0].Complete(context.Background(), big))
 		assert.ErrorIs(t, grants[1].Complete(context.Background(), big), nodeclaim.ErrQueueFull)
-		assert.NilError(t, grants[2].NotRun(context.Background()))
-		assert.ErrorIs(t, grants[3].NotRun(context.Background()), nodeclaim.ErrQueueFull)
+		assert.NilError(t, grants[2].Release(context.Background()))
+		assert.ErrorIs(t, grants[3].Release(context.Background()), nodeclaim.ErrQueueFull)
 		tb.set(func(f *faults) { f.down = false })
 		assert.NilError(t, s.Drain(context.Background()))
 		count, size := s.Pending()
--- a/node/claim/sim_test.go
+++ b/node/claim/sim_test.go
@@ -48,7 +48,7 @@
 	}
 	if f.f.drop > 0 {
 		f.f.drop--
-		return 0, store.ErrInDoubt
+		return 0, store.ErrUnconfirmed
 	}
 	if f.f.forgets {
 		t.Op = ""
@@ -56,7 +56,7 @@
 	v, err := f.Table.Commit(ctx, t)
 	if f.f.lose > 0 {
 		f.f.lose--
-		return 0, store.ErrInDoubt
+		return 0, store.ErrUnconfirmed
 	}
 	return v, err
 }
@@ -88,7 +88,7 @@
 		t.Conds = nil
 	}
 	v, err := m.Table.Commit(ctx, t)
-	if !errors.Is(err, store.ErrInDoubt) {
+	if !errors.Is(err, store.ErrUnconfirmed) {
 		return v, err
 	}
 	if m.doubtOK {
@@ -129,8 +129,8 @@
 	return true
 }
 
-// Fate asks the engine.
-func (c *cluster) Fate(ctx context.Context, upstream, id string) (engineapi.Attempt, error) {
+// QueryAttempt asks the engine.
+func (c *cluster) QueryAttempt(ctx context.Context, upstream, id string) (engineapi.Attempt, error) {
 	if c.badFate {
 		id = "another"
 	}
@@ -234,7 +234,7 @@
 	cfg := nodeclaim.DefaultConfig()
 	cfg.TTL, cfg.Grace = simTTL, time.Second
 	c.hosts[i] = nodeclaim.New(cfg, nodeclaim.Deps{
-		Records: records, Fates: c, Log: event.NewLog(nil), Now: func() time.Time { return c.now(i) },
+		Records: records, Attempts: c, Log: event.NewLog(nil), Now: func() time.Time { return c.now(i) },
 		Owner: claim.Owner{Host: fmt.Sprint("h", i), Incarnation: fmt.Sprint(c.starts)},
 	})
 }
@@ -294,8 +294,8 @@
 	if f.route.Attempt == "" {
 		f.route = c.route()
 	}
-	if err := f.grant.Dispatching(context.Background(), f.route, f.deadline); err != nil {
-		_ = f.grant.NotRun(context.Background())
+	if err := f.grant.RecordDispatch(context.Background(), f.route, f.deadline); err != nil {
+		_ = f.grant.Release(context.Background())
 		c.told(f.call, err)
 		c.land(f)
 		return
@@ -309,7 +309,7 @@
 		f.stage = executed
 		return
 	}
-	_ = f.grant.NotRun(context.Background())
+	_ = f.grant.Release(context.Background())
 	c.hist.Answered(f.call, outcome.NotRun, "")
 	c.land(f)
 }
@@ -336,7 +336,7 @@
 // breakConnection loses the host's sight of the attempt; what was sent may
 // still arrive, late.
 func (c *cluster) breakConnection(f *flight, arrivesLate bool) {
-	_ = f.grant.Unknown(context.Background())
+	_ = f.grant.MarkUnknown(context.Background())
 	c.hist.Answered(f.call, outcome.Unknown, "")
 	c.land(f)
 	if f.stage == sent && arrivesLate {
--- a/node/claim/store.go
+++ b/node/claim/store.go
@@ -19,43 +19,43 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// Fates asks an upstream for the fate of an attempt.
-type Fates interface {
-	Fate(ctx context.Context, upstream, attemptID string) (engineapi.Attempt, error)
+// AttemptQuerier asks an upstream for the fate of an attempt.
+type AttemptQuerier interface {
+	QueryAttempt(ctx context.Context, upstream, attemptID string) (engineapi.Attempt, error)
 }
 
 // Config bounds a Store.
 type Config struct {
-	TTL         time.Duration // how long a key is remembered
-	Grace       time.Duration // after a request's deadline, before others look after its claim
-	CallTimeout time.Duration // of one claim or settlement against the platform
-	InlineBytes int           // largest answer kept in the table row; larger ones go to the object store
-	AnswerBytes int           // largest answer kept at all; with TTL the start value of Limits
-	QueueCount  int           // settlements that wait for the platform
-	QueueBytes  int           // of their answers
+	TTL            time.Duration // how long a key is remembered
+	Grace          time.Duration // after a request's deadline, before others look after its claim
+	CallTimeout    time.Duration // of one claim or settlement against the platform
+	MaxInlineBytes int           // largest answer kept in the table row; larger ones go to the object store
+	MaxAnswerBytes int           // largest answer kept at all; with TTL the start value of Limits
+	MaxQueued      int           // settlements that wait for the platform
+	MaxQueuedBytes int           // of their answers
 }
 
 // DefaultConfig has bounds that fit an entry host of today's sites.
 func DefaultConfig() Config {
 	return Config{
-		TTL:         24 * time.Hour,
-		Grace:       5 * time.Second, // clocks of hosts differ by less; being wrong costs one question, never a second run
-		CallTimeout: 2 * time.Second, // longer than a slow commit, shorter than callers wait for a refusal
-		InlineBytes: 8 << 10,
-		AnswerBytes: 4 << 20,
-		QueueCount:  4096,    // 10 minutes of outage at 7 settlements a second
-		QueueBytes:  8 << 20, // a quarter of what a host may use for control
+		TTL:            24 * time.Hour,
+		Grace:          5 * time.Second, // clocks of hosts differ by less; being wrong costs one question, never a second run
+		CallTimeout:    2 * time.Second, // longer than a slow commit, shorter than callers wait for a refusal
+		MaxInlineBytes: 8 << 10,
+		MaxAnswerBytes: 4 << 20,
+		MaxQueued:      4096,    // 10 minutes of outage at 7 settlements a second
+		MaxQueuedBytes: 8 << 20, // a quarter of what a host may use for control
 	}
 }
 
 // Deps are what a Store works with.
 type Deps struct {
-	Records Records
-	Objects store.Objects
-	Fates   Fates
-	Log     *event.Log
-	Owner   claim.Owner      // this process
-	Now     func() time.Time // wall clock
+	Records  Records
+	Objects  store.Objects
+	Attempts AttemptQuerier
+	Log      *event.Log
+	Owner    claim.Owner      // this process
+	Now      func() time.Time // wall clock
 }
 
 // Store claims requests.
@@ -69,8 +69,8 @@
 // Limits are the bounds that a deployment's configuration sets; they change
 // while the store runs.
 type Limits struct {
-	TTL         time.Duration // how long a key is remembered
-	AnswerBytes int           // largest answer kept at all
+	TTL            time.Duration // how long a key is remembered
+	MaxAnswerBytes int           // largest answer kept at all
 }
 
 // SetLimits replaces the limits, for claims and settlements from now on. Rows
@@ -80,8 +80,8 @@
 // New makes a Store. Its Run must be running for deferred settlements.
 func New(cfg Config, deps Deps) *Store {
 	s := &Store{cfg: cfg, deps: deps}
-	s.queue = newQueue(cfg.QueueCount, cfg.QueueBytes)
-	s.SetLimits(Limits{TTL: cfg.TTL, AnswerBytes: cfg.AnswerBytes})
+	s.queue = newQueue(cfg.MaxQueued, cfg.MaxQueuedBytes)
+	s.SetLimits(Limits{TTL: cfg.TTL, MaxAnswerBytes: cfg.MaxAnswerBytes})
 	return s
 }
 
@@ -125,7 +125,7 @@
 	arrival := s.arrival(req)
 	// The first try assumes that there is no row: most keys are new, and the
 	// condition of the write catches those that are not.
-	var seen Seen
+	var seen VersionedRow
 	for range rounds {
 		d := claim.Decide(seen.Row, arrival, s.deps.Now())
 		var err error
@@ -160,20 +160,20 @@
 
 // run writes the arrival's claim over the row that was judged. On a conflict
 // it answers the row that is there now.
-func (s *Store) run(ctx context.Context, key string, a claim.Arrival, seen Seen) (Seen, error) {
+func (s *Store) run(ctx context.Context, key string, a claim.Arrival, seen VersionedRow) (VersionedRow, error) {
 	row := claim.New(a, s.deps.Now())
 	row.Op = newID()
 	next, err := s.deps.Records.Swap(ctx, key, seen.Version, &row)
 	if err == nil || errors.Is(err, store.ErrConflict) {
 		return next, nil
 	}
-	if errors.Is(err, store.ErrInDoubt) {
+	if errors.Is(err, store.ErrUnconfirmed) {
 		// The claim may stand, or arrive yet. Nothing was dispatched under it
 		// and nothing will be, so the key is freed as soon as the table answers;
 		// the freed row also makes a claim that arrives yet fail.
 		s.enqueue(&settlement{key: key, id: row.ID, row: row, version: seen.Version, change: release}, err)
 	}
-	return Seen{}, storeDown(err)
+	return VersionedRow{}, storeDown(err)
 }
 
 func (s *Store) replay(ctx context.Context, a *claim.Answer) (*Answer, error) {
--- a/node/claim/sweep.go
+++ b/node/claim/sweep.go
@@ -29,8 +29,8 @@
 // NewSweeper sweeps the claims that s keeps as rows of tb.
 func NewSweeper(s *Store, tb store.Table) *Sweeper { return &Sweeper{store: s, table: tb} }
 
-// SweepLease is the lease under which one host sweeps.
-const SweepLease = "claims/sweeper"
+// SweeperLeaseName is the lease under which one host sweeps.
+const SweeperLeaseName = "claims/sweeper"
 
 const (
 	// sweepPause is between two pages: 2,000 rows a second at most, above the
--- a/node/coordinator/asking.go
+++ b/node/coordinator/asking.go
@@ -313,7 +313,7 @@
 		return &gate.Permit{Reason: balance.ReasonFromCode(answer.Reason), AdapterUpstream: answer.Home, RetryAfter: milliseconds(answer.WaitMs)}, nil
 	}
 	return &gate.Permit{Upstream: answer.Upstream, Predicted: milliseconds(answer.PredictedMs),
-		InFlight: int(answer.Load), PendingPromptTokens: int(answer.Waiting), CachedTokens: int(answer.Cached), WithinLimit: answer.WithinLimit, Trial: answer.Trial,
+		InFlight: int(answer.Load), PendingPromptTokens: int(answer.Waiting), CachedTokens: int(answer.Cached), WithinLimit: answer.WithinLimit, IsProbe: answer.Trial,
 		Began:        func() { _ = a.tell(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_FIRST}) },
 		NotListening: func() { _ = a.tell(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_ABSENT}) },
 		Release:      func() { _ = a.tell(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_END}) }}, nil
@@ -347,9 +347,9 @@
 
 // RequestPermit implements gate.Models.
 func (l *Link) RequestPermit(ctx context.Context, q *gate.PermitRequest) (*gate.Permit, error) {
-	e := &coordpb.TurnEvent{Kind: coordpb.TurnEvent_ASK, Service: q.Service, Model: q.Ask.Model, Adapter: q.Ask.Adapter,
+	e := &coordpb.TurnEvent{Kind: coordpb.TurnEvent_ASK, Service: q.Service, Model: q.Request.Model, Adapter: q.Request.Adapter,
 		Prompt: uint32(q.Cost.PromptTokens), Output: uint32(q.Cost.OutputTokens), Priority: int32(q.Priority), Reading: uint32(q.MaxPendingPromptTokens), Tried: q.Excluded,
-		Warm: q.Warm, DataCentre: l.cfg.DataCentre, InTimeMs: uint32(max(q.ObjectiveLeft.Milliseconds(), 0)), PatienceMs: uint32(max(q.MaxWait.Milliseconds(), 0))}
+		Warm: q.WithIdleConn, DataCentre: l.cfg.DataCentre, InTimeMs: uint32(max(q.ObjectiveLeft.Milliseconds(), 0)), PatienceMs: uint32(max(q.MaxWait.Milliseconds(), 0))}
 	if q.Team != nil {
 		now := l.own.now()
 		l.teams.with(q.Team, now, func(s *quota.Share) { s.AddDemand(q.Charge, now) })
@@ -358,7 +358,7 @@
 	for id, left := range q.Backoffs {
 		e.Rests = append(e.Rests, &coordpb.UpstreamRest{Upstream: id, ForMs: uint32(left.Milliseconds()) + 1})
 	}
-	for _, p := range q.Ask.PromptParts {
+	for _, p := range q.Request.PromptParts {
 		e.Parts = append(e.Parts, &coordpb.Part{Id: p.ID, Tokens: uint32(p.Tokens)})
 	}
 	return l.asking.ask(ctx, e)
--- a/node/coordinator/asking_test.go
+++ b/node/coordinator/asking_test.go
@@ -49,7 +49,7 @@
 	go func() { _ = drpcserver.New(mux).ServeOne(ctx, far) }()
 	link := NewLink(LinkConfig{Host: "h", Address: "own"}, nil, func(context.Context, string, string) (net.Conn, error) { return near, nil }, event.NewLog(nil))
 	assert.NilError(t, link.asking.open(ctx, "other"))
-	q := &gate.PermitRequest{Service: "s", Ask: &fleet.Request{Model: "m"}}
+	q := &gate.PermitRequest{Service: "s", Request: &fleet.Request{Model: "m"}}
 	turn, err := link.RequestPermit(ctx, q)
 	assert.NilError(t, err)
 	assert.Equal(t, turn.Upstream, "u")
--- a/node/coordinator/coordinator.go
+++ b/node/coordinator/coordinator.go
@@ -199,7 +199,7 @@
 
 // pause waits for the next look; it says no when ctx ends.
 func (c *Coordinator) pause(ctx context.Context) bool {
-	taken, acts := c.deps.Lease.Taken(), c.begins.Next()
+	taken, acts := c.deps.Lease.Acquired(), c.begins.Next()
 	if c.Acting() {
 		return pace.Sleep(ctx, tick)
 	}
--- a/node/coordinator/fleetplay_test.go
+++ b/node/coordinator/fleetplay_test.go
@@ -175,7 +175,7 @@
 		log := event.NewLog(nil)
 		h := &fleetHost{door: d}
 		config, f := follow.NewActiveConfig(log), fleet.New(fleet.Config{}, fleet.Deps{})
-		l := lease.New(lease.Config{Name: "l", Holder: HolderName(address, address, "p"), TryBound: 400 * time.Millisecond,
+		l := lease.New(lease.Config{Name: "l", Holder: HolderName(address, address, "p"), TryTimeout: 400 * time.Millisecond,
 			Policy: leasing.Policy{TTL: 1500 * time.Millisecond, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}}, lease.Deps{Table: d})
 		const fresh = 3 * time.Second
 		feed := follow.New(follow.Deps{Source: d, Config: config, Upstreams: f, Log: log, MaxRelayAge: fresh, OnListed: func() {},
--- a/node/coordinator/handover.go
+++ b/node/coordinator/handover.go
@@ -54,7 +54,7 @@
 		c.former = h
 	}
 	c.mu.Unlock()
-	c.deps.Lease.Yielded(epoch)
+	c.deps.Lease.RecordStepDown(epoch)
 }
 
 func milliseconds(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
@@ -106,7 +106,7 @@
 // succeedsItself says whether this host held the lease in the epoch before a
 // term, in its former process.
 func (c *Coordinator) succeedsItself(t lease.Term) bool {
-	before := c.deps.Lease.Seen()
+	before := c.deps.Lease.LastObserved()
 	return before.Epoch+1 == t.Epoch && sameHost(c.cfg.Holder, before.Holder)
 }
 
--- a/node/coordinator/lead.go
+++ b/node/coordinator/lead.go
@@ -116,7 +116,7 @@
 func (d *Elector) foundWithin(ctx context.Context, wait time.Duration) bool {
 	until := time.Now().Add(wait)
 	for left := wait; left > tryEach; left = time.Until(until) {
-		if d.Lease.Look(ctx) == nil && d.Link.TryLink(ctx, addressOf(d.Lease.Seen().Holder)) {
+		if d.Lease.Refresh(ctx) == nil && d.Link.TryLink(ctx, addressOf(d.Lease.LastObserved().Holder)) {
 			return true
 		}
 		if !pace.Sleep(ctx, min(left, tryEach)) {
@@ -169,7 +169,7 @@
 			continue
 		}
 		tried = time.Now()
-		if d.Link.TryLink(ctx, addressOf(d.Lease.Seen().Holder)) || d.Link.FindCoordinator(ctx) {
+		if d.Link.TryLink(ctx, addressOf(d.Lease.LastObserved().Holder)) || d.Link.FindCoordinator(ctx) {
 			return
 		}
 		d.standIn(ctx)
--- a/node/coordinator/lead_test.go
+++ b/node/coordinator/lead_test.go
@@ -145,7 +145,7 @@
 		lead.CampaignDelay = func() time.Duration { return 10 * time.Second }
 		wg.Go(func() { _ = lead.Run(ctx) })
 		time.Sleep(100 * time.Millisecond)
-		assert.Equal(t, addressOf(own.deps.Lease.Seen().Holder), "large:1")
+		assert.Equal(t, addressOf(own.deps.Lease.LastObserved().Holder), "large:1")
 		cancel()
 		wg.Wait()
 	})
--- a/node/coordinator/quarantinerows.go
+++ b/node/coordinator/quarantinerows.go
@@ -48,7 +48,7 @@
 
 // pause waits for the next look; it says no when ctx ends.
 func (q *quarantine) pause(ctx context.Context) bool {
-	taken := q.c.deps.Lease.Taken()
+	taken := q.c.deps.Lease.Acquired()
 	if q.c.HoldsLease() {
 		return pace.Sleep(ctx, quarantineEach)
 	}
--- a/node/coordinator/serve.go
+++ b/node/coordinator/serve.go
@@ -52,7 +52,7 @@
 
 func (s service) State(_ context.Context, q *coordpb.StateCall) (*coordpb.StateAnswer, error) {
 	s.c.deps.Metrics.CountKind(metrics.PeerCalls, callState, 1)
-	out := &coordpb.StateAnswer{Coordinator: addressOf(s.c.deps.Lease.Seen().Holder)}
+	out := &coordpb.StateAnswer{Coordinator: addressOf(s.c.deps.Lease.LastObserved().Holder)}
 	if linked := s.c.linked(); linked != "" {
 		out.Coordinator = linked
 	}
@@ -202,7 +202,7 @@
 // tellLease says whether this host holds the lease, and what its successor
 // needs to know when it does not any more.
 func (c *Coordinator) tellLease(out *coordpb.SiteState, now time.Time) {
-	if rows, record, held := c.deps.Lease.Holding(); held {
+	if rows, record, held := c.deps.Lease.HeldRecord(); held {
 		out.Holding, out.Epoch, out.GrantRow, out.BeatRow, out.Grant = true, record.Epoch, rows.Grant, rows.Heartbeat, record.Encode()
 		return
 	}
--- a/node/dispatch/attempt.go
+++ b/node/dispatch/attempt.go
@@ -51,8 +51,8 @@
 func (a *attempt) run(ctx context.Context) error {
 	ctx, cancel := context.WithDeadline(ctx, a.w.Deadline)
 	defer cancel()
-	a.d.deps.View.Dispatched(a.ep.Upstream)
-	defer a.d.deps.View.Finished(a.ep.Upstream)
+	a.d.deps.View.AttemptStarted(a.ep.Upstream)
+	defer a.d.deps.View.AttemptFinished(a.ep.Upstream)
 	a.d.deps.Metrics.Add(metrics.Attempts, a.ep.DataCentre, a.ep.Upstream, 1)
 
 	a.begun = time.Now()
@@ -109,7 +109,7 @@
 		h.Set(engineapi.HeaderPrefix, strconv.FormatUint(a.w.Prefix, 16))
 	}
 	r := &conn.Request{Address: a.ep.Address, Method: a.w.Method, Path: a.w.Path, Query: a.w.Query, Header: h,
-		Body: a.w.Body, Fresh: !a.w.Repeatable}
+		Body: a.w.Body, NewConnection: !a.w.Repeatable}
 	if a.w.BodyStream != nil {
 		r.Stream, r.StreamLength = a.w.BodyStream, a.w.BodyLength
 		a.bodyUsed = true
@@ -131,7 +131,7 @@
 		// body, time and again, would take upstreams from everybody.
 		if !errors.As(err, &body) && fault.From(fault.StepDispatch, err).Outcome == outcome.NotRun {
 			a.bodyUsed = false
-			a.d.deps.View.Down(a.ep.Upstream)
+			a.d.deps.View.MarkDown(a.ep.Upstream)
 		}
 		return err
 	}
@@ -154,11 +154,11 @@
 	inc := resp.Header.Get(engineapi.HeaderIncarnation)
 	if resp.Header.Get(engineapi.HeaderRefused) == engineapi.RefusedRestarted {
 		a.outdated = true
-		a.d.deps.View.Restarted(a.ep.Upstream, a.ep.Incarnation, inc)
+		a.d.deps.View.MarkRestarted(a.ep.Upstream, a.ep.Incarnation, inc)
 	} else if inc != "" {
 		a.sent.set(inc)
 	}
-	a.d.deps.View.Answer(a.ep.Upstream, inc, resp.Header.Get(engineapi.HeaderLoad))
+	a.d.deps.View.ObserveAnswer(a.ep.Upstream, inc, resp.Header.Get(engineapi.HeaderLoad))
 	return a.refused(resp)
 }
 
@@ -170,15 +170,15 @@
 	}
 	a.d.deps.Metrics.Add(metrics.Refused, a.ep.DataCentre, a.ep.Upstream, 1)
 	switch why {
-	case engineapi.RefusedLeaving:
-		if a.d.deps.View.Leaving(a.ep.Upstream, a.sent.get()) {
+	case engineapi.RefusedDraining:
+		if a.d.deps.View.MarkDraining(a.ep.Upstream, a.sent.get()) {
 			a.d.deps.Log.Emit(event.UpstreamLeaving, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("incarnation", a.sent.get()), zap.String("source", "refusal"))
 		}
-	case engineapi.RefusedSettled:
+	case engineapi.RefusedAttemptClosed:
 		// The watchdog asked for the fate before the attempt arrived.
 		return fault.Unknown(fault.StepDispatch, a.ep.Upstream, fault.CodeUpstreamFailed, "refused: %s", why)
 	case engineapi.RefusedNotLoaded:
-		a.d.deps.View.NotReady(a.ep.Upstream, a.w.Key)
+		a.d.deps.View.MarkNotReady(a.ep.Upstream, a.w.Key)
 	}
 	return fault.NotRun(fault.StepDispatch, a.ep.Upstream, fault.CodeOverloaded, "refused: %s", why)
 }
--- a/node/dispatch/dispatch.go
+++ b/node/dispatch/dispatch.go
@@ -23,14 +23,14 @@
 type Config struct {
 	// Silence is how long an exchange may go without a byte before its
 	// upstream is asked on a new connection whether there is anything to wait for.
-	Silence time.Duration
+	IdleBeforeProbe time.Duration
 	// RetryShare is the share of requests that retries may add, 0 to 1.
 	RetryShare float64
 	// NoReplicaRetryAfter is told to callers of a model that no upstream holds.
 	NoReplicaRetryAfter time.Duration
 	// KeepBytes bounds what is held at once of all answers to requests that
 	// may not be repeated; of those beyond it only the fact is kept.
-	KeepBytes int64
+	RetainBudgetBytes int64
 }
 
 const (
@@ -50,14 +50,14 @@
 	Log     *event.Log
 	Metrics *metrics.Set
 	// Demand, when set, is told of requests for a model that no upstream holds.
-	Demand func(pool string, key route.ModelKey)
+	NotifyDemand func(pool string, key route.ModelKey)
 }
 
 // Dispatcher sends requests to upstreams.
 type Dispatcher struct {
 	cfg       Config
 	deps      Deps
-	upstreams *Upstreams
+	upstreams *UpstreamClient
 	lengths   *lengths
 
 	keep keepBudget
@@ -68,8 +68,8 @@
 
 // New makes a Dispatcher.
 func New(cfg Config, deps Deps) *Dispatcher {
-	if cfg.Silence == 0 {
-		cfg.Silence = defaultSilence
+	if cfg.IdleBeforeProbe == 0 {
+		cfg.IdleBeforeProbe = defaultSilence
 	}
 	if cfg.RetryShare == 0 {
 		cfg.RetryShare = defaultRetryShare
@@ -77,15 +77,15 @@
 	if cfg.NoReplicaRetryAfter == 0 {
 		cfg.NoReplicaRetryAfter = defaultNoReplica
 	}
-	if cfg.KeepBytes == 0 {
-		cfg.KeepBytes = defaultKeep
+	if cfg.RetainBudgetBytes == 0 {
+		cfg.RetainBudgetBytes = defaultKeep
 	}
-	return &Dispatcher{cfg: cfg, deps: deps, keep: keepBudget{most: cfg.KeepBytes}, upstreams: NewUpstreams(deps.Client), lengths: newLengths(),
+	return &Dispatcher{cfg: cfg, deps: deps, keep: keepBudget{most: cfg.RetainBudgetBytes}, upstreams: NewUpstreamClient(deps.Client), lengths: newLengths(),
 		budget: retry.NewBudget(cfg.RetryShare)}
 }
 
-// Upstreams asks after attempts.
-func (d *Dispatcher) Upstreams() *Upstreams { return d.upstreams }
+// UpstreamClient asks after attempts.
+func (d *Dispatcher) UpstreamClient() *UpstreamClient { return d.upstreams }
 
 // randomSource adapts the runtime's generator to route.Source; it is sharded
 // by processor, so that requests do not wait for each other.
@@ -98,11 +98,11 @@
 // A claim that was taken out is settled before Do returns.
 func (d *Dispatcher) Do(ctx context.Context, w *Work, sink Sink) error {
 	claimed := w.Claim != nil
-	out := &output{sink: sink, keep: claimed, most: w.KeepBytes, budget: &d.keep, detached: claimed}
+	out := &output{sink: sink, keep: claimed, most: w.MaxRetainedBytes, budget: &d.keep, detached: claimed}
 	r := &run{d: d, w: w, out: out,
 		retries: retry.NewRequest(retry.Config{}, w.Repeatable, w.Deadline),
-		route: route.Request{Pool: w.Pool, Key: w.Key, PlainService: w.Service, Class: w.Class, Prefix: w.Prefix,
-			AnswerTokens: d.lengths.predict(w.Key, w.MaxTokens), IdleStepMs: w.TokenMs}}
+		route: route.Request{Pool: w.Pool, Key: w.Key, PlainService: w.PlainService, Class: w.Class, Prefix: w.Prefix,
+			AnswerTokens: d.lengths.predict(w.Key, w.MaxTokens), IdleStepMs: w.IdleStepMs}}
 	d.countRequest()
 	err := r.attempts(ctx)
 	if r.grant != nil {
@@ -132,9 +132,9 @@
 	case err == nil:
 		_ = r.grant.Complete(ctx, r.out.answer())
 	case fault.From(fault.StepDispatch, err).Outcome == outcome.NotRun:
-		_ = r.grant.NotRun(ctx)
+		_ = r.grant.Release(ctx)
 	default:
-		_ = r.grant.Unknown(ctx)
+		_ = r.grant.MarkUnknown(ctx)
 	}
 }
 
@@ -177,7 +177,7 @@
 		err = errNoProcess
 	}
 	if err != nil {
-		r.d.deps.View.Down(a.ep.Upstream)
+		r.d.deps.View.MarkDown(a.ep.Upstream)
 		return fault.NotRun(fault.StepRoute, a.ep.Upstream, fault.CodeNoUpstream, "ask for a report: %w", err)
 	}
 	aimed := *a.ep // the snapshot is shared
@@ -195,7 +195,7 @@
 	}
 	to := claim.Route{Upstream: a.ep.Upstream, Incarnation: a.ep.Incarnation, Attempt: a.id}
 	if r.grant != nil {
-		return false, r.grant.Dispatching(ctx, to, r.w.Deadline)
+		return false, r.grant.RecordDispatch(ctx, to, r.w.Deadline)
 	}
 	grant, stored, err := r.w.Claim(ctx, to)
 	if err != nil {
@@ -205,7 +205,7 @@
 		return true, r.out.replay(stored)
 	}
 	r.grant = grant
-	return false, grant.Dispatching(ctx, to, r.w.Deadline)
+	return false, grant.RecordDispatch(ctx, to, r.w.Deadline)
 }
 
 // again says whether another attempt follows the one that failed, and waits
@@ -281,8 +281,8 @@
 // refuse is the answer to a request for which there is no upstream.
 func (d *Dispatcher) refuse(w *Work, why route.Reason) error {
 	if why == route.NoReplica {
-		if d.deps.Demand != nil {
-			d.deps.Demand(w.Pool, w.Key)
+		if d.deps.NotifyDemand != nil {
+			d.deps.NotifyDemand(w.Pool, w.Key)
 		}
 		return fault.NotRun(fault.StepRoute, "", fault.CodeNoUpstream, "no upstream of pool %s holds the model now", w.Pool).WithRetryAfter(d.cfg.NoReplicaRetryAfter)
 	}
--- a/node/dispatch/fate.go
+++ b/node/dispatch/fate.go
@@ -29,22 +29,22 @@
 // use to ask again.
 var errForgotten = errors.New("upstream has forgotten the attempt")
 
-// Upstreams asks upstreams about attempts and cancels them.
-type Upstreams struct{ client *conn.Client }
+// UpstreamClient asks upstreams about attempts and cancels them.
+type UpstreamClient struct{ client *conn.Client }
 
-// NewUpstreams uses the given connections.
-func NewUpstreams(c *conn.Client) *Upstreams { return &Upstreams{client: c} }
+// NewUpstreamClient uses the given connections.
+func NewUpstreamClient(c *conn.Client) *UpstreamClient { return &UpstreamClient{client: c} }
 
 func attemptPath(pattern, id string) string { return strings.Replace(pattern, "{id}", id, 1) }
 
-// Fate asks an upstream on a new connection what became of an attempt. After
+// AttemptOutcome asks an upstream on a new connection what became of an attempt. After
 // the answer AttemptUnseen the upstream refuses that attempt for good.
-func (u *Upstreams) Fate(ctx context.Context, address, attempt string) (engineapi.Attempt, error) {
+func (u *UpstreamClient) AttemptOutcome(ctx context.Context, address, attempt string) (engineapi.Attempt, error) {
 	var a engineapi.Attempt
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	resp, err := u.client.Do(ctx, &conn.Request{Address: address, Method: http.MethodGet,
-		Path: attemptPath(engineapi.PathAttempt, attempt), Header: http.Header{}, Fresh: true})
+		Path: attemptPath(engineapi.PathAttempt, attempt), Header: http.Header{}, NewConnection: true})
 	if err != nil {
 		return a, err
 	}
@@ -67,12 +67,12 @@
 }
 
 // Report asks an upstream for its state, on a new connection.
-func (u *Upstreams) Report(ctx context.Context, address string) (engineapi.Report, error) {
+func (u *UpstreamClient) Report(ctx context.Context, address string) (engineapi.Report, error) {
 	var r engineapi.Report
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	resp, err := u.client.Do(ctx, &conn.Request{Address: address, Method: http.MethodGet, Path: engineapi.PathReport,
-		Header: http.Header{}, Fresh: true})
+		Header: http.Header{}, NewConnection: true})
 	if err != nil {
 		return r, err
 	}
@@ -84,11 +84,11 @@
 }
 
 // Cancel tells an upstream to give an attempt up.
-func (u *Upstreams) Cancel(ctx context.Context, address, attempt string) error {
+func (u *UpstreamClient) Cancel(ctx context.Context, address, attempt string) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	resp, err := u.client.Do(ctx, &conn.Request{Address: address, Method: http.MethodDelete,
-		Path: attemptPath(engineapi.PathAttempt, attempt), Header: http.Header{}, Fresh: true})
+		Path: attemptPath(engineapi.PathAttempt, attempt), Header: http.Header{}, NewConnection: true})
 	if err != nil {
 		return err
 	}
@@ -97,9 +97,9 @@
 }
 
 // Resume opens an attempt's stream again after a position, on a new connection.
-func (u *Upstreams) Resume(ctx context.Context, address, attempt string, after int) (*conn.Response, error) {
+func (u *UpstreamClient) Resume(ctx context.Context, address, attempt string, after int) (*conn.Response, error) {
 	resp, err := u.client.Do(ctx, &conn.Request{Address: address, Method: http.MethodGet,
-		Path: attemptPath(engineapi.PathResume, attempt), Query: "after=" + strconv.Itoa(after), Header: http.Header{}, Fresh: true})
+		Path: attemptPath(engineapi.PathResume, attempt), Query: "after=" + strconv.Itoa(after), Header: http.Header{}, NewConnection: true})
 	if err != nil {
 		return nil, err
 	}
--- a/node/dispatch/output.go
+++ b/node/dispatch/output.go
@@ -27,7 +27,7 @@
 func (o *output) start(h Head) {
 	o.started, o.head = true, h
 	if !o.gone {
-		o.sink.Head(h)
+		o.sink.WriteHead(h)
 	}
 }
 
--- a/node/dispatch/recover.go
+++ b/node/dispatch/recover.go
@@ -34,11 +34,11 @@
 func (a *attempt) recover(ctx context.Context, cause error) error {
 	failures := 0
 	for ctx.Err() == nil {
-		f, err := a.d.upstreams.Fate(ctx, a.ep.Address, a.id)
+		f, err := a.d.upstreams.AttemptOutcome(ctx, a.ep.Address, a.id)
 		if err != nil {
 			failures++
 			if !a.worthAsking(err, failures) {
-				a.d.deps.View.Down(a.ep.Upstream)
+				a.d.deps.View.MarkDown(a.ep.Upstream)
 				return cause
 			}
 			_ = sleep(ctx, recoverPause)
--- a/node/dispatch/relay.go
+++ b/node/dispatch/relay.go
@@ -68,7 +68,7 @@
 	rest := len(held) == wholeHold
 	if !rest {
 		resp.Finish()
-		if n := usedTokens(held); n > 0 && !a.w.Service {
+		if n := usedTokens(held); n > 0 && !a.w.PlainService {
 			a.learnLength(n)
 		}
 		h.Header.Set("Content-Length", strconv.Itoa(len(held)))
@@ -127,7 +127,7 @@
 			// Most streams are between two tokens at any moment: buffers held
 			// meanwhile would be the largest part of their memory.
 			bufferPool.Put(b)
-			resp.Wait()
+			resp.WaitReadable()
 			b = bufferPool.Get().(*buffers)
 		}
 		if have == len(b.in) {
@@ -185,10 +185,10 @@
 func (a *attempt) measure() {
 	now := time.Now()
 	if a.pace.at.IsZero() && a.split.position > 0 && a.ep.Running+a.ep.Waiting < a.ep.MaxBatch {
-		a.d.deps.View.Began(a.ep.Upstream, now.Sub(a.begun))
+		a.d.deps.View.ObserveFirstToken(a.ep.Upstream, now.Sub(a.begun))
 	}
 	if step, ok := a.pace.note(a.split.position, now); ok {
-		a.d.deps.View.Paced(a.ep.Upstream, step)
+		a.d.deps.View.ObserveStepTime(a.ep.Upstream, step)
 	}
 	if a.split.done {
 		a.learnLength(a.split.position)
@@ -197,7 +197,7 @@
 
 func (a *attempt) learnLength(tokens int) {
 	a.d.lengths.learn(a.w.Key, tokens)
-	a.d.deps.View.Answered(a.ep.Upstream, tokens)
+	a.d.deps.View.ObserveAnswerLength(a.ep.Upstream, tokens)
 }
 
 // endStream gives the connection back if nothing but the end of the body is
--- a/node/dispatch/relay_bench_test.go
+++ b/node/dispatch/relay_bench_test.go
@@ -11,7 +11,7 @@
 // discard is a caller that takes everything.
 type discard struct{}
 
-func (discard) Head(Head)          {}
+func (discard) WriteHead(Head)     {}
 func (discard) Write([]byte) error { return nil }
 func (discard) Flush() error       { return nil }
 
--- a/node/dispatch/watchdog.go
+++ b/node/dispatch/watchdog.go
@@ -30,7 +30,7 @@
 
 // silence is how long this attempt's exchange may go without a byte.
 func (a *attempt) silence() time.Duration {
-	return min(a.d.cfg.Silence, max(time.Until(a.w.Deadline)/silenceShare, leastSilence))
+	return min(a.d.cfg.IdleBeforeProbe, max(time.Until(a.w.Deadline)/silenceShare, leastSilence))
 }
 
 // watchdog notices that an exchange has gone without a byte for a while. Its
@@ -97,14 +97,14 @@
 // silent asks whether the upstream has more for this exchange than arrived.
 func (a *attempt) silent(ctx context.Context) bool {
 	before := a.watch.touched.Load()
-	f, err := a.d.upstreams.Fate(ctx, a.ep.Address, a.id)
+	f, err := a.d.upstreams.AttemptOutcome(ctx, a.ep.Address, a.id)
 	if err != nil {
 		// Refused: the process is gone, and its connections with it. No answer
 		// at all: the upstream may be cut off for a while; go on waiting.
 		if fault.From(fault.StepResume, err).Outcome != outcome.NotRun || ctx.Err() != nil {
 			return false
 		}
-		a.d.deps.View.Down(a.ep.Upstream)
+		a.d.deps.View.MarkDown(a.ep.Upstream)
 		return true
 	}
 	waiting := f.State == engineapi.AttemptRunning && (!a.w.Stream || int64(f.Position) <= a.watch.position.Load())
--- a/node/dispatch/work.go
+++ b/node/dispatch/work.go
@@ -18,30 +18,30 @@
 
 // Work is one admitted request.
 type Work struct {
-	RequestID  string
-	Team       string
-	Class      class.Class
-	Pool       string
-	Key        route.ModelKey // of a model request
-	Service    bool           // a call to a plain service
-	Method     string
-	Path       string // at the upstream
-	Query      string
-	Header     http.Header // to pass on
-	Body       []byte
-	BodyStream io.Reader // instead of Body, when it was too large to hold; sent once at most
-	BodyLength int64     // of BodyStream; -1: unknown
-	Stream     bool      // the caller asked for server-sent events
-	Deadline   time.Time
-	Repeatable bool
-	Prefix     uint64  // salted prefix hash; 0: none
-	MaxTokens  int     // that the caller allows; 0: not said
-	TokenMs    float64 // one decoding step of the model alone, milliseconds; 0: not known
+	RequestID    string
+	Team         string
+	Class        class.Class
+	Pool         string
+	Key          route.ModelKey // of a model request
+	PlainService bool           // a call to a plain service
+	Method       string
+	Path         string // at the upstream
+	Query        string
+	Header       http.Header // to pass on
+	Body         []byte
+	BodyStream   io.Reader // instead of Body, when it was too large to hold; sent once at most
+	BodyLength   int64     // of BodyStream; -1: unknown
+	Stream       bool      // the caller asked for server-sent events
+	Deadline     time.Time
+	Repeatable   bool
+	Prefix       uint64  // salted prefix hash; 0: none
+	MaxTokens    int     // that the caller allows; 0: not said
+	IdleStepMs   float64 // one decoding step of the model alone, milliseconds; 0: not known
 	// Claim takes out the claim of a request that may not be repeated, naming
 	// its first attempt; nil for all others. A repeat of a request that ran
 	// gets the stored answer in place of a grant.
-	Claim     func(ctx context.Context, first claim.Route) (Grant, *nodeclaim.Answer, error)
-	KeepBytes int64 // most bytes of an answer to keep for its claim
+	Claim            func(ctx context.Context, first claim.Route) (Grant, *nodeclaim.Answer, error)
+	MaxRetainedBytes int64 // most bytes of an answer to keep for its claim
 }
 
 // Grant is the claim under which a request that may not be repeated runs;
@@ -49,13 +49,13 @@
 type Grant interface {
 	// Dispatching makes durable which attempt goes where, before its first
 	// byte is written. On an error the attempt must not be sent.
-	Dispatching(ctx context.Context, r claim.Route, deadline time.Time) error
+	RecordDispatch(ctx context.Context, r claim.Route, deadline time.Time) error
 	// Complete keeps the answer; it may finish later in the background.
 	Complete(ctx context.Context, a nodeclaim.Answer) error
 	// NotRun frees the key, so that a retry may run.
-	NotRun(ctx context.Context) error
+	Release(ctx context.Context) error
 	// Unknown keeps the key: no retry runs until the fate is known.
-	Unknown(ctx context.Context) error
+	MarkUnknown(ctx context.Context) error
 }
 
 // Head is what is known of an answer when its first byte is due.
@@ -70,7 +70,7 @@
 // Sink takes the answer to the caller. Head comes once, before any Write.
 // After an error the caller is gone.
 type Sink interface {
-	Head(h Head)
+	WriteHead(h Head)
 	Write(p []byte) error
 	Flush() error
 }
@@ -78,15 +78,15 @@
 // View is the host's picture of the upstreams; node/upstream/view implements it.
 type View interface {
 	Snapshot() *route.Snapshot
-	Dispatched(upstream string)
-	Finished(upstream string)
-	Answer(upstream, incarnation, load string)
-	Leaving(upstream, incarnation string) bool
-	Down(upstream string)
-	NotReady(upstream string, key route.ModelKey)
+	AttemptStarted(upstream string)
+	AttemptFinished(upstream string)
+	ObserveAnswer(upstream, incarnation, load string)
+	MarkDraining(upstream, incarnation string) bool
+	MarkDown(upstream string)
+	MarkNotReady(upstream string, key route.ModelKey)
 	Incarnation(upstream string) string
-	Paced(upstream string, step time.Duration)
-	Began(upstream string, first time.Duration)
-	Answered(upstream string, tokens int)
-	Restarted(upstream, from, to string)
+	ObserveStepTime(upstream string, step time.Duration)
+	ObserveFirstToken(upstream string, first time.Duration)
+	ObserveAnswerLength(upstream string, tokens int)
+	MarkRestarted(upstream, from, to string)
 }
--- a/node/drain/begin_test.go
+++ b/node/drain/begin_test.go
@@ -113,7 +113,7 @@
 			answers := bufio.NewReader(c)
 			answered(t, answers)
 			time.Sleep(50 * time.Millisecond) // the server waits for the rest
-			assert.Equal(t, s.Look(), 1)
+			assert.Equal(t, s.DrainStep(), 1)
 			time.Sleep(50 * time.Millisecond)
 			_, err = io.WriteString(c, get[half:])
 			assert.NilError(t, err)
--- a/node/drain/conn.go
+++ b/node/drain/conn.go
@@ -186,8 +186,8 @@
 	if !c.phase.CompareAndSwap(asked, closing) {
 		return 0, err
 	}
-	if c.s.cfg.Closing != nil {
-		c.s.cfg.Closing(c.Conn, c.why)
+	if c.s.cfg.BeforeClose != nil {
+		c.s.cfg.BeforeClose(c.Conn, c.why)
 	}
 	return 0, c.ended()
 }
--- a/node/drain/conn_test.go
+++ b/node/drain/conn_test.go
@@ -39,7 +39,7 @@
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond))
-	c.ask(Stop)
+	c.ask(Shutdown)
 	buf := make([]byte, 8)
 	n, err := c.Read(buf)
 	assert.NilError(t, err)
@@ -63,7 +63,7 @@
 		_, err := c.Read(make([]byte, 8))
 		done <- err
 	}()
-	c.ask(Idle)
+	c.ask(IdleTimeout)
 	assert.NilError(t, c.SetReadDeadline(time.Time{}))
 	select {
 	case err := <-done:
@@ -76,7 +76,7 @@
 	assert.NilError(t, err)
 	_, err = c.Read(make([]byte, 8))
 	assert.Assert(t, err != nil, "nothing is read any more")
-	assert.Equal(t, c.s.Look(), 0)
+	assert.Equal(t, c.s.DrainStep(), 0)
 }
 
 // Symptom: a stop takes its whole grace, and connections of callers that do not
@@ -112,10 +112,10 @@
 	c.shaken.Store(true)
 	c.begin()
 	c.s.began = time.Now().Add(-2 * handshakeRest)
-	c.ask(Stop)
+	c.ask(Shutdown)
 	assert.Equal(t, c.phase.Load(), asked)
 	c.s.cfg.Server.ConnState(c, http.StateActive)
 	assert.Equal(t, c.phase.Load(), busy)
-	assert.Equal(t, c.s.Look(), 1)
+	assert.Equal(t, c.s.DrainStep(), 1)
 	assert.Equal(t, c.phase.Load(), busy, "it is used now")
 }
--- a/node/drain/drain.go
+++ b/node/drain/drain.go
@@ -23,8 +23,8 @@
 
 // The reasons.
 const (
-	Idle Reason = "idle" // for longer than is allowed
-	Stop Reason = "stop" // the server stops
+	IdleTimeout Reason = "idle" // for longer than is allowed
+	Shutdown    Reason = "stop" // the server stops
 )
 
 // Config is what a Server is made of.
@@ -37,7 +37,7 @@
 	Server *http.Server
 	// Closing is told before a connection of Listener without a request is closed;
 	// nil: nobody is.
-	Closing func(nc net.Conn, why Reason)
+	BeforeClose func(nc net.Conn, why Reason)
 }
 
 // Server serves the connections of one listener.
@@ -79,22 +79,22 @@
 // CloseListener takes no more connections.
 func (s *Server) CloseListener() { _ = s.cfg.Listener.Close() }
 
-// Sweep closes the connections without a request for longer than most.
-func (s *Server) Sweep(now time.Time, most time.Duration) {
+// CloseIdle closes the connections without a request for longer than most.
+func (s *Server) CloseIdle(now time.Time, most time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		if c.rested(now.Sub(s.began)) > most {
-			c.ask(Idle)
+			c.ask(IdleTimeout)
 		}
 	}
 }
 
-// Look asks the connections that had an answer and have no request to close,
+// DrainStep asks the connections that had an answer and have no request to close,
 // and returns how many have a request or may have one still. When none has, it
 // asks the new ones too; when none is left, the Server takes none any more:
 // what is looked at last is then what ends.
-func (s *Server) Look() int {
+func (s *Server) DrainStep() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	left := s.ask((*conn).kept)
@@ -112,7 +112,7 @@
 	for c := range s.conns {
 		due := which(c) || c.unused()
 		if due {
-			c.ask(Stop)
+			c.ask(Shutdown)
 		}
 		p := c.phase.Load()
 		if p == busy || p == asked || due && p == quiet { // quiet again: its request was over since it was asked
@@ -144,7 +144,7 @@
 	s.CloseListener()
 	t := time.NewTicker(lookEach)
 	defer t.Stop()
-	for s.Look() > 0 {
+	for s.DrainStep() > 0 {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -217,8 +217,8 @@
 	}
 }
 
-// Under returns the connection of a Server's Listener below one that its hooks get.
-func Under(nc net.Conn) net.Conn { return own(nc).Conn }
+// Underlying returns the connection of a Server's Listener below one that its hooks get.
+func Underlying(nc net.Conn) net.Conn { return own(nc).Conn }
 
 // own finds the Server's connection below what Secure made of it.
 func own(nc net.Conn) *conn {
--- a/node/drain/drain_test.go
+++ b/node/drain/drain_test.go
@@ -156,7 +156,7 @@
 // stop looks as a stop does until nothing is under way, then ends what is left.
 func (s *served) stop() {
 	s.t.Helper()
-	for end := time.Now().Add(8 * time.Second); s.drain.Look() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(8 * time.Second); s.drain.DrainStep() > 0; time.Sleep(time.Millisecond) {
 		assert.Assert(s.t, time.Now().Before(end), "the stop does not end")
 	}
 	s.drain.Close()
@@ -204,7 +204,7 @@
 		c := s.dial()
 		c.send(get)
 		within(t, "the answer is written", s.ln.write.reached)
-		assert.Equal(t, s.drain.Look(), 1)
+		assert.Equal(t, s.drain.DrainStep(), 1)
 		close(s.ln.write.release)
 		s.stop()
 		c.answered("ok")
@@ -219,7 +219,7 @@
 		c := s.dial()
 		c.send(get)
 		within(t, "the last chunk is written", s.ln.write.reached)
-		assert.Equal(t, s.drain.Look(), 1)
+		assert.Equal(t, s.drain.DrainStep(), 1)
 		close(s.ln.write.release)
 		s.stop()
 		c.answered("ok")
@@ -247,7 +247,7 @@
 	half := len(get) / 2
 	c.send(get[:half])
 	eventually(s.t, func() bool { return s.ln.reads.Load() == before+2 }) // it waits for the other half
-	assert.Equal(s.t, s.drain.Look(), 1)
+	assert.Equal(s.t, s.drain.DrainStep(), 1)
 	c.send(get[half:])
 	s.stop()
 	c.answered("ok")
@@ -274,8 +274,8 @@
 func TestARequestThatWasReadIsAnswered(t *testing.T) {
 	t.Parallel()
 	for name, choose := range map[string]func(*Server){
-		"at a stop":         func(s *Server) { s.Look() },
-		"at the idle bound": func(s *Server) { s.Sweep(time.Now().Add(time.Hour), time.Minute) },
+		"at a stop":         func(s *Server) { s.DrainStep() },
+		"at the idle bound": func(s *Server) { s.CloseIdle(time.Now().Add(time.Hour), time.Minute) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := serve(t, sayOKToWhoIsThere, nil)
--- a/node/drain/guards_test.go
+++ b/node/drain/guards_test.go
@@ -18,14 +18,14 @@
 	t.Run("after an answer", func(t *testing.T) {
 		c, _ := pair(t)
 		c.since.Store(1)
-		assert.Equal(t, c.s.Look(), 1)
+		assert.Equal(t, c.s.DrainStep(), 1)
 		assert.Equal(t, c.phase.Load(), asked)
-		assert.Equal(t, c.s.Look(), 1)
+		assert.Equal(t, c.s.DrainStep(), 1)
 		assert.Assert(t, !c.s.over)
 	})
 	t.Run("new", func(t *testing.T) {
 		c, _ := pair(t)
-		assert.Equal(t, c.s.Look(), 1)
+		assert.Equal(t, c.s.DrainStep(), 1)
 		assert.Equal(t, c.phase.Load(), asked)
 	})
 }
@@ -39,9 +39,9 @@
 	other := &conn{Conn: c.Conn, s: c.s}
 	other.phase.Store(busy)
 	c.s.conns[other] = struct{}{}
-	assert.Equal(t, c.s.Look(), 1)
+	assert.Equal(t, c.s.DrainStep(), 1)
 	assert.Equal(t, c.phase.Load(), quiet)
-	c.s.Sweep(time.Now().Add(time.Hour), time.Minute)
+	c.s.CloseIdle(time.Now().Add(time.Hour), time.Minute)
 	assert.Equal(t, c.phase.Load(), quiet)
 	delete(c.s.conns, other)
 }
@@ -125,7 +125,7 @@
 	c.answered("ok")
 	within(t, "the connection is idle", s.idle)
 	began := time.Now()
-	s.drain.Look()
+	s.drain.DrainStep()
 	within(t, "the connection ends", s.closed)
 	assert.Assert(t, time.Since(began) < lingerBound/2, "%v", time.Since(began))
 }
--- a/node/drain/rest_test.go
+++ b/node/drain/rest_test.go
@@ -42,7 +42,7 @@
 			c.send(strings.Repeat("x", of.size/2))
 			c.answered("no\n") // before the body is in
 			stopped := make(chan struct{})
-			assert.Equal(t, s.drain.Look(), 1)
+			assert.Equal(t, s.drain.DrainStep(), 1)
 			go func() { defer close(stopped); s.stop() }()
 			c.send(strings.Repeat("x", of.size/2))
 			_, err := io.Copy(io.Discard, c.buf)
@@ -106,7 +106,7 @@
 		close(answer)
 		c.answered("ok")
 		eventually(t, func() bool { return s.ln.reads.Load() > before })
-		s.drain.Look()
+		s.drain.DrainStep()
 		assert.Equal(t, s.drain.Active(), 1, "a request has begun")
 		within(t, "the connection ends", s.closed)
 	})
@@ -182,7 +182,7 @@
 func TestNothingIsTakenAfterTheLastLook(t *testing.T) {
 	t.Parallel()
 	s := serve(t, sayOK, nil)
-	assert.Equal(t, s.drain.Look(), 0)
+	assert.Equal(t, s.drain.DrainStep(), 0)
 	c := s.dial()
 	c.send(get)
 	_, err := c.answer()
--- a/node/drain/secured_test.go
+++ b/node/drain/secured_test.go
@@ -59,7 +59,7 @@
 		assert.NilError(t, err)
 		within(t, "the request is read", h.reached)
 		s.longAgo()
-		s.Look()
+		s.DrainStep()
 		assert.Equal(t, s.phases()[asked], 1)
 		close(h.release)
 		answered(t, bufio.NewReader(c))
--- a/node/gate/gate.go
+++ b/node/gate/gate.go
@@ -228,7 +228,7 @@
 		return false
 	}
 	if q.service.Engine != nil { // a plain service runs no models, whatever its caller names
-		q.ask = fleet.Request{Model: q.facts.Model, Adapter: q.facts.Adapter, PromptParts: q.facts.Parts}
+		q.ask = fleet.Request{Model: q.facts.Model, Adapter: q.facts.Adapter, PromptParts: q.facts.PromptParts}
 	}
 	q.cost = fleet.Cost{PromptTokens: q.facts.PromptTokens, OutputTokens: q.output()}
 	if q.ask.Model != "" {
--- a/node/gate/turn.go
+++ b/node/gate/turn.go
@@ -16,12 +16,12 @@
 // PermitRequest asks the host that decides for all where a request may go.
 type PermitRequest struct {
 	Service                string
-	Ask                    *fleet.Request
+	Request                *fleet.Request
 	Cost                   fleet.Cost
 	Priority               int
 	MaxPendingPromptTokens int            // prompt tokens that may wait beside it; 0: not bounded
 	Excluded               []string       // upstreams not to go to: tried, or left alone by this host
-	Warm                   []string       // upstreams with an idle connection from here
+	WithIdleConn           []string       // upstreams with an idle connection from here
 	Backoffs               fleet.Backoffs // that upstreams of the service asked this host for
 	ObjectiveLeft          time.Duration  // for so long an answer that begins is in time
 	MaxWait                time.Duration  // for so long it waits
@@ -44,7 +44,7 @@
 	CachedTokens        int
 	// WithinLimit says that the upstream names a limit and the request is counted.
 	WithinLimit bool
-	Trial       bool // First is waited for: the upstream has turned requests away
+	IsProbe     bool // First is waited for: the upstream has turned requests away
 
 	Began        func()
 	NotListening func()
@@ -63,9 +63,9 @@
 	ctx, cancel := context.WithTimeout(q.ctx, left)
 	defer cancel()
 	defer q.endsWithStop(cancel)()
-	ask := &PermitRequest{Service: q.service.Name, Ask: &q.ask, Cost: q.cost, Priority: q.urgency(), MaxPendingPromptTokens: q.reading(now, q.lost),
+	ask := &PermitRequest{Service: q.service.Name, Request: &q.ask, Cost: q.cost, Priority: q.urgency(), MaxPendingPromptTokens: q.reading(now, q.lost),
 		ObjectiveLeft: q.start.Add(q.route.Objective).Sub(now), MaxWait: left}
-	ask.Warm, ask.Backoffs = q.warm(), d.Fleet.Backoffs(q.service.Name)
+	ask.WithIdleConn, ask.Backoffs = q.warm(), d.Fleet.Backoffs(q.service.Name)
 	if q.caller.owes() {
 		ask.Team, ask.Charge = q.caller.team, q.caller.cost
 	}
@@ -129,7 +129,7 @@
 func (q *request) warm() []string {
 	var out []string
 	for _, e := range q.g.deps.Fleet.EntriesWithModel(q.service.Name, q.ask.Model) {
-		if q.g.deps.Client.Warm(e.Address()) {
+		if q.g.deps.Client.HasIdleConnection(e.Address()) {
 			out = append(out, e.ID())
 		}
 	}
--- a/node/gate/wire.go
+++ b/node/gate/wire.go
@@ -18,7 +18,7 @@
 	PromptTokens    int // tokens
 	MaxOutputTokens int // tokens, at most
 	OutputHint      int // tokens, the caller's guess; 0: none
-	Parts           []fleet.PromptPart
+	PromptParts     []fleet.PromptPart
 	LastEventID     string // last event that the caller has of a stream; "": from the start
 	DeclaresTokens  bool   // it names its tokens
 	Key             apikey.Hash
--- a/node/host/callers.go
+++ b/node/host/callers.go
@@ -33,7 +33,7 @@
 	c := &callers{bound: idleBound, conns: conns}
 	c.server = &http.Server{Handler: c.handle(h), MaxHeaderBytes: headMost, ReadHeaderTimeout: headBound, ConnState: c.state,
 		ConnContext: withConn, ErrorLog: log.New(complaints{conns.log}, "", 0)}
-	c.drain = drain.New(drain.Config{Listener: callerListener{ln, conns}, Server: c.server, Closing: c.closing})
+	c.drain = drain.New(drain.Config{Listener: callerListener{ln, conns}, Server: c.server, BeforeClose: c.closing})
 	return c
 }
 
@@ -64,7 +64,7 @@
 type connKey struct{}
 
 func withConn(ctx context.Context, nc net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, drain.Under(nc))
+	return context.WithValue(ctx, connKey{}, drain.Underlying(nc))
 }
 
 // connGone says how the connection of a request ended; "": it has not, or that
@@ -79,7 +79,7 @@
 
 func (c *callers) state(nc net.Conn, s http.ConnState) {
 	if s == http.StateIdle {
-		drain.Under(nc).(*callerConn).track.idle()
+		drain.Underlying(nc).(*callerConn).track.idle()
 	}
 }
 
@@ -89,11 +89,11 @@
 
 // sweep closes the connections that were idle for longer than the
 // configuration in force allows, which the server's own fixed bound cannot follow.
-func (c *callers) sweep(now time.Time) { c.drain.Sweep(now, c.bound()) }
+func (c *callers) sweep(now time.Time) { c.drain.CloseIdle(now, c.bound()) }
 
 // closeIdle closes the connections without a request and returns how many
 // have one.
-func (c *callers) closeIdle() int { return c.drain.Look() }
+func (c *callers) closeIdle() int { return c.drain.DrainStep() }
 
 // closeListener takes no more connections.
 func (c *callers) closeListener() { c.drain.CloseListener() }
--- a/node/lease/lease.go
+++ b/node/lease/lease.go
@@ -42,10 +42,10 @@
 	Policy decide.Policy
 	// Ended says whether a holder is known to have ended, as a former process
 	// of this host has; nil: none is. It need not be waited for.
-	Ended func(holder string) bool
+	HasTerminated func(holder string) bool
 	// TryBound bounds one try of a call; 0: none. An answer can be lost without
 	// a sign, and waiting for it would cost the whole term.
-	TryBound time.Duration
+	TryTimeout time.Duration
 }
 
 // Deps are what a lease works with; Now and Rand may be nil.
@@ -80,8 +80,8 @@
 	taken pace.Signal // given when the lease is taken
 }
 
-// Taken returns a channel that is closed when this process takes the lease next.
-func (l *Lease) Taken() <-chan struct{} { return l.taken.Next() }
+// Acquired returns a channel that is closed when this process takes the lease next.
+func (l *Lease) Acquired() <-chan struct{} { return l.taken.Next() }
 
 // New makes a lease; Run campaigns for it.
 func New(cfg Config, deps Deps) *Lease {
@@ -100,8 +100,8 @@
 	if deps.Log == nil {
 		deps.Log = event.NewLog(nil)
 	}
-	if cfg.TryBound > 0 {
-		deps.Table = boundedTable{Table: deps.Table, bound: cfg.TryBound}
+	if cfg.TryTimeout > 0 {
+		deps.Table = boundedTable{Table: deps.Table, bound: cfg.TryTimeout}
 	}
 	return &Lease{cfg: cfg, deps: deps, log: deps.Log.With(zap.String("lease", cfg.Name))}
 }
@@ -170,8 +170,8 @@
 	}
 }
 
-// Look reads who holds the lease, for Seen, without running for it.
-func (l *Lease) Look(ctx context.Context) error {
+// Refresh reads who holds the lease, for Seen, without running for it.
+func (l *Lease) Refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	rows, record, err := l.read(ctx)
@@ -219,12 +219,12 @@
 // ended says whether a holder acts no more. This process itself does not while
 // it campaigns.
 func (l *Lease) ended(holder string) bool {
-	return holder == l.cfg.Holder || l.cfg.Ended != nil && l.cfg.Ended(holder)
+	return holder == l.cfg.Holder || l.cfg.HasTerminated != nil && l.cfg.HasTerminated(holder)
 }
 
-// Holding returns the rows and the grant of the lease while it is held, for
+// HeldRecord returns the rows and the grant of the lease while it is held, for
 // the holder to tell to others.
-func (l *Lease) Holding() (decide.Rows, decide.Record, bool) {
+func (l *Lease) HeldRecord() (decide.Rows, decide.Record, bool) {
 	h, ok := l.holding()
 	if !ok || l.cfg.Policy.Remaining(h, l.deps.Now()) <= 0 {
 		return decide.Rows{}, decide.Record{}, false
@@ -236,16 +236,16 @@
 // it need not begin to wait only when the holder falls silent.
 func (l *Lease) Observe(rows decide.Rows, record decide.Record) { l.see(rows, record) }
 
-// Yielded notes that the holder of an epoch has said itself that it acts in it
+// RecordStepDown notes that the holder of an epoch has said itself that it acts in it
 // no more. It need not be waited for.
-func (l *Lease) Yielded(epoch uint64) {
+func (l *Lease) RecordStepDown(epoch uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.yielded = max(l.yielded, epoch)
 }
 
-// Seen is the grant that was read last while the lease was not held.
-func (l *Lease) Seen() decide.Record {
+// LastObserved is the grant that was read last while the lease was not held.
+func (l *Lease) LastObserved() decide.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.seen.Record
--- a/node/lease/lease_test.go
+++ b/node/lease/lease_test.go
@@ -285,7 +285,7 @@
 		start := time.Now()
 		ctxNew, stop := context.WithCancel(t.Context())
 		ended := func(holder string) bool { return holder == "host old" }
-		next := lease.New(lease.Config{Name: "r", Holder: "host new", Policy: policy, Ended: ended}, lease.Deps{Table: tb})
+		next := lease.New(lease.Config{Name: "r", Holder: "host new", Policy: policy, HasTerminated: ended}, lease.Deps{Table: tb})
 		wg.Go(func() { _ = next.Run(ctxNew) })
 		synctest.Wait()
 		term, ok := next.Term()
--- a/node/peer/claims.go
+++ b/node/peer/claims.go
@@ -32,13 +32,13 @@
 	return claimAnswer(seen, err)
 }
 
-func claimAnswer(seen claim.Seen, err error) (*peerpb.ClaimAnswer, error) {
+func claimAnswer(seen claim.VersionedRow, err error) (*peerpb.ClaimAnswer, error) {
 	a := &peerpb.ClaimAnswer{Version: seen.Version}
 	switch {
 	case err == nil:
 	case errors.Is(err, store.ErrConflict):
 		a.Problem = peerpb.ClaimAnswer_CONFLICT
-	case errors.Is(err, store.ErrInDoubt):
+	case errors.Is(err, store.ErrUnconfirmed):
 		a.Problem = peerpb.ClaimAnswer_IN_DOUBT
 	default:
 		a.Problem = peerpb.ClaimAnswer_UNAVAILABLE
@@ -54,32 +54,32 @@
 var claimProblems = map[peerpb.ClaimAnswer_Problem]error{
 	peerpb.ClaimAnswer_CONFLICT:    store.ErrConflict,
 	peerpb.ClaimAnswer_UNAVAILABLE: store.ErrUnavailable,
-	peerpb.ClaimAnswer_IN_DOUBT:    store.ErrInDoubt,
+	peerpb.ClaimAnswer_IN_DOUBT:    store.ErrUnconfirmed,
 }
 
 // ReadClaim reads a claim through another host.
-func (m *Mesh) ReadClaim(ctx context.Context, h member.Host, key string) (claim.Seen, error) {
+func (m *Mesh) ReadClaim(ctx context.Context, h member.Host, key string) (claim.VersionedRow, error) {
 	return m.callClaim(ctx, h, &peerpb.ClaimCall{Key: key})
 }
 
 // SwapClaim changes a claim through another host. The error is one of
 // platform's; ErrInDoubt when the host's answer was lost.
-func (m *Mesh) SwapClaim(ctx context.Context, h member.Host, key string, version uint64, row *decide.Row) (claim.Seen, error) {
+func (m *Mesh) SwapClaim(ctx context.Context, h member.Host, key string, version uint64, row *decide.Row) (claim.VersionedRow, error) {
 	c := &peerpb.ClaimCall{Key: key, Swap: true, Version: version}
 	if row != nil {
 		data, err := json.Marshal(row)
 		if err != nil {
-			return claim.Seen{}, err
+			return claim.VersionedRow{}, err
 		}
 		c.Row = data
 	}
 	return m.callClaim(ctx, h, c)
 }
 
-func (m *Mesh) callClaim(ctx context.Context, h member.Host, c *peerpb.ClaimCall) (claim.Seen, error) {
+func (m *Mesh) callClaim(ctx context.Context, h member.Host, c *peerpb.ClaimCall) (claim.VersionedRow, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var seen claim.Seen
+	var seen claim.VersionedRow
 	var told error
 	err := m.pool.call(ctx, h.Address, func(p peerpb.DRPCPeerClient) error {
 		a, err := p.Claim(ctx, c)
@@ -94,7 +94,7 @@
 		return json.Unmarshal(a.Row, seen.Row)
 	})
 	if err != nil {
-		return claim.Seen{}, errors.Join(store.ErrInDoubt, err)
+		return claim.VersionedRow{}, errors.Join(store.ErrUnconfirmed, err)
 	}
 	return seen, told
 }
--- a/node/planner/act.go
+++ b/node/planner/act.go
@@ -99,7 +99,7 @@
 func (p *Planner) granted(ctx context.Context, t task) bool {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	wait, err := p.deps.Weights.Grant(ctx, toOrder(t).LoadName())
+	wait, err := p.deps.Weights.AcquireLoad(ctx, toOrder(t).LoadName())
 	if err != nil || wait > 0 {
 		return false
 	}
@@ -117,7 +117,7 @@
 		if e == nil || e.dirty || e.row.MayStillLoad(op, t.charge.Artifact) {
 			continue
 		}
-		if p.deps.Weights.Done(ctx, toOrder(t).LoadName()) == nil {
+		if p.deps.Weights.ReleaseLoad(ctx, toOrder(t).LoadName()) == nil {
 			delete(p.grants, op)
 		}
 	}
@@ -134,22 +134,22 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m.Change.Kind == ledger.Load {
-		p.status.Loads++
+		p.status.LoadOrders++
 	} else {
-		p.status.Unloads++
+		p.status.UnloadOrders++
 	}
 }
 
 // onDemand models take turns, so each load of one begins its turn.
 func (p *Planner) onDemand(model string) bool {
-	return slices.ContainsFunc(p.deps.Site.View().Config.Models, func(m config.Model) bool { return m.Name == model && m.MinReplicas == 0 })
+	return slices.ContainsFunc(p.deps.Inputs.View().Config.Models, func(m config.Model) bool { return m.Name == model && m.MinReplicas == 0 })
 }
 
 // sendAll sends orders side by side: a silent engine holds up no other.
 func (p *Planner) sendAll(ctx context.Context, tasks []task) {
 	states := make([]sendState, len(tasks))
 	var g errgroup.Group
-	g.SetLimit(p.cfg.AtOnce)
+	g.SetLimit(p.cfg.MaxConcurrentSends)
 	for i, t := range tasks {
 		g.Go(func() error { states[i] = p.send(ctx, t); return nil })
 	}
--- a/node/planner/observe.go
+++ b/node/planner/observe.go
@@ -26,7 +26,7 @@
 	}
 	p.addUpstreams(view.Config)
 	var changes []change
-	for _, o := range p.deps.Site.Reports() {
+	for _, o := range p.deps.Inputs.Reports() {
 		p.sight(o)
 		e := p.books.rows[o.Report.Upstream]
 		if e == nil || e.dirty {
@@ -72,7 +72,7 @@
 	}
 }
 
-func (p *Planner) sight(o Observed) {
+func (p *Planner) sight(o ObservedReport) {
 	s := p.seen[o.Report.Upstream]
 	switch {
 	case s.incarnation != o.Report.Incarnation:
@@ -81,12 +81,12 @@
 		s.sequence = o.Report.Sequence
 		s.reports++
 	}
-	s.leaving = s.leaving || o.Report.Leaving // never undone within an incarnation
+	s.leaving = s.leaving || o.Report.Draining // never undone within an incarnation
 	s.down = o.Down
 	p.seen[o.Report.Upstream] = s
 }
 
-func toLedger(o Observed) ledger.Report {
+func toLedger(o ObservedReport) ledger.Report {
 	r := ledger.Report{Incarnation: o.Report.Incarnation, Sequence: o.Report.Sequence, Epoch: o.Report.Epoch,
 		UsedMB: o.Report.UsedMB, Read: o.Read}
 	for _, m := range o.Report.Residents {
@@ -99,7 +99,7 @@
 // snapshot is what place.Plan sees. A row in doubt stands in it as it was
 // before the write: no order went out for that write, so what it serves stands.
 func (p *Planner) snapshot(view View, now time.Time) *place.Snapshot {
-	s := &place.Snapshot{Demand: view.Demand, Preset: view.Preset, Store: view.Config.WeightStore, LastMove: maps.Clone(p.last), Bounds: p.cfg.Bounds, MoveCooldown: p.cfg.Settle}
+	s := &place.Snapshot{Demand: view.Demand, Preset: view.Preset, Store: view.Config.WeightStore, LastMove: maps.Clone(p.last), Bounds: p.cfg.Bounds, MoveCooldown: p.cfg.MoveCooldown}
 	for _, m := range view.Config.Models {
 		if m.Pool == p.cfg.Pool {
 			s.Models = append(s.Models, m)
--- a/node/planner/planner.go
+++ b/node/planner/planner.go
@@ -31,22 +31,22 @@
 	Valid(epoch uint64) bool
 }
 
-// Orders sends orders to engines. An error leaves the order in doubt.
-type Orders interface {
+// OrderSender sends orders to engines. An error leaves the order in doubt.
+type OrderSender interface {
 	Send(ctx context.Context, upstream string, o engineapi.Order) (engineapi.OrderAnswer, error)
 }
 
-// Observed is the newest report of an upstream and when it was read.
-type Observed struct {
+// ObservedReport is the newest report of an upstream and when it was read.
+type ObservedReport struct {
 	Report engineapi.Report
 	Read   time.Time
 	Down   bool // for long enough that it is not one lost report
 }
 
-// Site is what the planner reads besides the platform. View gives the
+// Inputs is what the planner reads besides the platform. View gives the
 // configuration in force and the demand; it must not change afterwards.
-type Site interface {
-	Reports() []Observed
+type Inputs interface {
+	Reports() []ObservedReport
 	View() View
 }
 
@@ -59,11 +59,11 @@
 
 // Config tunes a planner. Zero fields take their defaults.
 type Config struct {
-	Pool   string
-	Every  time.Duration // between two plans
-	Bounds ledger.Bounds
-	AtOnce int           // orders sent side by side
-	Settle time.Duration // see place.Snapshot
+	Pool               string
+	Interval           time.Duration // between two plans
+	Bounds             ledger.Bounds
+	MaxConcurrentSends int           // orders sent side by side
+	MoveCooldown       time.Duration // see place.Snapshot
 }
 
 // Deps are the parts that a planner works with.
@@ -71,8 +71,8 @@
 	Lease   Lease
 	Table   store.Table
 	Weights store.Weights
-	Orders  Orders
-	Site    Site
+	Orders  OrderSender
+	Inputs  Inputs
 	Log     *event.Log
 	Now     func() time.Time // nil: time.Now
 }
@@ -115,21 +115,21 @@
 
 // Status is what operators see of a planner.
 type Status struct {
-	Epoch    uint64
-	Loads    int // orders to load, sent in all
-	Unloads  int
-	InDoubt  int // charges in the books
-	Deferred int
-	Waits    []place.Wait
+	Epoch        uint64
+	LoadOrders   int // orders to load, sent in all
+	UnloadOrders int
+	Unconfirmed  int // charges in the books
+	Deferred     int
+	Waits        []place.Wait
 }
 
 // New makes a planner. It does nothing until Run or Step.
 func New(cfg Config, deps Deps) *Planner {
-	if cfg.Every <= 0 {
-		cfg.Every = defaultEvery
+	if cfg.Interval <= 0 {
+		cfg.Interval = defaultEvery
 	}
-	if cfg.AtOnce <= 0 {
-		cfg.AtOnce = defaultAtOnce
+	if cfg.MaxConcurrentSends <= 0 {
+		cfg.MaxConcurrentSends = defaultAtOnce
 	}
 	if cfg.Bounds == (ledger.Bounds{}) {
 		cfg.Bounds = ledger.DefaultBounds()
@@ -146,7 +146,7 @@
 
 // Run plans until ctx ends.
 func (p *Planner) Run(ctx context.Context) error {
-	tick := time.NewTicker(p.cfg.Every)
+	tick := time.NewTicker(p.cfg.Interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -169,7 +169,7 @@
 	if !p.takeOver(ctx, epoch) {
 		return
 	}
-	view := p.deps.Site.View()
+	view := p.deps.Inputs.View()
 	if !p.observe(ctx, view) {
 		p.books = nil // a later planner has taken over
 		return
@@ -229,7 +229,7 @@
 	if len(p.books.rows) == 0 {
 		return
 	}
-	now, view := p.deps.Now(), p.deps.Site.View()
+	now, view := p.deps.Now(), p.deps.Inputs.View()
 	for _, m := range view.Config.Models {
 		p.last[place.Key{Model: m.Name}] = now
 	}
@@ -243,9 +243,9 @@
 	defer p.mu.Unlock()
 	p.shot = s
 	p.status.Epoch, p.status.Deferred, p.status.Waits = p.books.epoch, d.Deferred, d.Waits
-	p.status.InDoubt = 0
+	p.status.Unconfirmed = 0
 	for _, r := range p.books.rows {
-		p.status.InDoubt += len(r.row.Charges)
+		p.status.Unconfirmed += len(r.row.Charges)
 	}
 }
 
--- a/node/planner/planner_test.go
+++ b/node/planner/planner_test.go
@@ -224,9 +224,9 @@
 		p := w.planner(&testLease{2, true})
 		w.view.Demand[place.Key{Model: "a"}] = place.Demand{Short: 99, Long: 99}
 		w.steps(t.Context(), 100, p)
-		assert.Equal(t, p.Status().Loads, 0, "not settled yet under its new holder")
+		assert.Equal(t, p.Status().LoadOrders, 0, "not settled yet under its new holder")
 		w.steps(t.Context(), 100, p)
-		assert.Equal(t, p.Status().Loads, 1, "one, and then it settles")
+		assert.Equal(t, p.Status().LoadOrders, 1, "one, and then it settles")
 		w.steps(t.Context(), 200, p)
 		assert.Equal(t, w.holders("a"), 3)
 	})
--- a/node/planner/world_test.go
+++ b/node/planner/world_test.go
@@ -63,7 +63,7 @@
 
 func (e *testEngine) report() engineapi.Report {
 	e.sequence++
-	r := engineapi.Report{Upstream: e.name, Incarnation: e.id(), Sequence: e.sequence, Epoch: e.epoch, UsedMB: e.used(), Leaving: e.leaving}
+	r := engineapi.Report{Upstream: e.name, Incarnation: e.id(), Sequence: e.sequence, Epoch: e.epoch, UsedMB: e.used(), Draining: e.leaving}
 	for t, mb := range e.held {
 		r.Residents = append(r.Residents, engineapi.Resident{Model: t.Model, Adapter: t.Adapter, Version: t.Version, State: engineapi.StateReady, MemoryMB: mb})
 	}
@@ -86,7 +86,7 @@
 	t.commits++
 	if t.inDoubt > 0 {
 		t.inDoubt--
-		return 0, store.ErrInDoubt
+		return 0, store.ErrUnconfirmed
 	}
 	return v, err
 }
@@ -111,7 +111,7 @@
 	engines map[string]*testEngine
 	table   *testTable
 	view    View
-	reports map[string]Observed
+	reports map[string]ObservedReport
 	net     func(o engineapi.Order) (deliver, answer bool) // nil: all is delivered and answered
 	sent    []sentOrder
 	wait    time.Duration // of the weight store
@@ -125,7 +125,7 @@
 
 // newTestWorld has capacity for 100 on each of three engines.
 func newTestWorld(f config.Fencing, models ...config.Model) *testWorld {
-	w := &testWorld{engines: map[string]*testEngine{}, table: &testTable{Table: standin.NewTable()}, reports: map[string]Observed{}}
+	w := &testWorld{engines: map[string]*testEngine{}, table: &testTable{Table: standin.NewTable()}, reports: map[string]ObservedReport{}}
 	c := &config.Config{Models: models, Pools: []config.Pool{{Name: "p", Kind: config.KindEngine}},
 		WeightStore: config.WeightStore{LoadsPerSecond: 1, Concurrent: 16}}
 	for _, name := range []string{"u1", "u2", "u3"} {
@@ -145,12 +145,12 @@
 
 // planner sends its orders one by one, so that a seed gives one history.
 func (w *testWorld) planner(l Lease) *Planner {
-	return New(Config{Pool: "p", AtOnce: 1}, Deps{Lease: l, Table: w.table, Weights: w, Orders: w, Site: w})
+	return New(Config{Pool: "p", MaxConcurrentSends: 1}, Deps{Lease: l, Table: w.table, Weights: w, Orders: w, Inputs: w})
 }
 
 func (w *testWorld) readAll() {
 	for name, e := range w.engines {
-		w.reports[name] = Observed{Report: e.report(), Read: time.Now()}
+		w.reports[name] = ObservedReport{Report: e.report(), Read: time.Now()}
 	}
 }
 
@@ -165,12 +165,12 @@
 	}
 }
 
-func (w *testWorld) Grant(context.Context, string) (time.Duration, error) { return w.wait, nil }
-func (w *testWorld) Done(context.Context, string) error                   { return nil }
-func (w *testWorld) View() View                                           { return w.view }
+func (w *testWorld) AcquireLoad(context.Context, string) (time.Duration, error) { return w.wait, nil }
+func (w *testWorld) ReleaseLoad(context.Context, string) error                  { return nil }
+func (w *testWorld) View() View                                                 { return w.view }
 
-func (w *testWorld) Reports() []Observed {
-	var out []Observed
+func (w *testWorld) Reports() []ObservedReport {
+	var out []ObservedReport
 	for _, name := range []string{"u1", "u2", "u3"} {
 		out = append(out, w.reports[name])
 	}
--- a/node/server/claims.go
+++ b/node/server/claims.go
@@ -36,7 +36,7 @@
 		cfg.Grace = s.cfg.ClaimGrace
 	}
 	store := nodeclaim.New(cfg, nodeclaim.Deps{
-		Records: claimRecords{s, rows}, Objects: p.Objects, Fates: fates{s}, Log: s.log,
+		Records: claimRecords{s, rows}, Objects: p.Objects, Attempts: fates{s}, Log: s.log,
 		Owner: claim.Owner{Host: s.cfg.Settings.Host, Incarnation: s.incarnation}, Now: time.Now})
 	s.metrics.SetFunc(metrics.UnresolvedClaims, func() any { n, _ := store.Pending(); return n })
 	s.metrics.SetFunc(metrics.UnresolvedClaimBytes, func() any { _, bytes := store.Pending(); return bytes })
@@ -85,7 +85,7 @@
 
 // limit puts a configuration's limits in force.
 func (c *claims) limit(l config.Limits) {
-	c.store.SetLimits(nodeclaim.Limits{TTL: time.Duration(l.ClaimTTLSeconds) * time.Second, AnswerBytes: int(l.AnswerBytes)})
+	c.store.SetLimits(nodeclaim.Limits{TTL: time.Duration(l.ClaimTTLSeconds) * time.Second, MaxAnswerBytes: int(l.AnswerBytes)})
 }
 
 // Claim implements callerapi.Claims.
@@ -102,11 +102,11 @@
 
 var errUpstreamGone = errors.New("upstream is not in the configuration any more")
 
-// Fate implements claim.Fates.
-func (f fates) Fate(ctx context.Context, upstream, attempt string) (engineapi.Attempt, error) {
+// QueryAttempt implements claim.Fates.
+func (f fates) QueryAttempt(ctx context.Context, upstream, attempt string) (engineapi.Attempt, error) {
 	address, ok := f.s.addressOf(upstream)
 	if !ok {
 		return engineapi.Attempt{}, fault.Unknown(fault.StepClaim, upstream, fault.CodeOutcomeUnknown, "%w", errUpstreamGone)
 	}
-	return f.s.dispatch.Upstreams().Fate(ctx, address, attempt)
+	return f.s.dispatch.UpstreamClient().AttemptOutcome(ctx, address, attempt)
 }
--- a/node/server/claimwriters.go
+++ b/node/server/claimwriters.go
@@ -38,7 +38,7 @@
 	if r.s.siteHosts.Load() <= ownWriterMost && !r.s.cfg.Policy.ForwardClaims {
 		return member.Host{}, false // without a look at the hosts, on the path of each claim
 	}
-	live := r.s.mesh.Live()
+	live := r.s.mesh.LiveHosts()
 	if len(live) == 0 {
 		return member.Host{}, false
 	}
@@ -47,12 +47,12 @@
 }
 
 // Read implements claim.Records.
-func (r claimRecords) Read(ctx context.Context, key string) (nodeclaim.Seen, error) {
+func (r claimRecords) Read(ctx context.Context, key string) (nodeclaim.VersionedRow, error) {
 	return r.own.Read(ctx, key) // reads are not merged: any host may make them
 }
 
 // Swap implements claim.Records.
-func (r claimRecords) Swap(ctx context.Context, key string, version uint64, row *claim.Row) (nodeclaim.Seen, error) {
+func (r claimRecords) Swap(ctx context.Context, key string, version uint64, row *claim.Row) (nodeclaim.VersionedRow, error) {
 	w, other := r.writer(key)
 	if !other {
 		return r.own.Swap(ctx, key, version, row)
--- a/node/server/roles.go
+++ b/node/server/roles.go
@@ -80,7 +80,7 @@
 	if !ok || s.phase.Load() == phaseStarting {
 		return // a host that knows no other yet would campaign for every lease
 	}
-	live := s.mesh.Live()
+	live := s.mesh.LiveHosts()
 	wanted := map[string]func() *role{}
 	if !s.cfg.Policy.NoPlanner {
 		for _, p := range st.Index.Pools {
@@ -90,7 +90,7 @@
 		}
 	}
 	wanted[command.AuditLease] = func() *role { return s.startArchiver(ctx) }
-	wanted[nodeclaim.SweepLease] = func() *role { return s.startSweeper(ctx) }
+	wanted[nodeclaim.SweeperLeaseName] = func() *role { return s.startSweeper(ctx) }
 	campaigns := s.campaigns(live)
 	for name := range wanted {
 		if !campaigns(name) {
@@ -170,7 +170,7 @@
 const settleWindows = 4
 
 func (s *Server) startSweeper(ctx context.Context) *role {
-	return s.startRole(ctx, nodeclaim.SweepLease, func(l *lease.Lease, _ *role) func(context.Context) error {
+	return s.startRole(ctx, nodeclaim.SweeperLeaseName, func(l *lease.Lease, _ *role) func(context.Context) error {
 		w := nodeclaim.NewSweeper(s.claims.store, s.cfg.Platform.Table)
 		return func(ctx context.Context) error {
 			return w.Run(ctx, func() bool { _, held := l.Term(); return held })
@@ -181,8 +181,8 @@
 func (s *Server) startPlanner(ctx context.Context, pool string) *role {
 	return s.startRole(ctx, plannerLease+pool, func(l *lease.Lease, r *role) func(context.Context) error {
 		r.pool = pool
-		r.planner = planner.New(planner.Config{Pool: pool, Settle: settleWindows * s.cfg.Demand.Short}, planner.Deps{Lease: term{l}, Table: s.cfg.Platform.Table,
-			Weights: s.cfg.Platform.Weights, Orders: s.orders, Site: plannerSite{s, pool}, Log: s.log})
+		r.planner = planner.New(planner.Config{Pool: pool, MoveCooldown: settleWindows * s.cfg.Demand.Short}, planner.Deps{Lease: term{l}, Table: s.cfg.Platform.Table,
+			Weights: s.cfg.Platform.Weights, Orders: s.orders, Inputs: plannerSite{s, pool}, Log: s.log})
 		return r.planner.Run
 	})
 }
--- a/node/upstream/view/pace.go
+++ b/node/upstream/view/pace.go
@@ -14,8 +14,8 @@
 	prefillWeight = 0.05
 )
 
-// Paced takes the time of one decoding step that a stream showed.
-func (v *View) Paced(upstream string, step time.Duration) {
+// ObserveStepTime takes the time of one decoding step that a stream showed.
+func (v *View) ObserveStepTime(upstream string, step time.Duration) {
 	s := v.of(upstream)
 	if s == nil {
 		return
@@ -30,9 +30,9 @@
 	v.dirty.Store(true)
 }
 
-// Began takes the time from an attempt's dispatch to its first token, of one
+// ObserveFirstToken takes the time from an attempt's dispatch to its first token, of one
 // that found a free place in the batch.
-func (v *View) Began(upstream string, first time.Duration) {
+func (v *View) ObserveFirstToken(upstream string, first time.Duration) {
 	s := v.of(upstream)
 	if s == nil {
 		return
@@ -45,8 +45,8 @@
 	s.prefillMs += prefillWeight * (ms - s.prefillMs)
 }
 
-// Answered takes the length of an answer that the upstream gave.
-func (v *View) Answered(upstream string, tokens int) {
+// ObserveAnswerLength takes the length of an answer that the upstream gave.
+func (v *View) ObserveAnswerLength(upstream string, tokens int) {
 	s := v.of(upstream)
 	if s == nil {
 		return
--- a/node/upstream/view/view.go
+++ b/node/upstream/view/view.go
@@ -119,9 +119,9 @@
 	return s
 }
 
-// Report takes an upstream's own report, received at time at. Reports of an
+// ApplyReport takes an upstream's own report, received at time at. Reports of an
 // older incarnation's sequence or out of order are dropped.
-func (v *View) Report(r engineapi.Report, at time.Time) bool {
+func (v *View) ApplyReport(r engineapi.Report, at time.Time) bool {
 	s := v.of(r.Upstream)
 	if s == nil {
 		return false
@@ -140,9 +140,9 @@
 	if s.offsetSet {
 		taken = time.UnixMilli(r.TakenMs).Add(s.offset)
 	}
-	changed := !same || s.ready == nil || !sameResidents(s.report.Residents, r.Residents) || r.Leaving != s.report.Leaving
+	changed := !same || s.ready == nil || !sameResidents(s.report.Residents, r.Residents) || r.Draining != s.report.Draining
 	s.report, s.takenAt = r, taken
-	if r.Leaving {
+	if r.Draining {
 		s.leaving[r.Incarnation] = true
 	}
 	if taken.After(s.loadAt) {
@@ -198,8 +198,8 @@
 	return ready
 }
 
-// Dispatched counts an attempt sent to an upstream; Finished undoes it.
-func (v *View) Dispatched(upstream string) {
+// AttemptStarted counts an attempt sent to an upstream; Finished undoes it.
+func (v *View) AttemptStarted(upstream string) {
 	if s := v.of(upstream); s != nil {
 		s.inFlight++
 		s.recent.add(v.now(), 1)
@@ -208,8 +208,8 @@
 	}
 }
 
-// Finished counts the end of an attempt.
-func (v *View) Finished(upstream string) {
+// AttemptFinished counts the end of an attempt.
+func (v *View) AttemptFinished(upstream string) {
 	if s := v.of(upstream); s != nil {
 		if s.inFlight > 0 {
 			s.inFlight--
@@ -220,8 +220,8 @@
 	}
 }
 
-// Answer takes what rode on an answer's head: the incarnation and the load.
-func (v *View) Answer(upstream, incarnation, load string) {
+// ObserveAnswer takes what rode on an answer's head: the incarnation and the load.
+func (v *View) ObserveAnswer(upstream, incarnation, load string) {
 	s := v.of(upstream)
 	if s == nil {
 		return
@@ -239,9 +239,9 @@
 	v.dirty.Store(true)
 }
 
-// Leaving marks an incarnation of an upstream as leaving, for good. An empty
+// MarkDraining marks an incarnation of an upstream as leaving, for good. An empty
 // incarnation stands for the one now known. It answers whether that was news.
-func (v *View) Leaving(upstream, incarnation string) bool {
+func (v *View) MarkDraining(upstream, incarnation string) bool {
 	s := v.of(upstream)
 	if s == nil {
 		return false
@@ -256,8 +256,8 @@
 	return news
 }
 
-// Down keeps new work from an upstream that could not be reached, for a while.
-func (v *View) Down(upstream string) {
+// MarkDown keeps new work from an upstream that could not be reached, for a while.
+func (v *View) MarkDown(upstream string) {
 	if s := v.of(upstream); s != nil {
 		s.downUntil = v.now().Add(downFor)
 		s.mu.Unlock()
@@ -265,9 +265,9 @@
 	}
 }
 
-// NotReady takes an upstream's refusal to answer for a model as word that the
+// MarkNotReady takes an upstream's refusal to answer for a model as word that the
 // model is not resident there, until its next report.
-func (v *View) NotReady(upstream string, key route.ModelKey) {
+func (v *View) MarkNotReady(upstream string, key route.ModelKey) {
 	if s := v.of(upstream); s != nil {
 		next := make(map[route.ModelKey]bool, len(s.ready))
 		for k := range s.ready {
@@ -281,8 +281,8 @@
 	}
 }
 
-// Prefix takes a cache event as a hint.
-func (v *View) Prefix(upstream string, e engineapi.CacheEvent) {
+// ObserveCacheEvent takes a cache event as a hint.
+func (v *View) ObserveCacheEvent(upstream string, e engineapi.CacheEvent) {
 	if s := v.of(upstream); s != nil {
 		next := make(map[uint64]bool, len(s.prefixes)+1)
 		if len(s.prefixes) < prefixesMost {
@@ -297,9 +297,9 @@
 	}
 }
 
-// PeersSince takes how many attempts the peers together have in flight at an
+// SetPeerDispatched takes how many attempts the peers together have in flight at an
 // upstream beyond what its report shows.
-func (v *View) PeersSince(upstream string, attempts int) {
+func (v *View) SetPeerDispatched(upstream string, attempts int) {
 	if s := v.of(upstream); s != nil {
 		s.peersSince = attempts
 		s.mu.Unlock()
--- a/standin/claimbench/fleet.go
+++ b/standin/claimbench/fleet.go
@@ -15,7 +15,7 @@
 type fleet struct {
 	cfg     Config
 	table   *Limited
-	grouped *claim.Grouped // only splits keys
+	grouped *claim.RangeRouter // only splits keys
 	mu      sync.RWMutex
 	writers []*writer
 	killAt  time.Time
@@ -36,7 +36,7 @@
 func (e epoch) Valid() bool   { return true }
 
 func newFleet(ctx context.Context, cfg Config, tb *Limited) (*fleet, error) {
-	f := &fleet{cfg: cfg, table: tb, grouped: claim.NewGrouped(max(cfg.Writers, 1), nil)}
+	f := &fleet{cfg: cfg, table: tb, grouped: claim.NewRangeRouter(max(cfg.Writers, 1), nil)}
 	for i := range cfg.Writers {
 		w, err := f.open(ctx, i, 1)
 		if err != nil {
@@ -52,13 +52,13 @@
 	switch f.cfg.Mode {
 	case Batched:
 		cfg := claim.DefaultBatchConfig()
-		cfg.Window = f.cfg.Window
+		cfg.Interval = f.cfg.Window
 		b := claim.NewBatcher(cfg, w.table)
 		w.records = claim.NewRows(b)
 		go func() { _ = b.Run(ctx) }()
 	case Ranges:
 		cfg := claim.DefaultRangeConfig()
-		cfg.Window = f.cfg.Window
+		cfg.Interval = f.cfg.Window
 		r, err := claim.OpenRange(ctx, cfg, claim.RangeDeps{Table: w.table, Lease: e, Log: event.NewLog(nil), Now: time.Now}, i)
 		if err != nil {
 			return nil, err
@@ -74,7 +74,7 @@
 	if f.cfg.Mode == Rows {
 		return claim.NewRows(f.table)
 	}
-	return claim.NewGrouped(f.cfg.Writers, f)
+	return claim.NewRangeRouter(f.cfg.Writers, f)
 }
 
 // kill ends the first writer, and puts a successor in place as soon as the
@@ -129,21 +129,21 @@
 }
 
 // Read implements claim.Forwarder.
-func (f *fleet) Read(ctx context.Context, _ int, key string) (claim.Seen, error) {
+func (f *fleet) Read(ctx context.Context, _ int, key string) (claim.VersionedRow, error) {
 	w := f.writer(key)
 	time.Sleep(f.cfg.Hop)
 	if !f.alive(w) {
-		return claim.Seen{}, store.ErrUnavailable
+		return claim.VersionedRow{}, store.ErrUnavailable
 	}
 	return w.records.Read(ctx, key)
 }
 
 // Swap implements claim.Forwarder.
-func (f *fleet) Swap(ctx context.Context, _ int, key string, v uint64, row *coreclaim.Row) (claim.Seen, error) {
+func (f *fleet) Swap(ctx context.Context, _ int, key string, v uint64, row *coreclaim.Row) (claim.VersionedRow, error) {
 	w := f.writer(key)
 	time.Sleep(f.cfg.Hop)
 	if !f.alive(w) {
-		return claim.Seen{}, store.ErrUnavailable
+		return claim.VersionedRow{}, store.ErrUnavailable
 	}
 	return w.records.Swap(ctx, key, v, row)
 }
