--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -209,9 +209,15 @@
 try "what a known one explains speaks half" core/poison/judge.go \
   'explained(c, e) && len(e.crashes) < l.policy.MinCrashes' 'false' ./core/poison
 try "the loss of a rack names nobody" core/poison/judge.go \
+<<<<<<< scripts/mutations.sh
   'return all >= l.policy.MinMassCrashes && 2*ran < all' 'return false' ./core/poison
 try "a broken way is no crash" node/quarantine/watch.go \
   '	if ended {
+=======
+  'return all >= l.policy.MassCrashes && 2*ran < all' 'return false' ./core/poison
+try "a broken way is no crash" node/quarantine/detector.go \
+  '	if terminated {
+>>>>>>> /tmp/mr
 		w.deps.Metrics' '	if true {
 		w.deps.Metrics' ./node/quarantine
 try "hosts are told what is barred" node/coordinator/quarantine.go \
