--- a/node/fleet/cache.go
+++ b/node/fleet/cache.go
@@ -9,12 +9,12 @@
 }
 
 const (
-	// cacheMost is how many parts are remembered of one upstream. Its own
+	// maxCachedParts is how many parts are remembered of one upstream. Its own
 	// memory holds a few hundred.
-	cacheMost = 512
-	// cacheFor is how long a part is expected to be kept: a loaded engine
+	maxCachedParts = 512
+	// cachedPartTTL is how long a part is expected to be kept: a loaded engine
 	// turns its memory over in about this time.
-	cacheFor = 8 * time.Second
+	cachedPartTTL = 8 * time.Second
 )
 
 // PromptCache remembers which parts of prompts this host has had read at an
@@ -28,7 +28,7 @@
 	sum := 0
 	for _, p := range a.PromptParts {
 		at, ok := c[partKey(a, p.ID)]
-		if !ok || now.Sub(at) > cacheFor {
+		if !ok || now.Sub(at) > cachedPartTTL {
 			break
 		}
 		sum += p.Tokens
@@ -42,7 +42,7 @@
 	if len(a.PromptParts) < 2 {
 		return
 	}
-	if *c == nil || len(*c) > cacheMost {
+	if *c == nil || len(*c) > maxCachedParts {
 		*c = PromptCache{}
 	}
 	for _, p := range a.PromptParts[:len(a.PromptParts)-1] {
--- a/node/fleet/change.go
+++ b/node/fleet/change.go
@@ -23,19 +23,19 @@
 }
 
 const (
-	// goneMost is how many vanished upstreams are remembered for Since in any case.
+	// minRemovedKept is how many vanished upstreams are remembered for Since in any case.
 	// A host that is farther behind gets the whole list.
-	goneMost = 256
-	// goneFor is how long all of them are: several reports of any host. Of
+	minRemovedKept = 256
+	// removedTTL is how long all of them are: several reports of any host. Of
 	// thousands of upstreams more than goneMost may be replaced in less.
-	goneFor = 10 * time.Second
+	removedTTL = 10 * time.Second
 )
 
-// vanished is an upstream whose entry is gone, with the state since which it is.
-type vanished struct {
-	id    string
-	at    uint64
-	since time.Time
+// removedUpstream is an upstream whose entry is gone, with the state since which it is.
+type removedUpstream struct {
+	id        string
+	revision  uint64
+	removedAt time.Time
 }
 
 // ChangesSince returns what changed in the platform's list after a state, for other
@@ -44,8 +44,8 @@
 func (f *Fleet) ChangesSince(from uint64, brief bool) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := Change{Revision: f.state, Complete: from == 0 || from < f.goneFrom || from > f.state}
-	if from == f.state && !out.Complete {
+	out := Change{Revision: f.revision, Complete: from == 0 || from < f.removedFrom || from > f.revision}
+	if from == f.revision && !out.Complete {
 		return out // as for nearly every report
 	}
 	byID := f.index.Load().byID
@@ -54,8 +54,8 @@
 			out.Put = append(out.Put, Listed{u, at})
 		}
 	}
-	for _, v := range f.gone {
-		if !out.Complete && v.at > from && !isListed(byID[v.id]) {
+	for _, v := range f.removed {
+		if !out.Complete && v.revision > from && !isListed(byID[v.id]) {
 			out.Removed = append(out.Removed, v.id)
 		}
 	}
@@ -67,7 +67,7 @@
 func (f *Fleet) DescribedSince(after uint64) ([]*Entry, uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.listedAfter(after, false, false), f.state
+	return f.listedAfter(after, false, false), f.revision
 }
 
 // listedAfter returns the entries of which the list said something else after a
@@ -76,9 +76,9 @@
 	if all {
 		return f.All()
 	}
-	log := &f.listed
+	log := &f.listedLog
 	if brief {
-		log = &f.standing
+		log = &f.identityLog
 	}
 	changed, _, _ := log.Since(from, math.MaxInt)
 	return changed
@@ -93,32 +93,32 @@
 	return !gone
 }
 
-// mark says up to which version of the store a state of the list goes.
-type mark struct{ state, version uint64 }
+// versionMark says up to which version of the store a state of the list goes.
+type versionMark struct{ revision, version uint64 }
 
-// marksMost is how many states are remembered for StateAt. A host that is
+// maxVersionMarks is how many states are remembered for StateAt. A host that is
 // farther behind gets the whole list.
-const marksMost = 256
+const maxVersionMarks = 256
 
 // RevisionAt returns the newest state of the list that holds nothing newer than a
 // version of the store; 0: none is known.
 func (f *Fleet) RevisionAt(version uint64) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for i := len(f.marks) - 1; i >= 0; i-- {
-		if f.marks[i].version <= version {
-			return f.marks[i].state
+	for i := len(f.versionMarks) - 1; i >= 0; i-- {
+		if f.versionMarks[i].version <= version {
+			return f.versionMarks[i].revision
 		}
 	}
 	return 0
 }
 
-func (f *Fleet) markLocked(version uint64) {
+func (f *Fleet) recordVersionLocked(version uint64) {
 	if version == 0 {
 		return // a list that is not of the store's own word
 	}
-	f.marks = append(f.marks, mark{f.state, version})
-	if over := len(f.marks) - marksMost; over > 0 {
-		f.marks = append([]mark(nil), f.marks[over:]...)
+	f.versionMarks = append(f.versionMarks, versionMark{f.revision, version})
+	if over := len(f.versionMarks) - maxVersionMarks; over > 0 {
+		f.versionMarks = append([]versionMark(nil), f.versionMarks[over:]...)
 	}
 }
--- a/node/fleet/coming.go
+++ b/node/fleet/coming.go
@@ -8,14 +8,14 @@
 	ReadyAt time.Time // when it can be expected to answer, at the earliest
 }
 
-// expectLocked takes what the host that gives orders has the upstream load. It goes
+// setLoadingLocked takes what the host that gives orders has the upstream load. It goes
 // for as long as that host's word does.
-func (e *Entry) expectLocked(all []LoadingModel) {
+func (e *Entry) setLoadingLocked(all []LoadingModel) {
 	if e.forgotten {
 		return
 	}
-	e.fleet.loaders.update(e, modelsOf(e.coming), modelsOf(all))
-	e.coming = all
+	e.fleet.loadingIndex.update(e, modelsOf(e.loading), modelsOf(all))
+	e.loading = all
 }
 
 func modelsOf(all []LoadingModel) []string {
@@ -26,14 +26,14 @@
 	return out
 }
 
-// comingAt is when a model can be expected here.
-func (e *Entry) comingAt(model string, now time.Time) (time.Time, bool) {
+// expectedReady is when a model can be expected here.
+func (e *Entry) expectedReady(model string, now time.Time) (time.Time, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.leaving || !e.believesLocked(now) {
+	if e.draining || !e.usesAnnouncedLocked(now) {
 		return time.Time{}, false
 	}
-	for _, c := range e.coming {
+	for _, c := range e.loading {
 		if c.Model == model {
 			return c.ReadyAt, true
 		}
@@ -46,7 +46,7 @@
 func (f *Fleet) ExpectedReady(service, model string) (at time.Time, ok bool) {
 	now := f.deps.Now()
 	for _, e := range f.EntriesLoading(service, model) {
-		if here, loads := e.comingAt(model, now); loads && (!ok || here.Before(at)) {
+		if here, loads := e.expectedReady(model, now); loads && (!ok || here.Before(at)) {
 			at, ok = here, true
 		}
 	}
@@ -55,4 +55,6 @@
 
 // EntriesLoading returns the upstreams of a service that are loading a model, as the host
 // that gives orders told.
-func (f *Fleet) EntriesLoading(service, model string) []*Entry { return f.loaders.all(service, model) }
+func (f *Fleet) EntriesLoading(service, model string) []*Entry {
+	return f.loadingIndex.all(service, model)
+}
--- a/node/fleet/entry.go
+++ b/node/fleet/entry.go
@@ -37,15 +37,15 @@
 }
 
 const (
-	// reportedFresh is how long an upstream's own word on its load counts when
+	// reportedLoadTTL is how long an upstream's own word on its load counts when
 	// the other hosts' loads are not known.
-	reportedFresh = time.Second
-	// believedFresh is how long the word of a host that gave orders goes before
+	reportedLoadTTL = time.Second
+	// announcedResidentsTTL is how long the word of a host that gave orders goes before
 	// the upstream's own description, which lags, once that host is not heard.
-	believedFresh = 1500 * time.Millisecond
-	// deniedFor is how long a model is not asked for again at an upstream that
+	announcedResidentsTTL = 1500 * time.Millisecond
+	// notResidentTTL is how long a model is not asked for again at an upstream that
 	// said it does not hold it: about one of its heartbeats and the lag of the list.
-	deniedFor = 2 * time.Second
+	notResidentTTL = 2 * time.Second
 )
 
 // Entry is one upstream. Its methods may be called from any goroutine.
@@ -53,41 +53,41 @@
 	fleet *Fleet
 	// One process keeps these for its life; they are read without the lock.
 	id, service, address, dataCentre string
-	born                             int64 // Unix milliseconds; 0: not said
-
-	mu         sync.Mutex
-	up         deploy.Upstream
-	described  time.Time
-	state      uint64 // of the list when it was described
-	leaving    bool
-	gone       bool      // its entry vanished
-	useUntil   time.Time // of one that vanished with others
-	goneSince  time.Time
-	health     health.Tracker
-	own        Load
-	beside     int       // prompt tokens of the others' that were to be read there when a turn was given
-	besideAt   time.Time // when it was
-	reported   ReportedLoad
-	reportedAt time.Time
-	sentSince  int                 // own sends since reportedAt
-	signal     backpressure.Signal // the newest that its answers said, here or at other hosts
-	told       backpressure.Signal // as others were told last
-
-	pacer      *backpressure.Pacer    // of this host while nobody counts for all
-	paced      time.Time              // since when it is of
-	askedAt    time.Time              // when its limit or its leaving was heard of
-	askedBy    string                 // who heard it
-	restUntil  time.Time              // until when the upstream wants nothing from this host
-	start      backpressure.SlowStart // after its rest
-	believed   []deploy.Resident
-	believedAt time.Time
-	believedOf uint64         // whose word that is; see word
-	coming     []LoadingModel // by the same word
-	indexed    []string       // models under which the fleet finds it
-	forgotten  bool
-	denied     map[string]time.Time // model and adapter, until when
-	cache      PromptCache
-	movable    map[*Attempt]struct{} // attempts that can go elsewhere
+	startedMs                        int64 // Unix milliseconds; 0: not said
+
+	mu              sync.Mutex
+	desc            deploy.Upstream
+	describedAt     time.Time
+	listRevision    uint64 // of the list when it was described
+	draining        bool
+	delisted        bool      // its entry vanished
+	useUntil        time.Time // of one that vanished with others
+	delistedAt      time.Time
+	health          health.Tracker
+	own             Load
+	othersPending   int       // prompt tokens of the others' that were to be read there when a turn was given
+	othersPendingAt time.Time // when it was
+	reported        ReportedLoad
+	reportedAt      time.Time
+	sentSince       int                 // own sends since reportedAt
+	signal          backpressure.Signal // the newest that its answers said, here or at other hosts
+	announcedSignal backpressure.Signal // as others were told last
+
+	pacer              *backpressure.Pacer    // of this host while nobody counts for all
+	pacerSince         time.Time              // since when it is of
+	signalledAt        time.Time              // when its limit or its leaving was heard of
+	signalSource       string                 // who heard it
+	backoffUntil       time.Time              // until when the upstream wants nothing from this host
+	slowStart          backpressure.SlowStart // after its rest
+	announcedResidents []deploy.Resident
+	announcedAt        time.Time
+	announcedBy        uint64         // whose word that is; see word
+	loading            []LoadingModel // by the same word
+	indexedModels      []string       // models under which the fleet finds it
+	forgotten          bool
+	notResidentUntil   map[string]time.Time // model and adapter, until when
+	promptCache        PromptCache
+	movable            map[*Attempt]struct{} // attempts that can go elsewhere
 }
 
 // ID names the upstream. Another process of it, started later, is another Entry.
@@ -100,7 +100,7 @@
 func (e *Entry) Address() string { return e.address }
 
 // StartedMs is when its process began, in Unix milliseconds by its own clock; 0: not said.
-func (e *Entry) StartedMs() int64 { return e.born }
+func (e *Entry) StartedMs() int64 { return e.startedMs }
 
 // DataCentre is where it runs.
 func (e *Entry) DataCentre() string { return e.dataCentre }
@@ -109,188 +109,188 @@
 func (e *Entry) Description() (deploy.Upstream, time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.up, e.described
+	return e.desc, e.describedAt
 }
 
 // Usable says whether it may get new work, as far as it has told.
 func (e *Entry) Usable() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.leaving
+	return !e.draining
 }
 
 // IsDown says whether this host leaves it alone now for what its answers, or its
 // silence, showed.
-func (e *Entry) IsDown() bool { return e.down(e.fleet.deps.Now()) }
+func (e *Entry) IsDown() bool { return e.isDownAt(e.fleet.deps.Now()) }
 
-func (e *Entry) down(now time.Time) bool {
+func (e *Entry) isDownAt(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.downLocked(now)
+	return e.isDownLocked(now)
 }
 
-func (e *Entry) downLocked(now time.Time) bool {
-	return !e.leaving && e.health.Status(now) == health.Down
+func (e *Entry) isDownLocked(now time.Time) bool {
+	return !e.draining && e.health.Status(now) == health.Down
 }
 
-// restsAt is down for one that was left alone; it takes an entry that answers again
+// refreshExcluded is down for one that was left alone; it takes an entry that answers again
 // out of those.
-func (e *Entry) restsAt(now time.Time) bool {
+func (e *Entry) refreshExcluded(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.health.Status(now) == health.Up {
-		e.fleet.resting.remove(e)
+		e.fleet.excluded.remove(e)
 	}
-	return e.downLocked(now)
+	return e.isDownLocked(now)
 }
 
 // listed is what the platform's list says of it, and since which state.
 func (e *Entry) listed() (u deploy.Upstream, state uint64, gone bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.up, e.state, e.gone
+	return e.desc, e.listRevision, e.delisted
 }
 
 // describe takes what the list says; it says what of that is news.
-func (e *Entry) describe(u deploy.Upstream, now time.Time, state uint64) (n news) {
+func (e *Entry) describe(u deploy.Upstream, now time.Time, state uint64) (n changeScope) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	u.ID, u.Service, u.Address, u.DataCentre, u.Born = e.id, e.service, e.address, e.dataCentre, e.born
-	if e.gone || e.described.IsZero() || !reflect.DeepEqual(u, e.up) { // a list that was read anew brings mostly what is known
-		e.state, n = state, newsOfHeld
-		if e.gone || e.described.IsZero() || !sameStanding(u, e.up) {
-			n = newsForAll
+	u.ID, u.Service, u.Address, u.DataCentre, u.Born = e.id, e.service, e.address, e.dataCentre, e.startedMs
+	if e.delisted || e.describedAt.IsZero() || !reflect.DeepEqual(u, e.desc) { // a list that was read anew brings mostly what is known
+		e.listRevision, n = state, copiesChange
+		if e.delisted || e.describedAt.IsZero() || !sameIdentity(u, e.desc) {
+			n = identityChange
 		}
 	}
-	e.up, e.described = u, now
+	e.desc, e.describedAt = u, now
 	e.reindexLocked()
-	if e.gone && u.State == deploy.Ready {
-		e.gone, e.leaving, e.useUntil = false, e.signal.Draining, time.Time{} // what its process said itself stays
+	if e.delisted && u.State == deploy.Ready {
+		e.delisted, e.draining, e.useUntil = false, e.signal.Draining, time.Time{} // what its process said itself stays
 		e.fleet.deps.Log.Emit(event.UpstreamBack, zap.String(event.FieldPeer, u.ID))
 	}
 	if u.State == deploy.Draining {
-		e.leaveLocked("its own word")
+		e.drainLocked("its own word")
 	}
 	return n
 }
 
-// news says who needs to hear what the list says of an upstream.
-type news uint8
+// changeScope says who needs to hear what the list says of an upstream.
+type changeScope uint8
 
 const (
-	newsNone   news = iota
-	newsOfHeld      // those that give orders: what it holds, or has copies of
-	newsForAll      // every host: who it is, and whether it leaves
+	noChange       changeScope = iota
+	copiesChange               // those that give orders: what it holds, or has copies of
+	identityChange             // every host: who it is, and whether it leaves
 )
 
-// sameStanding says whether two descriptions differ at most in what the upstream
+// sameIdentity says whether two descriptions differ at most in what the upstream
 // holds or has copies of, and in how long it is slow yet.
-func sameStanding(a, b deploy.Upstream) bool {
+func sameIdentity(a, b deploy.Upstream) bool {
 	for _, u := range []*deploy.Upstream{&a, &b} {
 		u.Residents, u.InMemory, u.OnDisk, u.Cold = nil, nil, nil, 0
 	}
 	return reflect.DeepEqual(a, b)
 }
 
-// vanish notes that its entry is gone; it says no if that was known.
-func (e *Entry) vanish(now time.Time, hold time.Duration) bool {
+// markDelisted notes that its entry is gone; it says no if that was known.
+func (e *Entry) markDelisted(now time.Time, hold time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.gone {
+	if e.delisted {
 		return false
 	}
-	e.gone, e.goneSince = true, now
-	e.fleet.watch(e)
-	if hold > 0 && !e.leaving {
+	e.delisted, e.delistedAt = true, now
+	e.fleet.scheduleChecks(e)
+	if hold > 0 && !e.draining {
 		e.useUntil = now.Add(hold)
 		e.fleet.deps.Log.Emit(event.UpstreamLapsed, zap.String(event.FieldPeer, e.id), zap.Duration("used_for", hold))
 		return true
 	}
-	e.leaveLocked("entry removed")
+	e.drainLocked("entry removed")
 	return true
 }
 
-// leaveLocked takes the upstream out of use. Within one process this is undone
+// drainLocked takes the upstream out of use. Within one process this is undone
 // only when an entry that had merely run out comes back.
-func (e *Entry) leaveLocked(why string) {
-	if e.leaving {
+func (e *Entry) drainLocked(why string) {
+	if e.draining {
 		return
 	}
-	e.leaving = true
+	e.draining = true
 	e.fleet.deps.Log.Emit(event.UpstreamLeaving, zap.String(event.FieldPeer, e.id), zap.String("source", why))
 }
 
-// forgetAfter is how long a vanished upstream is remembered: its requests may
+// delistedTTL is how long a vanished upstream is remembered: its requests may
 // still run, and its entry may come back.
-const forgetAfter = 20 * time.Second
+const delistedTTL = 20 * time.Second
 
-// sweep does what time brings; it says whether the upstream can be forgotten.
-func (e *Entry) sweep(now time.Time) (forget bool) {
+// runChecks does what time brings; it says whether the upstream can be forgotten.
+func (e *Entry) runChecks(now time.Time) (forget bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.signal.Limit.Stated {
-		e.fleet.limits.extend(now.Add(limitedFor))
+		e.fleet.limits.extend(now.Add(limitTTL))
 	}
-	if e.gone && !e.useUntil.IsZero() && now.After(e.useUntil) {
+	if e.delisted && !e.useUntil.IsZero() && now.After(e.useUntil) {
 		e.useUntil = time.Time{}
-		e.leaveLocked("entry did not come back")
+		e.drainLocked("entry did not come back")
 	}
-	if e.health.IsUnresponsive(e.fleet.cfg.Health, now, e.readingLocked(now)) && e.restLocked(now) {
+	if e.health.IsUnresponsive(e.fleet.cfg.Health, now, e.readingTimeLocked(now)) && e.excludeLocked(now) {
 		e.abortMovableLocked()
 		e.fleet.deps.Log.Emit(event.UpstreamResting, zap.String(event.FieldPeer, e.id), zap.String("why", "silent"), zap.Int("outstanding", e.own.Requests))
 	}
-	if e.own.Requests == 0 && !e.gone && !e.signal.Limit.Stated {
-		e.fleet.watched.remove(e)
+	if e.own.Requests == 0 && !e.delisted && !e.signal.Limit.Stated {
+		e.fleet.pendingChecks.remove(e)
 	}
-	return e.gone && e.own.Requests == 0 && now.Sub(e.goneSince) > forgetAfter
+	return e.delisted && e.own.Requests == 0 && now.Sub(e.delistedAt) > delistedTTL
 }
 
-// slowestTokensPerMs is the slowest that an engine reads prompts, with a full
+// minReadTokensPerMs is the slowest that an engine reads prompts, with a full
 // batch: an engine that is silent for less than its backlog takes is reading.
-const slowestTokensPerMs = 10.0
+const minReadTokensPerMs = 10.0
 
-// besideFor is how long the prompts that were to be read there when a turn was given
+// othersPendingTTL is how long the prompts that were to be read there when a turn was given
 // may still be: a few times what an engine is given to read.
-const besideFor = 1500 * time.Millisecond
+const othersPendingTTL = 1500 * time.Millisecond
 
-// readingLocked is how long the prompts that wait there may keep it silent.
-func (e *Entry) readingLocked(now time.Time) time.Duration {
+// readingTimeLocked is how long the prompts that wait there may keep it silent.
+func (e *Entry) readingTimeLocked(now time.Time) time.Duration {
 	waiting := e.loadLocked(now).PendingPromptTokens
-	if now.Sub(e.besideAt) < besideFor {
-		waiting = max(waiting, e.own.PendingPromptTokens+e.beside)
+	if now.Sub(e.othersPendingAt) < othersPendingTTL {
+		waiting = max(waiting, e.own.PendingPromptTokens+e.othersPending)
 	}
-	return time.Duration(float64(waiting) / slowestTokensPerMs * float64(time.Millisecond))
+	return time.Duration(float64(waiting) / minReadTokensPerMs * float64(time.Millisecond))
 }
 
-// rest leaves the upstream alone for a while; it says whether that is news.
-func (e *Entry) rest(now time.Time) bool {
+// exclude leaves the upstream alone for a while; it says whether that is news.
+func (e *Entry) exclude(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.restLocked(now)
+	return e.excludeLocked(now)
 }
 
-// restLocked leaves the upstream alone for a while; it says whether that is news.
-func (e *Entry) restLocked(now time.Time) bool {
+// excludeLocked leaves the upstream alone for a while; it says whether that is news.
+func (e *Entry) excludeLocked(now time.Time) bool {
 	news := e.health.Exclude(e.fleet.cfg.Health, now)
-	e.restedLocked(news)
+	e.recordExclusionLocked(news)
 	return news
 }
 
-// restedLocked notes that the upstream is left alone.
-func (e *Entry) restedLocked(news bool) {
+// recordExclusionLocked notes that the upstream is left alone.
+func (e *Entry) recordExclusionLocked(news bool) {
 	if !news {
 		return
 	}
-	e.fleet.resting.add(e)
-	e.fleet.noticed()
+	e.fleet.excluded.add(e)
+	e.fleet.notifyUrgentChange()
 }
 
-// failures is the share of its answers that failed; below 0: too few answers.
-func (e *Entry) failures(p health.Policy) float64 {
+// errorShare is the share of its answers that failed; below 0: too few answers.
+func (e *Entry) errorShare(p health.Policy) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	share, answers := e.health.ErrorShare()
-	if answers < float64(p.MinAnswers) || e.leaving {
+	if answers < float64(p.MinAnswers) || e.draining {
 		return -1
 	}
 	return share
@@ -298,11 +298,11 @@
 
 // loadLocked is the best estimate of all hosts' load there.
 func (e *Entry) loadLocked(now time.Time) Load {
-	if others, known := e.fleet.others.at(e, now); known {
+	if others, known := e.fleet.otherHosts.at(e, now); known {
 		return e.own.Plus(others)
 	}
 	total := e.own
-	if now.Sub(e.reportedAt) < reportedFresh {
+	if now.Sub(e.reportedAt) < reportedLoadTTL {
 		total.Requests = max(total.Requests, e.reported.Running+e.reported.Waiting+e.sentSince)
 	}
 	return total
@@ -321,14 +321,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.fleet.deps.Now()
-	delete(e.denied, model+"/"+adapter)
+	delete(e.notResidentUntil, model+"/"+adapter)
 	next := append([]deploy.Resident(nil), e.residentsLocked(now)...)
 	for i := range next {
 		if next[i].Model == model && !contains(next[i].Adapters, adapter) {
 			next[i].Adapters = append(append([]string(nil), next[i].Adapters...), adapter)
 		}
 	}
-	e.believed, e.believedAt = next, now
+	e.announcedResidents, e.announcedAt = next, now
 }
 
 func contains(list []string, s string) bool {
@@ -342,15 +342,15 @@
 
 // residentsLocked is what the upstream holds, by the newest word.
 func (e *Entry) residentsLocked(now time.Time) []deploy.Resident {
-	if e.believesLocked(now) || e.believedAt.After(e.described) {
-		return e.believed
+	if e.usesAnnouncedLocked(now) || e.announcedAt.After(e.describedAt) {
+		return e.announcedResidents
 	}
-	return e.up.Residents
+	return e.desc.Residents
 }
 
-// holdsLocked looks a model up and leaves out what the upstream just denied.
-func (e *Entry) holdsLocked(model, adapter string, now time.Time) bool {
-	if len(e.denied) > 0 && now.Before(e.denied[model+"/"+adapter]) {
+// hasResidentLocked looks a model up and leaves out what the upstream just denied.
+func (e *Entry) hasResidentLocked(model, adapter string, now time.Time) bool {
+	if len(e.notResidentUntil) > 0 && now.Before(e.notResidentUntil[model+"/"+adapter]) {
 		return false
 	}
 	held := deploy.Upstream{Residents: e.residentsLocked(now)}
@@ -361,31 +361,31 @@
 func (e *Entry) MarkNotResident(model, adapter string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.denied == nil {
-		e.denied = map[string]time.Time{}
+	if e.notResidentUntil == nil {
+		e.notResidentUntil = map[string]time.Time{}
 	}
 	now := e.fleet.deps.Now()
-	for k, until := range e.denied {
+	for k, until := range e.notResidentUntil {
 		if now.After(until) {
-			delete(e.denied, k)
+			delete(e.notResidentUntil, k)
 		}
 	}
-	e.denied[model+"/"+adapter] = now.Add(deniedFor)
+	e.notResidentUntil[model+"/"+adapter] = now.Add(notResidentTTL)
 }
 
 // MarkReplaced notes that another process has the upstream's address.
 func (e *Entry) MarkReplaced() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leaveLocked("another process at its address")
+	e.drainLocked("another process at its address")
 }
 
-// succeeded notes that the upstream has started again, as another process.
+// markSucceeded notes that the upstream has started again, as another process.
 // What was sent to this one is lost; attempts that can go elsewhere do.
-func (e *Entry) succeeded() {
+func (e *Entry) markSucceeded() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leaveLocked("started again")
+	e.drainLocked("started again")
 	e.abortMovableLocked()
 }
 
@@ -396,25 +396,25 @@
 	}
 }
 
-// process says how an upstream's word relates to the process of an entry.
-type process uint8
+// processOrder says how an upstream's word relates to the process of an entry.
+type processOrder uint8
 
 const (
-	sameProcess process = iota
-	formerProcess
-	newProcess
+	sameProcess processOrder = iota
+	earlierProcess
+	laterProcess
 )
 
-// relation compares a description's start with this entry's. A description that
+// compareProcess compares a description's start with this entry's. A description that
 // does not say when its process began speaks of the one that is known.
-func (e *Entry) relation(born int64) process {
+func (e *Entry) compareProcess(born int64) processOrder {
 	switch {
-	case born == 0 || born == e.born:
+	case born == 0 || born == e.startedMs:
 		return sameProcess
-	case born < e.born:
-		return formerProcess
+	case born < e.startedMs:
+		return earlierProcess
 	default:
-		return newProcess
+		return laterProcess
 	}
 }
 
@@ -430,8 +430,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	l := e.loadLocked(now)
-	out := balance.Endpoint{ID: e.id, Address: e.up.Address, Slots: e.up.Slots, SameDataCentre: e.dataCentre == e.fleet.cfg.DataCentre,
-		Draining: e.leaving, InFlight: l.Requests, PendingPromptTokens: l.PendingPromptTokens, InFlightTokens: l.Tokens}
+	out := balance.Endpoint{ID: e.id, Address: e.desc.Address, Slots: e.desc.Slots, SameDataCentre: e.dataCentre == e.fleet.cfg.DataCentre,
+		Draining: e.draining, InFlight: l.Requests, PendingPromptTokens: l.PendingPromptTokens, InFlightTokens: l.Tokens}
 	switch e.health.Status(now) {
 	case health.Down:
 		out.Down = true
@@ -439,15 +439,15 @@
 		out.HalfOpen, out.ProbeInFlight = true, e.health.IsAwaitingBytes()
 	}
 	out.Backoff = e.backoffLocked(now)
-	if e.up.Cold > 0 {
-		out.WarmupRemaining = max(e.up.Cold-now.Sub(e.described), 0)
+	if e.desc.Cold > 0 {
+		out.WarmupRemaining = max(e.desc.Cold-now.Sub(e.describedAt), 0)
 	}
 	if a.Model != "" {
-		out.ModelResident = e.holdsLocked(a.Model, "", now)
+		out.ModelResident = e.hasResidentLocked(a.Model, "", now)
 	}
 	if out.ModelResident { // the rest is of no use for an upstream that cannot get it
-		out.AdapterResident = a.Adapter == "" || e.holdsLocked(a.Model, a.Adapter, now)
-		out.CachedTokens = e.cache.CachedTokens(a, now)
+		out.AdapterResident = a.Adapter == "" || e.hasResidentLocked(a.Model, a.Adapter, now)
+		out.CachedTokens = e.promptCache.CachedTokens(a, now)
 	}
 	return out
 }
--- a/node/fleet/entryset.go
+++ b/node/fleet/entryset.go
@@ -8,36 +8,36 @@
 
 // entrySet is a set of entries. Its lock is taken after those of entries.
 type entrySet struct {
-	mu sync.Mutex
-	in map[*Entry]struct{}
+	mu      sync.Mutex
+	entries map[*Entry]struct{}
 }
 
 // add says whether the set was empty.
 func (s *entrySet) add(e *Entry) (first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.in == nil {
-		s.in = map[*Entry]struct{}{}
+	if s.entries == nil {
+		s.entries = map[*Entry]struct{}{}
 	}
-	first = len(s.in) == 0
-	s.in[e] = struct{}{}
+	first = len(s.entries) == 0
+	s.entries[e] = struct{}{}
 	return first
 }
 
 func (s *entrySet) remove(e *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.in, e)
+	delete(s.entries, e)
 }
 
 func (s *entrySet) empty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.in) == 0
+	return len(s.entries) == 0
 }
 
 func (s *entrySet) all() []*Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Collect(maps.Keys(s.in))
+	return slices.Collect(maps.Keys(s.entries))
 }
--- a/node/fleet/exchange.go
+++ b/node/fleet/exchange.go
@@ -15,7 +15,7 @@
 // OwnLoads lists the upstreams at which this host has requests.
 func (f *Fleet) OwnLoads() []UpstreamLoad {
 	var out []UpstreamLoad
-	for _, e := range f.watched.all() {
+	for _, e := range f.pendingChecks.all() {
 		if own := e.OwnLoad(); own.Requests > 0 {
 			out = append(out, UpstreamLoad{e.id, own})
 		}
@@ -31,21 +31,21 @@
 
 // Attempt is one attempt at an upstream. It belongs to one goroutine.
 type Attempt struct {
-	e     *Entry
-	ask   *Request
-	cost  Cost
-	first bool
-	ended bool
-	trial bool   // it counts in the upstream's slow start
-	heard func() // called when the first bytes of the answer came; nil: nobody asks
-	abort func() // called when the upstream is found silent; nil: the attempt stays
+	e           *Entry
+	ask         *Request
+	cost        Cost
+	first       bool
+	ended       bool
+	trial       bool   // it counts in the upstream's slow start
+	onFirstByte func() // called when the first bytes of the answer came; nil: nobody asks
+	abort       func() // called when the upstream is found silent; nil: the attempt stays
 }
 
 // Entry is the upstream that the attempt is at.
 func (x *Attempt) Entry() *Entry { return x.e }
 
 // OnFirstByte has f called when the first bytes of the answer come.
-func (x *Attempt) OnFirstByte(f func()) { x.heard = f }
+func (x *Attempt) OnFirstByte(f func()) { x.onFirstByte = f }
 
 // OnUnresponsive has abort called if the upstream is found silent while the attempt
 // is there. It is for attempts that can go elsewhere.
@@ -61,12 +61,12 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.own.Requests++
-	e.fleet.watch(e)
+	e.fleet.scheduleChecks(e)
 	e.own.PendingPromptTokens += c.PromptTokens
 	e.own.Tokens += c.PromptTokens + c.OutputTokens
 	e.sentSince++
 	e.health.RecordSend(e.fleet.deps.Now())
-	return &Attempt{e: e, ask: a, cost: c, trial: e.start.Sent()}
+	return &Attempt{e: e, ask: a, cost: c, trial: e.slowStart.Sent()}
 }
 
 // RecordPendingPrompts notes how many prompt tokens of other hosts' requests the upstream has to
@@ -74,23 +74,23 @@
 func (x *Attempt) RecordPendingPrompts(waiting int) {
 	x.e.mu.Lock()
 	defer x.e.mu.Unlock()
-	x.e.beside, x.e.besideAt = max(waiting-(x.e.own.PendingPromptTokens-x.cost.PromptTokens), 0), x.e.fleet.deps.Now()
+	x.e.othersPending, x.e.othersPendingAt = max(waiting-(x.e.own.PendingPromptTokens-x.cost.PromptTokens), 0), x.e.fleet.deps.Now()
 }
 
 // ReceivedBytes notes bytes of the answer. The first ones end the wait for the prompt.
 func (x *Attempt) ReceivedBytes() {
 	now := x.e.fleet.deps.Now()
-	if !x.first && x.heard != nil {
-		x.heard()
+	if !x.first && x.onFirstByte != nil {
+		x.onFirstByte()
 	}
 	x.e.mu.Lock()
 	defer x.e.mu.Unlock()
 	if x.trial && !x.first {
-		x.e.start.Answered(x.e.up.Slots)
+		x.e.slowStart.Answered(x.e.desc.Slots)
 	}
 	x.firstLocked()
 	x.e.health.RecordBytes(now, x.e.own.Requests > 0)
-	x.e.cache.Record(x.ask, now)
+	x.e.promptCache.Record(x.ask, now)
 }
 
 func (x *Attempt) firstLocked() {
@@ -110,11 +110,11 @@
 // Answered ends an attempt whose answer is whole; failed says that the
 // upstream ran the request and failed it.
 func (x *Attempt) Answered(failed bool) {
-	x.end(func() { x.e.rateLocked(failed) })
+	x.end(func() { x.e.recordAnswerLocked(failed) })
 }
 
-// rateLocked notes an answer, or its absence.
-func (e *Entry) rateLocked(failed bool) {
+// recordAnswerLocked notes an answer, or its absence.
+func (e *Entry) recordAnswerLocked(failed bool) {
 	e.health.RecordAnswer(failed)
 	if _, answers := e.health.ErrorShare(); answers >= float64(e.fleet.cfg.Health.MinAnswers) {
 		e.fleet.rated.add(e)
@@ -131,9 +131,9 @@
 func (x *Attempt) Interrupted(why string) {
 	var resting bool
 	x.end(func() {
-		x.e.rateLocked(true)
+		x.e.recordAnswerLocked(true)
 		resting = x.e.health.RecordFailure(x.e.fleet.cfg.Health, x.e.fleet.deps.Now())
-		x.e.restedLocked(resting)
+		x.e.recordExclusionLocked(resting)
 	})
 	if resting {
 		x.e.fleet.deps.Log.Emit(event.UpstreamResting, zap.String(event.FieldPeer, x.e.ID()), zap.String("why", why))
@@ -144,7 +144,7 @@
 // process has ended, so that there is no need for a second sign.
 func (x *Attempt) NotListening() {
 	var resting bool
-	x.end(func() { resting = x.e.restLocked(x.e.fleet.deps.Now()) })
+	x.end(func() { resting = x.e.excludeLocked(x.e.fleet.deps.Now()) })
 	if resting {
 		x.e.fleet.deps.Log.Emit(event.UpstreamResting, zap.String(event.FieldPeer, x.e.ID()), zap.String("why", "absent"))
 	}
@@ -159,7 +159,7 @@
 	delete(x.e.movable, x)
 	x.firstLocked()
 	if x.trial {
-		x.e.start.Ended()
+		x.e.slowStart.Ended()
 	}
 	x.e.own.Requests--
 	x.e.own.Tokens -= x.cost.PromptTokens + x.cost.OutputTokens
--- a/node/fleet/fleet.go
+++ b/node/fleet/fleet.go
@@ -52,36 +52,36 @@
 	deps  Deps
 	index atomic.Pointer[index]
 
-	mu       sync.Mutex          // of writers of the index
-	backAt   time.Time           // when the store was last reached again
-	state    uint64              // rises with every change of the list
-	listed   changes.Log[*Entry] // of what the list says
-	standing changes.Log[*Entry] // of that, what every host needs to hear
-	forAll   uint64              // newest state at which there was such a change
-	gone     []vanished          // the last ones
-	goneFrom uint64              // state from which on gone is complete
-	marks    []mark              // the last states, with the store's versions that they are of
-	changes  pace.Signal
-	holdings pace.Signal
-	stirred  pace.Signal // given when there is something to watch again
-
-	origin    time.Time
-	sharing   atomic.Pointer[sharing]
-	holders   holders // by what they hold
-	loaders   holders // by what they are loading
-	others    others
-	word      atomic.Pointer[word]
-	rests     deadline                  // of upstreams
-	limits    deadline                  // for so long some upstream is taken to name a limit
-	signals   signalLog                 // of what others have to hear
-	early     map[string]UpstreamSignal // of upstreams that the list does not name yet; under mu
-	earlyHeld map[string]Residency      // likewise, what they hold
+	mu               sync.Mutex          // of writers of the index
+	storeBackAt      time.Time           // when the store was last reached again
+	revision         uint64              // rises with every change of the list
+	listedLog        changes.Log[*Entry] // of what the list says
+	identityLog      changes.Log[*Entry] // of that, what every host needs to hear
+	identityRevision uint64              // newest state at which there was such a change
+	removed          []removedUpstream   // the last ones
+	removedFrom      uint64              // state from which on gone is complete
+	versionMarks     []versionMark       // the last states, with the store's versions that they are of
+	changes          pace.Signal
+	residencyChanges pace.Signal
+	checksNeeded     pace.Signal // given when there is something to watch again
+
+	origin         time.Time
+	sharing        atomic.Pointer[limitSharing]
+	residentIndex  modelIndex // by what they hold
+	loadingIndex   modelIndex // by what they are loading
+	otherHosts     otherHostsLoad
+	coordinator    atomic.Pointer[coordinatorTerm]
+	backoffs       deadline                  // of upstreams
+	limits         deadline                  // for so long some upstream is taken to name a limit
+	signals        signalLog                 // of what others have to hear
+	earlySignals   map[string]UpstreamSignal // of upstreams that the list does not name yet; under mu
+	earlyResidency map[string]Residency      // likewise, what they hold
 
 	// The entries that time changes something at, so that none of the others is
 	// looked at: their number grows with the fleet.
-	watched entrySet // with a request of this host, gone, or naming a limit
-	rated   entrySet // with enough answers for their failures to count
-	resting entrySet // left alone, or on trial
+	pendingChecks entrySet // with a request of this host, gone, or naming a limit
+	rated         entrySet // with enough answers for their failures to count
+	excluded      entrySet // left alone, or on trial
 }
 
 // New makes an empty Fleet.
@@ -96,8 +96,8 @@
 		deps.Log = event.NewLog(nil)
 	}
 	f := &Fleet{cfg: cfg, deps: deps, origin: deps.Now()}
-	f.sharing.Store(&sharing{})
-	f.word.Store(&word{})
+	f.sharing.Store(&limitSharing{})
+	f.coordinator.Store(&coordinatorTerm{})
 	f.index.Store(&index{byID: map[string]*Entry{}, byService: map[string][]*Entry{}})
 	return f
 }
@@ -108,18 +108,18 @@
 
 // ResidencyChanged is like Changed for requests that wait for a model: it passes
 // over the ends of others' requests, which come hundreds of times a second.
-func (f *Fleet) ResidencyChanged() <-chan struct{} { return f.holdings.Next() }
+func (f *Fleet) ResidencyChanged() <-chan struct{} { return f.residencyChanges.Next() }
 
 // NotifyChanged wakes the requests that wait for an upstream.
 func (f *Fleet) NotifyChanged() { f.changes.Notify() }
 
-// tellHoldings wakes those that wait for a model, too.
-func (f *Fleet) tellHoldings() {
-	f.holdings.Notify()
+// notifyResidencyChanged wakes those that wait for a model, too.
+func (f *Fleet) notifyResidencyChanged() {
+	f.residencyChanges.Notify()
 	f.changes.Notify()
 }
 
-func (f *Fleet) noticed() {
+func (f *Fleet) notifyUrgentChange() {
 	if f.deps.OnUrgentChange != nil {
 		f.deps.OnUrgentChange()
 	}
@@ -149,8 +149,8 @@
 func (f *Fleet) DownIDs() []string {
 	now := f.deps.Now()
 	var out []string
-	for _, e := range f.resting.all() {
-		if e.restsAt(now) {
+	for _, e := range f.excluded.all() {
+		if e.refreshExcluded(now) {
 			out = append(out, e.id)
 		}
 	}
@@ -178,29 +178,29 @@
 func (f *Fleet) Apply(put []deploy.Upstream, gone []string, at uint64) {
 	f.mu.Lock()
 	now := f.deps.Now()
-	f.state++
-	d := &draft{index: f.index.Load()}
+	f.revision++
+	d := &nextIndex{index: f.index.Load()}
 	for i := range put {
 		f.put(d, put[i], now)
 	}
 	next := d.done()
-	f.lapse(next, gone, now)
-	f.markLocked(at)
+	f.removeEntries(next, gone, now)
+	f.recordVersionLocked(at)
 	f.index.Store(next)
-	forAll := f.forAll == f.state
+	forAll := f.identityRevision == f.revision
 	f.mu.Unlock()
-	f.logSeen(d.seen)
-	f.tellHoldings()
+	f.logSeen(d.added)
+	f.notifyResidencyChanged()
 	if forAll && f.deps.OnListChange != nil {
 		f.deps.OnListChange()
 	}
 }
 
-// seenMost is how many upstreams that come together get a line each in the log.
-const seenMost = 16
+// maxLoggedSeen is how many upstreams that come together get a line each in the log.
+const maxLoggedSeen = 16
 
 func (f *Fleet) logSeen(seen []*Entry) {
-	if len(seen) > seenMost {
+	if len(seen) > maxLoggedSeen {
 		f.deps.Log.Emit(event.UpstreamsSeen, zap.Int("count", len(seen)))
 		return
 	}
@@ -211,55 +211,55 @@
 	}
 }
 
-func (f *Fleet) put(d *draft, u deploy.Upstream, now time.Time) {
+func (f *Fleet) put(d *nextIndex, u deploy.Upstream, now time.Time) {
 	e, known := d.byID[u.ID]
 	if known {
-		switch e.relation(u.Born) {
-		case formerProcess: // a heartbeat that was written late
+		switch e.compareProcess(u.Born) {
+		case earlierProcess: // a heartbeat that was written late
 			return
-		case newProcess:
-			f.retire(e)
+		case laterProcess:
+			f.retireLocked(e)
 			known = false
 		}
 	}
 	if !known {
-		e = &Entry{fleet: f, id: u.ID, service: u.Service, address: u.Address, dataCentre: u.DataCentre, born: u.Born, up: u, movable: map[*Attempt]struct{}{}}
+		e = &Entry{fleet: f, id: u.ID, service: u.Service, address: u.Address, dataCentre: u.DataCentre, startedMs: u.Born, desc: u, movable: map[*Attempt]struct{}{}}
 		d.add(e)
-		f.heedEarlyLocked(e)
-		d.seen = append(d.seen, e)
+		f.applyEarlySignalLocked(e)
+		d.added = append(d.added, e)
 	}
-	switch e.describe(u, now, f.state) {
-	case newsForAll:
-		f.standing.Record(e, f.state)
-		f.forAll = f.state
+	switch e.describe(u, now, f.revision) {
+	case identityChange:
+		f.identityLog.Record(e, f.revision)
+		f.identityRevision = f.revision
 		fallthrough
-	case newsOfHeld:
-		f.listed.Record(e, f.state)
+	case copiesChange:
+		f.listedLog.Record(e, f.revision)
 	}
 	if !known {
-		f.believeEarlyLocked(e, now)
+		f.applyEarlyResidencyLocked(e, now)
 	}
 }
 
-// retire ends all that was believed of a process whose successor has its ID:
+// retireLocked ends all that was believed of a process whose successor has its ID:
 // what it held and kept, what was sent there, how it answered, and its
 // connections. To go on by it would send requests for models that the new
 // process, which starts empty, does not hold, and orders for room that is gone.
-func (f *Fleet) retire(e *Entry) {
-	e.succeeded()
+func (f *Fleet) retireLocked(e *Entry) {
+	e.markSucceeded()
 	f.dropLocked(e)
 	if f.deps.OnForgotten != nil {
 		f.deps.OnForgotten(e.Address())
 	}
 }
 
-// massShare is the part of a service's upstreams that do not leave all at once.
-const massShare = 0.34
+// massRemovalShare is the part of a service's upstreams that do not leave all at once.
+const massRemovalShare = 0.34
 
-// lapse notes entries that vanished. Normally their upstreams are leaving. But
+// removeEntries notes entries that vanished. Normally their upstreams are leaving. But
 // entries also run out while the store is away, and giving up all upstreams
 // then would leave nobody to serve.
-func (f *Fleet) lapse(ix *index, gone []string, now time.Time) {
+func (f *Fleet) removeEntries(ix *index, gone []string, now time.Time) {
 	together := map[string]int{}
 	for _, id := range gone {
 		if e, ok := ix.byID[id]; ok {
@@ -267,9 +267,9 @@
 		}
 	}
 	for _, id := range gone {
-		delete(f.earlyHeld, id)
+		delete(f.earlyResidency, id)
 	}
-	away := f.cfg.RecoveryGrace - now.Sub(f.backAt) // what is left of the time after the store's return
+	away := f.cfg.RecoveryGrace - now.Sub(f.storeBackAt) // what is left of the time after the store's return
 	for _, id := range gone {
 		e, ok := ix.byID[id]
 		if !ok {
@@ -277,26 +277,26 @@
 		}
 		hold := max(away, 0)
 		n := together[e.Service()]
-		if hold == 0 && n > 1 && float64(n) >= massShare*float64(len(ix.byService[e.Service()])) {
+		if hold == 0 && n > 1 && float64(n) >= massRemovalShare*float64(len(ix.byService[e.Service()])) {
 			hold = f.cfg.MassRemovalGrace
 		}
-		if e.vanish(now, hold) {
-			f.gone = append(f.gone, vanished{id, f.state, now})
-			f.forAll = f.state
+		if e.markDelisted(now, hold) {
+			f.removed = append(f.removed, removedUpstream{id, f.revision, now})
+			f.identityRevision = f.revision
 		}
 	}
-	f.forgetGoneLocked(now)
+	f.trimRemovedLocked(now)
 }
 
-// forgetGoneLocked drops those that all hosts have been told of, but for the last.
-func (f *Fleet) forgetGoneLocked(now time.Time) {
-	over := len(f.gone) - goneMost
-	for over > 0 && now.Sub(f.gone[over-1].since) < goneFor {
+// trimRemovedLocked drops those that all hosts have been told of, but for the last.
+func (f *Fleet) trimRemovedLocked(now time.Time) {
+	over := len(f.removed) - minRemovedKept
+	for over > 0 && now.Sub(f.removed[over-1].removedAt) < removedTTL {
 		over--
 	}
 	if over > 0 {
-		f.goneFrom = f.gone[over-1].at
-		f.gone = append([]vanished(nil), f.gone[over:]...)
+		f.removedFrom = f.removed[over-1].revision
+		f.removed = append([]removedUpstream(nil), f.removed[over:]...)
 	}
 }
 
@@ -304,24 +304,24 @@
 func (f *Fleet) StoreRecovered() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.backAt = f.deps.Now()
+	f.storeBackAt = f.deps.Now()
 }
 
-// watch has Sweep look at an entry.
-func (f *Fleet) watch(e *Entry) {
-	if f.watched.add(e) {
-		f.stirred.Notify()
+// scheduleChecks has Sweep look at an entry.
+func (f *Fleet) scheduleChecks(e *Entry) {
+	if f.pendingChecks.add(e) {
+		f.checksNeeded.Notify()
 	}
 }
 
 // HasPendingChecks says whether there is anything that Sweep has to look at often.
-func (f *Fleet) HasPendingChecks() bool { return !f.watched.empty() }
+func (f *Fleet) HasPendingChecks() bool { return !f.pendingChecks.empty() }
 
 // WakeChecks has those woken that wait until there is something to watch.
-func (f *Fleet) WakeChecks() { f.stirred.Notify() }
+func (f *Fleet) WakeChecks() { f.checksNeeded.Notify() }
 
 // ChecksNeeded returns a channel that is closed once there is again.
-func (f *Fleet) ChecksNeeded() <-chan struct{} { return f.stirred.Next() }
+func (f *Fleet) ChecksNeeded() <-chan struct{} { return f.checksNeeded.Next() }
 
 // RunChecks forgets upstreams that have left and answer nothing any more, ends
 // holds that are over, and leaves alone those that are silent or stand out by
@@ -329,8 +329,8 @@
 func (f *Fleet) RunChecks() {
 	now := f.deps.Now()
 	var forget []string
-	for _, e := range f.watched.all() {
-		if e.sweep(now) {
+	for _, e := range f.pendingChecks.all() {
+		if e.runChecks(now) {
 			forget = append(forget, e.ID())
 		}
 	}
@@ -339,7 +339,7 @@
 		rated[e.Service()] = append(rated[e.Service()], e)
 	}
 	for service, entries := range rated {
-		f.judge(entries, len(f.EntriesOfService(service)), now)
+		f.excludeOutliers(entries, len(f.EntriesOfService(service)), now)
 	}
 	if len(forget) > 0 {
 		f.forget(forget)
@@ -349,7 +349,7 @@
 func (f *Fleet) forget(ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d := &draft{index: f.index.Load()}
+	d := &nextIndex{index: f.index.Load()}
 	for _, id := range ids {
 		e, ok := d.byID[id]
 		if !ok {
@@ -367,23 +367,23 @@
 // dropLocked forgets an entry for good; f.mu is held.
 func (f *Fleet) dropLocked(e *Entry) {
 	e.forget()
-	f.listed.Forget(e)
-	f.standing.Forget(e)
-	f.signals.drop(e)
-	f.watched.remove(e)
+	f.listedLog.Forget(e)
+	f.identityLog.Forget(e)
+	f.signals.remove(e)
+	f.pendingChecks.remove(e)
 	f.rated.remove(e)
-	f.resting.remove(e)
+	f.excluded.remove(e)
 }
 
-// judge leaves alone those of a service's upstreams whose failures stand out; all
+// excludeOutliers leaves alone those of a service's upstreams whose failures stand out; all
 // is how many it has.
-func (f *Fleet) judge(entries []*Entry, all int, now time.Time) {
+func (f *Fleet) excludeOutliers(entries []*Entry, all int, now time.Time) {
 	shares := make([]float64, len(entries))
 	for i, e := range entries {
-		shares[i] = e.failures(f.cfg.Health)
+		shares[i] = e.errorShare(f.cfg.Health)
 	}
 	for i, failing := range health.Outliers(f.cfg.Health, shares, all) {
-		if failing && entries[i].rest(now) {
+		if failing && entries[i].exclude(now) {
 			f.deps.Log.Emit(event.UpstreamResting, zap.String(event.FieldPeer, entries[i].ID()),
 				zap.String("why", "failures"), zap.Float64("share", shares[i]))
 		}
--- a/node/fleet/holders.go
+++ b/node/fleet/holders.go
@@ -7,43 +7,43 @@
 	"peridotpier.example/core/deploy"
 )
 
-// holders finds the upstreams of a service by a model. By what they may hold these
+// modelIndex finds the upstreams of a service by a model. By what they may hold these
 // are all of which any word that counts says so; which of them holds it is for their
 // entries to say. A pick among thousands of upstreams looks at the few that matter.
-type holders struct {
-	mu sync.RWMutex
-	of map[holding][]*Entry // replaced whole, so that readers need no copy
+type modelIndex struct {
+	mu      sync.RWMutex
+	entries map[serviceModel][]*Entry // replaced whole, so that readers need no copy
 }
 
-type holding struct{ service, model string }
+type serviceModel struct{ service, model string }
 
 // update notes which models an entry may hold in place of others. The entry's lock is held.
-func (h *holders) update(e *Entry, was, now []string) {
+func (h *modelIndex) update(e *Entry, was, now []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.of == nil {
-		h.of = map[holding][]*Entry{}
+	if h.entries == nil {
+		h.entries = map[serviceModel][]*Entry{}
 	}
 	for _, model := range was {
 		if !slices.Contains(now, model) {
-			h.removeLocked(holding{e.service, model}, e)
+			h.removeLocked(serviceModel{e.service, model}, e)
 		}
 	}
 	for _, model := range now {
 		if !slices.Contains(was, model) {
-			k := holding{e.service, model}
-			h.of[k] = append(slices.Clone(h.of[k]), e)
+			k := serviceModel{e.service, model}
+			h.entries[k] = append(slices.Clone(h.entries[k]), e)
 		}
 	}
 }
 
-func (h *holders) removeLocked(k holding, e *Entry) {
-	left := slices.DeleteFunc(slices.Clone(h.of[k]), func(o *Entry) bool { return o == e })
+func (h *modelIndex) removeLocked(k serviceModel, e *Entry) {
+	left := slices.DeleteFunc(slices.Clone(h.entries[k]), func(o *Entry) bool { return o == e })
 	if len(left) == 0 {
-		delete(h.of, k)
+		delete(h.entries, k)
 		return
 	}
-	h.of[k] = left
+	h.entries[k] = left
 }
 
 // EntriesWithModel returns the upstreams of a service that may hold a model; with no model
@@ -52,13 +52,13 @@
 	if model == "" {
 		return f.EntriesOfService(service)
 	}
-	return f.holders.all(service, model)
+	return f.residentIndex.all(service, model)
 }
 
-func (h *holders) all(service, model string) []*Entry {
+func (h *modelIndex) all(service, model string) []*Entry {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	return h.of[holding{service, model}]
+	return h.entries[serviceModel{service, model}]
 }
 
 // HasUsableWithoutModel says whether upstreams of a service may be sent work that cannot hold a
@@ -69,7 +69,7 @@
 	}
 	now, holders := f.deps.Now(), f.EntriesWithModel(service, model)
 	return slices.ContainsFunc(f.EntriesOfService(service), func(e *Entry) bool {
-		return e.Usable() && !e.down(now) && !slices.Contains(holders, e) && !passed(e)
+		return e.Usable() && !e.isDownAt(now) && !slices.Contains(holders, e) && !passed(e)
 	})
 }
 
@@ -79,26 +79,26 @@
 	if e.forgotten {
 		return
 	}
-	next := make([]string, 0, len(e.up.Residents)+len(e.believed))
-	for _, residents := range [][]deploy.Resident{e.up.Residents, e.believed} {
+	next := make([]string, 0, len(e.desc.Residents)+len(e.announcedResidents))
+	for _, residents := range [][]deploy.Resident{e.desc.Residents, e.announcedResidents} {
 		for i := range residents {
 			if !slices.Contains(next, residents[i].Model) {
 				next = append(next, residents[i].Model)
 			}
 		}
 	}
-	if slices.Equal(next, e.indexed) { // as for nearly every heartbeat
+	if slices.Equal(next, e.indexedModels) { // as for nearly every heartbeat
 		return
 	}
-	e.fleet.holders.update(e, e.indexed, next)
-	e.indexed = next
+	e.fleet.residentIndex.update(e, e.indexedModels, next)
+	e.indexedModels = next
 }
 
 // forget takes the entry out of the index for good.
 func (e *Entry) forget() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fleet.holders.update(e, e.indexed, nil)
-	e.fleet.loaders.update(e, modelsOf(e.coming), nil)
-	e.indexed, e.coming, e.forgotten = nil, nil, true
+	e.fleet.residentIndex.update(e, e.indexedModels, nil)
+	e.fleet.loadingIndex.update(e, modelsOf(e.loading), nil)
+	e.indexedModels, e.loading, e.forgotten = nil, nil, true
 }
--- a/node/fleet/index.go
+++ b/node/fleet/index.go
@@ -6,36 +6,36 @@
 type index struct {
 	byID      map[string]*Entry
 	byService map[string][]*Entry
-	number    uint64 // rises when entries come or go
+	version   uint64 // rises when entries come or go
 }
 
-// draft is the next index. It stays the present one until entries come or go, as
+// nextIndex is the next index. It stays the present one until entries come or go, as
 // for nearly every heartbeat: a copy takes as long as there are upstreams.
-type draft struct {
+type nextIndex struct {
 	*index
 	changed bool
-	seen    []*Entry // that were added
+	added   []*Entry // that were added
 }
 
-func (d *draft) change() {
+func (d *nextIndex) copyOnce() {
 	if d.changed {
 		return
 	}
-	d.index, d.changed = &index{byID: maps.Clone(d.byID), number: d.number + 1}, true
+	d.index, d.changed = &index{byID: maps.Clone(d.byID), version: d.version + 1}, true
 }
 
-func (d *draft) add(e *Entry) {
-	d.change()
+func (d *nextIndex) add(e *Entry) {
+	d.copyOnce()
 	d.byID[e.ID()] = e
 }
 
-func (d *draft) remove(id string) {
-	d.change()
+func (d *nextIndex) remove(id string) {
+	d.copyOnce()
 	delete(d.byID, id)
 }
 
 // done returns the index to put in place.
-func (d *draft) done() *index {
+func (d *nextIndex) done() *index {
 	if !d.changed {
 		return d.index
 	}
@@ -47,4 +47,4 @@
 }
 
 // MembershipVersion is a number that rises when upstreams come or are forgotten.
-func (f *Fleet) MembershipVersion() uint64 { return f.index.Load().number }
+func (f *Fleet) MembershipVersion() uint64 { return f.index.Load().version }
--- a/node/fleet/limits.go
+++ b/node/fleet/limits.go
@@ -13,9 +13,9 @@
 	return e.signal.Limit
 }
 
-// limitedFor is how long after the last look at an upstream that names a limit the
+// limitTTL is how long after the last look at an upstream that names a limit the
 // fleet is taken to have one: many times as long as between two looks.
-const limitedFor = 10 * time.Second
+const limitTTL = 10 * time.Second
 
 // HasLimit says whether any upstream of a service that gets work names a limit.
 func (f *Fleet) HasLimit(service string) bool {
@@ -30,52 +30,52 @@
 	return false
 }
 
-// sharing is how this host sends to upstreams that name a limit.
-type sharing struct {
-	share backpressure.Share
-	alone bool      // nobody counts for all; else no request goes there without a turn
-	since time.Time // when that began
+// limitSharing is how this host sends to upstreams that name a limit.
+type limitSharing struct {
+	share         backpressure.Share
+	uncoordinated bool      // nobody counts for all; else no request goes there without a turn
+	since         time.Time // when that began
 }
 
 // SetShare tells this host's part in what upstreams take that name a limit. Another
 // host counts for all, so that it sends there by turns.
 func (f *Fleet) SetShare(s backpressure.Share) {
-	if was := f.sharing.Load(); was.share != s || was.alone {
-		f.sharing.Store(&sharing{share: s})
+	if was := f.sharing.Load(); was.share != s || was.uncoordinated {
+		f.sharing.Store(&limitSharing{share: s})
 	}
 }
 
 // SetUncoordinated says that nobody counts for all: this host goes by its share from now on.
 func (f *Fleet) SetUncoordinated() {
-	if was := f.sharing.Load(); !was.alone {
-		f.sharing.Store(&sharing{share: was.share, alone: true, since: f.deps.Now()})
+	if was := f.sharing.Load(); !was.uncoordinated {
+		f.sharing.Store(&limitSharing{share: was.share, uncoordinated: true, since: f.deps.Now()})
 	}
 }
 
-// uncounted is how long an upstream that names a limit is passed over by a host
+// noPermitWait is how long an upstream that names a limit is passed over by a host
 // that has no turn for it: until it may have found who gives turns.
-const uncounted = 500 * time.Millisecond
+const noPermitWait = 500 * time.Millisecond
 
 // backoffLocked is for how long nothing more may go to the upstream from here.
 func (e *Entry) backoffLocked(now time.Time) time.Duration {
-	rest := max(e.restUntil.Sub(now), 0)
-	if e.start.AtLimit() {
+	rest := max(e.backoffUntil.Sub(now), 0)
+	if e.slowStart.AtLimit() {
 		rest = max(rest, SlowStartWait)
 	}
 	if !e.signal.Limit.Stated {
 		return rest
 	}
 	s := e.fleet.sharing.Load()
-	if !s.alone || s.share.Count == 0 {
-		return max(rest, uncounted)
+	if !s.uncoordinated || s.share.Count == 0 {
+		return max(rest, noPermitWait)
 	}
 	return max(rest, e.pacerLocked(s).Wait(e.signal.Limit.Rate(), s.share, now))
 }
 
 // pacerLocked is the pacer of the time since this host has been alone.
-func (e *Entry) pacerLocked(s *sharing) *backpressure.Pacer {
-	if e.pacer == nil || e.paced != s.since {
-		e.pacer, e.paced = backpressure.NewPacer(e.fleet.origin, s.since), s.since
+func (e *Entry) pacerLocked(s *limitSharing) *backpressure.Pacer {
+	if e.pacer == nil || e.pacerSince != s.since {
+		e.pacer, e.pacerSince = backpressure.NewPacer(e.fleet.origin, s.since), s.since
 	}
 	return e.pacer
 }
@@ -88,5 +88,5 @@
 		return true
 	}
 	s := e.fleet.sharing.Load()
-	return s.alone && s.share.Count > 0 && e.pacerLocked(s).Take(e.signal.Limit.Rate(), s.share, now)
+	return s.uncoordinated && s.share.Count > 0 && e.pacerLocked(s).Take(e.signal.Limit.Rate(), s.share, now)
 }
--- a/node/fleet/others.go
+++ b/node/fleet/others.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// others are the sums of what the other hosts have sent, as told last, by service.
+// otherHostsLoad are the sums of what the other hosts have sent, as told last, by service.
 // They are replaced whole: what is not named has none, so that nothing has to be
 // told of an upstream for it to have none.
-type others struct {
-	of atomic.Pointer[map[string]*otherLoads]
+type otherHostsLoad struct {
+	byService atomic.Pointer[map[string]*serviceLoads]
 }
 
-// otherLoads are those of one service.
-type otherLoads struct {
-	loads map[string]Load // by upstream
-	until time.Time       // when they are too old to go by
+// serviceLoads are those of one service.
+type serviceLoads struct {
+	loads      map[string]Load // by upstream
+	validUntil time.Time       // when they are too old to go by
 }
 
 // at is the others' load at an entry; false: it is not known.
-func (o *others) at(e *Entry, now time.Time) (Load, bool) {
-	all := o.of.Load()
+func (o *otherHostsLoad) at(e *Entry, now time.Time) (Load, bool) {
+	all := o.byService.Load()
 	if all == nil {
 		return Load{}, false
 	}
 	told := (*all)[e.service]
-	if told == nil || !now.Before(told.until) {
+	if told == nil || !now.Before(told.validUntil) {
 		return Load{}, false
 	}
 	return told.loads[e.id], true
@@ -35,15 +35,15 @@
 // SetOtherHostsLoad takes the sums of the other hosts' loads at a service's upstreams, which
 // are gone by until then.
 func (f *Fleet) SetOtherHostsLoad(service string, loads map[string]Load, until time.Time) {
-	told := &otherLoads{loads: loads, until: until}
+	told := &serviceLoads{loads: loads, validUntil: until}
 	for {
-		former := f.others.of.Load()
-		next := map[string]*otherLoads{}
+		former := f.otherHosts.byService.Load()
+		next := map[string]*serviceLoads{}
 		if former != nil {
 			maps.Copy(next, *former)
 		}
 		next[service] = told
-		if f.others.of.CompareAndSwap(former, &next) {
+		if f.otherHosts.byService.CompareAndSwap(former, &next) {
 			return
 		}
 	}
--- a/node/fleet/rests.go
+++ b/node/fleet/rests.go
@@ -7,11 +7,11 @@
 func (e *Entry) StartBackoff(lasts time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if until := e.fleet.deps.Now().Add(lasts); until.After(e.restUntil) {
-		e.restUntil = until
-		e.fleet.rests.extend(until)
+	if until := e.fleet.deps.Now().Add(lasts); until.After(e.backoffUntil) {
+		e.backoffUntil = until
+		e.fleet.backoffs.extend(until)
 	}
-	e.start.Start()
+	e.slowStart.Start()
 }
 
 // SlowStartWait is when a request is tried again that waits for how another fares at
@@ -23,7 +23,7 @@
 func (e *Entry) AcceptsRequests() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.leaving && !e.fleet.deps.Now().Before(e.restUntil)
+	return !e.draining && !e.fleet.deps.Now().Before(e.backoffUntil)
 }
 
 // Backoffs are for how long upstreams want nothing from this host, by their IDs.
@@ -32,13 +32,13 @@
 // Backoffs returns those of a service; nil: none.
 func (f *Fleet) Backoffs(service string) Backoffs {
 	now := f.deps.Now()
-	if f.rests.passed(now) {
+	if f.backoffs.passed(now) {
 		return nil
 	}
 	var out Backoffs
 	for _, e := range f.EntriesOfService(service) {
 		e.mu.Lock()
-		left := e.restUntil.Sub(now)
+		left := e.backoffUntil.Sub(now)
 		e.mu.Unlock()
 		if left <= 0 {
 			continue
--- a/node/fleet/signalled.go
+++ b/node/fleet/signalled.go
@@ -25,37 +25,37 @@
 
 // ApplySignal takes what an answer of the upstream said to this host.
 func (e *Entry) ApplySignal(s backpressure.Signal, source string) {
-	if e.heed(s, source) {
-		e.fleet.noticed()
+	if e.applySignal(s, source) {
+		e.fleet.notifyUrgentChange()
 	}
 }
 
-// heed takes what the upstream said; source says who heard it. It says whether that
+// applySignal takes what the upstream said; source says who heard it. It says whether that
 // is news.
-func (e *Entry) heed(s backpressure.Signal, source string) (changed bool) {
+func (e *Entry) applySignal(s backpressure.Signal, source string) (changed bool) {
 	e.mu.Lock()
-	was := e.told
+	was := e.announcedSignal
 	e.signal = backpressure.Merge(e.signal, s)
 	now := e.signal
 	if now.Limit.Stated {
-		e.fleet.watch(e)
-		e.fleet.limits.extend(e.fleet.deps.Now().Add(limitedFor))
+		e.fleet.scheduleChecks(e)
+		e.fleet.limits.extend(e.fleet.deps.Now().Add(limitTTL))
 	}
 	limited := now.Limit.DiffersMaterially(was.Limit)
 	changed = limited || now.Draining != was.Draining
 	if changed {
-		e.told, e.askedAt, e.askedBy = now, s.ReceivedAt, source
+		e.announcedSignal, e.signalledAt, e.signalSource = now, s.ReceivedAt, source
 	}
 	if changed || now.Limit.DiffersMaterially(s.Limit) || now.Draining != s.Draining { // a host that tells what does not hold any more has to hear it
-		e.fleet.signals.note(e)
+		e.fleet.signals.record(e)
 	}
 	if now.Draining {
-		e.leaveLocked("its answers, by " + source)
+		e.drainLocked("its answers, by " + source)
 	}
 	e.mu.Unlock()
 	if limited {
-		e.fleet.deps.Log.Emit(event.UpstreamLimited, zap.String(event.FieldPeer, e.id), zap.Float64("per_second", logged(now.Limit)),
-			zap.Float64("was", logged(was.Limit)), zap.String("source", source))
+		e.fleet.deps.Log.Emit(event.UpstreamLimited, zap.String(event.FieldPeer, e.id), zap.Float64("per_second", loggedLimit(now.Limit)),
+			zap.Float64("was", loggedLimit(was.Limit)), zap.String("source", source))
 	}
 	if changed {
 		e.fleet.NotifyChanged()
@@ -63,7 +63,7 @@
 	return changed
 }
 
-func logged(l backpressure.Limit) float64 {
+func loggedLimit(l backpressure.Limit) float64 {
 	if !l.Stated {
 		return noLimit
 	}
@@ -88,8 +88,8 @@
 	var out []Restriction
 	for _, e := range f.All() {
 		e.mu.Lock()
-		a := Restriction{Upstream: e.id, Service: e.service, Draining: e.signal.Draining, Limit: e.signal.Limit, Backoff: max(e.restUntil.Sub(now), 0),
-			InSlowStart: e.start.Active(), SignalledAt: e.askedAt, Source: e.askedBy}
+		a := Restriction{Upstream: e.id, Service: e.service, Draining: e.signal.Draining, Limit: e.signal.Limit, Backoff: max(e.backoffUntil.Sub(now), 0),
+			InSlowStart: e.slowStart.Active(), SignalledAt: e.signalledAt, Source: e.signalSource}
 		e.mu.Unlock()
 		if a.Draining || a.Limit.Stated || a.Backoff > 0 || a.InSlowStart {
 			out = append(out, a)
@@ -99,8 +99,8 @@
 	return out
 }
 
-// signalsMost is how many signals one message carries; the rest follow with the next.
-const signalsMost = 250
+// maxSignals is how many signals one message carries; the rest follow with the next.
+const maxSignals = 250
 
 // signalLog is in which order upstreams asked for something that others have to
 // hear. Its lock is taken after those of entries.
@@ -110,14 +110,14 @@
 	changed changes.Log[*Entry]
 }
 
-func (l *signalLog) note(e *Entry) {
+func (l *signalLog) record(e *Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.newest++
 	l.changed.Record(e, l.newest)
 }
 
-func (l *signalLog) drop(e *Entry) {
+func (l *signalLog) remove(e *Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.changed.Forget(e)
@@ -131,7 +131,7 @@
 	if l.newest == revision {
 		return nil, revision
 	}
-	all, to, whole := l.changed.Since(revision, signalsMost)
+	all, to, whole := l.changed.Since(revision, maxSignals)
 	if whole {
 		to = l.newest
 	}
@@ -148,7 +148,7 @@
 	out := make([]UpstreamSignal, len(changed))
 	for i, e := range changed {
 		e.mu.Lock()
-		out[i] = UpstreamSignal{e.id, e.born, e.signal}
+		out[i] = UpstreamSignal{e.id, e.startedMs, e.signal}
 		e.mu.Unlock()
 	}
 	return out, to
@@ -159,37 +159,37 @@
 	for i := range all {
 		e, ok := f.Entry(all[i].Upstream)
 		if !ok {
-			f.keepEarly(all[i])
+			f.keepEarlySignal(all[i])
 			continue
 		}
 		if e.StartedMs() == all[i].StartedMs {
-			e.heed(all[i].Signal, source)
+			e.applySignal(all[i].Signal, source)
 		}
 	}
 }
 
-// keepEarly keeps what is told of an upstream before the list names it here: it
+// keepEarlySignal keeps what is told of an upstream before the list names it here: it
 // is told once only.
-func (f *Fleet) keepEarly(s UpstreamSignal) {
+func (f *Fleet) keepEarlySignal(s UpstreamSignal) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.early == nil || len(f.early) >= signalsMost {
-		f.early = map[string]UpstreamSignal{}
+	if f.earlySignals == nil || len(f.earlySignals) >= maxSignals {
+		f.earlySignals = map[string]UpstreamSignal{}
 	}
-	f.early[s.Upstream] = s
+	f.earlySignals[s.Upstream] = s
 }
 
-// earlySource is the source of what was told before the list named its upstream.
-const earlySource = "host"
+// earlySignalSource is the source of what was told before the list named its upstream.
+const earlySignalSource = "host"
 
-// heedEarlyLocked enters what was told of an upstream that has just come; f.mu is held.
-func (f *Fleet) heedEarlyLocked(e *Entry) {
-	s, ok := f.early[e.id]
+// applyEarlySignalLocked enters what was told of an upstream that has just come; f.mu is held.
+func (f *Fleet) applyEarlySignalLocked(e *Entry) {
+	s, ok := f.earlySignals[e.id]
 	if !ok {
 		return
 	}
-	delete(f.early, e.id)
-	if s.StartedMs == e.born {
-		e.heed(s.Signal, earlySource)
+	delete(f.earlySignals, e.id)
+	if s.StartedMs == e.startedMs {
+		e.applySignal(s.Signal, earlySignalSource)
 	}
 }
--- a/node/fleet/word.go
+++ b/node/fleet/word.go
@@ -7,11 +7,11 @@
 	"peridotpier.example/core/deploy"
 )
 
-// word says for how long that of the host that gives orders goes before the
+// coordinatorTerm says for how long that of the host that gives orders goes before the
 // upstreams' own descriptions, which lag.
-type word struct {
-	of    uint64 // rises with each other host that gives orders
-	until time.Time
+type coordinatorTerm struct {
+	number     uint64 // rises with each other host that gives orders
+	validUntil time.Time
 }
 
 // Residency is what one process of an upstream holds and is loading, as the host that
@@ -26,11 +26,11 @@
 // CoordinatorSeen says that the host that gives orders, the of-th one that is heard here, was
 // heard. What it told goes until then, and so does what it tells later.
 func (f *Fleet) CoordinatorSeen(of uint64, until time.Time) {
-	was := f.word.Load()
-	f.word.Store(&word{of, until})
-	if was.of != of {
+	was := f.coordinator.Load()
+	f.coordinator.Store(&coordinatorTerm{of, until})
+	if was.number != of {
 		f.mu.Lock()
-		f.earlyHeld = nil
+		f.earlyResidency = nil
 		f.mu.Unlock()
 	}
 }
@@ -44,57 +44,57 @@
 		h := &all[i]
 		e, ok := f.Entry(h.Upstream)
 		if !ok || e.StartedMs() != h.StartedMs {
-			f.keepEarlyHeld(h)
+			f.keepEarlyResidency(h)
 			continue
 		}
-		news = e.believe(h, now) || news
+		news = e.applyResidency(h, now) || news
 	}
 	if news {
-		f.tellHoldings()
+		f.notifyResidencyChanged()
 	}
 }
 
-// earlyHeldMost bounds what is kept of upstreams that the list does not name yet:
+// maxEarlyResidency bounds what is kept of upstreams that the list does not name yet:
 // more than come at a time.
-const earlyHeldMost = 16384
+const maxEarlyResidency = 16384
 
-func (f *Fleet) keepEarlyHeld(h *Residency) {
+func (f *Fleet) keepEarlyResidency(h *Residency) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.earlyHeld == nil || len(f.earlyHeld) >= earlyHeldMost {
-		f.earlyHeld = map[string]Residency{}
+	if f.earlyResidency == nil || len(f.earlyResidency) >= maxEarlyResidency {
+		f.earlyResidency = map[string]Residency{}
 	}
-	f.earlyHeld[h.Upstream] = *h
+	f.earlyResidency[h.Upstream] = *h
 }
 
-// believeEarlyLocked enters what was told of an upstream that has just come; f.mu is held.
-func (f *Fleet) believeEarlyLocked(e *Entry, now time.Time) {
-	h, ok := f.earlyHeld[e.id]
-	if !ok || h.StartedMs != e.born {
+// applyEarlyResidencyLocked enters what was told of an upstream that has just come; f.mu is held.
+func (f *Fleet) applyEarlyResidencyLocked(e *Entry, now time.Time) {
+	h, ok := f.earlyResidency[e.id]
+	if !ok || h.StartedMs != e.startedMs {
 		return
 	}
-	delete(f.earlyHeld, e.id)
-	e.believe(&h, now)
+	delete(f.earlyResidency, e.id)
+	e.applyResidency(&h, now)
 }
 
-// believe enters a word; it says whether the upstream holds something else by it.
-func (e *Entry) believe(h *Residency, now time.Time) (news bool) {
+// applyResidency enters a word; it says whether the upstream holds something else by it.
+func (e *Entry) applyResidency(h *Residency, now time.Time) (news bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	news = !slices.EqualFunc(h.Residents, e.believed, deploy.Resident.Equal)
-	e.believed, e.believedAt, e.believedOf = h.Residents, now, e.fleet.word.Load().of
-	e.expectLocked(h.Loading)
+	news = !slices.EqualFunc(h.Residents, e.announcedResidents, deploy.Resident.Equal)
+	e.announcedResidents, e.announcedAt, e.announcedBy = h.Residents, now, e.fleet.coordinator.Load().number
+	e.setLoadingLocked(h.Loading)
 	if news {
 		e.reindexLocked()
 	}
 	return news
 }
 
-// believesLocked says whether the word on what the upstream holds goes first.
-func (e *Entry) believesLocked(now time.Time) bool {
-	if e.believedAt.IsZero() {
+// usesAnnouncedLocked says whether the word on what the upstream holds goes first.
+func (e *Entry) usesAnnouncedLocked(now time.Time) bool {
+	if e.announcedAt.IsZero() {
 		return false
 	}
-	w := e.fleet.word.Load()
-	return w.of == e.believedOf && now.Before(w.until) || now.Sub(e.believedAt) < believedFresh
+	w := e.fleet.coordinator.Load()
+	return w.number == e.announcedBy && now.Before(w.validUntil) || now.Sub(e.announcedAt) < announcedResidentsTTL
 }
--- a/node/follow/config.go
+++ b/node/follow/config.go
@@ -12,52 +12,52 @@
 // ActiveConfig holds the configuration in force at this host. It never goes back to
 // a lower version while the process lives.
 type ActiveConfig struct {
-	log   *event.Log
-	table atomic.Pointer[deploy.Table]
-	first chan struct{}
-	after func() // called after each change; nil: nobody asks
+	log          *event.Log
+	active       atomic.Pointer[deploy.Table]
+	firstApplied chan struct{}
+	onChange     func() // called after each change; nil: nobody asks
 }
 
 // NewActiveConfig makes one with nothing in force.
 func NewActiveConfig(log *event.Log) *ActiveConfig {
-	return &ActiveConfig{log: log, first: make(chan struct{})}
+	return &ActiveConfig{log: log, firstApplied: make(chan struct{})}
 }
 
 // Current returns the table in force, or nil before the first.
-func (c *ActiveConfig) Current() *deploy.Table { return c.table.Load() }
+func (c *ActiveConfig) Current() *deploy.Table { return c.active.Load() }
 
 // FirstApplied is closed when a configuration is in force.
-func (c *ActiveConfig) FirstApplied() <-chan struct{} { return c.first }
+func (c *ActiveConfig) FirstApplied() <-chan struct{} { return c.firstApplied }
 
 // OnChange has f called after each change. It is set before the first.
-func (c *ActiveConfig) OnChange(f func()) { c.after = f }
+func (c *ActiveConfig) OnChange(f func()) { c.onChange = f }
 
 // ApplyIfNewer puts a configuration in force if it is newer; source says where it
 // came from.
 func (c *ActiveConfig) ApplyIfNewer(next *deploy.Config, source string) bool {
 	var t *deploy.Table
-	if err := contained(func() error { t = deploy.NewTable(next); return nil }); err != nil {
+	if err := recoverPanic(func() error { t = deploy.NewTable(next); return nil }); err != nil {
 		c.log.Emit(event.RoutesUnusable, zap.Error(err))
 		return false
 	}
 	for {
-		old := c.table.Load()
+		old := c.active.Load()
 		if old != nil && old.Config.Version >= next.Version {
 			return false
 		}
-		if !c.table.CompareAndSwap(old, t) {
+		if !c.active.CompareAndSwap(old, t) {
 			continue
 		}
 		was := uint64(0)
 		if old != nil {
 			was = old.Config.Version
 		} else {
-			close(c.first)
+			close(c.firstApplied)
 		}
 		c.log.Emit(event.RoutesInForce, zap.Uint64("version", next.Version), zap.Uint64("was", was),
 			zap.String("source", source), zap.Int("routes", len(next.Routes)), zap.Int("services", len(next.Services)))
-		if c.after != nil {
-			c.after()
+		if c.onChange != nil {
+			c.onChange()
 		}
 		return true
 	}
--- a/node/follow/contain.go
+++ b/node/follow/contain.go
@@ -7,9 +7,9 @@
 	"peridotpier.example/node/store"
 )
 
-// contained makes a panic an error of what was read. Every host reads the same:
+// recoverPanic makes a panic an error of what was read. Every host reads the same:
 // without it one value would end each of them, again at every start.
-func contained(f func() error) (err error) {
+func recoverPanic(f func() error) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
 			err = &store.UnusableError{Err: eris.Errorf("panic: %s", event.PanicValue(v))}
--- a/node/follow/feed.go
+++ b/node/follow/feed.go
@@ -16,24 +16,24 @@
 
 // feed is one table that is followed.
 type feed struct {
-	name      string
-	progress  *progress
-	relayWait time.Duration
-	read      func(ctx context.Context) (at uint64, err error)
-	wait      func(ctx context.Context, after uint64, wait time.Duration) (at uint64, err error)
-	back      func()      // the store is reached again; nil: nobody asks
-	lacks     func() bool // the table has to be read whole for what this host does with it
-	second    bool        // another feed's tries show whether the store is away
-	reread    bool
-	lostAt    time.Time
+	name          string
+	progress      *progress
+	relayWait     time.Duration
+	read          func(ctx context.Context) (at uint64, err error)
+	wait          func(ctx context.Context, after uint64, wait time.Duration) (at uint64, err error)
+	onRecovered   func()      // the store is reached again; nil: nobody asks
+	needsFullRead func() bool // the table has to be read whole for what this host does with it
+	followsOther  bool        // another feed's tries show whether the store is away
+	reread        bool
+	failingSince  time.Time
 }
 
-// storeBack notes that the upstreams' feed is answered again.
-func (f *Follower) storeBack() {
+// storeRecovered notes that the upstreams' feed is answered again.
+func (f *Follower) storeRecovered() {
 	f.deps.Upstreams.StoreRecovered()
-	f.away.Store(false)
+	f.storeAway.Store(false)
 	select {
-	case f.returned <- struct{}{}:
+	case f.recovered <- struct{}{}:
 	default: // one is enough
 	}
 }
@@ -41,75 +41,75 @@
 // run follows one table until ctx ends.
 func (f *Follower) run(ctx context.Context, d *feed) error {
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = firstPause, longestPause
+	pause.InitialInterval, pause.MaxInterval = minRetryPause, maxRetryPause
 	for ctx.Err() == nil {
-		if f.isRelayed() || f.spared() {
-			pace.Sleep(ctx, f.relayedFor())
+		if f.isRelayed() || f.shouldWaitForRelay() {
+			pace.Sleep(ctx, f.relayCheckInterval())
 			continue
 		}
 		began := time.Now()
 		at, err := f.step(ctx, d)
 		switch {
 		case err == nil && at == 0: // a store in which nothing was ever written has nothing to wait for
-			f.heard(d, at)
+			f.recordAnswer(d, at)
 			wait := pause.NextBackOff()
 			if f.deps.OthersProbeFirst() {
-				wait = emptyPause
+				wait = emptyStorePause
 			}
 			pace.Sleep(ctx, wait)
 		case err == nil:
-			f.heard(d, at)
+			f.recordAnswer(d, at)
 			pause.Reset()
-			pace.Sleep(ctx, f.least()-time.Since(began))
+			pace.Sleep(ctx, f.minInterval()-time.Since(began))
 		case errors.Is(err, store.ErrHistoryLost):
-			f.deps.Log.Emit(event.FeedReread, zap.String("table", d.name), zap.Uint64("after", d.progress.at.Load()))
+			f.deps.Log.Emit(event.FeedReread, zap.String("table", d.name), zap.Uint64("after", d.progress.version.Load()))
 			d.reread = true
 		default:
-			f.lost(ctx, d, err)
-			f.rest(ctx, d, pause.NextBackOff())
+			f.recordFailure(ctx, d, err)
+			f.waitAfterFailure(ctx, d, pause.NextBackOff())
 		}
 	}
 	return ctx.Err()
 }
 
-// heard notes an answer of the store.
-func (f *Follower) heard(d *feed, at uint64) {
-	d.progress.heard.Store(f.sinceStart())
+// recordAnswer notes an answer of the store.
+func (f *Follower) recordAnswer(d *feed, at uint64) {
+	d.progress.answeredAt.Store(f.sinceStart())
 	f.advance(d, at)
-	f.regained(d)
+	f.recordRecovery(d)
 }
 
-// least is the time from one call for changes to the next.
-func (f *Follower) least() time.Duration {
+// minInterval is the time from one call for changes to the next.
+func (f *Follower) minInterval() time.Duration {
 	switch {
 	case f.deps.IsRelaying():
-		return relayEach
+		return relayInterval
 	case f.deps.OthersProbeFirst():
-		return pace.DefaultRand().Jitter(patientEach, pauseJitter)
+		return pace.DefaultRand().Jitter(deferredInterval, pauseJitter)
 	default:
-		return pace.DefaultRand().Jitter(aloneEach, pauseJitter)
+		return pace.DefaultRand().Jitter(defaultInterval, pauseJitter)
 	}
 }
 
-// rest waits between two tries while the store is away.
-func (f *Follower) rest(ctx context.Context, d *feed, wait time.Duration) {
-	quiet := d.second && f.away.Load()
-	if !f.deps.OthersProbeFirst() || wait <= onceMore && !quiet {
+// waitAfterFailure waits between two tries while the store is away.
+func (f *Follower) waitAfterFailure(ctx context.Context, d *feed, wait time.Duration) {
+	quiet := d.followsOther && f.storeAway.Load()
+	if !f.deps.OthersProbeFirst() || wait <= maxQuickRetryPause && !quiet {
 		pace.Sleep(ctx, wait)
 		return
 	}
 	if !quiet {
-		between := patientPause
+		between := deferredRetryPause
 		if f.deps.LinkedToCoordinator() {
-			between = ledPause
+			between = linkedRetryPause
 		}
 		pace.Sleep(ctx, pace.DefaultRand().Jitter(between, pauseJitter))
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, quietPause)
+	ctx, cancel := context.WithTimeout(ctx, otherFeedRetryPause)
 	defer cancel()
 	select {
-	case <-f.returned:
+	case <-f.recovered:
 	case <-ctx.Done():
 	}
 }
@@ -117,8 +117,8 @@
 // advance notes how far the table was followed, unless a relay is farther.
 func (f *Follower) advance(d *feed, at uint64) {
 	for {
-		old := d.progress.at.Load()
-		if old >= at || d.progress.at.CompareAndSwap(old, at) {
+		old := d.progress.version.Load()
+		if old >= at || d.progress.version.CompareAndSwap(old, at) {
 			return
 		}
 	}
@@ -126,7 +126,7 @@
 
 // step makes one call: a full read when nothing is known, else the next changes.
 func (f *Follower) step(ctx context.Context, d *feed) (at uint64, err error) {
-	err = contained(func() error {
+	err = recoverPanic(func() error {
 		at, err = f.call(ctx, d)
 		return err
 	})
@@ -134,25 +134,25 @@
 }
 
 func (f *Follower) call(ctx context.Context, d *feed) (uint64, error) {
-	at := d.progress.at.Load()
-	if at == 0 || d.reread || d.lacks() {
-		f.count(d.name, readWhole)
+	at := d.progress.version.Load()
+	if at == 0 || d.reread || d.needsFullRead() {
+		f.count(d.name, fullRead)
 		next, err := d.read(ctx)
 		d.reread = d.reread && err != nil
 		return next, err
 	}
-	wait, why := aloneWait, waitAlone
+	wait, why := defaultWait, waitForChanges
 	switch {
-	case !f.deps.OthersProbeFirst() && f.silent(d):
+	case !f.deps.OthersProbeFirst() && f.hasNotAnswered(d):
 		// A host that may act next has to know whether the store answers before a
 		// call that waits for changes would tell.
-		wait, why = 0, lookForStore
-	case !d.lostAt.IsZero():
+		wait, why = 0, probeStore
+	case !d.failingSince.IsZero():
 		// The store may come back without a word on a call that it never heard;
 		// short calls find it within a second, and what changed meanwhile.
-		wait, why = 0, lookForStore
+		wait, why = 0, probeStore
 	case f.deps.IsRelaying():
-		wait, why = d.relayWait, waitForAll
+		wait, why = d.relayWait, waitAsRelay
 	case !f.deps.OthersProbeFirst():
 		wait = d.relayWait // it may relay before the call ends, and tells how old its last answer is
 	}
@@ -162,18 +162,18 @@
 	return d.wait(ctx, at, wait)
 }
 
-// silent says whether the store has said nothing here for longer than a call for
+// hasNotAnswered says whether the store has said nothing here for longer than a call for
 // changes waits, as while another host relayed.
-func (f *Follower) silent(d *feed) bool {
-	return f.sinceStart()-d.progress.heard.Load() > int64(aloneWait)
+func (f *Follower) hasNotAnswered(d *feed) bool {
+	return f.sinceStart()-d.progress.answeredAt.Load() > int64(defaultWait)
 }
 
 // Reasons of calls of the store, as they are counted.
 const (
-	readWhole    = "read_whole"     // nothing is known, or the history is lost; each part of a list is a call
-	waitAlone    = "wait_alone"     // no other host tells what changes
-	waitForAll   = "wait_for_all"   // this host tells the others
-	lookForStore = "look_for_store" // it did not answer last time, or was not asked lately
+	fullRead       = "read_whole"     // nothing is known, or the history is lost; each part of a list is a call
+	waitForChanges = "wait_alone"     // no other host tells what changes
+	waitAsRelay    = "wait_for_all"   // this host tells the others
+	probeStore     = "look_for_store" // it did not answer last time, or was not asked lately
 )
 
 func (f *Follower) count(table, reason string) {
@@ -182,24 +182,24 @@
 	}
 }
 
-func (f *Follower) lost(ctx context.Context, d *feed, err error) {
-	if !d.lostAt.IsZero() || ctx.Err() != nil {
+func (f *Follower) recordFailure(ctx context.Context, d *feed, err error) {
+	if !d.failingSince.IsZero() || ctx.Err() != nil {
 		return
 	}
-	d.lostAt = time.Now()
-	if !d.second {
-		f.away.Store(true)
+	d.failingSince = time.Now()
+	if !d.followsOther {
+		f.storeAway.Store(true)
 	}
 	f.deps.Log.Emit(event.StoreLost, zap.String("table", d.name), zap.Error(err))
 }
 
-func (f *Follower) regained(d *feed) {
-	if d.lostAt.IsZero() {
+func (f *Follower) recordRecovery(d *feed) {
+	if d.failingSince.IsZero() {
 		return
 	}
-	f.deps.Log.Emit(event.StoreRegained, zap.String("table", d.name), zap.Duration("away", time.Since(d.lostAt)))
-	d.lostAt = time.Time{}
-	if d.back != nil {
-		d.back()
+	f.deps.Log.Emit(event.StoreRegained, zap.String("table", d.name), zap.Duration("away", time.Since(d.failingSince)))
+	d.failingSince = time.Time{}
+	if d.onRecovered != nil {
+		d.onRecovered()
 	}
 }
--- a/node/follow/follow.go
+++ b/node/follow/follow.go
@@ -50,60 +50,60 @@
 }
 
 const (
-	// aloneWait is how long a call for changes waits at a host without a
+	// defaultWait is how long a call for changes waits at a host without a
 	// relay. A connection that went silent is noticed by its keepalive, or
 	// at the latest this much later.
-	aloneWait = 2 * time.Second
+	defaultWait = 2 * time.Second
 	// relayUpstreamsWait and relayConfigWait are the same at the host that
 	// relays. Their answers show the others how fresh the relay is: what a
 	// change may take to reach every host is a little more than these.
 	relayUpstreamsWait = 500 * time.Millisecond
 	relayConfigWait    = 800 * time.Millisecond
-	// defaultRelayFresh is how old the relaying host's last answer from the
+	// defaultMaxRelayAge is how old the relaying host's last answer from the
 	// store may be. Past it, hosts ask the store themselves.
-	defaultRelayFresh = 1200 * time.Millisecond
-	// readBound is how long a call may take that does not wait.
-	readBound = 1500 * time.Millisecond
+	defaultMaxRelayAge = 1200 * time.Millisecond
+	// readTimeout is how long a call may take that does not wait.
+	readTimeout = 1500 * time.Millisecond
 	// waitSlack is how much longer than its wait a call for changes may take.
 	// The store answers within a few milliseconds, a slow one within 300.
 	waitSlack = 800 * time.Millisecond
-	// firstPause and longestPause lie between tries while the store is away.
+	// minRetryPause and longestPause lie between tries while the store is away.
 	// The longest bounds how late a host notices that it is back.
-	firstPause   = 50 * time.Millisecond
-	longestPause = 800 * time.Millisecond
-	// onceMore bounds the pauses after which such a host tries again at once: a
+	minRetryPause = 50 * time.Millisecond
+	maxRetryPause = 800 * time.Millisecond
+	// maxQuickRetryPause bounds the pauses after which such a host tries again at once: a
 	// single failure may be the connection's. More tries were half of all calls
 	// of an outage.
-	onceMore = 2 * firstPause
-	// patientPause lies between tries at a host that others will tell of the
+	maxQuickRetryPause = 2 * minRetryPause
+	// deferredRetryPause lies between tries at a host that others will tell of the
 	// store's return: each call is priced, also one that fails. It is a fraction
 	// of the time in which a change must be in force, since some tries right
 	// after the return fail too, when all hosts come at once.
-	patientPause = time.Second
-	// aloneEach and relayEach are the least time between two calls for changes
+	deferredRetryPause = time.Second
+	// defaultInterval and relayEach are the least time between two calls for changes
 	// of a host without a relay, and of the one that relays. Every change ends
 	// a call that waits; when the store comes back, or upstreams are replaced,
 	// changes come dozens a second.
-	aloneEach = 400 * time.Millisecond
-	relayEach = 150 * time.Millisecond
-	// patientEach is the same at a host to which another will soon relay: with
+	defaultInterval = 400 * time.Millisecond
+	relayInterval   = 150 * time.Millisecond
+	// deferredInterval is the same at a host to which another will soon relay: with
 	// 80 hosts the two seconds until a new holder is found cost 350 calls.
-	patientEach = 800 * time.Millisecond
-	// emptyPause lies between looks of a host that others will tell at a store
+	deferredInterval = 800 * time.Millisecond
+	// emptyStorePause lies between looks of a host that others will tell at a store
 	// in which nothing was ever written, as when a whole deployment starts.
-	emptyPause = 500 * time.Millisecond
-	// quietPause lies between tries for one table while another is tried: one
+	emptyStorePause = 500 * time.Millisecond
+	// otherFeedRetryPause lies between tries for one table while another is tried: one
 	// call shows that the store is away as well as two, and the first that is
 	// answered wakes the other.
-	quietPause = 3 * patientPause
-	// ledPause lies between tries of a host that is linked to one that will tell
+	otherFeedRetryPause = 3 * deferredRetryPause
+	// linkedRetryPause lies between tries of a host that is linked to one that will tell
 	// it of the store's return. It finds out by itself only in case that the
 	// store turns just the other one away.
-	ledPause = 3 * time.Second
-	// relayedPause is how often a host looks whether its relay is still fresh.
-	relayedPause = 100 * time.Millisecond
-	// longestRelayedPause is the longest that it goes without a look.
-	longestRelayedPause = time.Second
+	linkedRetryPause = 3 * time.Second
+	// minRelayCheckInterval is how often a host looks whether its relay is still fresh.
+	minRelayCheckInterval = 100 * time.Millisecond
+	// maxRelayCheckInterval is the longest that it goes without a look.
+	maxRelayCheckInterval = time.Second
 )
 
 // pauseJitter spreads the hosts' tries, as a share.
@@ -145,24 +145,24 @@
 
 // Follower follows the store for one host.
 type Follower struct {
-	deps      Deps
-	config    progress
-	upstreams progress
-	relayed   atomic.Int64 // when a fresh relay was last heard, by the steady clock since from; 0: never
-	from      time.Time
-	applying  sync.Mutex    // of upstreams, so that a relayed list and one read here do not mix
-	away      atomic.Bool   // the store does not answer the upstreams' feed
-	large     atomic.Bool   // the list has several parts
-	sized     chan struct{} // closed when it is known whether it has
-	sizeOnce  sync.Once
-	brief     atomic.Bool   // what upstreams hold by the list was not told since it was last whole
-	returned  chan struct{} // gets a token when it answers that again
+	deps          Deps
+	config        progress
+	upstreams     progress
+	relayedAt     atomic.Int64 // when a fresh relay was last heard, by the steady clock since from; 0: never
+	startedAt     time.Time
+	applying      sync.Mutex    // of upstreams, so that a relayed list and one read here do not mix
+	storeAway     atomic.Bool   // the store does not answer the upstreams' feed
+	listIsLarge   atomic.Bool   // the list has several parts
+	sizeKnown     chan struct{} // closed when it is known whether it has
+	sizeOnce      sync.Once
+	listIsCompact atomic.Bool   // what upstreams hold by the list was not told since it was last whole
+	recovered     chan struct{} // gets a token when it answers that again
 }
 
 // progress is how far a table was followed.
 type progress struct {
-	at    atomic.Uint64 // version from which on changes are asked for; 0: none
-	heard atomic.Int64  // when the store last answered, by the steady clock since Follower.from; 0: never
+	version    atomic.Uint64 // version from which on changes are asked for; 0: none
+	answeredAt atomic.Int64  // when the store last answered, by the steady clock since Follower.from; 0: never
 }
 
 // New makes a Follower; Run makes it work.
@@ -180,17 +180,17 @@
 		d.NotNeededYet = func() bool { return false }
 	}
 	if d.MaxRelayAge == 0 {
-		d.MaxRelayAge = defaultRelayFresh
+		d.MaxRelayAge = defaultMaxRelayAge
 	}
-	return &Follower{deps: d, from: time.Now(), returned: make(chan struct{}, 1), sized: make(chan struct{})}
+	return &Follower{deps: d, startedAt: time.Now(), recovered: make(chan struct{}, 1), sizeKnown: make(chan struct{})}
 }
 
 // sinceStart is the steady clock; never 0.
-func (f *Follower) sinceStart() int64 { return max(int64(time.Since(f.from)), 1) }
+func (f *Follower) sinceStart() int64 { return max(int64(time.Since(f.startedAt)), 1) }
 
 // StoreAge is how long ago the store answered, for the older of the two feeds.
 func (f *Follower) StoreAge() time.Duration {
-	heard := min(f.config.heard.Load(), f.upstreams.heard.Load())
+	heard := min(f.config.answeredAt.Load(), f.upstreams.answeredAt.Load())
 	if heard == 0 {
 		return time.Hour
 	}
@@ -198,7 +198,7 @@
 }
 
 // UpstreamsVersion is the version that the list of upstreams is of.
-func (f *Follower) UpstreamsVersion() uint64 { return f.upstreams.at.Load() }
+func (f *Follower) UpstreamsVersion() uint64 { return f.upstreams.version.Load() }
 
 // RunConfig follows the configuration until ctx ends. One that cannot be used
 // leaves the one in force as it is.
@@ -214,10 +214,10 @@
 		}
 		return at, err
 	}
-	f.awaitSize(ctx)
-	return f.run(ctx, &feed{name: configFeed, progress: &f.config, relayWait: relayConfigWait, second: true, lacks: func() bool { return false },
+	f.waitForSize(ctx)
+	return f.run(ctx, &feed{name: configFeed, progress: &f.config, relayWait: relayConfigWait, followsOther: true, needsFullRead: func() bool { return false },
 		read: func(ctx context.Context) (uint64, error) {
-			ctx, cancel := context.WithTimeout(ctx, readBound)
+			ctx, cancel := context.WithTimeout(ctx, readTimeout)
 			defer cancel()
 			return take(f.deps.Source.ReadConfig(ctx))
 		},
@@ -228,22 +228,22 @@
 
 // RunUpstreams follows the upstreams until ctx ends.
 func (f *Follower) RunUpstreams(ctx context.Context) error {
-	return f.run(ctx, &feed{name: upstreamsFeed, progress: &f.upstreams, relayWait: relayUpstreamsWait, back: f.storeBack,
-		lacks: func() bool { return f.brief.Load() && f.deps.IsRelaying() },
+	return f.run(ctx, &feed{name: upstreamsFeed, progress: &f.upstreams, relayWait: relayUpstreamsWait, onRecovered: f.storeRecovered,
+		needsFullRead: func() bool { return f.listIsCompact.Load() && f.deps.IsRelaying() },
 		read: func(ctx context.Context) (uint64, error) {
 			all, at, err := f.readParts(ctx)
-			if errors.Is(err, errTold) {
-				return f.upstreams.at.Load(), nil
+			if errors.Is(err, errRelayed) {
+				return f.upstreams.version.Load(), nil
 			}
 			if err != nil {
 				return 0, err
 			}
-			f.tellUnreadable(all.Unreadable)
+			f.logUnreadable(all.Unreadable)
 			f.applying.Lock()
 			defer f.applying.Unlock()
-			if at >= f.upstreams.at.Load() {
+			if at >= f.upstreams.version.Load() {
 				f.deps.Upstreams.Replace(all.Put, at)
-				f.brief.Store(false)
+				f.listIsCompact.Store(false)
 				f.deps.OnListed()
 			}
 			return at, nil
@@ -253,10 +253,10 @@
 			if err != nil {
 				return 0, err
 			}
-			f.tellUnreadable(u.Unreadable)
+			f.logUnreadable(u.Unreadable)
 			f.applying.Lock()
 			defer f.applying.Unlock()
-			if at >= f.upstreams.at.Load() && len(u.Put)+len(u.Removed) > 0 {
+			if at >= f.upstreams.version.Load() && len(u.Put)+len(u.Removed) > 0 {
 				f.deps.Upstreams.Apply(u.Put, u.Removed, at)
 			}
 			return at, nil
@@ -269,8 +269,8 @@
 	configFeed    = "configuration"
 )
 
-// tellUnreadable logs the entries that name no upstream.
-func (f *Follower) tellUnreadable(all []UnreadableEntry) {
+// logUnreadable logs the entries that name no upstream.
+func (f *Follower) logUnreadable(all []UnreadableEntry) {
 	for _, u := range all {
 		f.deps.Log.Emit(event.EntryUnreadable, zap.String(event.FieldPeer, u.ID), zap.Error(u.Err))
 	}
--- a/node/follow/parts.go
+++ b/node/follow/parts.go
@@ -8,8 +8,8 @@
 	"peridotpier.example/node/pace"
 )
 
-// errTold ends the reading of a list that another host has told meanwhile.
-var errTold = errors.New("another host told the list")
+// errRelayed ends the reading of a list that another host has told meanwhile.
+var errRelayed = errors.New("another host told the list")
 
 // readParts reads the list of upstreams. Each part has its own time: a host with
 // a slow link takes longer for a long list than any single answer may take, and
@@ -18,55 +18,55 @@
 func (f *Follower) readParts(ctx context.Context) (UpstreamUpdate, uint64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	late := time.AfterFunc(readBound, cancel)
+	late := time.AfterFunc(readTimeout, cancel)
 	defer late.Stop()
 	parts := 0
-	defer f.foundSize(false)
+	defer f.recordSize(false)
 	more := func() error {
 		late.Stop()
-		f.foundSize(true)
+		f.recordSize(true)
 		parts++
-		f.count(upstreamsFeed, readWhole)
-		for rest := time.Duration(parts) * partPause; f.deps.OthersProbeFirst() && rest > 0; rest -= relayedPause {
+		f.count(upstreamsFeed, fullRead)
+		for rest := time.Duration(parts) * partPauseStep; f.deps.OthersProbeFirst() && rest > 0; rest -= minRelayCheckInterval {
 			if f.isRelayed() {
-				return errTold
+				return errRelayed
 			}
-			pace.Sleep(ctx, relayedPause)
+			pace.Sleep(ctx, minRelayCheckInterval)
 		}
-		late.Reset(readBound)
+		late.Reset(readTimeout)
 		return ctx.Err()
 	}
 	return f.deps.Source.ReadUpstreams(ctx, more)
 }
 
-// foundSize notes whether the list has several parts.
-func (f *Follower) foundSize(large bool) {
+// recordSize notes whether the list has several parts.
+func (f *Follower) recordSize(large bool) {
 	f.sizeOnce.Do(func() {
-		f.large.Store(large)
-		close(f.sized)
+		f.listIsLarge.Store(large)
+		close(f.sizeKnown)
 	})
 }
 
-// sizeBound is how long a host that others will tell waits at its start for the first
+// sizeWait is how long a host that others will tell waits at its start for the first
 // part of the list before it reads the configuration: the store answers within a few
 // milliseconds, or has to be asked for both anyway.
-const sizeBound = 100 * time.Millisecond
+const sizeWait = 100 * time.Millisecond
 
-// awaitSize waits until it is known whether the list has several parts. Where it has,
+// waitForSize waits until it is known whether the list has several parts. Where it has,
 // the configuration is large, too, and a host that others will tell leaves both to them.
-func (f *Follower) awaitSize(ctx context.Context) {
+func (f *Follower) waitForSize(ctx context.Context) {
 	if !f.deps.OthersProbeFirst() || f.deps.NotNeededYet() {
 		return
 	}
-	timer := time.NewTimer(sizeBound)
+	timer := time.NewTimer(sizeWait)
 	defer timer.Stop()
 	select {
-	case <-f.sized:
+	case <-f.sizeKnown:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// partPause is by how much longer a host that others will tell waits before each
+// partPauseStep is by how much longer a host that others will tell waits before each
 // further part of the list.
-const partPause = 300 * time.Millisecond
+const partPauseStep = 300 * time.Millisecond
--- a/node/follow/relay.go
+++ b/node/follow/relay.go
@@ -24,69 +24,69 @@
 	}
 	f.applying.Lock()
 	defer f.applying.Unlock()
-	if r.UpstreamsVersion >= f.upstreams.at.Load() && r.UpstreamsVersion > 0 {
+	if r.UpstreamsVersion >= f.upstreams.version.Load() && r.UpstreamsVersion > 0 {
 		if r.Complete {
 			f.deps.Upstreams.Replace(r.Put, r.UpstreamsVersion)
 			f.deps.OnListed()
 		} else if len(r.Put)+len(r.Removed) > 0 {
 			f.deps.Upstreams.Apply(r.Put, r.Removed, r.UpstreamsVersion)
 		}
-		f.upstreams.at.Store(r.UpstreamsVersion)
-		f.brief.Store(r.Compact || !r.Complete && f.brief.Load())
+		f.upstreams.version.Store(r.UpstreamsVersion)
+		f.listIsCompact.Store(r.Compact || !r.Complete && f.listIsCompact.Load())
 	}
 	if r.StoreAge < f.deps.MaxRelayAge {
-		f.relayed.Store(f.sinceStart() - int64(r.StoreAge))
+		f.relayedAt.Store(f.sinceStart() - int64(r.StoreAge))
 	}
 }
 
-// relayFresh is how old the relaying host's last answer from the store may be here. A
+// maxRelayAge is how old the relaying host's last answer from the store may be here. A
 // host that should act next finds out soonest that just that one is turned away.
-func (f *Follower) relayFresh() time.Duration {
+func (f *Follower) maxRelayAge() time.Duration {
 	if f.deps.OthersProbeFirst() {
 		return f.deps.MaxRelayAge
 	}
-	return min(f.deps.MaxRelayAge, defaultRelayFresh)
+	return min(f.deps.MaxRelayAge, defaultMaxRelayAge)
 }
 
 // isRelayed says whether the relay is fresh enough to do without the store.
 func (f *Follower) isRelayed() bool {
-	at := f.relayed.Load()
-	return at != 0 && f.sinceStart()-at < int64(f.relayFresh()) && !f.deps.IsRelaying() && f.deps.Config.Current() != nil && f.upstreams.at.Load() != 0
+	at := f.relayedAt.Load()
+	return at != 0 && f.sinceStart()-at < int64(f.maxRelayAge()) && !f.deps.IsRelaying() && f.deps.Config.Current() != nil && f.upstreams.version.Load() != 0
 }
 
-// relayedFor is how long a relay that is fresh stays so, within relayedPause and
+// relayCheckInterval is how long a relay that is fresh stays so, within relayedPause and
 // longestRelayedPause. A host that may soon relay itself looks often.
-func (f *Follower) relayedFor() time.Duration {
-	left := f.deps.MaxRelayAge - time.Duration(f.sinceStart()-f.relayed.Load())
+func (f *Follower) relayCheckInterval() time.Duration {
+	left := f.deps.MaxRelayAge - time.Duration(f.sinceStart()-f.relayedAt.Load())
 	if !f.deps.OthersProbeFirst() {
-		return relayedPause
+		return minRelayCheckInterval
 	}
-	return min(max(left, relayedPause), longestRelayedPause)
+	return min(max(left, minRelayCheckInterval), maxRelayCheckInterval)
 }
 
 const (
-	// startPatience is how long a host that nobody waits for yet leaves the store
+	// startupRelayWait is how long a host that nobody waits for yet leaves the store
 	// alone after its start: others read it, take the lease and relay meanwhile.
-	startPatience = 1500 * time.Millisecond
-	// relayPatience is how long after its start such a host that is linked waits for
+	startupRelayWait = 1500 * time.Millisecond
+	// linkedRelayWait is how long after its start such a host that is linked waits for
 	// what the relay has not brought yet, because nobody has written it.
-	relayPatience = 20 * time.Second
+	linkedRelayWait = 20 * time.Second
 )
 
-// spared says whether another host asks the store for this one, which nobody
+// shouldWaitForRelay says whether another host asks the store for this one, which nobody
 // waits for yet, or where the list has several parts. Hosts that start together would
 // each read the store whole, and ask it again several times until they are linked.
-func (f *Follower) spared() bool {
+func (f *Follower) shouldWaitForRelay() bool {
 	if !f.deps.OthersProbeFirst() {
 		return false
 	}
 	now := f.sinceStart()
 	if !f.deps.NotNeededYet() {
-		return f.large.Load() && f.deps.Config.Current() == nil && now < int64(startPatience)
+		return f.listIsLarge.Load() && f.deps.Config.Current() == nil && now < int64(startupRelayWait)
 	}
-	if now < int64(startPatience) {
+	if now < int64(startupRelayWait) {
 		return true
 	}
-	at := f.relayed.Load()
-	return at != 0 && now-at < int64(f.deps.MaxRelayAge) && now < int64(relayPatience)
+	at := f.relayedAt.Load()
+	return at != 0 && now-at < int64(f.deps.MaxRelayAge) && now < int64(linkedRelayWait)
 }
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -162,7 +162,7 @@
 try "a version only rises" node/follow/config.go \
   'old.Config.Version >= next.Version' 'false' ./platform -run 'Rises' ./node/follow
 try "first try after the store's return" node/follow/follow.go \
-  'patientPause = time.Second' 'patientPause = 4 * time.Second' ./node/follow
+  'deferredRetryPause = time.Second' 'deferredRetryPause = 4 * time.Second' ./node/follow
 try "questions of a request that waits" node/gate/pick.go \
   'return q.awaitModel(p)' '' ./node/gate
 try "answers at the end of a stop" node/host/stop.go \
@@ -244,7 +244,7 @@
 try "of answers that cross the stricter holds" core/backpressure/signal.go \
   'if b.Limit.stricter(a.Limit) {' 'if b.Limit != a.Limit {' ./core/backpressure
 try "an older entry of the list does not win" node/fleet/entry.go \
-  'e.gone, e.leaving, e.useUntil = false, e.signal.Leaving, time.Time{}' 'e.gone, e.leaving, e.useUntil = false, false, time.Time{}' ./node/fleet
+  'e.delisted, e.draining, e.useUntil = false, e.signal.Draining, time.Time{}' 'e.delisted, e.draining, e.useUntil = false, false, time.Time{}' ./node/fleet
 try "a rest is kept" node/gate/signals.go \
   'e.Rest(a.Rest)' '' ./platform -run 'InTheRest'
 try "a grant that is not counted is not used" node/gate/turn.go \
