--- a/node/fleet/exchange.go
+++ b/node/fleet/attempt.go
@@ -31,14 +31,14 @@
 
 // Attempt is one attempt at an upstream. It belongs to one goroutine.
 type Attempt struct {
-	e           *Entry
-	ask         *Request
-	cost        Cost
-	first       bool
-	ended       bool
-	trial       bool   // it counts in the upstream's slow start
-	onFirstByte func() // called when the first bytes of the answer came; nil: nobody asks
-	abort       func() // called when the upstream is found silent; nil: the attempt stays
+	e            *Entry
+	req          *Request
+	cost         Cost
+	gotFirstByte bool
+	ended        bool
+	inSlowStart  bool   // it counts in the upstream's slow start
+	onFirstByte  func() // called when the first bytes of the answer came; nil: nobody asks
+	abort        func() // called when the upstream is found silent; nil: the attempt stays
 }
 
 // Entry is the upstream that the attempt is at.
@@ -57,7 +57,7 @@
 }
 
 // Begin counts an attempt that is about to be sent.
-func (e *Entry) Begin(a *Request, c Cost) *Attempt {
+func (e *Entry) Begin(req *Request, c Cost) *Attempt {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.own.Requests++
@@ -66,36 +66,36 @@
 	e.own.Tokens += c.PromptTokens + c.OutputTokens
 	e.sentSince++
 	e.health.RecordSend(e.fleet.deps.Now())
-	return &Attempt{e: e, ask: a, cost: c, trial: e.slowStart.Sent()}
+	return &Attempt{e: e, req: req, cost: c, inSlowStart: e.slowStart.Sent()}
 }
 
 // RecordPendingPrompts notes how many prompt tokens of other hosts' requests the upstream has to
 // read, by who gave the turn for this one.
-func (x *Attempt) RecordPendingPrompts(waiting int) {
+func (x *Attempt) RecordPendingPrompts(pendingTokens int) {
 	x.e.mu.Lock()
 	defer x.e.mu.Unlock()
-	x.e.othersPending, x.e.othersPendingAt = max(waiting-(x.e.own.PendingPromptTokens-x.cost.PromptTokens), 0), x.e.fleet.deps.Now()
+	x.e.othersPending, x.e.othersPendingAt = max(pendingTokens-(x.e.own.PendingPromptTokens-x.cost.PromptTokens), 0), x.e.fleet.deps.Now()
 }
 
 // ReceivedBytes notes bytes of the answer. The first ones end the wait for the prompt.
 func (x *Attempt) ReceivedBytes() {
 	now := x.e.fleet.deps.Now()
-	if !x.first && x.onFirstByte != nil {
+	if !x.gotFirstByte && x.onFirstByte != nil {
 		x.onFirstByte()
 	}
 	x.e.mu.Lock()
 	defer x.e.mu.Unlock()
-	if x.trial && !x.first {
+	if x.inSlowStart && !x.gotFirstByte {
 		x.e.slowStart.Answered(x.e.desc.Slots)
 	}
-	x.firstLocked()
+	x.recordFirstByteLocked()
 	x.e.health.RecordBytes(now, x.e.own.Requests > 0)
-	x.e.promptCache.Record(x.ask, now)
+	x.e.promptCache.Record(x.req, now)
 }
 
-func (x *Attempt) firstLocked() {
-	if !x.first {
-		x.first = true
+func (x *Attempt) recordFirstByteLocked() {
+	if !x.gotFirstByte {
+		x.gotFirstByte = true
 		x.e.own.PendingPromptTokens -= x.cost.PromptTokens
 	}
 }
@@ -129,13 +129,13 @@
 
 // Interrupted ends an attempt whose connection or answer broke; why goes to the log.
 func (x *Attempt) Interrupted(why string) {
-	var resting bool
+	var excluded bool
 	x.end(func() {
 		x.e.recordAnswerLocked(true)
-		resting = x.e.health.RecordFailure(x.e.fleet.cfg.Health, x.e.fleet.deps.Now())
-		x.e.recordExclusionLocked(resting)
+		excluded = x.e.health.RecordFailure(x.e.fleet.cfg.Health, x.e.fleet.deps.Now())
+		x.e.recordExclusionLocked(excluded)
 	})
-	if resting {
+	if excluded {
 		x.e.fleet.deps.Log.Emit(event.UpstreamResting, zap.String(event.FieldPeer, x.e.ID()), zap.String("why", why))
 	}
 }
@@ -143,22 +143,22 @@
 // NotListening ends an attempt at an upstream at whose address nothing listens. Its
 // process has ended, so that there is no need for a second sign.
 func (x *Attempt) NotListening() {
-	var resting bool
-	x.end(func() { resting = x.e.excludeLocked(x.e.fleet.deps.Now()) })
-	if resting {
+	var excluded bool
+	x.end(func() { excluded = x.e.excludeLocked(x.e.fleet.deps.Now()) })
+	if excluded {
 		x.e.fleet.deps.Log.Emit(event.UpstreamResting, zap.String(event.FieldPeer, x.e.ID()), zap.String("why", "absent"))
 	}
 }
 
-func (x *Attempt) end(note func()) {
+func (x *Attempt) end(recordLocked func()) {
 	if x.ended {
 		return
 	}
 	x.ended = true
 	x.e.mu.Lock()
 	delete(x.e.movable, x)
-	x.firstLocked()
-	if x.trial {
+	x.recordFirstByteLocked()
+	if x.inSlowStart {
 		x.e.slowStart.Ended()
 	}
 	x.e.own.Requests--
@@ -166,7 +166,7 @@
 	if x.e.own.Requests == 0 {
 		x.e.health.ClearOutstanding()
 	}
-	note()
+	recordLocked()
 	x.e.mu.Unlock()
 	x.e.fleet.NotifyChanged()
 }
--- a/node/fleet/rests.go
+++ b/node/fleet/backoffs.go
@@ -4,10 +4,10 @@
 
 // StartBackoff notes that the upstream wants nothing from this host for a time. When that
 // is over, requests come back by a slow start.
-func (e *Entry) StartBackoff(lasts time.Duration) {
+func (e *Entry) StartBackoff(duration time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if until := e.fleet.deps.Now().Add(lasts); until.After(e.backoffUntil) {
+	if until := e.fleet.deps.Now().Add(duration); until.After(e.backoffUntil) {
 		e.backoffUntil = until
 		e.fleet.backoffs.extend(until)
 	}
--- a/node/fleet/change.go
+++ b/node/fleet/change.go
@@ -41,7 +41,7 @@
 // ChangesSince returns what changed in the platform's list after a state, for other
 // hosts; 0 asks for all of it. Brief leaves out upstreams of which nothing changed
 // but what they hold or have copies of.
-func (f *Fleet) ChangesSince(from uint64, brief bool) Change {
+func (f *Fleet) ChangesSince(from uint64, compact bool) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := Change{Revision: f.revision, Complete: from == 0 || from < f.removedFrom || from > f.revision}
@@ -49,9 +49,9 @@
 		return out // as for nearly every report
 	}
 	byID := f.index.Load().byID
-	for _, e := range f.listedAfter(from, out.Complete, brief) {
-		if u, at, gone := e.listed(); !gone {
-			out.Put = append(out.Put, Listed{u, at})
+	for _, e := range f.listedAfter(from, out.Complete, compact) {
+		if u, revision, delisted := e.listed(); !delisted {
+			out.Put = append(out.Put, Listed{u, revision})
 		}
 	}
 	for _, v := range f.removed {
@@ -72,12 +72,12 @@
 
 // listedAfter returns the entries of which the list said something else after a
 // state, or all; f.mu is held.
-func (f *Fleet) listedAfter(from uint64, all, brief bool) []*Entry {
+func (f *Fleet) listedAfter(from uint64, all, compact bool) []*Entry {
 	if all {
 		return f.All()
 	}
 	log := &f.listedLog
-	if brief {
+	if compact {
 		log = &f.identityLog
 	}
 	changed, _, _ := log.Since(from, math.MaxInt)
@@ -89,8 +89,8 @@
 	if e == nil {
 		return false
 	}
-	_, _, gone := e.listed()
-	return !gone
+	_, _, delisted := e.listed()
+	return !delisted
 }
 
 // versionMark says up to which version of the store a state of the list goes.
--- a/node/fleet/deadline.go
+++ b/node/fleet/deadline.go
@@ -12,8 +12,8 @@
 // extend takes a time into account.
 func (d *deadline) extend(t time.Time) {
 	for {
-		was := d.at.Load()
-		if t.UnixNano() <= was || d.at.CompareAndSwap(was, t.UnixNano()) {
+		latest := d.at.Load()
+		if t.UnixNano() <= latest || d.at.CompareAndSwap(latest, t.UnixNano()) {
 			return
 		}
 	}
--- a/node/fleet/entry.go
+++ b/node/fleet/entry.go
@@ -145,21 +145,21 @@
 }
 
 // listed is what the platform's list says of it, and since which state.
-func (e *Entry) listed() (u deploy.Upstream, state uint64, gone bool) {
+func (e *Entry) listed() (u deploy.Upstream, revision uint64, delisted bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.desc, e.listRevision, e.delisted
 }
 
 // describe takes what the list says; it says what of that is news.
-func (e *Entry) describe(u deploy.Upstream, now time.Time, state uint64) (n changeScope) {
+func (e *Entry) describe(u deploy.Upstream, now time.Time, revision uint64) (scope changeScope) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	u.ID, u.Service, u.Address, u.DataCentre, u.Born = e.id, e.service, e.address, e.dataCentre, e.startedMs
 	if e.delisted || e.describedAt.IsZero() || !reflect.DeepEqual(u, e.desc) { // a list that was read anew brings mostly what is known
-		e.listRevision, n = state, copiesChange
+		e.listRevision, scope = revision, copiesChange
 		if e.delisted || e.describedAt.IsZero() || !sameIdentity(u, e.desc) {
-			n = identityChange
+			scope = identityChange
 		}
 	}
 	e.desc, e.describedAt = u, now
@@ -171,7 +171,7 @@
 	if u.State == deploy.Draining {
 		e.drainLocked("its own word")
 	}
-	return n
+	return scope
 }
 
 // changeScope says who needs to hear what the list says of an upstream.
@@ -193,7 +193,7 @@
 }
 
 // markDelisted notes that its entry is gone; it says no if that was known.
-func (e *Entry) markDelisted(now time.Time, hold time.Duration) bool {
+func (e *Entry) markDelisted(now time.Time, grace time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.delisted {
@@ -201,9 +201,9 @@
 	}
 	e.delisted, e.delistedAt = true, now
 	e.fleet.scheduleChecks(e)
-	if hold > 0 && !e.draining {
-		e.useUntil = now.Add(hold)
-		e.fleet.deps.Log.Emit(event.UpstreamLapsed, zap.String(event.FieldPeer, e.id), zap.Duration("used_for", hold))
+	if grace > 0 && !e.draining {
+		e.useUntil = now.Add(grace)
+		e.fleet.deps.Log.Emit(event.UpstreamLapsed, zap.String(event.FieldPeer, e.id), zap.Duration("used_for", grace))
 		return true
 	}
 	e.drainLocked("entry removed")
@@ -271,14 +271,14 @@
 
 // excludeLocked leaves the upstream alone for a while; it says whether that is news.
 func (e *Entry) excludeLocked(now time.Time) bool {
-	news := e.health.Exclude(e.fleet.cfg.Health, now)
-	e.recordExclusionLocked(news)
-	return news
+	changed := e.health.Exclude(e.fleet.cfg.Health, now)
+	e.recordExclusionLocked(changed)
+	return changed
 }
 
 // recordExclusionLocked notes that the upstream is left alone.
-func (e *Entry) recordExclusionLocked(news bool) {
-	if !news {
+func (e *Entry) recordExclusionLocked(changed bool) {
+	if !changed {
 		return
 	}
 	e.fleet.excluded.add(e)
@@ -353,8 +353,8 @@
 	if len(e.notResidentUntil) > 0 && now.Before(e.notResidentUntil[model+"/"+adapter]) {
 		return false
 	}
-	held := deploy.Upstream{Residents: e.residentsLocked(now)}
-	return held.HasResident(model, adapter)
+	residents := deploy.Upstream{Residents: e.residentsLocked(now)}
+	return residents.HasResident(model, adapter)
 }
 
 // MarkNotResident notes that the upstream said it does not hold a model or adapter.
@@ -380,9 +380,9 @@
 	e.drainLocked("another process at its address")
 }
 
-// markSucceeded notes that the upstream has started again, as another process.
+// markSuperseded notes that the upstream has started again, as another process.
 // What was sent to this one is lost; attempts that can go elsewhere do.
-func (e *Entry) markSucceeded() {
+func (e *Entry) markSuperseded() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.drainLocked("started again")
@@ -407,11 +407,11 @@
 
 // compareProcess compares a description's start with this entry's. A description that
 // does not say when its process began speaks of the one that is known.
-func (e *Entry) compareProcess(born int64) processOrder {
+func (e *Entry) compareProcess(startedMs int64) processOrder {
 	switch {
-	case born == 0 || born == e.startedMs:
+	case startedMs == 0 || startedMs == e.startedMs:
 		return sameProcess
-	case born < e.startedMs:
+	case startedMs < e.startedMs:
 		return earlierProcess
 	default:
 		return laterProcess
@@ -426,12 +426,12 @@
 }
 
 // Endpoint is the upstream as one pick sees it.
-func (e *Entry) Endpoint(a *Request, now time.Time) balance.Endpoint {
+func (e *Entry) Endpoint(req *Request, now time.Time) balance.Endpoint {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := e.loadLocked(now)
+	load := e.loadLocked(now)
 	out := balance.Endpoint{ID: e.id, Address: e.desc.Address, Slots: e.desc.Slots, SameDataCentre: e.dataCentre == e.fleet.cfg.DataCentre,
-		Draining: e.draining, InFlight: l.Requests, PendingPromptTokens: l.PendingPromptTokens, InFlightTokens: l.Tokens}
+		Draining: e.draining, InFlight: load.Requests, PendingPromptTokens: load.PendingPromptTokens, InFlightTokens: load.Tokens}
 	switch e.health.Status(now) {
 	case health.Down:
 		out.Down = true
@@ -442,12 +442,12 @@
 	if e.desc.Cold > 0 {
 		out.WarmupRemaining = max(e.desc.Cold-now.Sub(e.describedAt), 0)
 	}
-	if a.Model != "" {
-		out.ModelResident = e.hasResidentLocked(a.Model, "", now)
+	if req.Model != "" {
+		out.ModelResident = e.hasResidentLocked(req.Model, "", now)
 	}
 	if out.ModelResident { // the rest is of no use for an upstream that cannot get it
-		out.AdapterResident = a.Adapter == "" || e.hasResidentLocked(a.Model, a.Adapter, now)
-		out.CachedTokens = e.promptCache.CachedTokens(a, now)
+		out.AdapterResident = req.Adapter == "" || e.hasResidentLocked(req.Model, req.Adapter, now)
+		out.CachedTokens = e.promptCache.CachedTokens(req, now)
 	}
 	return out
 }
--- a/node/fleet/fleet.go
+++ b/node/fleet/fleet.go
@@ -53,7 +53,7 @@
 	index atomic.Pointer[index]
 
 	mu               sync.Mutex          // of writers of the index
-	storeBackAt      time.Time           // when the store was last reached again
+	storeRecoveredAt time.Time           // when the store was last reached again
 	revision         uint64              // rises with every change of the list
 	listedLog        changes.Log[*Entry] // of what the list says
 	identityLog      changes.Log[*Entry] // of that, what every host needs to hear
@@ -159,7 +159,7 @@
 
 // Replace takes a full list of a version of the store: those that are missing
 // are gone.
-func (f *Fleet) Replace(all []deploy.Upstream, at uint64) {
+func (f *Fleet) Replace(all []deploy.Upstream, version uint64) {
 	listed := map[string]bool{}
 	for i := range all {
 		listed[all[i].ID] = true
@@ -170,28 +170,28 @@
 			missing = append(missing, id)
 		}
 	}
-	f.Apply(all, missing, at)
+	f.Apply(all, missing, version)
 }
 
 // Apply takes upstreams that came or changed, and ids of those whose entries
 // are gone, up to a version of the store; 0: of no version.
-func (f *Fleet) Apply(put []deploy.Upstream, gone []string, at uint64) {
+func (f *Fleet) Apply(put []deploy.Upstream, removed []string, version uint64) {
 	f.mu.Lock()
 	now := f.deps.Now()
 	f.revision++
-	d := &nextIndex{index: f.index.Load()}
+	next := &nextIndex{index: f.index.Load()}
 	for i := range put {
-		f.put(d, put[i], now)
+		f.putLocked(next, put[i], now)
 	}
-	next := d.done()
-	f.removeEntries(next, gone, now)
-	f.recordVersionLocked(at)
-	f.index.Store(next)
-	forAll := f.identityRevision == f.revision
+	done := next.done()
+	f.delistLocked(done, removed, now)
+	f.recordVersionLocked(version)
+	f.index.Store(done)
+	identityChanged := f.identityRevision == f.revision
 	f.mu.Unlock()
-	f.logSeen(d.added)
+	f.logSeen(next.added)
 	f.notifyResidencyChanged()
-	if forAll && f.deps.OnListChange != nil {
+	if identityChanged && f.deps.OnListChange != nil {
 		f.deps.OnListChange()
 	}
 }
@@ -211,8 +211,8 @@
 	}
 }
 
-func (f *Fleet) put(d *nextIndex, u deploy.Upstream, now time.Time) {
-	e, known := d.byID[u.ID]
+func (f *Fleet) putLocked(next *nextIndex, u deploy.Upstream, now time.Time) {
+	e, known := next.byID[u.ID]
 	if known {
 		switch e.compareProcess(u.Born) {
 		case earlierProcess: // a heartbeat that was written late
@@ -224,9 +224,9 @@
 	}
 	if !known {
 		e = &Entry{fleet: f, id: u.ID, service: u.Service, address: u.Address, dataCentre: u.DataCentre, startedMs: u.Born, desc: u, movable: map[*Attempt]struct{}{}}
-		d.add(e)
+		next.add(e)
 		f.applyEarlySignalLocked(e)
-		d.added = append(d.added, e)
+		next.added = append(next.added, e)
 	}
 	switch e.describe(u, now, f.revision) {
 	case identityChange:
@@ -246,7 +246,7 @@
 // connections. To go on by it would send requests for models that the new
 // process, which starts empty, does not hold, and orders for room that is gone.
 func (f *Fleet) retireLocked(e *Entry) {
-	e.markSucceeded()
+	e.markSuperseded()
 	f.dropLocked(e)
 	if f.deps.OnForgotten != nil {
 		f.deps.OnForgotten(e.Address())
@@ -256,31 +256,31 @@
 // massRemovalShare is the part of a service's upstreams that do not leave all at once.
 const massRemovalShare = 0.34
 
-// removeEntries notes entries that vanished. Normally their upstreams are leaving. But
+// delistLocked notes entries that vanished. Normally their upstreams are leaving. But
 // entries also run out while the store is away, and giving up all upstreams
 // then would leave nobody to serve.
-func (f *Fleet) removeEntries(ix *index, gone []string, now time.Time) {
-	together := map[string]int{}
-	for _, id := range gone {
+func (f *Fleet) delistLocked(ix *index, ids []string, now time.Time) {
+	countByService := map[string]int{}
+	for _, id := range ids {
 		if e, ok := ix.byID[id]; ok {
-			together[e.Service()]++
+			countByService[e.Service()]++
 		}
 	}
-	for _, id := range gone {
+	for _, id := range ids {
 		delete(f.earlyResidency, id)
 	}
-	away := f.cfg.RecoveryGrace - now.Sub(f.storeBackAt) // what is left of the time after the store's return
-	for _, id := range gone {
+	graceLeft := f.cfg.RecoveryGrace - now.Sub(f.storeRecoveredAt) // what is left of the time after the store's return
+	for _, id := range ids {
 		e, ok := ix.byID[id]
 		if !ok {
 			continue
 		}
-		hold := max(away, 0)
-		n := together[e.Service()]
-		if hold == 0 && n > 1 && float64(n) >= massRemovalShare*float64(len(ix.byService[e.Service()])) {
-			hold = f.cfg.MassRemovalGrace
+		grace := max(graceLeft, 0)
+		n := countByService[e.Service()]
+		if grace == 0 && n > 1 && float64(n) >= massRemovalShare*float64(len(ix.byService[e.Service()])) {
+			grace = f.cfg.MassRemovalGrace
 		}
-		if e.markDelisted(now, hold) {
+		if e.markDelisted(now, grace) {
 			f.removed = append(f.removed, removedUpstream{id, f.revision, now})
 			f.identityRevision = f.revision
 		}
@@ -304,7 +304,7 @@
 func (f *Fleet) StoreRecovered() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.storeBackAt = f.deps.Now()
+	f.storeRecoveredAt = f.deps.Now()
 }
 
 // scheduleChecks has Sweep look at an entry.
@@ -349,9 +349,9 @@
 func (f *Fleet) forget(ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d := &nextIndex{index: f.index.Load()}
+	next := &nextIndex{index: f.index.Load()}
 	for _, id := range ids {
-		e, ok := d.byID[id]
+		e, ok := next.byID[id]
 		if !ok {
 			continue
 		}
@@ -359,9 +359,9 @@
 		if f.deps.OnForgotten != nil {
 			f.deps.OnForgotten(e.Address())
 		}
-		d.remove(id)
+		next.remove(id)
 	}
-	f.index.Store(d.done())
+	f.index.Store(next.done())
 }
 
 // dropLocked forgets an entry for good; f.mu is held.
@@ -377,13 +377,13 @@
 
 // excludeOutliers leaves alone those of a service's upstreams whose failures stand out; all
 // is how many it has.
-func (f *Fleet) excludeOutliers(entries []*Entry, all int, now time.Time) {
+func (f *Fleet) excludeOutliers(entries []*Entry, total int, now time.Time) {
 	shares := make([]float64, len(entries))
 	for i, e := range entries {
 		shares[i] = e.errorShare(f.cfg.Health)
 	}
-	for i, failing := range health.Outliers(f.cfg.Health, shares, all) {
-		if failing && entries[i].exclude(now) {
+	for i, isOutlier := range health.Outliers(f.cfg.Health, shares, total) {
+		if isOutlier && entries[i].exclude(now) {
 			f.deps.Log.Emit(event.UpstreamResting, zap.String(event.FieldPeer, entries[i].ID()),
 				zap.String("why", "failures"), zap.Float64("share", shares[i]))
 		}
--- a/node/fleet/index.go
+++ b/node/fleet/index.go
@@ -17,7 +17,7 @@
 	added   []*Entry // that were added
 }
 
-func (d *nextIndex) copyOnce() {
+func (d *nextIndex) copyIfShared() {
 	if d.changed {
 		return
 	}
@@ -25,12 +25,12 @@
 }
 
 func (d *nextIndex) add(e *Entry) {
-	d.copyOnce()
+	d.copyIfShared()
 	d.byID[e.ID()] = e
 }
 
 func (d *nextIndex) remove(id string) {
-	d.copyOnce()
+	d.copyIfShared()
 	delete(d.byID, id)
 }
 
--- a/node/fleet/limits.go
+++ b/node/fleet/limits.go
@@ -39,9 +39,9 @@
 
 // SetShare tells this host's part in what upstreams take that name a limit. Another
 // host counts for all, so that it sends there by turns.
-func (f *Fleet) SetShare(s backpressure.Share) {
-	if was := f.sharing.Load(); was.share != s || was.uncoordinated {
-		f.sharing.Store(&limitSharing{share: s})
+func (f *Fleet) SetShare(share backpressure.Share) {
+	if was := f.sharing.Load(); was.share != share || was.uncoordinated {
+		f.sharing.Store(&limitSharing{share: share})
 	}
 }
 
@@ -58,18 +58,18 @@
 
 // backoffLocked is for how long nothing more may go to the upstream from here.
 func (e *Entry) backoffLocked(now time.Time) time.Duration {
-	rest := max(e.backoffUntil.Sub(now), 0)
+	wait := max(e.backoffUntil.Sub(now), 0)
 	if e.slowStart.AtLimit() {
-		rest = max(rest, SlowStartWait)
+		wait = max(wait, SlowStartWait)
 	}
 	if !e.signal.Limit.Stated {
-		return rest
+		return wait
 	}
 	s := e.fleet.sharing.Load()
 	if !s.uncoordinated || s.share.Count == 0 {
-		return max(rest, noPermitWait)
+		return max(wait, noPermitWait)
 	}
-	return max(rest, e.pacerLocked(s).Wait(e.signal.Limit.Rate(), s.share, now))
+	return max(wait, e.pacerLocked(s).Wait(e.signal.Limit.Rate(), s.share, now))
 }
 
 // pacerLocked is the pacer of the time since this host has been alone.
--- a/node/fleet/holders.go
+++ b/node/fleet/modelindex.go
@@ -63,13 +63,13 @@
 
 // HasUsableWithoutModel says whether upstreams of a service may be sent work that cannot hold a
 // model, but for those passed over: what keeps a request for it is then the model.
-func (f *Fleet) HasUsableWithoutModel(service, model string, passed func(*Entry) bool) bool {
+func (f *Fleet) HasUsableWithoutModel(service, model string, skip func(*Entry) bool) bool {
 	if model == "" {
 		return false
 	}
-	now, holders := f.deps.Now(), f.EntriesWithModel(service, model)
+	now, withModel := f.deps.Now(), f.EntriesWithModel(service, model)
 	return slices.ContainsFunc(f.EntriesOfService(service), func(e *Entry) bool {
-		return e.Usable() && !e.isDownAt(now) && !slices.Contains(holders, e) && !passed(e)
+		return e.Usable() && !e.isDownAt(now) && !slices.Contains(withModel, e) && !skip(e)
 	})
 }
 
--- a/node/fleet/others.go
+++ b/node/fleet/otherhosts.go
@@ -25,24 +25,24 @@
 	if all == nil {
 		return Load{}, false
 	}
-	told := (*all)[e.service]
-	if told == nil || !now.Before(told.validUntil) {
+	loads := (*all)[e.service]
+	if loads == nil || !now.Before(loads.validUntil) {
 		return Load{}, false
 	}
-	return told.loads[e.id], true
+	return loads.loads[e.id], true
 }
 
 // SetOtherHostsLoad takes the sums of the other hosts' loads at a service's upstreams, which
 // are gone by until then.
-func (f *Fleet) SetOtherHostsLoad(service string, loads map[string]Load, until time.Time) {
-	told := &serviceLoads{loads: loads, validUntil: until}
+func (f *Fleet) SetOtherHostsLoad(service string, loads map[string]Load, validUntil time.Time) {
+	own := &serviceLoads{loads: loads, validUntil: validUntil}
 	for {
 		former := f.otherHosts.byService.Load()
 		next := map[string]*serviceLoads{}
 		if former != nil {
 			maps.Copy(next, *former)
 		}
-		next[service] = told
+		next[service] = own
 		if f.otherHosts.byService.CompareAndSwap(former, &next) {
 			return
 		}
--- a/node/fleet/cache.go
+++ b/node/fleet/promptcache.go
@@ -21,31 +21,31 @@
 // upstream. It is a guess that only parts otherwise equal choices.
 type PromptCache map[string]time.Time
 
-func partKey(a *Request, id string) string { return a.Model + "/" + a.Adapter + "/" + id }
+func partKey(req *Request, id string) string { return req.Model + "/" + req.Adapter + "/" + id }
 
 // CachedTokens is how many leading tokens of the prompt are probably kept.
-func (c PromptCache) CachedTokens(a *Request, now time.Time) int {
-	sum := 0
-	for _, p := range a.PromptParts {
-		at, ok := c[partKey(a, p.ID)]
+func (c PromptCache) CachedTokens(req *Request, now time.Time) int {
+	total := 0
+	for _, p := range req.PromptParts {
+		at, ok := c[partKey(req, p.ID)]
 		if !ok || now.Sub(at) > cachedPartTTL {
 			break
 		}
-		sum += p.Tokens
+		total += p.Tokens
 	}
-	return sum
+	return total
 }
 
 // Record notes that the parts of a prompt were read. The last part is the
 // request's own, and seldom comes again.
-func (c *PromptCache) Record(a *Request, now time.Time) {
-	if len(a.PromptParts) < 2 {
+func (c *PromptCache) Record(req *Request, now time.Time) {
+	if len(req.PromptParts) < 2 {
 		return
 	}
 	if *c == nil || len(*c) > maxCachedParts {
 		*c = PromptCache{}
 	}
-	for _, p := range a.PromptParts[:len(a.PromptParts)-1] {
-		(*c)[partKey(a, p.ID)] = now
+	for _, p := range req.PromptParts[:len(req.PromptParts)-1] {
+		(*c)[partKey(req, p.ID)] = now
 	}
 }
--- a/node/fleet/word.go
+++ b/node/fleet/residency.go
@@ -25,10 +25,10 @@
 
 // CoordinatorSeen says that the host that gives orders, the of-th one that is heard here, was
 // heard. What it told goes until then, and so does what it tells later.
-func (f *Fleet) CoordinatorSeen(of uint64, until time.Time) {
+func (f *Fleet) CoordinatorSeen(number uint64, validUntil time.Time) {
 	was := f.coordinator.Load()
-	f.coordinator.Store(&coordinatorTerm{of, until})
-	if was.number != of {
+	f.coordinator.Store(&coordinatorTerm{number, validUntil})
+	if was.number != number {
 		f.mu.Lock()
 		f.earlyResidency = nil
 		f.mu.Unlock()
@@ -39,17 +39,17 @@
 // word. What it tells before the list names an upstream is kept until that comes: it
 // is told once only.
 func (f *Fleet) ApplyResidency(all []Residency, now time.Time) {
-	news := false
+	changed := false
 	for i := range all {
-		h := &all[i]
-		e, ok := f.Entry(h.Upstream)
-		if !ok || e.StartedMs() != h.StartedMs {
-			f.keepEarlyResidency(h)
+		r := &all[i]
+		e, ok := f.Entry(r.Upstream)
+		if !ok || e.StartedMs() != r.StartedMs {
+			f.keepEarlyResidency(r)
 			continue
 		}
-		news = e.applyResidency(h, now) || news
+		changed = e.applyResidency(r, now) || changed
 	}
-	if news {
+	if changed {
 		f.notifyResidencyChanged()
 	}
 }
@@ -58,36 +58,36 @@
 // more than come at a time.
 const maxEarlyResidency = 16384
 
-func (f *Fleet) keepEarlyResidency(h *Residency) {
+func (f *Fleet) keepEarlyResidency(r *Residency) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.earlyResidency == nil || len(f.earlyResidency) >= maxEarlyResidency {
 		f.earlyResidency = map[string]Residency{}
 	}
-	f.earlyResidency[h.Upstream] = *h
+	f.earlyResidency[r.Upstream] = *r
 }
 
 // applyEarlyResidencyLocked enters what was told of an upstream that has just come; f.mu is held.
 func (f *Fleet) applyEarlyResidencyLocked(e *Entry, now time.Time) {
-	h, ok := f.earlyResidency[e.id]
-	if !ok || h.StartedMs != e.startedMs {
+	r, ok := f.earlyResidency[e.id]
+	if !ok || r.StartedMs != e.startedMs {
 		return
 	}
 	delete(f.earlyResidency, e.id)
-	e.applyResidency(&h, now)
+	e.applyResidency(&r, now)
 }
 
 // applyResidency enters a word; it says whether the upstream holds something else by it.
-func (e *Entry) applyResidency(h *Residency, now time.Time) (news bool) {
+func (e *Entry) applyResidency(r *Residency, now time.Time) (changed bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	news = !slices.EqualFunc(h.Residents, e.announcedResidents, deploy.Resident.Equal)
-	e.announcedResidents, e.announcedAt, e.announcedBy = h.Residents, now, e.fleet.coordinator.Load().number
-	e.setLoadingLocked(h.Loading)
-	if news {
+	changed = !slices.EqualFunc(r.Residents, e.announcedResidents, deploy.Resident.Equal)
+	e.announcedResidents, e.announcedAt, e.announcedBy = r.Residents, now, e.fleet.coordinator.Load().number
+	e.setLoadingLocked(r.Loading)
+	if changed {
 		e.reindexLocked()
 	}
-	return news
+	return changed
 }
 
 // usesAnnouncedLocked says whether the word on what the upstream holds goes first.
--- a/node/fleet/signalled.go
+++ b/node/fleet/signals.go
@@ -36,25 +36,25 @@
 	e.mu.Lock()
 	was := e.announcedSignal
 	e.signal = backpressure.Merge(e.signal, s)
-	now := e.signal
-	if now.Limit.Stated {
+	merged := e.signal
+	if merged.Limit.Stated {
 		e.fleet.scheduleChecks(e)
 		e.fleet.limits.extend(e.fleet.deps.Now().Add(limitTTL))
 	}
-	limited := now.Limit.DiffersMaterially(was.Limit)
-	changed = limited || now.Draining != was.Draining
+	limited := merged.Limit.DiffersMaterially(was.Limit)
+	changed = limited || merged.Draining != was.Draining
 	if changed {
-		e.announcedSignal, e.signalledAt, e.signalSource = now, s.ReceivedAt, source
+		e.announcedSignal, e.signalledAt, e.signalSource = merged, s.ReceivedAt, source
 	}
-	if changed || now.Limit.DiffersMaterially(s.Limit) || now.Draining != s.Draining { // a host that tells what does not hold any more has to hear it
+	if changed || merged.Limit.DiffersMaterially(s.Limit) || merged.Draining != s.Draining { // a host that tells what does not hold any more has to hear it
 		e.fleet.signals.record(e)
 	}
-	if now.Draining {
+	if merged.Draining {
 		e.drainLocked("its answers, by " + source)
 	}
 	e.mu.Unlock()
 	if limited {
-		e.fleet.deps.Log.Emit(event.UpstreamLimited, zap.String(event.FieldPeer, e.id), zap.Float64("per_second", loggedLimit(now.Limit)),
+		e.fleet.deps.Log.Emit(event.UpstreamLimited, zap.String(event.FieldPeer, e.id), zap.Float64("per_second", loggedLimit(merged.Limit)),
 			zap.Float64("was", loggedLimit(was.Limit)), zap.String("source", source))
 	}
 	if changed {
@@ -88,11 +88,11 @@
 	var out []Restriction
 	for _, e := range f.All() {
 		e.mu.Lock()
-		a := Restriction{Upstream: e.id, Service: e.service, Draining: e.signal.Draining, Limit: e.signal.Limit, Backoff: max(e.backoffUntil.Sub(now), 0),
+		r := Restriction{Upstream: e.id, Service: e.service, Draining: e.signal.Draining, Limit: e.signal.Limit, Backoff: max(e.backoffUntil.Sub(now), 0),
 			InSlowStart: e.slowStart.Active(), SignalledAt: e.signalledAt, Source: e.signalSource}
 		e.mu.Unlock()
-		if a.Draining || a.Limit.Stated || a.Backoff > 0 || a.InSlowStart {
-			out = append(out, a)
+		if r.Draining || r.Limit.Stated || r.Backoff > 0 || r.InSlowStart {
+			out = append(out, r)
 		}
 	}
 	slices.SortFunc(out, func(a, b Restriction) int { return strings.Compare(a.Upstream, b.Upstream) })
--- a/node/follow/config.go
+++ b/node/follow/config.go
@@ -35,8 +35,8 @@
 // ApplyIfNewer puts a configuration in force if it is newer; source says where it
 // came from.
 func (c *ActiveConfig) ApplyIfNewer(next *deploy.Config, source string) bool {
-	var t *deploy.Table
-	if err := recoverPanic(func() error { t = deploy.NewTable(next); return nil }); err != nil {
+	var table *deploy.Table
+	if err := recoverPanic(func() error { table = deploy.NewTable(next); return nil }); err != nil {
 		c.log.Emit(event.RoutesUnusable, zap.Error(err))
 		return false
 	}
@@ -45,16 +45,16 @@
 		if old != nil && old.Config.Version >= next.Version {
 			return false
 		}
-		if !c.active.CompareAndSwap(old, t) {
+		if !c.active.CompareAndSwap(old, table) {
 			continue
 		}
-		was := uint64(0)
+		oldVersion := uint64(0)
 		if old != nil {
-			was = old.Config.Version
+			oldVersion = old.Config.Version
 		} else {
 			close(c.firstApplied)
 		}
-		c.log.Emit(event.RoutesInForce, zap.Uint64("version", next.Version), zap.Uint64("was", was),
+		c.log.Emit(event.RoutesInForce, zap.Uint64("version", next.Version), zap.Uint64("was", oldVersion),
 			zap.String("source", source), zap.Int("routes", len(next.Routes)), zap.Int("services", len(next.Services)))
 		if c.onChange != nil {
 			c.onChange()
--- a/node/follow/feed.go
+++ b/node/follow/feed.go
@@ -40,42 +40,42 @@
 
 // run follows one table until ctx ends.
 func (f *Follower) run(ctx context.Context, d *feed) error {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = minRetryPause, maxRetryPause
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval, retry.MaxInterval = minRetryPause, maxRetryPause
 	for ctx.Err() == nil {
 		if f.isRelayed() || f.shouldWaitForRelay() {
 			pace.Sleep(ctx, f.relayCheckInterval())
 			continue
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		at, err := f.step(ctx, d)
 		switch {
 		case err == nil && at == 0: // a store in which nothing was ever written has nothing to wait for
 			f.recordAnswer(d, at)
-			wait := pause.NextBackOff()
+			wait := retry.NextBackOff()
 			if f.deps.OthersProbeFirst() {
 				wait = emptyStorePause
 			}
 			pace.Sleep(ctx, wait)
 		case err == nil:
 			f.recordAnswer(d, at)
-			pause.Reset()
-			pace.Sleep(ctx, f.minInterval()-time.Since(began))
+			retry.Reset()
+			pace.Sleep(ctx, f.minInterval()-time.Since(startedAt))
 		case errors.Is(err, store.ErrHistoryLost):
 			f.deps.Log.Emit(event.FeedReread, zap.String("table", d.name), zap.Uint64("after", d.progress.version.Load()))
 			d.reread = true
 		default:
 			f.recordFailure(ctx, d, err)
-			f.waitAfterFailure(ctx, d, pause.NextBackOff())
+			f.waitAfterFailure(ctx, d, retry.NextBackOff())
 		}
 	}
 	return ctx.Err()
 }
 
 // recordAnswer notes an answer of the store.
-func (f *Follower) recordAnswer(d *feed, at uint64) {
+func (f *Follower) recordAnswer(d *feed, version uint64) {
 	d.progress.answeredAt.Store(f.sinceStart())
-	f.advance(d, at)
+	f.advance(d, version)
 	f.recordRecovery(d)
 }
 
@@ -93,17 +93,17 @@
 
 // waitAfterFailure waits between two tries while the store is away.
 func (f *Follower) waitAfterFailure(ctx context.Context, d *feed, wait time.Duration) {
-	quiet := d.followsOther && f.storeAway.Load()
-	if !f.deps.OthersProbeFirst() || wait <= maxQuickRetryPause && !quiet {
+	otherProbes := d.followsOther && f.storeAway.Load()
+	if !f.deps.OthersProbeFirst() || wait <= maxQuickRetryPause && !otherProbes {
 		pace.Sleep(ctx, wait)
 		return
 	}
-	if !quiet {
-		between := deferredRetryPause
+	if !otherProbes {
+		pause := deferredRetryPause
 		if f.deps.LinkedToCoordinator() {
-			between = linkedRetryPause
+			pause = linkedRetryPause
 		}
-		pace.Sleep(ctx, pace.DefaultRand().Jitter(between, pauseJitter))
+		pace.Sleep(ctx, pace.DefaultRand().Jitter(pause, pauseJitter))
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, otherFeedRetryPause)
@@ -115,51 +115,51 @@
 }
 
 // advance notes how far the table was followed, unless a relay is farther.
-func (f *Follower) advance(d *feed, at uint64) {
+func (f *Follower) advance(d *feed, version uint64) {
 	for {
 		old := d.progress.version.Load()
-		if old >= at || d.progress.version.CompareAndSwap(old, at) {
+		if old >= version || d.progress.version.CompareAndSwap(old, version) {
 			return
 		}
 	}
 }
 
 // step makes one call: a full read when nothing is known, else the next changes.
-func (f *Follower) step(ctx context.Context, d *feed) (at uint64, err error) {
+func (f *Follower) step(ctx context.Context, d *feed) (version uint64, err error) {
 	err = recoverPanic(func() error {
-		at, err = f.call(ctx, d)
+		version, err = f.call(ctx, d)
 		return err
 	})
-	return at, err
+	return version, err
 }
 
 func (f *Follower) call(ctx context.Context, d *feed) (uint64, error) {
-	at := d.progress.version.Load()
-	if at == 0 || d.reread || d.needsFullRead() {
+	version := d.progress.version.Load()
+	if version == 0 || d.reread || d.needsFullRead() {
 		f.count(d.name, fullRead)
 		next, err := d.read(ctx)
 		d.reread = d.reread && err != nil
 		return next, err
 	}
-	wait, why := defaultWait, waitForChanges
+	wait, reason := defaultWait, waitForChanges
 	switch {
 	case !f.deps.OthersProbeFirst() && f.hasNotAnswered(d):
 		// A host that may act next has to know whether the store answers before a
 		// call that waits for changes would tell.
-		wait, why = 0, probeStore
+		wait, reason = 0, probeStore
 	case !d.failingSince.IsZero():
 		// The store may come back without a word on a call that it never heard;
 		// short calls find it within a second, and what changed meanwhile.
-		wait, why = 0, probeStore
+		wait, reason = 0, probeStore
 	case f.deps.IsRelaying():
-		wait, why = d.relayWait, waitAsRelay
+		wait, reason = d.relayWait, waitAsRelay
 	case !f.deps.OthersProbeFirst():
 		wait = d.relayWait // it may relay before the call ends, and tells how old its last answer is
 	}
-	f.count(d.name, why)
+	f.count(d.name, reason)
 	ctx, cancel := context.WithTimeout(ctx, wait+waitSlack)
 	defer cancel()
-	return d.wait(ctx, at, wait)
+	return d.wait(ctx, version, wait)
 }
 
 // hasNotAnswered says whether the store has said nothing here for longer than a call for
--- a/node/follow/follow.go
+++ b/node/follow/follow.go
@@ -190,11 +190,11 @@
 
 // StoreAge is how long ago the store answered, for the older of the two feeds.
 func (f *Follower) StoreAge() time.Duration {
-	heard := min(f.config.answeredAt.Load(), f.upstreams.answeredAt.Load())
-	if heard == 0 {
+	answeredAt := min(f.config.answeredAt.Load(), f.upstreams.answeredAt.Load())
+	if answeredAt == 0 {
 		return time.Hour
 	}
-	return time.Duration(f.sinceStart() - heard)
+	return time.Duration(f.sinceStart() - answeredAt)
 }
 
 // UpstreamsVersion is the version that the list of upstreams is of.
@@ -203,9 +203,9 @@
 // RunConfig follows the configuration until ctx ends. One that cannot be used
 // leaves the one in force as it is.
 func (f *Follower) RunConfig(ctx context.Context) error {
-	take := func(cfg *deploy.Config, at uint64, err error) (uint64, error) {
-		var bad *store.UnusableError
-		if errors.As(err, &bad) {
+	apply := func(cfg *deploy.Config, at uint64, err error) (uint64, error) {
+		var unusable *store.UnusableError
+		if errors.As(err, &unusable) {
 			f.deps.Log.Emit(event.RoutesUnusable, zap.Error(err))
 			return at, nil
 		}
@@ -219,10 +219,10 @@
 		read: func(ctx context.Context) (uint64, error) {
 			ctx, cancel := context.WithTimeout(ctx, readTimeout)
 			defer cancel()
-			return take(f.deps.Source.ReadConfig(ctx))
+			return apply(f.deps.Source.ReadConfig(ctx))
 		},
 		wait: func(ctx context.Context, after uint64, wait time.Duration) (uint64, error) {
-			return take(f.deps.Source.WaitConfig(ctx, after, wait))
+			return apply(f.deps.Source.WaitConfig(ctx, after, wait))
 		}})
 }
 
--- a/node/follow/parts.go
+++ b/node/follow/parts.go
@@ -18,22 +18,22 @@
 func (f *Follower) readParts(ctx context.Context) (UpstreamUpdate, uint64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	late := time.AfterFunc(readTimeout, cancel)
-	defer late.Stop()
+	timer := time.AfterFunc(readTimeout, cancel)
+	defer timer.Stop()
 	parts := 0
 	defer f.recordSize(false)
 	more := func() error {
-		late.Stop()
+		timer.Stop()
 		f.recordSize(true)
 		parts++
 		f.count(upstreamsFeed, fullRead)
-		for rest := time.Duration(parts) * partPauseStep; f.deps.OthersProbeFirst() && rest > 0; rest -= minRelayCheckInterval {
+		for left := time.Duration(parts) * partPauseStep; f.deps.OthersProbeFirst() && left > 0; left -= minRelayCheckInterval {
 			if f.isRelayed() {
 				return errRelayed
 			}
 			pace.Sleep(ctx, minRelayCheckInterval)
 		}
-		late.Reset(readTimeout)
+		timer.Reset(readTimeout)
 		return ctx.Err()
 	}
 	return f.deps.Source.ReadUpstreams(ctx, more)
--- a/node/follow/relay.go
+++ b/node/follow/relay.go
@@ -18,24 +18,24 @@
 
 // ApplyRelay enters what was relayed. An upstreams' list that is older than what
 // this host has itself is passed over.
-func (f *Follower) ApplyRelay(r Relay) {
-	if r.Config != nil {
-		f.deps.Config.ApplyIfNewer(r.Config, "relay")
+func (f *Follower) ApplyRelay(relay Relay) {
+	if relay.Config != nil {
+		f.deps.Config.ApplyIfNewer(relay.Config, "relay")
 	}
 	f.applying.Lock()
 	defer f.applying.Unlock()
-	if r.UpstreamsVersion >= f.upstreams.version.Load() && r.UpstreamsVersion > 0 {
-		if r.Complete {
-			f.deps.Upstreams.Replace(r.Put, r.UpstreamsVersion)
+	if relay.UpstreamsVersion >= f.upstreams.version.Load() && relay.UpstreamsVersion > 0 {
+		if relay.Complete {
+			f.deps.Upstreams.Replace(relay.Put, relay.UpstreamsVersion)
 			f.deps.OnListed()
-		} else if len(r.Put)+len(r.Removed) > 0 {
-			f.deps.Upstreams.Apply(r.Put, r.Removed, r.UpstreamsVersion)
+		} else if len(relay.Put)+len(relay.Removed) > 0 {
+			f.deps.Upstreams.Apply(relay.Put, relay.Removed, relay.UpstreamsVersion)
 		}
-		f.upstreams.version.Store(r.UpstreamsVersion)
-		f.listIsCompact.Store(r.Compact || !r.Complete && f.listIsCompact.Load())
+		f.upstreams.version.Store(relay.UpstreamsVersion)
+		f.listIsCompact.Store(relay.Compact || !relay.Complete && f.listIsCompact.Load())
 	}
-	if r.StoreAge < f.deps.MaxRelayAge {
-		f.relayedAt.Store(f.sinceStart() - int64(r.StoreAge))
+	if relay.StoreAge < f.deps.MaxRelayAge {
+		f.relayedAt.Store(f.sinceStart() - int64(relay.StoreAge))
 	}
 }
 
@@ -50,18 +50,18 @@
 
 // isRelayed says whether the relay is fresh enough to do without the store.
 func (f *Follower) isRelayed() bool {
-	at := f.relayedAt.Load()
-	return at != 0 && f.sinceStart()-at < int64(f.maxRelayAge()) && !f.deps.IsRelaying() && f.deps.Config.Current() != nil && f.upstreams.version.Load() != 0
+	relayedAt := f.relayedAt.Load()
+	return relayedAt != 0 && f.sinceStart()-relayedAt < int64(f.maxRelayAge()) && !f.deps.IsRelaying() && f.deps.Config.Current() != nil && f.upstreams.version.Load() != 0
 }
 
 // relayCheckInterval is how long a relay that is fresh stays so, within relayedPause and
 // longestRelayedPause. A host that may soon relay itself looks often.
 func (f *Follower) relayCheckInterval() time.Duration {
-	left := f.deps.MaxRelayAge - time.Duration(f.sinceStart()-f.relayedAt.Load())
+	freshFor := f.deps.MaxRelayAge - time.Duration(f.sinceStart()-f.relayedAt.Load())
 	if !f.deps.OthersProbeFirst() {
 		return minRelayCheckInterval
 	}
-	return min(max(left, minRelayCheckInterval), maxRelayCheckInterval)
+	return min(max(freshFor, minRelayCheckInterval), maxRelayCheckInterval)
 }
 
 const (
@@ -87,6 +87,6 @@
 	if now < int64(startupRelayWait) {
 		return true
 	}
-	at := f.relayedAt.Load()
-	return at != 0 && now-at < int64(f.deps.MaxRelayAge) && now < int64(linkedRelayWait)
+	relayedAt := f.relayedAt.Load()
+	return relayedAt != 0 && now-relayedAt < int64(f.deps.MaxRelayAge) && now < int64(linkedRelayWait)
 }
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -156,7 +156,7 @@
 try "kinds that may run again" node/gate/gate.go \
   'case !res.notRun && !q.mayRunAgain():' 'case false:' ./node/gate
 try "entries that ran out with the store" node/fleet/fleet.go \
-  'hold := max(away, 0)' 'hold := 0*away' ./node/fleet
+  'grace := max(graceLeft, 0)' 'grace := 0*graceLeft' ./node/fleet
 try "upstreams that come back in one change" node/fleet/change.go \
   '&& !isListed(byID[v.id])' '' ./node/fleet
 try "a version only rises" node/follow/config.go \
