--- a/node/fleet/attempt.go
+++ b/node/fleet/attempt.go
@@ -6,13 +6,13 @@
 	"peridotpier.example/node/event"
 )
 
-// UpstreamLoad is what this host has sent to an upstream and has not ended.
+// UpstreamLoad is the load that this host has sent to one upstream.
 type UpstreamLoad struct {
 	Upstream string
 	Load
 }
 
-// OwnLoads lists the upstreams at which this host has requests.
+// OwnLoads returns the load at each upstream at which this host has requests.
 func (f *Fleet) OwnLoads() []UpstreamLoad {
 	var out []UpstreamLoad
 	for _, e := range f.pendingChecks.all() {
@@ -25,11 +25,11 @@
 
 // Cost is what one request adds to an upstream's load.
 type Cost struct {
-	PromptTokens int // tokens
-	OutputTokens int // tokens to expect
+	PromptTokens int
+	OutputTokens int // expected
 }
 
-// Attempt is one attempt at an upstream. It belongs to one goroutine.
+// Attempt is one attempt to send a request to an upstream. It belongs to one goroutine.
 type Attempt struct {
 	e            *Entry
 	req          *Request
@@ -37,18 +37,18 @@
 	gotFirstByte bool
 	ended        bool
 	inSlowStart  bool   // it counts in the upstream's slow start
-	onFirstByte  func() // called when the first bytes of the answer came; nil: nobody asks
-	abort        func() // called when the upstream is found silent; nil: the attempt stays
+	onFirstByte  func() // called when the first bytes of the answer arrive; nil: not called
+	abort        func() // called when the upstream is found unresponsive; nil: the attempt stays
 }
 
-// Entry is the upstream that the attempt is at.
+// Entry returns the entry of the upstream that the attempt is sent to.
 func (x *Attempt) Entry() *Entry { return x.e }
 
-// OnFirstByte has f called when the first bytes of the answer come.
+// OnFirstByte has f called when the first bytes of the answer arrive.
 func (x *Attempt) OnFirstByte(f func()) { x.onFirstByte = f }
 
-// OnUnresponsive has abort called if the upstream is found silent while the attempt
-// is there. It is for attempts that can go elsewhere.
+// OnUnresponsive has abort called if the upstream is found unresponsive, or was started
+// again, during the attempt. It is for attempts that can be retried elsewhere.
 func (x *Attempt) OnUnresponsive(abort func()) {
 	x.e.mu.Lock()
 	defer x.e.mu.Unlock()
@@ -56,7 +56,7 @@
 	x.e.movable[x] = struct{}{}
 }
 
-// Begin counts an attempt that is about to be sent.
+// Begin records an attempt that is about to be sent.
 func (e *Entry) Begin(req *Request, c Cost) *Attempt {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -69,15 +69,17 @@
 	return &Attempt{e: e, req: req, cost: c, inSlowStart: e.slowStart.Sent()}
 }
 
-// RecordPendingPrompts notes how many prompt tokens of other hosts' requests the upstream has to
-// read, by who gave the turn for this one.
+// RecordPendingPrompts records how many prompt tokens of other hosts' requests the
+// upstream has to read. pendingTokens are those of all hosts, this attempt's left out,
+// when the permit for it was granted.
 func (x *Attempt) RecordPendingPrompts(pendingTokens int) {
 	x.e.mu.Lock()
 	defer x.e.mu.Unlock()
 	x.e.othersPending, x.e.othersPendingAt = max(pendingTokens-(x.e.own.PendingPromptTokens-x.cost.PromptTokens), 0), x.e.fleet.deps.Now()
 }
 
-// ReceivedBytes notes bytes of the answer. The first ones end the wait for the prompt.
+// ReceivedBytes records bytes of the answer. The first ones show that the prompt has been
+// read.
 func (x *Attempt) ReceivedBytes() {
 	now := x.e.fleet.deps.Now()
 	if !x.gotFirstByte && x.onFirstByte != nil {
@@ -100,20 +102,20 @@
 	}
 }
 
-// RecordReportedLoad takes the load that the upstream put on its answer.
+// RecordReportedLoad records the load that the upstream stated on its answer.
 func (x *Attempt) RecordReportedLoad(r ReportedLoad) {
 	x.e.mu.Lock()
 	defer x.e.mu.Unlock()
 	x.e.reported, x.e.reportedAt, x.e.sentSince = r, x.e.fleet.deps.Now(), 0
 }
 
-// Answered ends an attempt whose answer is whole; failed says that the
-// upstream ran the request and failed it.
+// Answered ends an attempt whose answer is complete; failed means that the upstream ran
+// the request and failed it.
 func (x *Attempt) Answered(failed bool) {
 	x.end(func() { x.e.recordAnswerLocked(failed) })
 }
 
-// recordAnswerLocked notes an answer, or its absence.
+// recordAnswerLocked records an answer, or that there was none.
 func (e *Entry) recordAnswerLocked(failed bool) {
 	e.health.RecordAnswer(failed)
 	if _, answers := e.health.ErrorShare(); answers >= float64(e.fleet.cfg.Health.MinAnswers) {
@@ -121,13 +123,14 @@
 	}
 }
 
-// Refused ends an attempt that the upstream did not run, by its own word.
+// Refused ends an attempt that the upstream states not to have run.
 func (x *Attempt) Refused() { x.end(func() {}) }
 
-// Cancelled ends an attempt that this host gave up: its caller left or its time is over.
+// Cancelled ends an attempt that this host gave up: its caller disconnected or its time
+// is over.
 func (x *Attempt) Cancelled() { x.end(func() {}) }
 
-// Interrupted ends an attempt whose connection or answer broke; why goes to the log.
+// Interrupted ends an attempt whose connection or answer broke off; why is logged.
 func (x *Attempt) Interrupted(why string) {
 	var excluded bool
 	x.end(func() {
@@ -140,8 +143,8 @@
 	}
 }
 
-// NotListening ends an attempt at an upstream at whose address nothing listens. Its
-// process has ended, so that there is no need for a second sign.
+// NotListening ends an attempt at an address at which nothing listens. The upstream's
+// process has terminated, so it is excluded without a second failure.
 func (x *Attempt) NotListening() {
 	var excluded bool
 	x.end(func() { excluded = x.e.excludeLocked(x.e.fleet.deps.Now()) })
--- a/node/fleet/backoffs.go
+++ b/node/fleet/backoffs.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// StartBackoff notes that the upstream wants nothing from this host for a time. When that
-// is over, requests come back by a slow start.
+// StartBackoff records that the upstream accepts nothing from this host for a duration.
+// After that, requests return by a slow start.
 func (e *Entry) StartBackoff(duration time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -14,22 +14,23 @@
 	e.slowStart.Start()
 }
 
-// SlowStartWait is when a request is tried again that waits for how another fares at
-// an upstream after its rest. Mostly that is known, and told, before.
+// SlowStartWait is when a request is tried again that waits for the outcome of another
+// one in an upstream's slow start after a backoff. Mostly the outcome is known, and the
+// request is notified, earlier.
 const SlowStartWait = 100 * time.Millisecond
 
-// AcceptsRequests says whether a request that was meant for the upstream may still go there:
-// it has not asked meanwhile for rest, nor said that it leaves.
+// AcceptsRequests reports whether a request that was meant for the upstream may still be
+// sent there: in the meantime it has neither asked for a backoff nor signalled a drain.
 func (e *Entry) AcceptsRequests() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return !e.draining && !e.fleet.deps.Now().Before(e.backoffUntil)
 }
 
-// Backoffs are for how long upstreams want nothing from this host, by their IDs.
+// Backoffs says for how long upstreams accept nothing from this host, by their IDs.
 type Backoffs map[string]time.Duration
 
-// Backoffs returns those of a service; nil: none.
+// Backoffs returns the backoffs of a service's upstreams; nil if there are none.
 func (f *Fleet) Backoffs(service string) Backoffs {
 	now := f.deps.Now()
 	if f.backoffs.passed(now) {
--- a/node/fleet/change.go
+++ b/node/fleet/change.go
@@ -7,40 +7,41 @@
 	"peridotpier.example/core/deploy"
 )
 
-// Change is what came after an earlier state of the list.
+// Change is what changed in the list after an earlier revision.
 type Change struct {
-	Revision uint64 // state that it brings to
-	Complete bool   // Put is the whole list
+	Revision uint64 // revision that the change leads to
+	Complete bool   // Put is the complete list
 	Put      []Listed
 	Removed  []string
 }
 
-// Listed is an upstream as the platform's list has it, with the state of the list
-// since which it does: two of one upstream and one state are the same.
+// Listed is an upstream as the store's list describes it, with the revision of its last
+// change: two of one upstream and one revision are equal.
 type Listed struct {
 	deploy.Upstream
 	Revision uint64
 }
 
 const (
-	// minRemovedKept is how many vanished upstreams are remembered for Since in any case.
-	// A host that is farther behind gets the whole list.
+	// minRemovedKept is how many removals are remembered for ChangesSince in any case. A
+	// host that is further behind gets the complete list.
 	minRemovedKept = 256
-	// removedTTL is how long all of them are: several reports of any host. Of
-	// thousands of upstreams more than goneMost may be replaced in less.
+	// removedTTL is how long every removal is remembered: the time of several reports of
+	// any host. Of thousands of upstreams, more than minRemovedKept may be replaced in
+	// less.
 	removedTTL = 10 * time.Second
 )
 
-// removedUpstream is an upstream whose entry is gone, with the state since which it is.
+// removedUpstream is the removal of an upstream's entry, with its revision and time.
 type removedUpstream struct {
 	id        string
 	revision  uint64
 	removedAt time.Time
 }
 
-// ChangesSince returns what changed in the platform's list after a state, for other
-// hosts; 0 asks for all of it. Brief leaves out upstreams of which nothing changed
-// but what they hold or have copies of.
+// ChangesSince returns what changed in the store's list after a revision, for other
+// hosts; revision 0 asks for the complete list. A compact change leaves out upstreams of
+// which only residents or local copies changed.
 func (f *Fleet) ChangesSince(from uint64, compact bool) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,16 +63,16 @@
 	return out
 }
 
-// DescribedSince returns the entries of which the list said something else after a state,
-// and the state that it is at.
+// DescribedSince returns the entries whose description changed after a revision, and the
+// current revision.
 func (f *Fleet) DescribedSince(after uint64) ([]*Entry, uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.listedAfter(after, false, false), f.revision
 }
 
-// listedAfter returns the entries of which the list said something else after a
-// state, or all; f.mu is held.
+// listedAfter returns the entries whose description changed after a revision, or all
+// entries. f.mu must be held.
 func (f *Fleet) listedAfter(from uint64, all, compact bool) []*Entry {
 	if all {
 		return f.All()
@@ -84,7 +85,7 @@
 	return changed
 }
 
-// isListed says whether an entry that vanished has come again; nil: forgotten.
+// isListed reports whether a removed entry is listed again; nil: it was forgotten.
 func isListed(e *Entry) bool {
 	if e == nil {
 		return false
@@ -93,15 +94,15 @@
 	return !delisted
 }
 
-// versionMark says up to which version of the store a state of the list goes.
+// versionMark says which version of the store a revision of the list goes up to.
 type versionMark struct{ revision, version uint64 }
 
-// maxVersionMarks is how many states are remembered for StateAt. A host that is
-// farther behind gets the whole list.
+// maxVersionMarks is how many revisions are remembered for RevisionAt. A host that is
+// further behind gets the complete list.
 const maxVersionMarks = 256
 
-// RevisionAt returns the newest state of the list that holds nothing newer than a
-// version of the store; 0: none is known.
+// RevisionAt returns the newest revision of the list that includes nothing newer than a
+// version of the store; 0 if none is known.
 func (f *Fleet) RevisionAt(version uint64) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -115,7 +116,7 @@
 
 func (f *Fleet) recordVersionLocked(version uint64) {
 	if version == 0 {
-		return // a list that is not of the store's own word
+		return // the change has no version of the store
 	}
 	f.versionMarks = append(f.versionMarks, versionMark{f.revision, version})
 	if over := len(f.versionMarks) - maxVersionMarks; over > 0 {
--- a/node/fleet/deadline.go
+++ b/node/fleet/deadline.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// deadline is the latest of some times. It spares requests a look at every upstream
-// for what mostly none asks for.
+// deadline is the latest of several times. It spares requests a check of every upstream
+// for something that mostly applies to none.
 type deadline struct{ at atomic.Int64 } // Unix nanoseconds
 
-// extend takes a time into account.
+// extend moves the deadline to t if t is later.
 func (d *deadline) extend(t time.Time) {
 	for {
 		latest := d.at.Load()
@@ -19,5 +19,5 @@
 	}
 }
 
-// passed says whether all of them have passed.
+// passed reports whether the deadline has passed.
 func (d *deadline) passed(now time.Time) bool { return now.UnixNano() >= d.at.Load() }
--- a/node/fleet/entry.go
+++ b/node/fleet/entry.go
@@ -14,22 +14,22 @@
 	"peridotpier.example/node/event"
 )
 
-// Load is what was sent to an upstream and has not ended.
+// Load is the work that was sent to an upstream and has not ended.
 type Load struct {
 	Requests            int
-	PendingPromptTokens int // prompt tokens whose first event has not come
-	Tokens              int // prompt and expected answer
+	PendingPromptTokens int // prompt tokens of requests whose first event has not arrived
+	Tokens              int // prompt tokens and expected answer tokens
 }
 
-// Plus is the sum of two loads.
+// Plus returns the sum of two loads.
 func (l Load) Plus(o Load) Load {
 	return Load{l.Requests + o.Requests, l.PendingPromptTokens + o.PendingPromptTokens, l.Tokens + o.Tokens}
 }
 
-// Negated is what takes a load out of a sum.
+// Negated returns the load that takes l out of a sum.
 func (l Load) Negated() Load { return Load{-l.Requests, -l.PendingPromptTokens, -l.Tokens} }
 
-// ReportedLoad is the load that an upstream told on an answer.
+// ReportedLoad is the load that an upstream stated on an answer.
 type ReportedLoad struct {
 	Running int
 	Waiting int
@@ -37,90 +37,97 @@
 }
 
 const (
-	// reportedLoadTTL is how long an upstream's own word on its load counts when
+	// reportedLoadTTL is how long the load that an upstream stated itself is used when
 	// the other hosts' loads are not known.
 	reportedLoadTTL = time.Second
-	// announcedResidentsTTL is how long the word of a host that gave orders goes before
-	// the upstream's own description, which lags, once that host is not heard.
+	// announcedResidentsTTL is how long announced residents take precedence over the
+	// upstream's own description, which lags, once the coordinator that announced them is
+	// disconnected.
 	announcedResidentsTTL = 1500 * time.Millisecond
-	// notResidentTTL is how long a model is not asked for again at an upstream that
-	// said it does not hold it: about one of its heartbeats and the lag of the list.
+	// notResidentTTL is how long no request for a model is sent to an upstream which
+	// answered that the model is not resident: about one of its heartbeats and the lag of
+	// the list.
 	notResidentTTL = 2 * time.Second
 )
 
-// Entry is one upstream. Its methods may be called from any goroutine.
+// Entry is one process of an upstream as this host knows it. Its methods may be called
+// from any goroutine.
 type Entry struct {
 	fleet *Fleet
-	// One process keeps these for its life; they are read without the lock.
+	// These are fixed for a process; they are read without the lock.
 	id, service, address, dataCentre string
-	startedMs                        int64 // Unix milliseconds; 0: not said
+	startedMs                        int64 // Unix milliseconds; 0: not stated
 
 	mu              sync.Mutex
 	desc            deploy.Upstream
 	describedAt     time.Time
-	listRevision    uint64 // of the list when it was described
+	listRevision    uint64 // revision of the list at which desc last changed
 	draining        bool
-	delisted        bool      // its entry vanished
-	useUntil        time.Time // of one that vanished with others
+	delisted        bool      // its entry was removed from the list
+	useUntil        time.Time // end of the grace after the removal; zero: no grace
 	delistedAt      time.Time
 	health          health.Tracker
 	own             Load
-	othersPending   int       // prompt tokens of the others' that were to be read there when a turn was given
-	othersPendingAt time.Time // when it was
+	othersPending   int       // prompt tokens of other hosts pending there when a permit was last granted
+	othersPendingAt time.Time // when that was recorded
 	reported        ReportedLoad
 	reportedAt      time.Time
-	sentSince       int                 // own sends since reportedAt
-	signal          backpressure.Signal // the newest that its answers said, here or at other hosts
-	announcedSignal backpressure.Signal // as others were told last
-
-	pacer              *backpressure.Pacer    // of this host while nobody counts for all
-	pacerSince         time.Time              // since when it is of
-	signalledAt        time.Time              // when its limit or its leaving was heard of
-	signalSource       string                 // who heard it
-	backoffUntil       time.Time              // until when the upstream wants nothing from this host
-	slowStart          backpressure.SlowStart // after its rest
+	sentSince       int                 // requests sent by this host since reportedAt
+	signal          backpressure.Signal // combined signal of its answers, received here or at other hosts
+	announcedSignal backpressure.Signal // signal after the last material change
+
+	pacer              *backpressure.Pacer    // of this host while there is no coordinator
+	pacerSince         time.Time              // start of the time without coordinator that pacer is for
+	signalledAt        time.Time              // when its limit or drain state last changed
+	signalSource       string                 // who received that change
+	backoffUntil       time.Time              // until then the upstream accepts nothing from this host
+	slowStart          backpressure.SlowStart // after a backoff
 	announcedResidents []deploy.Resident
 	announcedAt        time.Time
-	announcedBy        uint64         // whose word that is; see word
-	loading            []LoadingModel // by the same word
+	announcedBy        uint64         // number of the coordinator that announced them; see coordinatorTerm
+	loading            []LoadingModel // announced by the same coordinator
 	indexedModels      []string       // models under which the fleet finds it
 	forgotten          bool
-	notResidentUntil   map[string]time.Time // model and adapter, until when
+	notResidentUntil   map[string]time.Time // by model and adapter
 	promptCache        PromptCache
-	movable            map[*Attempt]struct{} // attempts that can go elsewhere
+	movable            map[*Attempt]struct{} // attempts that can be retried elsewhere
 }
 
-// ID names the upstream. Another process of it, started later, is another Entry.
+// ID returns the ID of the upstream. Another process of it, started later, has another
+// Entry.
 func (e *Entry) ID() string { return e.id }
 
-// Service names the service that it belongs to.
+// Service returns the name of the service that it belongs to.
 func (e *Entry) Service() string { return e.service }
 
-// Address is where it listens.
+// Address returns the address at which it listens.
 func (e *Entry) Address() string { return e.address }
 
-// StartedMs is when its process began, in Unix milliseconds by its own clock; 0: not said.
+// StartedMs returns when its process started, in Unix milliseconds by its own clock; 0 if
+// not stated.
 func (e *Entry) StartedMs() int64 { return e.startedMs }
 
-// DataCentre is where it runs.
+// DataCentre returns the data centre that it runs in.
 func (e *Entry) DataCentre() string { return e.dataCentre }
 
-// Description returns the upstream's newest description of itself and when it came.
+// Description returns the upstream's latest description of itself and when it was
+// received.
 func (e *Entry) Description() (deploy.Upstream, time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.desc, e.describedAt
 }
 
-// Usable says whether it may get new work, as far as it has told.
+// Usable reports whether it may get new requests as far as drains and removals are
+// concerned.
 func (e *Entry) Usable() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return !e.draining
 }
 
-// IsDown says whether this host leaves it alone now for what its answers, or its
-// silence, showed.
+// IsDown reports whether this host currently excludes it because its answers failed or it
+// was unresponsive.
 func (e *Entry) IsDown() bool { return e.isDownAt(e.fleet.deps.Now()) }
 
 func (e *Entry) isDownAt(now time.Time) bool {
@@ -133,8 +140,8 @@
 	return !e.draining && e.health.Status(now) == health.Down
 }
 
-// refreshExcluded is down for one that was left alone; it takes an entry that answers again
-// out of those.
+// refreshExcluded reports whether an excluded entry is still down. It takes an entry that
+// is up again out of the set of excluded entries.
 func (e *Entry) refreshExcluded(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -144,19 +151,21 @@
 	return e.isDownLocked(now)
 }
 
-// listed is what the platform's list says of it, and since which state.
+// listed returns what the store's list says of it, the revision of its last change, and
+// whether its entry was removed.
 func (e *Entry) listed() (u deploy.Upstream, revision uint64, delisted bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.desc, e.listRevision, e.delisted
 }
 
-// describe takes what the list says; it says what of that is news.
+// describe applies a description of the list and returns which hosts must receive the
+// change.
 func (e *Entry) describe(u deploy.Upstream, now time.Time, revision uint64) (scope changeScope) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	u.ID, u.Service, u.Address, u.DataCentre, u.Born = e.id, e.service, e.address, e.dataCentre, e.startedMs
-	if e.delisted || e.describedAt.IsZero() || !reflect.DeepEqual(u, e.desc) { // a list that was read anew brings mostly what is known
+	if e.delisted || e.describedAt.IsZero() || !reflect.DeepEqual(u, e.desc) { // a list that was read again brings mostly what is known
 		e.listRevision, scope = revision, copiesChange
 		if e.delisted || e.describedAt.IsZero() || !sameIdentity(u, e.desc) {
 			scope = identityChange
@@ -165,7 +174,7 @@
 	e.desc, e.describedAt = u, now
 	e.reindexLocked()
 	if e.delisted && u.State == deploy.Ready {
-		e.delisted, e.draining, e.useUntil = false, e.signal.Draining, time.Time{} // what its process said itself stays
+		e.delisted, e.draining, e.useUntil = false, e.signal.Draining, time.Time{} // a drain that its process signalled stays in force
 		e.fleet.deps.Log.Emit(event.UpstreamBack, zap.String(event.FieldPeer, u.ID))
 	}
 	if u.State == deploy.Draining {
@@ -174,17 +183,17 @@
 	return scope
 }
 
-// changeScope says who needs to hear what the list says of an upstream.
+// changeScope says which hosts must receive a change of an upstream's description.
 type changeScope uint8
 
 const (
 	noChange       changeScope = iota
-	copiesChange               // those that give orders: what it holds, or has copies of
-	identityChange             // every host: who it is, and whether it leaves
+	copiesChange               // hosts that coordinate: its residents or local copies
+	identityChange             // every host: its identity, or a drain
 )
 
-// sameIdentity says whether two descriptions differ at most in what the upstream
-// holds or has copies of, and in how long it is slow yet.
+// sameIdentity reports whether two descriptions differ at most in the upstream's
+// residents, its local copies and the time for which it is still slow.
 func sameIdentity(a, b deploy.Upstream) bool {
 	for _, u := range []*deploy.Upstream{&a, &b} {
 		u.Residents, u.InMemory, u.OnDisk, u.Cold = nil, nil, nil, 0
@@ -192,7 +201,8 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// markDelisted notes that its entry is gone; it says no if that was known.
+// markDelisted records the removal of its entry. It returns false if the removal was
+// known. During a grace the upstream is still used.
 func (e *Entry) markDelisted(now time.Time, grace time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -210,8 +220,8 @@
 	return true
 }
 
-// drainLocked takes the upstream out of use. Within one process this is undone
-// only when an entry that had merely run out comes back.
+// drainLocked takes the upstream out of use. Within one process this is undone only when
+// an entry that had merely expired is listed again.
 func (e *Entry) drainLocked(why string) {
 	if e.draining {
 		return
@@ -220,11 +230,12 @@
 	e.fleet.deps.Log.Emit(event.UpstreamLeaving, zap.String(event.FieldPeer, e.id), zap.String("source", why))
 }
 
-// delistedTTL is how long a vanished upstream is remembered: its requests may
-// still run, and its entry may come back.
+// delistedTTL is how long a delisted upstream is remembered: its requests may still run,
+// and its entry may be listed again.
 const delistedTTL = 20 * time.Second
 
-// runChecks does what time brings; it says whether the upstream can be forgotten.
+// runChecks applies the effects of time and reports whether the upstream can be
+// forgotten.
 func (e *Entry) runChecks(now time.Time) (forget bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -245,15 +256,16 @@
 	return e.delisted && e.own.Requests == 0 && now.Sub(e.delistedAt) > delistedTTL
 }
 
-// minReadTokensPerMs is the slowest that an engine reads prompts, with a full
-// batch: an engine that is silent for less than its backlog takes is reading.
+// minReadTokensPerMs is the lowest rate at which an engine reads prompts, with a full
+// batch: an engine that sends nothing for less time than its backlog takes is reading.
 const minReadTokensPerMs = 10.0
 
-// othersPendingTTL is how long the prompts that were to be read there when a turn was given
-// may still be: a few times what an engine is given to read.
+// othersPendingTTL is how long prompts that were pending when a permit was granted may
+// still be: a few times as long as an engine takes for the prompts that it is given.
 const othersPendingTTL = 1500 * time.Millisecond
 
-// readingTimeLocked is how long the prompts that wait there may keep it silent.
+// readingTimeLocked returns for how long the pending prompts may keep it from sending
+// bytes.
 func (e *Entry) readingTimeLocked(now time.Time) time.Duration {
 	waiting := e.loadLocked(now).PendingPromptTokens
 	if now.Sub(e.othersPendingAt) < othersPendingTTL {
@@ -262,21 +274,23 @@
 	return time.Duration(float64(waiting) / minReadTokensPerMs * float64(time.Millisecond))
 }
 
-// exclude leaves the upstream alone for a while; it says whether that is news.
+// exclude excludes the upstream for a while and reports whether it was not excluded
+// before.
 func (e *Entry) exclude(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.excludeLocked(now)
 }
 
-// excludeLocked leaves the upstream alone for a while; it says whether that is news.
+// excludeLocked excludes the upstream for a while and reports whether it was not excluded
+// before.
 func (e *Entry) excludeLocked(now time.Time) bool {
 	changed := e.health.Exclude(e.fleet.cfg.Health, now)
 	e.recordExclusionLocked(changed)
 	return changed
 }
 
-// recordExclusionLocked notes that the upstream is left alone.
+// recordExclusionLocked records that the upstream was excluded, if that changed.
 func (e *Entry) recordExclusionLocked(changed bool) {
 	if !changed {
 		return
@@ -285,7 +299,8 @@
 	e.fleet.notifyUrgentChange()
 }
 
-// errorShare is the share of its answers that failed; below 0: too few answers.
+// errorShare returns the share of its answers that failed; below 0 if it has too few
+// answers or is draining.
 func (e *Entry) errorShare(p health.Policy) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -296,7 +311,7 @@
 	return share
 }
 
-// loadLocked is the best estimate of all hosts' load there.
+// loadLocked returns the best estimate of all hosts' load there.
 func (e *Entry) loadLocked(now time.Time) Load {
 	if others, known := e.fleet.otherHosts.at(e, now); known {
 		return e.own.Plus(others)
@@ -308,15 +323,15 @@
 	return total
 }
 
-// OwnLoad is what this host has sent there.
+// OwnLoad returns the load that this host has sent there.
 func (e *Entry) OwnLoad() Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.own
 }
 
-// AdapterLoaded notes an adapter that was just loaded there, before the word that all
-// hosts get of it.
+// AdapterLoaded records an adapter that was just loaded there, before that is announced
+// to all hosts.
 func (e *Entry) AdapterLoaded(model, adapter string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -340,7 +355,7 @@
 	return false
 }
 
-// residentsLocked is what the upstream holds, by the newest word.
+// residentsLocked returns the upstream's residents by the latest information.
 func (e *Entry) residentsLocked(now time.Time) []deploy.Resident {
 	if e.usesAnnouncedLocked(now) || e.announcedAt.After(e.describedAt) {
 		return e.announcedResidents
@@ -348,7 +363,8 @@
 	return e.desc.Residents
 }
 
-// hasResidentLocked looks a model up and leaves out what the upstream just denied.
+// hasResidentLocked reports whether a model, and an adapter if one is named, is resident.
+// It excludes what the upstream recently answered not to be.
 func (e *Entry) hasResidentLocked(model, adapter string, now time.Time) bool {
 	if len(e.notResidentUntil) > 0 && now.Before(e.notResidentUntil[model+"/"+adapter]) {
 		return false
@@ -357,7 +373,7 @@
 	return residents.HasResident(model, adapter)
 }
 
-// MarkNotResident notes that the upstream said it does not hold a model or adapter.
+// MarkNotResident records the upstream's answer that a model or adapter is not resident.
 func (e *Entry) MarkNotResident(model, adapter string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -373,15 +389,15 @@
 	e.notResidentUntil[model+"/"+adapter] = now.Add(notResidentTTL)
 }
 
-// MarkReplaced notes that another process has the upstream's address.
+// MarkReplaced records that another process has the upstream's address.
 func (e *Entry) MarkReplaced() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.drainLocked("another process at its address")
 }
 
-// markSuperseded notes that the upstream has started again, as another process.
-// What was sent to this one is lost; attempts that can go elsewhere do.
+// markSuperseded records that the upstream has started again, as another process. What
+// was sent to this one is lost; attempts that can be retried elsewhere are aborted.
 func (e *Entry) markSuperseded() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -389,14 +405,14 @@
 	e.abortMovableLocked()
 }
 
-// abortMovableLocked ends the attempts there that can go elsewhere.
+// abortMovableLocked aborts the attempts there that can be retried elsewhere.
 func (e *Entry) abortMovableLocked() {
 	for x := range e.movable {
 		x.abort()
 	}
 }
 
-// processOrder says how an upstream's word relates to the process of an entry.
+// processOrder says how the process of a description relates to the process of an entry.
 type processOrder uint8
 
 const (
@@ -405,8 +421,8 @@
 	laterProcess
 )
 
-// compareProcess compares a description's start with this entry's. A description that
-// does not say when its process began speaks of the one that is known.
+// compareProcess compares a description's process start with this entry's. A description
+// without a start is of the known process.
 func (e *Entry) compareProcess(startedMs int64) processOrder {
 	switch {
 	case startedMs == 0 || startedMs == e.startedMs:
@@ -418,14 +434,14 @@
 	}
 }
 
-// Request is what a snapshot for one request needs to know of it.
+// Request is what a snapshot of an upstream depends on in one request.
 type Request struct {
 	Model       string
 	Adapter     string
 	PromptParts []PromptPart
 }
 
-// Endpoint is the upstream as one pick sees it.
+// Endpoint returns a snapshot of the upstream for one pick.
 func (e *Entry) Endpoint(req *Request, now time.Time) balance.Endpoint {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -445,7 +461,7 @@
 	if req.Model != "" {
 		out.ModelResident = e.hasResidentLocked(req.Model, "", now)
 	}
-	if out.ModelResident { // the rest is of no use for an upstream that cannot get it
+	if out.ModelResident { // the other fields are of no use for an upstream that cannot get the request
 		out.AdapterResident = req.Adapter == "" || e.hasResidentLocked(req.Model, req.Adapter, now)
 		out.CachedTokens = e.promptCache.CachedTokens(req, now)
 	}
--- a/node/fleet/entryset.go
+++ b/node/fleet/entryset.go
@@ -12,7 +12,7 @@
 	entries map[*Entry]struct{}
 }
 
-// add says whether the set was empty.
+// add adds an entry and reports whether the set was empty before.
 func (s *entrySet) add(e *Entry) (first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/fleet/fleet.go
+++ b/node/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet is one host's view of the upstreams: what they say of
-// themselves, what this host and the others have sent to them, and what their
-// answers show. Requests read it at every pick.
+// Package fleet is one host's view of the upstreams: their descriptions in the store's
+// list, the load that this host and the others have sent to them, and what their answers
+// show. Every pick of an upstream reads it.
 package fleet
 
 import (
@@ -17,74 +17,76 @@
 	"peridotpier.example/node/pace"
 )
 
-// Config is what a Fleet is made of.
+// Config holds the settings of a Fleet.
 type Config struct {
 	DataCentre string
 	Health     health.Policy
-	// LapseHold is how long after the store's return the entries that ran out
-	// while it was away may take to come back, if their upstreams live.
+	// RecoveryGrace is how long, after the store is reachable again, upstreams are still
+	// used whose entries expired while it was away. Upstreams that are alive write their
+	// entries anew in that time.
 	RecoveryGrace time.Duration
-	// MassHold is how long upstreams are still used whose entries vanish in
-	// great number though the store was not seen to be away.
+	// MassRemovalGrace is how long upstreams are still used when a large share of a
+	// service's entries is removed together although the store was not seen to be away.
 	MassRemovalGrace time.Duration
 }
 
-// Deps are what a Fleet works with.
+// Deps holds the dependencies of a Fleet.
 type Deps struct {
 	Log *event.Log
 	Now func() time.Time
-	// Left is told the address of an upstream that is forgotten.
+	// OnForgotten is called with the address of an upstream that the Fleet has forgotten;
+	// nil: not called.
 	OnForgotten func(address string)
-	// Changed is called when something changed that every host has to hear of: who
-	// an upstream is, that it leaves, or is gone. nil: nobody asks.
+	// OnListChange is called after a change of the list that every host must receive: the
+	// identity of an upstream, its drain, or the removal of its entry. nil: not called.
 	OnListChange func()
-	// Noticed is called when this host found something out that the one which acts
-	// for all should hear of at once: an upstream is left alone, or asked all hosts
-	// for something. It must not block. nil: nobody asks.
+	// OnUrgentChange is called when this host has observed something that the acting
+	// coordinator should receive at once: it excluded an upstream, or an upstream sent a
+	// signal that concerns all hosts. It must not block. nil: not called.
 	OnUrgentChange func()
 }
 
-// Fleet holds the upstreams. The index is replaced whole when upstreams come
-// or go; each entry has its own lock, so that requests to different upstreams
-// do not wait for each other.
+// Fleet holds the entries of the upstreams. The index is replaced as a whole when entries
+// are added or removed; each entry has its own lock, so that requests to different
+// upstreams do not wait for each other.
 type Fleet struct {
 	cfg   Config
 	deps  Deps
 	index atomic.Pointer[index]
 
-	mu               sync.Mutex          // of writers of the index
-	storeRecoveredAt time.Time           // when the store was last reached again
-	revision         uint64              // rises with every change of the list
-	listedLog        changes.Log[*Entry] // of what the list says
-	identityLog      changes.Log[*Entry] // of that, what every host needs to hear
-	identityRevision uint64              // newest state at which there was such a change
-	removed          []removedUpstream   // the last ones
-	removedFrom      uint64              // state from which on gone is complete
-	versionMarks     []versionMark       // the last states, with the store's versions that they are of
+	mu               sync.Mutex          // held by writers of the index
+	storeRecoveredAt time.Time           // when the store was last reachable again
+	revision         uint64              // of the list; rises with each change
+	listedLog        changes.Log[*Entry] // entries by the revision at which the list last changed them
+	identityLog      changes.Log[*Entry] // the same, only for changes that every host must receive
+	identityRevision uint64              // newest revision with such a change
+	removed          []removedUpstream   // latest removals, oldest first
+	removedFrom      uint64              // revision after which removed is complete
+	versionMarks     []versionMark       // latest revisions, with the store's versions that they include
 	changes          pace.Signal
 	residencyChanges pace.Signal
-	checksNeeded     pace.Signal // given when there is something to watch again
+	checksNeeded     pace.Signal // notified when there are entries to check again
 
 	origin         time.Time
 	sharing        atomic.Pointer[limitSharing]
-	residentIndex  modelIndex // by what they hold
-	loadingIndex   modelIndex // by what they are loading
+	residentIndex  modelIndex // by models that may be resident
+	loadingIndex   modelIndex // by models that are being loaded
 	otherHosts     otherHostsLoad
 	coordinator    atomic.Pointer[coordinatorTerm]
-	backoffs       deadline                  // of upstreams
-	limits         deadline                  // for so long some upstream is taken to name a limit
-	signals        signalLog                 // of what others have to hear
-	earlySignals   map[string]UpstreamSignal // of upstreams that the list does not name yet; under mu
-	earlyResidency map[string]Residency      // likewise, what they hold
-
-	// The entries that time changes something at, so that none of the others is
-	// looked at: their number grows with the fleet.
-	pendingChecks entrySet // with a request of this host, gone, or naming a limit
-	rated         entrySet // with enough answers for their failures to count
-	excluded      entrySet // left alone, or on trial
+	backoffs       deadline                  // latest end of a backoff of any upstream
+	limits         deadline                  // until when some upstream is treated as stating a limit
+	signals        signalLog                 // signals that other hosts must receive
+	earlySignals   map[string]UpstreamSignal // of upstreams that the list does not name yet; guarded by mu
+	earlyResidency map[string]Residency      // the same for residency; guarded by mu
+
+	// The sets of entries whose state changes with time. Other entries are not visited,
+	// since their number grows with the fleet.
+	pendingChecks entrySet // with a request of this host, delisted, or stating a limit
+	rated         entrySet // with enough answers for their error share to count
+	excluded      entrySet // excluded by this host, or on trial after that
 }
 
-// New makes an empty Fleet.
+// New returns an empty Fleet.
 func New(cfg Config, deps Deps) *Fleet {
 	if cfg.Health == (health.Policy{}) {
 		cfg.Health = health.DefaultPolicy
@@ -102,18 +104,18 @@
 	return f
 }
 
-// Changed returns a channel that is closed at the next change which may let a
-// waiting request go.
+// Changed returns a channel that is closed at the next change which may let a waiting
+// request proceed.
 func (f *Fleet) Changed() <-chan struct{} { return f.changes.Next() }
 
-// ResidencyChanged is like Changed for requests that wait for a model: it passes
-// over the ends of others' requests, which come hundreds of times a second.
+// ResidencyChanged is like Changed, for requests that wait for a model. It is not closed
+// when other requests end, which happens hundreds of times a second.
 func (f *Fleet) ResidencyChanged() <-chan struct{} { return f.residencyChanges.Next() }
 
 // NotifyChanged wakes the requests that wait for an upstream.
 func (f *Fleet) NotifyChanged() { f.changes.Notify() }
 
-// notifyResidencyChanged wakes those that wait for a model, too.
+// notifyResidencyChanged also wakes the requests that wait for a model.
 func (f *Fleet) notifyResidencyChanged() {
 	f.residencyChanges.Notify()
 	f.changes.Notify()
@@ -128,13 +130,13 @@
 // EntriesOfService returns the entries of a service.
 func (f *Fleet) EntriesOfService(name string) []*Entry { return f.index.Load().byService[name] }
 
-// Entry finds an upstream.
+// Entry returns the entry of an upstream.
 func (f *Fleet) Entry(id string) (*Entry, bool) {
 	e, ok := f.index.Load().byID[id]
 	return e, ok
 }
 
-// All returns every entry, in no order.
+// All returns all entries in no particular order.
 func (f *Fleet) All() []*Entry {
 	ix := f.index.Load()
 	out := make([]*Entry, 0, len(ix.byID))
@@ -144,8 +146,8 @@
 	return out
 }
 
-// DownIDs lists the upstreams that this host leaves alone now for what their
-// answers, or their silence, showed.
+// DownIDs returns the IDs of the upstreams that this host currently excludes because
+// their answers failed or they were unresponsive.
 func (f *Fleet) DownIDs() []string {
 	now := f.deps.Now()
 	var out []string
@@ -157,8 +159,8 @@
 	return out
 }
 
-// Replace takes a full list of a version of the store: those that are missing
-// are gone.
+// Replace applies the complete list at a version of the store: entries that are missing
+// from it are removed.
 func (f *Fleet) Replace(all []deploy.Upstream, version uint64) {
 	listed := map[string]bool{}
 	for i := range all {
@@ -173,8 +175,9 @@
 	f.Apply(all, missing, version)
 }
 
-// Apply takes upstreams that came or changed, and ids of those whose entries
-// are gone, up to a version of the store; 0: of no version.
+// Apply applies a change of the list up to a version of the store: descriptions that were
+// added or changed, and the IDs of removed entries. Version 0 is a change without a
+// version of the store.
 func (f *Fleet) Apply(put []deploy.Upstream, removed []string, version uint64) {
 	f.mu.Lock()
 	now := f.deps.Now()
@@ -196,7 +199,8 @@
 	}
 }
 
-// maxLoggedSeen is how many upstreams that come together get a line each in the log.
+// maxLoggedSeen is up to how many upstreams added by one change are logged one by one; of
+// more, only the number is logged.
 const maxLoggedSeen = 16
 
 func (f *Fleet) logSeen(seen []*Entry) {
@@ -215,7 +219,7 @@
 	e, known := next.byID[u.ID]
 	if known {
 		switch e.compareProcess(u.Born) {
-		case earlierProcess: // a heartbeat that was written late
+		case earlierProcess: // a late heartbeat of the earlier process
 			return
 		case laterProcess:
 			f.retireLocked(e)
@@ -241,10 +245,11 @@
 	}
 }
 
-// retireLocked ends all that was believed of a process whose successor has its ID:
-// what it held and kept, what was sent there, how it answered, and its
-// connections. To go on by it would send requests for models that the new
-// process, which starts empty, does not hold, and orders for room that is gone.
+// retireLocked drops everything that is known of a process when a later process has taken
+// over its ID: its residents and cached prompts, what was sent to it, its health and its
+// connections. Otherwise requests would be sent for models that the new process, which
+// starts empty, does not have, and orders would be given for memory that was freed with
+// the old one.
 func (f *Fleet) retireLocked(e *Entry) {
 	e.markSuperseded()
 	f.dropLocked(e)
@@ -253,12 +258,12 @@
 	}
 }
 
-// massRemovalShare is the part of a service's upstreams that do not leave all at once.
+// massRemovalShare is the share of a service's upstreams that do not drain all at once.
 const massRemovalShare = 0.34
 
-// delistLocked notes entries that vanished. Normally their upstreams are leaving. But
-// entries also run out while the store is away, and giving up all upstreams
-// then would leave nobody to serve.
+// delistLocked records that entries were removed from the list. Normally their upstreams
+// are draining. But entries also expire while the store is away, and if all upstreams
+// were given up then, none would be left to serve requests.
 func (f *Fleet) delistLocked(ix *index, ids []string, now time.Time) {
 	countByService := map[string]int{}
 	for _, id := range ids {
@@ -269,7 +274,7 @@
 	for _, id := range ids {
 		delete(f.earlyResidency, id)
 	}
-	graceLeft := f.cfg.RecoveryGrace - now.Sub(f.storeRecoveredAt) // what is left of the time after the store's return
+	graceLeft := f.cfg.RecoveryGrace - now.Sub(f.storeRecoveredAt) // remainder of the grace after the store's recovery
 	for _, id := range ids {
 		e, ok := ix.byID[id]
 		if !ok {
@@ -288,7 +293,8 @@
 	f.trimRemovedLocked(now)
 }
 
-// trimRemovedLocked drops those that all hosts have been told of, but for the last.
+// trimRemovedLocked drops removals that are older than removedTTL, and so known to all
+// hosts, but keeps the latest minRemovedKept.
 func (f *Fleet) trimRemovedLocked(now time.Time) {
 	over := len(f.removed) - minRemovedKept
 	for over > 0 && now.Sub(f.removed[over-1].removedAt) < removedTTL {
@@ -300,32 +306,33 @@
 	}
 }
 
-// StoreRecovered notes that the store is reached again after it was away.
+// StoreRecovered records that the store is reachable again after it was away.
 func (f *Fleet) StoreRecovered() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.storeRecoveredAt = f.deps.Now()
 }
 
-// scheduleChecks has Sweep look at an entry.
+// scheduleChecks has RunChecks visit an entry.
 func (f *Fleet) scheduleChecks(e *Entry) {
 	if f.pendingChecks.add(e) {
 		f.checksNeeded.Notify()
 	}
 }
 
-// HasPendingChecks says whether there is anything that Sweep has to look at often.
+// HasPendingChecks reports whether there are entries to check, for which RunChecks must
+// run often.
 func (f *Fleet) HasPendingChecks() bool { return !f.pendingChecks.empty() }
 
-// WakeChecks has those woken that wait until there is something to watch.
+// WakeChecks wakes those that wait for ChecksNeeded.
 func (f *Fleet) WakeChecks() { f.checksNeeded.Notify() }
 
-// ChecksNeeded returns a channel that is closed once there is again.
+// ChecksNeeded returns a channel that is closed when there are entries to check again.
 func (f *Fleet) ChecksNeeded() <-chan struct{} { return f.checksNeeded.Next() }
 
-// RunChecks forgets upstreams that have left and answer nothing any more, ends
-// holds that are over, and leaves alone those that are silent or stand out by
-// their failures. It is called several times a second.
+// RunChecks forgets delisted upstreams that have no requests left, ends grace periods
+// that are over, and excludes upstreams that are unresponsive or whose error share is an
+// outlier. It is called several times a second.
 func (f *Fleet) RunChecks() {
 	now := f.deps.Now()
 	var forget []string
@@ -364,7 +371,7 @@
 	f.index.Store(next.done())
 }
 
-// dropLocked forgets an entry for good; f.mu is held.
+// dropLocked removes an entry for good. f.mu must be held.
 func (f *Fleet) dropLocked(e *Entry) {
 	e.forget()
 	f.listedLog.Forget(e)
@@ -375,8 +382,8 @@
 	f.excluded.remove(e)
 }
 
-// excludeOutliers leaves alone those of a service's upstreams whose failures stand out; all
-// is how many it has.
+// excludeOutliers excludes those of a service's upstreams whose error share is an
+// outlier; total is the number of its upstreams.
 func (f *Fleet) excludeOutliers(entries []*Entry, total int, now time.Time) {
 	shares := make([]float64, len(entries))
 	for i, e := range entries {
--- a/node/fleet/index.go
+++ b/node/fleet/index.go
@@ -2,19 +2,20 @@
 
 import "maps"
 
-// index finds entries. It is not changed once it can be read.
+// index finds entries. It does not change once it is published.
 type index struct {
 	byID      map[string]*Entry
 	byService map[string][]*Entry
-	version   uint64 // rises when entries come or go
+	version   uint64 // rises when entries are added or removed
 }
 
-// nextIndex is the next index. It stays the present one until entries come or go, as
-// for nearly every heartbeat: a copy takes as long as there are upstreams.
+// nextIndex is an index in the making. It shares the current index until an entry is
+// added or removed, which nearly no heartbeat does: a copy takes time in proportion to
+// the number of upstreams.
 type nextIndex struct {
 	*index
 	changed bool
-	added   []*Entry // that were added
+	added   []*Entry // entries that were added
 }
 
 func (d *nextIndex) copyIfShared() {
@@ -34,7 +35,7 @@
 	delete(d.byID, id)
 }
 
-// done returns the index to put in place.
+// done returns the index to publish.
 func (d *nextIndex) done() *index {
 	if !d.changed {
 		return d.index
@@ -46,5 +47,5 @@
 	return d.index
 }
 
-// MembershipVersion is a number that rises when upstreams come or are forgotten.
+// MembershipVersion returns a number that rises when upstreams are added or forgotten.
 func (f *Fleet) MembershipVersion() uint64 { return f.index.Load().version }
--- a/node/fleet/limits.go
+++ b/node/fleet/limits.go
@@ -6,18 +6,18 @@
 	"peridotpier.example/core/backpressure"
 )
 
-// Limit is what the upstream takes from all hosts together, by its newest word.
+// Limit returns what the upstream accepts from all hosts together, by its latest signal.
 func (e *Entry) Limit() backpressure.Limit {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.signal.Limit
 }
 
-// limitTTL is how long after the last look at an upstream that names a limit the
-// fleet is taken to have one: many times as long as between two looks.
+// limitTTL is how long after the last check of an upstream that states a limit the fleet
+// is treated as having such an upstream: many times the interval between two checks.
 const limitTTL = 10 * time.Second
 
-// HasLimit says whether any upstream of a service that gets work names a limit.
+// HasLimit reports whether any usable upstream of a service states a limit.
 func (f *Fleet) HasLimit(service string) bool {
 	if f.limits.passed(f.deps.Now()) {
 		return false
@@ -30,33 +30,34 @@
 	return false
 }
 
-// limitSharing is how this host sends to upstreams that name a limit.
+// limitSharing is how this host sends to upstreams that state a limit.
 type limitSharing struct {
 	share         backpressure.Share
-	uncoordinated bool      // nobody counts for all; else no request goes there without a turn
-	since         time.Time // when that began
+	uncoordinated bool      // no coordinator grants permits; otherwise no request is sent there without one
+	since         time.Time // when uncoordinated began
 }
 
-// SetShare tells this host's part in what upstreams take that name a limit. Another
-// host counts for all, so that it sends there by turns.
+// SetShare sets this host's share of what upstreams accept that state a limit. It also
+// records that a coordinator grants permits, so that requests need one there.
 func (f *Fleet) SetShare(share backpressure.Share) {
 	if was := f.sharing.Load(); was.share != share || was.uncoordinated {
 		f.sharing.Store(&limitSharing{share: share})
 	}
 }
 
-// SetUncoordinated says that nobody counts for all: this host goes by its share from now on.
+// SetUncoordinated records that no coordinator grants permits: from now on this host uses
+// its own share.
 func (f *Fleet) SetUncoordinated() {
 	if was := f.sharing.Load(); !was.uncoordinated {
 		f.sharing.Store(&limitSharing{share: was.share, uncoordinated: true, since: f.deps.Now()})
 	}
 }
 
-// noPermitWait is how long an upstream that names a limit is passed over by a host
-// that has no turn for it: until it may have found who gives turns.
+// noPermitWait is how long a host without a permit passes over an upstream that states a
+// limit: until the host may have found a coordinator that grants permits.
 const noPermitWait = 500 * time.Millisecond
 
-// backoffLocked is for how long nothing more may go to the upstream from here.
+// backoffLocked returns for how long this host may send nothing more to the upstream.
 func (e *Entry) backoffLocked(now time.Time) time.Duration {
 	wait := max(e.backoffUntil.Sub(now), 0)
 	if e.slowStart.AtLimit() {
@@ -72,7 +73,8 @@
 	return max(wait, e.pacerLocked(s).Wait(e.signal.Limit.Rate(), s.share, now))
 }
 
-// pacerLocked is the pacer of the time since this host has been alone.
+// pacerLocked returns the pacer for the time since this host has been without
+// coordinator.
 func (e *Entry) pacerLocked(s *limitSharing) *backpressure.Pacer {
 	if e.pacer == nil || e.pacerSince != s.since {
 		e.pacer, e.pacerSince = backpressure.NewPacer(e.fleet.origin, s.since), s.since
@@ -80,7 +82,8 @@
 	return e.pacer
 }
 
-// AdmitWithoutPermit says whether a request without a turn may go to the upstream, and counts it.
+// AdmitWithoutPermit reports whether a request without a permit may be sent to the
+// upstream, and counts it if so.
 func (e *Entry) AdmitWithoutPermit(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/node/fleet/loading.go
+++ b/node/fleet/loading.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// LoadingModel is a model that an upstream is loading, or will.
+// LoadingModel is a model that an upstream is loading, or is going to load.
 type LoadingModel struct {
 	Model   string
-	ReadyAt time.Time // when it can be expected to answer, at the earliest
+	ReadyAt time.Time // earliest time at which it can be expected to answer
 }
 
-// setLoadingLocked takes what the host that gives orders has the upstream load. It goes
-// for as long as that host's word does.
+// setLoadingLocked records what the acting coordinator has the upstream load. It is valid
+// for as long as that coordinator's announcements are.
 func (e *Entry) setLoadingLocked(all []LoadingModel) {
 	if e.forgotten {
 		return
@@ -26,7 +26,7 @@
 	return out
 }
 
-// expectedReady is when a model can be expected here.
+// expectedReady returns when a model can be expected to be ready here.
 func (e *Entry) expectedReady(model string, now time.Time) (time.Time, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -41,8 +41,8 @@
 	return time.Time{}, false
 }
 
-// ExpectedReady is when a model that no upstream of a service holds can be expected at
-// the first of them; false: nobody loads it.
+// ExpectedReady returns when a model that is resident at no upstream of a service can be
+// expected at the first of them; false if no upstream is loading it.
 func (f *Fleet) ExpectedReady(service, model string) (at time.Time, ok bool) {
 	now := f.deps.Now()
 	for _, e := range f.EntriesLoading(service, model) {
@@ -53,8 +53,8 @@
 	return at, ok
 }
 
-// EntriesLoading returns the upstreams of a service that are loading a model, as the host
-// that gives orders told.
+// EntriesLoading returns the upstreams of a service that are loading a model, as
+// announced by the acting coordinator.
 func (f *Fleet) EntriesLoading(service, model string) []*Entry {
 	return f.loadingIndex.all(service, model)
 }
--- a/node/fleet/main_test.go
+++ b/node/fleet/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// seed makes every run draw the same; -rapid.seed overrides it.
+// seed makes every run draw the same values; -rapid.seed overrides it.
 const seed = "20261202"
 
 func TestMain(m *testing.M) {
--- a/node/fleet/modelindex.go
+++ b/node/fleet/modelindex.go
@@ -7,17 +7,19 @@
 	"peridotpier.example/core/deploy"
 )
 
-// modelIndex finds the upstreams of a service by a model. By what they may hold these
-// are all of which any word that counts says so; which of them holds it is for their
-// entries to say. A pick among thousands of upstreams looks at the few that matter.
+// modelIndex finds the upstreams of a service by a model, so that a pick among thousands
+// of upstreams visits only the few that matter. The index of residents has all upstreams
+// for which any valid source says that the model is resident; whether it is, their
+// entries decide.
 type modelIndex struct {
 	mu      sync.RWMutex
-	entries map[serviceModel][]*Entry // replaced whole, so that readers need no copy
+	entries map[serviceModel][]*Entry // slices are replaced as a whole, so that readers need no copy
 }
 
 type serviceModel struct{ service, model string }
 
-// update notes which models an entry may hold in place of others. The entry's lock is held.
+// update replaces the models under which an entry is found. The entry's lock must be
+// held.
 func (h *modelIndex) update(e *Entry, was, now []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -46,8 +48,8 @@
 	h.entries[k] = left
 }
 
-// EntriesWithModel returns the upstreams of a service that may hold a model; with no model
-// all of them.
+// EntriesWithModel returns the upstreams of a service at which a model may be resident;
+// without a model, all upstreams of the service.
 func (f *Fleet) EntriesWithModel(service, model string) []*Entry {
 	if model == "" {
 		return f.EntriesOfService(service)
@@ -61,8 +63,9 @@
 	return h.entries[serviceModel{service, model}]
 }
 
-// HasUsableWithoutModel says whether upstreams of a service may be sent work that cannot hold a
-// model, but for those passed over: what keeps a request for it is then the model.
+// HasUsableWithoutModel reports whether a service has usable upstreams, apart from those
+// that skip selects, at which a model cannot be resident: then the model is what a
+// request for it waits for.
 func (f *Fleet) HasUsableWithoutModel(service, model string, skip func(*Entry) bool) bool {
 	if model == "" {
 		return false
@@ -73,8 +76,8 @@
 	})
 }
 
-// reindexLocked notes what the entry may hold, by its list entry and by the word of
-// the host that gives orders.
+// reindexLocked updates the index of residents by the entry's description and the acting
+// coordinator's announcements.
 func (e *Entry) reindexLocked() {
 	if e.forgotten {
 		return
@@ -94,7 +97,7 @@
 	e.indexedModels = next
 }
 
-// forget takes the entry out of the index for good.
+// forget removes the entry from the indexes for good.
 func (e *Entry) forget() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/node/fleet/modelindex_test.go
+++ b/node/fleet/modelindex_test.go
@@ -13,8 +13,8 @@
 	"peridotpier.example/node/fleet"
 )
 
-// Guards against an upstream that holds a model and is not found under it.
-func TestAnUpstreamIsFoundUnderEachModelThatItHolds(t *testing.T) {
+// Guards against an upstream that has a model resident and is not found under it.
+func TestAnUpstreamIsFoundUnderEachResidentModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		f := fleet.New(fleet.Config{}, fleet.Deps{Now: func() time.Time { return now }})
@@ -55,7 +55,7 @@
 					}
 				}
 				for _, e := range found {
-					assert.Assert(t, slices.Contains(f.EntriesOfService("s"), e), "%s is not there any more", e.ID())
+					assert.Assert(t, slices.Contains(f.EntriesOfService("s"), e), "%s was forgotten", e.ID())
 				}
 			}
 		}
--- a/node/fleet/otherhosts.go
+++ b/node/fleet/otherhosts.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// otherHostsLoad are the sums of what the other hosts have sent, as told last, by service.
-// They are replaced whole: what is not named has none, so that nothing has to be
-// told of an upstream for it to have none.
+// otherHostsLoad holds the total loads that the other hosts have sent, by service, as
+// last announced. The loads of a service are replaced as a whole: an upstream that is not
+// named has none, so that nothing has to be announced for it.
 type otherHostsLoad struct {
 	byService atomic.Pointer[map[string]*serviceLoads]
 }
 
-// serviceLoads are those of one service.
+// serviceLoads are the other hosts' loads at the upstreams of one service.
 type serviceLoads struct {
 	loads      map[string]Load // by upstream
-	validUntil time.Time       // when they are too old to go by
+	validUntil time.Time       // when they are too old to be used
 }
 
-// at is the others' load at an entry; false: it is not known.
+// at returns the other hosts' load at an entry; false if it is not known.
 func (o *otherHostsLoad) at(e *Entry, now time.Time) (Load, bool) {
 	all := o.byService.Load()
 	if all == nil {
@@ -32,8 +32,8 @@
 	return loads.loads[e.id], true
 }
 
-// SetOtherHostsLoad takes the sums of the other hosts' loads at a service's upstreams, which
-// are gone by until then.
+// SetOtherHostsLoad sets the total loads of the other hosts at a service's upstreams.
+// They are valid until validUntil.
 func (f *Fleet) SetOtherHostsLoad(service string, loads map[string]Load, validUntil time.Time) {
 	own := &serviceLoads{loads: loads, validUntil: validUntil}
 	for {
--- a/node/fleet/promptcache.go
+++ b/node/fleet/promptcache.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// PromptPart is one piece of a request's prompt; requests share the leading ones.
+// PromptPart is one part of a request's prompt. Requests can have leading parts in
+// common.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
 const (
-	// maxCachedParts is how many parts are remembered of one upstream. Its own
-	// memory holds a few hundred.
+	// maxCachedParts is how many parts are remembered of one upstream. Its own cache
+	// holds a few hundred.
 	maxCachedParts = 512
-	// cachedPartTTL is how long a part is expected to be kept: a loaded engine
-	// turns its memory over in about this time.
+	// cachedPartTTL is how long a part is expected to stay in the upstream's cache: an
+	// engine under load replaces its cache in about this time.
 	cachedPartTTL = 8 * time.Second
 )
 
-// PromptCache remembers which parts of prompts this host has had read at an
-// upstream. It is a guess that only parts otherwise equal choices.
+// PromptCache records when an upstream has read which parts of prompts from this host. It
+// is an estimate that only decides between otherwise equal choices.
 type PromptCache map[string]time.Time
 
 func partKey(req *Request, id string) string { return req.Model + "/" + req.Adapter + "/" + id }
 
-// CachedTokens is how many leading tokens of the prompt are probably kept.
+// CachedTokens returns how many leading tokens of the prompt are probably cached.
 func (c PromptCache) CachedTokens(req *Request, now time.Time) int {
 	total := 0
 	for _, p := range req.PromptParts {
@@ -36,8 +37,8 @@
 	return total
 }
 
-// Record notes that the parts of a prompt were read. The last part is the
-// request's own, and seldom comes again.
+// Record records that the parts of a prompt were read. It leaves out the last part, which
+// belongs to the request alone and is seldom repeated.
 func (c *PromptCache) Record(req *Request, now time.Time) {
 	if len(req.PromptParts) < 2 {
 		return
--- a/node/fleet/residency.go
+++ b/node/fleet/residency.go
@@ -7,15 +7,15 @@
 	"peridotpier.example/core/deploy"
 )
 
-// coordinatorTerm says for how long that of the host that gives orders goes before the
-// upstreams' own descriptions, which lag.
+// coordinatorTerm says for how long the announcements of the acting coordinator take
+// precedence over the upstreams' own descriptions, which lag.
 type coordinatorTerm struct {
-	number     uint64 // rises with each other host that gives orders
+	number     uint64 // rises with each other acting coordinator
 	validUntil time.Time
 }
 
-// Residency is what one process of an upstream holds and is loading, as the host that
-// gives orders knows it.
+// Residency is what one process of an upstream has resident and is loading, as the acting
+// coordinator knows it.
 type Residency struct {
 	Upstream  string
 	StartedMs int64
@@ -23,8 +23,9 @@
 	Loading   []LoadingModel
 }
 
-// CoordinatorSeen says that the host that gives orders, the of-th one that is heard here, was
-// heard. What it told goes until then, and so does what it tells later.
+// CoordinatorSeen records contact with the acting coordinator; number counts the
+// coordinators that this host had contact with. Its earlier and later announcements are
+// valid until validUntil.
 func (f *Fleet) CoordinatorSeen(number uint64, validUntil time.Time) {
 	was := f.coordinator.Load()
 	f.coordinator.Store(&coordinatorTerm{number, validUntil})
@@ -35,9 +36,9 @@
 	}
 }
 
-// ApplyResidency takes what the host that gives orders told of upstreams since its last
-// word. What it tells before the list names an upstream is kept until that comes: it
-// is told once only.
+// ApplyResidency applies what the acting coordinator announced of upstreams since its
+// last announcement. What arrives before the list names its upstream is kept until then:
+// it is sent only once.
 func (f *Fleet) ApplyResidency(all []Residency, now time.Time) {
 	changed := false
 	for i := range all {
@@ -54,8 +55,8 @@
 	}
 }
 
-// maxEarlyResidency bounds what is kept of upstreams that the list does not name yet:
-// more than come at a time.
+// maxEarlyResidency bounds the announcements kept for upstreams that the list does not
+// name yet: more than are added at a time.
 const maxEarlyResidency = 16384
 
 func (f *Fleet) keepEarlyResidency(r *Residency) {
@@ -67,7 +68,8 @@
 	f.earlyResidency[r.Upstream] = *r
 }
 
-// applyEarlyResidencyLocked enters what was told of an upstream that has just come; f.mu is held.
+// applyEarlyResidencyLocked applies the kept announcement of an upstream that was just
+// added. f.mu must be held.
 func (f *Fleet) applyEarlyResidencyLocked(e *Entry, now time.Time) {
 	r, ok := f.earlyResidency[e.id]
 	if !ok || r.StartedMs != e.startedMs {
@@ -77,7 +79,8 @@
 	e.applyResidency(&r, now)
 }
 
-// applyResidency enters a word; it says whether the upstream holds something else by it.
+// applyResidency applies an announcement and reports whether it changes the upstream's
+// residents.
 func (e *Entry) applyResidency(r *Residency, now time.Time) (changed bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -90,7 +93,8 @@
 	return changed
 }
 
-// usesAnnouncedLocked says whether the word on what the upstream holds goes first.
+// usesAnnouncedLocked reports whether announced residents take precedence over the
+// description.
 func (e *Entry) usesAnnouncedLocked(now time.Time) bool {
 	if e.announcedAt.IsZero() {
 		return false
--- a/node/fleet/signals.go
+++ b/node/fleet/signals.go
@@ -13,25 +13,25 @@
 	"peridotpier.example/node/event"
 )
 
-// UpstreamSignal is what an upstream's answers asked of all hosts last.
+// UpstreamSignal is the latest signal to all hosts in an upstream's answers.
 type UpstreamSignal struct {
 	Upstream  string
-	StartedMs int64 // start of the process that asked; 0: not said
+	StartedMs int64 // start of the process that sent it, in Unix milliseconds; 0: not stated
 	backpressure.Signal
 }
 
-// noLimit stands in logs for an upstream that names no limit.
+// noLimit is logged for an upstream that states no limit.
 const noLimit = -1.0
 
-// ApplySignal takes what an answer of the upstream said to this host.
+// ApplySignal applies a signal that this host received in an answer of the upstream.
 func (e *Entry) ApplySignal(s backpressure.Signal, source string) {
 	if e.applySignal(s, source) {
 		e.fleet.notifyUrgentChange()
 	}
 }
 
-// applySignal takes what the upstream said; source says who heard it. It says whether that
-// is news.
+// applySignal applies a signal of the upstream and reports whether that changed its limit
+// or drain state; source says who received the signal.
 func (e *Entry) applySignal(s backpressure.Signal, source string) (changed bool) {
 	e.mu.Lock()
 	was := e.announcedSignal
@@ -46,7 +46,7 @@
 	if changed {
 		e.announcedSignal, e.signalledAt, e.signalSource = merged, s.ReceivedAt, source
 	}
-	if changed || merged.Limit.DiffersMaterially(s.Limit) || merged.Draining != s.Draining { // a host that tells what does not hold any more has to hear it
+	if changed || merged.Limit.DiffersMaterially(s.Limit) || merged.Draining != s.Draining { // a host that sent an outdated signal must receive the current one
 		e.fleet.signals.record(e)
 	}
 	if merged.Draining {
@@ -70,19 +70,20 @@
 	return l.PerSecond
 }
 
-// Restriction is what one upstream asks for now.
+// Restriction is what one upstream currently asks of hosts.
 type Restriction struct {
 	Upstream    string
 	Service     string
 	Draining    bool // its answers say so
 	Limit       backpressure.Limit
-	Backoff     time.Duration // that is left of what it asked this host for
-	InSlowStart bool          // after a rest requests come back by a slow start
-	SignalledAt time.Time     // when its answers said so first, of leaving and limit
-	Source      string        // who heard that
+	Backoff     time.Duration // remainder of the backoff that it asked of this host
+	InSlowStart bool          // after a backoff, requests return by a slow start
+	SignalledAt time.Time     // when the drain or limit in its answers last changed; zero: never
+	Source      string        // who received that change
 }
 
-// Restrictions lists the upstreams that ask for something.
+// Restrictions returns the restrictions of the upstreams that have any, sorted by
+// upstream.
 func (f *Fleet) Restrictions() []Restriction {
 	now := f.deps.Now()
 	var out []Restriction
@@ -99,11 +100,12 @@
 	return out
 }
 
-// maxSignals is how many signals one message carries; the rest follow with the next.
+// maxSignals is how many signals one message carries; the remainder follows with the
+// next.
 const maxSignals = 250
 
-// signalLog is in which order upstreams asked for something that others have to
-// hear. Its lock is taken after those of entries.
+// signalLog keeps the order in which upstreams sent signals that other hosts must
+// receive. Its lock is taken after those of entries.
 type signalLog struct {
 	mu      sync.Mutex
 	newest  uint64
@@ -123,8 +125,8 @@
 	l.changed.Forget(e)
 }
 
-// since returns the upstreams that asked after a revision, as many as one message
-// carries, and the revision that it brings whoever hears of them to.
+// since returns the upstreams whose signals changed after a revision, as many as one
+// message carries, and the revision that the receiver then has.
 func (l *signalLog) since(revision uint64) ([]*Entry, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,8 +140,8 @@
 	return all, to
 }
 
-// SignalsSince returns what upstreams asked that is newer than a revision, the
-// oldest first, and the revision that it brings whoever hears it to.
+// SignalsSince returns signals that are newer than a revision, the oldest first, and the
+// revision that the receiver then has.
 func (f *Fleet) SignalsSince(revision uint64) ([]UpstreamSignal, uint64) {
 	changed, to := f.signals.since(revision)
 	if len(changed) == 0 {
@@ -154,7 +156,7 @@
 	return out, to
 }
 
-// ApplySignals takes what another host heard.
+// ApplySignals applies signals that another host received.
 func (f *Fleet) ApplySignals(all []UpstreamSignal, source string) {
 	for i := range all {
 		e, ok := f.Entry(all[i].Upstream)
@@ -168,8 +170,8 @@
 	}
 }
 
-// keepEarlySignal keeps what is told of an upstream before the list names it here: it
-// is told once only.
+// keepEarlySignal keeps a signal of an upstream that the list does not name here yet: it
+// is sent only once.
 func (f *Fleet) keepEarlySignal(s UpstreamSignal) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -179,10 +181,12 @@
 	f.earlySignals[s.Upstream] = s
 }
 
-// earlySignalSource is the source of what was told before the list named its upstream.
+// earlySignalSource is the source of a signal that arrived before the list named its
+// upstream.
 const earlySignalSource = "host"
 
-// applyEarlySignalLocked enters what was told of an upstream that has just come; f.mu is held.
+// applyEarlySignalLocked applies the kept signal of an upstream that was just added. f.mu
+// must be held.
 func (f *Fleet) applyEarlySignalLocked(e *Entry) {
 	s, ok := f.earlySignals[e.id]
 	if !ok {
--- a/node/fleet/signals_bench_test.go
+++ b/node/fleet/signals_bench_test.go
@@ -9,9 +9,9 @@
 	"peridotpier.example/node/fleet"
 )
 
-// BenchmarkNobodyAsks is what a request pays for upstreams that may ask for
-// something, with 12 of them and none that does. Before: no such look. After: 0
-// allocations; the look at each upstream for a limit is for plain services only.
+// BenchmarkNobodyAsks measures what a request pays to check 12 upstreams for restrictions
+// when none has any: 0 allocations. Only requests to plain services check each upstream
+// for a limit.
 func BenchmarkNobodyAsks(b *testing.B) {
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
 	var all []deploy.Upstream
@@ -24,7 +24,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if f.Backoffs("s") != nil || f.HasLimit("s") || !e.AdmitWithoutPermit(now) || !e.AcceptsRequests() {
-			b.Fatal("nobody asks")
+			b.Fatal("an upstream has a restriction")
 		}
 	}
 }
