--- a/node/fleet/entry.go
+++ b/node/fleet/entry.go
@@ -40,9 +40,9 @@
 	// reportedLoadTTL is how long the load that an upstream stated itself is used when
 	// the other hosts' loads are not known.
 	reportedLoadTTL = time.Second
-	// announcedResidentsTTL is how long announced residents take precedence over the
-	// upstream's own description, which lags, once the coordinator that announced them is
-	// disconnected.
+	// announcedResidentsTTL is how long after their announcement residents take precedence
+	// over the upstream's own description, which lags, also when the coordinator that
+	// announced them is no longer connected.
 	announcedResidentsTTL = 1500 * time.Millisecond
 	// notResidentTTL is how long no request for a model is sent to an upstream which
 	// answered that the model is not resident: about one of its heartbeats and the lag of
--- a/node/follow/config.go
+++ b/node/follow/config.go
@@ -9,31 +9,32 @@
 	"peridotpier.example/node/event"
 )
 
-// ActiveConfig holds the configuration in force at this host. It never goes back to
-// a lower version while the process lives.
+// ActiveConfig holds the configuration in force at this host. While the process runs, it
+// never goes back to a lower version.
 type ActiveConfig struct {
 	log          *event.Log
 	active       atomic.Pointer[deploy.Table]
 	firstApplied chan struct{}
-	onChange     func() // called after each change; nil: nobody asks
+	onChange     func() // called after each change; nil: not called
 }
 
-// NewActiveConfig makes one with nothing in force.
+// NewActiveConfig returns an ActiveConfig without a configuration in force.
 func NewActiveConfig(log *event.Log) *ActiveConfig {
 	return &ActiveConfig{log: log, firstApplied: make(chan struct{})}
 }
 
-// Current returns the table in force, or nil before the first.
+// Current returns the table in force, or nil before the first one.
 func (c *ActiveConfig) Current() *deploy.Table { return c.active.Load() }
 
-// FirstApplied is closed when a configuration is in force.
+// FirstApplied returns a channel that is closed when a configuration is in force.
 func (c *ActiveConfig) FirstApplied() <-chan struct{} { return c.firstApplied }
 
-// OnChange has f called after each change. It is set before the first.
-func (c *ActiveConfig) OnChange(f func()) { c.onChange = f }
+// OnChange sets fn to be called after each change. It must be called before the first
+// configuration is applied.
+func (c *ActiveConfig) OnChange(fn func()) { c.onChange = fn }
 
-// ApplyIfNewer puts a configuration in force if it is newer; source says where it
-// came from.
+// ApplyIfNewer puts a configuration in force if it is newer than the current one, and
+// reports whether it did; source names where it came from.
 func (c *ActiveConfig) ApplyIfNewer(next *deploy.Config, source string) bool {
 	var table *deploy.Table
 	if err := recoverPanic(func() error { table = deploy.NewTable(next); return nil }); err != nil {
--- a/node/follow/feed.go
+++ b/node/follow/feed.go
@@ -19,22 +19,22 @@
 	name          string
 	progress      *progress
 	relayWait     time.Duration
-	read          func(ctx context.Context) (at uint64, err error)
-	wait          func(ctx context.Context, after uint64, wait time.Duration) (at uint64, err error)
-	onRecovered   func()      // the store is reached again; nil: nobody asks
-	needsFullRead func() bool // the table has to be read whole for what this host does with it
-	followsOther  bool        // another feed's tries show whether the store is away
+	read          func(ctx context.Context) (version uint64, err error)
+	wait          func(ctx context.Context, after uint64, wait time.Duration) (version uint64, err error)
+	onRecovered   func()      // called when the store is reachable again; nil: not called
+	needsFullRead func() bool // the table must be read completely before this host can relay it
+	followsOther  bool        // the calls of another feed show whether the store is away
 	reread        bool
 	failingSince  time.Time
 }
 
-// storeRecovered notes that the upstreams' feed is answered again.
+// storeRecovered records that the store answers the upstreams' feed again.
 func (f *Follower) storeRecovered() {
 	f.deps.Upstreams.StoreRecovered()
 	f.storeAway.Store(false)
 	select {
 	case f.recovered <- struct{}{}:
-	default: // one is enough
+	default: // one token is enough
 	}
 }
 
@@ -48,17 +48,17 @@
 			continue
 		}
 		startedAt := time.Now()
-		at, err := f.step(ctx, d)
+		version, err := f.step(ctx, d)
 		switch {
-		case err == nil && at == 0: // a store in which nothing was ever written has nothing to wait for
-			f.recordAnswer(d, at)
+		case err == nil && version == 0: // in a store in which nothing was ever written there is no version to wait after
+			f.recordAnswer(d, version)
 			wait := retry.NextBackOff()
 			if f.deps.OthersProbeFirst() {
 				wait = emptyStorePause
 			}
 			pace.Sleep(ctx, wait)
 		case err == nil:
-			f.recordAnswer(d, at)
+			f.recordAnswer(d, version)
 			retry.Reset()
 			pace.Sleep(ctx, f.minInterval()-time.Since(startedAt))
 		case errors.Is(err, store.ErrHistoryLost):
@@ -72,14 +72,14 @@
 	return ctx.Err()
 }
 
-// recordAnswer notes an answer of the store.
+// recordAnswer records an answer of the store.
 func (f *Follower) recordAnswer(d *feed, version uint64) {
 	d.progress.answeredAt.Store(f.sinceStart())
 	f.advance(d, version)
 	f.recordRecovery(d)
 }
 
-// minInterval is the time from one call for changes to the next.
+// minInterval returns the minimum time from one call for changes to the next.
 func (f *Follower) minInterval() time.Duration {
 	switch {
 	case f.deps.IsRelaying():
@@ -91,7 +91,7 @@
 	}
 }
 
-// waitAfterFailure waits between two tries while the store is away.
+// waitAfterFailure waits between two retries while the store is away.
 func (f *Follower) waitAfterFailure(ctx context.Context, d *feed, wait time.Duration) {
 	otherProbes := d.followsOther && f.storeAway.Load()
 	if !f.deps.OthersProbeFirst() || wait <= maxQuickRetryPause && !otherProbes {
@@ -114,7 +114,7 @@
 	}
 }
 
-// advance notes how far the table was followed, unless a relay is farther.
+// advance records up to which version the table was followed, unless a relay was newer.
 func (f *Follower) advance(d *feed, version uint64) {
 	for {
 		old := d.progress.version.Load()
@@ -124,7 +124,8 @@
 	}
 }
 
-// step makes one call: a full read when nothing is known, else the next changes.
+// step makes one call: a complete read if nothing is known, else a call for the next
+// changes.
 func (f *Follower) step(ctx context.Context, d *feed) (version uint64, err error) {
 	err = recoverPanic(func() error {
 		version, err = f.call(ctx, d)
@@ -144,17 +145,17 @@
 	wait, reason := defaultWait, waitForChanges
 	switch {
 	case !f.deps.OthersProbeFirst() && f.hasNotAnswered(d):
-		// A host that may act next has to know whether the store answers before a
-		// call that waits for changes would tell.
+		// A host that may be the next to coordinate must know whether the store answers
+		// earlier than a call that waits for changes would show it.
 		wait, reason = 0, probeStore
 	case !d.failingSince.IsZero():
-		// The store may come back without a word on a call that it never heard;
-		// short calls find it within a second, and what changed meanwhile.
+		// After a recovery the store may never answer a call that it had not received;
+		// short calls notice the recovery within a second, and find what has changed.
 		wait, reason = 0, probeStore
 	case f.deps.IsRelaying():
 		wait, reason = d.relayWait, waitAsRelay
 	case !f.deps.OthersProbeFirst():
-		wait = d.relayWait // it may relay before the call ends, and tells how old its last answer is
+		wait = d.relayWait // it may relay before the call ends, and it reports how old its last answer is
 	}
 	f.count(d.name, reason)
 	ctx, cancel := context.WithTimeout(ctx, wait+waitSlack)
@@ -162,18 +163,18 @@
 	return d.wait(ctx, version, wait)
 }
 
-// hasNotAnswered says whether the store has said nothing here for longer than a call for
-// changes waits, as while another host relayed.
+// hasNotAnswered reports whether the store has not answered this host for longer than a
+// call for changes waits, for example while another host relayed.
 func (f *Follower) hasNotAnswered(d *feed) bool {
 	return f.sinceStart()-d.progress.answeredAt.Load() > int64(defaultWait)
 }
 
-// Reasons of calls of the store, as they are counted.
+// Reasons for calls of the store, as they are counted.
 const (
 	fullRead       = "read_whole"     // nothing is known, or the history is lost; each part of a list is a call
-	waitForChanges = "wait_alone"     // no other host tells what changes
-	waitAsRelay    = "wait_for_all"   // this host tells the others
-	probeStore     = "look_for_store" // it did not answer last time, or was not asked lately
+	waitForChanges = "wait_alone"     // no other host relays changes
+	waitAsRelay    = "wait_for_all"   // this host relays to the others
+	probeStore     = "look_for_store" // the store did not answer last time, or was not asked lately
 )
 
 func (f *Follower) count(table, reason string) {
--- a/node/follow/follow.go
+++ b/node/follow/follow.go
@@ -1,9 +1,8 @@
-// Package follow keeps a host's configuration and its view of the upstreams up
-// to date from the platform's store: a full read first, then changes as they
-// come. Calls of the store are priced, so that only one host follows it
-// closely and relays to the others; each goes back to the store by itself as
-// soon as the relay is not fresh. While the store is away a host goes on with
-// what it has.
+// Package follow keeps a host's configuration and its list of upstreams up to date from
+// the platform's store: a complete read first, then changes as they occur. Calls of the
+// store are priced, so only one host, the relaying host, follows it closely and relays it
+// to the others; each of them goes back to the store by itself as soon as the relay is
+// out of date. While the store is away, a host continues with the state that it has.
 package follow
 
 import (
@@ -21,12 +20,12 @@
 	"peridotpier.example/node/store"
 )
 
-// UpstreamUpdate is a change of the list of upstreams.
+// UpstreamUpdate is a change of the list of upstreams, or the complete list.
 type UpstreamUpdate struct {
 	Put     []deploy.Upstream
-	Removed []string // ids
-	// Unreadable are entries that name no upstream. Others than the upstreams
-	// themselves may write there.
+	Removed []string // IDs
+	// Unreadable holds the entries that describe no upstream. Not only the upstreams
+	// themselves may write to the list.
 	Unreadable []UnreadableEntry
 }
 
@@ -36,110 +35,110 @@
 	Err error
 }
 
-// Source is what the platform's store tells of a deployment. Waiting calls
-// return at the first change, or with none after the wait. Their errors are
-// those of package store; store.ErrHistoryLost asks for a new full read. The
-// versions that they return come from one counter for all tables.
+// Source reads the platform's store. Calls that wait return at the first change, or
+// without one after the wait. Errors are those of package store; store.ErrHistoryLost
+// asks for a new complete read. The versions returned come from one counter for all
+// tables.
 type Source interface {
 	ReadConfig(ctx context.Context) (*deploy.Config, uint64, error)
 	WaitConfig(ctx context.Context, after uint64, wait time.Duration) (*deploy.Config, uint64, error)
-	// ReadUpstreams reads the list whole, a part at a time; more is called before
-	// each part but the first, and ends the reading by an error.
+	// ReadUpstreams reads the complete list part by part. It calls more before each part
+	// but the first; an error of more ends the read.
 	ReadUpstreams(ctx context.Context, more func() error) (UpstreamUpdate, uint64, error)
 	WaitUpstreams(ctx context.Context, after uint64, wait time.Duration) (UpstreamUpdate, uint64, error)
 }
 
 const (
-	// defaultWait is how long a call for changes waits at a host without a
-	// relay. A connection that went silent is noticed by its keepalive, or
-	// at the latest this much later.
+	// defaultWait is how long a call for changes waits at a host without a relay. A
+	// broken connection that sends no error is noticed by its keepalive, or at the latest
+	// this much later.
 	defaultWait = 2 * time.Second
-	// relayUpstreamsWait and relayConfigWait are the same at the host that
-	// relays. Their answers show the others how fresh the relay is: what a
-	// change may take to reach every host is a little more than these.
+	// relayUpstreamsWait and relayConfigWait are the same at the relaying host. The
+	// answers to its calls show the others how fresh the relay is: the time until a
+	// change has reached every host is a little more than these waits.
 	relayUpstreamsWait = 500 * time.Millisecond
 	relayConfigWait    = 800 * time.Millisecond
-	// defaultMaxRelayAge is how old the relaying host's last answer from the
-	// store may be. Past it, hosts ask the store themselves.
+	// defaultMaxRelayAge is how old the relaying host's last answer from the store may
+	// be. When it is older, hosts ask the store themselves.
 	defaultMaxRelayAge = 1200 * time.Millisecond
-	// readTimeout is how long a call may take that does not wait.
+	// readTimeout bounds a call that does not wait for changes.
 	readTimeout = 1500 * time.Millisecond
-	// waitSlack is how much longer than its wait a call for changes may take.
-	// The store answers within a few milliseconds, a slow one within 300.
+	// waitSlack is how much longer than its wait a call for changes may take. The store
+	// answers within a few milliseconds, a slow store within 300.
 	waitSlack = 800 * time.Millisecond
-	// minRetryPause and longestPause lie between tries while the store is away.
-	// The longest bounds how late a host notices that it is back.
+	// minRetryPause and maxRetryPause bound the pause between retries while the store is
+	// away. The maximum bounds how late a host notices that the store is back.
 	minRetryPause = 50 * time.Millisecond
 	maxRetryPause = 800 * time.Millisecond
-	// maxQuickRetryPause bounds the pauses after which such a host tries again at once: a
-	// single failure may be the connection's. More tries were half of all calls
-	// of an outage.
+	// maxQuickRetryPause bounds the pauses after which a host that others will notify
+	// retries at once: a single failure may be due to the connection. More quick retries
+	// made up half of all calls in an outage.
 	maxQuickRetryPause = 2 * minRetryPause
-	// deferredRetryPause lies between tries at a host that others will tell of the
-	// store's return: each call is priced, also one that fails. It is a fraction
-	// of the time in which a change must be in force, since some tries right
-	// after the return fail too, when all hosts come at once.
+	// deferredRetryPause is the pause between retries at a host that others will notify
+	// of the store's recovery: each call is priced, also one that fails. It is a fraction
+	// of the time in which a change must be in force, since some calls right after the
+	// recovery fail too, when all hosts call at once.
 	deferredRetryPause = time.Second
-	// defaultInterval and relayEach are the least time between two calls for changes
-	// of a host without a relay, and of the one that relays. Every change ends
-	// a call that waits; when the store comes back, or upstreams are replaced,
-	// changes come dozens a second.
+	// defaultInterval and relayInterval are the minimum times between two calls for
+	// changes, at a host without a relay and at the relaying host. Every change ends a
+	// call that waits; when the store recovers, or upstreams are replaced, there are
+	// dozens of changes a second.
 	defaultInterval = 400 * time.Millisecond
 	relayInterval   = 150 * time.Millisecond
-	// deferredInterval is the same at a host to which another will soon relay: with
-	// 80 hosts the two seconds until a new holder is found cost 350 calls.
+	// deferredInterval is the same at a host to which another will soon relay: with 80
+	// hosts, the two seconds until a new lease holder is found cost 350 calls.
 	deferredInterval = 800 * time.Millisecond
-	// emptyStorePause lies between looks of a host that others will tell at a store
-	// in which nothing was ever written, as when a whole deployment starts.
+	// emptyStorePause is the pause between calls at a host that others will notify, for a
+	// store in which nothing was ever written, as when a whole deployment starts.
 	emptyStorePause = 500 * time.Millisecond
-	// otherFeedRetryPause lies between tries for one table while another is tried: one
-	// call shows that the store is away as well as two, and the first that is
-	// answered wakes the other.
+	// otherFeedRetryPause is the pause between retries for one table while another table
+	// is retried: one call shows as well as two that the store is away, and the first
+	// answer to the other feed wakes this one.
 	otherFeedRetryPause = 3 * deferredRetryPause
-	// linkedRetryPause lies between tries of a host that is linked to one that will tell
-	// it of the store's return. It finds out by itself only in case that the
-	// store turns just the other one away.
+	// linkedRetryPause is the pause between retries at a host that is linked to one which
+	// will notify it of the store's recovery. Its own retries matter only if the store
+	// rejects just that other host.
 	linkedRetryPause = 3 * time.Second
-	// minRelayCheckInterval is how often a host looks whether its relay is still fresh.
+	// minRelayCheckInterval is how often a host checks whether its relay is still fresh.
 	minRelayCheckInterval = 100 * time.Millisecond
-	// maxRelayCheckInterval is the longest that it goes without a look.
+	// maxRelayCheckInterval is the longest time between two such checks.
 	maxRelayCheckInterval = time.Second
 )
 
-// pauseJitter spreads the hosts' tries, as a share.
+// pauseJitter is the share by which pauses vary, so that hosts do not call in step.
 const pauseJitter = 0.2
 
-// UpstreamReceiver takes the list of upstreams.
+// UpstreamReceiver receives the list of upstreams.
 type UpstreamReceiver interface {
-	// Replace and Apply take a list, or changes of it, that bring it to a
+	// Replace and Apply receive the complete list, or changes of it, which lead to a
 	// version of the store.
-	Replace(all []deploy.Upstream, at uint64)
-	Apply(put []deploy.Upstream, gone []string, at uint64)
+	Replace(all []deploy.Upstream, version uint64)
+	Apply(put []deploy.Upstream, removed []string, version uint64)
 	StoreRecovered()
 }
 
-// Deps are what a Follower works with.
+// Deps holds the dependencies of a Follower.
 type Deps struct {
 	Source    Source
 	Config    *ActiveConfig
 	Upstreams UpstreamReceiver
 	Log       *event.Log
-	// Relays says whether this host relays to the others.
+	// IsRelaying reports whether this host relays the store to the others.
 	IsRelaying func() bool
-	// Patient says that others look for the store's return before this host
-	// does; nil: nobody else does.
+	// OthersProbeFirst reports whether other hosts probe for the store's recovery before
+	// this host does; nil: no other host does.
 	OthersProbeFirst func() bool
-	// Led says that this host is linked to one that looks for the store's return
-	// and tells of it within a fraction of a second; nil: it is not.
+	// LinkedToCoordinator reports whether this host is linked to one that probes for the
+	// store's recovery and announces it within a fraction of a second; nil: it is not.
 	LinkedToCoordinator func() bool
-	// Unneeded says that nobody waits for this host yet, so that it need not ask
-	// the store itself for what another will tell it soon; nil: it is needed.
+	// NotNeededYet reports that nobody waits for this host yet, so that it need not ask
+	// the store itself for what another host will soon relay; nil: it is needed.
 	NotNeededYet func() bool
-	// RelayFresh replaces its default; 0: the default.
+	// MaxRelayAge is how old a relay may be; 0: the default.
 	MaxRelayAge time.Duration
-	// Listed is called after the list of upstreams was first known.
+	// OnListed is called when a complete list of upstreams has been applied.
 	OnListed func()
-	// Metrics are the host's; nil: nothing is counted.
+	// Metrics are the host's metrics; nil: nothing is counted.
 	Metrics *metrics.Set
 }
 
@@ -148,24 +147,24 @@
 	deps          Deps
 	config        progress
 	upstreams     progress
-	relayedAt     atomic.Int64 // when a fresh relay was last heard, by the steady clock since from; 0: never
+	relayedAt     atomic.Int64 // time of the store's answer in the latest fresh relay, by the monotonic clock since startedAt; 0: none
 	startedAt     time.Time
-	applying      sync.Mutex    // of upstreams, so that a relayed list and one read here do not mix
+	applying      sync.Mutex    // held while the list is changed, so that a relayed list and one read here do not mix
 	storeAway     atomic.Bool   // the store does not answer the upstreams' feed
 	listIsLarge   atomic.Bool   // the list has several parts
-	sizeKnown     chan struct{} // closed when it is known whether it has
+	sizeKnown     chan struct{} // closed when listIsLarge is known
 	sizeOnce      sync.Once
-	listIsCompact atomic.Bool   // what upstreams hold by the list was not told since it was last whole
-	recovered     chan struct{} // gets a token when it answers that again
+	listIsCompact atomic.Bool   // the list came from a compact relay and lacks changes of residents and local copies
+	recovered     chan struct{} // receives a token when the store answers the upstreams' feed again
 }
 
 // progress is how far a table was followed.
 type progress struct {
-	version    atomic.Uint64 // version from which on changes are asked for; 0: none
-	answeredAt atomic.Int64  // when the store last answered, by the steady clock since Follower.from; 0: never
+	version    atomic.Uint64 // version after which changes are asked for; 0: none
+	answeredAt atomic.Int64  // when the store last answered, by the monotonic clock since Follower.startedAt; 0: never
 }
 
-// New makes a Follower; Run makes it work.
+// New returns a Follower, which RunConfig and RunUpstreams run.
 func New(d Deps) *Follower {
 	if d.IsRelaying == nil {
 		d.IsRelaying = func() bool { return false }
@@ -185,10 +184,11 @@
 	return &Follower{deps: d, startedAt: time.Now(), recovered: make(chan struct{}, 1), sizeKnown: make(chan struct{})}
 }
 
-// sinceStart is the steady clock; never 0.
+// sinceStart returns the nanoseconds since the start by the monotonic clock, at least 1: 0 means never.
 func (f *Follower) sinceStart() int64 { return max(int64(time.Since(f.startedAt)), 1) }
 
-// StoreAge is how long ago the store answered, for the older of the two feeds.
+// StoreAge returns the time since the store last answered, for the older of the two
+// feeds; an hour if it has not answered both.
 func (f *Follower) StoreAge() time.Duration {
 	answeredAt := min(f.config.answeredAt.Load(), f.upstreams.answeredAt.Load())
 	if answeredAt == 0 {
@@ -197,22 +197,22 @@
 	return time.Duration(f.sinceStart() - answeredAt)
 }
 
-// UpstreamsVersion is the version that the list of upstreams is of.
+// UpstreamsVersion returns the store's version of the list of upstreams.
 func (f *Follower) UpstreamsVersion() uint64 { return f.upstreams.version.Load() }
 
-// RunConfig follows the configuration until ctx ends. One that cannot be used
-// leaves the one in force as it is.
+// RunConfig follows the configuration until ctx ends. A configuration that cannot be used
+// leaves the one in force unchanged.
 func (f *Follower) RunConfig(ctx context.Context) error {
-	apply := func(cfg *deploy.Config, at uint64, err error) (uint64, error) {
+	apply := func(cfg *deploy.Config, version uint64, err error) (uint64, error) {
 		var unusable *store.UnusableError
 		if errors.As(err, &unusable) {
 			f.deps.Log.Emit(event.RoutesUnusable, zap.Error(err))
-			return at, nil
+			return version, nil
 		}
 		if err == nil && cfg != nil {
 			f.deps.Config.ApplyIfNewer(cfg, "store")
 		}
-		return at, err
+		return version, err
 	}
 	f.waitForSize(ctx)
 	return f.run(ctx, &feed{name: configFeed, progress: &f.config, relayWait: relayConfigWait, followsOther: true, needsFullRead: func() bool { return false },
@@ -226,50 +226,50 @@
 		}})
 }
 
-// RunUpstreams follows the upstreams until ctx ends.
+// RunUpstreams follows the list of upstreams until ctx ends.
 func (f *Follower) RunUpstreams(ctx context.Context) error {
 	return f.run(ctx, &feed{name: upstreamsFeed, progress: &f.upstreams, relayWait: relayUpstreamsWait, onRecovered: f.storeRecovered,
 		needsFullRead: func() bool { return f.listIsCompact.Load() && f.deps.IsRelaying() },
 		read: func(ctx context.Context) (uint64, error) {
-			all, at, err := f.readParts(ctx)
+			update, version, err := f.readParts(ctx)
 			if errors.Is(err, errRelayed) {
 				return f.upstreams.version.Load(), nil
 			}
 			if err != nil {
 				return 0, err
 			}
-			f.logUnreadable(all.Unreadable)
+			f.logUnreadable(update.Unreadable)
 			f.applying.Lock()
 			defer f.applying.Unlock()
-			if at >= f.upstreams.version.Load() {
-				f.deps.Upstreams.Replace(all.Put, at)
+			if version >= f.upstreams.version.Load() {
+				f.deps.Upstreams.Replace(update.Put, version)
 				f.listIsCompact.Store(false)
 				f.deps.OnListed()
 			}
-			return at, nil
+			return version, nil
 		},
 		wait: func(ctx context.Context, after uint64, wait time.Duration) (uint64, error) {
-			u, at, err := f.deps.Source.WaitUpstreams(ctx, after, wait)
+			update, version, err := f.deps.Source.WaitUpstreams(ctx, after, wait)
 			if err != nil {
 				return 0, err
 			}
-			f.logUnreadable(u.Unreadable)
+			f.logUnreadable(update.Unreadable)
 			f.applying.Lock()
 			defer f.applying.Unlock()
-			if at >= f.upstreams.version.Load() && len(u.Put)+len(u.Removed) > 0 {
-				f.deps.Upstreams.Apply(u.Put, u.Removed, at)
+			if version >= f.upstreams.version.Load() && len(update.Put)+len(update.Removed) > 0 {
+				f.deps.Upstreams.Apply(update.Put, update.Removed, version)
 			}
-			return at, nil
+			return version, nil
 		}})
 }
 
-// The tables, as they are called in logs and metrics.
+// Names of the tables in logs and metrics.
 const (
 	upstreamsFeed = "upstreams"
 	configFeed    = "configuration"
 )
 
-// logUnreadable logs the entries that name no upstream.
+// logUnreadable logs the entries that describe no upstream.
 func (f *Follower) logUnreadable(all []UnreadableEntry) {
 	for _, u := range all {
 		f.deps.Log.Emit(event.EntryUnreadable, zap.String(event.FieldPeer, u.ID), zap.Error(u.Err))
--- a/node/follow/follow_test.go
+++ b/node/follow/follow_test.go
@@ -16,15 +16,15 @@
 	"peridotpier.example/node/follow"
 )
 
-// source is a store that can be away, fail some calls after its return, and
-// change at any time.
+// source is a store that can be away, fail some calls after its recovery, and change at
+// any time.
 type source struct {
-	mu      sync.Mutex
-	away    bool
-	failing int // next calls that fail though it is back
-	version uint64
-	configs int // calls for the configuration
-	lists   int // calls for the upstreams
+	mu           sync.Mutex
+	away         bool
+	failingCalls int // number of next calls that fail although the store is back
+	version      uint64
+	configCalls  int // calls for the configuration
+	listCalls    int // calls for the upstreams
 }
 
 func (s *source) call(count *int) (uint64, error) {
@@ -34,8 +34,8 @@
 	if s.away {
 		return 0, errors.New("away")
 	}
-	if s.failing > 0 {
-		s.failing--
+	if s.failingCalls > 0 {
+		s.failingCalls--
 		return 0, errors.New("busy")
 	}
 	return s.version, nil
@@ -50,11 +50,11 @@
 func (s *source) calls() (configs, lists int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.configs, s.lists
+	return s.configCalls, s.listCalls
 }
 
 func (s *source) ReadConfig(context.Context) (*deploy.Config, uint64, error) {
-	v, err := s.call(&s.configs)
+	v, err := s.call(&s.configCalls)
 	if err != nil || v == 0 {
 		return nil, 0, err
 	}
@@ -62,7 +62,7 @@
 }
 
 func (s *source) WaitConfig(ctx context.Context, after uint64, wait time.Duration) (*deploy.Config, uint64, error) {
-	v, err := s.call(&s.configs)
+	v, err := s.call(&s.configCalls)
 	if err == nil && v == after {
 		select {
 		case <-ctx.Done():
@@ -77,12 +77,12 @@
 }
 
 func (s *source) ReadUpstreams(context.Context, func() error) (follow.UpstreamUpdate, uint64, error) {
-	v, err := s.call(&s.lists)
+	v, err := s.call(&s.listCalls)
 	return follow.UpstreamUpdate{}, v, err
 }
 
 func (s *source) WaitUpstreams(ctx context.Context, after uint64, wait time.Duration) (follow.UpstreamUpdate, uint64, error) {
-	v, err := s.call(&s.lists)
+	v, err := s.call(&s.listCalls)
 	if err == nil && v == after {
 		select {
 		case <-ctx.Done():
@@ -98,12 +98,13 @@
 func (listener) Apply([]deploy.Upstream, []string, uint64) {}
 func (listener) StoreRecovered()                           {}
 
-// following runs a host's two feeds; patient says that others look for the store first.
-func following(t *testing.T, s *source, patient bool) *follow.ActiveConfig {
+// startFollower runs a host's two feeds. With othersProbeFirst, other hosts probe for the
+// store's recovery before this host does.
+func startFollower(t *testing.T, s *source, othersProbeFirst bool) *follow.ActiveConfig {
 	t.Helper()
 	log := event.NewLog(nil)
 	config := follow.NewActiveConfig(log)
-	f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, OthersProbeFirst: func() bool { return patient }, OnListed: func() {}})
+	f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, OthersProbeFirst: func() bool { return othersProbeFirst }, OnListed: func() {}})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for _, run := range []func(context.Context) error{f.RunConfig, f.RunUpstreams} {
@@ -113,30 +114,30 @@
 	return config
 }
 
-// configBound is the time in which a change must be in force after the store's
-// return, less what its own way takes.
+// configBound is the time in which a change must be in force after the store's recovery,
+// less the time that the change itself takes to arrive.
 const configBound = 2500 * time.Millisecond
 
-// Symptom: a configuration is not in force 3 s after the store's return.
-// Sequence: the store is away for some seconds and a configuration is written
-// at its return; all hosts come at once, and this one's first calls are turned away.
-// Cause: the next try comes only after a pause for a store that is away.
-func TestAFailedFirstTryAfterTheReturnCostsOnePause(t *testing.T) {
-	for _, patient := range []bool{false, true} {
-		t.Run(map[bool]string{false: "first", true: "patient"}[patient], func(t *testing.T) {
+// Guards against a configuration that is not in force 3 s after the store's recovery. The
+// store was away for some seconds and a configuration was written at its recovery; all
+// hosts called at once, this host's first calls were rejected, and its next call came
+// only after the pause for a store that is away.
+func TestAFailedFirstCallAfterARecoveryCostsOnePause(t *testing.T) {
+	for _, othersProbeFirst := range []bool{false, true} {
+		t.Run(map[bool]string{false: "first", true: "patient"}[othersProbeFirst], func(t *testing.T) {
 			t.Parallel()
 			s := &source{version: 1}
-			config := following(t, s, patient)
-			inForce(t, config, 1, time.Second)
+			config := startFollower(t, s, othersProbeFirst)
+			waitForVersion(t, config, 1, time.Second)
 			s.set(func() { s.away = true })
 			time.Sleep(2500 * time.Millisecond)
-			s.set(func() { s.away, s.version, s.failing = false, 2, 1 })
-			inForce(t, config, 2, configBound)
+			s.set(func() { s.away, s.version, s.failingCalls = false, 2, 1 })
+			waitForVersion(t, config, 2, configBound)
 		})
 	}
 }
 
-func inForce(t *testing.T, c *follow.ActiveConfig, version uint64, within time.Duration) {
+func waitForVersion(t *testing.T, c *follow.ActiveConfig, version uint64, within time.Duration) {
 	t.Helper()
 	for until := time.Now().Add(within); ; time.Sleep(5 * time.Millisecond) {
 		if table := c.Current(); table != nil && table.Config.Version == version {
@@ -146,15 +147,14 @@
 	}
 }
 
-// Symptom: the store is called thousands of times in the seconds after its return.
-// Sequence: it comes back; upstreams write their entries anew, dozens a second;
-// each ends the waiting calls of all hosts that have no relay yet.
-// Cause: the next call follows at once.
+// Guards against thousands of calls in the seconds after the store's recovery. Upstreams
+// write their entries anew, dozens a second; each write ends the waiting calls of all
+// hosts without a relay, which must not call again at once.
 func TestChangesInQuickSuccessionAreReadTogether(t *testing.T) {
 	t.Parallel()
 	s := &source{version: 1}
-	config := following(t, s, true)
-	inForce(t, config, 1, time.Second)
+	config := startFollower(t, s, true)
+	waitForVersion(t, config, 1, time.Second)
 	_, before := s.calls()
 	for range 100 {
 		s.set(func() { s.version++ })
@@ -164,43 +164,42 @@
 	assert.Assert(t, after-before <= 5, "%d calls in a second", after-before)
 }
 
-// Symptom: an outage costs two calls of each host for each pause.
-// Sequence: the store is away; both feeds look for it.
-// Cause: neither knows what the other found.
-func TestOneFeedLooksForAStoreThatIsAway(t *testing.T) {
+// Guards against an outage that costs two calls of each host for each pause, because both
+// feeds probe the store and neither uses what the other found.
+func TestOnlyOneFeedProbesAStoreThatIsAway(t *testing.T) {
 	t.Parallel()
 	s := &source{version: 1}
-	config := following(t, s, true)
-	inForce(t, config, 1, time.Second)
+	config := startFollower(t, s, true)
+	waitForVersion(t, config, 1, time.Second)
 	s.set(func() { s.away = true })
-	time.Sleep(1500 * time.Millisecond) // the first, quick tries of both are over
+	time.Sleep(1500 * time.Millisecond) // the first quick retries of both feeds are over
 	configs, lists := s.calls()
 	time.Sleep(2500 * time.Millisecond)
 	configsNow, listsNow := s.calls()
 	assert.Assert(t, configsNow-configs <= 1)
 	assert.Assert(t, listsNow-lists >= 2)
 	s.set(func() { s.away, s.version = false, 2 })
-	inForce(t, config, 2, 2*time.Second)
+	waitForVersion(t, config, 2, 2*time.Second)
 }
 
-// Guards against a large deployment without orders for as long as its hosts may go by
-// a relay, though only the host that relays has lost the store: one that may act next
-// asks the store sooner.
-func TestAHostThatMayActNextFindsOutSoonerThatTheRelayIsOld(t *testing.T) {
-	for _, patient := range []bool{true, false} {
+// Guards against a large deployment that gets no orders for as long as its hosts may use
+// a relay, although only the relaying host has lost the store: a host that may coordinate
+// next asks the store sooner.
+func TestTheNextCoordinatorDetectsAnOldRelaySooner(t *testing.T) {
+	for _, othersProbeFirst := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			log := event.NewLog(nil)
 			s := &source{version: 1}
 			config := follow.NewActiveConfig(log)
 			f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, OnListed: func() {},
-				OthersProbeFirst: func() bool { return patient }, MaxRelayAge: 3 * time.Second})
+				OthersProbeFirst: func() bool { return othersProbeFirst }, MaxRelayAge: 3 * time.Second})
 			f.ApplyRelay(follow.Relay{Config: &deploy.Config{Version: 1}, UpstreamsVersion: 1})
 			ctx, cancel := context.WithCancel(t.Context())
 			var wg sync.WaitGroup
 			wg.Go(func() { _ = f.RunUpstreams(ctx) })
 			time.Sleep(1500 * time.Millisecond)
 			_, lists := s.calls()
-			assert.Equal(t, lists > 0, !patient)
+			assert.Equal(t, lists > 0, !othersProbeFirst)
 			time.Sleep(2 * time.Second)
 			_, lists = s.calls()
 			assert.Assert(t, lists > 0)
@@ -210,50 +209,51 @@
 	}
 }
 
-// wholeSource counts how often the list is read whole.
-type wholeSource struct {
+// readCountingSource counts the complete reads of the list.
+type readCountingSource struct {
 	source
-	whole atomic.Int32
+	completeReads atomic.Int32
 }
 
-func (s *wholeSource) ReadUpstreams(ctx context.Context, more func() error) (follow.UpstreamUpdate, uint64, error) {
-	s.whole.Add(1)
+func (s *readCountingSource) ReadUpstreams(ctx context.Context, more func() error) (follow.UpstreamUpdate, uint64, error) {
+	s.completeReads.Add(1)
 	return s.source.ReadUpstreams(ctx, more)
 }
 
-// Guards against orders by a list that lacks what upstreams hold: a host that was told
-// no more than who there is reads the list whole before it acts, and no other does.
-func TestAHostThatBeginsToActReadsABriefListWhole(t *testing.T) {
-	for _, brief := range []bool{true, false} {
+// Guards against orders based on a list that lacks the upstreams' residents: a host that
+// only received compact relays reads the complete list before it coordinates, and no
+// other host does.
+func TestAHostThatBeginsToRelayReadsACompactListCompletely(t *testing.T) {
+	for _, compact := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			log := event.NewLog(nil)
-			s := &wholeSource{source: source{version: 1}}
+			s := &readCountingSource{source: source{version: 1}}
 			config := follow.NewActiveConfig(log)
-			var acts atomic.Bool
-			f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, OnListed: func() {}, IsRelaying: acts.Load})
-			f.ApplyRelay(follow.Relay{Config: &deploy.Config{Version: 1}, UpstreamsVersion: 1, Complete: true, Compact: brief})
-			f.ApplyRelay(follow.Relay{UpstreamsVersion: 1}) // no news
+			var relaying atomic.Bool
+			f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, OnListed: func() {}, IsRelaying: relaying.Load})
+			f.ApplyRelay(follow.Relay{Config: &deploy.Config{Version: 1}, UpstreamsVersion: 1, Complete: true, Compact: compact})
+			f.ApplyRelay(follow.Relay{UpstreamsVersion: 1}) // no changes
 			ctx, cancel := context.WithCancel(t.Context())
 			var wg sync.WaitGroup
 			wg.Go(func() { _ = f.RunUpstreams(ctx) })
-			time.Sleep(5 * time.Second) // its relay is not fresh any more
-			assert.Equal(t, s.whole.Load(), int32(0))
-			acts.Store(true)
+			time.Sleep(5 * time.Second) // its relay is out of date
+			assert.Equal(t, s.completeReads.Load(), int32(0))
+			relaying.Store(true)
 			time.Sleep(time.Second)
-			assert.Equal(t, s.whole.Load() == 1, brief)
+			assert.Equal(t, s.completeReads.Load() == 1, compact)
 			cancel()
 			wg.Wait()
 		})
 	}
 }
 
-// partedSource has a list of several parts, or of one.
-type partedSource struct {
+// sourceInParts has a list of one or more parts.
+type sourceInParts struct {
 	source
 	parts int
 }
 
-func (s *partedSource) ReadUpstreams(ctx context.Context, more func() error) (follow.UpstreamUpdate, uint64, error) {
+func (s *sourceInParts) ReadUpstreams(ctx context.Context, more func() error) (follow.UpstreamUpdate, uint64, error) {
 	for range s.parts - 1 {
 		if err := more(); err != nil {
 			return follow.UpstreamUpdate{}, 0, err
@@ -262,19 +262,19 @@
 	return s.source.ReadUpstreams(ctx, more)
 }
 
-// Guards against a thousand hosts that start together and each read all from the store;
-// and against hosts of a small deployment, or of one without others, that wait.
-func TestAHostThatStartsLeavesALargeListToThoseThatTellIt(t *testing.T) {
+// Guards against a thousand hosts that start together and each read the complete store,
+// and against hosts that wait in a small deployment or in one without other hosts.
+func TestAStartingHostLeavesALargeListToTheRelayingHost(t *testing.T) {
 	for _, c := range []struct {
-		name           string
-		parts          int
-		patient, waits bool
-	}{{"small", 1, true, false}, {"large", 8, true, true}, {"large, and it may act next", 8, false, false}} {
+		name                    string
+		parts                   int
+		othersProbeFirst, waits bool
+	}{{"small", 1, true, false}, {"large", 8, true, true}, {"large, and it may coordinate next", 8, false, false}} {
 		synctest.Test(t, func(t *testing.T) {
 			log := event.NewLog(nil)
-			s := &partedSource{source{version: 1}, c.parts}
+			s := &sourceInParts{source{version: 1}, c.parts}
 			config := follow.NewActiveConfig(log)
-			f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, OnListed: func() {}, OthersProbeFirst: func() bool { return c.patient }})
+			f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, OnListed: func() {}, OthersProbeFirst: func() bool { return c.othersProbeFirst }})
 			ctx, cancel := context.WithCancel(t.Context())
 			var wg sync.WaitGroup
 			wg.Go(func() { _ = f.RunUpstreams(ctx) })
@@ -283,7 +283,7 @@
 			configs, _ := s.calls()
 			assert.Equal(t, configs == 0, c.waits, c.name)
 			time.Sleep(2 * time.Second)
-			assert.Assert(t, config.Current() != nil, "%s: nobody told it", c.name)
+			assert.Assert(t, config.Current() != nil, "%s: no host relayed it", c.name)
 			cancel()
 			wg.Wait()
 		})
--- a/node/follow/parts.go
+++ b/node/follow/parts.go
@@ -8,13 +8,13 @@
 	"peridotpier.example/node/pace"
 )
 
-// errRelayed ends the reading of a list that another host has told meanwhile.
-var errRelayed = errors.New("another host told the list")
+// errRelayed ends the read of a list that another host has relayed in the meantime.
+var errRelayed = errors.New("another host relayed the list")
 
-// readParts reads the list of upstreams. Each part has its own time: a host with
-// a slow link takes longer for a long list than any single answer may take, and
-// would begin anew for ever. A host that others will tell takes its time between
-// the parts: a list of several is mostly told before it is read.
+// readParts reads the list of upstreams. Each part has its own timeout: a host with a
+// slow link needs longer for a long list than a single answer may take, and would start
+// again for ever. A host that others will relay to pauses between the parts: a list of
+// several parts is mostly relayed before it is read.
 func (f *Follower) readParts(ctx context.Context) (UpstreamUpdate, uint64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -39,7 +39,7 @@
 	return f.deps.Source.ReadUpstreams(ctx, more)
 }
 
-// recordSize notes whether the list has several parts.
+// recordSize records whether the list has several parts.
 func (f *Follower) recordSize(large bool) {
 	f.sizeOnce.Do(func() {
 		f.listIsLarge.Store(large)
@@ -47,13 +47,14 @@
 	})
 }
 
-// sizeWait is how long a host that others will tell waits at its start for the first
+// sizeWait is how long a host that others will relay to waits at its start for the first
 // part of the list before it reads the configuration: the store answers within a few
 // milliseconds, or has to be asked for both anyway.
 const sizeWait = 100 * time.Millisecond
 
-// waitForSize waits until it is known whether the list has several parts. Where it has,
-// the configuration is large, too, and a host that others will tell leaves both to them.
+// waitForSize waits until it is known whether the list has several parts. If it has, the
+// configuration is large, too, and a host that others will relay to leaves reading both
+// to them.
 func (f *Follower) waitForSize(ctx context.Context) {
 	if !f.deps.OthersProbeFirst() || f.deps.NotNeededYet() {
 		return
@@ -67,6 +68,6 @@
 	}
 }
 
-// partPauseStep is by how much longer a host that others will tell waits before each
+// partPauseStep is by how much longer a host that others will relay to waits before each
 // further part of the list.
 const partPauseStep = 300 * time.Millisecond
--- a/node/follow/recover_test.go
+++ b/node/follow/recover_test.go
@@ -12,29 +12,30 @@
 	"peridotpier.example/node/follow"
 )
 
-// fatalSource tells a configuration, then one that nobody can read.
-type fatalSource struct{ source }
+// panickingSource returns a configuration, then panics on a value that cannot be read.
+type panickingSource struct{ source }
 
-func (s *fatalSource) WaitConfig(context.Context, uint64, time.Duration) (*deploy.Config, uint64, error) {
+func (s *panickingSource) WaitConfig(context.Context, uint64, time.Duration) (*deploy.Config, uint64, error) {
 	var none []int
-	_, _ = s.call(&s.configs)
+	_, _ = s.call(&s.configCalls)
 	return nil, uint64(none[3]), nil
 }
 
-// Guards against a value in the store that ends every host which reads it, again at each start.
+// Guards against a value in the store that terminates every host which reads it, again at
+// each start.
 func TestAValueThatCannotBeReadEndsNoHost(t *testing.T) {
 	config := follow.NewActiveConfig(event.NewLog(nil))
-	s := &fatalSource{source{version: 3}}
+	s := &panickingSource{source{version: 3}}
 	f := follow.New(follow.Deps{Source: s, Config: config, Log: event.NewLog(nil), OnListed: func() {}})
 	ctx, stop := context.WithTimeout(t.Context(), time.Second)
 	defer stop()
 	assert.ErrorIs(t, f.RunConfig(ctx), context.DeadlineExceeded)
 	assert.Equal(t, config.Current().Config.Version, uint64(3))
 	configs, _ := s.calls()
-	assert.Assert(t, configs > 1 && configs < 20, "it was asked %d times", configs)
+	assert.Assert(t, configs > 1 && configs < 20, "%d calls for the configuration", configs)
 }
 
-// Guards against the same by the word of another host.
+// Guards against the same by a configuration that another host relayed.
 func TestAConfigurationThatCannotBeCompiledEndsNoHost(t *testing.T) {
 	config := follow.NewActiveConfig(event.NewLog(nil))
 	assert.Assert(t, config.ApplyIfNewer(&deploy.Config{Version: 3}, "test"))
--- a/node/follow/relay.go
+++ b/node/follow/relay.go
@@ -6,18 +6,18 @@
 	"peridotpier.example/core/deploy"
 )
 
-// Relay is what the host that follows the store closely hands on.
+// Relay is what the relaying host sends to the others.
 type Relay struct {
-	Config           *deploy.Config // nil: none newer
-	StoreAge         time.Duration  // since the store last answered that host, for the older of its two feeds
-	UpstreamsVersion uint64         // version that the list is of
-	Complete         bool           // Put is the whole list
-	Compact          bool           // Put lacks copies, and upstreams of which nothing changed but what they hold
+	Config           *deploy.Config // nil: none is newer
+	StoreAge         time.Duration  // time since the store last answered the relaying host, for the older of its two feeds
+	UpstreamsVersion uint64         // store's version of the list
+	Complete         bool           // Put is the complete list
+	Compact          bool           // Put lacks local copies, and upstreams of which only residents or local copies changed
 	UpstreamUpdate
 }
 
-// ApplyRelay enters what was relayed. An upstreams' list that is older than what
-// this host has itself is passed over.
+// ApplyRelay applies what was relayed. A list of upstreams that is older than this host's
+// own is ignored.
 func (f *Follower) ApplyRelay(relay Relay) {
 	if relay.Config != nil {
 		f.deps.Config.ApplyIfNewer(relay.Config, "relay")
@@ -39,8 +39,9 @@
 	}
 }
 
-// maxRelayAge is how old the relaying host's last answer from the store may be here. A
-// host that should act next finds out soonest that just that one is turned away.
+// maxRelayAge returns how old the relaying host's last answer from the store may be at
+// this host. A host that should coordinate next must be the first to find out that the
+// store rejects only the relaying host.
 func (f *Follower) maxRelayAge() time.Duration {
 	if f.deps.OthersProbeFirst() {
 		return f.deps.MaxRelayAge
@@ -48,14 +49,16 @@
 	return min(f.deps.MaxRelayAge, defaultMaxRelayAge)
 }
 
-// isRelayed says whether the relay is fresh enough to do without the store.
+// isRelayed reports whether the relay is fresh enough for this host not to call the
+// store.
 func (f *Follower) isRelayed() bool {
 	relayedAt := f.relayedAt.Load()
 	return relayedAt != 0 && f.sinceStart()-relayedAt < int64(f.maxRelayAge()) && !f.deps.IsRelaying() && f.deps.Config.Current() != nil && f.upstreams.version.Load() != 0
 }
 
-// relayCheckInterval is how long a relay that is fresh stays so, within relayedPause and
-// longestRelayedPause. A host that may soon relay itself looks often.
+// relayCheckInterval returns how long a fresh relay remains fresh, from
+// minRelayCheckInterval to maxRelayCheckInterval. A host that may soon relay itself
+// checks often.
 func (f *Follower) relayCheckInterval() time.Duration {
 	freshFor := f.deps.MaxRelayAge - time.Duration(f.sinceStart()-f.relayedAt.Load())
 	if !f.deps.OthersProbeFirst() {
@@ -65,17 +68,18 @@
 }
 
 const (
-	// startupRelayWait is how long a host that nobody waits for yet leaves the store
-	// alone after its start: others read it, take the lease and relay meanwhile.
+	// startupRelayWait is how long after its start a host that nobody waits for yet does
+	// not call the store: others read it, take the lease and relay in the meantime.
 	startupRelayWait = 1500 * time.Millisecond
-	// linkedRelayWait is how long after its start such a host that is linked waits for
-	// what the relay has not brought yet, because nobody has written it.
+	// linkedRelayWait is how long after its start such a host, when linked, waits for
+	// what the relay has not brought yet because nobody has written it.
 	linkedRelayWait = 20 * time.Second
 )
 
-// shouldWaitForRelay says whether another host asks the store for this one, which nobody
-// waits for yet, or where the list has several parts. Hosts that start together would
-// each read the store whole, and ask it again several times until they are linked.
+// shouldWaitForRelay reports whether another host asks the store for this one, which
+// nobody waits for yet or for which the list has several parts. Hosts that start together
+// would each read the complete store, and ask it several more times until they are
+// linked.
 func (f *Follower) shouldWaitForRelay() bool {
 	if !f.deps.OthersProbeFirst() {
 		return false
