--- a/node/fleet/entry.go
+++ b/node/fleet/entry.go
@@ -193,7 +193,7 @@
 )
 
 // sameIdentity reports whether two descriptions differ at most in the upstream's
-// residents, its local copies and the time for which it is still slow.
+// residents, its local copies and the time for which it still warms up.
 func sameIdentity(a, b deploy.Upstream) bool {
 	for _, u := range []*deploy.Upstream{&a, &b} {
 		u.Residents, u.InMemory, u.OnDisk, u.Cold = nil, nil, nil, 0
@@ -290,7 +290,7 @@
 	return changed
 }
 
-// recordExclusionLocked records that the upstream was excluded, if that changed.
+// recordExclusionLocked records that the upstream is newly excluded, if changed says so.
 func (e *Entry) recordExclusionLocked(changed bool) {
 	if !changed {
 		return
--- a/node/fleet/fleet_test.go
+++ b/node/fleet/fleet_test.go
@@ -153,9 +153,9 @@
 		all = append(all, upstream(strconv.Itoa(i), 1))
 	}
 	f.Replace(all, 1)
-	state := f.ChangesSince(0, false).Revision
+	revision := f.ChangesSince(0, false).Revision
 	for b.Loop() {
-		f.ChangesSince(state, false)
+		f.ChangesSince(revision, false)
 	}
 }
 
--- a/node/fleet/signals_test.go
+++ b/node/fleet/signals_test.go
@@ -13,9 +13,9 @@
 )
 
 // received returns a signal that has just been received.
-func received(l backpressure.Limit, leaving bool) backpressure.Signal {
+func received(l backpressure.Limit, draining bool) backpressure.Signal {
 	now := time.Now()
-	return backpressure.Signal{Limit: l, Draining: leaving, SentAt: now.Add(-time.Millisecond), ReceivedAt: now}
+	return backpressure.Signal{Limit: l, Draining: draining, SentAt: now.Add(-time.Millisecond), ReceivedAt: now}
 }
 
 func entry(t *testing.T, f *fleet.Fleet, id string) *fleet.Entry {
--- a/node/follow/feed.go
+++ b/node/follow/feed.go
@@ -22,7 +22,7 @@
 	read          func(ctx context.Context) (version uint64, err error)
 	wait          func(ctx context.Context, after uint64, wait time.Duration) (version uint64, err error)
 	onRecovered   func()      // called when the store is reachable again; nil: not called
-	needsFullRead func() bool // the table must be read completely before this host can relay it
+	needsFullRead func() bool // the table must be read completely, since it lacks what this host now needs
 	followsOther  bool        // the calls of another feed show whether the store is away
 	reread        bool
 	failingSince  time.Time
--- a/node/follow/follow.go
+++ b/node/follow/follow.go
@@ -71,8 +71,8 @@
 	minRetryPause = 50 * time.Millisecond
 	maxRetryPause = 800 * time.Millisecond
 	// maxQuickRetryPause bounds the pauses after which a host that others will notify
-	// retries at once: a single failure may be due to the connection. More quick retries
-	// made up half of all calls in an outage.
+	// retries without a longer wait: a single failure may be due to the connection. More
+	// quick retries made up half of all calls in an outage.
 	maxQuickRetryPause = 2 * minRetryPause
 	// deferredRetryPause is the pause between retries at a host that others will notify
 	// of the store's recovery: each call is priced, also one that fails. It is a fraction
@@ -184,7 +184,8 @@
 	return &Follower{deps: d, startedAt: time.Now(), recovered: make(chan struct{}, 1), sizeKnown: make(chan struct{})}
 }
 
-// sinceStart returns the nanoseconds since the start by the monotonic clock, at least 1: 0 means never.
+// sinceStart returns the nanoseconds since the start by the monotonic clock, but at least
+// 1, since 0 means never.
 func (f *Follower) sinceStart() int64 { return max(int64(time.Since(f.startedAt)), 1) }
 
 // StoreAge returns the time since the store last answered, for the older of the two
--- a/node/follow/parts_test.go
+++ b/node/follow/parts_test.go
@@ -21,7 +21,7 @@
 	parts        int
 	timePerPart  time.Duration
 	readsStarted atomic.Int32 // reads of the list
-	partsRead    atomic.Int32 // parts
+	partsRead    atomic.Int32
 }
 
 func (s *slowList) ReadUpstreams(ctx context.Context, more func() error) (follow.UpstreamUpdate, uint64, error) {
