--- a/node/claim/batch.go
+++ b/node/claim/batch.go
@@ -73,7 +73,7 @@
 	case r := <-w.reply:
 		return r.version, r.err
 	case <-ctx.Done():
-		return 0, store.ErrInDoubt
+		return 0, store.ErrUnconfirmed
 	}
 }
 
@@ -153,7 +153,7 @@
 // Commit implements store.Table.
 func (d doubted) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
 	v, err := d.Table.Commit(ctx, txn)
-	if errors.Is(err, store.ErrInDoubt) {
+	if errors.Is(err, store.ErrUnconfirmed) {
 		d.inDoubt()
 	}
 	return v, err
--- a/node/claim/range.go
+++ b/node/claim/range.go
@@ -99,7 +99,7 @@
 	case s := <-c.reply:
 		return s.seen, s.err
 	case <-ctx.Done():
-		return VersionedRow{}, store.ErrInDoubt
+		return VersionedRow{}, store.ErrUnconfirmed
 	}
 }
 
@@ -147,8 +147,8 @@
 	case errors.Is(err, store.ErrConflict):
 		refuse(batch, store.ErrUnavailable) // another owner wrote the head: nothing took effect
 		return err
-	case errors.Is(err, store.ErrInDoubt):
-		refuse(batch, store.ErrInDoubt)
+	case errors.Is(err, store.ErrUnconfirmed):
+		refuse(batch, store.ErrUnconfirmed)
 		return err
 	default:
 		refuse(batch, err)
--- a/node/claim/ranges.go
+++ b/node/claim/ranges.go
@@ -84,13 +84,13 @@
 	inDoubt := false
 	for {
 		seen, err := g.swapOnce(ctx, key, version, row)
-		inDoubt = inDoubt || errors.Is(err, store.ErrInDoubt)
+		inDoubt = inDoubt || errors.Is(err, store.ErrUnconfirmed)
 		if err == nil || errors.Is(err, store.ErrConflict) || !inDoubt {
 			return seen, err
 		}
 		select {
 		case <-ctx.Done():
-			return VersionedRow{}, store.ErrInDoubt
+			return VersionedRow{}, store.ErrUnconfirmed
 		case <-time.After(wait.NextBackOff()):
 		}
 	}
--- a/node/claim/records.go
+++ b/node/claim/records.go
@@ -65,7 +65,7 @@
 	now, readErr := r.Read(ctx, key)
 	switch {
 	case readErr != nil:
-		return VersionedRow{}, errors.Join(store.ErrInDoubt, readErr)
+		return VersionedRow{}, errors.Join(store.ErrUnconfirmed, readErr)
 	case row == nil && now.Row == nil:
 		return now, nil
 	case row != nil && now.Row != nil && now.Row.Op == row.Op:
--- a/node/claim/store.go
+++ b/node/claim/store.go
@@ -167,7 +167,7 @@
 	if err == nil || errors.Is(err, store.ErrConflict) {
 		return next, nil
 	}
-	if errors.Is(err, store.ErrInDoubt) {
+	if errors.Is(err, store.ErrUnconfirmed) {
 		// The claim may stand, or arrive yet. Nothing was dispatched under it
 		// and nothing will be, so the key is freed as soon as the table answers;
 		// the freed row also makes a claim that arrives yet fail.
--- a/node/planner/act.go
+++ b/node/planner/act.go
@@ -99,7 +99,7 @@
 func (p *Planner) granted(ctx context.Context, t task) bool {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	wait, err := p.deps.Weights.Grant(ctx, toOrder(t).LoadName())
+	wait, err := p.deps.Weights.AcquireLoad(ctx, toOrder(t).LoadName())
 	if err != nil || wait > 0 {
 		return false
 	}
@@ -117,7 +117,7 @@
 		if e == nil || e.dirty || e.row.MayStillLoad(op, t.charge.Artifact) {
 			continue
 		}
-		if p.deps.Weights.Done(ctx, toOrder(t).LoadName()) == nil {
+		if p.deps.Weights.ReleaseLoad(ctx, toOrder(t).LoadName()) == nil {
 			delete(p.grants, op)
 		}
 	}
--- a/node/planner/books.go
+++ b/node/planner/books.go
@@ -129,7 +129,7 @@
 		switch {
 		case err == nil:
 			e.row, e.version = c.next, version
-		case errors.Is(err, store.ErrInDoubt) || errors.Is(err, store.ErrConflict):
+		case errors.Is(err, store.ErrUnconfirmed) || errors.Is(err, store.ErrConflict):
 			e.dirty = true
 		}
 	}
