--- /dev/null
+++ b/node/fleet/attempt.go
@@ -0,0 +1,175 @@
+package fleet
+
+import (
+	"go.uber.org/zap"
+
+	"peridotpier.example/node/event"
+)
+
+// UpstreamLoad is the load that this host has sent to one upstream.
+type UpstreamLoad struct {
+	Upstream string
+	Load
+}
+
+// OwnLoads returns the load at each upstream at which this host has requests.
+func (f *Fleet) OwnLoads() []UpstreamLoad {
+	var out []UpstreamLoad
+	for _, e := range f.pendingChecks.all() {
+		if own := e.OwnLoad(); own.Requests > 0 {
+			out = append(out, UpstreamLoad{e.id, own})
+		}
+	}
+	return out
+}
+
+// Cost is what one request adds to an upstream's load.
+type Cost struct {
+	PromptTokens int
+	OutputTokens int // expected
+}
+
+// Attempt is one attempt to send a request to an upstream. It belongs to one goroutine.
+type Attempt struct {
+	e            *Entry
+	req          *Request
+	cost         Cost
+	gotFirstByte bool
+	ended        bool
+	inSlowStart  bool   // it counts in the upstream's slow start
+	onFirstByte  func() // called when the first bytes of the answer arrive; nil: not called
+	abort        func() // called when the upstream is found unresponsive; nil: the attempt stays
+}
+
+// Entry returns the entry of the upstream that the attempt is sent to.
+func (x *Attempt) Entry() *Entry { return x.e }
+
+// OnFirstByte has f called when the first bytes of the answer arrive.
+func (x *Attempt) OnFirstByte(f func()) { x.onFirstByte = f }
+
+// OnUnresponsive has abort called if the upstream is found unresponsive, or was started
+// again, during the attempt. It is for attempts that can be retried elsewhere.
+func (x *Attempt) OnUnresponsive(abort func()) {
+	x.e.mu.Lock()
+	defer x.e.mu.Unlock()
+	x.abort = abort
+	x.e.movable[x] = struct{}{}
+}
+
+// Begin records an attempt that is about to be sent.
+func (e *Entry) Begin(req *Request, c Cost) *Attempt {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.own.Requests++
+	e.fleet.scheduleChecks(e)
+	e.own.PendingPromptTokens += c.PromptTokens
+	e.own.Tokens += c.PromptTokens + c.OutputTokens
+	e.sentSince++
+	e.health.RecordSend(e.fleet.deps.Now())
+	return &Attempt{e: e, req: req, cost: c, inSlowStart: e.slowStart.Sent()}
+}
+
+// RecordPendingPrompts records how many prompt tokens of other hosts' requests the
+// upstream has to read. pendingTokens are those of all hosts, this attempt's left out,
+// when the permit for it was granted.
+func (x *Attempt) RecordPendingPrompts(pendingTokens int) {
+	x.e.mu.Lock()
+	defer x.e.mu.Unlock()
+	x.e.othersPending, x.e.othersPendingAt = max(pendingTokens-(x.e.own.PendingPromptTokens-x.cost.PromptTokens), 0), x.e.fleet.deps.Now()
+}
+
+// ReceivedBytes records bytes of the answer. The first ones show that the prompt has been
+// read.
+func (x *Attempt) ReceivedBytes() {
+	now := x.e.fleet.deps.Now()
+	if !x.gotFirstByte && x.onFirstByte != nil {
+		x.onFirstByte()
+	}
+	x.e.mu.Lock()
+	defer x.e.mu.Unlock()
+	if x.inSlowStart && !x.gotFirstByte {
+		x.e.slowStart.Answered(x.e.desc.Slots)
+	}
+	x.recordFirstByteLocked()
+	x.e.health.RecordBytes(now, x.e.own.Requests > 0)
+	x.e.promptCache.Record(x.req, now)
+}
+
+func (x *Attempt) recordFirstByteLocked() {
+	if !x.gotFirstByte {
+		x.gotFirstByte = true
+		x.e.own.PendingPromptTokens -= x.cost.PromptTokens
+	}
+}
+
+// RecordReportedLoad records the load that the upstream stated on its answer.
+func (x *Attempt) RecordReportedLoad(r ReportedLoad) {
+	x.e.mu.Lock()
+	defer x.e.mu.Unlock()
+	x.e.reported, x.e.reportedAt, x.e.sentSince = r, x.e.fleet.deps.Now(), 0
+}
+
+// Answered ends an attempt whose answer is complete; failed means that the upstream ran
+// the request and failed it.
+func (x *Attempt) Answered(failed bool) {
+	x.end(func() { x.e.recordAnswerLocked(failed) })
+}
+
+// recordAnswerLocked records an answer, or that there was none.
+func (e *Entry) recordAnswerLocked(failed bool) {
+	e.health.RecordAnswer(failed)
+	if _, answers := e.health.ErrorShare(); answers >= float64(e.fleet.cfg.Health.MinAnswers) {
+		e.fleet.rated.add(e)
+	}
+}
+
+// Refused ends an attempt that the upstream states not to have run.
+func (x *Attempt) Refused() { x.end(func() {}) }
+
+// Cancelled ends an attempt that this host gave up: its caller disconnected or its time
+// is over.
+func (x *Attempt) Cancelled() { x.end(func() {}) }
+
+// Interrupted ends an attempt whose connection or answer broke off; why is logged.
+func (x *Attempt) Interrupted(why string) {
+	var excluded bool
+	x.end(func() {
+		x.e.recordAnswerLocked(true)
+		excluded = x.e.health.RecordFailure(x.e.fleet.cfg.Health, x.e.fleet.deps.Now())
+		x.e.recordExclusionLocked(excluded)
+	})
+	if excluded {
+		x.e.fleet.deps.Log.Emit(event.UpstreamResting, zap.String(event.FieldPeer, x.e.ID()), zap.String("why", why))
+	}
+}
+
+// NotListening ends an attempt at an address at which nothing listens. The upstream's
+// process has terminated, so it is excluded without a second failure.
+func (x *Attempt) NotListening() {
+	var excluded bool
+	x.end(func() { excluded = x.e.excludeLocked(x.e.fleet.deps.Now()) })
+	if excluded {
+		x.e.fleet.deps.Log.Emit(event.UpstreamResting, zap.String(event.FieldPeer, x.e.ID()), zap.String("why", "absent"))
+	}
+}
+
+func (x *Attempt) end(recordLocked func()) {
+	if x.ended {
+		return
+	}
+	x.ended = true
+	x.e.mu.Lock()
+	delete(x.e.movable, x)
+	x.recordFirstByteLocked()
+	if x.inSlowStart {
+		x.e.slowStart.Ended()
+	}
+	x.e.own.Requests--
+	x.e.own.Tokens -= x.cost.PromptTokens + x.cost.OutputTokens
+	if x.e.own.Requests == 0 {
+		x.e.health.ClearOutstanding()
+	}
+	recordLocked()
+	x.e.mu.Unlock()
+	x.e.fleet.NotifyChanged()
+}
--- a/node/fleet/deadline.go
+++ b/node/fleet/deadline.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// deadline is the latest of some times. It spares requests a look at every upstream
-// for what mostly none asks for.
+// deadline is the latest of several times. It spares requests a check of every upstream
+// for something that mostly applies to none.
 type deadline struct{ at atomic.Int64 } // Unix nanoseconds
 
-// extend takes a time into account.
+// extend moves the deadline to t if t is later.
 func (d *deadline) extend(t time.Time) {
 	for {
-		was := d.at.Load()
-		if t.UnixNano() <= was || d.at.CompareAndSwap(was, t.UnixNano()) {
+		latest := d.at.Load()
+		if t.UnixNano() <= latest || d.at.CompareAndSwap(latest, t.UnixNano()) {
 			return
 		}
 	}
 }
 
-// passed says whether all of them have passed.
+// passed reports whether the deadline has passed.
 func (d *deadline) passed(now time.Time) bool { return now.UnixNano() >= d.at.Load() }
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -156,13 +156,13 @@
 try "kinds that may run again" node/gate/gate.go \
   'case !res.notRun && !q.mayRunAgain():' 'case false:' ./node/gate
 try "entries that ran out with the store" node/fleet/fleet.go \
-  'hold := max(away, 0)' 'hold := 0*away' ./node/fleet
+  'grace := max(graceLeft, 0)' 'grace := 0*graceLeft' ./node/fleet
 try "upstreams that come back in one change" node/fleet/change.go \
   '&& !isListed(byID[v.id])' '' ./node/fleet
 try "a version only rises" node/follow/config.go \
   'old.Config.Version >= next.Version' 'false' ./platform -run 'Rises' ./node/follow
 try "first try after the store's return" node/follow/follow.go \
-  'patientPause = time.Second' 'patientPause = 4 * time.Second' ./node/follow
+  'deferredRetryPause = time.Second' 'deferredRetryPause = 4 * time.Second' ./node/follow
 try "questions of a request that waits" node/gate/pick.go \
   'return q.awaitModel(p)' '' ./node/gate
 try "answers at the end of a stop" node/host/stop.go \
@@ -250,7 +250,7 @@
 try "of answers that cross the stricter holds" core/backpressure/signal.go \
   'if b.Limit.stricter(a.Limit) {' 'if b.Limit != a.Limit {' ./core/backpressure
 try "an older entry of the list does not win" node/fleet/entry.go \
-  'e.gone, e.leaving, e.useUntil = false, e.signal.Leaving, time.Time{}' 'e.gone, e.leaving, e.useUntil = false, false, time.Time{}' ./node/fleet
+  'e.delisted, e.draining, e.useUntil = false, e.signal.Draining, time.Time{}' 'e.delisted, e.draining, e.useUntil = false, false, time.Time{}' ./node/fleet
 try "a rest is kept" node/gate/signals.go \
   'e.Rest(a.Rest)' '' ./platform -run 'InTheRest'
 try "a grant that is not counted is not used" node/gate/turn.go \
