--- a/node/claim/batch.go
+++ b/node/claim/batch.go
@@ -22,11 +22,11 @@
 	return BatchConfig{Interval: 50 * time.Millisecond, MaxTxns: 512, MaxConcurrent: 4}
 }
 
-// commitMost bounds one merged commit that is in doubt: as long as those who
+// commitTimeout bounds one merged commit that is in doubt: as long as those who
 // wait for it do, Config.CallTimeout. Longer, a host that shuts down in an
 // outage could not end. It is far below store.OpMemory, so that within it an
 // operation id is always remembered.
-const commitMost = 2 * time.Second
+const commitTimeout = 2 * time.Second
 
 // Batcher is a store.Table that merges transactions of many requests into
 // one commit. It holds no state and owns nothing: rows keep their own
@@ -35,25 +35,25 @@
 type Batcher struct {
 	store.Table // reads pass through
 	cfg         BatchConfig
-	in          chan *waiting
+	arrivals    chan *pendingTxn
 	slots       chan struct{}
 	commits     sync.WaitGroup // under way
 	stopped     chan struct{}
 }
 
-type waiting struct {
-	txn   store.Txn
-	reply chan reply
+type pendingTxn struct {
+	txn    store.Txn
+	result chan txnResult
 }
 
-type reply struct {
+type txnResult struct {
 	version uint64
 	err     error
 }
 
 // NewBatcher merges transactions onto tb. Nothing is committed unless Run runs.
 func NewBatcher(cfg BatchConfig, tb store.Table) *Batcher {
-	return &Batcher{Table: tb, cfg: cfg, in: make(chan *waiting), slots: make(chan struct{}, cfg.MaxConcurrent),
+	return &Batcher{Table: tb, cfg: cfg, arrivals: make(chan *pendingTxn), slots: make(chan struct{}, cfg.MaxConcurrent),
 		stopped: make(chan struct{})}
 }
 
@@ -61,16 +61,16 @@
 // service; whoever commits again after ErrInDoubt must know its own write by
 // its value, as Rows does.
 func (b *Batcher) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
-	w := &waiting{txn: txn, reply: make(chan reply, 1)}
+	w := &pendingTxn{txn: txn, result: make(chan txnResult, 1)}
 	select {
-	case b.in <- w:
+	case b.arrivals <- w:
 	case <-b.stopped:
 		return 0, store.ErrUnavailable
 	case <-ctx.Done():
 		return 0, store.ErrUnavailable // not taken in: nothing took effect
 	}
 	select {
-	case r := <-w.reply:
+	case r := <-w.result:
 		return r.version, r.err
 	case <-ctx.Done():
 		return 0, store.ErrInDoubt
@@ -80,25 +80,25 @@
 // Run collects and commits until ctx ends, then commits what waits.
 func (b *Batcher) Run(ctx context.Context) error {
 	defer close(b.stopped)
-	arrivals := newCollector(b.in, b.cfg.Interval, b.cfg.MaxTxns)
-	var held []*waiting // same keys as another of its batch: goes with the next
+	collected := newCollector(b.arrivals, b.cfg.Interval, b.cfg.MaxTxns)
+	var deferred []*pendingTxn // same keys as another of its batch: goes with the next
 	for {
-		batch, err := arrivals.next(ctx, held)
-		batch, held = apart(batch)
-		b.start(ctx, batch)
-		if err != nil && len(held) == 0 {
+		batch, err := collected.next(ctx, deferred)
+		batch, deferred = splitShared(batch)
+		b.startCommit(ctx, batch)
+		if err != nil && len(deferred) == 0 {
 			b.commits.Wait()
 			return err
 		}
 	}
 }
 
-// apart splits off the transactions that share a row with an earlier one:
+// splitShared splits off the transactions that share a row with an earlier one:
 // merged, the condition of the second could never hold.
-func apart(batch []*waiting) (now, later []*waiting) {
+func splitShared(batch []*pendingTxn) (first, later []*pendingTxn) {
 	used := map[string]bool{}
 	for _, w := range batch {
-		if touches(w.txn, used) {
+		if touchesAny(w.txn, used) {
 			later = append(later, w)
 			continue
 		}
@@ -108,12 +108,12 @@
 		for _, wr := range w.txn.Writes {
 			used[wr.Key] = true
 		}
-		now = append(now, w)
+		first = append(first, w)
 	}
-	return now, later
+	return first, later
 }
 
-func touches(t store.Txn, used map[string]bool) bool {
+func touchesAny(t store.Txn, used map[string]bool) bool {
 	for _, c := range t.Conds {
 		if used[c.Key] {
 			return true
@@ -127,65 +127,65 @@
 	return false
 }
 
-func (b *Batcher) start(ctx context.Context, batch []*waiting) {
+func (b *Batcher) startCommit(ctx context.Context, batch []*pendingTxn) {
 	if len(batch) == 0 {
 		return
 	}
 	b.slots <- struct{}{}
-	free := sync.OnceFunc(func() { <-b.slots })
+	releaseSlot := sync.OnceFunc(func() { <-b.slots })
 	b.commits.Go(func() {
-		defer free()
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), commitMost)
+		defer releaseSlot()
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), commitTimeout)
 		defer cancel()
-		b.commit(ctx, doubted{b.Table, free}, batch)
+		b.commit(ctx, slotFreeingTable{b.Table, releaseSlot}, batch)
 	})
 }
 
-// doubted is a table that calls inDoubt when an answer of it is lost. A commit
+// slotFreeingTable is a table that calls inDoubt when an answer of it is lost. A commit
 // in doubt gives its slot up: as an outage begins a few of them would else
 // hold all slots, and the claims behind them would wait for their whole bound
 // where the table, asked, would refuse them at once.
-type doubted struct {
+type slotFreeingTable struct {
 	store.Table
-	inDoubt func()
+	onInDoubt func()
 }
 
 // Commit implements store.Table.
-func (d doubted) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
+func (d slotFreeingTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
 	v, err := d.Table.Commit(ctx, txn)
 	if errors.Is(err, store.ErrInDoubt) {
-		d.inDoubt()
+		d.onInDoubt()
 	}
 	return v, err
 }
 
-// mergeTries bounds how often a batch is tried that others get in the way of
+// maxMergeTries bounds how often a batch is tried that others get in the way of
 // between the read and the commit.
-const mergeTries = 3
+const maxMergeTries = 3
 
 // commit takes out the transactions whose conditions do not hold and commits
 // the rest. Reads are cheaper than writes, and one repeat of a request among
 // many new ones would cost two commits if it were only found by a conflict.
-func (b *Batcher) commit(ctx context.Context, tb store.Table, batch []*waiting) {
-	for range mergeTries {
-		rest, err := b.holding(ctx, batch)
+func (b *Batcher) commit(ctx context.Context, tb store.Table, batch []*pendingTxn) {
+	for range maxMergeTries {
+		remaining, err := b.rejectConflicts(ctx, batch)
 		if err != nil {
-			answer(batch, 0, store.ErrUnavailable) // nothing of it took effect
+			sendResult(batch, 0, store.ErrUnavailable) // nothing of it took effect
 			return
 		}
-		if batch = rest; len(batch) == 0 {
+		if batch = remaining; len(batch) == 0 {
 			return
 		}
 		v, err := store.CommitResolved(ctx, tb, merge(batch))
 		if !errors.Is(err, store.ErrConflict) {
-			answer(batch, v, err)
+			sendResult(batch, v, err)
 			return
 		}
 	}
-	answer(batch, 0, store.ErrUnavailable)
+	sendResult(batch, 0, store.ErrUnavailable)
 }
 
-func merge(batch []*waiting) store.Txn {
+func merge(batch []*pendingTxn) store.Txn {
 	m := store.Txn{Op: newID()}
 	for _, w := range batch {
 		m.Conds = append(m.Conds, w.txn.Conds...)
@@ -194,15 +194,15 @@
 	return m
 }
 
-func answer(batch []*waiting, v uint64, err error) {
+func sendResult(batch []*pendingTxn, v uint64, err error) {
 	for _, w := range batch {
-		w.reply <- reply{v, err}
+		w.result <- txnResult{v, err}
 	}
 }
 
-// holding answers the transactions whose conditions do not hold, and returns
+// rejectConflicts answers the transactions whose conditions do not hold, and returns
 // the others.
-func (b *Batcher) holding(ctx context.Context, batch []*waiting) ([]*waiting, error) {
+func (b *Batcher) rejectConflicts(ctx context.Context, batch []*pendingTxn) ([]*pendingTxn, error) {
 	var keys []string
 	for _, w := range batch {
 		for _, c := range w.txn.Conds {
@@ -217,18 +217,18 @@
 	for _, r := range rows {
 		versions[r.Key] = r.Version
 	}
-	var rest []*waiting
+	var remaining []*pendingTxn
 	for _, w := range batch {
-		if holds(w.txn, versions) {
-			rest = append(rest, w)
+		if conditionsHold(w.txn, versions) {
+			remaining = append(remaining, w)
 		} else {
-			w.reply <- reply{0, store.ErrConflict}
+			w.result <- txnResult{0, store.ErrConflict}
 		}
 	}
-	return rest, nil
+	return remaining, nil
 }
 
-func holds(t store.Txn, versions map[string]uint64) bool {
+func conditionsHold(t store.Txn, versions map[string]uint64) bool {
 	for _, c := range t.Conds {
 		if versions[c.Key] != c.Version {
 			return false
--- a/node/claim/bench_test.go
+++ b/node/claim/bench_test.go
@@ -41,12 +41,12 @@
 // filledLog writes the log as an owner would, without its pace.
 func filledLog(b *testing.B, claims int) store.Table {
 	tb := standin.NewTable()
-	const together = 50
-	for i := 0; i < claims; i += together {
+	const rowEntries = 50
+	for i := 0; i < claims; i += rowEntries {
 		var entries []map[string]any
-		for n := i; n < i+together; n++ {
+		for n := i; n < i+rowEntries; n++ {
 			key := claim.Key("north", fmt.Sprint(n))
-			entries = append(entries, map[string]any{"k": key, "v": n + 1, "r": settled(n)})
+			entries = append(entries, map[string]any{"k": key, "v": n + 1, "r": completedRow(n)})
 		}
 		value, err := json.Marshal(map[string]any{"e": entries, "x": time.Now().Add(time.Hour).UnixMilli()})
 		assert.NilError(b, err)
@@ -57,7 +57,7 @@
 	return tb
 }
 
-func settled(n int) claim.Row {
+func completedRow(n int) claim.Row {
 	id := fmt.Sprintf("%036d", n) // as long as the ids in use
 	return claim.Row{ID: id, BodyHash: claim.Key("", id), Op: id, State: claim.Completed, Owner: claim.Owner{Host: "host-0", Incarnation: id},
 		Route:     claim.Route{Upstream: "engine-0", Incarnation: id, Attempt: id},
--- a/node/claim/claim_test.go
+++ b/node/claim/claim_test.go
@@ -56,9 +56,9 @@
 		"kill":           func(t *rapid.T) { m.c.kill(m.host(t), late(t)) },
 		"engine restart": func(*rapid.T) { m.c.engine.restart() },
 		"table outage":   func(*rapid.T) { m.c.table.set(func(f *faults) { f.down = !f.down }) },
-		"lose answers":   func(t *rapid.T) { n := some(t); m.c.table.set(func(f *faults) { f.lose = n }) },
-		"lose commits":   func(t *rapid.T) { n := some(t); m.c.table.set(func(f *faults) { f.drop = n }) },
-		"forget ids":     func(*rapid.T) { m.c.table.set(func(f *faults) { f.forgets = !f.forgets }) },
+		"lose answers":   func(t *rapid.T) { n := some(t); m.c.table.set(func(f *faults) { f.loseAnswers = n }) },
+		"lose commits":   func(t *rapid.T) { n := some(t); m.c.table.set(func(f *faults) { f.dropCommits = n }) },
+		"forget ids":     func(*rapid.T) { m.c.table.set(func(f *faults) { f.forgetOpIDs = !f.forgetOpIDs }) },
 		"drain":          func(t *rapid.T) { m.c.drain(m.host(t)) },
 		"pass time": func(t *rapid.T) {
 			time.Sleep(time.Duration(rapid.IntRange(1, 20).Draw(t, "seconds")) * time.Second)
@@ -75,7 +75,7 @@
 	}{
 		{"rows", func() backend { return rows }},
 		{"batched", func() backend { return batched }},
-		{"ranges", func() backend { return newRanged().host }},
+		{"ranges", func() backend { return newRangeCluster().host }},
 	} {
 		t.Run(b.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -84,7 +84,7 @@
 					m.c.skew = time.Duration(rapid.IntRange(0, 20).Draw(t, "skew")) * time.Second
 					defer m.c.stop()
 					t.Repeat(m.actions())
-					m.settle(t)
+					m.converge(t)
 					assert.NilError(t, history.Check(m.c.hist))
 					n := m.c.hist.Count()
 					assert.Equal(t, n.Doubled+n.Cut+n.Crossed+n.FalseNo+n.Lost, 0, "%+v", n)
@@ -94,9 +94,9 @@
 	}
 }
 
-// settle heals every fault, lets all flights end, and then asks for each key
+// converge heals every fault, lets all flights end, and then asks for each key
 // once more: nothing may stay "in progress" for ever.
-func (m *machine) settle(t *rapid.T) {
+func (m *machine) converge(t *rapid.T) {
 	m.c.table.set(func(f *faults) { *f = faults{} })
 	for len(m.c.flights) > 0 {
 		m.c.advance(m.c.flights[0])
@@ -195,8 +195,8 @@
 		assert.Equal(t, time.Since(start), time.Duration(0))
 		assert.Equal(t, code(err), fault.CodeStoreUnavailable)
 		assert.Equal(t, fault.From(fault.StepClaim, err).Outcome, outcome.NotRun)
-		waiting, _ := c.hosts[0].Pending()
-		assert.Equal(t, waiting, 1)
+		pending, _ := c.hosts[0].Pending()
+		assert.Equal(t, pending, 1)
 		c.table.set(func(f *faults) { f.down = false })
 		c.drain(0)
 		again, err := c.arrive(1, "k", true)
@@ -243,7 +243,7 @@
 		assert.NilError(t, err)
 		c.advance(f)
 		c.kill(0, true)
-		c.badFate = true
+		c.mismatched = true
 		time.Sleep(2 * simDeadline)
 		_, err = c.arrive(1, "k", true)
 		assert.Equal(t, code(err), fault.CodeOutcomeUnknown)
@@ -291,7 +291,7 @@
 func TestOwnClaimIsKnownAfterIDsWereForgotten(t *testing.T) {
 	inBubble(t, func(c *cluster) {
 		for range 2 { // the claim's own write, and the one before the dispatch
-			c.table.set(func(f *faults) { f.lose, f.forgets = 1, true })
+			c.table.set(func(f *faults) { f.loseAnswers, f.forgetOpIDs = 1, true })
 			if len(c.flights) == 0 {
 				_, err := c.arrive(0, "k", false)
 				assert.NilError(t, err)
@@ -315,7 +315,7 @@
 // Mutation checks: with one safeguard taken out of the hosts' use of the
 // table, the records of callers and engine must show it.
 func TestCheckerCatchesMutants(t *testing.T) {
-	two := func(c *cluster) {
+	claimTwice := func(c *cluster) {
 		for h := range 2 {
 			if f, err := c.arrive(h, "k", true); err == nil && f != nil {
 				c.advance(f)
@@ -330,13 +330,13 @@
 		caught func(*cluster) bool
 	}{
 		{"no condition on the claim", func(tb store.Table) store.Table { return &mutant{Table: tb, noConds: true} },
-			two, func(c *cluster) bool { return history.Check(c.hist) != nil && c.hist.Count().Doubled == 1 }},
-		{"lost answer taken for success", func(tb store.Table) store.Table { return &mutant{Table: tb, doubtOK: true} },
-			func(c *cluster) { c.table.set(func(f *faults) { f.drop = 2 }); two(c) },
+			claimTwice, func(c *cluster) bool { return history.Check(c.hist) != nil && c.hist.Count().Doubled == 1 }},
+		{"lost answer taken for success", func(tb store.Table) store.Table { return &mutant{Table: tb, inDoubtAsSuccess: true} },
+			func(c *cluster) { c.table.set(func(f *faults) { f.dropCommits = 2 }); claimTwice(c) },
 			func(c *cluster) bool { return history.Check(c.hist) != nil && c.hist.Count().Doubled == 1 }},
 		{"lost answer taken for failure", func(tb store.Table) store.Table {
-			return &mutant{Table: tb, doubtAs: store.ErrUnavailable}
-		}, func(c *cluster) { c.table.set(func(f *faults) { f.lose = 1 }); two(c) },
+			return &mutant{Table: tb, inDoubtAs: store.ErrUnavailable}
+		}, func(c *cluster) { c.table.set(func(f *faults) { f.loseAnswers = 1 }); claimTwice(c) },
 			func(c *cluster) bool { return c.hist.Count().FalseBusy == 1 }},
 	} {
 		t.Run(m.name, func(t *testing.T) {
--- a/node/claim/collect.go
+++ b/node/claim/collect.go
@@ -7,19 +7,19 @@
 	"golang.org/x/time/rate"
 )
 
-// collectBurst is how many commits may follow one another without a wait, so
+// maxCollectBurst is how many commits may follow one another without a wait, so
 // that a quiet host adds no time to a claim.
-const collectBurst = 3
+const maxCollectBurst = 3
 
 // collector gathers what arrives until the pace allows the next commit.
 type collector[T any] struct {
-	in   <-chan T
-	pace *rate.Limiter
-	most int
+	in       <-chan T
+	limiter  *rate.Limiter
+	maxBatch int
 }
 
 func newCollector[T any](in <-chan T, window time.Duration, most int) collector[T] {
-	return collector[T]{in: in, pace: rate.NewLimiter(rate.Every(window), collectBurst), most: most}
+	return collector[T]{in: in, limiter: rate.NewLimiter(rate.Every(window), maxCollectBurst), maxBatch: most}
 }
 
 // next returns the next batch, which starts with what was held back from the
@@ -33,28 +33,28 @@
 			return nil, ctx.Err()
 		}
 	}
-	timer := time.NewTimer(c.pace.Reserve().Delay())
+	timer := time.NewTimer(c.limiter.Reserve().Delay())
 	defer timer.Stop()
 	for {
 		in := c.in
-		if len(batch) >= c.most {
+		if len(batch) >= c.maxBatch {
 			in = nil
 		}
 		select {
 		case v := <-in:
 			batch = append(batch, v)
 		case <-timer.C:
-			return c.rest(batch), nil
+			return c.takeReady(batch), nil
 		case <-ctx.Done():
 			return batch, ctx.Err()
 		}
 	}
 }
 
-// rest takes in what already waits: with no wait at all, requests that came
+// takeReady takes in what already waits: with no wait at all, requests that came
 // together would go out in a commit each.
-func (c collector[T]) rest(batch []T) []T {
-	for len(batch) < c.most {
+func (c collector[T]) takeReady(batch []T) []T {
+	for len(batch) < c.maxBatch {
 		select {
 		case v := <-c.in:
 			batch = append(batch, v)
--- a/node/claim/grant.go
+++ b/node/claim/grant.go
@@ -13,11 +13,11 @@
 // Grant is the right to run one request. It belongs to one goroutine, and
 // ends with Complete, NotRun or Unknown.
 type Grant struct {
-	store   *Store
-	key     string
-	row     claim.Row
-	version uint64
-	until   time.Time // with the monotonic clock: the request's deadline
+	store    *Store
+	key      string
+	row      claim.Row
+	version  uint64
+	deadline time.Time // with the monotonic clock: the request's deadline
 }
 
 // RecordDispatch must return nil before the first byte of an attempt goes out:
@@ -27,7 +27,7 @@
 // After an error nothing may be dispatched, and the grant must be ended with
 // NotRun.
 func (g *Grant) RecordDispatch(ctx context.Context, route claim.Route, deadline time.Time) error {
-	if !time.Now().Before(g.until) {
+	if !time.Now().Before(g.deadline) {
 		// This host was paused. Others look after the claim from now on; the
 		// upstream's refusal of an attempt they fenced is the second line.
 		return fault.NotRun(fault.StepClaim, "", fault.CodeDeadlineExceeded, "deadline passed before the dispatch")
@@ -46,10 +46,10 @@
 	if errors.Is(err, store.ErrConflict) {
 		// Another host took the claim over while this one was paused. It is
 		// its to run now; going on would run the request twice.
-		return fault.NotRun(fault.StepClaim, "", fault.CodeConflict, "claim was taken over").WithRetryAfter(progressLeast)
+		return fault.NotRun(fault.StepClaim, "", fault.CodeConflict, "claim was taken over").WithRetryAfter(minProgressRetry)
 	}
 	if err != nil {
-		return storeDown(err)
+		return storeUnavailableError(err)
 	}
 	g.row, g.version = next, seen.Version
 	return nil
@@ -78,10 +78,10 @@
 // The caller's own ctx may have ended with its connection; that must not leave
 // the claim open.
 func (g *Grant) end(ctx context.Context, answer *claim.Answer, change func(claim.Row) (claim.Row, error)) error {
-	st := &settlement{key: g.key, id: g.row.ID, row: g.row, version: g.version, change: change, answer: answer}
+	st := &outcomeWrite{key: g.key, id: g.row.ID, row: g.row, version: g.version, change: change, answer: answer}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), g.store.cfg.CallTimeout)
 	defer cancel()
-	if err := g.store.settle(ctx, st); err != nil {
+	if err := g.store.writeOutcome(ctx, st); err != nil {
 		return g.store.enqueue(st, err)
 	}
 	return nil
--- a/node/claim/settle.go
+++ b/node/claim/outcome.go
@@ -19,8 +19,8 @@
 // upstream's word, or answered as unknown: never run.
 var ErrQueueFull = errors.New("no room for a claim's settlement")
 
-// settlement is the end of one claim on its way to the table.
-type settlement struct {
+// outcomeWrite is the end of one claim on its way to the table.
+type outcomeWrite struct {
 	key     string
 	id      string // of the claim
 	row     claim.Row
@@ -29,22 +29,22 @@
 	answer  *claim.Answer // what change stores; its body may move to the object store
 }
 
-func (st *settlement) bytes() int {
+func (st *outcomeWrite) bytes() int {
 	if st.answer == nil {
 		return 0
 	}
 	return len(st.answer.Body)
 }
 
-// settle writes one settlement. nil means that nothing is left to do: it was
+// writeOutcome writes one settlement. nil means that nothing is left to do: it was
 // written, or somebody else has settled the claim.
-func (s *Store) settle(ctx context.Context, st *settlement) error {
-	for range rounds {
+func (s *Store) writeOutcome(ctx context.Context, st *outcomeWrite) error {
+	for range maxRowChanges {
 		next, err := st.change(st.row)
 		if err != nil {
 			return nil // settled already, in a state that this one may not change
 		}
-		seen, err := s.write(ctx, st.key, VersionedRow{Row: &st.row, Version: st.version}, next)
+		seen, err := s.writeRow(ctx, st.key, VersionedRow{Row: &st.row, Version: st.version}, next)
 		if err != nil {
 			return err
 		}
@@ -56,10 +56,10 @@
 	return store.ErrConflict
 }
 
-// keep moves a large answer to the object store, under a name of its own, so
+// storeAnswer moves a large answer to the object store, under a name of its own, so
 // that a second try writes the same bytes. It must stand before the row that
 // names it.
-func (s *Store) keep(ctx context.Context, key, id string, a *claim.Answer) error {
+func (s *Store) storeAnswer(ctx context.Context, key, id string, a *claim.Answer) error {
 	switch {
 	case len(a.Body) <= s.cfg.MaxInlineBytes:
 		return nil
@@ -78,7 +78,7 @@
 // queue holds settlements that the platform would not take, in order.
 type queue struct {
 	mu       sync.Mutex
-	items    []*settlement
+	items    []*outcomeWrite
 	bytes    int
 	maxItems int
 	maxBytes int
@@ -89,7 +89,7 @@
 	return &queue{maxItems: items, maxBytes: bytes, wake: make(chan struct{}, 1)}
 }
 
-func (q *queue) push(st *settlement) bool {
+func (q *queue) push(st *outcomeWrite) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.items) >= q.maxItems || q.bytes+st.bytes() > q.maxBytes {
@@ -106,7 +106,7 @@
 
 // head is the settlement to try next. It stays counted until remove, so that
 // one which fails again can never be pushed out by a newer one.
-func (q *queue) head() (*settlement, bool) {
+func (q *queue) head() (*outcomeWrite, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.items) == 0 {
@@ -117,13 +117,13 @@
 
 // remove drops the head; with again it goes to the tail instead, so that one
 // settlement that cannot be written does not hold up the others.
-func (q *queue) remove(again bool) {
+func (q *queue) remove(requeue bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	st := q.items[0]
 	q.items[0] = nil
 	q.items = q.items[1:]
-	if again {
+	if requeue {
 		q.items = append(q.items, st)
 		return
 	}
@@ -137,7 +137,7 @@
 	return len(s.queue.items), s.queue.bytes
 }
 
-func (s *Store) enqueue(st *settlement, cause error) error {
+func (s *Store) enqueue(st *outcomeWrite, cause error) error {
 	if !s.queue.push(st) {
 		s.deps.Log.Emit(event.ClaimSettleDropped, zap.String("claim", st.id), zap.Error(cause))
 		return ErrQueueFull
@@ -148,8 +148,8 @@
 
 // Pauses between tries while the platform is down.
 const (
-	deferFirst = 50 * time.Millisecond
-	deferMost  = 2 * time.Second // the queue empties soon after an outage ends
+	minRetryWait = 50 * time.Millisecond
+	maxRetryWait = 2 * time.Second // the queue empties soon after an outage ends
 )
 
 // Run writes deferred settlements until ctx ends.
@@ -171,13 +171,13 @@
 // the queue has one reader at a time.
 func (s *Store) Drain(ctx context.Context) error {
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = deferFirst, deferMost
+	wait.InitialInterval, wait.MaxInterval = minRetryWait, maxRetryWait
 	for {
 		st, ok := s.queue.head()
 		if !ok {
 			return nil
 		}
-		err := s.settleOnce(ctx, st)
+		err := s.tryOutcome(ctx, st)
 		s.queue.remove(err != nil)
 		if err == nil {
 			wait.Reset()
@@ -191,8 +191,8 @@
 	}
 }
 
-func (s *Store) settleOnce(ctx context.Context, st *settlement) error {
+func (s *Store) tryOutcome(ctx context.Context, st *outcomeWrite) error {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.CallTimeout)
 	defer cancel()
-	return s.settle(ctx, st)
+	return s.writeOutcome(ctx, st)
 }
--- a/node/claim/settle_test.go
+++ b/node/claim/outcome_test.go
@@ -19,19 +19,19 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// blobs is an object store of which tests see the content.
-type blobs struct {
+// memoryObjects is an object store of which tests see the content.
+type memoryObjects struct {
 	store.Objects
-	held map[string][]byte
+	data map[string][]byte
 }
 
-func (b *blobs) Put(_ context.Context, name string, data []byte) error {
-	b.held[name] = data
+func (b *memoryObjects) Put(_ context.Context, name string, data []byte) error {
+	b.data[name] = data
 	return nil
 }
 
-func (b *blobs) Get(_ context.Context, name string) ([]byte, error) {
-	if d, ok := b.held[name]; ok {
+func (b *memoryObjects) Get(_ context.Context, name string) ([]byte, error) {
+	if d, ok := b.data[name]; ok {
 		return d, nil
 	}
 	return nil, store.ErrUnavailable
@@ -44,7 +44,7 @@
 		Log: event.NewLog(nil), Now: time.Now, Owner: claim.Owner{Host: "h"}})
 }
 
-func ask(s *nodeclaim.Store, key string) (*nodeclaim.Grant, *nodeclaim.Answer, error) {
+func claimKey(s *nodeclaim.Store, key string) (*nodeclaim.Grant, *nodeclaim.Answer, error) {
 	return s.Claim(context.Background(), nodeclaim.Request{Team: "north", Key: key, BodyHash: "b",
 		Deadline: time.Now().Add(time.Second), Route: claim.Route{Upstream: "e", Attempt: key}})
 }
@@ -57,14 +57,14 @@
 		kept  bool
 	}{{"in the row", 10, 0, true}, {"in the object store", 11, 1, true}, {"not kept", 101, 0, false}} {
 		t.Run(c.name, func(t *testing.T) {
-			objects := &blobs{held: map[string][]byte{}}
+			objects := &memoryObjects{data: map[string][]byte{}}
 			s := smallStore(standin.NewTable(), objects)
-			g, _, err := ask(s, "k")
+			g, _, err := claimKey(s, "k")
 			assert.NilError(t, err)
 			body := bytes.Repeat([]byte("x"), c.bytes)
 			assert.NilError(t, g.Complete(context.Background(), nodeclaim.Answer{Status: 201, Body: body}))
-			assert.Equal(t, len(objects.held), c.blobs)
-			_, a, err := ask(s, "k")
+			assert.Equal(t, len(objects.data), c.blobs)
+			_, a, err := claimKey(s, "k")
 			if !c.kept {
 				assert.Equal(t, fault.From(fault.StepClaim, err).Outcome, outcome.Completed)
 				return
@@ -85,7 +85,7 @@
 		s := smallStore(tb, nil)
 		var grants []*nodeclaim.Grant
 		for _, k := range []string{"a", "b", "c", "d"} {
-			g, _, err := ask(s, k)
+			g, _, err := claimKey(s, k)
 			assert.NilError(t, err)
 			grants = append(grants, g)
 		}
@@ -99,7 +99,7 @@
 		assert.NilError(t, s.Drain(context.Background()))
 		count, size := s.Pending()
 		assert.Equal(t, count+size, 0)
-		_, _, err := ask(s, "b")
+		_, _, err := claimKey(s, "b")
 		assert.Equal(t, code(err), fault.CodeInProgress, "held, and not run again")
 	})
 }
@@ -116,16 +116,16 @@
 		stopped := make(chan struct{})
 		go func() { defer close(stopped); _ = batch.Run(ctx) }()
 		s := smallStore(batch, nil)
-		tb.set(func(f *faults) { f.drop = 1 << 10 })
+		tb.set(func(f *faults) { f.dropCommits = 1 << 10 })
 		for range 8 {
-			go func() { _, _, _ = ask(s, rand.Text()) }()
+			go func() { _, _, _ = claimKey(s, rand.Text()) }()
 			time.Sleep(100 * time.Millisecond) // a commit each
 		}
-		tb.set(func(f *faults) { f.drop, f.down = 0, true })
-		began := time.Now()
-		_, _, err := ask(s, "after")
+		tb.set(func(f *faults) { f.dropCommits, f.down = 0, true })
+		start := time.Now()
+		_, _, err := claimKey(s, "after")
 		assert.Equal(t, code(err), fault.CodeStoreUnavailable)
-		assert.Assert(t, time.Since(began) < 200*time.Millisecond, "refused after %s", time.Since(began)) // of synctest's clock
+		assert.Assert(t, time.Since(start) < 200*time.Millisecond, "refused after %s", time.Since(start)) // of synctest's clock
 		cancel()
 		<-stopped
 	})
--- a/node/claim/range.go
+++ b/node/claim/range.go
@@ -46,32 +46,32 @@
 type Range struct {
 	cfg         RangeConfig
 	deps        RangeDeps
-	rng         int
-	in          chan *change
+	id          int
+	arrivals    chan *rowChange
 	stopped     chan struct{}
-	head        head
+	head        headRow
 	headVersion uint64
 	version     uint64 // last one given to a row
 
 	mu       sync.RWMutex // rows and segments: written by Run, read by Read
-	rows     map[string]held
+	rows     map[string]cachedRow
 	segments []segment
 }
 
-type held struct {
+type cachedRow struct {
 	row     *claim.Row
 	version uint64
-	seq     uint64 // of the log row that holds it
+	logSeq  uint64 // of the log row that holds it
 }
 
-type change struct {
+type rowChange struct {
 	key     string
 	version uint64
 	row     *claim.Row
-	reply   chan swapped
+	result  chan swapResult
 }
 
-type swapped struct {
+type swapResult struct {
 	seen VersionedRow
 	err  error
 }
@@ -87,16 +87,16 @@
 
 // Swap waits for the append that decides on the change.
 func (r *Range) Swap(ctx context.Context, key string, version uint64, row *claim.Row) (VersionedRow, error) {
-	c := &change{key: key, version: version, row: row, reply: make(chan swapped, 1)}
+	c := &rowChange{key: key, version: version, row: row, result: make(chan swapResult, 1)}
 	select {
-	case r.in <- c:
+	case r.arrivals <- c:
 	case <-r.stopped:
 		return VersionedRow{}, store.ErrUnavailable
 	case <-ctx.Done():
 		return VersionedRow{}, store.ErrUnavailable // not taken in: nothing took effect
 	}
 	select {
-	case s := <-c.reply:
+	case s := <-c.result:
 		return s.seen, s.err
 	case <-ctx.Done():
 		return VersionedRow{}, store.ErrInDoubt
@@ -107,11 +107,11 @@
 // opened anew.
 func (r *Range) Run(ctx context.Context) error {
 	defer close(r.stopped)
-	arrivals := newCollector(r.in, r.cfg.Interval, r.cfg.MaxChanges)
+	collected := newCollector(r.arrivals, r.cfg.Interval, r.cfg.MaxChanges)
 	for {
-		batch, done := arrivals.next(ctx, nil)
+		batch, done := collected.next(ctx, nil)
 		if err := r.append(context.WithoutCancel(ctx), batch); err != nil {
-			r.deps.Log.Emit(event.ClaimRangeLost, zap.Int("range", r.rng), zap.Error(err))
+			r.deps.Log.Emit(event.ClaimRangeLost, zap.Int("range", r.id), zap.Error(err))
 			return err
 		}
 		if done != nil {
@@ -122,71 +122,71 @@
 
 // append decides on the batch in order of arrival and writes what was
 // accepted. It returns an error when this host cannot go on as owner.
-func (r *Range) append(ctx context.Context, batch []*change) error {
+func (r *Range) append(ctx context.Context, batch []*rowChange) error {
 	if len(batch) == 0 {
 		return nil
 	}
 	if !r.deps.Lease.Valid() {
-		refuse(batch, store.ErrUnavailable)
+		sendSwapError(batch, store.ErrUnavailable)
 		return errors.New("lease lapsed")
 	}
-	ctx, cancel := context.WithTimeout(ctx, commitMost)
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	drops, entries, count := r.expire(r.deps.Now())
-	answers, accepted := r.judge(batch)
+	deletes, entries, dropped := r.expire(r.deps.Now())
+	results, accepted := r.decide(batch)
 	entries = append(entries, accepted...)
 	if len(entries) == 0 {
-		send(batch, answers)
+		sendSwapResults(batch, results)
 		return nil
 	}
-	err := r.write(ctx, drops, entries, count)
+	err := r.appendLog(ctx, deletes, entries, dropped)
 	switch {
 	case err == nil:
-		send(batch, answers)
+		sendSwapResults(batch, results)
 		return nil
 	case errors.Is(err, store.ErrConflict):
-		refuse(batch, store.ErrUnavailable) // another owner wrote the head: nothing took effect
+		sendSwapError(batch, store.ErrUnavailable) // another owner wrote the head: nothing took effect
 		return err
 	case errors.Is(err, store.ErrInDoubt):
-		refuse(batch, store.ErrInDoubt)
+		sendSwapError(batch, store.ErrInDoubt)
 		return err
 	default:
-		refuse(batch, err)
+		sendSwapError(batch, err)
 		return nil // the table refused; the range stands as it was
 	}
 }
 
-// judge decides each change against memory and the changes before it.
-func (r *Range) judge(batch []*change) (answers []swapped, accepted []logEntry) {
-	answers = make([]swapped, len(batch))
-	fresh := map[string]VersionedRow{}
+// decide decides each change against memory and the changes before it.
+func (r *Range) decide(batch []*rowChange) (results []swapResult, accepted []logEntry) {
+	results = make([]swapResult, len(batch))
+	changed := map[string]VersionedRow{}
 	for i, c := range batch {
-		seen, ok := fresh[c.key]
+		seen, ok := changed[c.key]
 		if !ok {
 			h := r.rows[c.key]
 			seen = VersionedRow{Row: h.row, Version: h.version}
 		}
 		switch {
 		case seen.Row != nil && c.row != nil && seen.Row.Op == c.row.Op:
-			answers[i] = swapped{seen: seen} // asked for again after a lost answer
+			results[i] = swapResult{seen: seen} // asked for again after a lost answer
 		case seen.Version != c.version:
-			answers[i] = swapped{seen: seen, err: store.ErrConflict}
+			results[i] = swapResult{seen: seen, err: store.ErrConflict}
 		default:
 			r.version++
 			next := VersionedRow{Row: c.row, Version: r.version}
 			if c.row == nil {
 				next.Version = store.Absent
 			}
-			fresh[c.key] = next
-			answers[i] = swapped{seen: next}
+			changed[c.key] = next
+			results[i] = swapResult{seen: next}
 			accepted = append(accepted, logEntry{Key: c.key, Version: r.version, Row: c.row})
 		}
 	}
-	return answers, accepted
+	return results, accepted
 }
 
-func (r *Range) write(ctx context.Context, drops []store.Write, entries []logEntry, count int) error {
-	l := logRow{Entries: entries, Expires: r.lastExpiry(entries)}
+func (r *Range) appendLog(ctx context.Context, deletes []store.Write, entries []logEntry, dropped int) error {
+	l := logRow{Entries: entries, Expires: r.logRowExpiry(entries)}
 	value, err := json.Marshal(l)
 	if err != nil {
 		return eris.Wrap(err, "encode claims")
@@ -194,7 +194,7 @@
 	next := r.head
 	next.Next++
 	next.Version = r.version
-	writes := append(drops, store.Write{Key: logKey(r.rng, r.head.Next), Value: value})
+	writes := append(deletes, store.Write{Key: logKey(r.id, r.head.Next), Value: value})
 	v, err := r.writeHead(ctx, r.headVersion, next, writes)
 	if err != nil {
 		return err
@@ -202,15 +202,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.headVersion = v
-	r.forget(count)
+	r.dropSegments(dropped)
 	r.apply(r.head.Next, l)
 	r.head = next
 	return nil
 }
 
-// lastExpiry is when a log row may be dropped. The order of the log must be
+// logRowExpiry is when a log row may be dropped. The order of the log must be
 // kept: a deletion may only go after what it deletes, which is older.
-func (r *Range) lastExpiry(entries []logEntry) int64 {
+func (r *Range) logRowExpiry(entries []logEntry) int64 {
 	now := r.deps.Now().UnixMilli()
 	last := now
 	for _, e := range entries {
@@ -225,14 +225,14 @@
 	return last
 }
 
-func send(batch []*change, answers []swapped) {
+func sendSwapResults(batch []*rowChange, results []swapResult) {
 	for i, c := range batch {
-		c.reply <- answers[i]
+		c.result <- results[i]
 	}
 }
 
-func refuse(batch []*change, err error) {
+func sendSwapError(batch []*rowChange, err error) {
 	for _, c := range batch {
-		c.reply <- swapped{err: err}
+		c.result <- swapResult{err: err}
 	}
 }
--- a/node/claim/ranged_test.go
+++ b/node/claim/ranged_test.go
@@ -16,29 +16,29 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// lease is an epoch that its holder believes in for as long as it runs: a
+// fixedLease is an epoch that its holder believes in for as long as it runs: a
 // holder that is paused past its lease believes in it too.
-type lease uint64
+type fixedLease uint64
 
-func (l lease) Epoch() uint64 { return uint64(l) }
-func (l lease) Valid() bool   { return true }
+func (l fixedLease) Epoch() uint64 { return uint64(l) }
+func (l fixedLease) Valid() bool   { return true }
 
 func openRange(tb store.Table, epoch uint64) (*nodeclaim.Range, error) {
 	cfg := nodeclaim.DefaultRangeConfig()
 	return nodeclaim.OpenRange(context.Background(), cfg, nodeclaim.RangeDeps{
-		Table: tb, Lease: lease(epoch), Log: event.NewLog(nil), Now: time.Now}, 0)
+		Table: tb, Lease: fixedLease(epoch), Log: event.NewLog(nil), Now: time.Now}, 0)
 }
 
-// ranged is one range, which a new host takes over whenever a host starts,
+// rangeCluster is one range, which a new host takes over whenever a host starts,
 // while the owner before still goes on by its old lease.
-type ranged struct {
+type rangeCluster struct {
 	epoch uint64
 	owner *nodeclaim.Range
 }
 
-func newRanged() *ranged { return &ranged{} }
+func newRangeCluster() *rangeCluster { return &rangeCluster{} }
 
-func (r *ranged) host(c *cluster, _ int) (nodeclaim.Records, func()) {
+func (r *rangeCluster) host(c *cluster, _ int) (nodeclaim.Records, func()) {
 	g := nodeclaim.NewRangeRouter(1, r)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.epoch++
@@ -50,14 +50,14 @@
 	return g, cancel
 }
 
-func (r *ranged) Read(ctx context.Context, _ int, key string) (nodeclaim.VersionedRow, error) {
+func (r *rangeCluster) Read(ctx context.Context, _ int, key string) (nodeclaim.VersionedRow, error) {
 	if r.owner == nil {
 		return nodeclaim.VersionedRow{}, store.ErrUnavailable
 	}
 	return r.owner.Read(ctx, key)
 }
 
-func (r *ranged) Swap(ctx context.Context, _ int, key string, v uint64, row *claim.Row) (nodeclaim.VersionedRow, error) {
+func (r *rangeCluster) Swap(ctx context.Context, _ int, key string, v uint64, row *claim.Row) (nodeclaim.VersionedRow, error) {
 	if r.owner == nil {
 		return nodeclaim.VersionedRow{}, store.ErrUnavailable
 	}
@@ -75,12 +75,12 @@
 		next, err := openRange(tb, 2)
 		assert.NilError(t, err)
 		ctx, cancel := context.WithCancel(context.Background())
-		lost := make(chan error, 1)
-		go func() { lost <- old.Run(ctx) }()
+		ended := make(chan error, 1)
+		go func() { ended <- old.Run(ctx) }()
 		go func() { _ = next.Run(ctx) }()
 		_, err = old.Swap(ctx, "k", store.Absent, &claim.Row{ID: "1", Op: "1"})
 		assert.ErrorIs(t, err, store.ErrUnavailable)
-		assert.ErrorIs(t, <-lost, store.ErrConflict)
+		assert.ErrorIs(t, <-ended, store.ErrConflict)
 		_, err = next.Swap(ctx, "k", store.Absent, &claim.Row{ID: "2", Op: "2"})
 		assert.NilError(t, err)
 		_, err = next.Swap(ctx, "k", store.Absent, &claim.Row{ID: "2", Op: "2"})
--- a/node/claim/rangelog.go
+++ b/node/claim/rangelog.go
@@ -19,12 +19,12 @@
 // and the head under the condition that nobody else wrote the head: an owner
 // whose lease lapsed while it was paused fails on its next append.
 const (
-	headPrefix = "claims/head/"
-	logPrefix  = "claims/log/"
-	logPage    = 256 // log rows read at once when a range is opened
+	headPrefix  = "claims/head/"
+	logPrefix   = "claims/log/"
+	logPageRows = 256 // log rows read at once when a range is opened
 )
 
-type head struct {
+type headRow struct {
 	Epoch uint64 `json:"epoch"`
 	Next  uint64 `json:"next"` // sequence number of the next log row
 	// Version is the last one given to a row. Were it only in the log, it would
@@ -51,15 +51,15 @@
 	keys    []string
 }
 
-func headKey(rng int) string            { return fmt.Sprintf("%s%d", headPrefix, rng) }
-func logKey(rng int, seq uint64) string { return fmt.Sprintf("%s%d/%016x", logPrefix, rng, seq) }
-func logKeys(rng int) (prefix string)   { return fmt.Sprintf("%s%d/", logPrefix, rng) }
+func headKey(rng int) string               { return fmt.Sprintf("%s%d", headPrefix, rng) }
+func logKey(rng int, seq uint64) string    { return fmt.Sprintf("%s%d/%016x", logPrefix, rng, seq) }
+func logKeyPrefix(rng int) (prefix string) { return fmt.Sprintf("%s%d/", logPrefix, rng) }
 
 // OpenRange takes a range over under a lease: it fences the owner before it by
 // writing the head, then reads the log.
 func OpenRange(ctx context.Context, cfg RangeConfig, deps RangeDeps, rng int) (*Range, error) {
-	r := &Range{cfg: cfg, deps: deps, rng: rng, rows: map[string]held{}, in: make(chan *change), stopped: make(chan struct{})}
-	if err := r.takeHead(ctx); err != nil {
+	r := &Range{cfg: cfg, deps: deps, id: rng, rows: map[string]cachedRow{}, arrivals: make(chan *rowChange), stopped: make(chan struct{})}
+	if err := r.fenceFormerOwner(ctx); err != nil {
 		return nil, err
 	}
 	if err := r.readLog(ctx); err != nil {
@@ -69,16 +69,16 @@
 	return r, nil
 }
 
-func (r *Range) takeHead(ctx context.Context) error {
-	rows, err := r.deps.Table.Get(ctx, headKey(r.rng))
+func (r *Range) fenceFormerOwner(ctx context.Context) error {
+	rows, err := r.deps.Table.Get(ctx, headKey(r.id))
 	if err != nil {
-		return eris.Wrapf(err, "read head of claim range %d", r.rng)
+		return eris.Wrapf(err, "read head of claim range %d", r.id)
 	}
 	var version uint64
 	if len(rows) > 0 {
 		version = rows[0].Version
 		if err := json.Unmarshal(rows[0].Value, &r.head); err != nil {
-			return eris.Wrapf(err, "decode head of claim range %d", r.rng)
+			return eris.Wrapf(err, "decode head of claim range %d", r.id)
 		}
 	}
 	if r.head.Epoch > r.deps.Lease.Epoch() {
@@ -92,45 +92,45 @@
 
 // writeHead writes the head together with more writes, if the head still has
 // the given version.
-func (r *Range) writeHead(ctx context.Context, version uint64, h head, more []store.Write) (uint64, error) {
+func (r *Range) writeHead(ctx context.Context, version uint64, h headRow, others []store.Write) (uint64, error) {
 	value, err := json.Marshal(h)
 	if err != nil {
 		return 0, eris.Wrap(err, "encode head of claim range")
 	}
-	k := headKey(r.rng)
+	k := headKey(r.id)
 	return store.CommitResolved(ctx, r.deps.Table, store.Txn{
 		Op:     newID(),
 		Conds:  []store.Cond{{Key: k, Version: version}},
-		Writes: append(more, store.Write{Key: k, Value: value}),
+		Writes: append(others, store.Write{Key: k, Value: value}),
 	})
 }
 
 func (r *Range) readLog(ctx context.Context) error {
 	after := ""
 	for {
-		rows, err := r.deps.Table.List(ctx, logKeys(r.rng), after, logPage)
+		rows, err := r.deps.Table.List(ctx, logKeyPrefix(r.id), after, logPageRows)
 		if err != nil {
-			return eris.Wrapf(err, "read log of claim range %d", r.rng)
+			return eris.Wrapf(err, "read log of claim range %d", r.id)
 		}
 		for _, row := range rows {
-			if err := r.replay(row); err != nil {
+			if err := r.replayLogRow(row); err != nil {
 				return err
 			}
 			after = row.Key
 		}
-		if len(rows) < logPage {
+		if len(rows) < logPageRows {
 			return nil
 		}
 	}
 }
 
-func (r *Range) replay(row store.Row) error {
+func (r *Range) replayLogRow(row store.Row) error {
 	var l logRow
 	if err := json.Unmarshal(row.Value, &l); err != nil {
 		return eris.Wrapf(err, "decode %s", row.Key)
 	}
 	var seq uint64
-	if _, err := fmt.Sscanf(row.Key[len(logKeys(r.rng)):], "%x", &seq); err != nil {
+	if _, err := fmt.Sscanf(row.Key[len(logKeyPrefix(r.id)):], "%x", &seq); err != nil {
 		return eris.Wrapf(err, "sequence of %s", row.Key)
 	}
 	r.apply(seq, l)
@@ -146,42 +146,42 @@
 			delete(r.rows, e.Key)
 			continue
 		}
-		r.rows[e.Key] = held{row: e.Row, version: e.Version, seq: seq}
+		r.rows[e.Key] = cachedRow{row: e.Row, version: e.Version, logSeq: seq}
 		s.keys = append(s.keys, e.Key)
 	}
 	r.segments = append(r.segments, s)
 }
 
-// expireMost bounds the log rows that one append drops, so that a commit
+// maxExpiredRows bounds the log rows that one append drops, so that a commit
 // stays small after a long pause.
-const expireMost = 4
+const maxExpiredRows = 4
 
 // expire drops the oldest log rows whose claims are forgotten, in the same
 // commit as an append: sweeping costs no writes of its own. Claims that must
 // be kept longer are appended again. It returns the writes, the entries to
 // append and how many segments go.
-func (r *Range) expire(now time.Time) (writes []store.Write, again []logEntry, count int) {
-	for _, s := range r.segments[:min(expireMost, len(r.segments))] {
+func (r *Range) expire(now time.Time) (writes []store.Write, reappended []logEntry, dropped int) {
+	for _, s := range r.segments[:min(maxExpiredRows, len(r.segments))] {
 		if now.UnixMilli() < s.expires {
 			break
 		}
 		for _, k := range s.keys {
 			h, ok := r.rows[k]
-			if ok && h.seq == s.seq && claim.DecideExpiry(*h.row, r.cfg.TTL, now) != claim.Delete {
-				again = append(again, logEntry{Key: k, Version: h.version, Row: h.row})
+			if ok && h.logSeq == s.seq && claim.DecideExpiry(*h.row, r.cfg.TTL, now) != claim.Delete {
+				reappended = append(reappended, logEntry{Key: k, Version: h.version, Row: h.row})
 			}
 		}
-		writes = append(writes, store.Write{Key: logKey(r.rng, s.seq), Delete: true})
-		count++
+		writes = append(writes, store.Write{Key: logKey(r.id, s.seq), Delete: true})
+		dropped++
 	}
-	return writes, again, count
+	return writes, reappended, dropped
 }
 
-// forget takes dropped segments out of memory, after their commit.
-func (r *Range) forget(count int) {
+// dropSegments takes dropped segments out of memory, after their commit.
+func (r *Range) dropSegments(count int) {
 	for _, s := range r.segments[:count] {
 		for _, k := range s.keys {
-			if h, ok := r.rows[k]; ok && h.seq == s.seq {
+			if h, ok := r.rows[k]; ok && h.logSeq == s.seq {
 				delete(r.rows, k)
 			}
 		}
--- a/node/claim/records.go
+++ b/node/claim/records.go
@@ -42,7 +42,7 @@
 	if err != nil || len(rows) == 0 {
 		return VersionedRow{}, err
 	}
-	return decode(rows[0])
+	return decodeRow(rows[0])
 }
 
 // Swap implements Records. A lost answer is resolved under the same operation
@@ -62,16 +62,16 @@
 	if !errors.Is(err, store.ErrConflict) {
 		return VersionedRow{}, err
 	}
-	now, readErr := r.Read(ctx, key)
+	current, readErr := r.Read(ctx, key)
 	switch {
 	case readErr != nil:
 		return VersionedRow{}, errors.Join(store.ErrInDoubt, readErr)
-	case row == nil && now.Row == nil:
-		return now, nil
-	case row != nil && now.Row != nil && now.Row.Op == row.Op:
-		return now, nil
+	case row == nil && current.Row == nil:
+		return current, nil
+	case row != nil && current.Row != nil && current.Row.Op == row.Op:
+		return current, nil
 	}
-	return now, store.ErrConflict
+	return current, store.ErrConflict
 }
 
 func swapTxn(key string, version uint64, row *claim.Row) (store.Txn, error) {
@@ -87,7 +87,7 @@
 	return store.Txn{Op: op, Conds: []store.Cond{{Key: key, Version: version}}, Writes: []store.Write{w}}, nil
 }
 
-func decode(r store.Row) (VersionedRow, error) {
+func decodeRow(r store.Row) (VersionedRow, error) {
 	var row claim.Row
 	if err := json.Unmarshal(r.Value, &row); err != nil {
 		return VersionedRow{}, eris.Wrapf(err, "decode claim %s", r.Key)
--- a/node/claim/ranges.go
+++ b/node/claim/router.go
@@ -29,16 +29,16 @@
 // RangeRouter splits claims by ranges of groups, so that few hosts write the
 // changes of many claims in few commits, whatever the number of hosts.
 type RangeRouter struct {
-	ranges  int
-	forward Forwarder
-	mu      sync.RWMutex
-	own     map[int]Records
+	ranges    int
+	forwarder Forwarder
+	mu        sync.RWMutex
+	local     map[int]Records
 }
 
 // NewRangeRouter splits the groups into ranges; forward reaches those that this
 // host does not serve.
 func NewRangeRouter(ranges int, forward Forwarder) *RangeRouter {
-	return &RangeRouter{ranges: ranges, forward: forward, own: map[int]Records{}}
+	return &RangeRouter{ranges: ranges, forwarder: forward, local: map[int]Records{}}
 }
 
 // RangeOf is the range of a key.
@@ -52,10 +52,10 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r == nil {
-		delete(g.own, rng)
+		delete(g.local, rng)
 		return
 	}
-	g.own[rng] = r
+	g.local[rng] = r
 }
 
 // Local is the range if this host serves it. The peer layer answers forwarded
@@ -63,7 +63,7 @@
 func (g *RangeRouter) Local(rng int) (Records, bool) {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	r, ok := g.own[rng]
+	r, ok := g.local[rng]
 	return r, ok
 }
 
@@ -73,7 +73,7 @@
 	if r, ok := g.Local(rng); ok {
 		return r.Read(ctx, key)
 	}
-	return g.forward.Read(ctx, rng, key)
+	return g.forwarder.Read(ctx, rng, key)
 }
 
 // Swap implements Records. A change in doubt is asked for again, of whoever
@@ -101,5 +101,5 @@
 	if r, ok := g.Local(rng); ok {
 		return r.Swap(ctx, key, version, row)
 	}
-	return g.forward.Swap(ctx, rng, key, version, row)
+	return g.forwarder.Swap(ctx, rng, key, version, row)
 }
--- a/node/claim/sim_test.go
+++ b/node/claim/sim_test.go
@@ -20,10 +20,10 @@
 
 // faults are what a test does to the table service.
 type faults struct {
-	down    bool
-	lose    int  // answers of commits still to be lost, after their effect
-	drop    int  // commits still to be lost before their effect, answered as in doubt
-	forgets bool // operation ids are not remembered
+	down        bool
+	loseAnswers int  // answers of commits still to be lost, after their effect
+	dropCommits int  // commits still to be lost before their effect, answered as in doubt
+	forgetOpIDs bool // operation ids are not remembered
 }
 
 // faulty is a table service with faults.
@@ -46,16 +46,16 @@
 	if f.f.down {
 		return 0, store.ErrUnavailable
 	}
-	if f.f.drop > 0 {
-		f.f.drop--
+	if f.f.dropCommits > 0 {
+		f.f.dropCommits--
 		return 0, store.ErrInDoubt
 	}
-	if f.f.forgets {
+	if f.f.forgetOpIDs {
 		t.Op = ""
 	}
 	v, err := f.Table.Commit(ctx, t)
-	if f.f.lose > 0 {
-		f.f.lose--
+	if f.f.loseAnswers > 0 {
+		f.f.loseAnswers--
 		return 0, store.ErrInDoubt
 	}
 	return v, err
@@ -78,9 +78,9 @@
 // mutant changes how a host uses the table: a check of the checker.
 type mutant struct {
 	store.Table
-	noConds bool  // conditions are left out
-	doubtAs error // a lost answer is taken for this
-	doubtOK bool  // a lost answer is taken for success
+	noConds          bool  // conditions are left out
+	inDoubtAs        error // a lost answer is taken for this
+	inDoubtAsSuccess bool  // a lost answer is taken for success
 }
 
 func (m *mutant) Commit(ctx context.Context, t store.Txn) (uint64, error) {
@@ -91,11 +91,11 @@
 	if !errors.Is(err, store.ErrInDoubt) {
 		return v, err
 	}
-	if m.doubtOK {
+	if m.inDoubtAsSuccess {
 		return v, nil
 	}
-	if m.doubtAs != nil {
-		return 0, m.doubtAs
+	if m.inDoubtAs != nil {
+		return 0, m.inDoubtAs
 	}
 	return v, err
 }
@@ -131,13 +131,13 @@
 
 // QueryAttempt asks the engine.
 func (c *cluster) QueryAttempt(ctx context.Context, upstream, id string) (engineapi.Attempt, error) {
-	if c.badFate {
+	if c.mismatched {
 		id = "another"
 	}
-	return c.engine.Fate(ctx, upstream, id)
+	return c.engine.QueryAttempt(ctx, upstream, id)
 }
 
-func (e *engine) Fate(_ context.Context, _, id string) (engineapi.Attempt, error) {
+func (e *engine) QueryAttempt(_ context.Context, _, id string) (engineapi.Attempt, error) {
 	a := engineapi.Attempt{ID: id, Incarnation: e.incarnation(), State: engineapi.AttemptUnseen}
 	if x := e.attempts[id]; x != nil {
 		a.State, a.Status, a.Body = engineapi.AttemptCompleted, 200, []byte(x.Answer)
@@ -168,17 +168,17 @@
 
 // cluster is some hosts with one table, one engine, and their history.
 type cluster struct {
-	table   *faulty
-	make    backend
-	stops   []func()
-	engine  *engine
-	hist    *history.History
-	hosts   []*nodeclaim.Store
-	starts  int
-	calls   int
-	flights []*flight
-	skew    time.Duration // by which each host's clock is ahead of the one before
-	badFate bool          // the engine answers about another attempt
+	table      *faulty
+	make       backend
+	stops      []func()
+	engine     *engine
+	hist       *history.History
+	hosts      []*nodeclaim.Store
+	starts     int
+	calls      int
+	flights    []*flight
+	skew       time.Duration // by which each host's clock is ahead of the one before
+	mismatched bool          // the engine answers about another attempt
 }
 
 const (
@@ -260,7 +260,7 @@
 	grant, answer, err := c.hosts[host].Claim(context.Background(), req)
 	switch {
 	case err != nil:
-		c.told(f.call, err)
+		c.recordError(f.call, err)
 		return nil, err
 	case answer != nil:
 		c.hist.Answered(f.call, outcome.Completed, string(answer.Body))
@@ -271,7 +271,7 @@
 	return f, nil
 }
 
-func (c *cluster) told(call string, err error) {
+func (c *cluster) recordError(call string, err error) {
 	e := fault.From(fault.StepClaim, err)
 	if e.Code == fault.CodeInProgress {
 		c.hist.ToldBusy(call)
@@ -280,7 +280,7 @@
 	c.hist.Answered(call, e.Outcome, "")
 }
 
-func (c *cluster) land(f *flight) {
+func (c *cluster) removeFlight(f *flight) {
 	for i, o := range c.flights {
 		if o == f {
 			c.flights = append(c.flights[:i], c.flights[i+1:]...)
@@ -296,8 +296,8 @@
 	}
 	if err := f.grant.RecordDispatch(context.Background(), f.route, f.deadline); err != nil {
 		_ = f.grant.Release(context.Background())
-		c.told(f.call, err)
-		c.land(f)
+		c.recordError(f.call, err)
+		c.removeFlight(f)
 		return
 	}
 	f.stage = sent
@@ -311,14 +311,14 @@
 	}
 	_ = f.grant.Release(context.Background())
 	c.hist.Answered(f.call, outcome.NotRun, "")
-	c.land(f)
+	c.removeFlight(f)
 }
 
 // complete brings the answer back to the host and on to the caller.
 func (c *cluster) complete(f *flight) {
 	c.hist.Answered(f.call, outcome.Completed, f.route.Attempt)
 	_ = f.grant.Complete(context.Background(), nodeclaim.Answer{Status: 200, Body: []byte(f.route.Attempt)})
-	c.land(f)
+	c.removeFlight(f)
 }
 
 // advance takes a flight one step on.
@@ -338,7 +338,7 @@
 func (c *cluster) breakConnection(f *flight, arrivesLate bool) {
 	_ = f.grant.MarkUnknown(context.Background())
 	c.hist.Answered(f.call, outcome.Unknown, "")
-	c.land(f)
+	c.removeFlight(f)
 	if f.stage == sent && arrivesLate {
 		c.engine.arrive(f)
 	}
@@ -351,7 +351,7 @@
 			continue
 		}
 		c.hist.Left(f.call)
-		c.land(f)
+		c.removeFlight(f)
 		if f.stage == sent && arrivesLate {
 			c.engine.arrive(f)
 		}
--- a/node/claim/store.go
+++ b/node/claim/store.go
@@ -106,13 +106,13 @@
 
 // The advice when to come back.
 const (
-	storeDownAfter = time.Second // one may hope for the store's return
-	progressMost   = 2 * time.Second
-	progressLeast  = 100 * time.Millisecond
+	storeRetryAfter  = time.Second // one may hope for the store's return
+	maxProgressRetry = 2 * time.Second
+	minProgressRetry = 100 * time.Millisecond
 )
 
-// rounds bounds the changes of a row by others that one arrival follows.
-const rounds = 6
+// maxRowChanges bounds the changes of a row by others that one arrival follows.
+const maxRowChanges = 6
 
 func newID() string { return uuid.NewString() }
 
@@ -126,41 +126,41 @@
 	// The first try assumes that there is no row: most keys are new, and the
 	// condition of the write catches those that are not.
 	var seen VersionedRow
-	for range rounds {
+	for range maxRowChanges {
 		d := claim.Decide(seen.Row, arrival, s.deps.Now())
 		var err error
 		switch d.Action {
 		case claim.OwnClaim:
 			left := req.Deadline.Sub(s.deps.Now())
-			return &Grant{store: s, key: key, row: *seen.Row, version: seen.Version, until: time.Now().Add(left)}, nil, nil
+			return &Grant{store: s, key: key, row: *seen.Row, version: seen.Version, deadline: time.Now().Add(left)}, nil, nil
 		case claim.Run:
-			seen, err = s.run(ctx, key, arrival, seen)
+			seen, err = s.writeClaim(ctx, key, arrival, seen)
 		case claim.Replay:
-			a, err := s.replay(ctx, seen.Row.Answer)
+			a, err := s.storedAnswer(ctx, seen.Row.Answer)
 			return nil, a, err
 		case claim.InProgress:
-			return nil, nil, inProgress(d.RetryAfter)
+			return nil, nil, inProgressError(d.RetryAfter)
 		case claim.KeyReused:
 			return nil, nil, fault.NotRun(fault.StepClaim, "", fault.CodeIdempotencyKeyReused, "idempotency key was used with another request")
 		case claim.ResolveOutcome:
-			seen, err = s.settleByFate(ctx, key, seen)
+			seen, err = s.resolveOutcome(ctx, key, seen)
 		}
 		if err != nil {
 			return nil, nil, err
 		}
 	}
-	return nil, nil, inProgress(0)
+	return nil, nil, inProgressError(0)
 }
 
 func (s *Store) arrival(req Request) claim.Arrival {
-	patience := max(req.Deadline.Sub(s.deps.Now()), 0) + s.cfg.Grace
+	overdueAfter := max(req.Deadline.Sub(s.deps.Now()), 0) + s.cfg.Grace
 	return claim.Arrival{ID: newID(), BodyHash: req.BodyHash, Owner: s.deps.Owner, Route: req.Route,
-		OverdueAfter: patience, TTL: max(s.limits.Load().TTL, 2*patience)}
+		OverdueAfter: overdueAfter, TTL: max(s.limits.Load().TTL, 2*overdueAfter)}
 }
 
-// run writes the arrival's claim over the row that was judged. On a conflict
+// writeClaim writes the arrival's claim over the row that was judged. On a conflict
 // it answers the row that is there now.
-func (s *Store) run(ctx context.Context, key string, a claim.Arrival, seen VersionedRow) (VersionedRow, error) {
+func (s *Store) writeClaim(ctx context.Context, key string, a claim.Arrival, seen VersionedRow) (VersionedRow, error) {
 	row := claim.New(a, s.deps.Now())
 	row.Op = newID()
 	next, err := s.deps.Records.Swap(ctx, key, seen.Version, &row)
@@ -171,12 +171,12 @@
 		// The claim may stand, or arrive yet. Nothing was dispatched under it
 		// and nothing will be, so the key is freed as soon as the table answers;
 		// the freed row also makes a claim that arrives yet fail.
-		s.enqueue(&settlement{key: key, id: row.ID, row: row, version: seen.Version, change: release}, err)
+		s.enqueue(&outcomeWrite{key: key, id: row.ID, row: row, version: seen.Version, change: release}, err)
 	}
-	return VersionedRow{}, storeDown(err)
+	return VersionedRow{}, storeUnavailableError(err)
 }
 
-func (s *Store) replay(ctx context.Context, a *claim.Answer) (*Answer, error) {
+func (s *Store) storedAnswer(ctx context.Context, a *claim.Answer) (*Answer, error) {
 	if a == nil || a.Dropped {
 		return nil, &fault.Error{Step: fault.StepClaim, Code: fault.CodeConflict, Outcome: outcome.Completed,
 			Err: errors.New("the request ran; its answer was not kept")}
@@ -188,17 +188,17 @@
 	body, err := s.deps.Objects.Get(ctx, a.Object)
 	if err != nil {
 		return nil, &fault.Error{Step: fault.StepClaim, Code: fault.CodeStoreUnavailable, Outcome: outcome.Completed,
-			RetryAfter: storeDownAfter, Err: err}
+			RetryAfter: storeRetryAfter, Err: err}
 	}
 	out.Body = body
 	return out, nil
 }
 
-func inProgress(after time.Duration) error {
+func inProgressError(after time.Duration) error {
 	e := fault.Unknown(fault.StepClaim, "", fault.CodeInProgress, "a request under this idempotency key is being run")
-	return e.WithRetryAfter(min(max(after, progressLeast), progressMost))
+	return e.WithRetryAfter(min(max(after, minProgressRetry), maxProgressRetry))
 }
 
-func storeDown(err error) error {
-	return fault.NotRun(fault.StepClaim, "", fault.CodeStoreUnavailable, "claim: %w", err).WithRetryAfter(storeDownAfter)
+func storeUnavailableError(err error) error {
+	return fault.NotRun(fault.StepClaim, "", fault.CodeStoreUnavailable, "claim: %w", err).WithRetryAfter(storeRetryAfter)
 }
--- a/node/claim/sweep.go
+++ b/node/claim/sweeper.go
@@ -13,9 +13,9 @@
 	"peridotpier.example/node/store"
 )
 
-// sweepPage is how many rows one step reads, and at most deletes in one
+// sweepPageRows is how many rows one step reads, and at most deletes in one
 // commit: at 1,500 claims a second, 8 reads and 8 commits a second.
-const sweepPage = 200
+const sweepPageRows = 200
 
 // Sweeper deletes the rows of expired claims. Any host may sweep: a row is
 // deleted only as it was seen, so two sweepers waste reads and break nothing.
@@ -33,22 +33,22 @@
 const SweeperLeaseName = "claims/sweeper"
 
 const (
-	// sweepPause is between two pages: 2,000 rows a second at most, above the
+	// pageInterval is between two pages: 2,000 rows a second at most, above the
 	// 1,500 claims a second of the design size.
-	sweepPause = 100 * time.Millisecond
-	// sweepRest is between two rounds; expired rows only take room.
-	sweepRest = time.Minute
+	pageInterval = 100 * time.Millisecond
+	// roundInterval is between two rounds; expired rows only take room.
+	roundInterval = time.Minute
 )
 
 // Run sweeps while held says that this host holds the lease, until ctx ends.
-func (w *Sweeper) Run(ctx context.Context, held func() bool) error {
-	for wait := sweepPause; pace.Sleep(ctx, pace.DefaultRand().Jitter(wait, 0.1)); {
-		wait = sweepRest
-		if !held() {
+func (w *Sweeper) Run(ctx context.Context, holdsLease func() bool) error {
+	for wait := pageInterval; pace.Sleep(ctx, pace.DefaultRand().Jitter(wait, 0.1)); {
+		wait = roundInterval
+		if !holdsLease() {
 			continue
 		}
 		if _, done, err := w.Step(ctx); err == nil && !done {
-			wait = sweepPause
+			wait = pageInterval
 		}
 	}
 	return ctx.Err()
@@ -57,13 +57,13 @@
 // Step sweeps one page. done tells that the last page was reached: pause
 // before the next step, which starts over.
 func (w *Sweeper) Step(ctx context.Context) (deleted int, done bool, err error) {
-	rows, err := w.table.List(ctx, rowPrefix, w.after, sweepPage)
+	rows, err := w.table.List(ctx, rowPrefix, w.after, sweepPageRows)
 	if err != nil {
 		return 0, false, err
 	}
 	txn, kept := store.Txn{Op: newID()}, 0
 	for _, r := range rows {
-		seen, err := decode(r)
+		seen, err := decodeRow(r)
 		if err != nil {
 			return 0, false, err
 		}
@@ -74,7 +74,7 @@
 		case claim.ResolveBeforeDelete:
 			kept++
 			// Its outcome is in the row afterwards; the next round looks again.
-			_, _ = w.store.settleByFate(ctx, r.Key[len(rowPrefix):], seen)
+			_, _ = w.store.resolveOutcome(ctx, r.Key[len(rowPrefix):], seen)
 		}
 	}
 	if err := w.delete(ctx, txn); err != nil {
@@ -84,7 +84,7 @@
 	if len(txn.Writes) > 0 || kept > 0 {
 		w.store.deps.Log.Emit(event.ClaimsSwept, zap.Int("deleted", len(txn.Writes)), zap.Int("kept", kept))
 	}
-	return len(txn.Writes), len(rows) < sweepPage, nil
+	return len(txn.Writes), len(rows) < sweepPageRows, nil
 }
 
 func (w *Sweeper) delete(ctx context.Context, txn store.Txn) error {
@@ -100,7 +100,7 @@
 
 func (w *Sweeper) advance(rows []store.Row) {
 	w.after = ""
-	if len(rows) == sweepPage {
+	if len(rows) == sweepPageRows {
 		w.after = rows[len(rows)-1].Key
 	}
 }
--- a/node/claim/sweep_test.go
+++ b/node/claim/sweeper_test.go
@@ -59,17 +59,17 @@
 		time.Sleep(simTTL + time.Minute)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		var held atomic.Bool
-		go func() { _ = nodeclaim.NewSweeper(c.hosts[0], c.table).Run(ctx, held.Load) }()
-		for _, c2 := range []struct {
+		var holdsLease atomic.Bool
+		go func() { _ = nodeclaim.NewSweeper(c.hosts[0], c.table).Run(ctx, holdsLease.Load) }()
+		for _, step := range []struct {
 			held bool
 			left int
 		}{{false, 1}, {true, 0}} {
-			held.Store(c2.held)
+			holdsLease.Store(step.held)
 			time.Sleep(3 * time.Minute) // some rounds
 			left, err := c.table.List(ctx, "claims/", "", 10)
 			assert.NilError(t, err)
-			assert.Equal(t, len(left), c2.left)
+			assert.Equal(t, len(left), step.left)
 		}
 	})
 }
--- a/node/planner/books.go
+++ b/node/planner/ledger.go
@@ -15,56 +15,56 @@
 
 // Keys of the table service.
 const (
-	rowPrefix   = "ledger/row/"   // + pool + "/" + upstream
-	epochPrefix = "ledger/epoch/" // + pool
-	listLimit   = 500             // rows read at once
-	batchRows   = 32              // rows written in one transaction
+	rowPrefix    = "ledger/row/"   // + pool + "/" + upstream
+	epochPrefix  = "ledger/epoch/" // + pool
+	listPageRows = 500             // rows read at once
+	maxBatchRows = 32              // rows written in one transaction
 )
 
 // errDirty: a row whose last write is in doubt and could not be read back yet.
-var errDirty = errors.New("the row must be read again first")
+var errNeedsRead = errors.New("the row must be read again first")
 
-// books are the ledger rows of a pool as committed.
-type books struct {
+// poolLedger are the ledger rows of a pool as committed.
+type poolLedger struct {
 	table    store.Table
 	pool     string
 	epoch    uint64
 	epochRow store.Cond // every write demands that no later planner has taken over
-	rows     map[string]*entry
+	rows     map[string]*cachedRow
 }
 
-type entry struct {
-	row     ledger.Row
-	version uint64
-	dirty   bool // the last write is in doubt: read before anything else
+type cachedRow struct {
+	row       ledger.Row
+	version   uint64
+	needsRead bool // the last write is in doubt: read before anything else
 }
 
-// change is a row to be written.
-type change struct {
+// rowChange is a row to be written.
+type rowChange struct {
 	upstream string
 	next     ledger.Row
 }
 
-// openBooks takes over the books of a pool under an epoch and reads them.
-func openBooks(ctx context.Context, tb store.Table, pool string, epoch uint64) (*books, error) {
-	b := &books{table: tb, pool: pool, epoch: epoch, rows: map[string]*entry{}}
+// openPoolLedger takes over the books of a pool under an epoch and reads them.
+func openPoolLedger(ctx context.Context, tb store.Table, pool string, epoch uint64) (*poolLedger, error) {
+	b := &poolLedger{table: tb, pool: pool, epoch: epoch, rows: map[string]*cachedRow{}}
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	if err := b.claimEpoch(ctx); err != nil {
 		return nil, err
 	}
 	for after := ""; ; {
-		rows, err := tb.List(ctx, b.prefix(), after, listLimit)
+		rows, err := tb.List(ctx, b.prefix(), after, listPageRows)
 		if err != nil {
 			return nil, eris.Wrap(err, "read the ledger")
 		}
 		for _, r := range rows {
-			if err := b.put(r); err != nil {
+			if err := b.cacheRow(r); err != nil {
 				return nil, err
 			}
 			after = r.Key
 		}
-		if len(rows) < listLimit {
+		if len(rows) < listPageRows {
 			return b, nil
 		}
 	}
@@ -72,7 +72,7 @@
 
 // claimEpoch writes the epoch row. Reading the rows only afterwards makes sure
 // that nothing of an earlier holder is written behind this one's back.
-func (b *books) claimEpoch(ctx context.Context) error {
+func (b *poolLedger) claimEpoch(ctx context.Context) error {
 	key := epochPrefix + b.pool
 	rows, err := b.table.Get(ctx, key)
 	if err != nil {
@@ -80,23 +80,23 @@
 	}
 	cond := store.Cond{Key: key}
 	if len(rows) > 0 {
-		held, _ := strconv.ParseUint(string(rows[0].Value), 10, 64)
-		if held > b.epoch {
-			return eris.Wrapf(ledger.ErrOldEpoch, "epoch %d is held", held)
+		holderEpoch, _ := strconv.ParseUint(string(rows[0].Value), 10, 64)
+		if holderEpoch > b.epoch {
+			return eris.Wrapf(ledger.ErrOldEpoch, "epoch %d is held", holderEpoch)
 		}
 		cond.Version = rows[0].Version
 	}
-	v, err := store.CommitResolved(ctx, b.table, store.Txn{Op: newOp(), Conds: []store.Cond{cond},
+	v, err := store.CommitResolved(ctx, b.table, store.Txn{Op: newOpID(), Conds: []store.Cond{cond},
 		Writes: []store.Write{{Key: key, Value: []byte(strconv.FormatUint(b.epoch, 10))}}})
 	b.epochRow = store.Cond{Key: key, Version: v}
 	return eris.Wrap(err, "take over the ledger")
 }
 
-func (b *books) prefix() string             { return rowPrefix + b.pool + "/" }
-func (b *books) key(upstream string) string { return b.prefix() + upstream }
+func (b *poolLedger) prefix() string             { return rowPrefix + b.pool + "/" }
+func (b *poolLedger) key(upstream string) string { return b.prefix() + upstream }
 
-func (b *books) put(r store.Row) error {
-	e := &entry{version: r.Version}
+func (b *poolLedger) cacheRow(r store.Row) error {
+	e := &cachedRow{version: r.Version}
 	if err := json.Unmarshal(r.Value, &e.row); err != nil {
 		return eris.Wrapf(err, "ledger row %s", r.Key)
 	}
@@ -104,15 +104,15 @@
 	return nil
 }
 
-// write commits rows in one transaction. Rows count as changed only once the
+// commit commits rows in one transaction. Rows count as changed only once the
 // service says so. After a lost answer that could not be resolved, they are
 // read again before anything is built on them: the write may stand.
-func (b *books) write(ctx context.Context, changes ...change) error {
-	txn := store.Txn{Op: newOp(), Conds: []store.Cond{b.epochRow}}
+func (b *poolLedger) commit(ctx context.Context, changes ...rowChange) error {
+	txn := store.Txn{Op: newOpID(), Conds: []store.Cond{b.epochRow}}
 	for _, c := range changes {
 		e := b.rows[c.upstream]
-		if e.dirty {
-			return errDirty
+		if e.needsRead {
+			return errNeedsRead
 		}
 		value, err := json.Marshal(c.next)
 		if err != nil {
@@ -130,17 +130,17 @@
 		case err == nil:
 			e.row, e.version = c.next, version
 		case errors.Is(err, store.ErrInDoubt) || errors.Is(err, store.ErrConflict):
-			e.dirty = true
+			e.needsRead = true
 		}
 	}
 	return eris.Wrap(err, "write the ledger")
 }
 
-// refresh reads the rows again whose state is in doubt.
-func (b *books) refresh(ctx context.Context) error {
+// rereadRows reads the rows again whose state is in doubt.
+func (b *poolLedger) rereadRows(ctx context.Context) error {
 	var keys []string
 	for name, e := range b.rows {
-		if e.dirty {
+		if e.needsRead {
 			keys = append(keys, b.key(name))
 		}
 	}
@@ -155,7 +155,7 @@
 	}
 	for _, k := range keys {
 		e := b.rows[strings.TrimPrefix(k, b.prefix())]
-		e.row, e.version, e.dirty = ledger.New(e.row.Upstream, e.row.CapacityMB, e.row.Fencing), store.Absent, false
+		e.row, e.version, e.needsRead = ledger.New(e.row.Upstream, e.row.CapacityMB, e.row.Fencing), store.Absent, false
 	}
 	for _, r := range rows {
 		if r.Key == b.epochRow.Key {
@@ -164,7 +164,7 @@
 			}
 			continue
 		}
-		if err := b.put(r); err != nil {
+		if err := b.cacheRow(r); err != nil {
 			return err
 		}
 	}
--- a/node/planner/act.go
+++ b/node/planner/orders.go
@@ -20,46 +20,46 @@
 type sendState uint8
 
 const (
-	sendNever  sendState = iota // reserved by another planner, or before a restart
-	sendDoubt                   // sent, no answer: may be sent again within its window
-	sendSettle                  // answered
+	notSent         sendState = iota // reserved by another planner, or before a restart
+	sentUnconfirmed                  // sent, no answer: may be sent again within its window
+	sentAnswered                     // answered
 )
 
-// task is an order that is in the books and may be sent.
-type task struct {
+// reservedOrder is an order that is in the books and may be sent.
+type reservedOrder struct {
 	upstream string
 	charge   ledger.Charge
 }
 
-// unanswered are the orders sent before whose answer was lost and whose effect
+// ordersToResend are the orders sent before whose answer was lost and whose effect
 // no report shows. They go out again under the same id.
-func (p *Planner) unanswered(now time.Time) []task {
-	var out []task
-	held := map[string]sendState{}
-	for _, name := range slices.Sorted(maps.Keys(p.books.rows)) {
-		e := p.books.rows[name]
+func (p *Planner) ordersToResend(now time.Time) []reservedOrder {
+	var out []reservedOrder
+	kept := map[string]sendState{}
+	for _, name := range slices.Sorted(maps.Keys(p.ledger.rows)) {
+		e := p.ledger.rows[name]
 		for _, c := range e.row.Charges {
-			if state, ok := p.sent[c.Op]; ok {
-				held[c.Op] = state
+			if state, ok := p.sendStates[c.Op]; ok {
+				kept[c.Op] = state
 			}
 		}
 		for _, c := range e.row.Pending(now) {
-			if held[c.Op] == sendDoubt && !e.dirty {
-				out = append(out, task{name, c})
+			if kept[c.Op] == sentUnconfirmed && !e.needsRead {
+				out = append(out, reservedOrder{name, c})
 			}
 		}
 	}
-	p.sent = held // drops what the books have settled
+	p.sendStates = kept // drops what the books have settled
 	return out
 }
 
 // reserveAll enters moves into the books, each before its order is sent. A
 // move that gets no grant of the weight store, or whose reservation fails, is
 // left to a later plan.
-func (p *Planner) reserveAll(ctx context.Context, moves []place.Move) []task {
-	var out []task
+func (p *Planner) reserveAll(ctx context.Context, moves []place.Move) []reservedOrder {
+	var out []reservedOrder
 	for _, m := range moves {
-		if !p.deps.Lease.Valid(p.books.epoch) || ctx.Err() != nil {
+		if !p.deps.Lease.Valid(p.ledger.epoch) || ctx.Err() != nil {
 			return out
 		}
 		if t, ok := p.reserve(ctx, m); ok {
@@ -69,67 +69,67 @@
 	return out
 }
 
-func (p *Planner) reserve(ctx context.Context, m place.Move) (task, bool) {
-	e := p.books.rows[m.Upstream]
-	if e == nil || e.dirty {
-		return task{}, false
+func (p *Planner) reserve(ctx context.Context, m place.Move) (reservedOrder, bool) {
+	e := p.ledger.rows[m.Upstream]
+	if e == nil || e.needsRead {
+		return reservedOrder{}, false
 	}
-	next, c, err := e.row.Reserve(p.deps.Now(), p.cfg.Bounds, p.books.epoch, newOp(), m.Change)
+	next, c, err := e.row.Reserve(p.deps.Now(), p.cfg.Bounds, p.ledger.epoch, newOpID(), m.Change)
 	if err != nil {
 		p.deps.Log.Emit(event.MoveRefused, zap.String("upstream", m.Upstream), zap.Error(err))
-		return task{}, false
+		return reservedOrder{}, false
 	}
-	t := task{m.Upstream, c}
-	if m.Change.Kind == ledger.Load && !p.granted(ctx, t) {
-		return task{}, false
+	t := reservedOrder{m.Upstream, c}
+	if m.Change.Kind == ledger.Load && !p.requestLoadGrant(ctx, t) {
+		return reservedOrder{}, false
 	}
-	if err := p.books.write(ctx, change{m.Upstream, next}); err != nil {
-		p.lost(err)
-		return task{}, false // a grant that was given is given back once the books show no charge for it
+	if err := p.ledger.commit(ctx, rowChange{m.Upstream, next}); err != nil {
+		p.logLedgerError(err)
+		return reservedOrder{}, false // a grant that was given is given back once the books show no charge for it
 	}
-	p.count(m)
+	p.recordMove(m)
 	p.deps.Log.Emit(event.MoveDecided, zap.String("upstream", m.Upstream), zap.String("op", c.Op), zap.String("kind", string(c.Kind)),
 		zap.String("model", c.Model), zap.String("adapter", c.Adapter), zap.String("version", c.Version), zap.String("why", string(m.Reason)))
 	return t, true
 }
 
-// granted asks the weight store, whose limits all planners share, for the load
+// requestLoadGrant asks the weight store, whose limits all planners share, for the load
 // that the order will start. The engine asks for the same load by the same
 // name, so that planner and engine together take one place.
-func (p *Planner) granted(ctx context.Context, t task) bool {
+func (p *Planner) requestLoadGrant(ctx context.Context, t reservedOrder) bool {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	wait, err := p.deps.Weights.Grant(ctx, toOrder(t).LoadName())
 	if err != nil || wait > 0 {
 		return false
 	}
-	p.grants[t.charge.Op] = t
+	p.loadGrants[t.charge.Op] = t
 	return true
 }
 
-// releaseGrants gives back the places of loads that will not happen or are
+// releaseLoadGrants gives back the places of loads that will not happen or are
 // done. An engine does that itself for what it loaded; but an order that never
 // reached it would otherwise hold its place until the store's own lapse, and
 // with two places a site could then load nothing for minutes.
-func (p *Planner) releaseGrants(ctx context.Context) {
-	for op, t := range p.grants {
-		e := p.books.rows[t.upstream]
-		if e == nil || e.dirty || e.row.MayStillLoad(op, t.charge.Artifact) {
+func (p *Planner) releaseLoadGrants(ctx context.Context) {
+	for op, t := range p.loadGrants {
+		e := p.ledger.rows[t.upstream]
+		if e == nil || e.needsRead || e.row.MayStillLoad(op, t.charge.Artifact) {
 			continue
 		}
 		if p.deps.Weights.Done(ctx, toOrder(t).LoadName()) == nil {
-			delete(p.grants, op)
+			delete(p.loadGrants, op)
 		}
 	}
 }
 
-func (p *Planner) count(m place.Move) {
+func (p *Planner) recordMove(m place.Move) {
 	now := p.deps.Now()
 	if m.Reason.Elective() {
-		p.budget.AllowN(now, 1)
+		p.moveBudget.AllowN(now, 1)
 	}
-	if m.Reason.StartsCooldown() || p.onDemand(m.Change.Artifact.Model) {
-		p.last[place.Key{Model: m.Change.Artifact.Model, Adapter: m.Change.Artifact.Adapter}] = now
+	if m.Reason.StartsCooldown() || p.isOnDemand(m.Change.Artifact.Model) {
+		p.lastMove[place.Key{Model: m.Change.Artifact.Model, Adapter: m.Change.Artifact.Adapter}] = now
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,13 +140,13 @@
 	}
 }
 
-// onDemand models take turns, so each load of one begins its turn.
-func (p *Planner) onDemand(model string) bool {
+// isOnDemand models take turns, so each load of one begins its turn.
+func (p *Planner) isOnDemand(model string) bool {
 	return slices.ContainsFunc(p.deps.Inputs.View().Config.Models, func(m config.Model) bool { return m.Name == model && m.MinReplicas == 0 })
 }
 
 // sendAll sends orders side by side: a silent engine holds up no other.
-func (p *Planner) sendAll(ctx context.Context, tasks []task) {
+func (p *Planner) sendAll(ctx context.Context, tasks []reservedOrder) {
 	states := make([]sendState, len(tasks))
 	var g errgroup.Group
 	g.SetLimit(p.cfg.MaxConcurrentSends)
@@ -155,8 +155,8 @@
 	}
 	_ = g.Wait()
 	for i, t := range tasks {
-		if states[i] != sendNever {
-			p.sent[t.charge.Op] = states[i]
+		if states[i] != notSent {
+			p.sendStates[t.charge.Op] = states[i]
 		}
 	}
 }
@@ -165,10 +165,10 @@
 // this very moment. A planner that was paused between reserving and sending
 // would otherwise act on authority it no longer has; one would notice orders
 // of two epochs at one engine.
-func (p *Planner) send(ctx context.Context, t task) sendState {
-	if t.charge.CheckSendWindow(p.deps.Now()) != nil || !p.deps.Lease.Valid(p.books.epoch) {
+func (p *Planner) send(ctx context.Context, t reservedOrder) sendState {
+	if t.charge.CheckSendWindow(p.deps.Now()) != nil || !p.deps.Lease.Valid(p.ledger.epoch) {
 		p.deps.Log.Emit(event.OrderHeldBack, zap.String("upstream", t.upstream), zap.String("op", t.charge.Op))
-		return sendNever
+		return notSent
 	}
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
@@ -176,23 +176,23 @@
 	switch {
 	case err != nil:
 		p.deps.Log.Emit(event.OrderInDoubt, zap.String("upstream", t.upstream), zap.String("op", t.charge.Op), zap.Error(err))
-		return sendDoubt
+		return sentUnconfirmed
 	case !answer.Accepted:
 		// Its charge stays: only a report settles it, as a copy may be on its way.
 		p.deps.Log.Emit(event.OrderRefused, zap.String("upstream", t.upstream), zap.String("op", t.charge.Op), zap.String("reason", answer.Reason))
 	}
-	return sendSettle
+	return sentAnswered
 }
 
-func toOrder(t task) engineapi.Order {
+func toOrder(o reservedOrder) engineapi.Order {
 	kinds := map[bool][2]engineapi.OrderKind{
 		false: {engineapi.OrderLoad, engineapi.OrderUnload},
 		true:  {engineapi.OrderLoadAdapter, engineapi.OrderUnloadAdapter},
-	}[t.charge.Adapter != ""]
+	}[o.charge.Adapter != ""]
 	kind := kinds[0]
-	if t.charge.Kind == ledger.Unload {
+	if o.charge.Kind == ledger.Unload {
 		kind = kinds[1]
 	}
-	return engineapi.Order{Op: t.charge.Op, Epoch: t.charge.Fence, Kind: kind, Model: t.charge.Model, Adapter: t.charge.Adapter,
-		Version: t.charge.Version, MemoryMB: t.charge.MemoryMB, Incarnation: t.charge.Incarnation}
+	return engineapi.Order{Op: o.charge.Op, Epoch: o.charge.Fence, Kind: kind, Model: o.charge.Model, Adapter: o.charge.Adapter,
+		Version: o.charge.Version, MemoryMB: o.charge.MemoryMB, Incarnation: o.charge.Incarnation}
 }
--- a/node/planner/planner.go
+++ b/node/planner/planner.go
@@ -89,27 +89,27 @@
 // Planner plans one pool. Run belongs to one goroutine; DryRun and Status may be
 // called from any.
 type Planner struct {
-	cfg    Config
-	deps   Deps
-	books  *books
-	budget *rate.Limiter
-	seen   map[string]sighting // by upstream
-	last   map[place.Key]time.Time
-	sent   map[string]sendState // by order id, while its charge is in the books
+	cfg        Config
+	deps       Deps
+	ledger     *poolLedger
+	moveBudget *rate.Limiter
+	upstreams  map[string]upstreamStatus // by upstream
+	lastMove   map[place.Key]time.Time
+	sendStates map[string]sendState // by order id, while its charge is in the books
 
-	grants map[string]task // loads that the weight store was asked for, by order id
+	loadGrants map[string]reservedOrder // loads that the weight store was asked for, by order id
 
-	mu     sync.Mutex
-	status Status
-	shot   *place.Snapshot // that the last plan saw; never changed
+	mu           sync.Mutex
+	status       Status
+	lastSnapshot *place.Snapshot // that the last plan saw; never changed
 }
 
-// sighting counts the reports of an upstream's present incarnation.
-type sighting struct {
+// upstreamStatus counts the reports of an upstream's present incarnation.
+type upstreamStatus struct {
 	incarnation string
 	sequence    uint64
-	reports     int
-	leaving     bool
+	reportCount int
+	draining    bool
 	down        bool
 }
 
@@ -140,8 +140,8 @@
 	if deps.Log == nil {
 		deps.Log = event.NewLog(nil)
 	}
-	return &Planner{cfg: cfg, deps: deps, budget: rate.NewLimiter(0, moveBurst), seen: map[string]sighting{},
-		last: map[place.Key]time.Time{}, sent: map[string]sendState{}, grants: map[string]task{}}
+	return &Planner{cfg: cfg, deps: deps, moveBudget: rate.NewLimiter(0, moveBurst), upstreams: map[string]upstreamStatus{},
+		lastMove: map[place.Key]time.Time{}, sendStates: map[string]sendState{}, loadGrants: map[string]reservedOrder{}}
 }
 
 // Run plans until ctx ends.
@@ -163,23 +163,23 @@
 func (p *Planner) Step(ctx context.Context) {
 	epoch := p.deps.Lease.Epoch()
 	if !p.deps.Lease.Valid(epoch) {
-		p.books = nil // whoever holds the lease now may have changed them
+		p.ledger = nil // whoever holds the lease now may have changed them
 		return
 	}
 	if !p.takeOver(ctx, epoch) {
 		return
 	}
 	view := p.deps.Inputs.View()
-	if !p.observe(ctx, view) {
-		p.books = nil // a later planner has taken over
+	if !p.applyReports(ctx, view) {
+		p.ledger = nil // a later planner has taken over
 		return
 	}
-	p.releaseGrants(ctx)
+	p.releaseLoadGrants(ctx)
 	now := p.deps.Now()
 	snapshot := p.snapshot(view, now)
 	decision := place.Plan(snapshot, now)
-	p.sendAll(ctx, append(p.unanswered(now), p.reserveAll(ctx, decision.Moves)...))
-	p.report(snapshot, decision)
+	p.sendAll(ctx, append(p.ordersToResend(now), p.reserveAll(ctx, decision.Moves)...))
+	p.updateStatus(snapshot, decision)
 }
 
 // Status tells the state of the planner.
@@ -194,7 +194,7 @@
 // goroutine.
 func (p *Planner) DryRun(preset config.Preset) (place.Forecast, bool) {
 	p.mu.Lock()
-	shot := p.shot
+	shot := p.lastSnapshot
 	p.mu.Unlock()
 	if shot == nil {
 		return place.Forecast{}, false
@@ -205,48 +205,48 @@
 // takeOver reads the books when the lease is new, under a new epoch row, so
 // that a holder of an earlier lease cannot write them any more.
 func (p *Planner) takeOver(ctx context.Context, epoch uint64) bool {
-	if p.books != nil && p.books.epoch == epoch {
+	if p.ledger != nil && p.ledger.epoch == epoch {
 		return true
 	}
-	b, err := openBooks(ctx, p.deps.Table, p.cfg.Pool, epoch)
+	b, err := openPoolLedger(ctx, p.deps.Table, p.cfg.Pool, epoch)
 	if err != nil {
 		p.deps.Log.Emit(event.LedgerUnread, zap.String("pool", p.cfg.Pool), zap.Error(err))
 		return false
 	}
-	p.books = b
-	p.sent = map[string]sendState{}
-	p.budget.SetLimitAt(p.deps.Now(), 0)
-	p.budget.AllowN(p.deps.Now(), moveBurst) // a new holder begins without moves to spend
-	p.settleAnew()
+	p.ledger = b
+	p.sendStates = map[string]sendState{}
+	p.moveBudget.SetLimitAt(p.deps.Now(), 0)
+	p.moveBudget.AllowN(p.deps.Now(), moveBurst) // a new holder begins without moves to spend
+	p.restartCooldowns()
 	p.deps.Log.Emit(event.PlannerTookOver, zap.String("pool", p.cfg.Pool), zap.Uint64("epoch", epoch))
 	return true
 }
 
-// settleAnew counts every model as moved just now: what the holder before did
+// restartCooldowns counts every model as moved just now: what the holder before did
 // is not known, and its moves may not show in the demand yet. A pool without
 // books has no holder before: there the models start.
-func (p *Planner) settleAnew() {
-	if len(p.books.rows) == 0 {
+func (p *Planner) restartCooldowns() {
+	if len(p.ledger.rows) == 0 {
 		return
 	}
 	now, view := p.deps.Now(), p.deps.Inputs.View()
 	for _, m := range view.Config.Models {
-		p.last[place.Key{Model: m.Name}] = now
+		p.lastMove[place.Key{Model: m.Name}] = now
 	}
 	for _, a := range view.Config.Adapters {
-		p.last[place.Key{Model: a.Model, Adapter: a.Name}] = now
+		p.lastMove[place.Key{Model: a.Model, Adapter: a.Name}] = now
 	}
 }
 
-func (p *Planner) report(s *place.Snapshot, d place.Decision) {
+func (p *Planner) updateStatus(s *place.Snapshot, d place.Decision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.shot = s
-	p.status.Epoch, p.status.Deferred, p.status.Waits = p.books.epoch, d.Deferred, d.Waits
+	p.lastSnapshot = s
+	p.status.Epoch, p.status.Deferred, p.status.Waits = p.ledger.epoch, d.Deferred, d.Waits
 	p.status.Unconfirmed = 0
-	for _, r := range p.books.rows {
+	for _, r := range p.ledger.rows {
 		p.status.Unconfirmed += len(r.row.Charges)
 	}
 }
 
-func newOp() string { return uuid.NewString() }
+func newOpID() string { return uuid.NewString() }
--- a/node/planner/planner_test.go
+++ b/node/planner/planner_test.go
@@ -14,7 +14,7 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-func bubble(t *testing.T, f func(t *testing.T)) { t.Helper(); synctest.Test(t, f) }
+func inBubble(t *testing.T, f func(t *testing.T)) { t.Helper(); synctest.Test(t, f) }
 
 // Symptom: a model stays unreachable, or is loaded twice over.
 // Sequence: the first order is lost, or carried out but its answer is lost.
@@ -23,17 +23,17 @@
 func TestOrderOrAnswerLost(t *testing.T) {
 	for name, delivered := range map[string]bool{"order lost": false, "answer lost": true} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			inBubble(t, func(t *testing.T) {
 				w := newTestWorld(config.FencingIgnored, testModel("a", "1", 80), testModel("b", "1", 80))
-				lost := 0
-				w.net = func(engineapi.Order) (bool, bool) {
-					lost++
-					return delivered || lost > 2, lost > 2
+				orders := 0
+				w.network = func(engineapi.Order) (bool, bool) {
+					orders++
+					return delivered || orders > 2, orders > 2
 				}
 				p := w.planner(&testLease{1, true})
 				w.steps(t.Context(), 5, p)
-				assert.Equal(t, w.holders("a"), 1)
-				assert.Equal(t, w.holders("b"), 1)
+				assert.Equal(t, w.residentCount("a"), 1)
+				assert.Equal(t, w.residentCount("b"), 1)
 				ops := map[string]bool{}
 				for _, o := range w.sent {
 					ops[o.Op] = true
@@ -50,36 +50,36 @@
 func TestLateCopyAfterItsSuccessor(t *testing.T) {
 	for _, fencing := range []config.Fencing{config.FencingChecked, config.FencingIgnored} {
 		t.Run(string(fencing), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			inBubble(t, func(t *testing.T) {
 				w := newTestWorld(fencing, testModel("a", "1", 60))
 				w.view.Config.Upstreams = w.view.Config.Upstreams[:1]
 				p := w.planner(&testLease{1, true})
 				w.steps(t.Context(), 3, p)
-				copied := w.sent[0]
+				firstOrder := w.sent[0]
 				w.view.Config.Models = []config.Model{testModel("b", "1", 70)} // a is configured no more
 				for range 200 {
 					w.steps(t.Context(), 1, p)
-					if time.Since(copied.at) < ledger.DefaultBounds().MaxInFlight {
-						w.engines["u1"].carryOut(copied.Order)
+					if time.Since(firstOrder.at) < ledger.DefaultBounds().MaxInFlight {
+						w.engines["u1"].execute(firstOrder.Order)
 					}
 				}
-				assert.Assert(t, !w.over())
+				assert.Assert(t, !w.overcommitted())
 				w.steps(t.Context(), 200, p)
-				assert.Equal(t, w.holders("b"), 1)
+				assert.Equal(t, w.residentCount("b"), 1)
 			})
 		})
 	}
 }
 
 func TestEngineRestartIsLoadedAgain(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		w := newTestWorld(config.FencingChecked, testModel("a", "1", 80), testModel("b", "1", 80), testModel("c", "1", 80))
 		p := w.planner(&testLease{1, true})
 		w.steps(t.Context(), 3, p)
 		w.engines["u2"].restart()
 		w.steps(t.Context(), 3, p)
-		assert.Equal(t, w.holders("a")+w.holders("b")+w.holders("c"), 3)
-		assert.Assert(t, !w.over())
+		assert.Equal(t, w.residentCount("a")+w.residentCount("b")+w.residentCount("c"), 3)
+		assert.Assert(t, !w.overcommitted())
 	})
 }
 
@@ -88,33 +88,33 @@
 // wakes and goes on.
 // Cause: the lease checked only at the beginning of a plan.
 func TestPausedPastItsLease(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		w := newTestWorld(config.FencingIgnored, testModel("a", "1", 80))
 		old, next := &testLease{1, true}, &testLease{2, true}
-		p := w.planner(pausing{old, w.table, 3}) // take-over, rows of the first reports, reservation
+		p := w.planner(lapsingLease{old, w.table, 3}) // take-over, rows of the first reports, reservation
 		p.Step(t.Context())
 		assert.Equal(t, len(w.sent), 0)
 		assert.Assert(t, w.table.commits >= 3, "the reservation was committed")
 		w.steps(t.Context(), 40, w.planner(next))
-		assert.Equal(t, w.holders("a"), 1)
-		assert.Assert(t, !w.over())
+		assert.Equal(t, w.residentCount("a"), 1)
+		assert.Assert(t, !w.overcommitted())
 	})
 }
 
-// pausing is a lease that lapses after so many commits.
-type pausing struct {
+// lapsingLease is a lease that lapses after so many commits.
+type lapsingLease struct {
 	*testLease
-	table  *testTable
-	within int
+	table      *testTable
+	maxCommits int
 }
 
-func (l pausing) Valid(uint64) bool { return l.table.commits < l.within }
+func (l lapsingLease) Valid(uint64) bool { return l.table.commits < l.maxCommits }
 
 // Symptom: two planners write the same books.
 // Sequence: the holder's lease lapses unnoticed by it; another takes over.
 // Cause: a clock that stands still; only the table service can tell.
 func TestSupersededPlannerWritesNothing(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		w := newTestWorld(config.FencingIgnored, testModel("a", "1", 60))
 		first, second := w.planner(&testLease{1, true}), w.planner(&testLease{2, true})
 		w.steps(t.Context(), 3, first)
@@ -124,7 +124,7 @@
 		w.steps(t.Context(), 5, first)
 		assert.Equal(t, len(w.sent), before)
 		w.steps(t.Context(), 3, second)
-		assert.Equal(t, w.holders("b"), 1)
+		assert.Equal(t, w.residentCount("b"), 1)
 	})
 }
 
@@ -133,21 +133,21 @@
 // the books; the next load is due.
 // Cause: a release counted before it was committed.
 func TestStoreDownInTheMiddleOfAMove(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		w := newTestWorld(config.FencingChecked, testModel("a", "1", 60))
 		w.view.Config.Upstreams = w.view.Config.Upstreams[:1]
 		p := w.planner(&testLease{1, true})
 		w.steps(t.Context(), 3, p)
 		w.view.Config.Models = []config.Model{testModel("b", "1", 70)}
 		w.steps(t.Context(), 1, p)
-		assert.Equal(t, w.holders("a"), 0, "unloaded")
+		assert.Equal(t, w.residentCount("a"), 0, "unloaded")
 		w.table.down = true
 		w.steps(t.Context(), 600, p)
-		assert.Equal(t, w.holders("b"), 0)
+		assert.Equal(t, w.residentCount("b"), 0)
 		w.table.down = false
 		w.steps(t.Context(), 10, p)
-		assert.Equal(t, w.holders("b"), 1)
-		assert.Assert(t, !w.over())
+		assert.Equal(t, w.residentCount("b"), 1)
+		assert.Assert(t, !w.overcommitted())
 	})
 }
 
@@ -155,18 +155,18 @@
 // Sequence: the answer to the write is lost after it took effect.
 // Cause: a lost answer read as a failure.
 func TestCommitAnswerLost(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		w := newTestWorld(config.FencingIgnored, testModel("a", "1", 80))
 		w.view.Config.Upstreams = w.view.Config.Upstreams[:2] // b fits at one only
 		p := w.planner(&testLease{1, true})
 		p.Step(t.Context())
 		w.view.Config.Models = append(w.view.Config.Models, testModel("b", "1", 80))
-		w.table.inDoubt = 1000 // longer than the planner waits for one write
+		w.table.lostAnswers = 1000 // longer than the planner waits for one write
 		w.steps(t.Context(), 2, p)
-		w.table.inDoubt = 0
+		w.table.lostAnswers = 0
 		w.steps(t.Context(), 40, p)
-		assert.Equal(t, w.holders("b"), 1)
-		assert.Assert(t, !w.over())
+		assert.Equal(t, w.residentCount("b"), 1)
+		assert.Assert(t, !w.overcommitted())
 	})
 }
 
@@ -174,7 +174,7 @@
 // Sequence: versions and presets are switched while moves are under way.
 // Cause: the old version unloaded before the new one was ready.
 func TestSwitchesInTheMiddleOfMoves(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		w := newTestWorld(config.FencingChecked, testModel("a", "1", 40), testModel("b", "1", 40))
 		p := w.planner(&testLease{1, true})
 		w.steps(t.Context(), 3, p)
@@ -187,7 +187,7 @@
 			w.view.Demand = map[place.Key]place.Demand{{Model: "b"}: {Short: 9, Long: 9}}
 			for range 1 + round%7 {
 				w.steps(t.Context(), 1, p)
-				assert.Assert(t, w.holders("a") > 0 && w.holders("b") > 0 && !w.over())
+				assert.Assert(t, w.residentCount("a") > 0 && w.residentCount("b") > 0 && !w.overcommitted())
 			}
 		}
 	})
@@ -197,27 +197,27 @@
 // Sequence: it reports that it leaves; a later report, taken before, does not.
 // Cause: the newest word taken for the true one. Leaving is never undone.
 func TestLeavingUpstreamIsDrained(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		w := newTestWorld(config.FencingChecked, testModel("a", "1", 80))
 		w.view.Config.Upstreams = w.view.Config.Upstreams[:2]
 		p := w.planner(&testLease{1, true})
 		w.steps(t.Context(), 3, p)
-		from := w.engines[w.sent[0].upstream]
-		from.leaving = true
+		draining := w.engines[w.sent[0].upstream]
+		draining.draining = true
 		w.steps(t.Context(), 1, p)
-		from.leaving = false
+		draining.draining = false
 		w.steps(t.Context(), 3, p)
-		assert.Equal(t, w.holders("a"), 2)
+		assert.Equal(t, w.residentCount("a"), 2)
 		w.view.Config.Models = append(w.view.Config.Models, testModel("b", "1", 20))
 		w.steps(t.Context(), 3, p)
-		for t2 := range from.held {
-			assert.Assert(t, t2.Model != "b")
+		for artifact := range draining.residents {
+			assert.Assert(t, artifact.Model != "b")
 		}
 	})
 }
 
 func TestElectiveMovesArePaced(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		w := newTestWorld(config.FencingChecked, testModel("a", "1", 10))
 		first := w.planner(&testLease{1, true})
 		w.steps(t.Context(), 3, first)
@@ -228,7 +228,7 @@
 		w.steps(t.Context(), 100, p)
 		assert.Equal(t, p.Status().LoadOrders, 1, "one, and then it settles")
 		w.steps(t.Context(), 200, p)
-		assert.Equal(t, w.holders("a"), 3)
+		assert.Equal(t, w.residentCount("a"), 3)
 	})
 }
 
@@ -237,35 +237,35 @@
 func TestFaultsTogether(t *testing.T) {
 	for _, fencing := range []config.Fencing{config.FencingChecked, config.FencingIgnored} {
 		for seed := range uint64(10) {
-			bubble(t, func(t *testing.T) {
+			inBubble(t, func(t *testing.T) {
 				w := newTestWorld(fencing, testModel("a", "1", 55), testModel("b", "1", 45), testModel("c", "1", 60))
 				src := rand.New(rand.NewPCG(seed, 1))
-				w.net = func(engineapi.Order) (bool, bool) { return src.IntN(4) > 0, src.IntN(4) > 0 }
+				w.network = func(engineapi.Order) (bool, bool) { return src.IntN(4) > 0, src.IntN(4) > 0 }
 				leases := []*testLease{{1, true}, {0, false}}
 				planners := []*Planner{w.planner(leases[0]), w.planner(leases[1])}
 				for range 900 {
-					w.fault(src, leases)
+					w.injectFault(src, leases)
 					w.steps(t.Context(), 1, planners...)
-					assert.Assert(t, !w.over(), "%s seed %d", fencing, seed)
+					assert.Assert(t, !w.overcommitted(), "%s seed %d", fencing, seed)
 				}
-				w.net, w.table.down, w.table.inDoubt = nil, false, 0
+				w.network, w.table.down, w.table.lostAnswers = nil, false, 0
 				w.steps(t.Context(), 600, planners...)
-				assert.Assert(t, w.holders("a") > 0 && w.holders("b") > 0 && w.holders("c") > 0, "%s seed %d", fencing, seed)
-				assert.Assert(t, !w.over())
+				assert.Assert(t, w.residentCount("a") > 0 && w.residentCount("b") > 0 && w.residentCount("c") > 0, "%s seed %d", fencing, seed)
+				assert.Assert(t, !w.overcommitted())
 			})
 		}
 	}
 }
 
-// fault causes one at random: a late copy, a restart, an outage, a lost
+// injectFault causes one at random: a late copy, a restart, an outage, a lost
 // answer, a change of lease or version.
-func (w *testWorld) fault(src *rand.Rand, leases []*testLease) {
+func (w *testWorld) injectFault(src *rand.Rand, leases []*testLease) {
 	switch src.IntN(24) {
 	case 0, 1, 2, 3:
 		if len(w.sent) > 0 {
 			o := w.sent[src.IntN(len(w.sent))]
 			if time.Since(o.at) <= ledger.DefaultBounds().MaxInFlight {
-				w.engines[o.upstream].carryOut(o.Order)
+				w.engines[o.upstream].execute(o.Order)
 			}
 		}
 	case 4:
@@ -275,11 +275,11 @@
 	case 5:
 		w.table.down = !w.table.down
 	case 6:
-		w.table.inDoubt = src.IntN(20)
+		w.table.lostAnswers = src.IntN(20)
 	case 7:
-		top := max(leases[0].epoch, leases[1].epoch) + 1
+		next := max(leases[0].epoch, leases[1].epoch) + 1
 		i := src.IntN(2)
-		leases[i].epoch, leases[i].valid = top, true
+		leases[i].epoch, leases[i].valid = next, true
 		leases[1-i].valid = src.IntN(2) == 0 // it may not have noticed
 	case 8:
 		c := *w.view.Config
--- a/node/planner/world_test.go
+++ b/node/planner/world_test.go
@@ -14,29 +14,29 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-var errLost = errors.New("no answer")
+var errAnswerLost = errors.New("no answer")
 
 // testEngine is an engine that counts its own memory.
 type testEngine struct {
-	name        string
-	fencing     config.Fencing
-	capacity    int
-	incarnation int
-	sequence    uint64
-	epoch       uint64
-	held        map[ledger.Artifact]int
-	over        bool
-	leaving     bool
+	name          string
+	fencing       config.Fencing
+	capacity      int
+	incarnation   int
+	sequence      uint64
+	epoch         uint64
+	residents     map[ledger.Artifact]int
+	overcommitted bool
+	draining      bool
 }
 
 func (e *testEngine) id() string { return e.name + "." + strconv.Itoa(e.incarnation) }
 
 func (e *testEngine) restart() {
 	e.incarnation++
-	e.sequence, e.epoch, e.held = 0, 0, map[ledger.Artifact]int{}
+	e.sequence, e.epoch, e.residents = 0, 0, map[ledger.Artifact]int{}
 }
 
-func (e *testEngine) carryOut(o engineapi.Order) engineapi.OrderAnswer {
+func (e *testEngine) execute(o engineapi.Order) engineapi.OrderAnswer {
 	if e.fencing == config.FencingChecked {
 		if o.Epoch < e.epoch || o.Incarnation != e.id() {
 			return engineapi.OrderAnswer{Reason: "old_epoch", Incarnation: e.id()}
@@ -45,17 +45,17 @@
 	}
 	t := ledger.Artifact{Model: o.Model, Adapter: o.Adapter, Version: o.Version}
 	if o.Kind == engineapi.OrderUnload || o.Kind == engineapi.OrderUnloadAdapter {
-		delete(e.held, t)
+		delete(e.residents, t)
 		return engineapi.OrderAnswer{Accepted: true, Incarnation: e.id()}
 	}
-	e.held[t] = o.MemoryMB
-	e.over = e.over || e.used() > e.capacity
+	e.residents[t] = o.MemoryMB
+	e.overcommitted = e.overcommitted || e.used() > e.capacity
 	return engineapi.OrderAnswer{Accepted: true, Incarnation: e.id()}
 }
 
 func (e *testEngine) used() int {
 	sum := 0
-	for _, mb := range e.held {
+	for _, mb := range e.residents {
 		sum += mb
 	}
 	return sum
@@ -63,8 +63,8 @@
 
 func (e *testEngine) report() engineapi.Report {
 	e.sequence++
-	r := engineapi.Report{Upstream: e.name, Incarnation: e.id(), Sequence: e.sequence, Epoch: e.epoch, UsedMB: e.used(), Leaving: e.leaving}
-	for t, mb := range e.held {
+	r := engineapi.Report{Upstream: e.name, Incarnation: e.id(), Sequence: e.sequence, Epoch: e.epoch, UsedMB: e.used(), Leaving: e.draining}
+	for t, mb := range e.residents {
 		r.Residents = append(r.Residents, engineapi.Resident{Model: t.Model, Adapter: t.Adapter, Version: t.Version, State: engineapi.StateReady, MemoryMB: mb})
 	}
 	return r
@@ -73,9 +73,9 @@
 // testTable is the table service with faults.
 type testTable struct {
 	store.Table
-	down    bool
-	inDoubt int // so many commits take effect but lose their answer
-	commits int
+	down        bool
+	lostAnswers int // so many commits take effect but lose their answer
+	commits     int
 }
 
 func (t *testTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
@@ -84,8 +84,8 @@
 	}
 	v, err := t.Table.Commit(ctx, txn)
 	t.commits++
-	if t.inDoubt > 0 {
-		t.inDoubt--
+	if t.lostAnswers > 0 {
+		t.lostAnswers--
 		return 0, store.ErrInDoubt
 	}
 	return v, err
@@ -108,13 +108,13 @@
 
 // testWorld is a site with its engines, the network to them and the platform.
 type testWorld struct {
-	engines map[string]*testEngine
-	table   *testTable
-	view    View
-	reports map[string]ObservedReport
-	net     func(o engineapi.Order) (deliver, answer bool) // nil: all is delivered and answered
-	sent    []sentOrder
-	wait    time.Duration // of the weight store
+	engines   map[string]*testEngine
+	table     *testTable
+	view      View
+	reports   map[string]ObservedReport
+	network   func(o engineapi.Order) (deliver, answer bool) // nil: all is delivered and answered
+	sent      []sentOrder
+	grantWait time.Duration // of the weight store
 }
 
 type sentOrder struct {
@@ -135,7 +135,7 @@
 		c.Upstreams = append(c.Upstreams, config.Upstream{Name: name, Pool: "p", MemoryMB: 100, MaxBatch: 8, Fencing: f})
 	}
 	w.view = View{Config: c, Preset: config.Preset{SpreadThreshold: 0.7, MovesPerMinute: 6}, Demand: map[place.Key]place.Demand{}}
-	w.readAll()
+	w.readReports()
 	return w
 }
 
@@ -148,7 +148,7 @@
 	return New(Config{Pool: "p", MaxConcurrentSends: 1}, Deps{Lease: l, Table: w.table, Weights: w, Orders: w, Inputs: w})
 }
 
-func (w *testWorld) readAll() {
+func (w *testWorld) readReports() {
 	for name, e := range w.engines {
 		w.reports[name] = ObservedReport{Report: e.report(), Read: time.Now()}
 	}
@@ -157,7 +157,7 @@
 // steps runs planners side by side for so many seconds.
 func (w *testWorld) steps(ctx context.Context, seconds int, planners ...*Planner) {
 	for range seconds {
-		w.readAll()
+		w.readReports()
 		for _, p := range planners {
 			p.Step(ctx)
 		}
@@ -165,7 +165,7 @@
 	}
 }
 
-func (w *testWorld) Grant(context.Context, string) (time.Duration, error) { return w.wait, nil }
+func (w *testWorld) Grant(context.Context, string) (time.Duration, error) { return w.grantWait, nil }
 func (w *testWorld) Done(context.Context, string) error                   { return nil }
 func (w *testWorld) View() View                                           { return w.view }
 
@@ -180,33 +180,33 @@
 func (w *testWorld) Send(_ context.Context, upstream string, o engineapi.Order) (engineapi.OrderAnswer, error) {
 	w.sent = append(w.sent, sentOrder{upstream, o, time.Now()})
 	deliver, answer := true, true
-	if w.net != nil {
-		deliver, answer = w.net(o)
+	if w.network != nil {
+		deliver, answer = w.network(o)
 	}
 	var a engineapi.OrderAnswer
 	if deliver {
-		a = w.engines[upstream].carryOut(o)
+		a = w.engines[upstream].execute(o)
 	}
 	if !answer {
-		return engineapi.OrderAnswer{}, errLost
+		return engineapi.OrderAnswer{}, errAnswerLost
 	}
 	return a, nil
 }
 
-func (w *testWorld) over() bool {
+func (w *testWorld) overcommitted() bool {
 	for _, e := range w.engines {
-		if e.over {
+		if e.overcommitted {
 			return true
 		}
 	}
 	return false
 }
 
-// holders counts the engines that hold a model, in any version.
-func (w *testWorld) holders(model string) int {
+// residentCount counts the engines that hold a model, in any version.
+func (w *testWorld) residentCount(model string) int {
 	n := 0
 	for _, e := range w.engines {
-		for t := range e.held {
+		for t := range e.residents {
 			if t.Model == model && t.Adapter == "" {
 				n++
 				break
