--- a/node/claim/rangelog.go
+++ b/node/claim/rangelog.go
@@ -51,21 +51,23 @@
 	keys    []string
 }
 
-func headKey(rng int) string               { return fmt.Sprintf("%s%d", headPrefix, rng) }
-func logKey(rng int, seq uint64) string    { return fmt.Sprintf("%s%d/%016x", logPrefix, rng, seq) }
-func logKeyPrefix(rng int) (prefix string) { return fmt.Sprintf("%s%d/", logPrefix, rng) }
+func headKey(rangeID int) string { return fmt.Sprintf("%s%d", headPrefix, rangeID) }
+func logKey(rangeID int, seq uint64) string {
+	return fmt.Sprintf("%s%d/%016x", logPrefix, rangeID, seq)
+}
+func logKeyPrefix(rangeID int) (prefix string) { return fmt.Sprintf("%s%d/", logPrefix, rangeID) }
 
 // OpenRange takes a range over under a lease: it fences the owner before it by
 // writing the head, then reads the log.
-func OpenRange(ctx context.Context, cfg RangeConfig, deps RangeDeps, rng int) (*Range, error) {
-	r := &Range{cfg: cfg, deps: deps, id: rng, rows: map[string]cachedRow{}, arrivals: make(chan *rowChange), stopped: make(chan struct{})}
+func OpenRange(ctx context.Context, cfg RangeConfig, deps RangeDeps, rangeID int) (*Range, error) {
+	r := &Range{cfg: cfg, deps: deps, id: rangeID, rows: map[string]cachedRow{}, arrivals: make(chan *rowChange), stopped: make(chan struct{})}
 	if err := r.fenceFormerOwner(ctx); err != nil {
 		return nil, err
 	}
 	if err := r.readLog(ctx); err != nil {
 		return nil, err
 	}
-	deps.Log.Emit(event.ClaimRangeOpened, zap.Int("range", rng), zap.Uint64("epoch", r.head.Epoch), zap.Int("records", len(r.rows)))
+	deps.Log.Emit(event.ClaimRangeOpened, zap.Int("range", rangeID), zap.Uint64("epoch", r.head.Epoch), zap.Int("records", len(r.rows)))
 	return r, nil
 }
 
--- a/node/claim/sim_test.go
+++ b/node/claim/sim_test.go
@@ -119,13 +119,13 @@
 func (e *engine) incarnation() string { return fmt.Sprint("i", e.starts) }
 
 // arrive is a request that reaches the engine; it answers whether it ran.
-func (e *engine) arrive(r *flight) bool {
-	if e.fenced[r.route.Attempt] || r.route.Incarnation != e.incarnation() || e.attempts[r.route.Attempt] != nil {
+func (e *engine) arrive(f *flight) bool {
+	if e.fenced[f.route.Attempt] || f.route.Incarnation != e.incarnation() || e.attempts[f.route.Attempt] != nil {
 		return false
 	}
-	x := e.hist.Begin(history.Execution{Call: r.call, Key: r.key, Attempt: r.route.Attempt})
-	e.hist.Finish(x, r.route.Attempt)
-	e.attempts[r.route.Attempt] = x
+	x := e.hist.Begin(history.Execution{Call: f.call, Key: f.key, Attempt: f.route.Attempt})
+	e.hist.Finish(x, f.route.Attempt)
+	e.attempts[f.route.Attempt] = x
 	return true
 }
 
--- a/node/planner/orders.go
+++ b/node/planner/orders.go
@@ -37,14 +37,14 @@
 	var out []reservedOrder
 	kept := map[string]sendState{}
 	for _, name := range slices.Sorted(maps.Keys(p.ledger.rows)) {
-		e := p.ledger.rows[name]
-		for _, c := range e.row.Charges {
+		cached := p.ledger.rows[name]
+		for _, c := range cached.row.Charges {
 			if state, ok := p.sendStates[c.Op]; ok {
 				kept[c.Op] = state
 			}
 		}
-		for _, c := range e.row.Pending(now) {
-			if kept[c.Op] == sentUnconfirmed && !e.needsRead {
+		for _, c := range cached.row.Pending(now) {
+			if kept[c.Op] == sentUnconfirmed && !cached.needsRead {
 				out = append(out, reservedOrder{name, c})
 			}
 		}
@@ -62,25 +62,25 @@
 		if !p.deps.Lease.Valid(p.ledger.epoch) || ctx.Err() != nil {
 			return out
 		}
-		if t, ok := p.reserve(ctx, m); ok {
-			out = append(out, t)
+		if o, ok := p.reserve(ctx, m); ok {
+			out = append(out, o)
 		}
 	}
 	return out
 }
 
 func (p *Planner) reserve(ctx context.Context, m place.Move) (reservedOrder, bool) {
-	e := p.ledger.rows[m.Upstream]
-	if e == nil || e.needsRead {
+	cached := p.ledger.rows[m.Upstream]
+	if cached == nil || cached.needsRead {
 		return reservedOrder{}, false
 	}
-	next, c, err := e.row.Reserve(p.deps.Now(), p.cfg.Bounds, p.ledger.epoch, newOpID(), m.Change)
+	next, c, err := cached.row.Reserve(p.deps.Now(), p.cfg.Bounds, p.ledger.epoch, newOpID(), m.Change)
 	if err != nil {
 		p.deps.Log.Emit(event.MoveRefused, zap.String("upstream", m.Upstream), zap.Error(err))
 		return reservedOrder{}, false
 	}
-	t := reservedOrder{m.Upstream, c}
-	if m.Change.Kind == ledger.Load && !p.requestLoadGrant(ctx, t) {
+	o := reservedOrder{m.Upstream, c}
+	if m.Change.Kind == ledger.Load && !p.requestLoadGrant(ctx, o) {
 		return reservedOrder{}, false
 	}
 	if err := p.ledger.commit(ctx, rowChange{m.Upstream, next}); err != nil {
@@ -90,20 +90,20 @@
 	p.recordMove(m)
 	p.deps.Log.Emit(event.MoveDecided, zap.String("upstream", m.Upstream), zap.String("op", c.Op), zap.String("kind", string(c.Kind)),
 		zap.String("model", c.Model), zap.String("adapter", c.Adapter), zap.String("version", c.Version), zap.String("why", string(m.Reason)))
-	return t, true
+	return o, true
 }
 
 // requestLoadGrant asks the weight store, whose limits all planners share, for the load
 // that the order will start. The engine asks for the same load by the same
 // name, so that planner and engine together take one place.
-func (p *Planner) requestLoadGrant(ctx context.Context, t reservedOrder) bool {
+func (p *Planner) requestLoadGrant(ctx context.Context, o reservedOrder) bool {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	wait, err := p.deps.Weights.Grant(ctx, toOrder(t).LoadName())
+	wait, err := p.deps.Weights.Grant(ctx, toOrder(o).LoadName())
 	if err != nil || wait > 0 {
 		return false
 	}
-	p.loadGrants[t.charge.Op] = t
+	p.loadGrants[o.charge.Op] = o
 	return true
 }
 
@@ -112,12 +112,12 @@
 // reached it would otherwise hold its place until the store's own lapse, and
 // with two places a site could then load nothing for minutes.
 func (p *Planner) releaseLoadGrants(ctx context.Context) {
-	for op, t := range p.loadGrants {
-		e := p.ledger.rows[t.upstream]
-		if e == nil || e.needsRead || e.row.MayStillLoad(op, t.charge.Artifact) {
+	for op, o := range p.loadGrants {
+		cached := p.ledger.rows[o.upstream]
+		if cached == nil || cached.needsRead || cached.row.MayStillLoad(op, o.charge.Artifact) {
 			continue
 		}
-		if p.deps.Weights.Done(ctx, toOrder(t).LoadName()) == nil {
+		if p.deps.Weights.Done(ctx, toOrder(o).LoadName()) == nil {
 			delete(p.loadGrants, op)
 		}
 	}
@@ -146,17 +146,17 @@
 }
 
 // sendAll sends orders side by side: a silent engine holds up no other.
-func (p *Planner) sendAll(ctx context.Context, tasks []reservedOrder) {
-	states := make([]sendState, len(tasks))
+func (p *Planner) sendAll(ctx context.Context, orders []reservedOrder) {
+	states := make([]sendState, len(orders))
 	var g errgroup.Group
 	g.SetLimit(p.cfg.MaxConcurrentSends)
-	for i, t := range tasks {
-		g.Go(func() error { states[i] = p.send(ctx, t); return nil })
+	for i, o := range orders {
+		g.Go(func() error { states[i] = p.send(ctx, o); return nil })
 	}
 	_ = g.Wait()
-	for i, t := range tasks {
+	for i, o := range orders {
 		if states[i] != notSent {
-			p.sendStates[t.charge.Op] = states[i]
+			p.sendStates[o.charge.Op] = states[i]
 		}
 	}
 }
@@ -165,21 +165,21 @@
 // this very moment. A planner that was paused between reserving and sending
 // would otherwise act on authority it no longer has; one would notice orders
 // of two epochs at one engine.
-func (p *Planner) send(ctx context.Context, t reservedOrder) sendState {
-	if t.charge.CheckSendWindow(p.deps.Now()) != nil || !p.deps.Lease.Valid(p.ledger.epoch) {
-		p.deps.Log.Emit(event.OrderHeldBack, zap.String("upstream", t.upstream), zap.String("op", t.charge.Op))
+func (p *Planner) send(ctx context.Context, o reservedOrder) sendState {
+	if o.charge.CheckSendWindow(p.deps.Now()) != nil || !p.deps.Lease.Valid(p.ledger.epoch) {
+		p.deps.Log.Emit(event.OrderHeldBack, zap.String("upstream", o.upstream), zap.String("op", o.charge.Op))
 		return notSent
 	}
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	answer, err := p.deps.Orders.Send(ctx, t.upstream, toOrder(t))
+	answer, err := p.deps.Orders.Send(ctx, o.upstream, toOrder(o))
 	switch {
 	case err != nil:
-		p.deps.Log.Emit(event.OrderInDoubt, zap.String("upstream", t.upstream), zap.String("op", t.charge.Op), zap.Error(err))
+		p.deps.Log.Emit(event.OrderInDoubt, zap.String("upstream", o.upstream), zap.String("op", o.charge.Op), zap.Error(err))
 		return sentUnconfirmed
 	case !answer.Accepted:
 		// Its charge stays: only a report settles it, as a copy may be on its way.
-		p.deps.Log.Emit(event.OrderRefused, zap.String("upstream", t.upstream), zap.String("op", t.charge.Op), zap.String("reason", answer.Reason))
+		p.deps.Log.Emit(event.OrderRefused, zap.String("upstream", o.upstream), zap.String("op", o.charge.Op), zap.String("reason", answer.Reason))
 	}
 	return sentAnswered
 }
--- a/node/planner/planner.go
+++ b/node/planner/planner.go
@@ -79,11 +79,11 @@
 
 // Tuning, with the reasons.
 const (
-	defaultEvery  = time.Second     // about the pace of reports
-	commitTimeout = 2 * time.Second // well below the sending window, so that a slow store costs no window
-	sendTimeout   = 3 * time.Second // of one order; a silent engine must not stop the plan
-	defaultAtOnce = 16
-	moveBurst     = 2 // elective moves that may come at once; more would be a storm after a switch
+	defaultInterval        = time.Second     // about the pace of reports
+	commitTimeout          = 2 * time.Second // well below the sending window, so that a slow store costs no window
+	sendTimeout            = 3 * time.Second // of one order; a silent engine must not stop the plan
+	defaultConcurrentSends = 16
+	moveBurst              = 2 // elective moves that may come at once; more would be a storm after a switch
 )
 
 // Planner plans one pool. Run belongs to one goroutine; DryRun and Status may be
@@ -126,10 +126,10 @@
 // New makes a planner. It does nothing until Run or Step.
 func New(cfg Config, deps Deps) *Planner {
 	if cfg.Interval <= 0 {
-		cfg.Interval = defaultEvery
+		cfg.Interval = defaultInterval
 	}
 	if cfg.MaxConcurrentSends <= 0 {
-		cfg.MaxConcurrentSends = defaultAtOnce
+		cfg.MaxConcurrentSends = defaultConcurrentSends
 	}
 	if cfg.Bounds == (ledger.Bounds{}) {
 		cfg.Bounds = ledger.DefaultBounds()
@@ -194,12 +194,12 @@
 // goroutine.
 func (p *Planner) DryRun(preset config.Preset) (place.Forecast, bool) {
 	p.mu.Lock()
-	shot := p.lastSnapshot
+	snapshot := p.lastSnapshot
 	p.mu.Unlock()
-	if shot == nil {
+	if snapshot == nil {
 		return place.Forecast{}, false
 	}
-	return place.DryRun(shot, preset, p.deps.Now()), true
+	return place.DryRun(snapshot, preset, p.deps.Now()), true
 }
 
 // takeOver reads the books when the lease is new, under a new epoch row, so
@@ -208,12 +208,12 @@
 	if p.ledger != nil && p.ledger.epoch == epoch {
 		return true
 	}
-	b, err := openPoolLedger(ctx, p.deps.Table, p.cfg.Pool, epoch)
+	l, err := openPoolLedger(ctx, p.deps.Table, p.cfg.Pool, epoch)
 	if err != nil {
 		p.deps.Log.Emit(event.LedgerUnread, zap.String("pool", p.cfg.Pool), zap.Error(err))
 		return false
 	}
-	p.ledger = b
+	p.ledger = l
 	p.sendStates = map[string]sendState{}
 	p.moveBudget.SetLimitAt(p.deps.Now(), 0)
 	p.moveBudget.AllowN(p.deps.Now(), moveBurst) // a new holder begins without moves to spend
--- a/node/planner/reports.go
+++ b/node/planner/reports.go
@@ -28,13 +28,13 @@
 	var changes []rowChange
 	for _, o := range p.deps.Inputs.Reports() {
 		p.recordReport(o)
-		e := p.ledger.rows[o.Report.Upstream]
-		if e == nil || e.needsRead {
+		cached := p.ledger.rows[o.Report.Upstream]
+		if cached == nil || cached.needsRead {
 			continue
 		}
-		next, changed := e.row.Observe(p.cfg.Bounds, toLedgerReport(o))
+		next, changed := cached.row.Observe(p.cfg.Bounds, toLedgerReport(o))
 		if !changed {
-			e.row = next // only the sequence moved; it is kept with the next write
+			cached.row = next // only the sequence moved; it is kept with the next write
 			continue
 		}
 		changes = append(changes, rowChange{o.Report.Upstream, next})
@@ -55,12 +55,12 @@
 		if u.Pool != p.cfg.Pool {
 			continue
 		}
-		e := p.ledger.rows[u.Name]
-		if e == nil {
+		cached := p.ledger.rows[u.Name]
+		if cached == nil {
 			p.ledger.rows[u.Name] = &cachedRow{row: ledger.New(u.Name, u.MemoryMB, u.Fencing)}
 			continue
 		}
-		e.row.CapacityMB, e.row.Fencing = u.MemoryMB, u.Fencing
+		cached.row.CapacityMB, cached.row.Fencing = u.MemoryMB, u.Fencing
 	}
 }
 
@@ -107,14 +107,14 @@
 	}
 	s.Adapters = view.Config.Adapters
 	for _, u := range view.Config.Upstreams {
-		e := p.ledger.rows[u.Name]
-		if u.Pool != p.cfg.Pool || e == nil {
+		cached := p.ledger.rows[u.Name]
+		if u.Pool != p.cfg.Pool || cached == nil {
 			continue
 		}
-		seen := p.upstreams[u.Name]
-		s.Upstreams = append(s.Upstreams, place.Upstream{Name: u.Name, DataCentre: u.DataCentre, Row: e.row, MaxBatch: u.MaxBatch,
-			Draining: seen.draining, Down: seen.down, ReportCount: seen.reportCount})
-		s.LoadsInProgress += loadsInProgress(e.row, now)
+		status := p.upstreams[u.Name]
+		s.Upstreams = append(s.Upstreams, place.Upstream{Name: u.Name, DataCentre: u.DataCentre, Row: cached.row, MaxBatch: u.MaxBatch,
+			Draining: status.draining, Down: status.down, ReportCount: status.reportCount})
+		s.LoadsInProgress += loadsInProgress(cached.row, now)
 	}
 	p.moveBudget.SetLimitAt(now, rate.Limit(view.Preset.MovesPerMinute/60/float64(enginePoolCount(view.Config))))
 	s.Budget = p.moveBudget.TokensAt(now)
