--- a/node/planner/ledger.go
+++ b/node/planner/ledger.go
@@ -13,39 +13,41 @@
 	"peridotpier.example/node/store"
 )
 
-// Keys of the table service.
+// Keys of the table service, and limits of its calls.
 const (
 	rowPrefix    = "ledger/row/"   // + pool + "/" + upstream
 	epochPrefix  = "ledger/epoch/" // + pool
-	listPageRows = 500             // rows read at once
-	maxBatchRows = 32              // rows written in one transaction
+	listPageRows = 500             // rows of one read
+	maxBatchRows = 32              // rows of one transaction
 )
 
-// errDirty: a row whose last write is in doubt and could not be read back yet.
-var errNeedsRead = errors.New("the row must be read again first")
+// errNeedsRead is returned for a row whose last write was not confirmed and which
+// has not been read again yet.
+var errNeedsRead = errors.New("the ledger row must be read again before it is written")
 
-// poolLedger are the ledger rows of a pool as committed.
+// poolLedger is the ledger of a pool as committed in the table service.
 type poolLedger struct {
 	table    store.Table
 	pool     string
 	epoch    uint64
-	epochRow store.Cond // every write demands that no later planner has taken over
+	epochRow store.Cond // condition of every write: no later planner has taken over
 	rows     map[string]*cachedRow
 }
 
+// cachedRow is a ledger row with its version in the table service.
 type cachedRow struct {
 	row       ledger.Row
 	version   uint64
-	needsRead bool // the last write is in doubt: read before anything else
+	needsRead bool // the effect of the last write is not known: the row must be read before anything else
 }
 
-// rowChange is a row to be written.
+// rowChange is a row to write.
 type rowChange struct {
 	upstream string
 	next     ledger.Row
 }
 
-// openPoolLedger takes over the books of a pool under an epoch and reads them.
+// openPoolLedger takes over the ledger of a pool under an epoch and reads its rows.
 func openPoolLedger(ctx context.Context, tb store.Table, pool string, epoch uint64) (*poolLedger, error) {
 	l := &poolLedger{table: tb, pool: pool, epoch: epoch, rows: map[string]*cachedRow{}}
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
@@ -70,8 +72,8 @@
 	}
 }
 
-// claimEpoch writes the epoch row. Reading the rows only afterwards makes sure
-// that nothing of an earlier holder is written behind this one's back.
+// claimEpoch writes the epoch row. The rows are read only after this, so that an
+// earlier lease holder cannot write any of them once they are read.
 func (l *poolLedger) claimEpoch(ctx context.Context) error {
 	key := epochPrefix + l.pool
 	rows, err := l.table.Get(ctx, key)
@@ -82,7 +84,7 @@
 	if len(rows) > 0 {
 		holderEpoch, _ := strconv.ParseUint(string(rows[0].Value), 10, 64)
 		if holderEpoch > l.epoch {
-			return eris.Wrapf(ledger.ErrOldEpoch, "epoch %d is held", holderEpoch)
+			return eris.Wrapf(ledger.ErrOldEpoch, "another planner has epoch %d", holderEpoch)
 		}
 		cond.Version = rows[0].Version
 	}
@@ -95,6 +97,7 @@
 func (l *poolLedger) prefix() string             { return rowPrefix + l.pool + "/" }
 func (l *poolLedger) key(upstream string) string { return l.prefix() + upstream }
 
+// cacheRow decodes a row that was read and caches it.
 func (l *poolLedger) cacheRow(r store.Row) error {
 	cached := &cachedRow{version: r.Version}
 	if err := json.Unmarshal(r.Value, &cached.row); err != nil {
@@ -104,9 +107,10 @@
 	return nil
 }
 
-// commit commits rows in one transaction. Rows count as changed only once the
-// service says so. After a lost answer that could not be resolved, they are
-// read again before anything is built on them: the write may stand.
+// commit writes rows in one transaction. The cache changes only when the table
+// service has confirmed it. After a conflict, or a lost answer that could not be
+// resolved, the rows are read again before they are used, because the write may
+// have taken effect.
 func (l *poolLedger) commit(ctx context.Context, changes ...rowChange) error {
 	txn := store.Txn{Op: newOpID(), Conds: []store.Cond{l.epochRow}}
 	for _, c := range changes {
@@ -136,7 +140,8 @@
 	return eris.Wrap(err, "write the ledger")
 }
 
-// rereadRows reads the rows again whose state is in doubt.
+// rereadRows reads the rows that need it. It returns ledger.ErrOldEpoch if a later
+// planner has taken over.
 func (l *poolLedger) rereadRows(ctx context.Context) error {
 	var keys []string
 	for name, cached := range l.rows {
--- a/node/planner/orders.go
+++ b/node/planner/orders.go
@@ -16,23 +16,24 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// sendState is how far an order got.
+// sendState is how far the sending of an order has got.
 type sendState uint8
 
 const (
-	notSent         sendState = iota // reserved by another planner, or before a restart
-	sentUnconfirmed                  // sent, no answer: may be sent again within its window
-	sentAnswered                     // answered
+	notSent         sendState = iota // also for orders of another planner, or from before a restart
+	sentUnconfirmed                  // sent without an answer: may be sent again within its send window
+	sentAnswered                     // answered, whether accepted or refused
 )
 
-// reservedOrder is an order that is in the books and may be sent.
+// reservedOrder is an order with its charge in the ledger. In reserve it exists
+// before its charge is committed.
 type reservedOrder struct {
 	upstream string
 	charge   ledger.Charge
 }
 
-// ordersToResend are the orders sent before whose answer was lost and whose effect
-// no report shows. They go out again under the same id.
+// ordersToResend returns the orders whose answer was lost and whose effect no
+// report shows. They are sent again with the same id.
 func (p *Planner) ordersToResend(now time.Time) []reservedOrder {
 	var out []reservedOrder
 	kept := map[string]sendState{}
@@ -49,13 +50,13 @@
 			}
 		}
 	}
-	p.sendStates = kept // drops what the books have settled
+	p.sendStates = kept // without orders that no longer have a charge
 	return out
 }
 
-// reserveAll enters moves into the books, each before its order is sent. A
-// move that gets no grant of the weight store, or whose reservation fails, is
-// left to a later plan.
+// reserveAll enters moves in the ledger, each before its order is sent. A move that
+// gets no grant from the weight store, or whose reservation fails, is left to a
+// later plan.
 func (p *Planner) reserveAll(ctx context.Context, moves []place.Move) []reservedOrder {
 	var out []reservedOrder
 	for _, m := range moves {
@@ -85,7 +86,7 @@
 	}
 	if err := p.ledger.commit(ctx, rowChange{m.Upstream, next}); err != nil {
 		p.logLedgerError(err)
-		return reservedOrder{}, false // a grant that was given is given back once the books show no charge for it
+		return reservedOrder{}, false // releaseLoadGrants returns the grant once the ledger shows no charge for it
 	}
 	p.recordMove(m)
 	p.deps.Log.Emit(event.MoveDecided, zap.String("upstream", m.Upstream), zap.String("op", c.Op), zap.String("kind", string(c.Kind)),
@@ -93,9 +94,10 @@
 	return o, true
 }
 
-// requestLoadGrant asks the weight store, whose limits all planners share, for the load
-// that the order will start. The engine asks for the same load by the same
-// name, so that planner and engine together take one place.
+// requestLoadGrant asks the weight store, whose limits all planners share, for a
+// grant of the load that the order will start, and reports whether it got one. The
+// engine requests the same load by the same name, so that planner and engine use
+// one grant together.
 func (p *Planner) requestLoadGrant(ctx context.Context, o reservedOrder) bool {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -107,10 +109,10 @@
 	return true
 }
 
-// releaseLoadGrants gives back the places of loads that will not happen or are
-// done. An engine does that itself for what it loaded; but an order that never
-// reached it would otherwise hold its place until the store's own lapse, and
-// with two places a site could then load nothing for minutes.
+// releaseLoadGrants returns the grants of loads that are done or will not happen. An
+// engine does so itself for what it loaded; but the grant of an order that never
+// reached its engine would otherwise last until the weight store lets it expire,
+// and a site with two grants could load nothing for minutes.
 func (p *Planner) releaseLoadGrants(ctx context.Context) {
 	for op, o := range p.loadGrants {
 		cached := p.ledger.rows[o.upstream]
@@ -140,12 +142,14 @@
 	}
 }
 
-// isOnDemand models take turns, so each load of one begins its turn.
+// isOnDemand reports whether a model has no minimum of replicas. Such models share
+// memory in turn, so a load of one starts its cooldown whatever the reason.
 func (p *Planner) isOnDemand(model string) bool {
 	return slices.ContainsFunc(p.deps.Inputs.View().Config.Models, func(m config.Model) bool { return m.Name == model && m.MinReplicas == 0 })
 }
 
-// sendAll sends orders side by side: a silent engine holds up no other.
+// sendAll sends orders concurrently, so that an unresponsive engine does not delay
+// the others.
 func (p *Planner) sendAll(ctx context.Context, orders []reservedOrder) {
 	states := make([]sendState, len(orders))
 	var g errgroup.Group
@@ -161,10 +165,9 @@
 	}
 }
 
-// send sends one order, if the lease and the order's window still allow it at
-// this very moment. A planner that was paused between reserving and sending
-// would otherwise act on authority it no longer has; one would notice orders
-// of two epochs at one engine.
+// send sends one order, unless the lease or the order's send window has expired by
+// now. Without the check, a planner that was paused between reserving and sending
+// would act without a valid lease, and an engine could get orders of two epochs.
 func (p *Planner) send(ctx context.Context, o reservedOrder) sendState {
 	if o.charge.CheckSendWindow(p.deps.Now()) != nil || !p.deps.Lease.Valid(p.ledger.epoch) {
 		p.deps.Log.Emit(event.OrderHeldBack, zap.String("upstream", o.upstream), zap.String("op", o.charge.Op))
@@ -178,7 +181,7 @@
 		p.deps.Log.Emit(event.OrderInDoubt, zap.String("upstream", o.upstream), zap.String("op", o.charge.Op), zap.Error(err))
 		return sentUnconfirmed
 	case !answer.Accepted:
-		// Its charge stays: only a report settles it, as a copy may be on its way.
+		// The charge stays: a copy of the order may still arrive, so only a report resolves it.
 		p.deps.Log.Emit(event.OrderRefused, zap.String("upstream", o.upstream), zap.String("op", o.charge.Op), zap.String("reason", answer.Reason))
 	}
 	return sentAnswered
--- a/node/planner/planner.go
+++ b/node/planner/planner.go
@@ -1,7 +1,7 @@
-// Package planner executes placement for one pool under a lease: it keeps the
-// memory ledger in the table service, asks core/place what to do, and sends
-// the orders. Each act is checked against the lease right before it begins,
-// and each order is in the ledger before it is sent.
+// Package planner executes placement for one pool of engines under a lease: it
+// keeps the memory ledger in the table service, asks core/place for the moves and
+// sends an order for each. It checks the lease right before each reservation and
+// each order, and an order is in the ledger before it is sent.
 package planner
 
 import (
@@ -21,52 +21,55 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// Lease is the right to plan a pool. Epoch is that of the present term, 0
-// while it is not held. Valid is judged on the monotonic clock, leaves a margin
-// for an act that begins now, and holds for the term of one epoch only: a host
-// that lost its lease and got it again in the middle of a plan must not finish
-// that plan, since another may have planned in between.
+// Lease is the right to plan a pool. Epoch returns the epoch of the current term,
+// or 0 while the lease is not held. Valid reports whether the lease is held in the
+// given epoch with enough time left for one order or commit, by the monotonic
+// clock. It holds for one epoch only: a host that lost its lease and acquired it
+// again in the middle of a plan must not finish that plan, because another host may
+// have planned in between.
 type Lease interface {
 	Epoch() uint64
 	Valid(epoch uint64) bool
 }
 
-// OrderSender sends orders to engines. An error leaves the order in doubt.
+// OrderSender sends orders to engines. After an error the order is unconfirmed: it
+// may have been executed.
 type OrderSender interface {
 	Send(ctx context.Context, upstream string, o engineapi.Order) (engineapi.OrderAnswer, error)
 }
 
-// ObservedReport is the newest report of an upstream and when it was read.
+// ObservedReport is the newest report of an upstream, with the time at which this
+// host read it.
 type ObservedReport struct {
 	Report engineapi.Report
 	Read   time.Time
-	Down   bool // for long enough that it is not one lost report
+	Down   bool // for long enough that more than one report is missing
 }
 
-// Inputs is what the planner reads besides the platform. View gives the
-// configuration in force and the demand; it must not change afterwards.
+// Inputs provides what the planner reads apart from the platform's services. The
+// view that View returns must not change afterwards.
 type Inputs interface {
 	Reports() []ObservedReport
 	View() View
 }
 
-// View is the configuration and preset in force, and the demand.
+// View is the configuration and the preset in force, and the current demand.
 type View struct {
 	Config *config.Config
 	Preset config.Preset
 	Demand map[place.Key]place.Demand
 }
 
-// Config tunes a planner. Zero fields take their defaults.
+// Config configures a planner. Zero fields get their defaults.
 type Config struct {
 	Pool               string
 	Interval           time.Duration // between two plans
 	Bounds             ledger.Bounds
-	MaxConcurrentSends int           // orders sent side by side
-	MoveCooldown       time.Duration // see place.Snapshot
+	MaxConcurrentSends int           // orders in progress at once
+	MoveCooldown       time.Duration // as in place.Snapshot
 }
 
-// Deps are the parts that a planner works with.
+// Deps are the dependencies of a planner.
 type Deps struct {
 	Lease   Lease
 	Table   store.Table
@@ -77,34 +80,35 @@
 	Now     func() time.Time // nil: time.Now
 }
 
-// Tuning, with the reasons.
+// Defaults, timeouts and limits.
 const (
-	defaultInterval        = time.Second     // about the pace of reports
-	commitTimeout          = 2 * time.Second // well below the sending window, so that a slow store costs no window
-	sendTimeout            = 3 * time.Second // of one order; a silent engine must not stop the plan
+	defaultInterval        = time.Second     // about the interval of reports
+	commitTimeout          = 2 * time.Second // well below the send window, so that a slow table service does not use it up
+	sendTimeout            = 3 * time.Second // of one order; an unresponsive engine must not stop the plan
 	defaultConcurrentSends = 16
-	moveBurst              = 2 // elective moves that may come at once; more would be a storm after a switch
+	moveBurst              = 2 // elective moves that may be made at once; with more, a switch of presets would cause a burst of loads
 )
 
-// Planner plans one pool. Run belongs to one goroutine; DryRun and Status may be
-// called from any.
+// Planner plans one pool. Run and Step must be called from one goroutine; DryRun
+// and Status may be called from any.
 type Planner struct {
 	cfg        Config
 	deps       Deps
-	ledger     *poolLedger
+	ledger     *poolLedger // nil until this host took it over under its current lease
 	moveBudget *rate.Limiter
-	upstreams  map[string]upstreamStatus // by upstream
+	upstreams  map[string]upstreamStatus // by name of the upstream
 	lastMove   map[place.Key]time.Time
-	sendStates map[string]sendState // by order id, while its charge is in the books
+	sendStates map[string]sendState // by order id, while its charge is in the ledger
 
-	loadGrants map[string]reservedOrder // loads that the weight store was asked for, by order id
+	loadGrants map[string]reservedOrder // loads granted by the weight store, by order id
 
 	mu           sync.Mutex
 	status       Status
-	lastSnapshot *place.Snapshot // that the last plan saw; never changed
+	lastSnapshot *place.Snapshot // of the last plan; never changed
 }
 
-// upstreamStatus counts the reports of an upstream's present incarnation.
+// upstreamStatus is what the reports of an upstream's current incarnation show,
+// apart from its memory.
 type upstreamStatus struct {
 	incarnation string
 	sequence    uint64
@@ -113,17 +117,17 @@
 	down        bool
 }
 
-// Status is what operators see of a planner.
+// Status is the state of a planner.
 type Status struct {
 	Epoch        uint64
-	LoadOrders   int // orders to load, sent in all
+	LoadOrders   int // reserved since New
 	UnloadOrders int
-	Unconfirmed  int // charges in the books
+	Unconfirmed  int // charges in the ledger
 	Deferred     int
 	Waits        []place.Wait
 }
 
-// New makes a planner. It does nothing until Run or Step.
+// New returns a planner, which does nothing until Run or Step is called.
 func New(cfg Config, deps Deps) *Planner {
 	if cfg.Interval <= 0 {
 		cfg.Interval = defaultInterval
@@ -158,12 +162,11 @@
 	}
 }
 
-// Step makes one plan and begins its moves. Without a valid lease it does
-// nothing.
+// Step makes one plan and begins its moves. It does nothing without a valid lease.
 func (p *Planner) Step(ctx context.Context) {
 	epoch := p.deps.Lease.Epoch()
 	if !p.deps.Lease.Valid(epoch) {
-		p.ledger = nil // whoever holds the lease now may have changed them
+		p.ledger = nil // another lease holder may have changed the rows
 		return
 	}
 	if !p.takeOver(ctx, epoch) {
@@ -182,16 +185,15 @@
 	p.updateStatus(snapshot, decision)
 }
 
-// Status tells the state of the planner.
+// Status returns the state of the planner.
 func (p *Planner) Status() Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.status
 }
 
-// DryRun forecasts what another preset would do, from what the last plan saw.
-// false: this host has not planned the pool yet. It may be called from any
-// goroutine.
+// DryRun forecasts the moves under another preset, from the snapshot of the last
+// plan. It returns false if this host has not planned the pool yet.
 func (p *Planner) DryRun(preset config.Preset) (place.Forecast, bool) {
 	p.mu.Lock()
 	snapshot := p.lastSnapshot
@@ -202,8 +204,9 @@
 	return place.DryRun(snapshot, preset, p.deps.Now()), true
 }
 
-// takeOver reads the books when the lease is new, under a new epoch row, so
-// that a holder of an earlier lease cannot write them any more.
+// takeOver reads the ledger if the lease is new, after writing the epoch row, so
+// that the holder of an earlier lease cannot write the ledger any more. It reports
+// whether this planner owns the ledger.
 func (p *Planner) takeOver(ctx context.Context, epoch uint64) bool {
 	if p.ledger != nil && p.ledger.epoch == epoch {
 		return true
@@ -216,15 +219,16 @@
 	p.ledger = l
 	p.sendStates = map[string]sendState{}
 	p.moveBudget.SetLimitAt(p.deps.Now(), 0)
-	p.moveBudget.AllowN(p.deps.Now(), moveBurst) // a new holder begins without moves to spend
+	p.moveBudget.AllowN(p.deps.Now(), moveBurst) // a new lease holder begins with an empty budget
 	p.restartCooldowns()
 	p.deps.Log.Emit(event.PlannerTookOver, zap.String("pool", p.cfg.Pool), zap.Uint64("epoch", epoch))
 	return true
 }
 
-// restartCooldowns counts every model as moved just now: what the holder before did
-// is not known, and its moves may not show in the demand yet. A pool without
-// books has no holder before: there the models start.
+// restartCooldowns treats every model and adapter as moved just now: the moves of
+// the former lease holder are not known and may not show in the demand yet. A pool
+// without ledger rows had no lease holder before, and its models may be loaded at
+// once.
 func (p *Planner) restartCooldowns() {
 	if len(p.ledger.rows) == 0 {
 		return
--- a/node/planner/planner_test.go
+++ b/node/planner/planner_test.go
@@ -16,10 +16,9 @@
 
 func inBubble(t *testing.T, f func(t *testing.T)) { t.Helper(); synctest.Test(t, f) }
 
-// Symptom: a model stays unreachable, or is loaded twice over.
-// Sequence: the first order is lost, or carried out but its answer is lost.
-// Cause: an order without an answer taken for one that failed, or for one that
-// went through.
+// Guards against a model that stays unreachable, or that is loaded twice: an order
+// is lost, or is executed but its answer is lost, and an order without an answer is
+// treated as failed, or as done.
 func TestOrderOrAnswerLost(t *testing.T) {
 	for name, delivered := range map[string]bool{"order lost": false, "answer lost": true} {
 		t.Run(name, func(t *testing.T) {
@@ -44,9 +43,9 @@
 	}
 }
 
-// Symptom: an engine holds both the model that was unloaded and its successor.
-// Sequence: a copy of the load order arrives after the unload that followed it.
-// Cause: an engine that ignores fences, and books that trusted the report.
+// Guards against an engine that holds both an unloaded model and its successor. A
+// copy of the load order arrives after the unload that followed it, at an engine
+// that ignores fences, and the ledger relies on the report from before.
 func TestLateCopyAfterItsSuccessor(t *testing.T) {
 	for _, fencing := range []config.Fencing{config.FencingChecked, config.FencingIgnored} {
 		t.Run(string(fencing), func(t *testing.T) {
@@ -56,7 +55,7 @@
 				p := w.planner(&testLease{1, true})
 				w.steps(t.Context(), 3, p)
 				firstOrder := w.sent[0]
-				w.view.Config.Models = []config.Model{testModel("b", "1", 70)} // a is configured no more
+				w.view.Config.Models = []config.Model{testModel("b", "1", 70)} // a is no longer configured
 				for range 200 {
 					w.steps(t.Context(), 1, p)
 					if time.Since(firstOrder.at) < ledger.DefaultBounds().MaxInFlight {
@@ -83,15 +82,14 @@
 	})
 }
 
-// Symptom: an order of a planner whose lease had lapsed reaches an engine.
-// Sequence: the reservation commits; the process is paused past its lease; it
-// wakes and goes on.
-// Cause: the lease checked only at the beginning of a plan.
+// Guards against an order from a planner whose lease has lapsed. The reservation is
+// committed; the process is paused past its lease, resumes and goes on. It must
+// check the lease again, not only at the beginning of a plan.
 func TestPausedPastItsLease(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		w := newTestWorld(config.FencingIgnored, testModel("a", "1", 80))
 		old, next := &testLease{1, true}, &testLease{2, true}
-		p := w.planner(lapsingLease{old, w.table, 3}) // take-over, rows of the first reports, reservation
+		p := w.planner(lapsingLease{old, w.table, 3}) // commits: take-over, rows of the first reports, reservation
 		p.Step(t.Context())
 		assert.Equal(t, len(w.sent), 0)
 		assert.Assert(t, w.table.commits >= 3, "the reservation was committed")
@@ -101,7 +99,7 @@
 	})
 }
 
-// lapsingLease is a lease that lapses after so many commits.
+// lapsingLease is a lease that lapses after a number of commits.
 type lapsingLease struct {
 	*testLease
 	table      *testTable
@@ -110,9 +108,9 @@
 
 func (l lapsingLease) Valid(uint64) bool { return l.table.commits < l.maxCommits }
 
-// Symptom: two planners write the same books.
-// Sequence: the holder's lease lapses unnoticed by it; another takes over.
-// Cause: a clock that stands still; only the table service can tell.
+// Guards against two planners that write the same ledger. The holder's lease lapses
+// without its noticing, because its clock stands still, and another host takes
+// over; only the table service can tell them apart.
 func TestSupersededPlannerWritesNothing(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		w := newTestWorld(config.FencingIgnored, testModel("a", "1", 60))
@@ -128,10 +126,10 @@
 	})
 }
 
-// Symptom: memory over after an outage of the table service.
-// Sequence: the engine unloads; the store goes down before the release is in
-// the books; the next load is due.
-// Cause: a release counted before it was committed.
+// Guards against overcommitted memory after an outage of the table service. An
+// engine unloads a model, the table service becomes unavailable before the release
+// is in the ledger, and the next load is due. A release must not count before it is
+// committed.
 func TestStoreDownInTheMiddleOfAMove(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		w := newTestWorld(config.FencingChecked, testModel("a", "1", 60))
@@ -151,17 +149,17 @@
 	})
 }
 
-// Symptom: a reservation is entered twice, or an order goes out without one.
-// Sequence: the answer to the write is lost after it took effect.
-// Cause: a lost answer read as a failure.
+// Guards against a reservation that is entered twice, and an order that is sent
+// without one. The answer to a commit is lost after it took effect, and the planner
+// treats that as a failure.
 func TestCommitAnswerLost(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		w := newTestWorld(config.FencingIgnored, testModel("a", "1", 80))
-		w.view.Config.Upstreams = w.view.Config.Upstreams[:2] // b fits at one only
+		w.view.Config.Upstreams = w.view.Config.Upstreams[:2] // b fits on one only
 		p := w.planner(&testLease{1, true})
 		p.Step(t.Context())
 		w.view.Config.Models = append(w.view.Config.Models, testModel("b", "1", 80))
-		w.table.lostAnswers = 1000 // longer than the planner waits for one write
+		w.table.lostAnswers = 1000 // for longer than the planner waits for one commit
 		w.steps(t.Context(), 2, p)
 		w.table.lostAnswers = 0
 		w.steps(t.Context(), 40, p)
@@ -170,9 +168,9 @@
 	})
 }
 
-// Symptom: a model is unreachable while its version changes.
-// Sequence: versions and presets are switched while moves are under way.
-// Cause: the old version unloaded before the new one was ready.
+// Guards against a model that is unreachable while its version changes. Versions and
+// presets are switched while moves are in progress, and the old version must not be
+// unloaded before the new one is ready.
 func TestSwitchesInTheMiddleOfMoves(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		w := newTestWorld(config.FencingChecked, testModel("a", "1", 40), testModel("b", "1", 40))
@@ -193,10 +191,10 @@
 	})
 }
 
-// Symptom: new replicas on an upstream that goes away.
-// Sequence: it reports that it leaves; a later report, taken before, does not.
-// Cause: the newest word taken for the true one. Leaving is never undone.
-func TestLeavingUpstreamIsDrained(t *testing.T) {
+// Guards against new replicas on an upstream that is draining. It reports that it is
+// leaving; a later report, made before, does not say so. An incarnation that is
+// leaving never returns to service.
+func TestDrainingIsNotUndoneByALateReport(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		w := newTestWorld(config.FencingChecked, testModel("a", "1", 80))
 		w.view.Config.Upstreams = w.view.Config.Upstreams[:2]
@@ -216,7 +214,7 @@
 	})
 }
 
-func TestElectiveMovesArePaced(t *testing.T) {
+func TestElectiveMovesAreRateLimited(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		w := newTestWorld(config.FencingChecked, testModel("a", "1", 10))
 		first := w.planner(&testLease{1, true})
@@ -224,16 +222,16 @@
 		p := w.planner(&testLease{2, true})
 		w.view.Demand[place.Key{Model: "a"}] = place.Demand{Short: 99, Long: 99}
 		w.steps(t.Context(), 100, p)
-		assert.Equal(t, p.Status().LoadOrders, 0, "not settled yet under its new holder")
+		assert.Equal(t, p.Status().LoadOrders, 0, "cooldown under the new lease holder")
 		w.steps(t.Context(), 100, p)
-		assert.Equal(t, p.Status().LoadOrders, 1, "one, and then it settles")
+		assert.Equal(t, p.Status().LoadOrders, 1, "one, and then its cooldown")
 		w.steps(t.Context(), 200, p)
 		assert.Equal(t, w.residentCount("a"), 3)
 	})
 }
 
-// All faults at once, with two planners that take turns: memory is never over,
-// and once the faults end every model is reachable.
+// With all faults at once and two planners that take over from each other, memory
+// is never overcommitted, and once the faults end every model is reachable.
 func TestFaultsTogether(t *testing.T) {
 	for _, fencing := range []config.Fencing{config.FencingChecked, config.FencingIgnored} {
 		for seed := range uint64(10) {
@@ -257,8 +255,8 @@
 	}
 }
 
-// injectFault causes one at random: a late copy, a restart, an outage, a lost
-// answer, a change of lease or version.
+// injectFault causes one fault at random: a late copy of an order, a restart, an
+// outage, lost answers, a change of the lease or of a version.
 func (w *testWorld) injectFault(src *rand.Rand, leases []*testLease) {
 	switch src.IntN(24) {
 	case 0, 1, 2, 3:
@@ -280,7 +278,7 @@
 		next := max(leases[0].epoch, leases[1].epoch) + 1
 		i := src.IntN(2)
 		leases[i].epoch, leases[i].valid = next, true
-		leases[1-i].valid = src.IntN(2) == 0 // it may not have noticed
+		leases[1-i].valid = src.IntN(2) == 0 // a former holder may not have noticed
 	case 8:
 		c := *w.view.Config
 		c.Models = append([]config.Model(nil), c.Models...)
--- a/node/planner/reports.go
+++ b/node/planner/reports.go
@@ -16,9 +16,10 @@
 	"peridotpier.example/node/event"
 )
 
-// applyReports brings the reports into the books. What a report releases is free
-// only once that is committed. It says whether the books are still this
-// planner's; with the store down they are, but change nothing.
+// applyReports applies the reports to the ledger. Memory that a report releases is
+// free only once that is committed. It returns false if a later planner has taken
+// the ledger over; while the table service is unavailable it returns true, and the
+// ledger does not change.
 func (p *Planner) applyReports(ctx context.Context, view View) bool {
 	if err := p.ledger.rereadRows(ctx); err != nil {
 		p.logLedgerError(err)
@@ -34,7 +35,7 @@
 		}
 		next, changed := cached.row.Observe(p.cfg.Bounds, toLedgerReport(o))
 		if !changed {
-			cached.row = next // only the sequence moved; it is kept with the next write
+			cached.row = next // only the sequence number changed; the next write stores it
 			continue
 		}
 		changes = append(changes, rowChange{o.Report.Upstream, next})
@@ -48,8 +49,9 @@
 	return true
 }
 
-// updateRows makes rows for upstreams that are new to the configuration. A
-// row is never dropped: an upstream taken out and put back holds what it held.
+// updateRows adds a row for each upstream that is new to the configuration, and sets
+// the others' capacity and fencing. A row is never removed: an upstream that is
+// removed from the configuration and added again still has what it had resident.
 func (p *Planner) updateRows(c *config.Config) {
 	for _, u := range c.Upstreams {
 		if u.Pool != p.cfg.Pool {
@@ -64,7 +66,8 @@
 	}
 }
 
-// logLedgerError logs what became of a write or a read of the books.
+// logLedgerError logs a failed read or write of the ledger, and also whether a later
+// planner has taken over.
 func (p *Planner) logLedgerError(err error) {
 	p.deps.Log.Emit(event.LedgerWriteFailed, zap.String("pool", p.cfg.Pool), zap.Error(err))
 	if errors.Is(err, ledger.ErrOldEpoch) {
@@ -72,6 +75,7 @@
 	}
 }
 
+// recordReport updates the status of an upstream from its newest report.
 func (p *Planner) recordReport(o ObservedReport) {
 	s := p.upstreams[o.Report.Upstream]
 	switch {
@@ -96,8 +100,9 @@
 	return r
 }
 
-// snapshot is what place.Plan sees. A row in doubt stands in it as it was
-// before the write: no order went out for that write, so what it serves stands.
+// snapshot returns the input of place.Plan. A row whose last write is unconfirmed
+// appears as it was before: no order was sent for that write, so what the upstream
+// serves has not changed.
 func (p *Planner) snapshot(view View, now time.Time) *place.Snapshot {
 	s := &place.Snapshot{Demand: view.Demand, Preset: view.Preset, Store: view.Config.WeightStore, LastMove: maps.Clone(p.lastMove), Bounds: p.cfg.Bounds, MoveCooldown: p.cfg.MoveCooldown}
 	for _, m := range view.Config.Models {
@@ -121,6 +126,7 @@
 	return s
 }
 
+// loadsInProgress returns how many loads an upstream reports or may still begin.
 func loadsInProgress(r ledger.Row, now time.Time) int {
 	n := 0
 	for _, m := range r.Residents {
@@ -136,7 +142,7 @@
 	return n
 }
 
-// enginePoolCount are those that share the preset's pace of moves.
+// enginePoolCount returns how many pools share the preset's rate of moves, at least 1.
 func enginePoolCount(c *config.Config) int {
 	n := 0
 	for _, pool := range c.Pools {
--- a/node/planner/world_test.go
+++ b/node/planner/world_test.go
@@ -16,7 +16,7 @@
 
 var errAnswerLost = errors.New("no answer")
 
-// testEngine is an engine that counts its own memory.
+// testEngine is an engine that counts the memory of what is resident.
 type testEngine struct {
 	name          string
 	fencing       config.Fencing
@@ -70,11 +70,11 @@
 	return r
 }
 
-// testTable is the table service with faults.
+// testTable is a table service with faults.
 type testTable struct {
 	store.Table
 	down        bool
-	lostAnswers int // so many commits take effect but lose their answer
+	lostAnswers int // so many commits take effect without an answer
 	commits     int
 }
 
@@ -106,15 +106,16 @@
 func (l *testLease) Epoch() uint64           { return l.epoch }
 func (l *testLease) Valid(epoch uint64) bool { return l.valid && epoch == l.epoch }
 
-// testWorld is a site with its engines, the network to them and the platform.
+// testWorld is a site with its engines, the network to them and the platform. It
+// implements Inputs, OrderSender and store.Weights.
 type testWorld struct {
 	engines   map[string]*testEngine
 	table     *testTable
 	view      View
 	reports   map[string]ObservedReport
-	network   func(o engineapi.Order) (deliver, answer bool) // nil: all is delivered and answered
+	network   func(o engineapi.Order) (deliver, answer bool) // nil: all orders are delivered and answered
 	sent      []sentOrder
-	grantWait time.Duration // of the weight store
+	grantWait time.Duration // that the weight store answers
 }
 
 type sentOrder struct {
@@ -123,7 +124,7 @@
 	at time.Time
 }
 
-// newTestWorld has capacity for 100 on each of three engines.
+// newTestWorld returns a site with three engines, each with a capacity of 100 MB.
 func newTestWorld(f config.Fencing, models ...config.Model) *testWorld {
 	w := &testWorld{engines: map[string]*testEngine{}, table: &testTable{Table: standin.NewTable()}, reports: map[string]ObservedReport{}}
 	c := &config.Config{Models: models, Pools: []config.Pool{{Name: "p", Kind: config.KindEngine}},
@@ -143,7 +144,8 @@
 	return config.Model{Name: name, Pool: "p", Version: version, MemoryMB: mb, MinReplicas: 1}
 }
 
-// planner sends its orders one by one, so that a seed gives one history.
+// planner returns a planner that sends its orders one by one, so that a seed gives
+// one history.
 func (w *testWorld) planner(l Lease) *Planner {
 	return New(Config{Pool: "p", MaxConcurrentSends: 1}, Deps{Lease: l, Table: w.table, Weights: w, Orders: w, Inputs: w})
 }
@@ -154,7 +156,7 @@
 	}
 }
 
-// steps runs planners side by side for so many seconds.
+// steps runs one step a second of each planner in turn, for so many seconds.
 func (w *testWorld) steps(ctx context.Context, seconds int, planners ...*Planner) {
 	for range seconds {
 		w.readReports()
@@ -202,7 +204,8 @@
 	return false
 }
 
-// residentCount counts the engines that hold a model, in any version.
+// residentCount returns the number of engines on which a model is resident, in any
+// version.
 func (w *testWorld) residentCount(model string) int {
 	n := 0
 	for _, e := range w.engines {
