--- a/node/claim/batch.go
+++ b/node/claim/batch.go
@@ -9,35 +9,35 @@
 	"peridotpier.example/node/store"
 )
 
-// BatchConfig bounds a Batcher.
+// BatchConfig configures a Batcher.
 type BatchConfig struct {
-	Interval      time.Duration // between commits under load; a few may follow at once
-	MaxTxns       int           // transactions in one commit
-	MaxConcurrent int           // commits under way; a slow one then does not hold up the next
+	Interval      time.Duration // between commits under load; a few may follow one another at once
+	MaxTxns       int           // transactions merged into one commit
+	MaxConcurrent int           // commits in progress; with several, a slow one does not delay the next
 }
 
-// DefaultBatchConfig makes at most 20 commits a second, so that 7 entry hosts
-// stay under half of 300 writes a second.
+// DefaultBatchConfig returns a configuration with at most 20 commits a second, so that
+// 7 entry hosts stay under half of 300 writes a second.
 func DefaultBatchConfig() BatchConfig {
 	return BatchConfig{Interval: 50 * time.Millisecond, MaxTxns: 512, MaxConcurrent: 4}
 }
 
-// commitTimeout bounds one merged commit that is in doubt: as long as those who
-// wait for it do, Config.CallTimeout. Longer, a host that shuts down in an
-// outage could not end. It is far below store.OpMemory, so that within it an
-// operation id is always remembered.
+// commitTimeout bounds one merged commit whose answer is lost. It is as long as its
+// callers wait, Config.CallTimeout: with a longer one, a host could not shut down
+// during an outage. It is far below store.OpMemory, so that the service still knows
+// the operation id.
 const commitTimeout = 2 * time.Second
 
-// Batcher is a store.Table that merges transactions of many requests into
-// one commit. It holds no state and owns nothing: rows keep their own
-// conditions, so any host may batch any claim, and when it dies its waiting
-// transactions are in doubt like any other.
+// Batcher is a store.Table that merges the transactions of many requests into one
+// commit. It has no state of its own: rows keep their own conditions, so any host
+// may batch any claim, and when it fails its waiting transactions are in doubt like
+// any others.
 type Batcher struct {
-	store.Table // reads pass through
+	store.Table // reads are not merged
 	cfg         BatchConfig
 	arrivals    chan *pendingTxn
 	slots       chan struct{}
-	commits     sync.WaitGroup // under way
+	commits     sync.WaitGroup // in progress
 	stopped     chan struct{}
 }
 
@@ -51,15 +51,15 @@
 	err     error
 }
 
-// NewBatcher merges transactions onto tb. Nothing is committed unless Run runs.
+// NewBatcher returns a Batcher over tb. It commits only while Run runs.
 func NewBatcher(cfg BatchConfig, tb store.Table) *Batcher {
 	return &Batcher{Table: tb, cfg: cfg, arrivals: make(chan *pendingTxn), slots: make(chan struct{}, cfg.MaxConcurrent),
 		stopped: make(chan struct{})}
 }
 
-// Commit implements store.Table. The operation id is not known to the
-// service; whoever commits again after ErrInDoubt must know its own write by
-// its value, as Rows does.
+// Commit implements store.Table. The service does not see the operation id; a caller
+// that commits again after ErrInDoubt must recognise its own write by its value, as
+// Rows does.
 func (b *Batcher) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
 	w := &pendingTxn{txn: txn, result: make(chan txnResult, 1)}
 	select {
@@ -67,7 +67,7 @@
 	case <-b.stopped:
 		return 0, store.ErrUnavailable
 	case <-ctx.Done():
-		return 0, store.ErrUnavailable // not taken in: nothing took effect
+		return 0, store.ErrUnavailable // not accepted: nothing took effect
 	}
 	select {
 	case r := <-w.result:
@@ -77,11 +77,11 @@
 	}
 }
 
-// Run collects and commits until ctx ends, then commits what waits.
+// Run collects and commits transactions until ctx ends, then commits those that wait.
 func (b *Batcher) Run(ctx context.Context) error {
 	defer close(b.stopped)
 	collected := newCollector(b.arrivals, b.cfg.Interval, b.cfg.MaxTxns)
-	var deferred []*pendingTxn // same keys as another of its batch: goes with the next
+	var deferred []*pendingTxn // share a row with another of their batch: left to the next batch
 	for {
 		batch, err := collected.next(ctx, deferred)
 		batch, deferred = splitShared(batch)
@@ -93,8 +93,8 @@
 	}
 }
 
-// splitShared splits off the transactions that share a row with an earlier one:
-// merged, the condition of the second could never hold.
+// splitShared splits off the transactions that share a row with an earlier one. If
+// they were merged, the condition of the later one could never hold.
 func splitShared(batch []*pendingTxn) (first, later []*pendingTxn) {
 	used := map[string]bool{}
 	for _, w := range batch {
@@ -141,10 +141,10 @@
 	})
 }
 
-// slotFreeingTable is a table that calls inDoubt when an answer of it is lost. A commit
-// in doubt gives its slot up: as an outage begins a few of them would else
-// hold all slots, and the claims behind them would wait for their whole bound
-// where the table, asked, would refuse them at once.
+// slotFreeingTable is a table that calls onInDoubt when an answer is lost, so that a
+// commit in doubt frees its slot. Otherwise, when an outage begins, a few of them
+// would take all slots, and the claims behind them would wait for their whole
+// timeout although the table would refuse them at once.
 type slotFreeingTable struct {
 	store.Table
 	onInDoubt func()
@@ -159,18 +159,18 @@
 	return v, err
 }
 
-// maxMergeTries bounds how often a batch is tried that others get in the way of
-// between the read and the commit.
+// maxMergeTries bounds how often a batch is tried again because other hosts changed
+// one of its rows between the read and the commit.
 const maxMergeTries = 3
 
-// commit takes out the transactions whose conditions do not hold and commits
-// the rest. Reads are cheaper than writes, and one repeat of a request among
-// many new ones would cost two commits if it were only found by a conflict.
+// commit rejects the transactions whose conditions do not hold and commits the
+// others. Reads are cheaper than writes: one repeat of a request among many new ones
+// would cost two commits if only a conflict showed it.
 func (b *Batcher) commit(ctx context.Context, tb store.Table, batch []*pendingTxn) {
 	for range maxMergeTries {
 		remaining, err := b.rejectConflicts(ctx, batch)
 		if err != nil {
-			sendResult(batch, 0, store.ErrUnavailable) // nothing of it took effect
+			sendResult(batch, 0, store.ErrUnavailable) // nothing took effect
 			return
 		}
 		if batch = remaining; len(batch) == 0 {
@@ -200,8 +200,8 @@
 	}
 }
 
-// rejectConflicts answers the transactions whose conditions do not hold, and returns
-// the others.
+// rejectConflicts answers the transactions whose conditions do not hold with
+// ErrConflict, and returns the others.
 func (b *Batcher) rejectConflicts(ctx context.Context, batch []*pendingTxn) ([]*pendingTxn, error) {
 	var keys []string
 	for _, w := range batch {
--- a/node/claim/bench_test.go
+++ b/node/claim/bench_test.go
@@ -15,8 +15,8 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// BenchmarkOpenRange reads the log of a range of 100,000 settled claims, in
-// log rows of 50 changes, and reports the memory that they take in the owner.
+// BenchmarkOpenRange reads the log of a range of 100,000 completed claims, in log rows
+// of 50 changes, and reports the memory that each claim takes in the owner.
 func BenchmarkOpenRange(b *testing.B) {
 	const claims = 100_000
 	tb := filledLog(b, claims)
@@ -38,7 +38,8 @@
 	return int64(m.HeapAlloc)
 }
 
-// filledLog writes the log as an owner would, without its pace.
+// filledLog returns a table with the log that an owner would write, without its rate
+// limit.
 func filledLog(b *testing.B, claims int) store.Table {
 	tb := standin.NewTable()
 	const rowEntries = 50
@@ -58,7 +59,7 @@
 }
 
 func completedRow(n int) claim.Row {
-	id := fmt.Sprintf("%036d", n) // as long as the ids in use
+	id := fmt.Sprintf("%036d", n) // as long as real ids
 	return claim.Row{ID: id, BodyHash: claim.Key("", id), Op: id, State: claim.Completed, Owner: claim.Owner{Host: "host-0", Incarnation: id},
 		Route:     claim.Route{Upstream: "engine-0", Incarnation: id, Attempt: id},
 		Answer:    &claim.Answer{Status: 200, ContentType: "application/json", Body: []byte(`{"stored":true}`)},
--- a/node/claim/claim_test.go
+++ b/node/claim/claim_test.go
@@ -21,10 +21,10 @@
 
 const simHosts = 3
 
-// noDeadline hides testing.T.Deadline, which may not be asked in a bubble.
+// noDeadline hides testing.T.Deadline, which must not be called in a synctest bubble.
 type noDeadline struct{ rapid.TB }
 
-// machine gives rapid the events of a cluster in any order.
+// machine offers the events of a cluster to rapid, which draws them in any order.
 type machine struct{ c *cluster }
 
 func (m *machine) flight(t *rapid.T) *flight {
@@ -66,8 +66,8 @@
 	}
 }
 
-// Whatever happens in whatever order, no key is executed twice, nobody is
-// told a false "not run", and every answer is that of the one execution.
+// Whatever happens in whatever order, no key is executed twice, nobody gets a false
+// "not run", and every answer is that of the one execution.
 func TestAtMostOnceUnderFaults(t *testing.T) {
 	for _, b := range []struct {
 		name string
@@ -94,18 +94,18 @@
 	}
 }
 
-// converge heals every fault, lets all flights end, and then asks for each key
-// once more: nothing may stay "in progress" for ever.
+// converge ends all faults and all flights, and then requests each key once more: no
+// key may stay "in progress" for ever.
 func (m *machine) converge(t *rapid.T) {
 	m.c.table.set(func(f *faults) { *f = faults{} })
 	for len(m.c.flights) > 0 {
 		m.c.advance(m.c.flights[0])
 	}
-	m.c.startHost(0) // a new owner for the range, where there is one
+	m.c.startHost(0) // takes the range over, where there is one
 	for h := range simHosts {
 		m.c.drain(h)
 	}
-	// A claim written by a fast clock is overdue later by as much.
+	// A claim written under a fast clock is overdue later by the clock's error.
 	time.Sleep(2*simDeadline + simHosts*m.c.skew)
 	for k := range 3 {
 		f, err := m.c.arrive(0, fmt.Sprint("k", k), true)
@@ -118,18 +118,18 @@
 	}
 }
 
-// inBubble runs a test with a clock of its own.
+// inBubble runs a test in a synctest bubble, on a cluster of two hosts.
 func inBubble(t *testing.T, run func(*cluster)) {
 	synctest.Test(t, func(*testing.T) { run(newCluster(2, rows)) })
 }
 
 func code(err error) fault.Code { return fault.From(fault.StepClaim, err).Code }
 
-// Symptom: a dispatch note is packed twice. The first host is killed between
-// claim and dispatch; the caller repeats through another. Cause to prevent:
-// the second host must neither run at once nor refuse for ever: it asks the
-// engine, which never saw the attempt and now refuses it for good.
-func TestKilledBetweenClaimAndDispatch(t *testing.T) {
+// Guards against a request that runs twice. The first host is killed between the
+// claim and the dispatch, and the caller repeats the request through another. That
+// host must neither run it at once nor refuse it for ever: it asks the engine, which
+// never saw the attempt and refuses it from then on.
+func TestKilledBetweenClaimAndDispatchRunsOnce(t *testing.T) {
 	inBubble(t, func(c *cluster) {
 		first, err := c.arrive(0, "k", true)
 		assert.NilError(t, err)
@@ -147,9 +147,9 @@
 	})
 }
 
-// Symptom: a repeat is answered "unknown", though the engine has the answer.
-// The host dies after dispatch; the attempt completes with nobody listening.
-func TestKilledAfterDispatch(t *testing.T) {
+// Guards against a repeat that is answered "unknown" although the engine has the
+// answer: the host dies after the dispatch, and the attempt completes without it.
+func TestKilledAfterDispatchIsReplayed(t *testing.T) {
 	inBubble(t, func(c *cluster) {
 		f, err := c.arrive(0, "k", true)
 		assert.NilError(t, err)
@@ -163,8 +163,8 @@
 	})
 }
 
-// Symptom: a request runs twice after an engine restart. The attempt ran, its
-// host died, the engine restarted and says "unseen" of it.
+// Guards against a request that runs twice after an engine restart: the attempt ran,
+// its host died, and the restarted engine reports it as unseen.
 func TestEngineRestartLeavesUnknown(t *testing.T) {
 	inBubble(t, func(c *cluster) {
 		f, err := c.arrive(0, "k", true)
@@ -179,17 +179,17 @@
 	})
 }
 
-// Symptom: callers wait through a table outage for a refusal. Before the
-// claim the outage must be told at once; after the answer it must not be told
-// at all, and the settlement is written when the table is back.
-func TestTableOutage(t *testing.T) {
+// Guards against callers that wait for a refusal during a table outage. Before the
+// claim they must be refused at once; after the answer they must not notice the
+// outage, and the outcome is written when the table is back.
+func TestTableOutageRefusesAtOnce(t *testing.T) {
 	inBubble(t, func(c *cluster) {
 		f, err := c.arrive(0, "k", true)
 		assert.NilError(t, err)
 		c.advance(f)
 		c.advance(f)
 		c.table.set(func(f *faults) { f.down = true })
-		c.advance(f) // answer to the caller, settlement deferred
+		c.advance(f) // the caller has its answer; the outcome is queued
 		start := time.Now()
 		_, err = c.arrive(1, "other", true)
 		assert.Equal(t, time.Since(start), time.Duration(0))
@@ -206,10 +206,10 @@
 	})
 }
 
-// Symptom: two hosts run one request because their clocks differ. By the
-// second's clock the first's claim, which has no route yet, is long overdue;
+// Guards against two hosts that run one request because their clocks differ. By the
+// second host's clock the first one's claim, which has no route yet, is long overdue;
 // by its own it has time left. The write before the dispatch decides.
-func TestClocksDiffer(t *testing.T) {
+func TestDifferingClocksRunOnce(t *testing.T) {
 	inBubble(t, func(c *cluster) {
 		c.skew = time.Minute
 		slow, err := c.arrive(0, "k", false)
@@ -224,8 +224,8 @@
 	})
 }
 
-// Symptom: a host dispatches long after its request's deadline, when the
-// upstream has forgotten that it called the attempt unseen.
+// Guards against a host that dispatches long after its request's deadline, when the
+// upstream no longer knows that it reported the attempt as unseen.
 func TestPausedPastTheDeadlineDoesNotDispatch(t *testing.T) {
 	inBubble(t, func(c *cluster) {
 		f, err := c.arrive(0, "k", true)
@@ -236,8 +236,8 @@
 	})
 }
 
-// Symptom: a key is freed by an answer about somebody else's attempt.
-func TestFateOfAnotherAttemptSettlesNothing(t *testing.T) {
+// Guards against a key that is released by an answer about another attempt.
+func TestMismatchedAttemptResolvesNothing(t *testing.T) {
 	inBubble(t, func(c *cluster) {
 		f, err := c.arrive(0, "k", true)
 		assert.NilError(t, err)
@@ -250,8 +250,8 @@
 	})
 }
 
-// Symptom: a batch overwrites a claim that another host wrote between the
-// batcher's read and its commit. That change alone must fail.
+// Guards against a batch that overwrites a claim which another host wrote between the
+// batcher's read and its commit. Only the change of that claim must fail.
 func TestBatchLosesARace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(1, batched)
@@ -266,9 +266,9 @@
 	})
 }
 
-// Symptom: a paused host wakes and runs a request that another ran meanwhile.
-// Its claim had no route yet, so the other took it over.
-func TestPausedOwnerIsTakenOver(t *testing.T) {
+// Guards against a paused host that resumes and runs a request which another host ran
+// meanwhile: the paused one's claim had no route yet, so the other took it over.
+func TestPausedOwnerDoesNotRunAfterTakeover(t *testing.T) {
 	inBubble(t, func(c *cluster) {
 		paused, err := c.arrive(0, "k", false)
 		assert.NilError(t, err)
@@ -285,12 +285,13 @@
 	})
 }
 
-// Symptom: a caller hears "in progress" of a request that nobody runs. The
-// answer of its claim was lost, and the table service had forgotten the
-// operation's id when it was asked again: the claim met itself as a conflict.
+// Guards against a caller that is told "in progress" of a request that nobody runs.
+// The answer to the claim's write is lost, and the table service no longer knows the
+// operation id when the write is sent again: the host's own claim looks like a
+// conflict.
 func TestOwnClaimIsKnownAfterIDsWereForgotten(t *testing.T) {
 	inBubble(t, func(c *cluster) {
-		for range 2 { // the claim's own write, and the one before the dispatch
+		for range 2 { // the claim's own write, and the write before the dispatch
 			c.table.set(func(f *faults) { f.loseAnswers, f.forgetOpIDs = 1, true })
 			if len(c.flights) == 0 {
 				_, err := c.arrive(0, "k", false)
@@ -312,8 +313,8 @@
 	})
 }
 
-// Mutation checks: with one safeguard taken out of the hosts' use of the
-// table, the records of callers and engine must show it.
+// With one safeguard removed from the hosts' use of the table, the records of callers
+// and engine must show the fault.
 func TestCheckerCatchesMutants(t *testing.T) {
 	claimTwice := func(c *cluster) {
 		for h := range 2 {
@@ -331,10 +332,10 @@
 	}{
 		{"no condition on the claim", func(tb store.Table) store.Table { return &mutant{Table: tb, noConds: true} },
 			claimTwice, func(c *cluster) bool { return history.Check(c.hist) != nil && c.hist.Count().Doubled == 1 }},
-		{"lost answer taken for success", func(tb store.Table) store.Table { return &mutant{Table: tb, inDoubtAsSuccess: true} },
+		{"lost answer treated as success", func(tb store.Table) store.Table { return &mutant{Table: tb, inDoubtAsSuccess: true} },
 			func(c *cluster) { c.table.set(func(f *faults) { f.dropCommits = 2 }); claimTwice(c) },
 			func(c *cluster) bool { return history.Check(c.hist) != nil && c.hist.Count().Doubled == 1 }},
-		{"lost answer taken for failure", func(tb store.Table) store.Table {
+		{"lost answer treated as failure", func(tb store.Table) store.Table {
 			return &mutant{Table: tb, inDoubtAs: store.ErrUnavailable}
 		}, func(c *cluster) { c.table.set(func(f *faults) { f.loseAnswers = 1 }); claimTwice(c) },
 			func(c *cluster) bool { return c.hist.Count().FalseBusy == 1 }},
--- a/node/claim/collect.go
+++ b/node/claim/collect.go
@@ -7,11 +7,11 @@
 	"golang.org/x/time/rate"
 )
 
-// maxCollectBurst is how many commits may follow one another without a wait, so
-// that a quiet host adds no time to a claim.
+// maxCollectBurst is how many batches may follow one another without a wait, so that
+// a host with little load adds no delay to a claim.
 const maxCollectBurst = 3
 
-// collector gathers what arrives until the pace allows the next commit.
+// collector gathers arrivals into batches at a limited rate.
 type collector[T any] struct {
 	in       <-chan T
 	limiter  *rate.Limiter
@@ -22,8 +22,8 @@
 	return collector[T]{in: in, limiter: rate.NewLimiter(rate.Every(window), maxCollectBurst), maxBatch: most}
 }
 
-// next returns the next batch, which starts with what was held back from the
-// last; at the end of ctx it returns what it has.
+// next returns the next batch, which begins with what the caller deferred from the
+// last one. When ctx ends, it returns what it has.
 func (c collector[T]) next(ctx context.Context, batch []T) ([]T, error) {
 	if len(batch) == 0 {
 		select {
@@ -51,8 +51,8 @@
 	}
 }
 
-// takeReady takes in what already waits: with no wait at all, requests that came
-// together would go out in a commit each.
+// takeReady adds what is already waiting. Without it, requests that arrive together
+// would get a commit each while no wait is due.
 func (c collector[T]) takeReady(batch []T) []T {
 	for len(batch) < c.maxBatch {
 		select {
--- a/node/claim/grant.go
+++ b/node/claim/grant.go
@@ -10,26 +10,25 @@
 	"peridotpier.example/node/store"
 )
 
-// Grant is the right to run one request. It belongs to one goroutine, and
-// ends with Complete, NotRun or Unknown.
+// Grant is the right to run one request. It must be used by one goroutine, and ends
+// with Complete, Release or MarkUnknown.
 type Grant struct {
 	store    *Store
 	key      string
 	row      claim.Row
 	version  uint64
-	deadline time.Time // with the monotonic clock: the request's deadline
+	deadline time.Time // of the request, with a monotonic clock reading
 }
 
-// RecordDispatch must return nil before the first byte of an attempt goes out:
-// the claim then durably names the attempt, so that another host can ask the
-// upstream for its fate if this one dies. It writes nothing when the claim
-// named this very route. Any attempt before it must have ended as not run.
-// After an error nothing may be dispatched, and the grant must be ended with
-// NotRun.
+// RecordDispatch must return nil before the first byte of an attempt is sent: the
+// claim then durably names the attempt, so that another host can ask the upstream
+// what became of it if this host fails. It writes nothing if the claim already names
+// this route. An attempt before it must have ended without running. After an error
+// nothing may be dispatched, and the grant must end with Release.
 func (g *Grant) RecordDispatch(ctx context.Context, route claim.Route, deadline time.Time) error {
 	if !time.Now().Before(g.deadline) {
-		// This host was paused. Others look after the claim from now on; the
-		// upstream's refusal of an attempt they fenced is the second line.
+		// This host was paused. Other hosts may resolve the claim from now on; as
+		// a second safeguard the upstream refuses an attempt that they fenced.
 		return fault.NotRun(fault.StepClaim, "", fault.CodeDeadlineExceeded, "deadline passed before the dispatch")
 	}
 	if g.row.State == claim.Dispatched && g.row.Route == route {
@@ -44,8 +43,8 @@
 	next.Op = newID()
 	seen, err := g.store.deps.Records.Swap(ctx, g.key, g.version, &next)
 	if errors.Is(err, store.ErrConflict) {
-		// Another host took the claim over while this one was paused. It is
-		// its to run now; going on would run the request twice.
+		// Another host took the claim over while this one was paused, and may run
+		// the request; going on would run it twice.
 		return fault.NotRun(fault.StepClaim, "", fault.CodeConflict, "claim was taken over").WithRetryAfter(minProgressRetry)
 	}
 	if err != nil {
@@ -55,18 +54,18 @@
 	return nil
 }
 
-// Complete settles the claim with the answer, for repeats of the request.
-// The caller has its answer whatever Complete returns: an error says only that
-// the settlement was neither written nor kept for later.
+// Complete stores the answer in the claim, for repeats of the request. The caller
+// gets the answer whatever Complete returns: an error only means that the outcome
+// was neither written nor queued.
 func (g *Grant) Complete(ctx context.Context, a Answer) error {
 	stored := claim.Answer{Status: a.Status, ContentType: a.ContentType, Body: a.Body, Dropped: a.Dropped}
 	return g.end(ctx, &stored, func(r claim.Row) (claim.Row, error) { return r.Complete(stored) })
 }
 
-// Release frees the key: no attempt ran and none will.
+// Release frees the key; no attempt has run and none will.
 func (g *Grant) Release(ctx context.Context) error { return g.end(ctx, nil, release) }
 
-// MarkUnknown tells that the last attempt may have run; a repeat of the request
+// MarkUnknown records that the last attempt may have run. A repeat of the request
 // asks the upstream.
 func (g *Grant) MarkUnknown(ctx context.Context) error {
 	return g.end(ctx, nil, func(r claim.Row) (claim.Row, error) { return r.MarkUnknown() })
@@ -74,9 +73,9 @@
 
 func release(r claim.Row) (claim.Row, error) { return r.Release() }
 
-// end writes the settlement, at once if the platform allows it, else later.
-// The caller's own ctx may have ended with its connection; that must not leave
-// the claim open.
+// end writes the outcome, now if the platform allows it, else later through the
+// queue. It continues after ctx has ended, since the caller may have disconnected
+// and the claim must not stay open.
 func (g *Grant) end(ctx context.Context, answer *claim.Answer, change func(claim.Row) (claim.Row, error)) error {
 	st := &outcomeWrite{key: g.key, id: g.row.ID, row: g.row, version: g.version, change: change, answer: answer}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), g.store.cfg.CallTimeout)
--- a/node/claim/main_test.go
+++ b/node/claim/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// seed makes every run draw the same; -rapid.seed overrides it.
+// seed fixes the random draws of all runs; -rapid.seed overrides it.
 const seed = "20260704"
 
 func TestMain(m *testing.M) {
--- a/node/claim/outcome.go
+++ b/node/claim/outcome.go
@@ -14,19 +14,19 @@
 	"peridotpier.example/node/store"
 )
 
-// ErrQueueFull tells that a settlement was neither written nor kept. The
-// claim stays open as its row says; a repeat of the request is settled by the
-// upstream's word, or answered as unknown: never run.
-var ErrQueueFull = errors.New("no room for a claim's settlement")
+// ErrQueueFull is returned when an outcome was neither written nor queued. The claim
+// stays open as its row says; a repeat of the request is resolved by asking the
+// upstream or answered as unknown, and never runs.
+var ErrQueueFull = errors.New("the queue of claim outcomes is full")
 
-// outcomeWrite is the end of one claim on its way to the table.
+// outcomeWrite is the write of one claim's outcome.
 type outcomeWrite struct {
 	key     string
 	id      string // of the claim
 	row     claim.Row
 	version uint64
 	change  func(claim.Row) (claim.Row, error)
-	answer  *claim.Answer // what change stores; its body may move to the object store
+	answer  *claim.Answer // stored by change; its body may move to the object store
 }
 
 func (st *outcomeWrite) bytes() int {
@@ -36,13 +36,13 @@
 	return len(st.answer.Body)
 }
 
-// writeOutcome writes one settlement. nil means that nothing is left to do: it was
-// written, or somebody else has settled the claim.
+// writeOutcome writes one outcome. It returns nil when nothing is left to do: the
+// outcome was written, or the claim already has one.
 func (s *Store) writeOutcome(ctx context.Context, st *outcomeWrite) error {
 	for range maxRowChanges {
 		next, err := st.change(st.row)
 		if err != nil {
-			return nil // settled already, in a state that this one may not change
+			return nil // the row has an outcome already, which this one may not replace
 		}
 		seen, err := s.writeRow(ctx, st.key, VersionedRow{Row: &st.row, Version: st.version}, next)
 		if err != nil {
@@ -57,8 +57,8 @@
 }
 
 // storeAnswer moves a large answer to the object store, under a name of its own, so
-// that a second try writes the same bytes. It must stand before the row that
-// names it.
+// that a second try writes the same bytes. This must be done before the row that
+// names the object is written.
 func (s *Store) storeAnswer(ctx context.Context, key, id string, a *claim.Answer) error {
 	switch {
 	case len(a.Body) <= s.cfg.MaxInlineBytes:
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// queue holds settlements that the platform would not take, in order.
+// queue holds, in order, outcomes that could not be written to the platform.
 type queue struct {
 	mu       sync.Mutex
 	items    []*outcomeWrite
@@ -104,8 +104,8 @@
 	return true
 }
 
-// head is the settlement to try next. It stays counted until remove, so that
-// one which fails again can never be pushed out by a newer one.
+// head returns the next outcome to write. It stays counted until remove, so that
+// newer ones can never take the room of one whose write fails again.
 func (q *queue) head() (*outcomeWrite, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -115,8 +115,8 @@
 	return q.items[0], true
 }
 
-// remove drops the head; with again it goes to the tail instead, so that one
-// settlement that cannot be written does not hold up the others.
+// remove removes the head. With requeue it moves the head to the tail instead, so
+// that one outcome that cannot be written does not delay the others.
 func (q *queue) remove(requeue bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -130,7 +130,7 @@
 	q.bytes -= st.bytes()
 }
 
-// Pending says how many settlements wait, and the bytes of their answers.
+// Pending returns the number of outcomes in the queue and the bytes of their answers.
 func (s *Store) Pending() (count, bytes int) {
 	s.queue.mu.Lock()
 	defer s.queue.mu.Unlock()
@@ -146,13 +146,13 @@
 	return nil
 }
 
-// Pauses between tries while the platform is down.
+// Delays between retries while the platform is unavailable.
 const (
 	minRetryWait = 50 * time.Millisecond
-	maxRetryWait = 2 * time.Second // the queue empties soon after an outage ends
+	maxRetryWait = 2 * time.Second // the queue is emptied soon after an outage ends
 )
 
-// Run writes deferred settlements until ctx ends.
+// Run writes queued outcomes until ctx ends.
 func (s *Store) Run(ctx context.Context) error {
 	for {
 		select {
@@ -166,9 +166,9 @@
 	}
 }
 
-// Drain writes every deferred settlement, trying again until ctx ends. On
-// shutdown it is called after the last request has ended and Run has stopped:
-// the queue has one reader at a time.
+// Drain writes all queued outcomes and retries until ctx ends. On shutdown it is
+// called after the last request has ended and Run has returned, since the queue must
+// have one reader at a time.
 func (s *Store) Drain(ctx context.Context) error {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval, wait.MaxInterval = minRetryWait, maxRetryWait
--- a/node/claim/outcome_test.go
+++ b/node/claim/outcome_test.go
@@ -19,7 +19,7 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// memoryObjects is an object store of which tests see the content.
+// memoryObjects is an object store whose content tests can read.
 type memoryObjects struct {
 	store.Objects
 	data map[string][]byte
@@ -49,7 +49,7 @@
 		Deadline: time.Now().Add(time.Second), Route: claim.Route{Upstream: "e", Attempt: key}})
 }
 
-func TestAnswersBySize(t *testing.T) {
+func TestAnswersAreStoredBySize(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		bytes int
@@ -76,10 +76,10 @@
 	}
 }
 
-// Symptom: a host's memory grows through a table outage until it is killed,
-// and every settlement with it. The queue is bounded by count and by bytes; a
-// settlement without room is reported, and its key stays held.
-func TestSettlementsAreBounded(t *testing.T) {
+// Guards against a host whose memory grows through a table outage until it is killed,
+// with all the outcomes that it has queued. The queue is bounded by count and by
+// bytes; an outcome that finds no room is reported, and its key is not released.
+func TestOutcomeQueueIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := &faulty{Table: standin.NewTable()}
 		s := smallStore(tb, nil)
@@ -100,14 +100,13 @@
 		count, size := s.Pending()
 		assert.Equal(t, count+size, 0)
 		_, _, err := claimKey(s, "b")
-		assert.Equal(t, code(err), fault.CodeInProgress, "held, and not run again")
+		assert.Equal(t, code(err), fault.CodeInProgress, "not released, and not run again")
 	})
 }
 
-// Symptom: callers wait for seconds for a refusal while the table is down.
-// Sequence: the answers of some commits are lost as the outage begins; other
-// claims come after them.
-// Cause: commits in doubt hold all that may be under way at once.
+// Guards against callers that wait for seconds for a refusal while the table is down.
+// The answers of some commits are lost as the outage begins, other claims follow, and
+// commits in doubt must not take all slots.
 func TestCommitsInDoubtDoNotHoldUpRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := &faulty{Table: standin.NewTable()}
@@ -119,13 +118,13 @@
 		tb.set(func(f *faults) { f.dropCommits = 1 << 10 })
 		for range 8 {
 			go func() { _, _, _ = claimKey(s, rand.Text()) }()
-			time.Sleep(100 * time.Millisecond) // a commit each
+			time.Sleep(100 * time.Millisecond) // so that each gets a commit of its own
 		}
 		tb.set(func(f *faults) { f.dropCommits, f.down = 0, true })
 		start := time.Now()
 		_, _, err := claimKey(s, "after")
 		assert.Equal(t, code(err), fault.CodeStoreUnavailable)
-		assert.Assert(t, time.Since(start) < 200*time.Millisecond, "refused after %s", time.Since(start)) // of synctest's clock
+		assert.Assert(t, time.Since(start) < 200*time.Millisecond, "refused after %s", time.Since(start)) // by synctest's clock
 		cancel()
 		<-stopped
 	})
--- a/node/claim/range.go
+++ b/node/claim/range.go
@@ -15,25 +15,26 @@
 	"peridotpier.example/node/store"
 )
 
-// Lease is the right to own a range.
+// Lease is the right to own a range of claims.
 type Lease interface {
-	Epoch() uint64 // rises with every holder
-	Valid() bool   // by this host's monotonic clock; a courtesy: the head's condition is what fences
+	Epoch() uint64 // higher for each new holder
+	Valid() bool   // by this host's monotonic clock; only saves a vain append, since the condition on the head fences
 }
 
-// RangeConfig bounds a Range.
+// RangeConfig configures a Range.
 type RangeConfig struct {
-	TTL        time.Duration // of keys, as in Config
-	Interval   time.Duration // between appends under load; a few may follow at once
-	MaxChanges int           // changes in one append
+	TTL        time.Duration // of keys, as Config.TTL
+	Interval   time.Duration // between appends under load; a few may follow one another at once
+	MaxChanges int           // in one append
 }
 
-// DefaultRangeConfig makes at most 16 appends a second, 128 for 8 ranges.
+// DefaultRangeConfig returns a configuration with at most 16 appends a second, 128 for
+// 8 ranges.
 func DefaultRangeConfig() RangeConfig {
 	return RangeConfig{TTL: time.Hour, Interval: 60 * time.Millisecond, MaxChanges: 1024}
 }
 
-// RangeDeps are what a Range works with.
+// RangeDeps are the dependencies of a Range.
 type RangeDeps struct {
 	Table store.Table
 	Lease Lease
@@ -41,8 +42,8 @@
 	Now   func() time.Time
 }
 
-// Range is a range of claims in the memory of its owner, with its log in the
-// table service. Memory changes only after the append that holds the change.
+// Range is a range of claims in the memory of its owner, with a log in the table
+// service. A change is applied to memory only after its append to the log.
 type Range struct {
 	cfg         RangeConfig
 	deps        RangeDeps
@@ -51,9 +52,9 @@
 	stopped     chan struct{}
 	head        headRow
 	headVersion uint64
-	version     uint64 // last one given to a row
+	version     uint64 // last one assigned to a row
 
-	mu       sync.RWMutex // rows and segments: written by Run, read by Read
+	mu       sync.RWMutex // guards rows and segments, which Run writes and Read reads
 	rows     map[string]cachedRow
 	segments []segment
 }
@@ -61,7 +62,7 @@
 type cachedRow struct {
 	row     *claim.Row
 	version uint64
-	logSeq  uint64 // of the log row that holds it
+	logSeq  uint64 // of the log row that contains it
 }
 
 type rowChange struct {
@@ -76,8 +77,8 @@
 	err  error
 }
 
-// Read answers from memory. An owner that lost its range may answer an old
-// row; every act on it goes through Swap, which then fails.
+// Read returns a row from memory. An owner that lost its range may return an old
+// row; a Swap that is based on it fails.
 func (r *Range) Read(_ context.Context, key string) (VersionedRow, error) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -85,7 +86,7 @@
 	return VersionedRow{Row: h.row, Version: h.version}, nil
 }
 
-// Swap waits for the append that decides on the change.
+// Swap waits for the append that decides the change.
 func (r *Range) Swap(ctx context.Context, key string, version uint64, row *claim.Row) (VersionedRow, error) {
 	c := &rowChange{key: key, version: version, row: row, result: make(chan swapResult, 1)}
 	select {
@@ -93,7 +94,7 @@
 	case <-r.stopped:
 		return VersionedRow{}, store.ErrUnavailable
 	case <-ctx.Done():
-		return VersionedRow{}, store.ErrUnavailable // not taken in: nothing took effect
+		return VersionedRow{}, store.ErrUnavailable // not accepted: nothing took effect
 	}
 	select {
 	case s := <-c.result:
@@ -103,8 +104,8 @@
 	}
 }
 
-// Run appends until ctx ends or the range is lost; then the range must be
-// opened anew.
+// Run appends changes until ctx ends or this host has lost the range, which must then
+// be opened again.
 func (r *Range) Run(ctx context.Context) error {
 	defer close(r.stopped)
 	collected := newCollector(r.arrivals, r.cfg.Interval, r.cfg.MaxChanges)
@@ -120,8 +121,8 @@
 	}
 }
 
-// append decides on the batch in order of arrival and writes what was
-// accepted. It returns an error when this host cannot go on as owner.
+// append decides the batch in order of arrival and writes the accepted changes. It
+// returns an error if this host cannot continue as the owner.
 func (r *Range) append(ctx context.Context, batch []*rowChange) error {
 	if len(batch) == 0 {
 		return nil
@@ -152,11 +153,11 @@
 		return err
 	default:
 		sendSwapError(batch, err)
-		return nil // the table refused; the range stands as it was
+		return nil // the table refused the append; the range has not changed
 	}
 }
 
-// decide decides each change against memory and the changes before it.
+// decide decides each change, based on memory and the earlier changes of the batch.
 func (r *Range) decide(batch []*rowChange) (results []swapResult, accepted []logEntry) {
 	results = make([]swapResult, len(batch))
 	changed := map[string]VersionedRow{}
@@ -168,7 +169,7 @@
 		}
 		switch {
 		case seen.Row != nil && c.row != nil && seen.Row.Op == c.row.Op:
-			results[i] = swapResult{seen: seen} // asked for again after a lost answer
+			results[i] = swapResult{seen: seen} // sent again after a lost answer
 		case seen.Version != c.version:
 			results[i] = swapResult{seen: seen, err: store.ErrConflict}
 		default:
@@ -208,15 +209,16 @@
 	return nil
 }
 
-// logRowExpiry is when a log row may be dropped. The order of the log must be
-// kept: a deletion may only go after what it deletes, which is older.
+// logRowExpiry returns when a log row may be dropped, in Unix milliseconds. Log rows
+// are dropped in order: a deletion may only be dropped after the entry that it
+// deletes, which is older.
 func (r *Range) logRowExpiry(entries []logEntry) int64 {
 	now := r.deps.Now().UnixMilli()
 	last := now
 	for _, e := range entries {
 		switch {
 		case e.Row == nil:
-		case e.Row.ExpiresMs <= now: // kept for a second lifetime
+		case e.Row.ExpiresMs <= now: // kept for a second TTL
 			last = max(last, e.Row.ExpiresMs+r.cfg.TTL.Milliseconds())
 		default:
 			last = max(last, e.Row.ExpiresMs)
--- a/node/claim/range_test.go
+++ b/node/claim/range_test.go
@@ -16,8 +16,8 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// fixedLease is an epoch that its holder believes in for as long as it runs: a
-// holder that is paused past its lease believes in it too.
+// fixedLease is a lease with a fixed epoch that always counts as valid, as it does for
+// a holder that was paused past its end.
 type fixedLease uint64
 
 func (l fixedLease) Epoch() uint64 { return uint64(l) }
@@ -29,8 +29,8 @@
 		Table: tb, Lease: fixedLease(epoch), Log: event.NewLog(nil), Now: time.Now}, 0)
 }
 
-// rangeCluster is one range, which a new host takes over whenever a host starts,
-// while the owner before still goes on by its old lease.
+// rangeCluster has one range, which a host takes over whenever it starts, while the
+// former owner continues under its old lease.
 type rangeCluster struct {
 	epoch uint64
 	owner *nodeclaim.Range
@@ -64,9 +64,9 @@
 	return r.owner.Swap(ctx, key, v, row)
 }
 
-// Symptom: two hosts run the same request. The owner of a range is paused past
-// its lease, another takes the range over, the first wakes and appends. Its
-// append must fail on the head, with nothing in effect.
+// Guards against two hosts that run the same request. The owner of a range is paused
+// past its lease, another host takes the range over, and the first one resumes and
+// appends. Its append must fail on the head without any effect.
 func TestFencedOwnerCannotAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := standin.NewTable()
@@ -84,7 +84,7 @@
 		_, err = next.Swap(ctx, "k", store.Absent, &claim.Row{ID: "2", Op: "2"})
 		assert.NilError(t, err)
 		_, err = next.Swap(ctx, "k", store.Absent, &claim.Row{ID: "2", Op: "2"})
-		assert.NilError(t, err, "the same change asked for again")
+		assert.NilError(t, err, "the same change sent again")
 		_, err = openRange(tb, 1)
 		assert.Assert(t, errors.Is(err, store.ErrConflict))
 		cancel()
@@ -92,10 +92,10 @@
 	})
 }
 
-// Symptom: the log grows for ever, or a claim whose attempt is out of sight is
-// forgotten with the log row that holds it. Expired log rows go with later
-// appends; such a claim is carried on for a second lifetime.
-func TestLogDropsWhatExpired(t *testing.T) {
+// Guards against a log that grows for ever, and against a claim of unknown outcome
+// that is lost with the log row that contains it. Expired log rows are dropped by later
+// appends; such a claim is kept for a second TTL.
+func TestExpiredLogRowsAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := standin.NewTable()
 		r, err := openRange(tb, 1)
@@ -126,9 +126,9 @@
 	})
 }
 
-// Symptom: a host that saw a claim before it was forgotten changes its
-// successor. The range's new owner numbered rows from what was left in the
-// log, and gave the successor the version of the forgotten one.
+// Guards against a host that read a claim before it expired and changes its successor.
+// The range's new owner numbered rows from what was left in the log, and assigned the
+// successor the version of the expired one.
 func TestVersionsAreNeverReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb, ctx := standin.NewTable(), context.Background()
@@ -146,7 +146,7 @@
 		_, err = r.Swap(ctx, "k", before.Version, nil)
 		assert.NilError(t, err)
 		time.Sleep(61 * time.Minute)
-		_, err = r.Swap(ctx, "kept", before.Version, row("other")) // refused; the append only carries "kept" on
+		_, err = r.Swap(ctx, "kept", before.Version, row("other")) // refused; the append only keeps "kept"
 		assert.ErrorIs(t, err, store.ErrConflict)
 		cancel()
 		synctest.Wait()
--- a/node/claim/rangelog.go
+++ b/node/claim/rangelog.go
@@ -15,21 +15,21 @@
 	"peridotpier.example/node/store"
 )
 
-// A range is stored as a head row and a log. Each append writes one log row
-// and the head under the condition that nobody else wrote the head: an owner
-// whose lease lapsed while it was paused fails on its next append.
+// A range is stored as a head row and a log. Each append writes one log row and the
+// head, on condition that nobody else has written the head: an owner whose lease
+// lapsed while it was paused fails at its next append.
 const (
 	headPrefix  = "claims/head/"
 	logPrefix   = "claims/log/"
-	logPageRows = 256 // log rows read at once when a range is opened
+	logPageRows = 256 // log rows of one read when a range is opened
 )
 
 type headRow struct {
 	Epoch uint64 `json:"epoch"`
 	Next  uint64 `json:"next"` // sequence number of the next log row
-	// Version is the last one given to a row. Were it only in the log, it would
-	// go down when the log row that holds it is dropped, and a change that was
-	// judged on a forgotten row could pass as one on its successor.
+	// Version is the last one assigned to a row. If only the log had it, it would
+	// go down when the log row that contains it is dropped, and a change based on
+	// an expired row could be applied to the row's successor.
 	Version uint64 `json:"version"`
 }
 
@@ -41,10 +41,10 @@
 
 type logRow struct {
 	Entries []logEntry `json:"e"`
-	Expires int64      `json:"x"` // Unix milliseconds; no entry matters after it
+	Expires int64      `json:"x"` // Unix milliseconds; no entry is needed after it
 }
 
-// segment is a log row as its owner remembers it.
+// segment is what the owner of a range keeps in memory of a log row.
 type segment struct {
 	seq     uint64
 	expires int64
@@ -57,8 +57,8 @@
 }
 func logKeyPrefix(rangeID int) (prefix string) { return fmt.Sprintf("%s%d/", logPrefix, rangeID) }
 
-// OpenRange takes a range over under a lease: it fences the owner before it by
-// writing the head, then reads the log.
+// OpenRange takes over a range under a lease: it fences the former owner by writing
+// the head, then reads the log.
 func OpenRange(ctx context.Context, cfg RangeConfig, deps RangeDeps, rangeID int) (*Range, error) {
 	r := &Range{cfg: cfg, deps: deps, id: rangeID, rows: map[string]cachedRow{}, arrivals: make(chan *rowChange), stopped: make(chan struct{})}
 	if err := r.fenceFormerOwner(ctx); err != nil {
@@ -92,8 +92,8 @@
 	return err
 }
 
-// writeHead writes the head together with more writes, if the head still has
-// the given version.
+// writeHead writes the head together with other writes, on condition that the head
+// still has the given version. It returns the head's new version.
 func (r *Range) writeHead(ctx context.Context, version uint64, h headRow, others []store.Write) (uint64, error) {
 	value, err := json.Marshal(h)
 	if err != nil {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// apply takes a log row into memory.
+// apply applies a log row to memory.
 func (r *Range) apply(seq uint64, l logRow) {
 	s := segment{seq: seq, expires: l.Expires, keys: make([]string, 0, len(l.Entries))}
 	for _, e := range l.Entries {
@@ -154,14 +154,14 @@
 	r.segments = append(r.segments, s)
 }
 
-// maxExpiredRows bounds the log rows that one append drops, so that a commit
-// stays small after a long pause.
+// maxExpiredRows bounds the log rows that one append drops, so that its commit stays
+// small after a long pause.
 const maxExpiredRows = 4
 
-// expire drops the oldest log rows whose claims are forgotten, in the same
-// commit as an append: sweeping costs no writes of its own. Claims that must
-// be kept longer are appended again. It returns the writes, the entries to
-// append and how many segments go.
+// expire selects the oldest log rows whose claims have expired, to be dropped in the
+// commit of an append, so that sweeping costs no writes of its own. Claims that must
+// be kept longer are appended again. It returns the writes, the entries to append and
+// the number of segments to drop.
 func (r *Range) expire(now time.Time) (writes []store.Write, reappended []logEntry, dropped int) {
 	for _, s := range r.segments[:min(maxExpiredRows, len(r.segments))] {
 		if now.UnixMilli() < s.expires {
@@ -179,7 +179,7 @@
 	return writes, reappended, dropped
 }
 
-// dropSegments takes dropped segments out of memory, after their commit.
+// dropSegments removes segments from memory after the commit that dropped their rows.
 func (r *Range) dropSegments(count int) {
 	for _, s := range r.segments[:count] {
 		for _, k := range s.keys {
--- a/node/claim/records.go
+++ b/node/claim/records.go
@@ -11,29 +11,29 @@
 	"peridotpier.example/node/store"
 )
 
-// VersionedRow is a claim's row as it was last seen.
+// VersionedRow is a claim's row as it was last read, with its version.
 type VersionedRow struct {
 	Row     *claim.Row // nil: there is none
 	Version uint64
 }
 
-// Records is where claims are kept. Its errors are those of store.Table.
+// Records stores claims. Its errors are those of store.Table.
 type Records interface {
 	Read(ctx context.Context, key string) (VersionedRow, error)
-	// Swap replaces the row of which the given version was seen; a nil row
-	// deletes it. On store.ErrConflict it answers the row that is there.
+	// Swap replaces the row if it still has the given version (compare-and-swap);
+	// a nil row deletes it. On store.ErrConflict it returns the row that is there.
 	Swap(ctx context.Context, key string, version uint64, row *claim.Row) (VersionedRow, error)
 }
 
-// rowPrefix starts the table key of each claim that has a row of its own.
+// rowPrefix begins the table key of a claim with a row of its own.
 const rowPrefix = "claims/row/"
 
-// Rows keeps each claim in a row of its own: no host owns any, so that nothing
-// has to be recovered when one dies, at the price of one commit a change.
-// Over a Batcher many changes share one commit.
+// Rows stores each claim in a row of its own. No host owns a row, so nothing needs
+// recovery when a host fails; the price is one commit for each change, unless a
+// Batcher merges the changes.
 type Rows struct{ table store.Table }
 
-// NewRows keeps claims in tb.
+// NewRows returns a Rows that stores claims in tb.
 func NewRows(tb store.Table) *Rows { return &Rows{table: tb} }
 
 // Read implements Records.
@@ -45,11 +45,12 @@
 	return decodeRow(rows[0])
 }
 
-// Swap implements Records. A lost answer is resolved under the same operation
-// id. Past the service's memory of ids, or when the write went out in a
-// Batcher's commit, our own earlier write looks like a conflict: the row's Op
-// then tells whose it is. Without that, a host would take its own claim for
-// another's, and the caller would hear "in progress" while nobody runs it.
+// Swap implements Records. After a lost answer it commits again under the same
+// operation id. When the service no longer knows the id, or the write was part of a
+// Batcher's commit, the host's own earlier write looks like a conflict; the row's Op
+// then shows whose write it is. Otherwise a host would treat its own claim as
+// another's, and the caller would be told "in progress" while nobody runs the
+// request.
 func (r *Rows) Swap(ctx context.Context, key string, version uint64, row *claim.Row) (VersionedRow, error) {
 	txn, err := swapTxn(rowPrefix+key, version, row)
 	if err != nil {
--- a/node/claim/resolve.go
+++ b/node/claim/resolve.go
@@ -21,9 +21,9 @@
 	engineapi.AttemptCancelled: claim.AttemptCancelled,
 }
 
-// resolveOutcome asks the upstream of a claim whose owner is out of sight what
-// became of the attempt, and writes it over the row that was seen. The answer
-// is the row to decide on next; an error ends the arrival.
+// resolveOutcome asks the upstream what became of the attempt of a claim whose owner
+// failed or lost contact with the attempt, and writes the outcome over the row that
+// was read. It returns the row for the next decision, or the error for the arrival.
 func (s *Store) resolveOutcome(ctx context.Context, key string, seen VersionedRow) (VersionedRow, error) {
 	row := *seen.Row
 	rep, err := s.queryAttempt(ctx, row)
@@ -33,7 +33,7 @@
 	next, resolved := claim.ApplyReport(row, rep)
 	if resolved || next.State != row.State {
 		if seen, err = s.writeRow(ctx, key, seen, next); err != nil {
-			// The attempt may have run, so this must not read as "not run".
+			// The attempt may have run, so the error must not say that it did not.
 			return seen, fault.Unknown(fault.StepClaim, "", fault.CodeStoreUnavailable, "settle claim: %w", err).WithRetryAfter(storeRetryAfter)
 		}
 	}
@@ -45,7 +45,8 @@
 	return seen, nil
 }
 
-// writeRow swaps in the row; a conflict is no error: the row there is answered.
+// writeRow replaces the row. After a conflict it returns the row that is there, and
+// no error.
 func (s *Store) writeRow(ctx context.Context, key string, seen VersionedRow, next claim.Row) (VersionedRow, error) {
 	if next.Answer != nil {
 		if err := s.storeAnswer(ctx, key, next.ID, next.Answer); err != nil {
@@ -66,7 +67,7 @@
 	}
 	a, err := s.deps.Attempts.QueryAttempt(ctx, row.Route.Upstream, row.Route.Attempt)
 	if err != nil || a.ID != row.Route.Attempt {
-		return claim.Report{}, err // an answer about another attempt says nothing of this one
+		return claim.Report{}, err // a mismatched answer says nothing about this attempt
 	}
 	return claim.Report{State: attemptStates[a.State], Incarnation: a.Incarnation,
 		Answer: claim.Answer{Status: a.Status, ContentType: a.ContentType, Body: a.Body, Dropped: a.Body == nil}}, nil
--- a/node/claim/router.go
+++ b/node/claim/router.go
@@ -13,21 +13,22 @@
 	"peridotpier.example/node/store"
 )
 
-// HashSlots is the fixed number of groups that keys are hashed to. A range is a
-// run of groups; its number can change with the size of a site without any
-// key changing its group.
+// HashSlots is the fixed number of slots that keys are hashed to. A range is a run of
+// slots; the number of ranges can change with the size of a site without moving a key
+// to another slot.
 const HashSlots = 1024
 
-// Forwarder reaches the host that writes a range's claims: the owner of a
-// Range, or any host that batches rows. A lost answer is store.ErrInDoubt;
-// no such host is store.ErrUnavailable.
+// Forwarder forwards calls to the host that writes a range's claims: the owner of a
+// Range, or any host with Rows over a Batcher. A lost answer is store.ErrInDoubt; if
+// there is no such host the error is store.ErrUnavailable.
 type Forwarder interface {
 	Read(ctx context.Context, rangeID int, key string) (VersionedRow, error)
 	Swap(ctx context.Context, rangeID int, key string, version uint64, row *claim.Row) (VersionedRow, error)
 }
 
-// RangeRouter splits claims by ranges of groups, so that few hosts write the
-// changes of many claims in few commits, whatever the number of hosts.
+// RangeRouter is a Records that sends each claim to the host that serves its range, so
+// that few hosts write the changes of many claims in few commits, whatever the number
+// of hosts.
 type RangeRouter struct {
 	rangeCount int
 	forwarder  Forwarder
@@ -35,19 +36,19 @@
 	local      map[int]Records
 }
 
-// NewRangeRouter splits the groups into ranges; forward reaches those that this
-// host does not serve.
+// NewRangeRouter returns a router with a number of ranges; forwarder reaches those that
+// this host does not serve.
 func NewRangeRouter(rangeCount int, forwarder Forwarder) *RangeRouter {
 	return &RangeRouter{rangeCount: rangeCount, forwarder: forwarder, local: map[int]Records{}}
 }
 
-// RangeOf is the range of a key.
+// RangeOf returns the range of a key.
 func (router *RangeRouter) RangeOf(key string) int {
 	return int(xxhash.Sum64String(key)%HashSlots) * router.rangeCount / HashSlots
 }
 
-// Serve makes this host answer for a range itself, with a Range that it opened
-// or with Rows over a Batcher; nil ends it.
+// Serve makes this host serve a range itself, with a Range that it opened or with Rows
+// over a Batcher; nil ends that.
 func (router *RangeRouter) Serve(rangeID int, r Records) {
 	router.mu.Lock()
 	defer router.mu.Unlock()
@@ -58,8 +59,8 @@
 	router.local[rangeID] = r
 }
 
-// Local is the range if this host serves it. The peer layer answers forwarded
-// calls with it.
+// Local returns the records of a range if this host serves it, for example to answer
+// calls that other hosts forward.
 func (router *RangeRouter) Local(rangeID int) (Records, bool) {
 	router.mu.RLock()
 	defer router.mu.RUnlock()
@@ -76,8 +77,8 @@
 	return router.forwarder.Read(ctx, rangeID, key)
 }
 
-// Swap implements Records. A change in doubt is asked for again, of whoever
-// owns the range by then; an owner knows a change that took effect by its Op.
+// Swap implements Records. A change in doubt is sent again, to the host that serves the
+// range by then; that host recognises a change that took effect by the row's Op.
 func (router *RangeRouter) Swap(ctx context.Context, key string, version uint64, row *claim.Row) (VersionedRow, error) {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval, wait.MaxInterval = 20*time.Millisecond, 500*time.Millisecond
--- a/node/claim/sim_test.go
+++ b/node/claim/sim_test.go
@@ -18,12 +18,12 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// faults are what a test does to the table service.
+// faults are the faults that a test injects into the table service.
 type faults struct {
 	down        bool
-	loseAnswers int  // answers of commits still to be lost, after their effect
-	dropCommits int  // commits still to be lost before their effect, answered as in doubt
-	forgetOpIDs bool // operation ids are not remembered
+	loseAnswers int  // next commits that take effect but lose their answer
+	dropCommits int  // next commits that have no effect and are answered as in doubt
+	forgetOpIDs bool // the service does not remember operation ids
 }
 
 // faulty is a table service with faults.
@@ -31,7 +31,7 @@
 	store.Table
 	mu       sync.Mutex
 	f        faults
-	afterGet func() // runs once, after a read
+	afterGet func() // runs once, after the next read
 }
 
 func (f *faulty) set(change func(*faults)) {
@@ -75,12 +75,12 @@
 	return rows, err
 }
 
-// mutant changes how a host uses the table: a check of the checker.
+// mutant breaks a host's use of the table, to test that the history check notices.
 type mutant struct {
 	store.Table
-	noConds          bool  // conditions are left out
-	inDoubtAs        error // a lost answer is taken for this
-	inDoubtAsSuccess bool  // a lost answer is taken for success
+	noConds          bool  // commits without conditions
+	inDoubtAs        error // a lost answer becomes this error
+	inDoubtAsSuccess bool  // a lost answer becomes a success
 }
 
 func (m *mutant) Commit(ctx context.Context, t store.Txn) (uint64, error) {
@@ -100,8 +100,8 @@
 	return v, err
 }
 
-// engine is an upstream: executes attempts once, remembers them, and refuses
-// those that it called unseen.
+// engine is an upstream that executes each attempt once, remembers it, and refuses
+// attempts that it has reported as unseen.
 type engine struct {
 	hist     *history.History
 	starts   int
@@ -118,7 +118,7 @@
 
 func (e *engine) incarnation() string { return fmt.Sprint("i", e.starts) }
 
-// arrive is a request that reaches the engine; it answers whether it ran.
+// arrive delivers a request to the engine and reports whether it ran.
 func (e *engine) arrive(f *flight) bool {
 	if e.fenced[f.route.Attempt] || f.route.Incarnation != e.incarnation() || e.attempts[f.route.Attempt] != nil {
 		return false
@@ -129,7 +129,7 @@
 	return true
 }
 
-// QueryAttempt asks the engine.
+// QueryAttempt implements nodeclaim.AttemptQuerier.
 func (c *cluster) QueryAttempt(ctx context.Context, upstream, id string) (engineapi.Attempt, error) {
 	if c.mismatched {
 		id = "another"
@@ -147,16 +147,16 @@
 	return a, nil
 }
 
-// stage is how far a request in flight has come.
+// stage is how far a flight has come.
 type stage int
 
 const (
 	granted stage = iota
-	sent          // on its way to the engine
+	sent          // not yet at the engine
 	executed
 )
 
-// flight is one granted request on one host.
+// flight is one granted request in progress on one host.
 type flight struct {
 	call, key string
 	host      int
@@ -166,7 +166,7 @@
 	deadline  time.Time
 }
 
-// cluster is some hosts with one table, one engine, and their history.
+// cluster is a number of hosts with one table, one engine and the history of calls.
 type cluster struct {
 	table      *faulty
 	make       backend
@@ -177,7 +177,7 @@
 	starts     int
 	calls      int
 	flights    []*flight
-	skew       time.Duration // by which each host's clock is ahead of the one before
+	skew       time.Duration // by which each host's clock is ahead of the previous host's
 	mismatched bool          // the engine answers about another attempt
 }
 
@@ -186,7 +186,7 @@
 	simDeadline = 5 * time.Second
 )
 
-// backend makes the records of one host and says how to stop them.
+// backend returns the records of one host and a function that stops them.
 type backend func(c *cluster, host int) (nodeclaim.Records, func())
 
 func rows(c *cluster, _ int) (nodeclaim.Records, func()) {
@@ -216,14 +216,14 @@
 	return c
 }
 
-// stop ends the goroutines of all hosts.
+// stop stops the records of all hosts.
 func (c *cluster) stop() {
 	for _, stop := range c.stops {
 		stop()
 	}
 }
 
-// startHost starts a host with empty memory, in place of the one before.
+// startHost starts a host with empty memory, in place of its former process.
 func (c *cluster) startHost(i int) {
 	c.starts++
 	if c.stops[i] != nil {
@@ -247,7 +247,7 @@
 	return claim.Route{Upstream: "e", Incarnation: c.engine.incarnation(), Attempt: fmt.Sprint("a", c.calls)}
 }
 
-// arrive brings a request to a host; a granted one becomes a flight.
+// arrive sends a request to a host; if it is granted, it becomes a flight.
 func (c *cluster) arrive(host int, key string, routed bool) (*flight, error) {
 	c.calls++
 	f := &flight{call: fmt.Sprint("c", c.calls), key: key, host: host, deadline: c.now(host).Add(simDeadline)}
@@ -289,7 +289,7 @@
 	}
 }
 
-// dispatch sends the request off, as the data path does.
+// dispatch dispatches the request as the data path does.
 func (c *cluster) dispatch(f *flight) {
 	if f.route.Attempt == "" {
 		f.route = c.route()
@@ -303,7 +303,7 @@
 	f.stage = sent
 }
 
-// deliver brings it to the engine; a refusal frees the key.
+// deliver delivers the request to the engine; a refusal releases the key.
 func (c *cluster) deliver(f *flight) {
 	if c.engine.arrive(f) {
 		f.stage = executed
@@ -314,14 +314,14 @@
 	c.removeFlight(f)
 }
 
-// complete brings the answer back to the host and on to the caller.
+// complete returns the answer to the host and the caller.
 func (c *cluster) complete(f *flight) {
 	c.hist.Answered(f.call, outcome.Completed, f.route.Attempt)
 	_ = f.grant.Complete(context.Background(), nodeclaim.Answer{Status: 200, Body: []byte(f.route.Attempt)})
 	c.removeFlight(f)
 }
 
-// advance takes a flight one step on.
+// advance takes a flight to its next stage.
 func (c *cluster) advance(f *flight) {
 	switch f.stage {
 	case granted:
@@ -333,8 +333,8 @@
 	}
 }
 
-// breakConnection loses the host's sight of the attempt; what was sent may
-// still arrive, late.
+// breakConnection makes the host lose contact with the attempt; what was sent may still
+// arrive late.
 func (c *cluster) breakConnection(f *flight, arrivesLate bool) {
 	_ = f.grant.MarkUnknown(context.Background())
 	c.hist.Answered(f.call, outcome.Unknown, "")
@@ -344,7 +344,7 @@
 	}
 }
 
-// kill ends a host's process with all that it had in memory.
+// kill ends a host's process with all that it had in memory, and starts it again.
 func (c *cluster) kill(host int, arrivesLate bool) {
 	for _, f := range append([]*flight(nil), c.flights...) {
 		if f.host != host {
--- a/node/claim/store.go
+++ b/node/claim/store.go
@@ -1,6 +1,7 @@
-// Package claim runs the claims of requests that may not be repeated: a claim
-// is written before anything is dispatched, names the attempt and its
-// upstream, and is settled with the answer. The decisions are core/claim's.
+// Package claim makes each request that may not be repeated run at most once under
+// its idempotency key. A claim is written to the table service before anything is
+// dispatched, names the attempt and its upstream, and gets the answer at the end.
+// core/claim makes the decisions.
 package claim
 
 import (
@@ -19,46 +20,46 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// AttemptQuerier asks an upstream for the fate of an attempt.
+// AttemptQuerier asks an upstream what became of an attempt.
 type AttemptQuerier interface {
 	QueryAttempt(ctx context.Context, upstream, attemptID string) (engineapi.Attempt, error)
 }
 
-// Config bounds a Store.
+// Config configures a Store.
 type Config struct {
-	TTL            time.Duration // how long a key is remembered
-	Grace          time.Duration // after a request's deadline, before others look after its claim
-	CallTimeout    time.Duration // of one claim or settlement against the platform
-	MaxInlineBytes int           // largest answer kept in the table row; larger ones go to the object store
-	MaxAnswerBytes int           // largest answer kept at all; with TTL the start value of Limits
-	MaxQueued      int           // settlements that wait for the platform
-	MaxQueuedBytes int           // of their answers
+	TTL            time.Duration // how long a key is kept
+	Grace          time.Duration // after a request's deadline, before other hosts may resolve its claim
+	CallTimeout    time.Duration // of one claim, or of one write of an outcome, to the platform
+	MaxInlineBytes int           // size of an answer up to which it is stored in the table row; larger ones go to the object store
+	MaxAnswerBytes int           // size of an answer up to which it is stored at all; with TTL the initial Limits
+	MaxQueued      int           // outcomes that wait to be written
+	MaxQueuedBytes int           // of the answers in the queue
 }
 
-// DefaultConfig has bounds that fit an entry host of today's sites.
+// DefaultConfig returns a configuration that fits an entry host of today's sites.
 func DefaultConfig() Config {
 	return Config{
 		TTL:            24 * time.Hour,
-		Grace:          5 * time.Second, // clocks of hosts differ by less; being wrong costs one question, never a second run
+		Grace:          5 * time.Second, // clocks of hosts differ by less; a larger difference costs one query, never a second run
 		CallTimeout:    2 * time.Second, // longer than a slow commit, shorter than callers wait for a refusal
 		MaxInlineBytes: 8 << 10,
 		MaxAnswerBytes: 4 << 20,
-		MaxQueued:      4096,    // 10 minutes of outage at 7 settlements a second
-		MaxQueuedBytes: 8 << 20, // a quarter of what a host may use for control
+		MaxQueued:      4096,    // 10 minutes of an outage with 7 outcomes a second
+		MaxQueuedBytes: 8 << 20, // a quarter of the memory that a host may use for control
 	}
 }
 
-// Deps are what a Store works with.
+// Deps are the dependencies of a Store.
 type Deps struct {
 	Records  Records
 	Objects  store.Objects
 	Attempts AttemptQuerier
 	Log      *event.Log
-	Owner    claim.Owner      // this process
+	Owner    claim.Owner      // identifies this process
 	Now      func() time.Time // wall clock
 }
 
-// Store claims requests.
+// Store claims requests and writes their outcomes.
 type Store struct {
 	cfg    Config
 	deps   Deps
@@ -66,18 +67,18 @@
 	limits atomic.Pointer[Limits]
 }
 
-// Limits are the bounds that a deployment's configuration sets; they change
-// while the store runs.
+// Limits are the bounds that a deployment's configuration sets. They may change
+// while the store is in use.
 type Limits struct {
-	TTL            time.Duration // how long a key is remembered
-	MaxAnswerBytes int           // largest answer kept at all
+	TTL            time.Duration // how long a key is kept
+	MaxAnswerBytes int           // size of an answer up to which it is stored
 }
 
-// SetLimits replaces the limits, for claims and settlements from now on. Rows
-// that stand keep the lifetime that they were written with.
+// SetLimits replaces the limits for the claims and outcomes written from now on.
+// Rows that exist keep their expiry.
 func (s *Store) SetLimits(l Limits) { s.limits.Store(&l) }
 
-// New makes a Store. Its Run must be running for deferred settlements.
+// New returns a Store. Outcomes in its queue are written only while Run runs.
 func New(cfg Config, deps Deps) *Store {
 	s := &Store{cfg: cfg, deps: deps}
 	s.queue = newQueue(cfg.MaxQueued, cfg.MaxQueuedBytes)
@@ -85,46 +86,47 @@
 	return s
 }
 
-// Request is what a claim needs to know of a request.
+// Request describes a request to be claimed.
 type Request struct {
 	Team     string
 	Key      string // the caller's idempotency key
 	BodyHash string // of method, path and body
 	Deadline time.Time
-	// Route is the first attempt, when it is known before the claim: the claim
-	// then names it and Dispatching writes nothing.
+	// Route is the first attempt, if it is known before the claim: the claim then
+	// names it, and RecordDispatch writes nothing.
 	Route claim.Route
 }
 
-// Answer is a whole answer.
+// Answer is a complete answer.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	Dropped     bool // there was a body, too large to keep
+	Dropped     bool // there was a body, too large to store
 }
 
-// The advice when to come back.
+// Retry delays sent to callers.
 const (
-	storeRetryAfter  = time.Second // one may hope for the store's return
+	storeRetryAfter  = time.Second // the outage of the platform's service may be short
 	maxProgressRetry = 2 * time.Second
 	minProgressRetry = 100 * time.Millisecond
 )
 
-// maxRowChanges bounds the changes of a row by others that one arrival follows.
+// maxRowChanges bounds how often one operation decides again because the row has
+// changed.
 const maxRowChanges = 6
 
 func newID() string { return uuid.NewString() }
 
-// Claim answers exactly one of three: a grant, which lets the request run; the
-// stored answer of its first run; or an error, always a *fault.Error.
+// Claim returns exactly one of three: a grant, which lets the request run; the
+// stored answer of its first run; or an error, which is always a *fault.Error.
 func (s *Store) Claim(ctx context.Context, req Request) (*Grant, *Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.CallTimeout)
 	defer cancel()
 	key := claim.Key(req.Team, req.Key)
 	arrival := s.arrival(req)
-	// The first try assumes that there is no row: most keys are new, and the
-	// condition of the write catches those that are not.
+	// The first try assumes that there is no row, since most keys are new; the
+	// condition of the write detects those that are not.
 	var seen VersionedRow
 	for range maxRowChanges {
 		d := claim.Decide(seen.Row, arrival, s.deps.Now())
@@ -158,8 +160,8 @@
 		OverdueAfter: overdueAfter, TTL: max(s.limits.Load().TTL, 2*overdueAfter)}
 }
 
-// writeClaim writes the arrival's claim over the row that was judged. On a conflict
-// it answers the row that is there now.
+// writeClaim writes the arrival's claim over the row that the decision was based
+// on. On a conflict it returns the row that is there now.
 func (s *Store) writeClaim(ctx context.Context, key string, a claim.Arrival, seen VersionedRow) (VersionedRow, error) {
 	row := claim.New(a, s.deps.Now())
 	row.Op = newID()
@@ -168,9 +170,10 @@
 		return next, nil
 	}
 	if errors.Is(err, store.ErrInDoubt) {
-		// The claim may stand, or arrive yet. Nothing was dispatched under it
-		// and nothing will be, so the key is freed as soon as the table answers;
-		// the freed row also makes a claim that arrives yet fail.
+		// The claim may have been written, or may still be. Nothing was
+		// dispatched under it and nothing will be, so the key is released as soon
+		// as the table service answers; the release also makes a claim that is
+		// written later fail.
 		s.enqueue(&outcomeWrite{key: key, id: row.ID, row: row, version: seen.Version, change: release}, err)
 	}
 	return VersionedRow{}, storeUnavailableError(err)
--- a/node/claim/sweeper.go
+++ b/node/claim/sweeper.go
@@ -13,34 +13,34 @@
 	"peridotpier.example/node/store"
 )
 
-// sweepPageRows is how many rows one step reads, and at most deletes in one
-// commit: at 1,500 claims a second, 8 reads and 8 commits a second.
+// sweepPageRows is how many rows one step reads, and deletes at most in one commit:
+// with 1,500 claims a second that is 8 reads and 8 commits a second.
 const sweepPageRows = 200
 
-// Sweeper deletes the rows of expired claims. Any host may sweep: a row is
-// deleted only as it was seen, so two sweepers waste reads and break nothing.
-// One is enough; the host that holds the sweeping lease runs it.
+// Sweeper deletes the rows of expired claims. Any host may run one: a row is deleted
+// only if it has not changed since it was read, so two sweepers waste reads and
+// break nothing. One is enough, and runs on the host that holds the sweeper lease.
 type Sweeper struct {
 	store *Store
 	table store.Table
 	after string
 }
 
-// NewSweeper sweeps the claims that s keeps as rows of tb.
+// NewSweeper returns a sweeper of the claims that s stores as rows of tb.
 func NewSweeper(s *Store, tb store.Table) *Sweeper { return &Sweeper{store: s, table: tb} }
 
-// SweeperLeaseName is the lease under which one host sweeps.
+// SweeperLeaseName names the lease under which one host sweeps.
 const SweeperLeaseName = "claims/sweeper"
 
 const (
-	// pageInterval is between two pages: 2,000 rows a second at most, above the
-	// 1,500 claims a second of the design size.
+	// pageInterval is between two pages: at most 2,000 rows a second, above the
+	// 1,500 claims a second that the service is designed for.
 	pageInterval = 100 * time.Millisecond
-	// roundInterval is between two rounds; expired rows only take room.
+	// roundInterval is between two rounds; until then expired rows only use space.
 	roundInterval = time.Minute
 )
 
-// Run sweeps while held says that this host holds the lease, until ctx ends.
+// Run sweeps while holdsLease returns true, until ctx ends.
 func (w *Sweeper) Run(ctx context.Context, holdsLease func() bool) error {
 	for wait := pageInterval; pace.Sleep(ctx, pace.DefaultRand().Jitter(wait, 0.1)); {
 		wait = roundInterval
@@ -54,8 +54,8 @@
 	return ctx.Err()
 }
 
-// Step sweeps one page. done tells that the last page was reached: pause
-// before the next step, which starts over.
+// Step sweeps one page. done means that it was the last page; the next step starts
+// again at the first one, after a longer interval.
 func (w *Sweeper) Step(ctx context.Context) (deleted int, done bool, err error) {
 	rows, err := w.table.List(ctx, rowPrefix, w.after, sweepPageRows)
 	if err != nil {
@@ -73,7 +73,7 @@
 			txn.Writes = append(txn.Writes, store.Write{Key: r.Key, Delete: true})
 		case claim.ResolveBeforeDelete:
 			kept++
-			// Its outcome is in the row afterwards; the next round looks again.
+			// The row has its outcome afterwards; the next round decides on it again.
 			_, _ = w.store.resolveOutcome(ctx, r.Key[len(rowPrefix):], seen)
 		}
 	}
@@ -93,7 +93,7 @@
 	}
 	_, err := store.CommitResolved(ctx, w.table, txn)
 	if errors.Is(err, store.ErrConflict) {
-		return nil // a key came back to life meanwhile; the rest waits a round
+		return nil // a key was used again since it was read; the other rows are deleted in the next round
 	}
 	return err
 }
--- a/node/claim/sweeper_test.go
+++ b/node/claim/sweeper_test.go
@@ -12,14 +12,14 @@
 	nodeclaim "peridotpier.example/node/claim"
 )
 
-// Symptom: rows of forgotten keys fill the table; or a sweep frees the key of
-// an attempt that still runs. What ended is deleted; what is out of sight is
-// settled by its upstream first.
-func TestSweep(t *testing.T) {
+// Guards against expired rows that fill the table, and against a sweep that releases
+// the key of an attempt which still runs. Ended claims are deleted; those of unknown
+// outcome are resolved with their upstream first.
+func TestSweeperResolvesBeforeDeleting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(1, rows)
 		ctx := context.Background()
-		for _, key := range []string{"done", "sight lost"} {
+		for _, key := range []string{"done", "outcome unknown"} {
 			f, err := c.arrive(0, key, true)
 			assert.NilError(t, err)
 			c.advance(f)
@@ -35,7 +35,7 @@
 		assert.Assert(t, done)
 		assert.Equal(t, deleted, 0)
 		time.Sleep(simTTL + time.Minute)
-		for _, want := range []int{1, 1} { // the second was settled by the first step
+		for _, want := range []int{1, 1} { // the first step resolved the second claim
 			deleted, _, err = w.Step(ctx)
 			assert.NilError(t, err)
 			assert.Equal(t, deleted, want)
@@ -46,9 +46,9 @@
 	})
 }
 
-// Symptom: each host of a site reads the whole table of claims, over and over.
-// Every host runs a sweeper; only the one that holds the lease sweeps.
-func TestOnlyTheHolderOfTheLeaseSweeps(t *testing.T) {
+// Guards against hosts that each read the whole table of claims over and over. Every
+// host runs a sweeper; only the one that holds the lease sweeps.
+func TestOnlyTheLeaseHolderSweeps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(1, rows)
 		f, err := c.arrive(0, "done", true)
@@ -66,7 +66,7 @@
 			left int
 		}{{false, 1}, {true, 0}} {
 			holdsLease.Store(step.held)
-			time.Sleep(3 * time.Minute) // some rounds
+			time.Sleep(3 * time.Minute) // several rounds
 			left, err := c.table.List(ctx, "claims/", "", 10)
 			assert.NilError(t, err)
 			assert.Equal(t, len(left), step.left)
