--- a/node/claim/batch.go
+++ b/node/claim/batch.go
@@ -80,10 +80,10 @@
 // Run collects and commits transactions until ctx ends, then commits those that wait.
 func (b *Batcher) Run(ctx context.Context) error {
 	defer close(b.stopped)
-	collected := newCollector(b.arrivals, b.cfg.Interval, b.cfg.MaxTxns)
+	batches := newCollector(b.arrivals, b.cfg.Interval, b.cfg.MaxTxns)
 	var deferred []*pendingTxn // share a row with another of their batch: left to the next batch
 	for {
-		batch, err := collected.next(ctx, deferred)
+		batch, err := batches.next(ctx, deferred)
 		batch, deferred = splitShared(batch)
 		b.startCommit(ctx, batch)
 		if err != nil && len(deferred) == 0 {
@@ -151,10 +151,10 @@
 }
 
 // Commit implements store.Table.
-func (d slotFreeingTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
-	v, err := d.Table.Commit(ctx, txn)
+func (t slotFreeingTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
+	v, err := t.Table.Commit(ctx, txn)
 	if errors.Is(err, store.ErrInDoubt) {
-		d.onInDoubt()
+		t.onInDoubt()
 	}
 	return v, err
 }
--- a/node/claim/grant.go
+++ b/node/claim/grant.go
@@ -45,7 +45,7 @@
 	if errors.Is(err, store.ErrConflict) {
 		// Another host took the claim over while this one was paused, and may run
 		// the request; going on would run it twice.
-		return fault.NotRun(fault.StepClaim, "", fault.CodeConflict, "claim was taken over").WithRetryAfter(minProgressRetry)
+		return fault.NotRun(fault.StepClaim, "", fault.CodeConflict, "claim was taken over").WithRetryAfter(minInProgressRetryAfter)
 	}
 	if err != nil {
 		return storeUnavailableError(err)
@@ -77,11 +77,11 @@
 // queue. It continues after ctx has ended, since the caller may have disconnected
 // and the claim must not stay open.
 func (g *Grant) end(ctx context.Context, answer *claim.Answer, change func(claim.Row) (claim.Row, error)) error {
-	st := &outcomeWrite{key: g.key, id: g.row.ID, row: g.row, version: g.version, change: change, answer: answer}
+	w := &outcomeWrite{key: g.key, id: g.row.ID, row: g.row, version: g.version, change: change, answer: answer}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), g.store.cfg.CallTimeout)
 	defer cancel()
-	if err := g.store.writeOutcome(ctx, st); err != nil {
-		return g.store.enqueue(st, err)
+	if err := g.store.writeOutcome(ctx, w); err != nil {
+		return g.store.enqueue(w, err)
 	}
 	return nil
 }
--- a/node/claim/outcome.go
+++ b/node/claim/outcome.go
@@ -29,29 +29,29 @@
 	answer  *claim.Answer // stored by change; its body may move to the object store
 }
 
-func (st *outcomeWrite) bytes() int {
-	if st.answer == nil {
+func (w *outcomeWrite) bytes() int {
+	if w.answer == nil {
 		return 0
 	}
-	return len(st.answer.Body)
+	return len(w.answer.Body)
 }
 
 // writeOutcome writes one outcome. It returns nil when nothing is left to do: the
 // outcome was written, or the claim already has one.
-func (s *Store) writeOutcome(ctx context.Context, st *outcomeWrite) error {
+func (s *Store) writeOutcome(ctx context.Context, w *outcomeWrite) error {
 	for range maxRowChanges {
-		next, err := st.change(st.row)
+		next, err := w.change(w.row)
 		if err != nil {
 			return nil // the row has an outcome already, which this one may not replace
 		}
-		seen, err := s.writeRow(ctx, st.key, VersionedRow{Row: &st.row, Version: st.version}, next)
+		seen, err := s.writeRow(ctx, w.key, VersionedRow{Row: &w.row, Version: w.version}, next)
 		if err != nil {
 			return err
 		}
-		if seen.Row == nil || seen.Row.ID != st.id || seen.Row.State == next.State {
+		if seen.Row == nil || seen.Row.ID != w.id || seen.Row.State == next.State {
 			return nil
 		}
-		st.row, st.version = *seen.Row, seen.Version
+		w.row, w.version = *seen.Row, seen.Version
 	}
 	return store.ErrConflict
 }
@@ -89,14 +89,14 @@
 	return &queue{maxItems: items, maxBytes: bytes, wake: make(chan struct{}, 1)}
 }
 
-func (q *queue) push(st *outcomeWrite) bool {
+func (q *queue) push(w *outcomeWrite) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.items) >= q.maxItems || q.bytes+st.bytes() > q.maxBytes {
+	if len(q.items) >= q.maxItems || q.bytes+w.bytes() > q.maxBytes {
 		return false
 	}
-	q.items = append(q.items, st)
-	q.bytes += st.bytes()
+	q.items = append(q.items, w)
+	q.bytes += w.bytes()
 	select {
 	case q.wake <- struct{}{}:
 	default:
@@ -120,14 +120,14 @@
 func (q *queue) remove(requeue bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	st := q.items[0]
+	w := q.items[0]
 	q.items[0] = nil
 	q.items = q.items[1:]
 	if requeue {
-		q.items = append(q.items, st)
+		q.items = append(q.items, w)
 		return
 	}
-	q.bytes -= st.bytes()
+	q.bytes -= w.bytes()
 }
 
 // Pending returns the number of outcomes in the queue and the bytes of their answers.
@@ -137,12 +137,12 @@
 	return len(s.queue.items), s.queue.bytes
 }
 
-func (s *Store) enqueue(st *outcomeWrite, cause error) error {
-	if !s.queue.push(st) {
-		s.deps.Log.Emit(event.ClaimSettleDropped, zap.String("claim", st.id), zap.Error(cause))
+func (s *Store) enqueue(w *outcomeWrite, cause error) error {
+	if !s.queue.push(w) {
+		s.deps.Log.Emit(event.ClaimSettleDropped, zap.String("claim", w.id), zap.Error(cause))
 		return ErrQueueFull
 	}
-	s.deps.Log.Emit(event.ClaimSettleDeferred, zap.String("claim", st.id), zap.Error(cause))
+	s.deps.Log.Emit(event.ClaimSettleDeferred, zap.String("claim", w.id), zap.Error(cause))
 	return nil
 }
 
@@ -173,11 +173,11 @@
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval, wait.MaxInterval = minRetryWait, maxRetryWait
 	for {
-		st, ok := s.queue.head()
+		w, ok := s.queue.head()
 		if !ok {
 			return nil
 		}
-		err := s.tryOutcome(ctx, st)
+		err := s.tryOutcome(ctx, w)
 		s.queue.remove(err != nil)
 		if err == nil {
 			wait.Reset()
@@ -191,8 +191,8 @@
 	}
 }
 
-func (s *Store) tryOutcome(ctx context.Context, st *outcomeWrite) error {
+func (s *Store) tryOutcome(ctx context.Context, w *outcomeWrite) error {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.CallTimeout)
 	defer cancel()
-	return s.writeOutcome(ctx, st)
+	return s.writeOutcome(ctx, w)
 }
--- a/node/claim/range.go
+++ b/node/claim/range.go
@@ -18,7 +18,7 @@
 // Lease is the right to own a range of claims.
 type Lease interface {
 	Epoch() uint64 // higher for each new holder
-	Valid() bool   // by this host's monotonic clock; only saves a vain append, since the condition on the head fences
+	Valid() bool   // by this host's monotonic clock; it only saves a needless append: the condition on the head fences
 }
 
 // RangeConfig configures a Range.
@@ -82,8 +82,8 @@
 func (r *Range) Read(_ context.Context, key string) (VersionedRow, error) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	h := r.rows[key]
-	return VersionedRow{Row: h.row, Version: h.version}, nil
+	cached := r.rows[key]
+	return VersionedRow{Row: cached.row, Version: cached.version}, nil
 }
 
 // Swap waits for the append that decides the change.
@@ -108,9 +108,9 @@
 // be opened again.
 func (r *Range) Run(ctx context.Context) error {
 	defer close(r.stopped)
-	collected := newCollector(r.arrivals, r.cfg.Interval, r.cfg.MaxChanges)
+	batches := newCollector(r.arrivals, r.cfg.Interval, r.cfg.MaxChanges)
 	for {
-		batch, done := collected.next(ctx, nil)
+		batch, done := batches.next(ctx, nil)
 		if err := r.append(context.WithoutCancel(ctx), batch); err != nil {
 			r.deps.Log.Emit(event.ClaimRangeLost, zap.Int("range", r.id), zap.Error(err))
 			return err
@@ -164,8 +164,8 @@
 	for i, c := range batch {
 		seen, ok := changed[c.key]
 		if !ok {
-			h := r.rows[c.key]
-			seen = VersionedRow{Row: h.row, Version: h.version}
+			cached := r.rows[c.key]
+			seen = VersionedRow{Row: cached.row, Version: cached.version}
 		}
 		switch {
 		case seen.Row != nil && c.row != nil && seen.Row.Op == c.row.Op:
--- a/node/claim/rangelog.go
+++ b/node/claim/rangelog.go
@@ -168,9 +168,9 @@
 			break
 		}
 		for _, k := range s.keys {
-			h, ok := r.rows[k]
-			if ok && h.logSeq == s.seq && claim.DecideExpiry(*h.row, r.cfg.TTL, now) != claim.Delete {
-				reappended = append(reappended, logEntry{Key: k, Version: h.version, Row: h.row})
+			cached, ok := r.rows[k]
+			if ok && cached.logSeq == s.seq && claim.DecideExpiry(*cached.row, r.cfg.TTL, now) != claim.Delete {
+				reappended = append(reappended, logEntry{Key: k, Version: cached.version, Row: cached.row})
 			}
 		}
 		writes = append(writes, store.Write{Key: logKey(r.id, s.seq), Delete: true})
@@ -183,7 +183,7 @@
 func (r *Range) dropSegments(count int) {
 	for _, s := range r.segments[:count] {
 		for _, k := range s.keys {
-			if h, ok := r.rows[k]; ok && h.logSeq == s.seq {
+			if cached, ok := r.rows[k]; ok && cached.logSeq == s.seq {
 				delete(r.rows, k)
 			}
 		}
--- a/node/claim/resolve.go
+++ b/node/claim/resolve.go
@@ -39,7 +39,7 @@
 	}
 	if !resolved {
 		s.deps.Log.Emit(event.ClaimFateUntold, zap.String(event.FieldPeer, row.Route.Upstream), zap.String("attempt", row.Route.Attempt), zap.Error(err))
-		return seen, fault.Unknown(fault.StepClaim, row.Route.Upstream, fault.CodeOutcomeUnknown, "the attempt's fate cannot be learned").WithRetryAfter(maxProgressRetry)
+		return seen, fault.Unknown(fault.StepClaim, row.Route.Upstream, fault.CodeOutcomeUnknown, "the attempt's fate cannot be learned").WithRetryAfter(maxInProgressRetryAfter)
 	}
 	s.deps.Log.Emit(event.ClaimSettledByFate, zap.String(event.FieldPeer, row.Route.Upstream), zap.String("state", string(next.State)))
 	return seen, nil
--- a/node/claim/store.go
+++ b/node/claim/store.go
@@ -107,9 +107,9 @@
 
 // Retry delays sent to callers.
 const (
-	storeRetryAfter  = time.Second // the outage of the platform's service may be short
-	maxProgressRetry = 2 * time.Second
-	minProgressRetry = 100 * time.Millisecond
+	storeRetryAfter         = time.Second // the outage of the platform's service may be short
+	maxInProgressRetryAfter = 2 * time.Second
+	minInProgressRetryAfter = 100 * time.Millisecond
 )
 
 // maxRowChanges bounds how often one operation decides again because the row has
@@ -199,7 +199,7 @@
 
 func inProgressError(after time.Duration) error {
 	e := fault.Unknown(fault.StepClaim, "", fault.CodeInProgress, "a request under this idempotency key is being run")
-	return e.WithRetryAfter(min(max(after, minProgressRetry), maxProgressRetry))
+	return e.WithRetryAfter(min(max(after, minInProgressRetryAfter), maxInProgressRetryAfter))
 }
 
 func storeUnavailableError(err error) error {
--- a/node/claim/sweeper.go
+++ b/node/claim/sweeper.go
@@ -73,7 +73,7 @@
 			txn.Writes = append(txn.Writes, store.Write{Key: r.Key, Delete: true})
 		case claim.ResolveBeforeDelete:
 			kept++
-			// The row has its outcome afterwards; the next round decides on it again.
+			// An outcome that is found is in the row afterwards; the next round decides again.
 			_, _ = w.store.resolveOutcome(ctx, r.Key[len(rowPrefix):], seen)
 		}
 	}
