--- a/node/claim/collect.go
+++ b/node/claim/collect.go
@@ -13,13 +13,13 @@
 
 // collector gathers arrivals into batches at a limited rate.
 type collector[T any] struct {
-	in       <-chan T
+	arrivals <-chan T
 	limiter  *rate.Limiter
 	maxBatch int
 }
 
-func newCollector[T any](in <-chan T, window time.Duration, most int) collector[T] {
-	return collector[T]{in: in, limiter: rate.NewLimiter(rate.Every(window), maxCollectBurst), maxBatch: most}
+func newCollector[T any](arrivals <-chan T, interval time.Duration, maxBatch int) collector[T] {
+	return collector[T]{arrivals: arrivals, limiter: rate.NewLimiter(rate.Every(interval), maxCollectBurst), maxBatch: maxBatch}
 }
 
 // next returns the next batch, which begins with what the caller deferred from the
@@ -27,7 +27,7 @@
 func (c collector[T]) next(ctx context.Context, batch []T) ([]T, error) {
 	if len(batch) == 0 {
 		select {
-		case v := <-c.in:
+		case v := <-c.arrivals:
 			batch = append(batch, v)
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -36,7 +36,7 @@
 	timer := time.NewTimer(c.limiter.Reserve().Delay())
 	defer timer.Stop()
 	for {
-		in := c.in
+		in := c.arrivals
 		if len(batch) >= c.maxBatch {
 			in = nil
 		}
@@ -56,7 +56,7 @@
 func (c collector[T]) takeReady(batch []T) []T {
 	for len(batch) < c.maxBatch {
 		select {
-		case v := <-c.in:
+		case v := <-c.arrivals:
 			batch = append(batch, v)
 		default:
 			return batch
--- a/node/planner/planner_test.go
+++ b/node/planner/planner_test.go
@@ -109,7 +109,7 @@
 func (l lapsingLease) Valid(uint64) bool { return l.table.commits < l.maxCommits }
 
 // Guards against two planners that write the same ledger. The holder's lease lapses
-// without its noticing, because its clock stands still, and another host takes
+// without its noticing, because its clock has stopped, and another host takes
 // over; only the table service can tell them apart.
 func TestSupersededPlannerWritesNothing(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
