--- a/cmd/peridotpier/serve.go
+++ b/cmd/peridotpier/serve.go
@@ -84,7 +84,7 @@
 
 func platformOf(p settings.Platform) server.Platform {
 	client := func(base string) *rest.Client {
-		return rest.New(rest.Config{Base: base, Timeout: time.Duration(p.TimeoutMs) * time.Millisecond})
+		return rest.New(rest.Config{BaseURL: base, Timeout: time.Duration(p.TimeoutMs) * time.Millisecond})
 	}
 	return server.Platform{Table: client(p.Table), Objects: client(p.Objects).Objects(), Hosts: client(p.Hosts), Weights: client(p.Weights)}
 }
--- a/node/callerapi/api.go
+++ b/node/callerapi/api.go
@@ -87,7 +87,7 @@
 // InForce tells what is in force on this host; *query.ConfigReader implements it.
 type InForce interface {
 	Current() (*query.State, bool)
-	Standing() revision.Freshness
+	Freshness() revision.Freshness
 }
 
 // Deps are what the interface works with.
--- a/node/callerapi/fuzz_test.go
+++ b/node/callerapi/fuzz_test.go
@@ -42,7 +42,7 @@
 }
 
 func (a *alone) Current() (*query.State, bool)                                 { return &query.State{Index: a.index}, true }
-func (*alone) Standing() revision.Freshness                                    { return revision.Confirmed }
+func (*alone) Freshness() revision.Freshness                                   { return revision.Confirmed }
 func (*alone) Admit(context.Context, AdmitRequest) (release func(), err error) { return func() {}, nil }
 func (*alone) Begin(place.Key)                                                 {}
 func (*alone) End(place.Key, bool)                                             {}
--- a/node/callerapi/generate.go
+++ b/node/callerapi/generate.go
@@ -148,7 +148,7 @@
 }
 
 func (a *API) admitted(ctx context.Context, c *call, w *dispatch.Work, e *inflight.Entry, target string) error {
-	if standing := a.deps.Config.Standing(); !standing.Admits(w.Class) {
+	if standing := a.deps.Config.Freshness(); !standing.Admits(w.Class) {
 		return fault.NotRun(fault.StepConfig, "", fault.CodeStoreUnavailable, "this host has not known for long whether its configuration is the newest (%s): it takes urgent requests only", standing).WithRetryAfter(retryNoConfig)
 	}
 	release, err := a.deps.Admission.Admit(ctx, AdmitRequest{Team: w.Team, Class: w.Class, Pool: w.Pool, Deadline: w.Deadline})
--- a/node/claim/batch.go
+++ b/node/claim/batch.go
@@ -73,7 +73,7 @@
 	case r := <-w.result:
 		return r.version, r.err
 	case <-ctx.Done():
-		return 0, store.ErrInDoubt
+		return 0, store.ErrUnconfirmed
 	}
 }
 
@@ -153,7 +153,7 @@
 // Commit implements store.Table.
 func (t slotFreeingTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
 	v, err := t.Table.Commit(ctx, txn)
-	if errors.Is(err, store.ErrInDoubt) {
+	if errors.Is(err, store.ErrUnconfirmed) {
 		t.onInDoubt()
 	}
 	return v, err
--- a/node/claim/range.go
+++ b/node/claim/range.go
@@ -100,7 +100,7 @@
 	case s := <-c.result:
 		return s.seen, s.err
 	case <-ctx.Done():
-		return VersionedRow{}, store.ErrInDoubt
+		return VersionedRow{}, store.ErrUnconfirmed
 	}
 }
 
@@ -148,8 +148,8 @@
 	case errors.Is(err, store.ErrConflict):
 		sendSwapError(batch, store.ErrUnavailable) // another owner wrote the head: nothing took effect
 		return err
-	case errors.Is(err, store.ErrInDoubt):
-		sendSwapError(batch, store.ErrInDoubt)
+	case errors.Is(err, store.ErrUnconfirmed):
+		sendSwapError(batch, store.ErrUnconfirmed)
 		return err
 	default:
 		sendSwapError(batch, err)
--- a/node/claim/records.go
+++ b/node/claim/records.go
@@ -66,7 +66,7 @@
 	current, readErr := r.Read(ctx, key)
 	switch {
 	case readErr != nil:
-		return VersionedRow{}, errors.Join(store.ErrInDoubt, readErr)
+		return VersionedRow{}, errors.Join(store.ErrUnconfirmed, readErr)
 	case row == nil && current.Row == nil:
 		return current, nil
 	case row != nil && current.Row != nil && current.Row.Op == row.Op:
--- a/node/claim/router.go
+++ b/node/claim/router.go
@@ -85,13 +85,13 @@
 	inDoubt := false
 	for {
 		seen, err := router.swapOnce(ctx, key, version, row)
-		inDoubt = inDoubt || errors.Is(err, store.ErrInDoubt)
+		inDoubt = inDoubt || errors.Is(err, store.ErrUnconfirmed)
 		if err == nil || errors.Is(err, store.ErrConflict) || !inDoubt {
 			return seen, err
 		}
 		select {
 		case <-ctx.Done():
-			return VersionedRow{}, store.ErrInDoubt
+			return VersionedRow{}, store.ErrUnconfirmed
 		case <-time.After(wait.NextBackOff()):
 		}
 	}
--- a/node/claim/sim_test.go
+++ b/node/claim/sim_test.go
@@ -48,7 +48,7 @@
 	}
 	if f.f.dropCommits > 0 {
 		f.f.dropCommits--
-		return 0, store.ErrInDoubt
+		return 0, store.ErrUnconfirmed
 	}
 	if f.f.forgetOpIDs {
 		t.Op = ""
@@ -56,7 +56,7 @@
 	v, err := f.Table.Commit(ctx, t)
 	if f.f.loseAnswers > 0 {
 		f.f.loseAnswers--
-		return 0, store.ErrInDoubt
+		return 0, store.ErrUnconfirmed
 	}
 	return v, err
 }
@@ -88,7 +88,7 @@
 		t.Conds = nil
 	}
 	v, err := m.Table.Commit(ctx, t)
-	if !errors.Is(err, store.ErrInDoubt) {
+	if !errors.Is(err, store.ErrUnconfirmed) {
 		return v, err
 	}
 	if m.inDoubtAsSuccess {
--- a/node/claim/store.go
+++ b/node/claim/store.go
@@ -169,7 +169,7 @@
 	if err == nil || errors.Is(err, store.ErrConflict) {
 		return next, nil
 	}
-	if errors.Is(err, store.ErrInDoubt) {
+	if errors.Is(err, store.ErrUnconfirmed) {
 		// The claim may have been written, or may still be. Nothing was
 		// dispatched under it and nothing will be, so the key is released as soon
 		// as the table service answers; the release also makes a claim that is
--- a/node/command/audit.go
+++ b/node/command/audit.go
@@ -51,7 +51,7 @@
 // Run archives until ctx ends.
 func (a *Archiver) Run(ctx context.Context) error {
 	for pace.Sleep(ctx, pace.DefaultRand().Jitter(archiveEvery, 0.1)) {
-		for moved, err := a.Step(ctx); moved || err != nil; moved, err = a.Step(ctx) {
+		for moved, err := a.ArchiveNext(ctx); moved || err != nil; moved, err = a.ArchiveNext(ctx) {
 			if err != nil {
 				a.deps.Log.Emit(event.AuditArchiveFailed, zap.Error(err))
 				break
@@ -61,11 +61,11 @@
 	return ctx.Err()
 }
 
-// Step moves one batch, if this process holds the lease and one is due. The
+// ArchiveNext moves one batch, if this process holds the lease and one is due. The
 // object is written before the rows go, in a write that is conditional on the
 // lease's term: a reader finds each entry in one place or in both, and two
 // archivers cannot move the same batch.
-func (a *Archiver) Step(ctx context.Context) (moved bool, err error) {
+func (a *Archiver) ArchiveNext(ctx context.Context) (moved bool, err error) {
 	term, ok := a.role.Term()
 	if !ok {
 		return false, nil
--- a/node/command/config.go
+++ b/node/command/config.go
@@ -47,16 +47,16 @@
 	return &Configuration{deps: deps}
 }
 
-// Apply is one operator's wish for a new configuration.
-type Apply struct {
+// ApplyRequest is one operator's wish for a new configuration.
+type ApplyRequest struct {
 	Author   string
 	Parent   uint64 // the version that the document was made from; 0: there is none yet
 	Document []byte
 	Preset   string // to be in force with it; "": the one now in force, or the document's first
 }
 
-// UsePreset is one operator's wish for another preset.
-type UsePreset struct {
+// UsePresetRequest is one operator's wish for another preset.
+type UsePresetRequest struct {
 	Author string
 	Parent uint64 // the version that the operator saw; 0: whichever is in force
 	Preset string
@@ -93,7 +93,7 @@
 // one conditional write. Errors are fault.Errors around InvalidError,
 // ConflictError or the platform's own; store.ErrInDoubt means that ctx
 // ended before it was known which.
-func (c *Configuration) Apply(ctx context.Context, a Apply) (revision.Head, error) {
+func (c *Configuration) Apply(ctx context.Context, a ApplyRequest) (revision.Head, error) {
 	cfg, faults := config.Parse(a.Document)
 	if len(faults) > 0 {
 		return revision.Head{}, refuse(fault.CodeBadRequest, &InvalidError{faults})
@@ -123,7 +123,7 @@
 
 // UsePreset puts another preset in force, with its audit entry, in one
 // conditional write. A preset that is in force already is left as it is.
-func (c *Configuration) UsePreset(ctx context.Context, u UsePreset) (revision.Head, error) {
+func (c *Configuration) UsePreset(ctx context.Context, u UsePresetRequest) (revision.Head, error) {
 	cur, err := c.current(ctx)
 	if err != nil {
 		return revision.Head{}, err
@@ -203,7 +203,7 @@
 		if err == nil || errors.Is(err, store.ErrConflict) {
 			return nil
 		}
-		if !errors.Is(err, store.ErrInDoubt) || !pace.Sleep(ctx, putPause) {
+		if !errors.Is(err, store.ErrUnconfirmed) || !pace.Sleep(ctx, putPause) {
 			// The head is untouched, so the change did not run even if this write did.
 			return fault.NotRun(fault.StepObject, "platform", fault.CodeStoreUnavailable, "store the document: %w", err)
 		}
@@ -272,7 +272,7 @@
 // answer was lost.
 func storeError(step fault.Step, err error, format string, args ...any) error {
 	err = eris.Wrapf(err, format, args...)
-	if errors.Is(err, store.ErrInDoubt) {
+	if errors.Is(err, store.ErrUnconfirmed) {
 		return fault.Unknown(step, "platform", fault.CodeOutcomeUnknown, "%w", err)
 	}
 	return fault.NotRun(step, "platform", fault.CodeStoreUnavailable, "%w", err)
--- a/node/operatorapi/api.go
+++ b/node/operatorapi/api.go
@@ -27,8 +27,8 @@
 
 // Changes are the commands; *command.Configuration implements them.
 type Changes interface {
-	Apply(ctx context.Context, a command.Apply) (revision.Head, error)
-	UsePreset(ctx context.Context, u command.UsePreset) (revision.Head, error)
+	Apply(ctx context.Context, a command.ApplyRequest) (revision.Head, error)
+	UsePreset(ctx context.Context, u command.UsePresetRequest) (revision.Head, error)
 }
 
 // Audit reads the trail of changes; *query.AuditReader implements it.
--- a/node/operatorapi/handlers.go
+++ b/node/operatorapi/handlers.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return problemError{http.StatusBadRequest, Problem{Code: "bad_request", Message: "read the document: " + err.Error()}}
 	}
-	head, err := a.deps.Changes.Apply(c.ctx(), command.Apply{Author: c.operator, Parent: parent, Document: doc, Preset: c.QueryParam("preset")})
+	head, err := a.deps.Changes.Apply(c.ctx(), command.ApplyRequest{Author: c.operator, Parent: parent, Document: doc, Preset: c.QueryParam("preset")})
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	head, err := a.deps.Changes.UsePreset(c.ctx(), command.UsePreset{Author: c.operator, Parent: parent, Preset: preset})
+	head, err := a.deps.Changes.UsePreset(c.ctx(), command.UsePresetRequest{Author: c.operator, Parent: parent, Preset: preset})
 	var invalid *command.InvalidError
 	if errors.As(err, &invalid) { // the configuration is in force already: only the preset can be at fault
 		return notFound(fmt.Sprintf("there is no preset %q", preset))
@@ -196,7 +196,7 @@
 		return http.StatusUnprocessableEntity, Problem{Code: "invalid", Message: "the configuration has faults", Faults: invalid.Faults}
 	case errors.As(err, &conflict):
 		return http.StatusConflict, Problem{Code: "conflict", Message: conflict.Error()}
-	case errors.Is(err, store.ErrInDoubt):
+	case errors.Is(err, store.ErrUnconfirmed):
 		return http.StatusBadGateway, Problem{Code: "in_doubt", Outcome: outcome.Unknown.String(),
 			Message: "the store's answer was lost: the change may or may not be in force; look at the status before trying again"}
 	case errors.As(err, &coded):
--- a/node/peer/claims.go
+++ b/node/peer/claims.go
@@ -38,7 +38,7 @@
 	case err == nil:
 	case errors.Is(err, store.ErrConflict):
 		a.Problem = peerpb.ClaimAnswer_CONFLICT
-	case errors.Is(err, store.ErrInDoubt):
+	case errors.Is(err, store.ErrUnconfirmed):
 		a.Problem = peerpb.ClaimAnswer_IN_DOUBT
 	default:
 		a.Problem = peerpb.ClaimAnswer_UNAVAILABLE
@@ -54,7 +54,7 @@
 var claimProblems = map[peerpb.ClaimAnswer_Problem]error{
 	peerpb.ClaimAnswer_CONFLICT:    store.ErrConflict,
 	peerpb.ClaimAnswer_UNAVAILABLE: store.ErrUnavailable,
-	peerpb.ClaimAnswer_IN_DOUBT:    store.ErrInDoubt,
+	peerpb.ClaimAnswer_IN_DOUBT:    store.ErrUnconfirmed,
 }
 
 // ReadClaim reads a claim through another host.
@@ -94,7 +94,7 @@
 		return json.Unmarshal(a.Row, seen.Row)
 	})
 	if err != nil {
-		return claim.VersionedRow{}, errors.Join(store.ErrInDoubt, err)
+		return claim.VersionedRow{}, errors.Join(store.ErrUnconfirmed, err)
 	}
 	return seen, told
 }
--- a/node/peer/config.go
+++ b/node/peer/config.go
@@ -68,7 +68,7 @@
 		}
 		m.fetchLater(l, w.Version)
 	case w.Confirmed:
-		m.deps.Config.PeerConfirms(w.Version, time.Duration(w.ConfirmedAgeMs)*time.Millisecond)
+		m.deps.Config.ConfirmByPeer(w.Version, time.Duration(w.ConfirmedAgeMs)*time.Millisecond)
 	}
 }
 
--- a/node/planner/ledger.go
+++ b/node/planner/ledger.go
@@ -133,7 +133,7 @@
 		switch {
 		case err == nil:
 			cached.row, cached.version = c.next, version
-		case errors.Is(err, store.ErrInDoubt) || errors.Is(err, store.ErrConflict):
+		case errors.Is(err, store.ErrUnconfirmed) || errors.Is(err, store.ErrConflict):
 			cached.needsRead = true
 		}
 	}
--- a/node/planner/orders.go
+++ b/node/planner/orders.go
@@ -101,7 +101,7 @@
 func (p *Planner) requestLoadGrant(ctx context.Context, o reservedOrder) bool {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	wait, err := p.deps.Weights.Grant(ctx, toOrder(o).LoadName())
+	wait, err := p.deps.Weights.AcquireLoad(ctx, toOrder(o).LoadName())
 	if err != nil || wait > 0 {
 		return false
 	}
@@ -119,7 +119,7 @@
 		if cached == nil || cached.needsRead || cached.row.MayStillLoad(op, o.charge.Artifact) {
 			continue
 		}
-		if p.deps.Weights.Done(ctx, toOrder(o).LoadName()) == nil {
+		if p.deps.Weights.ReleaseLoad(ctx, toOrder(o).LoadName()) == nil {
 			delete(p.loadGrants, op)
 		}
 	}
--- a/node/planner/reports.go
+++ b/node/planner/reports.go
@@ -85,7 +85,7 @@
 		s.sequence = o.Report.Sequence
 		s.reportCount++
 	}
-	s.draining = s.draining || o.Report.Leaving // never undone within an incarnation
+	s.draining = s.draining || o.Report.Draining // never undone within an incarnation
 	s.down = o.Down
 	p.upstreams[o.Report.Upstream] = s
 }
--- a/node/planner/world_test.go
+++ b/node/planner/world_test.go
@@ -63,7 +63,7 @@
 
 func (e *testEngine) report() engineapi.Report {
 	e.sequence++
-	r := engineapi.Report{Upstream: e.name, Incarnation: e.id(), Sequence: e.sequence, Epoch: e.epoch, UsedMB: e.used(), Leaving: e.draining}
+	r := engineapi.Report{Upstream: e.name, Incarnation: e.id(), Sequence: e.sequence, Epoch: e.epoch, UsedMB: e.used(), Draining: e.draining}
 	for t, mb := range e.residents {
 		r.Residents = append(r.Residents, engineapi.Resident{Model: t.Model, Adapter: t.Adapter, Version: t.Version, State: engineapi.StateReady, MemoryMB: mb})
 	}
@@ -86,7 +86,7 @@
 	t.commits++
 	if t.lostAnswers > 0 {
 		t.lostAnswers--
-		return 0, store.ErrInDoubt
+		return 0, store.ErrUnconfirmed
 	}
 	return v, err
 }
@@ -167,9 +167,11 @@
 	}
 }
 
-func (w *testWorld) Grant(context.Context, string) (time.Duration, error) { return w.grantWait, nil }
-func (w *testWorld) Done(context.Context, string) error                   { return nil }
-func (w *testWorld) View() View                                           { return w.view }
+func (w *testWorld) AcquireLoad(context.Context, string) (time.Duration, error) {
+	return w.grantWait, nil
+}
+func (w *testWorld) ReleaseLoad(context.Context, string) error { return nil }
+func (w *testWorld) View() View                                { return w.view }
 
 func (w *testWorld) Reports() []ObservedReport {
 	var out []ObservedReport
--- a/node/query/config.go
+++ b/node/query/config.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	// DefaultPoll is the safety net below the peers' push: with its jitter a
+	// DefaultPollInterval is the safety net below the peers' push: with its jitter a
 	// missed push costs at most 5 s of the 16 s, and 420 hosts take 105 of the
 	// table's 2,000 reads a second.
-	DefaultPoll = 4 * time.Second
-	pollJitter  = 0.25            // share
-	callTimeout = 3 * time.Second // of one poll, the document included
+	DefaultPollInterval = 4 * time.Second
+	pollJitter          = 0.25            // share
+	callTimeout         = 3 * time.Second // of one poll, the document included
 )
 
 // State is what is in force on this host, as one immutable value: a request
@@ -69,7 +69,7 @@
 // NewConfigReader makes a reader that polls about every poll (0: DefaultPoll).
 func NewConfigReader(poll time.Duration, deps Deps) *ConfigReader {
 	if poll == 0 {
-		poll = DefaultPoll
+		poll = DefaultPollInterval
 	}
 	if deps.Now == nil {
 		deps.Now = time.Now
--- a/node/query/config_test.go
+++ b/node/query/config_test.go
@@ -55,14 +55,14 @@
 
 func (s *site) apply(t testing.TB, parent uint64, doc []byte) revision.Head {
 	t.Helper()
-	h, err := s.config.Apply(t.Context(), command.Apply{Author: "asha", Parent: parent, Document: doc})
+	h, err := s.config.Apply(t.Context(), command.ApplyRequest{Author: "asha", Parent: parent, Document: doc})
 	assert.NilError(t, err)
 	return h
 }
 
 func (s *site) use(t testing.TB, preset string) revision.Head {
 	t.Helper()
-	h, err := s.config.UsePreset(t.Context(), command.UsePreset{Author: "bina", Preset: preset})
+	h, err := s.config.UsePreset(t.Context(), command.UsePresetRequest{Author: "bina", Preset: preset})
 	assert.NilError(t, err)
 	return h
 }
@@ -77,7 +77,7 @@
 
 func TestApplyAndPresetTakeEffectWithTheirAuditEntry(t *testing.T) {
 	s := newSite(t)
-	_, err := s.config.UsePreset(t.Context(), command.UsePreset{Author: "bina", Preset: "peak"})
+	_, err := s.config.UsePreset(t.Context(), command.UsePresetRequest{Author: "bina", Preset: "peak"})
 	assert.ErrorContains(t, err, "apply one first")
 	s.apply(t, 0, s.doc)
 	s.use(t, "peak")
@@ -88,12 +88,12 @@
 	assert.Equal(t, h.Preset, "peak", "a new configuration keeps the preset in force")
 
 	var conflict *command.ConflictError
-	_, err = s.config.Apply(t.Context(), command.Apply{Author: "late", Parent: 2, Document: s.doc})
+	_, err = s.config.Apply(t.Context(), command.ApplyRequest{Author: "late", Parent: 2, Document: s.doc})
 	assert.Assert(t, errors.As(err, &conflict))
 	assert.Equal(t, conflict.Current.Author, "asha")
 	assert.Equal(t, fault.From(fault.StepConfig, err).Outcome, outcome.NotRun)
 	var invalid *command.InvalidError
-	_, err = s.config.Apply(t.Context(), command.Apply{Parent: 3, Document: s.changed(`"name": "peak"`, `"name": "rush"`)})
+	_, err = s.config.Apply(t.Context(), command.ApplyRequest{Parent: 3, Document: s.changed(`"name": "peak"`, `"name": "rush"`)})
 	assert.Assert(t, errors.As(err, &invalid), "the preset in force must exist")
 
 	page, err := query.NewAuditReader(query.Deps{Table: s.table, Objects: s.objects}).Page(t.Context(), 0, 10)
@@ -140,7 +140,7 @@
 					for parent := uint64(1); parent < 8; parent++ {
 						called := int64(time.Since(start))
 						preset := []string{"ordinary", "peak", "maintenance"}[(int(parent)+op)%3]
-						h, err := s.config.UsePreset(context.Background(), command.UsePreset{Author: fmt.Sprint(op), Parent: parent, Preset: preset})
+						h, err := s.config.UsePreset(context.Background(), command.UsePresetRequest{Author: fmt.Sprint(op), Parent: parent, Preset: preset})
 						var conflict *command.ConflictError
 						if err != nil && !errors.As(err, &conflict) || err == nil && h.Version == parent {
 							continue // in force already, or the table refused: no swap
@@ -247,31 +247,31 @@
 		assert.Assert(t, next.Index == state.Index, "the same document keeps its index")
 		assert.Equal(t, state.Preset.Name, "ordinary", "a state never changes")
 		time.Sleep(time.Second)
-		assert.Equal(t, r.Standing(), revision.Confirmed)
+		assert.Equal(t, r.Freshness(), revision.Confirmed)
 
 		s.table.Faults.Update(func(f *standin.Settings) { f.Outage = true })
 		time.Sleep(10 * time.Minute)
-		assert.Equal(t, r.Standing(), revision.Unconfirmed)
-		assert.Assert(t, r.Standing().Admits(class.Bulk))
+		assert.Equal(t, r.Freshness(), revision.Unconfirmed)
+		assert.Assert(t, r.Freshness().Admits(class.Bulk))
 
 		replaced := s.reader() // a new host: no table, but a peer
 		_, data, _ := r.Snapshot(true)
 		assert.NilError(t, replaced.Offer(next.Version, data))
 		version, age, ok := r.Confirmation()
 		assert.Assert(t, ok)
-		replaced.PeerConfirms(version, age)
-		assert.Equal(t, replaced.Standing(), revision.Unconfirmed)
-		replaced.PeerConfirms(version-1, 0)
-		assert.Equal(t, replaced.Standing(), revision.Unconfirmed, "a word on an older version confirms nothing")
+		replaced.ConfirmByPeer(version, age)
+		assert.Equal(t, replaced.Freshness(), revision.Unconfirmed)
+		replaced.ConfirmByPeer(version-1, 0)
+		assert.Equal(t, replaced.Freshness(), revision.Unconfirmed, "a word on an older version confirms nothing")
 
 		time.Sleep(6 * time.Minute)
-		assert.Assert(t, !r.Standing().Admits(class.Standard))
-		assert.Assert(t, r.Standing().Admits(class.Urgent))
-		r.PeerConfirms(version, time.Second) // a peer reached the table
-		assert.Equal(t, r.Standing(), revision.Confirmed)
+		assert.Assert(t, !r.Freshness().Admits(class.Standard))
+		assert.Assert(t, r.Freshness().Admits(class.Urgent))
+		r.ConfirmByPeer(version, time.Second) // a peer reached the table
+		assert.Equal(t, r.Freshness(), revision.Confirmed)
 		s.table.Faults.Update(func(f *standin.Settings) { f.Outage = false })
 		time.Sleep(time.Minute)
-		assert.Equal(t, r.Standing(), revision.Confirmed)
+		assert.Equal(t, r.Freshness(), revision.Confirmed)
 		stop()
 		synctest.Wait()
 	})
@@ -280,21 +280,21 @@
 // Symptom: an operator is told that a change is in force everywhere while a
 // host still has the old one. Sequence: a word comes late, a host restarts.
 func TestWaitingNamesHostsWithoutTheVersion(t *testing.T) {
-	c := query.NewConfirmations(nil)
+	c := query.NewVersionTracker(nil)
 	listed := []store.Host{{Name: "a", Role: store.RoleEntry, State: store.HostLive},
 		{Name: "b", Role: store.RoleEntry, State: store.HostLive},
-		{Name: "c", Role: store.RoleEntry, State: store.HostLeaving}, {Name: "u", Role: store.RoleUpstream, State: store.HostLive}}
-	c.Report("a", 5)
-	c.Report("a", 4)
-	c.Report("b", 4)
-	waiting := c.Waiting(5, listed)
+		{Name: "c", Role: store.RoleEntry, State: store.HostDraining}, {Name: "u", Role: store.RoleUpstream, State: store.HostLive}}
+	c.Record("a", 5)
+	c.Record("a", 4)
+	c.Record("b", 4)
+	waiting := c.HostsBelow(5, listed)
 	assert.Equal(t, len(waiting), 1)
 	assert.Equal(t, waiting[0].Host, "b")
 	assert.Equal(t, waiting[0].Version, uint64(4))
-	c.Report("b", 5)
-	assert.Equal(t, len(c.Waiting(5, listed)), 0)
+	c.Record("b", 5)
+	assert.Equal(t, len(c.HostsBelow(5, listed)), 0)
 	c.Forget("a")
-	assert.Equal(t, c.Waiting(5, listed)[0].Host, "a")
+	assert.Equal(t, c.HostsBelow(5, listed)[0].Host, "a")
 }
 
 // Symptom: audit entries are missing or twice. Sequence: an archiver moves
@@ -311,7 +311,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		role := lease.New(lease.Config{Name: command.AuditLease}, lease.Deps{Table: s.table})
 		archiver := command.NewArchiver(command.Deps{Table: s.table, Objects: s.objects}, role)
-		moved, err := archiver.Step(ctx)
+		moved, err := archiver.ArchiveNext(ctx)
 		assert.Assert(t, err == nil && !moved, "without the lease nothing moves")
 		var wg sync.WaitGroup
 		wg.Go(func() { _ = role.Run(ctx) })
@@ -331,7 +331,7 @@
 				break
 			}
 			before = page[len(page)-1].Version
-			_, err = archiver.Step(ctx)
+			_, err = archiver.ArchiveNext(ctx)
 			assert.NilError(t, err)
 		}
 		assert.Equal(t, seen, versions)
--- a/node/query/confirm.go
+++ b/node/query/confirm.go
@@ -27,10 +27,10 @@
 	}
 }
 
-// PeerConfirms takes a peer's word that the table showed version as the
+// ConfirmByPeer takes a peer's word that the table showed version as the
 // newest age ago. It keeps a host that cannot reach the table itself from
 // counting as out of date, and tells it when it is.
-func (r *ConfigReader) PeerConfirms(version uint64, age time.Duration) {
+func (r *ConfigReader) ConfirmByPeer(version uint64, age time.Duration) {
 	if s, ok := r.Current(); !ok || s.Version < version {
 		r.PollSoon()
 		return
@@ -51,9 +51,9 @@
 	return s.Version, r.deps.Now().Sub(r.confirmed), true
 }
 
-// Standing says how far this host may rely on its version: callers ask it
+// Freshness says how far this host may rely on its version: callers ask it
 // before they admit a request.
-func (r *ConfigReader) Standing() revision.Freshness {
+func (r *ConfigReader) Freshness() revision.Freshness {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return revision.FreshnessAt(r.confirmed, r.deps.Now())
@@ -61,7 +61,7 @@
 
 // noteStanding logs a change of standing once.
 func (r *ConfigReader) noteStanding() {
-	now := r.Standing()
+	now := r.Freshness()
 	r.mu.Lock()
 	was := r.standing
 	r.standing = now
@@ -75,9 +75,9 @@
 	}
 }
 
-// Confirmations keeps what other hosts said of the version they have in
+// VersionTracker keeps what other hosts said of the version they have in
 // force, for an operator who waits for a change to be in force everywhere.
-type Confirmations struct {
+type VersionTracker struct {
 	now func() time.Time
 
 	mu    sync.Mutex
@@ -91,17 +91,17 @@
 	At      time.Time `json:"at"` // when the word came in
 }
 
-// NewConfirmations makes an empty record; now may be nil.
-func NewConfirmations(now func() time.Time) *Confirmations {
+// NewVersionTracker makes an empty record; now may be nil.
+func NewVersionTracker(now func() time.Time) *VersionTracker {
 	if now == nil {
 		now = time.Now
 	}
-	return &Confirmations{now: now, hosts: map[string]HostVersion{}}
+	return &VersionTracker{now: now, hosts: map[string]HostVersion{}}
 }
 
-// Report takes a host's word, from its heartbeat or an answer. A late or
+// Record takes a host's word, from its heartbeat or an answer. A late or
 // repeated word with a lower version changes nothing.
-func (c *Confirmations) Report(host string, version uint64) {
+func (c *VersionTracker) Record(host string, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.hosts[host].Version <= version {
@@ -111,16 +111,16 @@
 
 // Forget drops a host that restarted, so that the word of its former process
 // does not count for the new one.
-func (c *Confirmations) Forget(host string) {
+func (c *VersionTracker) Forget(host string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.hosts, host)
 }
 
-// Waiting returns the listed live entry hosts which have not confirmed a
+// HostsBelow returns the listed live entry hosts which have not confirmed a
 // version, with the one they last had (0: unknown). A change is accepted
 // everywhere when none is left.
-func (c *Confirmations) Waiting(version uint64, listed []store.Host) []HostVersion {
+func (c *VersionTracker) HostsBelow(version uint64, listed []store.Host) []HostVersion {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []HostVersion
--- a/node/server/status.go
+++ b/node/server/status.go
@@ -18,14 +18,14 @@
 func (s *Server) Status() operatorapi.Status {
 	phase := s.phase.Load()
 	out := operatorapi.Status{Host: s.cfg.Settings.Host, DataCentre: s.cfg.Settings.DataCentre, Incarnation: s.incarnation,
-		Ready: phase == phaseReady, Draining: phase == phaseDraining, Standing: s.config.Standing().String(),
+		Ready: phase == phaseReady, Draining: phase == phaseDraining, Standing: s.config.Freshness().String(),
 		InFlight: s.requests.LiveCount(), Unsettled: s.claims.unsettled(), UptimeSeconds: time.Since(s.started).Seconds()}
 	if st, ok := s.config.Current(); ok {
 		out.Version, out.Preset = st.Version, st.Preset.Name
 	}
 	snap := s.view.Snapshot()
 	out.Leases = s.leaseStatus()
-	hosts, linked := s.mesh.All()
+	hosts, linked := s.mesh.AllHosts()
 	for _, h := range hosts {
 		out.Peers = append(out.Peers, operatorapi.Peer{Host: h.Name, DataCentre: h.DataCentre, Incarnation: h.Process,
 			State: h.State.String(), Linked: linked[h.Name]})
@@ -53,17 +53,17 @@
 // Everywhere implements operatorapi.Site.
 func (s *Server) Everywhere(ctx context.Context) (operatorapi.Everywhere, error) {
 	out := operatorapi.Everywhere{Version: s.version(), Hosts: []query.HostVersion{}}
-	heard := query.NewConfirmations(nil)
-	versions := s.mesh.Versions(ctx)
+	heard := query.NewVersionTracker(nil)
+	versions := s.mesh.ConfigVersions(ctx)
 	for host, version := range versions {
 		if version == 0 {
 			continue
 		}
-		heard.Report(host, version)
+		heard.Record(host, version)
 		out.Hosts = append(out.Hosts, query.HostVersion{Host: host, Version: version, At: time.Now()})
 	}
 	sort.Slice(out.Hosts, func(i, j int) bool { return out.Hosts[i].Host < out.Hosts[j].Host })
-	out.Waiting = heard.Waiting(out.Version, expected(s.mesh.Listed(), versions))
+	out.Waiting = heard.HostsBelow(out.Version, expected(s.mesh.ListedHosts(), versions))
 	return out, nil
 }
 
--- a/node/server/status_test.go
+++ b/node/server/status_test.go
@@ -16,15 +16,15 @@
 // Cause: only listed hosts were waited for.
 func TestAHostThatTheListLacksIsWaitedFor(t *testing.T) {
 	listed := []store.Host{{Name: "a", Role: store.RoleEntry, State: store.HostLive},
-		{Name: "gone", Role: store.RoleEntry, State: store.HostLeaving},
+		{Name: "gone", Role: store.RoleEntry, State: store.HostDraining},
 		{Name: "engine", Role: store.RoleUpstream, State: store.HostLive}}
 	versions := map[string]uint64{"a": 2, "new": 1, "silent": 0}
-	heard := query.NewConfirmations(nil)
+	heard := query.NewVersionTracker(nil)
 	for host, v := range versions {
-		heard.Report(host, v)
+		heard.Record(host, v)
 	}
 	var waiting []string
-	for _, h := range heard.Waiting(2, expected(listed, versions)) {
+	for _, h := range heard.HostsBelow(2, expected(listed, versions)) {
 		waiting = append(waiting, h.Host)
 	}
 	assert.DeepEqual(t, waiting, []string{"new", "silent"})
--- a/node/store/resolve.go
+++ b/node/store/resolve.go
@@ -29,7 +29,7 @@
 		switch {
 		case err == nil || errors.Is(err, ErrConflict):
 			return v, err
-		case errors.Is(err, ErrInDoubt):
+		case errors.Is(err, ErrUnconfirmed):
 			inDoubt = true
 		case !inDoubt:
 			return v, err // refused at once: nothing took effect
@@ -39,7 +39,7 @@
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			return 0, errors.Join(ErrInDoubt, ctx.Err())
+			return 0, errors.Join(ErrUnconfirmed, ctx.Err())
 		case <-timer.C:
 		}
 	}
--- a/node/store/rest/client.go
+++ b/node/store/rest/client.go
@@ -27,7 +27,7 @@
 
 // Config addresses one service or all of them.
 type Config struct {
-	Base    string        // "http://IP:port" or "https://IP:port"
+	BaseURL string        // "http://IP:port" or "https://IP:port"
 	Timeout time.Duration // of one call; 0: two seconds
 	TLS     *tls.Config   // for https; nil: the system's roots
 }
@@ -54,7 +54,7 @@
 	}
 	tr := &http.Transport{MaxIdleConnsPerHost: idleConns, IdleConnTimeout: idleTimeout,
 		TLSClientConfig: cfg.TLS}
-	return &Client{base: cfg.Base, timeout: cfg.Timeout, http: &http.Client{Transport: tr,
+	return &Client{base: cfg.BaseURL, timeout: cfg.Timeout, http: &http.Client{Transport: tr,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
@@ -64,7 +64,7 @@
 // Commit implements store.Table.
 func (c *Client) Commit(ctx context.Context, t store.Txn) (uint64, error) {
 	var a CommitAnswer
-	err := c.post(ctx, PathCommit, store.ErrInDoubt, t, &a)
+	err := c.post(ctx, PathCommit, store.ErrUnconfirmed, t, &a)
 	return a.Version, err
 }
 
@@ -89,16 +89,16 @@
 	return a.Hosts, err
 }
 
-// Grant implements store.Weights.
-func (c *Client) Grant(ctx context.Context, load string) (time.Duration, error) {
+// AcquireLoad implements store.Weights.
+func (c *Client) AcquireLoad(ctx context.Context, load string) (time.Duration, error) {
 	var a Grant
-	err := c.post(ctx, PathGrant, store.ErrInDoubt, LoadRequest{Load: load}, &a)
+	err := c.post(ctx, PathGrant, store.ErrUnconfirmed, LoadRequest{Load: load}, &a)
 	return time.Duration(a.WaitMs) * time.Millisecond, err
 }
 
-// Done implements store.Weights.
-func (c *Client) Done(ctx context.Context, load string) error {
-	return c.post(ctx, PathDone, store.ErrInDoubt, LoadRequest{Load: load}, &struct{}{})
+// ReleaseLoad implements store.Weights.
+func (c *Client) ReleaseLoad(ctx context.Context, load string) error {
+	return c.post(ctx, PathDone, store.ErrUnconfirmed, LoadRequest{Load: load}, &struct{}{})
 }
 
 // Objects is the object store of a client.
@@ -109,7 +109,7 @@
 
 // Put implements store.Objects.
 func (o Objects) Put(ctx context.Context, name string, data []byte) error {
-	r := request{method: http.MethodPut, path: PathObject + url.PathEscape(name), body: data, lost: store.ErrInDoubt}
+	r := request{method: http.MethodPut, path: PathObject + url.PathEscape(name), body: data, lost: store.ErrUnconfirmed}
 	return o.c.call(ctx, r, decode(&struct{}{}))
 }
 
--- a/node/store/store.go
+++ b/node/store/store.go
@@ -18,7 +18,7 @@
 	ErrUnavailable = errors.New("platform service unavailable")
 	// ErrInDoubt: the answer was lost; the call may or may not have taken effect.
 	// Resolve it by Resolve, never by assuming failure.
-	ErrInDoubt = errors.New("platform answer lost, effect unknown")
+	ErrUnconfirmed = errors.New("platform answer lost, effect unknown")
 	// ErrConflict: a condition did not hold; nothing took effect.
 	ErrConflict = errors.New("condition does not hold")
 	// ErrNotFound: no such object.
@@ -60,8 +60,8 @@
 	Writes []Write
 }
 
-// OpMemory is how long the table service remembers operation ids at least.
-const OpMemory = 10 * time.Minute
+// OpRetention is how long the table service remembers operation ids at least.
+const OpRetention = 10 * time.Minute
 
 // Table is the transactional table service. Every commit counts as one write
 // and every Get or List as one read against the platform's limits.
@@ -90,8 +90,8 @@
 
 // The states of a host in the platform's list.
 const (
-	HostLive    HostState = "live"
-	HostLeaving HostState = "leaving"
+	HostLive     HostState = "live"
+	HostDraining HostState = "leaving"
 )
 
 // The roles of hosts.
@@ -121,16 +121,16 @@
 	// when a limit is reached (0: granted). The load's name must be unique to
 	// one load ("model#order"): granting it again while it is open takes no
 	// second place, so a lost answer is settled by asking again.
-	Grant(ctx context.Context, load string) (wait time.Duration, err error)
+	AcquireLoad(ctx context.Context, load string) (wait time.Duration, err error)
 	// Done gives the place of a load back, whether it succeeded or not. It is
 	// idempotent. A holder that dies never says so: a grant therefore lapses
 	// after GrantMemory, or the places would leak until no load could start.
-	Done(ctx context.Context, load string) error
+	ReleaseLoad(ctx context.Context, load string) error
 }
 
-// GrantMemory is how long the weight store holds a place for a load at most;
+// GrantTTL is how long the weight store holds a place for a load at most;
 // far above the minutes that the largest model takes at the slowest rate.
-const GrantMemory = 10 * time.Minute
+const GrantTTL = 10 * time.Minute
 
 // ErrHistoryLost: the changes asked for are no longer kept; read the table whole.
 var ErrHistoryLost = errors.New("history of changes is no longer kept")
--- a/node/store/storetest/storetest.go
+++ b/node/store/storetest/storetest.go
@@ -14,25 +14,25 @@
 	"peridotpier.example/node/store"
 )
 
-// Bench is one fresh, empty set of services with switches for their faults.
-type Bench struct {
+// Fixture is one fresh, empty set of services with switches for their faults.
+type Fixture struct {
 	Table   store.Table
 	Objects store.Objects
 	Hosts   store.Hosts
 	Weights store.Weights // must allow two loads at once, and starts at any rate
 
-	Want         []store.Host // what Hosts must answer
-	Outage       func(on bool)
+	WantHosts    []store.Host // what Hosts must answer
+	SetOutage    func(on bool)
 	LoseAnswers  func(on bool) // writes take effect but their answers are lost
 	LoseRequests func(on bool) // writes are lost on the way
-	Limit        func(on bool) // every write is over the limit
+	SetLimited   func(on bool) // every write is over the limit
 }
 
 // Run runs the suite on benches that make builds.
-func Run(t *testing.T, make func(t *testing.T) Bench) {
+func Run(t *testing.T, make func(t *testing.T) Fixture) {
 	for _, c := range []struct {
 		name string
-		test func(*testing.T, Bench)
+		test func(*testing.T, Fixture)
 	}{
 		{"same operation has one effect and one answer", oneEffect},
 		{"conditions", conditions},
@@ -54,7 +54,7 @@
 	return store.Txn{Op: op, Conds: conds, Writes: []store.Write{{Key: key, Value: []byte(value)}}}
 }
 
-func value(t *testing.T, b Bench, key string) string {
+func value(t *testing.T, b Fixture, key string) string {
 	t.Helper()
 	rows, err := b.Table.Get(t.Context(), key)
 	assert.NilError(t, err)
@@ -64,7 +64,7 @@
 	return string(rows[0].Value)
 }
 
-func oneEffect(t *testing.T, b Bench) {
+func oneEffect(t *testing.T, b Fixture) {
 	first, err := b.Table.Commit(t.Context(), put("op1", "k", "1"))
 	assert.NilError(t, err)
 	_, err = b.Table.Commit(t.Context(), put("op2", "k", "2"))
@@ -83,7 +83,7 @@
 	assert.ErrorIs(t, err, store.ErrConflict)
 }
 
-func conditions(t *testing.T, b Bench) {
+func conditions(t *testing.T, b Fixture) {
 	absent := store.Cond{Key: "k", Version: store.Absent}
 	v, err := b.Table.Commit(t.Context(), put("a", "k", "1", absent))
 	assert.NilError(t, err)
@@ -96,7 +96,7 @@
 	assert.Equal(t, value(t, b, "k"), "2")
 }
 
-func whole(t *testing.T, b Bench) {
+func whole(t *testing.T, b Fixture) {
 	two := store.Txn{Op: "a", Conds: []store.Cond{{Key: "x"}, {Key: "y"}},
 		Writes: []store.Write{{Key: "x", Value: []byte("1")}, {Key: "y", Value: []byte("1")}}}
 	v, err := b.Table.Commit(t.Context(), two)
@@ -114,7 +114,7 @@
 	assert.Equal(t, value(t, b, "x"), "1")
 }
 
-func versions(t *testing.T, b Bench) {
+func versions(t *testing.T, b Fixture) {
 	seen := map[uint64]bool{}
 	for i := range 5 {
 		v, err := b.Table.Commit(t.Context(), put(fmt.Sprint("put", i), "k", "1"))
@@ -127,7 +127,7 @@
 	}
 }
 
-func pages(t *testing.T, b Bench) {
+func pages(t *testing.T, b Fixture) {
 	for _, k := range []string{"q/1", "p/3", "p/1", "p", "p/2", "o/9"} {
 		_, err := b.Table.Commit(t.Context(), put(k, k, k))
 		assert.NilError(t, err)
@@ -150,11 +150,11 @@
 
 // resolveAfter commits txn while a fault is on and clears the fault once the
 // commit is in doubt.
-func resolveAfter(t *testing.T, b Bench, fault func(bool), txn store.Txn) {
+func resolveAfter(t *testing.T, b Fixture, fault func(bool), txn store.Txn) {
 	t.Helper()
 	fault(true)
 	_, err := b.Table.Commit(t.Context(), txn)
-	assert.ErrorIs(t, err, store.ErrInDoubt)
+	assert.ErrorIs(t, err, store.ErrUnconfirmed)
 	fault(false)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
@@ -165,35 +165,35 @@
 // Symptom: a claim is refused to its own owner. Sequence: the write takes
 // effect, its answer is lost, the retry meets its own row. Cause: the retry
 // counted as a new operation.
-func lostAnswer(t *testing.T, b Bench) {
+func lostAnswer(t *testing.T, b Fixture) {
 	resolveAfter(t, b, b.LoseAnswers, put("a", "k", "1", store.Cond{Key: "k", Version: store.Absent}))
 	assert.Equal(t, value(t, b, "k"), "1")
 }
 
 // Symptom: a write that was reported in doubt is taken for done and is not
 // there. Sequence: the request is lost on the way. Cause: no second try.
-func lostRequest(t *testing.T, b Bench) {
+func lostRequest(t *testing.T, b Fixture) {
 	resolveAfter(t, b, b.LoseRequests, put("a", "k", "1", store.Cond{Key: "k", Version: store.Absent}))
 	assert.Equal(t, value(t, b, "k"), "1")
 }
 
-func refusals(t *testing.T, b Bench) {
-	b.Outage(true)
+func refusals(t *testing.T, b Fixture) {
+	b.SetOutage(true)
 	_, err := b.Table.Commit(t.Context(), put("a", "k", "1"))
 	assert.ErrorIs(t, err, store.ErrUnavailable)
 	_, err = b.Table.Get(t.Context(), "k")
 	assert.ErrorIs(t, err, store.ErrUnavailable)
 	_, err = b.Objects.Get(t.Context(), "k")
 	assert.ErrorIs(t, err, store.ErrUnavailable)
-	b.Outage(false)
-	b.Limit(true)
+	b.SetOutage(false)
+	b.SetLimited(true)
 	_, err = b.Table.Commit(t.Context(), put("b", "k", "1"))
 	assert.ErrorIs(t, err, store.ErrLimited)
-	b.Limit(false)
+	b.SetLimited(false)
 	assert.Equal(t, value(t, b, "k"), "")
 }
 
-func objects(t *testing.T, b Bench) {
+func objects(t *testing.T, b Fixture) {
 	name := "audit/2026 a%2Fb/1"
 	assert.NilError(t, b.Objects.Put(t.Context(), name, []byte("data")))
 	assert.NilError(t, b.Objects.Put(t.Context(), name, []byte("data")))
@@ -205,7 +205,7 @@
 	assert.ErrorIs(t, err, store.ErrNotFound)
 	b.LoseAnswers(true)
 	err = b.Objects.Put(t.Context(), "b", nil)
-	assert.Assert(t, errors.Is(err, store.ErrInDoubt))
+	assert.Assert(t, errors.Is(err, store.ErrUnconfirmed))
 	b.LoseAnswers(false)
 	assert.NilError(t, b.Objects.Put(t.Context(), "b", nil))
 	names, err := b.Objects.List(t.Context(), "a", "", 10)
@@ -213,15 +213,15 @@
 	assert.DeepEqual(t, names, []string{name})
 }
 
-func hosts(t *testing.T, b Bench) {
+func hosts(t *testing.T, b Fixture) {
 	got, err := b.Hosts.Hosts(t.Context())
 	assert.NilError(t, err)
-	assert.DeepEqual(t, got, b.Want)
+	assert.DeepEqual(t, got, b.WantHosts)
 }
 
-func weights(t *testing.T, b Bench) {
+func weights(t *testing.T, b Fixture) {
 	granted := func(load string) bool {
-		wait, err := b.Weights.Grant(t.Context(), load)
+		wait, err := b.Weights.AcquireLoad(t.Context(), load)
 		assert.NilError(t, err)
 		return wait == 0
 	}
@@ -229,7 +229,7 @@
 	assert.Assert(t, granted("m#1"), "the same load takes no second place")
 	assert.Assert(t, granted("m#2"))
 	assert.Assert(t, !granted("m#3"))
-	assert.NilError(t, b.Weights.Done(t.Context(), "m#1"))
-	assert.NilError(t, b.Weights.Done(t.Context(), "m#1"))
+	assert.NilError(t, b.Weights.ReleaseLoad(t.Context(), "m#1"))
+	assert.NilError(t, b.Weights.ReleaseLoad(t.Context(), "m#1"))
 	assert.Assert(t, granted("m#3"))
 }
--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -23,9 +23,9 @@
 // Weights is the weight store's admission, as node/store describes it.
 type Weights interface {
 	// Grant asks for a place for a load; it answers how long to wait, 0: granted.
-	Grant(ctx context.Context, load string) (wait time.Duration, err error)
+	AcquireLoad(ctx context.Context, load string) (wait time.Duration, err error)
 	// Done gives the place back.
-	Done(ctx context.Context, load string) error
+	ReleaseLoad(ctx context.Context, load string) error
 }
 
 // Config describes one engine. The zero value of each field but Name stands
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -100,7 +100,7 @@
 // load waits for the weight store's grant, then for the weights.
 func (e *Engine) load(r *resident, reborn chan struct{}) {
 	if e.cfg.Weights != nil {
-		defer func() { _ = e.cfg.Weights.Done(context.Background(), r.load) }() // when lost, the store's own lapse frees it
+		defer func() { _ = e.cfg.Weights.ReleaseLoad(context.Background(), r.load) }() // when lost, the store's own lapse frees it
 		if !e.awaitGrant(r.load, reborn) {
 			return
 		}
@@ -120,7 +120,7 @@
 
 func (e *Engine) awaitGrant(load string, reborn chan struct{}) bool {
 	for {
-		wait, err := e.cfg.Weights.Grant(e.life, load)
+		wait, err := e.cfg.Weights.AcquireLoad(e.life, load)
 		switch {
 		case err != nil:
 			wait = grantRetry
--- a/standin/engine/orders_test.go
+++ b/standin/engine/orders_test.go
@@ -116,7 +116,7 @@
 // grants lets loads start one at a time, as the weight store does.
 type grants struct{ open string }
 
-func (g *grants) Grant(_ context.Context, load string) (time.Duration, error) {
+func (g *grants) AcquireLoad(_ context.Context, load string) (time.Duration, error) {
 	if g.open != "" && g.open != load {
 		return time.Second, nil
 	}
@@ -124,7 +124,7 @@
 	return 0, nil
 }
 
-func (g *grants) Done(context.Context, string) error { g.open = ""; return nil }
+func (g *grants) ReleaseLoad(context.Context, string) error { g.open = ""; return nil }
 
 func TestLoadTakesItsTimeAfterTheGrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/standin/local/fleet.go
+++ b/standin/local/fleet.go
@@ -282,7 +282,7 @@
 		next = names[1]
 	}
 	return f.timed(ctx, nodes, func() (uint64, error) {
-		head, err := command.NewConfiguration(command.Deps{Table: f.table, Objects: f.objects}).UsePreset(ctx, command.UsePreset{Author: "fleet", Preset: next})
+		head, err := command.NewConfiguration(command.Deps{Table: f.table, Objects: f.objects}).UsePreset(ctx, command.UsePresetRequest{Author: "fleet", Preset: next})
 		return head.Version, err
 	})
 }
--- a/standin/local/fleetrun.go
+++ b/standin/local/fleetrun.go
@@ -83,7 +83,7 @@
 	}
 	st, _ := f.nodes[0].State()
 	t, err := f.timed(ctx, f.live(), func() (uint64, error) {
-		head, err := command.NewConfiguration(command.Deps{Table: f.table, Objects: f.objects}).Apply(ctx, command.Apply{Author: "fleet", Parent: st.Version, Document: doc})
+		head, err := command.NewConfiguration(command.Deps{Table: f.table, Objects: f.objects}).Apply(ctx, command.ApplyRequest{Author: "fleet", Parent: st.Version, Document: doc})
 		return head.Version, err
 	})
 	r.Document = quantiles(t)
--- a/standin/local/gate.go
+++ b/standin/local/gate.go
@@ -116,10 +116,10 @@
 	gate *gate
 }
 
-// Grant implements store.Weights.
-func (w gatedWeights) Grant(ctx context.Context, load string) (time.Duration, error) {
+// AcquireLoad implements store.Weights.
+func (w gatedWeights) AcquireLoad(ctx context.Context, load string) (time.Duration, error) {
 	if err := w.gate.err(); err != nil {
 		return 0, err
 	}
-	return w.Weights.Grant(ctx, load)
+	return w.Weights.AcquireLoad(ctx, load)
 }
--- a/standin/local/node.go
+++ b/standin/local/node.go
@@ -184,7 +184,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = command.NewConfiguration(command.Deps{Table: tb, Objects: objects}).Apply(ctx, command.Apply{Author: "local", Document: doc})
+	_, err = command.NewConfiguration(command.Deps{Table: tb, Objects: objects}).Apply(ctx, command.ApplyRequest{Author: "local", Document: doc})
 	return err
 }
 
--- a/standin/platform/bench_test.go
+++ b/standin/platform/bench_test.go
@@ -74,7 +74,7 @@
 	srv.Listener = l
 	srv.Start()
 	defer srv.Close()
-	c := rest.New(rest.Config{Base: srv.URL})
+	c := rest.New(rest.Config{BaseURL: srv.URL})
 	defer c.Close()
 	polls := 0
 	for b.Loop() {
--- a/standin/platform/objects.go
+++ b/standin/platform/objects.go
@@ -30,11 +30,11 @@
 		return err
 	}
 	if fate == fateLostRequest || fate == fateLateEffect {
-		return store.ErrInDoubt
+		return store.ErrUnconfirmed
 	}
 	err = o.put(name, data)
 	if fate == fateLostAnswer {
-		return store.ErrInDoubt
+		return store.ErrUnconfirmed
 	}
 	return err
 }
--- a/standin/platform/opmemory.go
+++ b/standin/platform/opmemory.go
@@ -31,7 +31,7 @@
 	if op == "" {
 		return
 	}
-	if now := m.now(); m.new == nil || now.Sub(m.since) >= store.OpMemory {
+	if now := m.now(); m.new == nil || now.Sub(m.since) >= store.OpRetention {
 		m.old, m.new, m.since = m.new, map[string]opResult{}, now
 	}
 	m.new[op] = r
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -17,7 +17,7 @@
 
 var listed = []store.Host{{Name: "h1", Address: "127.0.0.1:1", DataCentre: "balaju", Role: "entry", State: store.HostLive}}
 
-func memory(testing.TB) storetest.Bench {
+func memory(testing.TB) storetest.Fixture {
 	f := standin.NewFaults(1, nil)
 	set := func(change func(*standin.Settings, float64)) func(bool) {
 		return func(on bool) {
@@ -31,14 +31,14 @@
 		}
 	}
 	const noneLeft = 1e-9 // writes a second, after the one that the burst allows
-	b := storetest.Bench{
+	b := storetest.Fixture{
 		Table: standin.NewTableWith(f), Objects: standin.NewObjects(f),
-		Hosts: standin.NewHosts(f, listed...), Weights: standin.NewWeights(f, 1e9, 2), Want: listed,
-		Outage:       func(on bool) { f.Update(func(s *standin.Settings) { s.Outage = on }) },
+		Hosts: standin.NewHosts(f, listed...), Weights: standin.NewWeights(f, 1e9, 2), WantHosts: listed,
+		SetOutage:    func(on bool) { f.Update(func(s *standin.Settings) { s.Outage = on }) },
 		LoseAnswers:  set(func(s *standin.Settings, x float64) { s.LostAnswers = x }),
 		LoseRequests: set(func(s *standin.Settings, x float64) { s.LostRequests = x }),
 	}
-	b.Limit = func(on bool) {
+	b.SetLimited = func(on bool) {
 		set(func(s *standin.Settings, x float64) { s.WritesPerSecond = x * noneLeft })(on)
 		if on {
 			_ = b.Objects.Put(context.Background(), "burst", nil)
@@ -47,19 +47,19 @@
 	return b
 }
 
-func overHTTP(t testing.TB) storetest.Bench {
+func overHTTP(t testing.TB) storetest.Fixture {
 	b := memory(t)
 	srv := httptest.NewServer(standin.Handler(standin.Services{Table: b.Table, Objects: b.Objects, Hosts: b.Hosts, Weights: b.Weights}))
 	t.Cleanup(srv.Close)
-	c := rest.New(rest.Config{Base: srv.URL})
+	c := rest.New(rest.Config{BaseURL: srv.URL})
 	t.Cleanup(c.Close)
 	b.Table, b.Objects, b.Hosts, b.Weights = c, c.Objects(), c, c
 	return b
 }
 
 func TestConformance(t *testing.T) {
-	t.Run("memory", func(t *testing.T) { storetest.Run(t, func(t *testing.T) storetest.Bench { return memory(t) }) })
-	t.Run("http", func(t *testing.T) { storetest.Run(t, func(t *testing.T) storetest.Bench { return overHTTP(t) }) })
+	t.Run("memory", func(t *testing.T) { storetest.Run(t, func(t *testing.T) storetest.Fixture { return memory(t) }) })
+	t.Run("http", func(t *testing.T) { storetest.Run(t, func(t *testing.T) storetest.Fixture { return overHTTP(t) }) })
 }
 
 // Symptom: an act runs twice after a store failure. Sequence: the service is
@@ -69,9 +69,9 @@
 	f := standin.NewFaults(1, nil)
 	f.Set(standin.Settings{Delay: time.Hour})
 	srv := httptest.NewServer(standin.Handler(standin.Services{Table: standin.NewTableWith(f)}))
-	c := rest.New(rest.Config{Base: srv.URL, Timeout: 50 * time.Millisecond})
+	c := rest.New(rest.Config{BaseURL: srv.URL, Timeout: 50 * time.Millisecond})
 	_, err := c.Commit(t.Context(), store.Txn{Op: "a"})
-	assert.ErrorIs(t, err, store.ErrInDoubt)
+	assert.ErrorIs(t, err, store.ErrUnconfirmed)
 	_, err = c.Get(t.Context(), "k")
 	assert.ErrorIs(t, err, store.ErrUnavailable)
 	srv.Close()
@@ -88,7 +88,7 @@
 		tb.Faults.Set(standin.Settings{LateEffects: 1, LateBy: time.Minute})
 		txn := store.Txn{Op: "a", Writes: []store.Write{{Key: "k", Value: []byte("1")}}}
 		_, err := tb.Commit(t.Context(), txn)
-		assert.ErrorIs(t, err, store.ErrInDoubt)
+		assert.ErrorIs(t, err, store.ErrUnconfirmed)
 		rows, _ := tb.Get(t.Context(), "k")
 		assert.Equal(t, len(rows), 0)
 		tb.Faults.Set(standin.Settings{})
@@ -108,7 +108,7 @@
 	f := standin.NewFaults(1, func() time.Time { return now })
 	h := standin.NewHosts(f, listed...)
 	h.SetLag(30 * time.Second)
-	h.SetState("h1", store.HostLeaving)
+	h.SetState("h1", store.HostDraining)
 	state := func() store.HostState {
 		got, err := h.Hosts(t.Context())
 		assert.NilError(t, err)
@@ -116,11 +116,11 @@
 	}
 	assert.Equal(t, state(), store.HostLive)
 	now = now.Add(30 * time.Second)
-	assert.Equal(t, state(), store.HostLeaving)
+	assert.Equal(t, state(), store.HostDraining)
 	f.OutageFor(time.Minute)
 	_, err := h.Hosts(t.Context())
 	assert.ErrorIs(t, err, store.ErrUnavailable)
 	now = now.Add(time.Minute)
-	assert.Equal(t, state(), store.HostLeaving)
+	assert.Equal(t, state(), store.HostDraining)
 	assert.Equal(t, f.Reads(), int64(4))
 }
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -90,11 +90,11 @@
 
 func weightRoutes(mux *http.ServeMux, weights store.Weights) {
 	mux.HandleFunc("POST "+rest.PathGrant, with(func(w http.ResponseWriter, r *http.Request, l rest.LoadRequest) {
-		wait, err := weights.Grant(r.Context(), l.Load)
+		wait, err := weights.AcquireLoad(r.Context(), l.Load)
 		answer(w, rest.NewGrant(wait), err)
 	}))
 	mux.HandleFunc("POST "+rest.PathDone, with(func(w http.ResponseWriter, r *http.Request, l rest.LoadRequest) {
-		answer(w, struct{}{}, weights.Done(r.Context(), l.Load))
+		answer(w, struct{}{}, weights.ReleaseLoad(r.Context(), l.Load))
 	}))
 }
 
--- a/standin/platform/silence_test.go
+++ b/standin/platform/silence_test.go
@@ -65,7 +65,7 @@
 	srv.Listener = l
 	srv.Start()
 	defer srv.Close()
-	c := rest.New(rest.Config{Base: srv.URL, Timeout: 2 * time.Second})
+	c := rest.New(rest.Config{BaseURL: srv.URL, Timeout: 2 * time.Second})
 	defer c.Close()
 	var wg sync.WaitGroup
 	for range open {
@@ -77,7 +77,7 @@
 	wg.Wait()
 	l.silence()
 	_, err := c.Commit(t.Context(), store.Txn{Op: "a"})
-	assert.ErrorIs(t, err, store.ErrInDoubt)
+	assert.ErrorIs(t, err, store.ErrUnconfirmed)
 	for range open {
 		_, err = c.Commit(t.Context(), store.Txn{Op: "a"})
 		assert.NilError(t, err)
--- a/standin/platform/table.go
+++ b/standin/platform/table.go
@@ -43,16 +43,16 @@
 	switch fate {
 	case fateLostAnswer:
 		_, _ = t.commit(txn)
-		return 0, store.ErrInDoubt
+		return 0, store.ErrUnconfirmed
 	case fateLostRequest:
-		return 0, store.ErrInDoubt
+		return 0, store.ErrUnconfirmed
 	case fateLateEffect:
 		txn = clone(txn)
 		t.late.Go(func() {
 			time.Sleep(lateBy)
 			_, _ = t.commit(txn)
 		})
-		return 0, store.ErrInDoubt
+		return 0, store.ErrUnconfirmed
 	default:
 		return t.commit(txn)
 	}
--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -31,18 +31,18 @@
 // a load ends.
 const retryFull = time.Second
 
-// Grant implements store.Weights.
-func (w *Weights) Grant(ctx context.Context, load string) (time.Duration, error) {
+// AcquireLoad implements store.Weights.
+func (w *Weights) AcquireLoad(ctx context.Context, load string) (time.Duration, error) {
 	fate, _, err := w.Faults.write(ctx)
 	if err != nil {
 		return 0, err
 	}
 	if fate == fateLostRequest || fate == fateLateEffect {
-		return 0, store.ErrInDoubt
+		return 0, store.ErrUnconfirmed
 	}
 	wait := w.grant(load, w.Faults.now())
 	if fate == fateLostAnswer {
-		return 0, store.ErrInDoubt
+		return 0, store.ErrUnconfirmed
 	}
 	return wait, nil
 }
@@ -51,7 +51,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for name, since := range w.open {
-		if now.Sub(since) >= store.GrantMemory {
+		if now.Sub(since) >= store.GrantTTL {
 			delete(w.open, name)
 		}
 	}
@@ -71,8 +71,8 @@
 	return 0
 }
 
-// Done implements store.Weights.
-func (w *Weights) Done(ctx context.Context, load string) error {
+// ReleaseLoad implements store.Weights.
+func (w *Weights) ReleaseLoad(ctx context.Context, load string) error {
 	fate, _, err := w.Faults.write(ctx)
 	if err != nil {
 		return err
@@ -83,7 +83,7 @@
 		w.mu.Unlock()
 	}
 	if fate != fateDone {
-		return store.ErrInDoubt
+		return store.ErrUnconfirmed
 	}
 	return nil
 }
