--- a/node/claim/collect.go
+++ b/node/claim/collect.go
@@ -7,56 +7,56 @@
 	"golang.org/x/time/rate"
 )
 
-// collectBurst is how many commits may follow one another without a wait, so
-// that a quiet host adds no time to a claim.
-const collectBurst = 3
+// maxCollectBurst is how many batches may follow one another without a wait, so that
+// a host with little load adds no delay to a claim.
+const maxCollectBurst = 3
 
-// collector gathers what arrives until the pace allows the next commit.
+// collector gathers arrivals into batches at a limited rate.
 type collector[T any] struct {
-	in   <-chan T
-	pace *rate.Limiter
-	most int
+	arrivals <-chan T
+	limiter  *rate.Limiter
+	maxBatch int
 }
 
-func newCollector[T any](in <-chan T, window time.Duration, most int) collector[T] {
-	return collector[T]{in: in, pace: rate.NewLimiter(rate.Every(window), collectBurst), most: most}
+func newCollector[T any](arrivals <-chan T, interval time.Duration, maxBatch int) collector[T] {
+	return collector[T]{arrivals: arrivals, limiter: rate.NewLimiter(rate.Every(interval), maxCollectBurst), maxBatch: maxBatch}
 }
 
-// next returns the next batch, which starts with what was held back from the
-// last; at the end of ctx it returns what it has.
+// next returns the next batch, which begins with what the caller deferred from the
+// last one. When ctx ends, it returns what it has.
 func (c collector[T]) next(ctx context.Context, batch []T) ([]T, error) {
 	if len(batch) == 0 {
 		select {
-		case v := <-c.in:
+		case v := <-c.arrivals:
 			batch = append(batch, v)
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
-	timer := time.NewTimer(c.pace.Reserve().Delay())
+	timer := time.NewTimer(c.limiter.Reserve().Delay())
 	defer timer.Stop()
 	for {
-		in := c.in
-		if len(batch) >= c.most {
+		in := c.arrivals
+		if len(batch) >= c.maxBatch {
 			in = nil
 		}
 		select {
 		case v := <-in:
 			batch = append(batch, v)
 		case <-timer.C:
-			return c.rest(batch), nil
+			return c.takeReady(batch), nil
 		case <-ctx.Done():
 			return batch, ctx.Err()
 		}
 	}
 }
 
-// rest takes in what already waits: with no wait at all, requests that came
-// together would go out in a commit each.
-func (c collector[T]) rest(batch []T) []T {
-	for len(batch) < c.most {
+// takeReady adds what is already waiting. Without it, requests that arrive together
+// would get a commit each while no wait is due.
+func (c collector[T]) takeReady(batch []T) []T {
+	for len(batch) < c.maxBatch {
 		select {
-		case v := <-c.in:
+		case v := <-c.arrivals:
 			batch = append(batch, v)
 		default:
 			return batch
--- a/node/claim/ranged_test.go
+++ b/node/claim/range_test.go
@@ -16,29 +16,29 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// lease is an epoch that its holder believes in for as long as it runs: a
-// holder that is paused past its lease believes in it too.
-type lease uint64
+// fixedLease is a lease with a fixed epoch that always counts as valid, as it does for
+// a holder that was paused past its end.
+type fixedLease uint64
 
-func (l lease) Epoch() uint64 { return uint64(l) }
-func (l lease) Valid() bool   { return true }
+func (l fixedLease) Epoch() uint64 { return uint64(l) }
+func (l fixedLease) Valid() bool   { return true }
 
 func openRange(tb store.Table, epoch uint64) (*nodeclaim.Range, error) {
 	cfg := nodeclaim.DefaultRangeConfig()
 	return nodeclaim.OpenRange(context.Background(), cfg, nodeclaim.RangeDeps{
-		Table: tb, Lease: lease(epoch), Log: event.NewLog(nil), Now: time.Now}, 0)
+		Table: tb, Lease: fixedLease(epoch), Log: event.NewLog(nil), Now: time.Now}, 0)
 }
 
-// ranged is one range, which a new host takes over whenever a host starts,
-// while the owner before still goes on by its old lease.
-type ranged struct {
+// rangeCluster has one range, which a host takes over whenever it starts, while the
+// former owner continues under its old lease.
+type rangeCluster struct {
 	epoch uint64
 	owner *nodeclaim.Range
 }
 
-func newRanged() *ranged { return &ranged{} }
+func newRangeCluster() *rangeCluster { return &rangeCluster{} }
 
-func (r *ranged) host(c *cluster, _ int) (nodeclaim.Records, func()) {
+func (r *rangeCluster) host(c *cluster, _ int) (nodeclaim.Records, func()) {
 	g := nodeclaim.NewRangeRouter(1, r)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.epoch++
@@ -50,23 +50,23 @@
 	return g, cancel
 }
 
-func (r *ranged) Read(ctx context.Context, _ int, key string) (nodeclaim.VersionedRow, error) {
+func (r *rangeCluster) Read(ctx context.Context, _ int, key string) (nodeclaim.VersionedRow, error) {
 	if r.owner == nil {
 		return nodeclaim.VersionedRow{}, store.ErrUnavailable
 	}
 	return r.owner.Read(ctx, key)
 }
 
-func (r *ranged) Swap(ctx context.Context, _ int, key string, v uint64, row *claim.Row) (nodeclaim.VersionedRow, error) {
+func (r *rangeCluster) Swap(ctx context.Context, _ int, key string, v uint64, row *claim.Row) (nodeclaim.VersionedRow, error) {
 	if r.owner == nil {
 		return nodeclaim.VersionedRow{}, store.ErrUnavailable
 	}
 	return r.owner.Swap(ctx, key, v, row)
 }
 
-// Symptom: two hosts run the same request. The owner of a range is paused past
-// its lease, another takes the range over, the first wakes and appends. Its
-// append must fail on the head, with nothing in effect.
+// Guards against two hosts that run the same request. The owner of a range is paused
+// past its lease, another host takes the range over, and the first one resumes and
+// appends. Its append must fail on the head without any effect.
 func TestFencedOwnerCannotAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := standin.NewTable()
@@ -75,16 +75,16 @@
 		next, err := openRange(tb, 2)
 		assert.NilError(t, err)
 		ctx, cancel := context.WithCancel(context.Background())
-		lost := make(chan error, 1)
-		go func() { lost <- old.Run(ctx) }()
+		ended := make(chan error, 1)
+		go func() { ended <- old.Run(ctx) }()
 		go func() { _ = next.Run(ctx) }()
 		_, err = old.Swap(ctx, "k", store.Absent, &claim.Row{ID: "1", Op: "1"})
 		assert.ErrorIs(t, err, store.ErrUnavailable)
-		assert.ErrorIs(t, <-lost, store.ErrConflict)
+		assert.ErrorIs(t, <-ended, store.ErrConflict)
 		_, err = next.Swap(ctx, "k", store.Absent, &claim.Row{ID: "2", Op: "2"})
 		assert.NilError(t, err)
 		_, err = next.Swap(ctx, "k", store.Absent, &claim.Row{ID: "2", Op: "2"})
-		assert.NilError(t, err, "the same change asked for again")
+		assert.NilError(t, err, "the same change sent again")
 		_, err = openRange(tb, 1)
 		assert.Assert(t, errors.Is(err, store.ErrConflict))
 		cancel()
@@ -92,10 +92,10 @@
 	})
 }
 
-// Symptom: the log grows for ever, or a claim whose attempt is out of sight is
-// forgotten with the log row that holds it. Expired log rows go with later
-// appends; such a claim is carried on for a second lifetime.
-func TestLogDropsWhatExpired(t *testing.T) {
+// Guards against a log that grows for ever, and against a claim of unknown outcome
+// that is lost with the log row that contains it. Expired log rows are dropped by later
+// appends; such a claim is kept for a second TTL.
+func TestExpiredLogRowsAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := standin.NewTable()
 		r, err := openRange(tb, 1)
@@ -126,9 +126,9 @@
 	})
 }
 
-// Symptom: a host that saw a claim before it was forgotten changes its
-// successor. The range's new owner numbered rows from what was left in the
-// log, and gave the successor the version of the forgotten one.
+// Guards against a host that read a claim before it expired and changes its successor.
+// The range's new owner numbered rows from what was left in the log, and assigned the
+// successor the version of the expired one.
 func TestVersionsAreNeverReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb, ctx := standin.NewTable(), context.Background()
@@ -146,7 +146,7 @@
 		_, err = r.Swap(ctx, "k", before.Version, nil)
 		assert.NilError(t, err)
 		time.Sleep(61 * time.Minute)
-		_, err = r.Swap(ctx, "kept", before.Version, row("other")) // refused; the append only carries "kept" on
+		_, err = r.Swap(ctx, "kept", before.Version, row("other")) // refused; the append only keeps "kept"
 		assert.ErrorIs(t, err, store.ErrConflict)
 		cancel()
 		synctest.Wait()
--- a/node/claim/rangelog.go
+++ b/node/claim/rangelog.go
@@ -15,21 +15,21 @@
 	"peridotpier.example/node/store"
 )
 
-// A range is stored as a head row and a log. Each append writes one log row
-// and the head under the condition that nobody else wrote the head: an owner
-// whose lease lapsed while it was paused fails on its next append.
+// A range is stored as a head row and a log. Each append writes one log row and the
+// head, on condition that nobody else has written the head: an owner whose lease
+// lapsed while it was paused fails at its next append.
 const (
-	headPrefix = "claims/head/"
-	logPrefix  = "claims/log/"
-	logPage    = 256 // log rows read at once when a range is opened
+	headPrefix  = "claims/head/"
+	logPrefix   = "claims/log/"
+	logPageRows = 256 // log rows of one read when a range is opened
 )
 
-type head struct {
+type headRow struct {
 	Epoch uint64 `json:"epoch"`
 	Next  uint64 `json:"next"` // sequence number of the next log row
-	// Version is the last one given to a row. Were it only in the log, it would
-	// go down when the log row that holds it is dropped, and a change that was
-	// judged on a forgotten row could pass as one on its successor.
+	// Version is the last one assigned to a row. If only the log had it, it would
+	// go down when the log row that contains it is dropped, and a change based on
+	// an expired row could be applied to the row's successor.
 	Version uint64 `json:"version"`
 }
 
@@ -41,44 +41,46 @@
 
 type logRow struct {
 	Entries []logEntry `json:"e"`
-	Expires int64      `json:"x"` // Unix milliseconds; no entry matters after it
+	Expires int64      `json:"x"` // Unix milliseconds; no entry is needed after it
 }
 
-// segment is a log row as its owner remembers it.
+// segment is what the owner of a range keeps in memory of a log row.
 type segment struct {
 	seq     uint64
 	expires int64
 	keys    []string
 }
 
-func headKey(rng int) string            { return fmt.Sprintf("%s%d", headPrefix, rng) }
-func logKey(rng int, seq uint64) string { return fmt.Sprintf("%s%d/%016x", logPrefix, rng, seq) }
-func logKeys(rng int) (prefix string)   { return fmt.Sprintf("%s%d/", logPrefix, rng) }
+func headKey(rangeID int) string { return fmt.Sprintf("%s%d", headPrefix, rangeID) }
+func logKey(rangeID int, seq uint64) string {
+	return fmt.Sprintf("%s%d/%016x", logPrefix, rangeID, seq)
+}
+func logKeyPrefix(rangeID int) (prefix string) { return fmt.Sprintf("%s%d/", logPrefix, rangeID) }
 
-// OpenRange takes a range over under a lease: it fences the owner before it by
-// writing the head, then reads the log.
-func OpenRange(ctx context.Context, cfg RangeConfig, deps RangeDeps, rng int) (*Range, error) {
-	r := &Range{cfg: cfg, deps: deps, rng: rng, rows: map[string]held{}, in: make(chan *change), stopped: make(chan struct{})}
-	if err := r.takeHead(ctx); err != nil {
+// OpenRange takes over a range under a lease: it fences the former owner by writing
+// the head, then reads the log.
+func OpenRange(ctx context.Context, cfg RangeConfig, deps RangeDeps, rangeID int) (*Range, error) {
+	r := &Range{cfg: cfg, deps: deps, id: rangeID, rows: map[string]cachedRow{}, arrivals: make(chan *rowChange), stopped: make(chan struct{})}
+	if err := r.fenceFormerOwner(ctx); err != nil {
 		return nil, err
 	}
 	if err := r.readLog(ctx); err != nil {
 		return nil, err
 	}
-	deps.Log.Emit(event.ClaimRangeOpened, zap.Int("range", rng), zap.Uint64("epoch", r.head.Epoch), zap.Int("records", len(r.rows)))
+	deps.Log.Emit(event.ClaimRangeOpened, zap.Int("range", rangeID), zap.Uint64("epoch", r.head.Epoch), zap.Int("records", len(r.rows)))
 	return r, nil
 }
 
-func (r *Range) takeHead(ctx context.Context) error {
-	rows, err := r.deps.Table.Get(ctx, headKey(r.rng))
+func (r *Range) fenceFormerOwner(ctx context.Context) error {
+	rows, err := r.deps.Table.Get(ctx, headKey(r.id))
 	if err != nil {
-		return eris.Wrapf(err, "read head of claim range %d", r.rng)
+		return eris.Wrapf(err, "read head of claim range %d", r.id)
 	}
 	var version uint64
 	if len(rows) > 0 {
 		version = rows[0].Version
 		if err := json.Unmarshal(rows[0].Value, &r.head); err != nil {
-			return eris.Wrapf(err, "decode head of claim range %d", r.rng)
+			return eris.Wrapf(err, "decode head of claim range %d", r.id)
 		}
 	}
 	if r.head.Epoch > r.deps.Lease.Epoch() {
@@ -90,54 +92,54 @@
 	return err
 }
 
-// writeHead writes the head together with more writes, if the head still has
-// the given version.
-func (r *Range) writeHead(ctx context.Context, version uint64, h head, more []store.Write) (uint64, error) {
+// writeHead writes the head together with other writes, on condition that the head
+// still has the given version. It returns the head's new version.
+func (r *Range) writeHead(ctx context.Context, version uint64, h headRow, others []store.Write) (uint64, error) {
 	value, err := json.Marshal(h)
 	if err != nil {
 		return 0, eris.Wrap(err, "encode head of claim range")
 	}
-	k := headKey(r.rng)
+	k := headKey(r.id)
 	return store.CommitResolved(ctx, r.deps.Table, store.Txn{
 		Op:     newID(),
 		Conds:  []store.Cond{{Key: k, Version: version}},
-		Writes: append(more, store.Write{Key: k, Value: value}),
+		Writes: append(others, store.Write{Key: k, Value: value}),
 	})
 }
 
 func (r *Range) readLog(ctx context.Context) error {
 	after := ""
 	for {
-		rows, err := r.deps.Table.List(ctx, logKeys(r.rng), after, logPage)
+		rows, err := r.deps.Table.List(ctx, logKeyPrefix(r.id), after, logPageRows)
 		if err != nil {
-			return eris.Wrapf(err, "read log of claim range %d", r.rng)
+			return eris.Wrapf(err, "read log of claim range %d", r.id)
 		}
 		for _, row := range rows {
-			if err := r.replay(row); err != nil {
+			if err := r.replayLogRow(row); err != nil {
 				return err
 			}
 			after = row.Key
 		}
-		if len(rows) < logPage {
+		if len(rows) < logPageRows {
 			return nil
 		}
 	}
 }
 
-func (r *Range) replay(row store.Row) error {
+func (r *Range) replayLogRow(row store.Row) error {
 	var l logRow
 	if err := json.Unmarshal(row.Value, &l); err != nil {
 		return eris.Wrapf(err, "decode %s", row.Key)
 	}
 	var seq uint64
-	if _, err := fmt.Sscanf(row.Key[len(logKeys(r.rng)):], "%x", &seq); err != nil {
+	if _, err := fmt.Sscanf(row.Key[len(logKeyPrefix(r.id)):], "%x", &seq); err != nil {
 		return eris.Wrapf(err, "sequence of %s", row.Key)
 	}
 	r.apply(seq, l)
 	return nil
 }
 
-// apply takes a log row into memory.
+// apply applies a log row to memory.
 func (r *Range) apply(seq uint64, l logRow) {
 	s := segment{seq: seq, expires: l.Expires, keys: make([]string, 0, len(l.Entries))}
 	for _, e := range l.Entries {
@@ -146,42 +148,42 @@
 			delete(r.rows, e.Key)
 			continue
 		}
-		r.rows[e.Key] = held{row: e.Row, version: e.Version, seq: seq}
+		r.rows[e.Key] = cachedRow{row: e.Row, version: e.Version, logSeq: seq}
 		s.keys = append(s.keys, e.Key)
 	}
 	r.segments = append(r.segments, s)
 }
 
-// expireMost bounds the log rows that one append drops, so that a commit
-// stays small after a long pause.
-const expireMost = 4
+// maxExpiredRows bounds the log rows that one append drops, so that its commit stays
+// small after a long pause.
+const maxExpiredRows = 4
 
-// expire drops the oldest log rows whose claims are forgotten, in the same
-// commit as an append: sweeping costs no writes of its own. Claims that must
-// be kept longer are appended again. It returns the writes, the entries to
-// append and how many segments go.
-func (r *Range) expire(now time.Time) (writes []store.Write, again []logEntry, count int) {
-	for _, s := range r.segments[:min(expireMost, len(r.segments))] {
+// expire selects the oldest log rows whose claims have expired, to be dropped in the
+// commit of an append, so that sweeping costs no writes of its own. Claims that must
+// be kept longer are appended again. It returns the writes, the entries to append and
+// the number of segments to drop.
+func (r *Range) expire(now time.Time) (writes []store.Write, reappended []logEntry, dropped int) {
+	for _, s := range r.segments[:min(maxExpiredRows, len(r.segments))] {
 		if now.UnixMilli() < s.expires {
 			break
 		}
 		for _, k := range s.keys {
-			h, ok := r.rows[k]
-			if ok && h.seq == s.seq && claim.DecideExpiry(*h.row, r.cfg.TTL, now) != claim.Delete {
-				again = append(again, logEntry{Key: k, Version: h.version, Row: h.row})
+			cached, ok := r.rows[k]
+			if ok && cached.logSeq == s.seq && claim.DecideExpiry(*cached.row, r.cfg.TTL, now) != claim.Delete {
+				reappended = append(reappended, logEntry{Key: k, Version: cached.version, Row: cached.row})
 			}
 		}
-		writes = append(writes, store.Write{Key: logKey(r.rng, s.seq), Delete: true})
-		count++
+		writes = append(writes, store.Write{Key: logKey(r.id, s.seq), Delete: true})
+		dropped++
 	}
-	return writes, again, count
+	return writes, reappended, dropped
 }
 
-// forget takes dropped segments out of memory, after their commit.
-func (r *Range) forget(count int) {
+// dropSegments removes segments from memory after the commit that dropped their rows.
+func (r *Range) dropSegments(count int) {
 	for _, s := range r.segments[:count] {
 		for _, k := range s.keys {
-			if h, ok := r.rows[k]; ok && h.seq == s.seq {
+			if cached, ok := r.rows[k]; ok && cached.logSeq == s.seq {
 				delete(r.rows, k)
 			}
 		}
