--- a/node/lease/failover_test.go
+++ b/node/lease/failover_test.go
@@ -16,9 +16,9 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// handOver measures how long the role stands empty once its holder is gone,
+// vacancyAfterHolderStops measures how long the role stands empty once its holder is gone,
 // by shutdown or by dying without a word.
-func handOver(t *testing.T, seed uint64, dies bool) (empty time.Duration, writesPerSecond float64) {
+func vacancyAfterHolderStops(t *testing.T, seed uint64, crash bool) (vacant time.Duration, writesPerSecond float64) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := standin.NewTable()
 		g := &gate{}
@@ -35,25 +35,25 @@
 		b, stopB := start("b", 1, &gate{})
 		time.Sleep(time.Minute + time.Duration(seed)*137*time.Millisecond)
 		writesPerSecond = float64(tb.Faults.Writes()) / time.Minute.Seconds()
-		if dies {
+		if crash {
 			g.set(true)
 		} else {
 			stopA()
 		}
-		gone := time.Now()
+		stoppedAt := time.Now()
 		for {
 			if _, ok := b.Term(); ok {
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		empty = time.Since(gone)
+		vacant = time.Since(stoppedAt)
 		stopA()
 		g.set(false)
 		stopB()
 		wg.Wait()
 	})
-	return empty, writesPerSecond
+	return vacant, writesPerSecond
 }
 
 // Symptom: a pool has no planner for minutes after a host was replaced.
@@ -63,20 +63,20 @@
 	const runs = 60
 	p := decide.DefaultPolicy()
 	for _, c := range []struct {
-		name string
-		dies bool
-		most time.Duration
+		name  string
+		crash bool
+		max   time.Duration
 	}{{"shutdown", false, p.TTL / 3}, {"death", true, p.TTL * 3 / 2}} {
 		t.Run(c.name, func(t *testing.T) {
 			var took []time.Duration
 			var writes float64
 			for seed := range uint64(runs) {
-				d, w := handOver(t, seed, c.dies)
+				d, w := vacancyAfterHolderStops(t, seed, c.crash)
 				took, writes = append(took, d), w
 			}
 			slices.Sort(took)
 			t.Logf("empty for p50 %v, max %v; %.2f writes/s", took[runs/2], took[runs-1], writes)
-			assert.Assert(t, took[runs-1] <= c.most)
+			assert.Assert(t, took[runs-1] <= c.max)
 		})
 	}
 }
--- a/node/lease/lease.go
+++ b/node/lease/lease.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	jitter       = 0.1             // share of each wait
-	retryPause   = time.Second / 2 // after a refusal by the table: several tries within one TTL
-	callTimeout  = 2 * time.Second // of one call while not holding
-	releaseBound = 2 * time.Second // of the hand-over on shutdown
+	jitterFraction = 0.1             // share of each wait
+	retryDelay     = time.Second / 2 // after a refusal by the table: several tries within one TTL
+	callTimeout    = 2 * time.Second // of one call while not holding
+	releaseTimeout = 2 * time.Second // of the hand-over on shutdown
 )
 
 // Prefix starts the keys of all leases; beatSuffix ends a lease's second row.
 const (
-	Prefix     = "lease/"
-	beatSuffix = "/beat"
+	Prefix          = "lease/"
+	heartbeatSuffix = "/beat"
 )
 
 // ErrNotHeld says that the lease is not held, or not in the epoch asked for,
@@ -68,20 +68,20 @@
 	deps Deps
 	log  *event.Log
 
-	mu   sync.Mutex
-	held *decide.Held // nil: not held
-	seen decide.Observed
+	mu       sync.Mutex
+	held     *decide.Held // nil: not held
+	observed decide.Observed
 	// yielded is the newest epoch whose holder said that it acts no more.
-	yielded uint64
+	steppedDownEpoch uint64
 	// lapsed is the epoch that this process held last and that ended only
 	// because it was not renewed in time; 0: none.
-	lapsed uint64
+	lapsedEpoch uint64
 
-	taken pace.Signal // given when the lease is taken
+	acquired pace.Signal // given when the lease is taken
 }
 
 // Acquired returns a channel that is closed when this process takes the lease next.
-func (l *Lease) Acquired() <-chan struct{} { return l.taken.Next() }
+func (l *Lease) Acquired() <-chan struct{} { return l.acquired.Next() }
 
 // New makes a lease; Run campaigns for it.
 func New(cfg Config, deps Deps) *Lease {
@@ -101,20 +101,20 @@
 		deps.Log = event.NewLog(nil)
 	}
 	if cfg.TryTimeout > 0 {
-		deps.Table = boundedTable{Table: deps.Table, bound: cfg.TryTimeout}
+		deps.Table = timeoutTable{Table: deps.Table, timeout: cfg.TryTimeout}
 	}
 	return &Lease{cfg: cfg, deps: deps, log: deps.Log.With(zap.String("lease", cfg.Name))}
 }
 
-// boundedTable gives each commit a bound of its own.
-type boundedTable struct {
+// timeoutTable gives each commit a bound of its own.
+type timeoutTable struct {
 	store.Table
-	bound time.Duration
+	timeout time.Duration
 }
 
 // Commit implements store.Table.
-func (t boundedTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, t.bound)
+func (t timeoutTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
+	ctx, cancel := context.WithTimeout(ctx, t.timeout)
 	defer cancel()
 	return t.Table.Commit(ctx, txn)
 }
@@ -147,7 +147,7 @@
 func (l *Lease) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait := l.step(ctx)
-		pace.Sleep(ctx, l.deps.Rand.Jitter(wait, jitter))
+		pace.Sleep(ctx, l.deps.Rand.Jitter(wait, jitterFraction))
 	}
 	l.release()
 	return ctx.Err()
@@ -155,7 +155,7 @@
 
 // step does what is due and returns the wait until the next step.
 func (l *Lease) step(ctx context.Context) time.Duration {
-	held, ok := l.holding()
+	held, ok := l.currentHeld()
 	if !ok {
 		return l.campaign(ctx)
 	}
@@ -174,9 +174,9 @@
 func (l *Lease) Refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	rows, record, err := l.read(ctx)
+	rows, record, err := l.readRows(ctx)
 	if err == nil {
-		l.see(rows, record)
+		l.observe(rows, record)
 	}
 	return err
 }
@@ -184,48 +184,48 @@
 func (l *Lease) campaign(ctx context.Context) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	rows, record, err := l.read(ctx)
+	rows, record, err := l.readRows(ctx)
 	if err != nil {
-		return retryPause
+		return retryDelay
 	}
-	seen := l.see(rows, record)
-	d := l.cfg.Policy.DecideForCandidate(l.cfg.Holder, seen, l.deps.Now())
+	observed := l.observe(rows, record)
+	d := l.cfg.Policy.DecideForCandidate(l.cfg.Holder, observed, l.deps.Now())
 	if d.Action != decide.Acquire {
 		return d.Wait
 	}
-	from := l.deps.Now()
+	start := l.deps.Now()
 	v, err := store.CommitResolved(ctx, l.deps.Table, store.Txn{Op: uuid.NewString(), Conds: l.conds(rows),
-		Writes: []store.Write{{Key: l.grantKey(), Value: d.Next.Encode()}, {Key: l.beatKey()}}})
+		Writes: []store.Write{{Key: l.grantKey(), Value: d.Next.Encode()}, {Key: l.heartbeatKey()}}})
 	if err != nil {
 		// Lost the race, or unknown. An acquisition that takes effect later
 		// names this process in an epoch in which it never acts; it is waited
 		// out like another's.
-		return retryPause
+		return retryDelay
 	}
-	l.hold(&decide.Held{Rows: decide.Rows{Grant: v, Heartbeat: v}, Record: d.Next, TTLStart: from})
+	l.setHeld(&decide.Held{Rows: decide.Rows{Grant: v, Heartbeat: v}, Record: d.Next, TTLStart: start})
 	l.log.Emit(event.LeaseTaken, zap.Uint64("epoch", d.Next.Epoch))
 	return 0
 }
 
-func (l *Lease) see(rows decide.Rows, record decide.Record) decide.Observed {
+func (l *Lease) observe(rows decide.Rows, record decide.Record) decide.Observed {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.seen = l.seen.Observe(rows, record, l.deps.Now())
-	seen := l.seen
-	seen.SteppedDown = record.Epoch <= l.yielded || l.ended(record.Holder)
-	return seen
+	l.observed = l.observed.Observe(rows, record, l.deps.Now())
+	observed := l.observed
+	observed.SteppedDown = record.Epoch <= l.steppedDownEpoch || l.hasTerminated(record.Holder)
+	return observed
 }
 
-// ended says whether a holder acts no more. This process itself does not while
+// hasTerminated says whether a holder acts no more. This process itself does not while
 // it campaigns.
-func (l *Lease) ended(holder string) bool {
+func (l *Lease) hasTerminated(holder string) bool {
 	return holder == l.cfg.Holder || l.cfg.HasTerminated != nil && l.cfg.HasTerminated(holder)
 }
 
 // HeldRecord returns the rows and the grant of the lease while it is held, for
 // the holder to tell to others.
 func (l *Lease) HeldRecord() (decide.Rows, decide.Record, bool) {
-	h, ok := l.holding()
+	h, ok := l.currentHeld()
 	if !ok || l.cfg.Policy.Remaining(h, l.deps.Now()) <= 0 {
 		return decide.Rows{}, decide.Record{}, false
 	}
@@ -234,21 +234,21 @@
 
 // Observe takes the holder's own word of its rows. A candidate that has heard
 // it need not begin to wait only when the holder falls silent.
-func (l *Lease) Observe(rows decide.Rows, record decide.Record) { l.see(rows, record) }
+func (l *Lease) Observe(rows decide.Rows, record decide.Record) { l.observe(rows, record) }
 
 // RecordStepDown notes that the holder of an epoch has said itself that it acts in it
 // no more. It need not be waited for.
 func (l *Lease) RecordStepDown(epoch uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.yielded = max(l.yielded, epoch)
+	l.steppedDownEpoch = max(l.steppedDownEpoch, epoch)
 }
 
 // LastObserved is the grant that was read last while the lease was not held.
 func (l *Lease) LastObserved() decide.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.seen.Record
+	return l.observed.Record
 }
 
 func (l *Lease) renew(ctx context.Context, held decide.Held) time.Duration {
@@ -256,32 +256,32 @@
 	ctx, cancel := context.WithTimeout(ctx, l.cfg.Policy.Remaining(held, from))
 	defer cancel()
 	v, err := store.CommitResolved(ctx, l.deps.Table, store.Txn{Op: uuid.NewString(),
-		Conds: l.conds(held.Rows), Writes: []store.Write{{Key: l.beatKey()}}})
+		Conds: l.conds(held.Rows), Writes: []store.Write{{Key: l.heartbeatKey()}}})
 	switch {
 	case err == nil:
 		held.Rows.Heartbeat, held.TTLStart = v, from
-		l.hold(&held)
+		l.setHeld(&held)
 		return 0
 	case errors.Is(err, store.ErrConflict):
 		l.lose("taken over", false)
 	}
-	return retryPause
+	return retryDelay
 }
 
 // release hands the lease over. It stops holding before it writes: a term
 // that is still used while its successor may start would be no term.
 func (l *Lease) release() {
-	held, ok := l.holding()
-	l.hold(nil)
+	held, ok := l.currentHeld()
+	l.setHeld(nil)
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), releaseBound)
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	free := held.Record
-	free.Holder = ""
+	released := held.Record
+	released.Holder = ""
 	_, err := store.CommitResolved(ctx, l.deps.Table, store.Txn{Op: uuid.NewString(),
-		Conds: l.conds(held.Rows), Writes: []store.Write{{Key: l.grantKey(), Value: free.Encode()}}})
+		Conds: l.conds(held.Rows), Writes: []store.Write{{Key: l.grantKey(), Value: released.Encode()}}})
 	if err != nil {
 		l.log.Emit(event.LeaseKept, zap.Error(err))
 		return
@@ -289,35 +289,35 @@
 	l.log.Emit(event.LeaseReleased, zap.Uint64("epoch", held.Record.Epoch))
 }
 
-func (l *Lease) read(ctx context.Context) (decide.Rows, decide.Record, error) {
-	var at decide.Rows
-	rows, err := l.deps.Table.Get(ctx, l.grantKey(), l.beatKey())
+func (l *Lease) readRows(ctx context.Context) (decide.Rows, decide.Record, error) {
+	var versions decide.Rows
+	rows, err := l.deps.Table.Get(ctx, l.grantKey(), l.heartbeatKey())
 	if err != nil {
-		return at, decide.Record{}, err
+		return versions, decide.Record{}, err
 	}
 	var value []byte
 	for _, r := range rows {
 		if r.Key == l.grantKey() {
-			at.Grant, value = r.Version, r.Value
+			versions.Grant, value = r.Version, r.Value
 		} else {
-			at.Heartbeat = r.Version
+			versions.Heartbeat = r.Version
 		}
 	}
 	record, err := decide.Decode(value)
 	if err != nil {
 		l.log.Emit(event.LeaseCorrupt, zap.Error(err))
 	}
-	return at, record, err
+	return versions, record, err
 }
 
 func (l *Lease) conds(r decide.Rows) []store.Cond {
-	return []store.Cond{{Key: l.grantKey(), Version: r.Grant}, {Key: l.beatKey(), Version: r.Heartbeat}}
+	return []store.Cond{{Key: l.grantKey(), Version: r.Grant}, {Key: l.heartbeatKey(), Version: r.Heartbeat}}
 }
 
-func (l *Lease) grantKey() string { return Prefix + l.cfg.Name }
-func (l *Lease) beatKey() string  { return Prefix + l.cfg.Name + beatSuffix }
+func (l *Lease) grantKey() string     { return Prefix + l.cfg.Name }
+func (l *Lease) heartbeatKey() string { return Prefix + l.cfg.Name + heartbeatSuffix }
 
-func (l *Lease) holding() (decide.Held, bool) {
+func (l *Lease) currentHeld() (decide.Held, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.held == nil {
@@ -326,12 +326,12 @@
 	return *l.held, true
 }
 
-func (l *Lease) hold(h *decide.Held) {
+func (l *Lease) setHeld(h *decide.Held) {
 	l.mu.Lock()
 	if l.held == nil && h != nil {
-		l.taken.Notify()
+		l.acquired.Notify()
 	}
-	l.held, l.lapsed = h, 0
+	l.held, l.lapsedEpoch = h, 0
 	l.mu.Unlock()
 }
 
@@ -340,19 +340,19 @@
 func (l *Lease) Lapsed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held := l.lapsed
+	lastHeld := l.lapsedEpoch
 	if l.held != nil && l.cfg.Policy.Remaining(*l.held, l.deps.Now()) <= 0 {
-		held = l.held.Record.Epoch
+		lastHeld = l.held.Record.Epoch
 	}
-	return held > 0 && l.seen.Record.Epoch <= held
+	return lastHeld > 0 && l.observed.Record.Epoch <= lastHeld
 }
 
 func (l *Lease) lose(why string, lapsed bool) {
-	held, _ := l.holding()
-	l.hold(nil)
+	held, _ := l.currentHeld()
+	l.setHeld(nil)
 	if lapsed {
 		l.mu.Lock()
-		l.lapsed = held.Record.Epoch
+		l.lapsedEpoch = held.Record.Epoch
 		l.mu.Unlock()
 	}
 	l.log.Emit(event.LeaseLost, zap.Uint64("epoch", held.Record.Epoch), zap.String("why", why))
--- a/node/lease/lease_test.go
+++ b/node/lease/lease_test.go
@@ -25,9 +25,9 @@
 	epoch  uint64
 }
 
-// fenced is a target that refuses acts under an old epoch, as the model sees
+// fencedTarget is a target that refuses acts under an old epoch, as the model sees
 // it: an accepted act is by the one holder of the newest epoch.
-var fenced = porcupine.Model{
+var fencedTarget = porcupine.Model{
 	Init: func() any { return act{} },
 	Step: func(state, input, output any) (bool, any) {
 		s, in := state.(act), input.(act)
@@ -88,10 +88,10 @@
 
 // history is what happened in one run.
 type history struct {
-	mu      sync.Mutex
-	fence   uint64 // of the target that checks
-	checked []porcupine.Operation
-	bare    []act // on a target that ignores fencing, in order, without a pause between check and act
+	mu       sync.Mutex
+	fence    uint64 // of the target that checks
+	fenced   []porcupine.Operation
+	unfenced []act // on a target that ignores fencing, in order, without a pause between check and act
 }
 
 func (h *history) actFenced(client int, a act, called int64, now func() int64) {
@@ -99,7 +99,7 @@
 	defer h.mu.Unlock()
 	ok := a.epoch >= h.fence
 	h.fence = max(h.fence, a.epoch)
-	h.checked = append(h.checked, porcupine.Operation{ClientId: client, Input: a, Output: ok, Call: called, Return: now()})
+	h.fenced = append(h.fenced, porcupine.Operation{ClientId: client, Input: a, Output: ok, Call: called, Return: now()})
 }
 
 // script is one run: faults of the table and pauses of processes.
@@ -112,8 +112,8 @@
 }
 
 type pauseAt struct {
-	node     int
-	at, last time.Duration
+	node         int
+	at, duration time.Duration
 }
 
 const (
@@ -148,7 +148,7 @@
 		}
 		for _, p := range s.pauses {
 			time.AfterFunc(p.at, func() { gates[p.node].set(true) })
-			time.AfterFunc(p.at+p.last, func() { gates[p.node].set(false) })
+			time.AfterFunc(p.at+p.duration, func() { gates[p.node].set(false) })
 		}
 		if s.outage > 0 {
 			time.AfterFunc(runFor/3, func() { tb.Faults.OutageFor(s.outage) })
@@ -173,7 +173,7 @@
 		a := act{name, term.Epoch}
 		h.mu.Lock()
 		if l.Check(term.Epoch, 0) == nil {
-			h.bare = append(h.bare, a)
+			h.unfenced = append(h.unfenced, a)
 		}
 		h.mu.Unlock()
 		called := nanos()
@@ -185,7 +185,7 @@
 
 func verify(h *history) error {
 	holders, last := map[uint64]string{}, uint64(0)
-	for _, a := range h.bare {
+	for _, a := range h.unfenced {
 		if by, ok := holders[a.epoch]; ok && by != a.holder {
 			return fmt.Errorf("%s and %s both acted in epoch %d", by, a.holder, a.epoch)
 		}
@@ -194,8 +194,8 @@
 		}
 		holders[a.epoch], last = a.holder, a.epoch
 	}
-	if !porcupine.CheckOperations(fenced, h.checked) {
-		return fmt.Errorf("the history of %d fenced acts has two holders in one epoch", len(h.checked))
+	if !porcupine.CheckOperations(fencedTarget, h.fenced) {
+		return fmt.Errorf("the history of %d fenced acts has two holders in one epoch", len(h.fenced))
 	}
 	return nil
 }
