--- a/node/dispatch/attempt.go
+++ b/node/dispatch/attempt.go
@@ -25,23 +25,23 @@
 
 // attempt is one dispatch of a request to one upstream.
 type attempt struct {
-	d        *Dispatcher
-	w        *Work
-	out      *output
-	ep       *route.Endpoint
-	id       string
-	sent     incarnation
-	bodyUsed bool // a body that cannot be sent again was sent
-	outdated bool // the upstream's process is not the one that the attempt was meant for
-	split    splitter
-	watch    watchdog
-	pace     pacer
-	begun    time.Time
+	d                *Dispatcher
+	w                *Work
+	out              *output
+	ep               *route.Endpoint
+	id               string
+	sentTo           incarnationRef
+	bodyConsumed     bool // a body that cannot be sent again was sent
+	wrongIncarnation bool // the upstream's process is not the one that the attempt was meant for
+	split            splitter
+	watch            watchdog
+	pace             paceMeter
+	startedAt        time.Time
 }
 
 func newAttempt(d *Dispatcher, w *Work, out *output, ep *route.Endpoint) *attempt {
 	a := &attempt{d: d, w: w, out: out, ep: ep, id: "a-" + uuid.NewString()}
-	a.sent.set(ep.Incarnation)
+	a.sentTo.set(ep.Incarnation)
 	a.split.attempt = []byte(a.id)
 	return a
 }
@@ -55,19 +55,19 @@
 	defer a.d.deps.View.AttemptFinished(a.ep.Upstream)
 	a.d.deps.Metrics.Add(metrics.Attempts, a.ep.DataCentre, a.ep.Upstream, 1)
 
-	a.begun = time.Now()
+	a.startedAt = time.Now()
 	err := a.send(ctx)
-	if err != nil && a.mayRecover(ctx, err) {
-		err = a.recover(ctx, err)
+	if err != nil && a.canRecover(ctx, err) {
+		err = a.recoverAnswer(ctx, err)
 	}
-	a.after(ctx, err)
+	a.cancelIfAbandoned(ctx, err)
 	return err
 }
 
-// after tells the upstream to stop work that nobody waits for. The engine
+// cancelIfAbandoned tells the upstream to stop work that nobody waits for. The engine
 // itself keeps a stream for a while after its connection was lost, so that
 // the caller can resume it through another host.
-func (a *attempt) after(ctx context.Context, err error) {
+func (a *attempt) cancelIfAbandoned(ctx context.Context, err error) {
 	if err == nil || ctx.Err() == nil {
 		return
 	}
@@ -77,9 +77,9 @@
 	}
 }
 
-// mayRecover says whether the attempt's fate is worth asking for: it may have
+// canRecover says whether the attempt's fate is worth asking for: it may have
 // run, its caller still waits, and the answer could still be handed over whole.
-func (a *attempt) mayRecover(ctx context.Context, err error) bool {
+func (a *attempt) canRecover(ctx context.Context, err error) bool {
 	f := fault.From(fault.StepDispatch, err)
 	if f.Outcome != outcome.Unknown || ctx.Err() != nil || f.Step == fault.StepRelay && f.Peer == callerPeer {
 		return false
@@ -89,8 +89,8 @@
 
 const callerPeer = "caller"
 
-// request makes the exchange that carries the attempt.
-func (a *attempt) request() *conn.Request {
+// buildRequest makes the exchange that carries the attempt.
+func (a *attempt) buildRequest() *conn.Request {
 	h := a.w.Header.Clone()
 	if h == nil {
 		h = http.Header{}
@@ -112,7 +112,7 @@
 		Body: a.w.Body, Fresh: !a.w.Repeatable}
 	if a.w.BodyStream != nil {
 		r.Stream, r.StreamLength = a.w.BodyStream, a.w.BodyLength
-		a.bodyUsed = true
+		a.bodyConsumed = true
 	}
 	return r
 }
@@ -123,47 +123,47 @@
 	defer cancel()
 	stop := a.watchExchange(ctx, cancel)
 	defer stop()
-	resp, err := a.d.deps.Client.Do(ctx, a.request())
+	resp, err := a.d.deps.Client.Do(ctx, a.buildRequest())
 	if err != nil {
 		var body *conn.BodyError
 		// A body that broke is its caller's doing. With the upstream taken for
 		// down because of it, one caller that hangs up in the middle of its
 		// body, time and again, would take upstreams from everybody.
 		if !errors.As(err, &body) && fault.From(fault.StepDispatch, err).Outcome == outcome.NotRun {
-			a.bodyUsed = false
+			a.bodyConsumed = false
 			a.d.deps.View.MarkDown(a.ep.Upstream)
 		}
 		return err
 	}
-	if err := a.check(resp); err != nil {
+	if err := a.checkResponse(resp); err != nil {
 		resp.Abort()
 		return err
 	}
-	return a.relay(ctx, resp)
+	return a.forward(ctx, resp)
 }
 
-// check accepts an answer only if it is this attempt's own. An answer under
+// checkResponse accepts an answer only if it is this attempt's own. An answer under
 // another id is another caller's: it is dropped with its connection, on which
 // every later answer would be shifted too.
-func (a *attempt) check(resp *conn.Response) error {
+func (a *attempt) checkResponse(resp *conn.Response) error {
 	if got := resp.Header.Get(engineapi.HeaderAttempt); got != a.id {
 		a.d.deps.Metrics.Add(metrics.Mismatched, a.ep.DataCentre, a.ep.Upstream, 1)
 		a.d.deps.Log.Emit(event.AnswerCrossed, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("attempt", a.id), zap.String("got", got))
-		return fault.Unknown(fault.StepDispatch, a.ep.Upstream, fault.CodeUpstreamFailed, "answer for attempt %q: %w", got, errForeign)
+		return fault.Unknown(fault.StepDispatch, a.ep.Upstream, fault.CodeUpstreamFailed, "answer for attempt %q: %w", got, errMismatched)
 	}
 	inc := resp.Header.Get(engineapi.HeaderIncarnation)
 	if resp.Header.Get(engineapi.HeaderRefused) == engineapi.RefusedRestarted {
-		a.outdated = true
+		a.wrongIncarnation = true
 		a.d.deps.View.MarkRestarted(a.ep.Upstream, a.ep.Incarnation, inc)
 	} else if inc != "" {
-		a.sent.set(inc)
+		a.sentTo.set(inc)
 	}
 	a.d.deps.View.ObserveAnswer(a.ep.Upstream, inc, resp.Header.Get(engineapi.HeaderLoad))
-	return a.refused(resp)
+	return a.refusalError(resp)
 }
 
-// refused turns an upstream's refusal into an error; nil when it is an answer.
-func (a *attempt) refused(resp *conn.Response) error {
+// refusalError turns an upstream's refusal into an error; nil when it is an answer.
+func (a *attempt) refusalError(resp *conn.Response) error {
 	why := resp.Header.Get(engineapi.HeaderRefused)
 	if why == "" {
 		return nil
@@ -171,8 +171,8 @@
 	a.d.deps.Metrics.Add(metrics.Refused, a.ep.DataCentre, a.ep.Upstream, 1)
 	switch why {
 	case engineapi.RefusedLeaving:
-		if a.d.deps.View.MarkDraining(a.ep.Upstream, a.sent.get()) {
-			a.d.deps.Log.Emit(event.UpstreamLeaving, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("incarnation", a.sent.get()), zap.String("source", "refusal"))
+		if a.d.deps.View.MarkDraining(a.ep.Upstream, a.sentTo.get()) {
+			a.d.deps.Log.Emit(event.UpstreamLeaving, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("incarnation", a.sentTo.get()), zap.String("source", "refusal"))
 		}
 	case engineapi.RefusedSettled:
 		// The watchdog asked for the fate before the attempt arrived.
--- a/node/dispatch/dispatch.go
+++ b/node/dispatch/dispatch.go
@@ -34,12 +34,12 @@
 }
 
 const (
-	defaultSilence    = 2 * time.Second // above any pause between tokens, far below a deadline
-	defaultRetryShare = 0.1
-	defaultNoReplica  = 5 * time.Second // a load takes seconds
-	busyRetryAfter    = time.Second
-	leastLeftMs       = 0.001    // a deadline that has passed still is one
-	defaultKeep       = 32 << 20 // four answers of the largest size; usual ones take some KB
+	defaultIdleBeforeProbe     = 2 * time.Second // above any pause between tokens, far below a deadline
+	defaultRetryShare          = 0.1
+	defaultNoReplicaRetryAfter = 5 * time.Second // a load takes seconds
+	busyRetryAfter             = time.Second
+	minRemainingMs             = 0.001    // a deadline that has passed still is one
+	defaultRetainBudget        = 32 << 20 // four answers of the largest size; usual ones take some KB
 )
 
 // Deps are what a Dispatcher works with.
@@ -58,9 +58,9 @@
 	cfg       Config
 	deps      Deps
 	upstreams *UpstreamClient
-	lengths   *lengths
+	lengths   *answerLengths
 
-	keep keepBudget
+	retain retainBudget
 
 	mu     sync.Mutex // guards budget
 	budget *retry.Budget
@@ -69,18 +69,18 @@
 // New makes a Dispatcher.
 func New(cfg Config, deps Deps) *Dispatcher {
 	if cfg.IdleBeforeProbe == 0 {
-		cfg.IdleBeforeProbe = defaultSilence
+		cfg.IdleBeforeProbe = defaultIdleBeforeProbe
 	}
 	if cfg.RetryShare == 0 {
 		cfg.RetryShare = defaultRetryShare
 	}
 	if cfg.NoReplicaRetryAfter == 0 {
-		cfg.NoReplicaRetryAfter = defaultNoReplica
+		cfg.NoReplicaRetryAfter = defaultNoReplicaRetryAfter
 	}
 	if cfg.RetainBudgetBytes == 0 {
-		cfg.RetainBudgetBytes = defaultKeep
+		cfg.RetainBudgetBytes = defaultRetainBudget
 	}
-	return &Dispatcher{cfg: cfg, deps: deps, keep: keepBudget{most: cfg.RetainBudgetBytes}, upstreams: NewUpstreamClient(deps.Client), lengths: newLengths(),
+	return &Dispatcher{cfg: cfg, deps: deps, retain: retainBudget{max: cfg.RetainBudgetBytes}, upstreams: NewUpstreamClient(deps.Client), lengths: newAnswerLengths(),
 		budget: retry.NewBudget(cfg.RetryShare)}
 }
 
@@ -98,35 +98,35 @@
 // A claim that was taken out is settled before Do returns.
 func (d *Dispatcher) Do(ctx context.Context, w *Work, sink Sink) error {
 	claimed := w.Claim != nil
-	out := &output{sink: sink, keep: claimed, most: w.MaxRetainedBytes, budget: &d.keep, detached: claimed}
-	r := &run{d: d, w: w, out: out,
+	out := &output{sink: sink, retain: claimed, maxRetained: w.MaxRetainedBytes, budget: &d.retain, detached: claimed}
+	r := &execution{d: d, w: w, out: out,
 		retries: retry.NewRequest(retry.Config{}, w.Repeatable, w.Deadline),
 		route: route.Request{Pool: w.Pool, Key: w.Key, PlainService: w.PlainService, Class: w.Class, Prefix: w.Prefix,
 			AnswerTokens: d.lengths.predict(w.Key, w.MaxTokens), IdleStepMs: w.IdleStepMs}}
 	d.countRequest()
-	err := r.attempts(ctx)
+	err := r.runAttempts(ctx)
 	if r.grant != nil {
-		r.settle(ctx, err)
+		r.resolveClaim(ctx, err)
 	}
-	out.release()
+	out.releaseRetained()
 	return err
 }
 
-// run is one request on its way through its attempts.
-type run struct {
+// execution is one request on its way through its attempts.
+type execution struct {
 	d       *Dispatcher
 	w       *Work
 	out     *output
 	retries *retry.Request
 	route   route.Request
 	grant   Grant // nil until claimed
-	last    *fault.Error
+	lastErr *fault.Error
 }
 
-// settle tells the claim what became of the request. The context of a caller
+// resolveClaim tells the claim what became of the request. The context of a caller
 // that went away must not stop it. What cannot be written now is kept and
 // written later by the claim store, which logs it; there is nothing to add here.
-func (r *run) settle(ctx context.Context, err error) {
+func (r *execution) resolveClaim(ctx context.Context, err error) {
 	ctx = context.WithoutCancel(ctx)
 	switch {
 	case err == nil:
@@ -138,19 +138,19 @@
 	}
 }
 
-// attempts makes one attempt after another, as core/retry allows.
-func (r *run) attempts(ctx context.Context) error {
+// runAttempts makes one attempt after another, as core/retry allows.
+func (r *execution) runAttempts(ctx context.Context) error {
 	for {
 		snap := r.d.deps.View.Snapshot()
-		r.route.RemainingMs = max(float64(time.Until(r.w.Deadline))/float64(time.Millisecond), leastLeftMs)
+		r.route.RemainingMs = max(float64(time.Until(r.w.Deadline))/float64(time.Millisecond), minRemainingMs)
 		dec := r.d.deps.Picker.Pick(snap, &r.route, randomSource{})
 		if dec.Index < 0 {
-			return r.noEndpoint(ctx, dec.Reason)
+			return r.answerWithoutEndpoint(ctx, dec.Reason)
 		}
 		a := newAttempt(r.d, r.w, r.out, &snap.Endpoints[dec.Index])
-		err := r.aim(ctx, a)
+		err := r.resolveIncarnation(ctx, a)
 		if err == nil {
-			if replayed, cerr := r.claim(ctx, a); replayed || cerr != nil {
+			if replayed, cerr := r.recordClaim(ctx, a); replayed || cerr != nil {
 				return cerr
 			}
 			err = a.run(ctx)
@@ -158,38 +158,38 @@
 		if err == nil {
 			return nil
 		}
-		if again := r.again(ctx, a, err); !again {
-			return r.last
+		if retrying := r.prepareRetry(ctx, a, err); !retrying {
+			return r.lastErr
 		}
 	}
 }
 
-var errNoProcess = errors.New("upstream does not say which process it is")
+var errNoIncarnation = errors.New("upstream does not say which process it is")
 
-// aim learns which process of the upstream a claimed attempt is meant for. A
+// resolveIncarnation learns which process of the upstream a claimed attempt is meant for. A
 // host that has just started may not have heard of the upstream yet.
-func (r *run) aim(ctx context.Context, a *attempt) error {
+func (r *execution) resolveIncarnation(ctx context.Context, a *attempt) error {
 	if r.w.Claim == nil || a.ep.Incarnation != "" {
 		return nil
 	}
 	rep, err := r.d.upstreams.Report(ctx, a.ep.Address)
 	if err == nil && (rep.Upstream != a.ep.Upstream || rep.Incarnation == "") {
-		err = errNoProcess
+		err = errNoIncarnation
 	}
 	if err != nil {
 		r.d.deps.View.MarkDown(a.ep.Upstream)
 		return fault.NotRun(fault.StepRoute, a.ep.Upstream, fault.CodeNoUpstream, "ask for a report: %w", err)
 	}
-	aimed := *a.ep // the snapshot is shared
-	aimed.Incarnation = rep.Incarnation
-	a.ep = &aimed
-	a.sent.set(rep.Incarnation)
+	ep := *a.ep // the snapshot is shared
+	ep.Incarnation = rep.Incarnation
+	a.ep = &ep
+	a.sentTo.set(rep.Incarnation)
 	return nil
 }
 
-// claim makes durable where the attempt goes, for a request that may not be
+// recordClaim makes durable where the attempt goes, for a request that may not be
 // repeated. A repeat of one that ran is answered here.
-func (r *run) claim(ctx context.Context, a *attempt) (replayed bool, err error) {
+func (r *execution) recordClaim(ctx context.Context, a *attempt) (replayed bool, err error) {
 	if r.w.Claim == nil {
 		return false, nil
 	}
@@ -208,33 +208,33 @@
 	return false, grant.RecordDispatch(ctx, to, r.w.Deadline)
 }
 
-// again says whether another attempt follows the one that failed, and waits
+// prepareRetry says whether another attempt follows the one that failed, and waits
 // for its time.
-func (r *run) again(ctx context.Context, a *attempt, err error) bool {
-	r.last = fault.From(fault.StepDispatch, err)
+func (r *execution) prepareRetry(ctx context.Context, a *attempt, err error) bool {
+	r.lastErr = fault.From(fault.StepDispatch, err)
 	if r.out.started || ctx.Err() != nil {
 		return false
 	}
 	avoid := a.ep.Upstream
-	if r.last.Step == fault.StepResume && r.last.Outcome == outcome.NotRun {
+	if r.lastErr.Step == fault.StepResume && r.lastErr.Outcome == outcome.NotRun {
 		avoid = "" // the upstream answered that the attempt never reached it: the connection failed, not it
 	}
-	if a.outdated {
+	if a.wrongIncarnation {
 		avoid = "" // a former process was meant; the new one has refused nothing
 	}
-	next := r.d.after(r.retries, retry.Attempt{Outcome: r.last.Outcome, ExcludeUpstream: avoid,
-		RetryAfter: r.last.RetryAfter, TryOthers: true})
-	r.last.Outcome = next.Outcome
-	if !next.Retry || a.bodyUsed {
-		gaveUp(r.last, next.Reason)
+	next := r.d.nextRetry(r.retries, retry.Attempt{Outcome: r.lastErr.Outcome, ExcludeUpstream: avoid,
+		RetryAfter: r.lastErr.RetryAfter, TryOthers: true})
+	r.lastErr.Outcome = next.Outcome
+	if !next.Retry || a.bodyConsumed {
+		completeFinalError(r.lastErr, next.Reason)
 		return false
 	}
 	r.route.Excluded = next.Excluded
 	return sleep(ctx, next.Backoff) == nil
 }
 
-// noEndpoint is the answer when no upstream, or no other one, can be tried.
-func (r *run) noEndpoint(ctx context.Context, why route.Reason) error {
+// answerWithoutEndpoint is the answer when no upstream, or no other one, can be tried.
+func (r *execution) answerWithoutEndpoint(ctx context.Context, why route.Reason) error {
 	if r.w.Claim != nil && r.grant == nil {
 		// A repeat of a request that ran has its answer, even if nothing could run now.
 		grant, stored, err := r.w.Claim(ctx, claim.Route{})
@@ -246,9 +246,9 @@
 		}
 		r.grant = grant
 	}
-	if r.last != nil {
-		gaveUp(r.last, retry.AttemptsExhausted)
-		return r.last
+	if r.lastErr != nil {
+		completeFinalError(r.lastErr, retry.AttemptsExhausted)
+		return r.lastErr
 	}
 	return r.d.refuse(r.w, why)
 }
@@ -259,14 +259,14 @@
 	d.mu.Unlock()
 }
 
-func (d *Dispatcher) after(r *retry.Request, a retry.Attempt) retry.Decision {
+func (d *Dispatcher) nextRetry(r *retry.Request, a retry.Attempt) retry.Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return r.Next(a, d.budget, time.Now())
 }
 
-// gaveUp completes the error of a request that gets no further attempt.
-func gaveUp(last *fault.Error, why retry.Reason) {
+// completeFinalError completes the error of a request that gets no further attempt.
+func completeFinalError(last *fault.Error, why retry.Reason) {
 	if why == retry.DeadlineTooClose {
 		last.Code = fault.CodeDeadlineExceeded
 	}
--- a/node/dispatch/relay.go
+++ b/node/dispatch/forward.go
@@ -19,73 +19,73 @@
 )
 
 const (
-	// wholeHold is how much of an unstreamed answer is held back until its
+	// maxBufferedAnswer is how much of an unstreamed answer is held back until its
 	// end, so that a broken one can still be had from another attempt. Larger
 	// answers are passed on as they come.
-	wholeHold = 256 << 10
-	// relayBuffer holds some twenty tokens' events.
-	relayBuffer = 4 << 10
+	maxBufferedAnswer = 256 << 10
+	// streamBufferBytes holds some twenty tokens' events.
+	streamBufferBytes = 4 << 10
 )
 
-// passedOn are the answer's headers that callers see. All others are between
+// forwardedHeaders are the answer's headers that callers see. All others are between
 // hosts and upstreams.
-var passedOn = []string{"Content-Type", "Content-Language", "Content-Encoding", "Cache-Control", "Etag", "Last-Modified", "Location"}
+var forwardedHeaders = []string{"Content-Type", "Content-Language", "Content-Encoding", "Cache-Control", "Etag", "Last-Modified", "Location"}
 
-func (a *attempt) head(resp *conn.Response) Head {
+func (a *attempt) responseHead(resp *conn.Response) Head {
 	h := http.Header{}
-	for _, k := range passedOn {
+	for _, k := range forwardedHeaders {
 		if v, ok := resp.Header[k]; ok {
 			h[k] = v
 		}
 	}
-	return Head{Status: resp.Status, Header: h, Attempt: a.id, Upstream: a.ep.Upstream, Incarnation: a.sent.get()}
+	return Head{Status: resp.Status, Header: h, Attempt: a.id, Upstream: a.ep.Upstream, Incarnation: a.sentTo.get()}
 }
 
-// relay passes an answer on, by its kind.
-func (a *attempt) relay(ctx context.Context, resp *conn.Response) error {
+// forward passes an answer on, by its kind.
+func (a *attempt) forward(ctx context.Context, resp *conn.Response) error {
 	if a.w.Stream && isEventStream(resp.Header) {
 		if !a.out.started {
-			a.out.start(a.head(resp))
+			a.out.start(a.responseHead(resp))
 			if err := a.out.flush(); err != nil {
 				resp.Abort()
 				return err
 			}
 		}
-		return a.relayStream(ctx, resp)
+		return a.forwardStream(ctx, resp)
 	}
-	return a.relayWhole(resp)
+	return a.forwardUnstreamed(resp)
 }
 
-// relayWhole holds an answer back up to wholeHold and passes the rest on as
+// forwardUnstreamed holds an answer back up to wholeHold and passes the rest on as
 // it comes.
-func (a *attempt) relayWhole(resp *conn.Response) error {
-	held, err := io.ReadAll(io.LimitReader(resp.Body, wholeHold))
+func (a *attempt) forwardUnstreamed(resp *conn.Response) error {
+	buffered, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer))
 	if err != nil {
 		resp.Abort()
-		return a.broken(err)
+		return a.brokenAnswerError(err)
 	}
-	h := a.head(resp)
-	rest := len(held) == wholeHold
-	if !rest {
+	h := a.responseHead(resp)
+	more := len(buffered) == maxBufferedAnswer
+	if !more {
 		resp.Finish()
-		if n := usedTokens(held); n > 0 && !a.w.PlainService {
-			a.learnLength(n)
+		if n := completionTokens(buffered); n > 0 && !a.w.PlainService {
+			a.recordLength(n)
 		}
-		h.Header.Set("Content-Length", strconv.Itoa(len(held)))
+		h.Header.Set("Content-Length", strconv.Itoa(len(buffered)))
 	}
 	a.out.start(h)
-	if err := a.out.write(held); err != nil || !rest {
+	if err := a.out.write(buffered); err != nil || !more {
 		resp.Abort() // no effect after Finish
 		return err
 	}
-	return a.relayRest(resp)
+	return a.forwardRemainder(resp)
 }
 
-func (a *attempt) relayRest(resp *conn.Response) error {
+func (a *attempt) forwardRemainder(resp *conn.Response) error {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := resp.Body.Read(buf)
-		a.watch.touch()
+		a.watch.recordRead()
 		if werr := a.out.write(buf[:n]); werr != nil {
 			resp.Abort()
 			return werr
@@ -96,12 +96,12 @@
 		}
 		if err != nil {
 			resp.Abort()
-			return a.broken(err)
+			return a.brokenAnswerError(err)
 		}
 	}
 }
 
-func (a *attempt) broken(err error) error {
+func (a *attempt) brokenAnswerError(err error) error {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return fault.Unknown(fault.StepRelay, a.ep.Upstream, fault.CodeDeadlineExceeded, "answer was not whole by the deadline: %w", err)
 	}
@@ -113,39 +113,39 @@
 type buffers struct{ in, out []byte }
 
 var bufferPool = sync.Pool{New: func() any {
-	return &buffers{in: make([]byte, relayBuffer), out: make([]byte, 0, relayBuffer)}
+	return &buffers{in: make([]byte, streamBufferBytes), out: make([]byte, 0, streamBufferBytes)}
 }}
 
-// relayStream passes events on until the end marker. Whatever was read at
+// forwardStream passes events on until the end marker. Whatever was read at
 // once is written at once, so that a fast stream costs few system calls.
-func (a *attempt) relayStream(ctx context.Context, resp *conn.Response) error {
+func (a *attempt) forwardStream(ctx context.Context, resp *conn.Response) error {
 	b := bufferPool.Get().(*buffers)
 	defer func() { bufferPool.Put(b) }()
-	have := 0
+	unread := 0
 	for {
-		if have == 0 {
+		if unread == 0 {
 			// Most streams are between two tokens at any moment: buffers held
 			// meanwhile would be the largest part of their memory.
 			bufferPool.Put(b)
 			resp.Wait()
 			b = bufferPool.Get().(*buffers)
 		}
-		if have == len(b.in) {
+		if unread == len(b.in) {
 			b.in = append(b.in, make([]byte, len(b.in))...)
 		}
-		n, err := resp.Body.Read(b.in[have:])
-		have += n
+		n, err := resp.Body.Read(b.in[unread:])
+		unread += n
 		if n > 0 {
-			a.watch.touch()
-			used, perr := a.pass(b, b.in[:have])
+			a.watch.recordRead()
+			used, perr := a.forwardEvents(b, b.in[:unread])
 			if perr != nil {
 				resp.Abort()
 				return perr
 			}
-			have = copy(b.in, b.in[used:have])
+			unread = copy(b.in, b.in[used:unread])
 		}
-		if a.split.done {
-			a.endStream(resp, err)
+		if a.split.ended {
+			a.finishStream(resp, err)
 			return nil
 		}
 		if err != nil {
@@ -153,24 +153,24 @@
 			if ctx.Err() != nil {
 				err = errors.Join(context.Cause(ctx), err)
 			}
-			return a.broken(err)
+			return a.brokenAnswerError(err)
 		}
 	}
 }
 
-// pass hands the whole events in src to the caller.
-func (a *attempt) pass(b *buffers, src []byte) (used int, err error) {
+// forwardEvents hands the whole events in src to the caller.
+func (a *attempt) forwardEvents(b *buffers, src []byte) (used int, err error) {
 	before := a.split.position
-	b.out, used, err = a.split.pass(b.out[:0], src)
+	b.out, used, err = a.split.rewrite(b.out[:0], src)
 	if err != nil {
-		if errors.Is(err, errForeign) {
+		if errors.Is(err, errMismatched) {
 			a.d.deps.Metrics.Add(metrics.Mismatched, a.ep.DataCentre, a.ep.Upstream, 1)
 			a.d.deps.Log.Emit(event.AnswerCrossed, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("attempt", a.id))
 		}
-		return used, a.broken(err)
+		return used, a.brokenAnswerError(err)
 	}
 	a.watch.position.Store(int64(a.split.position))
-	a.measure()
+	a.recordPace()
 	a.d.deps.Metrics.AddTokens(a.split.position - before)
 	if len(b.out) == 0 {
 		return used, nil
@@ -181,28 +181,28 @@
 	return used, a.out.flush()
 }
 
-// measure learns the upstream's pace, and how long its model's answers are.
-func (a *attempt) measure() {
+// recordPace learns the upstream's pace, and how long its model's answers are.
+func (a *attempt) recordPace() {
 	now := time.Now()
 	if a.pace.at.IsZero() && a.split.position > 0 && a.ep.Running+a.ep.Waiting < a.ep.MaxBatch {
-		a.d.deps.View.ObserveFirstToken(a.ep.Upstream, now.Sub(a.begun))
+		a.d.deps.View.ObserveFirstToken(a.ep.Upstream, now.Sub(a.startedAt))
 	}
-	if step, ok := a.pace.note(a.split.position, now); ok {
+	if step, ok := a.pace.sample(a.split.position, now); ok {
 		a.d.deps.View.ObserveStepTime(a.ep.Upstream, step)
 	}
-	if a.split.done {
-		a.learnLength(a.split.position)
+	if a.split.ended {
+		a.recordLength(a.split.position)
 	}
 }
 
-func (a *attempt) learnLength(tokens int) {
-	a.d.lengths.learn(a.w.Key, tokens)
+func (a *attempt) recordLength(tokens int) {
+	a.d.lengths.observe(a.w.Key, tokens)
 	a.d.deps.View.ObserveAnswerLength(a.ep.Upstream, tokens)
 }
 
-// endStream gives the connection back if nothing but the end of the body is
+// finishStream gives the connection back if nothing but the end of the body is
 // left on it.
-func (a *attempt) endStream(resp *conn.Response, err error) {
+func (a *attempt) finishStream(resp *conn.Response, err error) {
 	var rest [64]byte
 	for err == nil {
 		var n int
--- a/node/dispatch/relay_bench_test.go
+++ b/node/dispatch/forward_bench_test.go
@@ -8,18 +8,18 @@
 	"peridotpier.example/node/metrics"
 )
 
-// discard is a caller that takes everything.
-type discard struct{}
+// discardSink is a caller that takes everything.
+type discardSink struct{}
 
-func (discard) WriteHead(Head)     {}
-func (discard) Write([]byte) error { return nil }
-func (discard) Flush() error       { return nil }
+func (discardSink) WriteHead(Head)     {}
+func (discardSink) Write([]byte) error { return nil }
+func (discardSink) Flush() error       { return nil }
 
 // BenchmarkRelayToken passes one token's event on; its allocations are those
 // that each relayed token costs.
 func BenchmarkRelayToken(b *testing.B) {
 	d := New(Config{}, Deps{Log: event.NewLog(nil), Metrics: metrics.New()})
-	a := &attempt{d: d, w: &Work{Stream: true}, out: &output{sink: discard{}, started: true}, id: "a-1"}
+	a := &attempt{d: d, w: &Work{Stream: true}, out: &output{sink: discardSink{}, started: true}, id: "a-1"}
 	a.split.attempt = []byte(a.id)
 	buf := bufferPool.Get().(*buffers)
 	var ev []byte
@@ -28,8 +28,8 @@
 		ev = append(ev[:0], "id: a-1."...)
 		ev = strconv.AppendInt(ev, int64(i+1), 10)
 		ev = append(ev, "\ndata: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\" word\"}}]}\n\n"...)
-		a.watch.touch()
-		if _, err := a.pass(buf, ev); err != nil {
+		a.watch.recordRead()
+		if _, err := a.forwardEvents(buf, ev); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/node/dispatch/output.go
+++ b/node/dispatch/output.go
@@ -12,21 +12,21 @@
 
 // output passes an answer to the caller and, for a claim, keeps it.
 type output struct {
-	sink     Sink
-	started  bool // the head went out: no other attempt may answer
-	keep     bool
-	most     int64
-	budget   *keepBudget
-	detached bool // the request goes on when its caller is gone
-	gone     bool // the caller is gone
-	head     Head
-	kept     []byte
-	overflow bool
+	sink        Sink
+	started     bool // the head went out: no other attempt may answer
+	retain      bool
+	maxRetained int64
+	budget      *retainBudget
+	detached    bool // the request goes on when its caller is gone
+	callerGone  bool // the caller is gone
+	head        Head
+	retained    []byte
+	overflow    bool
 }
 
 func (o *output) start(h Head) {
 	o.started, o.head = true, h
-	if !o.gone {
+	if !o.callerGone {
 		o.sink.WriteHead(h)
 	}
 }
@@ -34,64 +34,64 @@
 // write passes p on. A claimed request goes on without its caller, since the
 // answer will be asked for again under its key; any other ends.
 func (o *output) write(p []byte) error {
-	if o.keep && !o.overflow {
-		o.hold(p)
+	if o.retain && !o.overflow {
+		o.retainBytes(p)
 	}
-	if o.gone {
+	if o.callerGone {
 		return nil
 	}
-	return o.lost(o.sink.Write(p))
+	return o.handleSinkError(o.sink.Write(p))
 }
 
-// hold keeps p for the claim, unless the answer gets too large for its own
+// retainBytes keeps p for the claim, unless the answer gets too large for its own
 // bound or for what the host holds of all answers together.
-func (o *output) hold(p []byte) {
-	if int64(len(o.kept)+len(p)) > o.most || !o.budget.take(len(p)) {
-		o.release()
+func (o *output) retainBytes(p []byte) {
+	if int64(len(o.retained)+len(p)) > o.maxRetained || !o.budget.reserve(len(p)) {
+		o.releaseRetained()
 		o.overflow = true
 		return
 	}
-	o.kept = append(o.kept, p...)
+	o.retained = append(o.retained, p...)
 }
 
-// release gives back what the answer took of the host's memory.
-func (o *output) release() {
-	if len(o.kept) > 0 {
-		o.budget.give(len(o.kept))
+// releaseRetained gives back what the answer took of the host's memory.
+func (o *output) releaseRetained() {
+	if len(o.retained) > 0 {
+		o.budget.release(len(o.retained))
 	}
-	o.kept = nil
+	o.retained = nil
 }
 
-// keepBudget bounds the bytes of answers that a host holds for claims while
+// retainBudget bounds the bytes of answers that a host holds for claims while
 // their requests run. Without it, many large answers at once would take the
 // memory of a small host.
-type keepBudget struct {
+type retainBudget struct {
 	used atomic.Int64
-	most int64
+	max  int64
 }
 
-func (b *keepBudget) take(n int) bool {
-	if b.used.Add(int64(n)) <= b.most {
+func (b *retainBudget) reserve(n int) bool {
+	if b.used.Add(int64(n)) <= b.max {
 		return true
 	}
-	b.give(n)
+	b.release(n)
 	return false
 }
 
-func (b *keepBudget) give(n int) { b.used.Add(-int64(n)) }
+func (b *retainBudget) release(n int) { b.used.Add(-int64(n)) }
 
 func (o *output) flush() error {
-	if o.gone {
+	if o.callerGone {
 		return nil
 	}
-	return o.lost(o.sink.Flush())
+	return o.handleSinkError(o.sink.Flush())
 }
 
-func (o *output) lost(err error) error {
+func (o *output) handleSinkError(err error) error {
 	if err == nil {
 		return nil
 	}
-	o.gone = true
+	o.callerGone = true
 	if o.detached {
 		return nil
 	}
@@ -100,7 +100,7 @@
 
 // answer is what a claim keeps.
 func (o *output) answer() nodeclaim.Answer {
-	return nodeclaim.Answer{Status: o.head.Status, ContentType: o.head.Header.Get("Content-Type"), Body: o.kept, Dropped: o.overflow}
+	return nodeclaim.Answer{Status: o.head.Status, ContentType: o.head.Header.Get("Content-Type"), Body: o.retained, Dropped: o.overflow}
 }
 
 // replay hands over the stored answer of a request that ran before.
@@ -110,7 +110,7 @@
 		h.Set("Content-Type", a.ContentType)
 	}
 	h.Set("Content-Length", strconv.Itoa(len(a.Body)))
-	o.keep = false // it is kept
+	o.retain = false // it is kept
 	o.start(Head{Status: a.Status, Header: h})
 	if err := o.write(a.Body); err != nil {
 		return err
--- a/node/dispatch/pace_test.go
+++ b/node/dispatch/pace_test.go
@@ -10,13 +10,13 @@
 )
 
 func TestPacerDividesByTheTokensThatPassed(t *testing.T) {
-	var p pacer
+	var p paceMeter
 	t0 := time.Unix(1000, 0)
-	_, ok := p.note(1, t0)
+	_, ok := p.sample(1, t0)
 	assert.Assert(t, !ok)
-	_, ok = p.note(1+paceEach/2, t0.Add(time.Second))
+	_, ok = p.sample(1+paceSampleTokens/2, t0.Add(time.Second))
 	assert.Assert(t, !ok, "too few tokens for a sample")
-	step, ok := p.note(1+2*paceEach, t0.Add(2*paceEach*30*time.Millisecond))
+	step, ok := p.sample(1+2*paceSampleTokens, t0.Add(2*paceSampleTokens*30*time.Millisecond))
 	assert.Assert(t, ok)
 	assert.Equal(t, step, 30*time.Millisecond)
 }
@@ -26,13 +26,13 @@
 // Sequence: callers allow thousands of tokens; answers have a few dozen.
 // Cause: what is allowed is taken for the length.
 func TestLengthsAreLearntAndNotTakenFromTheBound(t *testing.T) {
-	l, key := newLengths(), route.ModelKey{Model: "m"}
+	l, key := newAnswerLengths(), route.ModelKey{Model: "m"}
 	assert.Equal(t, l.predict(key, 4000), 0, "nothing known: nothing predicted")
 	for range 20 {
-		l.learn(key, 40)
+		l.observe(key, 40)
 	}
 	assert.Equal(t, l.predict(key, 4000), 60)
 	assert.Equal(t, l.predict(key, 10), 10)
-	assert.Equal(t, usedTokens([]byte(`{"usage":{"prompt_tokens":9,"completion_tokens": 17,"total_tokens":26}}`)), 17)
-	assert.Equal(t, usedTokens([]byte(`{"completion_tokens":null}`)), 0)
+	assert.Equal(t, completionTokens([]byte(`{"usage":{"prompt_tokens":9,"completion_tokens": 17,"total_tokens":26}}`)), 17)
+	assert.Equal(t, completionTokens([]byte(`{"completion_tokens":null}`)), 0)
 }
--- a/node/dispatch/recover.go
+++ b/node/dispatch/recover.go
@@ -18,58 +18,58 @@
 )
 
 const (
-	// recoverPause spaces questions for a fate that is not yet known.
-	recoverPause = 100 * time.Millisecond
-	// recoverFailures is how many questions may go unanswered one after
+	// recoverInterval spaces questions for a fate that is not yet known.
+	recoverInterval = 100 * time.Millisecond
+	// maxRecoverFailures is how many questions may go unanswered one after
 	// another: with probeTimeout each, an upstream may be cut off for some ten
 	// seconds while a stream is held open for it.
-	recoverFailures = 10
-	// recoverFailuresElsewhere is the same for a request that another upstream
+	maxRecoverFailures = 10
+	// maxRecoverFailuresRepeatable is the same for a request that another upstream
 	// could answer: it is not worth waiting long.
-	recoverFailuresElsewhere = 2
+	maxRecoverFailuresRepeatable = 2
 )
 
-// recover finds out what became of an attempt whose answer was lost, and
+// recoverAnswer finds out what became of an attempt whose answer was lost, and
 // hands the answer over if there is one.
-func (a *attempt) recover(ctx context.Context, cause error) error {
+func (a *attempt) recoverAnswer(ctx context.Context, cause error) error {
 	failures := 0
 	for ctx.Err() == nil {
 		f, err := a.d.upstreams.AttemptOutcome(ctx, a.ep.Address, a.id)
 		if err != nil {
 			failures++
-			if !a.worthAsking(err, failures) {
+			if !a.shouldAskAgain(err, failures) {
 				a.d.deps.View.MarkDown(a.ep.Upstream)
 				return cause
 			}
-			_ = sleep(ctx, recoverPause)
+			_ = sleep(ctx, recoverInterval)
 			continue
 		}
 		failures = 0
-		if done, err := a.actOnFate(ctx, f, cause); done {
+		if done, err := a.applyOutcome(ctx, f, cause); done {
 			return err
 		}
-		_ = sleep(ctx, recoverPause)
+		_ = sleep(ctx, recoverInterval)
 	}
 	return cause
 }
 
-// worthAsking says whether to ask for a fate again. A refused connection
+// shouldAskAgain says whether to ask for a fate again. A refused connection
 // means that the process is gone and its attempts with it.
-func (a *attempt) worthAsking(err error, failures int) bool {
-	gone := fault.From(fault.StepResume, err).Outcome == outcome.NotRun && failures > 1
-	if gone || errors.Is(err, errForgotten) {
+func (a *attempt) shouldAskAgain(err error, failures int) bool {
+	terminated := fault.From(fault.StepResume, err).Outcome == outcome.NotRun && failures > 1
+	if terminated || errors.Is(err, errForgotten) {
 		return false
 	}
 	if a.w.Repeatable && !a.out.started {
-		return failures < recoverFailuresElsewhere
+		return failures < maxRecoverFailuresRepeatable
 	}
-	return failures < recoverFailures
+	return failures < maxRecoverFailures
 }
 
-// actOnFate ends the recovery (done) or leaves it to go on.
-func (a *attempt) actOnFate(ctx context.Context, f engineapi.Attempt, cause error) (done bool, err error) {
+// applyOutcome ends the recovery (done) or leaves it to go on.
+func (a *attempt) applyOutcome(ctx context.Context, f engineapi.Attempt, cause error) (done bool, err error) {
 	switch {
-	case !a.sent.same(f.Incarnation):
+	case !a.sentTo.matches(f.Incarnation):
 		return true, fault.Unknown(fault.StepResume, a.ep.Upstream, fault.CodeUpstreamFailed, "upstream restarted: %w", cause)
 	case f.State == engineapi.AttemptUnseen || f.State == engineapi.AttemptRefused:
 		return true, fault.NotRun(fault.StepResume, a.ep.Upstream, fault.CodeUpstreamFailed, "attempt never ran: %w", cause)
@@ -98,8 +98,8 @@
 	}
 	a.d.deps.Metrics.Add(metrics.Resumed, a.ep.DataCentre, a.ep.Upstream, 1)
 	a.d.deps.Log.Emit(event.StreamResumed, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("attempt", a.id), zap.Int("position", a.split.position))
-	err = a.relay(ctx, resp)
-	return err == nil || a.out.gone, err
+	err = a.forward(ctx, resp)
+	return err == nil || a.out.callerGone, err
 }
 
 // deliver hands over a whole answer that the upstream kept.
@@ -136,7 +136,7 @@
 	a.watch.position.Store(int64(r.After))
 	ctx, cancel := context.WithDeadline(ctx, w.Deadline)
 	defer cancel()
-	err := a.recover(ctx, fault.Unknown(fault.StepResume, r.Upstream, fault.CodeOutcomeUnknown, "stream cannot be resumed"))
-	a.after(ctx, err)
+	err := a.recoverAnswer(ctx, fault.Unknown(fault.StepResume, r.Upstream, fault.CodeOutcomeUnknown, "stream cannot be resumed"))
+	a.cancelIfAbandoned(ctx, err)
 	return err
 }
--- a/node/dispatch/sse.go
+++ b/node/dispatch/sse.go
@@ -9,13 +9,13 @@
 )
 
 var (
-	errForeign = errors.New("answer belongs to another attempt")
-	errGap     = errors.New("stream skips a position")
-	errFormat  = errors.New("stream is malformed")
-	errLong    = errors.New("event of the stream is too long")
+	errMismatched   = errors.New("answer belongs to another attempt")
+	errGap          = errors.New("stream skips a position")
+	errMalformed    = errors.New("stream is malformed")
+	errEventTooLong = errors.New("event of the stream is too long")
 )
 
-const eventMost = 1 << 20 // bytes of one event; a token's event takes some 200
+const maxEventBytes = 1 << 20 // bytes of one event; a token's event takes some 200
 
 var (
 	eventEnd  = []byte("\n\n")
@@ -29,22 +29,22 @@
 type splitter struct {
 	attempt  []byte
 	position int  // of the last event passed on
-	done     bool // the end marker was passed on
+	ended    bool // the end marker was passed on
 }
 
-// pass appends to dst the caller's form of every whole event in src and
+// rewrite appends to dst the caller's form of every whole event in src and
 // returns how much of src it used. An upstream's id is "attempt.position";
 // the caller sees the position alone, which serves as Last-Event-ID.
-func (s *splitter) pass(dst, src []byte) (out []byte, used int, err error) {
-	for !s.done {
+func (s *splitter) rewrite(dst, src []byte) (out []byte, used int, err error) {
+	for !s.ended {
 		n := bytes.Index(src[used:], eventEnd)
 		if n < 0 {
-			if len(src)-used > eventMost {
-				return dst, used, errLong
+			if len(src)-used > maxEventBytes {
+				return dst, used, errEventTooLong
 			}
 			return dst, used, nil
 		}
-		if dst, err = s.event(dst, src[used:used+n]); err != nil {
+		if dst, err = s.rewriteEvent(dst, src[used:used+n]); err != nil {
 			return dst, used, err
 		}
 		used += n + len(eventEnd)
@@ -52,30 +52,30 @@
 	return dst, len(src), nil
 }
 
-func (s *splitter) event(dst, ev []byte) ([]byte, error) {
+func (s *splitter) rewriteEvent(dst, ev []byte) ([]byte, error) {
 	if len(ev) == 0 || ev[0] == ':' {
 		return dst, nil // a comment keeps the connection alive
 	}
 	id, data, ok := bytes.Cut(ev, []byte{'\n'})
-	if !ok || !bytes.HasPrefix(id, idField) || !bytes.HasPrefix(data, dataField) || lines(data) {
-		return dst, errFormat
+	if !ok || !bytes.HasPrefix(id, idField) || !bytes.HasPrefix(data, dataField) || hasLineBreak(data) {
+		return dst, errMalformed
 	}
 	id = id[len(idField):]
 	dot := bytes.LastIndexByte(id, '.')
 	if dot < 0 || !bytes.Equal(id[:dot], s.attempt) {
-		return dst, errForeign
+		return dst, errMismatched
 	}
-	pos, ok := number(id[dot+1:])
+	pos, ok := parseNumber(id[dot+1:])
 	switch {
 	case !ok:
-		return dst, errFormat
+		return dst, errMalformed
 	case pos <= s.position:
 		return dst, nil // sent again after a resumption
 	case pos != s.position+1:
 		return dst, errGap
 	}
 	s.position = pos
-	s.done = bytes.Equal(data[len(dataField):], streamEnd)
+	s.ended = bytes.Equal(data[len(dataField):], streamEnd)
 	dst = append(dst, idField...)
 	dst = strconv.AppendInt(dst, int64(pos), 10)
 	dst = append(dst, '\n')
@@ -83,13 +83,15 @@
 	return append(dst, eventEnd...), nil
 }
 
-// lines says whether there is more than one line. A second one would reach the
+// hasLineBreak says whether there is more than one line. A second one would reach the
 // caller as a field of its own: an id there moves the position that its
 // resumption starts from.
-func lines(b []byte) bool { return bytes.IndexByte(b, '\n') >= 0 || bytes.IndexByte(b, '\r') >= 0 }
+func hasLineBreak(b []byte) bool {
+	return bytes.IndexByte(b, '\n') >= 0 || bytes.IndexByte(b, '\r') >= 0
+}
 
-// number reads a position without allocating.
-func number(b []byte) (int, bool) {
+// parseNumber reads a position without allocating.
+func parseNumber(b []byte) (int, bool) {
 	n := 0
 	for _, c := range b {
 		if c < '0' || c > '9' || n > 1<<40 {
--- a/node/dispatch/fate.go
+++ b/node/dispatch/upstreamclient.go
@@ -20,9 +20,9 @@
 	// probeTimeout bounds one question to an upstream on a new connection;
 	// within and between close data centres an answer takes milliseconds.
 	probeTimeout = time.Second
-	// fateBytes bounds the answer to a question for an attempt's fate: the
+	// maxOutcomeBytes bounds the answer to a question for an attempt's fate: the
 	// largest answer that is kept, in base64, and its frame.
-	fateBytes = config.MaxAnswerBytes*4/3 + 64<<10
+	maxOutcomeBytes = config.MaxAnswerBytes*4/3 + 64<<10
 )
 
 // errForgotten says that the upstream cannot tell the fate any more: it is no
@@ -48,7 +48,7 @@
 	if err != nil {
 		return a, err
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, fateBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxOutcomeBytes))
 	if err != nil {
 		resp.Abort()
 		return a, fault.Unknown(fault.StepResume, address, fault.CodeUpstreamFailed, "read fate: %w", err)
@@ -80,7 +80,7 @@
 	if resp.Status != http.StatusOK {
 		return r, fault.Unknown(fault.StepRoute, address, fault.CodeUpstreamFailed, "report: status %d", resp.Status)
 	}
-	return r, json.NewDecoder(io.LimitReader(resp.Body, fateBytes)).Decode(&r)
+	return r, json.NewDecoder(io.LimitReader(resp.Body, maxOutcomeBytes)).Decode(&r)
 }
 
 // Cancel tells an upstream to give an attempt up.
--- a/node/dispatch/watchdog.go
+++ b/node/dispatch/watchdog.go
@@ -19,28 +19,28 @@
 const inFlightGrace = 100 * time.Millisecond
 
 const (
-	// silenceShare is the part of the time left until the deadline that an
+	// idleDivisor is the part of the time left until the deadline that an
 	// exchange may be silent before it is looked into: found out later, there
 	// would be no time left for another attempt.
-	silenceShare = 4
-	// leastSilence keeps requests with little time left from asking more often
+	idleDivisor = 4
+	// minIdleBeforeProbe keeps requests with little time left from asking more often
 	// than an upstream answers.
-	leastSilence = 100 * time.Millisecond
+	minIdleBeforeProbe = 100 * time.Millisecond
 )
 
-// silence is how long this attempt's exchange may go without a byte.
-func (a *attempt) silence() time.Duration {
-	return min(a.d.cfg.IdleBeforeProbe, max(time.Until(a.w.Deadline)/silenceShare, leastSilence))
+// idleBeforeProbe is how long this attempt's exchange may go without a byte.
+func (a *attempt) idleBeforeProbe() time.Duration {
+	return min(a.d.cfg.IdleBeforeProbe, max(time.Until(a.w.Deadline)/idleDivisor, minIdleBeforeProbe))
 }
 
 // watchdog notices that an exchange has gone without a byte for a while. Its
 // fields are shared with the goroutine that relays.
 type watchdog struct {
-	touched  atomic.Int64 // reads that brought something
+	reads    atomic.Int64 // reads that brought something
 	position atomic.Int64 // of the last event passed on
 }
 
-func (w *watchdog) touch() { w.touched.Add(1) }
+func (w *watchdog) recordRead() { w.reads.Add(1) }
 
 // watchExchange asks the upstream on a new connection, each time the exchange
 // was silent for a while, whether there is something that did not arrive. If
@@ -52,11 +52,11 @@
 // recovered on a new connection. The returned function stops the watch and
 // waits for it.
 func (a *attempt) watchExchange(ctx context.Context, cancel context.CancelFunc) func() {
-	done, pause := make(chan struct{}), a.silence()
+	done, interval := make(chan struct{}), a.idleBeforeProbe()
 	var timer *time.Timer
 	var mu sync.Mutex // guards timer and stopped
 	var stopped, running bool
-	last := a.watch.touched.Load()
+	last := a.watch.reads.Load()
 	check := func() {
 		mu.Lock()
 		running = !stopped
@@ -64,8 +64,8 @@
 		if !running {
 			return
 		}
-		now := a.watch.touched.Load()
-		if now == last && a.silent(ctx) {
+		now := a.watch.reads.Load()
+		if now == last && a.isStalled(ctx) {
 			cancel()
 		}
 		last = now
@@ -76,27 +76,27 @@
 			close(done)
 			return
 		}
-		timer.Reset(pause)
+		timer.Reset(interval)
 	}
 	mu.Lock()
-	timer = time.AfterFunc(pause, check)
+	timer = time.AfterFunc(interval, check)
 	mu.Unlock()
 	return func() {
 		cancel()
 		mu.Lock()
 		stopped = true
 		timer.Stop()
-		wait := running
+		checking := running
 		mu.Unlock()
-		if wait {
+		if checking {
 			<-done
 		}
 	}
 }
 
-// silent asks whether the upstream has more for this exchange than arrived.
-func (a *attempt) silent(ctx context.Context) bool {
-	before := a.watch.touched.Load()
+// isStalled asks whether the upstream has more for this exchange than arrived.
+func (a *attempt) isStalled(ctx context.Context) bool {
+	readsBefore := a.watch.reads.Load()
 	f, err := a.d.upstreams.AttemptOutcome(ctx, a.ep.Address, a.id)
 	if err != nil {
 		// Refused: the process is gone, and its connections with it. No answer
@@ -108,10 +108,10 @@
 		return true
 	}
 	waiting := f.State == engineapi.AttemptRunning && (!a.w.Stream || int64(f.Position) <= a.watch.position.Load())
-	if waiting && a.sent.same(f.Incarnation) {
+	if waiting && a.sentTo.matches(f.Incarnation) {
 		return false
 	}
-	if sleep(ctx, inFlightGrace) != nil || a.watch.touched.Load() != before {
+	if sleep(ctx, inFlightGrace) != nil || a.watch.reads.Load() != readsBefore {
 		return false
 	}
 	a.d.deps.Client.Retire(a.ep.Address)
@@ -120,24 +120,24 @@
 	return true
 }
 
-// incarnation is the process that an attempt was sent to, as far as known.
-type incarnation struct {
+// incarnationRef is the process that an attempt was sent to, as far as known.
+type incarnationRef struct {
 	mu   sync.Mutex
 	name string
 }
 
-func (i *incarnation) set(name string) {
+func (i *incarnationRef) set(name string) {
 	i.mu.Lock()
 	i.name = name
 	i.mu.Unlock()
 }
 
-func (i *incarnation) get() string {
+func (i *incarnationRef) get() string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.name
 }
 
-// same says whether an answer from the named process speaks for the attempt.
+// matches says whether an answer from the named process speaks for the attempt.
 // One that restarted knows nothing of it, so its "unseen" proves nothing.
-func (i *incarnation) same(name string) bool { return name != "" && i.get() == name }
+func (i *incarnationRef) matches(name string) bool { return name != "" && i.get() == name }
