--- a/node/drain/begin_test.go
+++ b/node/drain/begin_test.go
@@ -25,22 +25,22 @@
 func run(t *testing.T, h http.HandlerFunc, secured bool) *running {
 	t.Helper()
 	if secured {
-		return runOver(t, h, func(ln net.Listener) net.Listener { return ln })
+		return runWrapped(t, h, func(ln net.Listener) net.Listener { return ln })
 	}
-	return runOver(t, h, nil)
+	return runWrapped(t, h, nil)
 }
 
-// runOver serves h, secured if over is there, which then wraps the secured listener.
-func runOver(t *testing.T, h http.HandlerFunc, over func(net.Listener) net.Listener) *running {
+// runWrapped serves h, secured if over is there, which then wraps the secured listener.
+func runWrapped(t *testing.T, h http.HandlerFunc, wrap func(net.Listener) net.Listener) *running {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	cfg := Config{Listener: ln, Server: &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}}
-	if over != nil {
+	if wrap != nil {
 		donor := httptest.NewTLSServer(nil)
 		t.Cleanup(donor.Close)
 		cfg.Secure = func(ln net.Listener) net.Listener {
-			return over(tls.NewListener(ln, &tls.Config{Certificates: donor.TLS.Certificates}))
+			return wrap(tls.NewListener(ln, &tls.Config{Certificates: donor.TLS.Certificates}))
 		}
 	}
 	s := &running{Server: New(cfg), address: ln.Addr().String()}
@@ -74,7 +74,7 @@
 }
 
 // phases counts the connections in each phase.
-func (s *running) phases() (n [closing + 1]int) {
+func (s *running) phases() (n [phaseClosing + 1]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -103,7 +103,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			half := of.bytes
-			s := run(t, sayOK, of.secured)
+			s := run(t, answerOK, of.secured)
 			c, err := s.dial()
 			assert.NilError(t, err)
 			defer func() { _ = c.Close() }()
@@ -126,7 +126,7 @@
 // Sequence: secured callers at a stop: a kept connection, the next request in one record.
 func TestASecuredConnectionIsAnswered(t *testing.T) {
 	t.Parallel()
-	s := run(t, sayOK, true)
+	s := run(t, answerOK, true)
 	c, err := tls.Dial("tcp", s.address, &tls.Config{InsecureSkipVerify: true})
 	assert.NilError(t, err)
 	defer func() { _ = c.Close() }()
@@ -136,7 +136,7 @@
 	assert.NilError(t, err)
 	answered(t, answers)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if s.phases()[quiet] != 1 {
+		if s.phases()[phaseIdle] != 1 {
 			return poll.Continue("not quiet")
 		}
 		return poll.Success()
@@ -159,7 +159,7 @@
 	t.Parallel()
 	s := run(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.ReadAll(r.Body)
-		sayOK(w, r)
+		answerOK(w, r)
 	}, false)
 	c, err := net.Dial("tcp", s.address)
 	assert.NilError(t, err)
--- a/node/drain/conn_test.go
+++ b/node/drain/conn_test.go
@@ -20,7 +20,7 @@
 	s := New(Config{Listener: ln, Server: &http.Server{Handler: http.NotFoundHandler(), ReadHeaderTimeout: time.Minute}})
 	caller, err := net.Dial("tcp", ln.Addr().String())
 	assert.NilError(t, err)
-	nc, err := listener{ln, s}.Accept()
+	nc, err := trackingListener{ln, s}.Accept()
 	assert.NilError(t, err)
 	t.Cleanup(func() { _, _, _ = caller.Close(), nc.Close(), ln.Close() })
 	return nc.(*conn), caller
@@ -34,17 +34,17 @@
 	_, err := io.WriteString(caller, "GET")
 	assert.NilError(t, err)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if !c.pending() {
+		if !c.hasPending() {
 			return poll.Continue("nothing came")
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond))
-	c.ask(Shutdown)
+	c.requestClose(Shutdown)
 	buf := make([]byte, 8)
 	n, err := c.Read(buf)
 	assert.NilError(t, err)
 	assert.Equal(t, string(buf[:n]), "GET")
-	assert.Equal(t, c.phase.Load(), busy)
+	assert.Equal(t, c.phase.Load(), phaseBusy)
 	_, err = io.WriteString(caller, " /")
 	assert.NilError(t, err)
 	n, err = c.Read(buf)
@@ -63,7 +63,7 @@
 		_, err := c.Read(make([]byte, 8))
 		done <- err
 	}()
-	c.ask(IdleTimeout)
+	c.requestClose(IdleTimeout)
 	assert.NilError(t, c.SetReadDeadline(time.Time{}))
 	select {
 	case err := <-done:
@@ -71,7 +71,7 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("the read does not end")
 	}
-	assert.Equal(t, c.phase.Load(), closing)
+	assert.Equal(t, c.phase.Load(), phaseClosing)
 	_, err := io.WriteString(caller, "GET")
 	assert.NilError(t, err)
 	_, err = c.Read(make([]byte, 8))
@@ -109,13 +109,13 @@
 // Cause: the reader that could keep the connection has nothing more to read.
 func TestAHeadThatWasReadKeepsItsConnection(t *testing.T) {
 	c, _ := pair(t)
-	c.shaken.Store(true)
-	c.begin()
-	c.s.began = time.Now().Add(-2 * handshakeRest)
-	c.ask(Shutdown)
-	assert.Equal(t, c.phase.Load(), asked)
+	c.handshakeDone.Store(true)
+	c.tryBegin()
+	c.s.startedAt = time.Now().Add(-2 * handshakeGrace)
+	c.requestClose(Shutdown)
+	assert.Equal(t, c.phase.Load(), phaseCloseRequested)
 	c.s.cfg.Server.ConnState(c, http.StateActive)
-	assert.Equal(t, c.phase.Load(), busy)
+	assert.Equal(t, c.phase.Load(), phaseBusy)
 	assert.Equal(t, c.s.DrainStep(), 1)
-	assert.Equal(t, c.phase.Load(), busy, "it is used now")
+	assert.Equal(t, c.phase.Load(), phaseBusy, "it is used now")
 }
--- a/node/drain/drain.go
+++ b/node/drain/drain.go
@@ -42,35 +42,35 @@
 
 // Server serves the connections of one listener.
 type Server struct {
-	cfg   Config
-	began time.Time
-	ended chan struct{}
-	once  sync.Once
+	cfg       Config
+	startedAt time.Time
+	closed    chan struct{}
+	once      sync.Once
 
-	mu    sync.Mutex
-	conns map[*conn]struct{}
-	over  bool // no connection is taken any more
+	mu      sync.Mutex
+	conns   map[*conn]struct{}
+	stopped bool // no connection is taken any more
 }
 
 // New makes a Server.
 func New(cfg Config) *Server {
-	s := &Server{cfg: cfg, began: time.Now(), ended: make(chan struct{}), conns: map[*conn]struct{}{}}
-	cfg.Server.Handler = s.guard(cfg.Server.Handler)
-	cfg.Server.ConnState = s.state(cfg.Server.ConnState)
-	cfg.Server.ConnContext = s.context(cfg.Server.ConnContext)
+	s := &Server{cfg: cfg, startedAt: time.Now(), closed: make(chan struct{}), conns: map[*conn]struct{}{}}
+	cfg.Server.Handler = s.trackRequests(cfg.Server.Handler)
+	cfg.Server.ConnState = s.trackState(cfg.Server.ConnState)
+	cfg.Server.ConnContext = s.trackContext(cfg.Server.ConnContext)
 	return s
 }
 
 // Serve returns when the listener fails or after Close. The closing of the
 // listener alone does not end it: requests are still being finished then.
 func (s *Server) Serve() error {
-	var ln net.Listener = listener{s.cfg.Listener, s}
+	var ln net.Listener = trackingListener{s.cfg.Listener, s}
 	if s.cfg.Secure != nil {
 		ln = s.cfg.Secure(ln)
 	}
 	err := s.cfg.Server.Serve(ln)
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
-		<-s.ended
+		<-s.closed
 		return nil
 	}
 	return eris.Wrap(err, "accept connections")
@@ -80,12 +80,12 @@
 func (s *Server) CloseListener() { _ = s.cfg.Listener.Close() }
 
 // CloseIdle closes the connections without a request for longer than most.
-func (s *Server) CloseIdle(now time.Time, most time.Duration) {
+func (s *Server) CloseIdle(now time.Time, maxIdle time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if c.rested(now.Sub(s.began)) > most {
-			c.ask(IdleTimeout)
+		if c.idleFor(now.Sub(s.startedAt)) > maxIdle {
+			c.requestClose(IdleTimeout)
 		}
 	}
 }
@@ -97,25 +97,25 @@
 func (s *Server) DrainStep() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	left := s.ask((*conn).kept)
+	left := s.requestClose((*conn).keptAlive)
 	if left == 0 {
-		left = s.ask(func(*conn) bool { return true })
-		s.over = left == 0
+		left = s.requestClose(func(*conn) bool { return true })
+		s.stopped = left == 0
 	}
 	return left
 }
 
-// ask asks connections to close and counts those that have a request, or have
+// requestClose asks connections to close and counts those that have a request, or have
 // not closed yet. The lock is held.
-func (s *Server) ask(which func(*conn) bool) int {
+func (s *Server) requestClose(selected func(*conn) bool) int {
 	left := 0
 	for c := range s.conns {
-		due := which(c) || c.unused()
-		if due {
-			c.ask(Shutdown)
+		request := selected(c) || c.isUnused()
+		if request {
+			c.requestClose(Shutdown)
 		}
 		p := c.phase.Load()
-		if p == busy || p == asked || due && p == quiet { // quiet again: its request was over since it was asked
+		if p == phaseBusy || p == phaseCloseRequested || request && p == phaseIdle { // quiet again: its request was over since it was asked
 			left++
 		}
 	}
@@ -129,20 +129,20 @@
 	defer s.mu.Unlock()
 	n := 0
 	for c := range s.conns {
-		if c.phase.Load() == busy {
+		if c.phase.Load() == phaseBusy {
 			n++
 		}
 	}
 	return n
 }
 
-// lookEach is how often Drain looks whether nothing is under way.
-const lookEach = 20 * time.Millisecond
+// drainPollInterval is how often Drain looks whether nothing is under way.
+const drainPollInterval = 20 * time.Millisecond
 
 // Drain takes no more connections and waits until nothing is under way, or ctx ends.
 func (s *Server) Drain(ctx context.Context) error {
 	s.CloseListener()
-	t := time.NewTicker(lookEach)
+	t := time.NewTicker(drainPollInterval)
 	defer t.Stop()
 	for s.DrainStep() > 0 {
 		select {
@@ -156,9 +156,9 @@
 
 // Close ends whatever is left.
 func (s *Server) Close() {
-	s.once.Do(func() { close(s.ended) })
+	s.once.Do(func() { close(s.closed) })
 	s.mu.Lock()
-	s.over = true
+	s.stopped = true
 	s.mu.Unlock()
 	_ = s.cfg.Server.Close()
 	s.mu.Lock()
@@ -168,39 +168,39 @@
 	}
 }
 
-// guard lets requests of open connections through, and notes what their
+// trackRequests lets requests of open connections through, and notes what their
 // handler leaves of the body.
-func (s *Server) guard(h http.Handler) http.Handler {
+func (s *Server) trackRequests(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := r.Context().Value(connKey{}).(*conn)
-		if !c.begin() {
+		if !c.tryBegin() {
 			panic(http.ErrAbortHandler) // nobody can be answered, so that nothing may run
 		}
-		rest := &body{ReadCloser: r.Body, whole: r.Body == http.NoBody}
-		own := r.WithContext(r.Context()) // the server needs the body that it made in its own
-		own.Body = rest
+		body := &trackedBody{ReadCloser: r.Body, complete: r.Body == http.NoBody}
+		tracked := r.WithContext(r.Context()) // the server needs the body that it made in its own
+		tracked.Body = body
 		returned := false
-		defer func() { c.handled(w, rest, returned) }()
-		h.ServeHTTP(w, own)
+		defer func() { c.handlerReturned(w, body, returned) }()
+		h.ServeHTTP(w, tracked)
 		returned = true
 	})
 }
 
-// state follows the server's states.
-func (s *Server) state(also func(net.Conn, http.ConnState)) func(net.Conn, http.ConnState) {
+// trackState follows the server's states.
+func (s *Server) trackState(next func(net.Conn, http.ConnState)) func(net.Conn, http.ConnState) {
 	return func(nc net.Conn, to http.ConnState) {
-		if also != nil {
-			also(nc, to)
+		if next != nil {
+			next(nc, to)
 		}
-		c := own(nc)
+		c := connOf(nc)
 		switch to {
 		case http.StateActive:
-			c.waits = false
+			c.awaitsNext = false
 			c.used.Store(true)
-			c.begin() // a head that was read while it was asked to close is served
+			c.tryBegin() // a head that was read while it was asked to close is served
 		case http.StateIdle:
-			c.waits, c.bounded = true, false
-			c.unread.Store(true)
+			c.awaitsNext, c.waitBounded = true, false
+			c.mayHaveUnread.Store(true)
 		}
 	}
 }
@@ -208,20 +208,20 @@
 // connKey is the key of a request's connection in its context.
 type connKey struct{}
 
-func (s *Server) context(also func(context.Context, net.Conn) context.Context) func(context.Context, net.Conn) context.Context {
+func (s *Server) trackContext(next func(context.Context, net.Conn) context.Context) func(context.Context, net.Conn) context.Context {
 	return func(ctx context.Context, nc net.Conn) context.Context {
-		if also != nil {
-			ctx = also(ctx, nc)
+		if next != nil {
+			ctx = next(ctx, nc)
 		}
-		return context.WithValue(ctx, connKey{}, own(nc))
+		return context.WithValue(ctx, connKey{}, connOf(nc))
 	}
 }
 
 // Underlying returns the connection of a Server's Listener below one that its hooks get.
-func Underlying(nc net.Conn) net.Conn { return own(nc).Conn }
+func Underlying(nc net.Conn) net.Conn { return connOf(nc).Conn }
 
-// own finds the Server's connection below what Secure made of it.
-func own(nc net.Conn) *conn {
+// connOf finds the Server's connection below what Secure made of it.
+func connOf(nc net.Conn) *conn {
 	for {
 		if c, ok := nc.(*conn); ok {
 			return c
@@ -230,23 +230,23 @@
 	}
 }
 
-// listener follows the connections that it accepts.
-type listener struct {
+// trackingListener follows the connections that it accepts.
+type trackingListener struct {
 	net.Listener
 	s *Server
 }
 
 // Accept implements net.Listener.
-func (l listener) Accept() (net.Conn, error) {
+func (l trackingListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	c := &conn{Conn: nc, s: l.s}
-	c.unread.Store(true)
+	c.mayHaveUnread.Store(true)
 	l.s.mu.Lock()
 	defer l.s.mu.Unlock()
-	if l.s.over {
+	if l.s.stopped {
 		_ = nc.Close()
 		return nil, net.ErrClosed
 	}
--- a/node/drain/drain_test.go
+++ b/node/drain/drain_test.go
@@ -12,42 +12,42 @@
 	"gotest.tools/v3/assert"
 )
 
-// hold stops whoever comes to it, once, from when it is set until it is let go.
-type hold struct {
+// gate stops whoever comes to it, once, from when it is set until it is let go.
+type gate struct {
 	set              atomic.Bool
 	reached, release chan struct{}
 }
 
-func newHold() *hold { return &hold{reached: make(chan struct{}), release: make(chan struct{})} }
+func newGate() *gate { return &gate{reached: make(chan struct{}), release: make(chan struct{})} }
 
-func (h *hold) pass() {
+func (h *gate) pass() {
 	if h.set.CompareAndSwap(true, false) {
 		close(h.reached)
 		<-h.release
 	}
 }
 
-// heldListener accepts connections that a test can stop within their calls.
-type heldListener struct {
+// gatedListener accepts connections that a test can stop within their calls.
+type gatedListener struct {
 	net.Listener
-	wasRead, write *hold // after bytes came from the kernel, and before they go to it
+	wasRead, write *gate // after bytes came from the kernel, and before they go to it
 	reads, bytes   atomic.Int64
 }
 
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *gatedListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &heldConn{nc.(*net.TCPConn), l}, nil
+	return &gatedConn{nc.(*net.TCPConn), l}, nil
 }
 
-type heldConn struct {
+type gatedConn struct {
 	*net.TCPConn
-	l *heldListener
+	l *gatedListener
 }
 
-func (c *heldConn) Read(p []byte) (int, error) {
+func (c *gatedConn) Read(p []byte) (int, error) {
 	c.l.reads.Add(1)
 	n, err := c.TCPConn.Read(p)
 	c.l.bytes.Add(int64(n))
@@ -57,18 +57,18 @@
 	return n, err
 }
 
-func (c *heldConn) Write(p []byte) (int, error) {
+func (c *gatedConn) Write(p []byte) (int, error) {
 	c.l.write.pass()
 	return c.TCPConn.Write(p)
 }
 
-// headBound is how long the tests' callers may take to send a head.
-const headBound = 2 * time.Second
+// headerTimeout is how long the tests' callers may take to send a head.
+const headerTimeout = 2 * time.Second
 
 // served is connections under a test's control.
 type served struct {
 	t      *testing.T
-	ln     *heldListener
+	ln     *gatedListener
 	drain  *Server
 	idle   chan struct{} // a connection waits for its next request
 	closed chan struct{} // the server is done with a connection
@@ -81,13 +81,13 @@
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s := &served{t: t, ln: &heldListener{Listener: ln, wasRead: newHold(), write: newHold()},
+	s := &served{t: t, ln: &gatedListener{Listener: ln, wasRead: newGate(), write: newGate()},
 		idle: make(chan struct{}, 10), closed: make(chan struct{}, 10)}
 	counted := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.ran.Add(1)
 		h(w, r)
 	})
-	server := &http.Server{Handler: counted, ReadHeaderTimeout: headBound}
+	server := &http.Server{Handler: counted, ReadHeaderTimeout: headerTimeout}
 	s.drain = New(Config{Listener: s.ln, Server: server})
 	state := server.ConnState
 	server.ConnState = func(nc net.Conn, to http.ConnState) {
@@ -174,15 +174,15 @@
 
 const get = "GET / HTTP/1.1\r\nHost: site.example\r\n\r\n"
 
-func sayOK(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }
+func answerOK(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }
 
-// sayOKToWhoIsThere answers after a while, unless the caller is taken for gone.
-func sayOKToWhoIsThere(w http.ResponseWriter, r *http.Request) {
+// answerOKIfCallerWaits answers after a while, unless the caller is taken for gone.
+func answerOKIfCallerWaits(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-r.Context().Done():
 		panic(http.ErrAbortHandler)
 	case <-time.After(50 * time.Millisecond):
-		sayOK(w, r)
+		answerOK(w, r)
 	}
 }
 
@@ -198,7 +198,7 @@
 	t.Run("short answer", func(t *testing.T) {
 		var s *served
 		s = serve(t, func(w http.ResponseWriter, r *http.Request) {
-			sayOK(w, r)
+			answerOK(w, r)
 			s.ln.write.set.Store(true)
 		}, nil)
 		c := s.dial()
@@ -212,7 +212,7 @@
 	t.Run("end of a stream", func(t *testing.T) {
 		var s *served
 		s = serve(t, func(w http.ResponseWriter, r *http.Request) {
-			sayOK(w, r)
+			answerOK(w, r)
 			_ = http.NewResponseController(w).Flush()
 			s.ln.write.set.Store(true)
 		}, nil)
@@ -225,12 +225,12 @@
 		c.answered("ok")
 	})
 	t.Run("head of the first request", func(t *testing.T) {
-		s := serve(t, sayOK, nil)
+		s := serve(t, answerOK, nil)
 		c := s.dial()
 		readInHalves(s, c, 0)
 	})
 	t.Run("head of the next request", func(t *testing.T) {
-		s := serve(t, sayOK, nil)
+		s := serve(t, answerOK, nil)
 		c := s.dial()
 		c.send(get)
 		c.answered("ok")
@@ -278,7 +278,7 @@
 		"at the idle bound": func(s *Server) { s.CloseIdle(time.Now().Add(time.Hour), time.Minute) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := serve(t, sayOKToWhoIsThere, nil)
+			s := serve(t, answerOKIfCallerWaits, nil)
 			c := s.dial()
 			c.send(get)
 			c.answered("ok")
@@ -295,7 +295,7 @@
 		t.Run("sent ahead, "+name, func(t *testing.T) {
 			chosen := atomic.Bool{}
 			var s *served
-			s = serve(t, sayOKToWhoIsThere, func() {
+			s = serve(t, answerOKIfCallerWaits, func() {
 				if chosen.CompareAndSwap(false, true) {
 					choose(s.drain)
 				}
--- a/node/drain/guards_test.go
+++ b/node/drain/guards_test.go
@@ -13,20 +13,20 @@
 // Symptom: a request is cut by the end of a process that had nothing under way.
 // Sequence: a connection is asked to close; before it has, its request comes.
 // Cause: one that is asked counts as closed, or a new one is not asked at all.
-func TestALookCountsWhatItAsks(t *testing.T) {
+func TestADrainStepCountsWhatItAsksToClose(t *testing.T) {
 	t.Parallel()
 	t.Run("after an answer", func(t *testing.T) {
 		c, _ := pair(t)
-		c.since.Store(1)
+		c.idleSince.Store(1)
 		assert.Equal(t, c.s.DrainStep(), 1)
-		assert.Equal(t, c.phase.Load(), asked)
+		assert.Equal(t, c.phase.Load(), phaseCloseRequested)
 		assert.Equal(t, c.s.DrainStep(), 1)
-		assert.Assert(t, !c.s.over)
+		assert.Assert(t, !c.s.stopped)
 	})
 	t.Run("new", func(t *testing.T) {
 		c, _ := pair(t)
 		assert.Equal(t, c.s.DrainStep(), 1)
-		assert.Equal(t, c.phase.Load(), asked)
+		assert.Equal(t, c.phase.Load(), phaseCloseRequested)
 	})
 }
 
@@ -37,12 +37,12 @@
 	t.Parallel()
 	c, _ := pair(t)
 	other := &conn{Conn: c.Conn, s: c.s}
-	other.phase.Store(busy)
+	other.phase.Store(phaseBusy)
 	c.s.conns[other] = struct{}{}
 	assert.Equal(t, c.s.DrainStep(), 1)
-	assert.Equal(t, c.phase.Load(), quiet)
+	assert.Equal(t, c.phase.Load(), phaseIdle)
 	c.s.CloseIdle(time.Now().Add(time.Hour), time.Minute)
-	assert.Equal(t, c.phase.Load(), quiet)
+	assert.Equal(t, c.phase.Load(), phaseIdle)
 	delete(c.s.conns, other)
 }
 
@@ -61,7 +61,7 @@
 	c.answered("")
 	_, err := io.Copy(io.Discard, c.buf)
 	assert.NilError(t, err)
-	assert.Assert(t, time.Since(began) < restBound+lingerBound/2, "%v", time.Since(began))
+	assert.Assert(t, time.Since(began) < bodyReadTimeout+lingerTimeout/2, "%v", time.Since(began))
 }
 
 // Symptom: a caller gets the beginning of an answer whose handler gave none.
@@ -87,14 +87,14 @@
 	t.Parallel()
 	s := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Connection", "close")
-		sayOK(w, r)
+		answerOK(w, r)
 		_ = http.NewResponseController(w).Flush()
 	}, nil)
 	c := s.dial()
 	began := time.Now()
 	c.send("POST / HTTP/1.1\r\nHost: site.example\r\nContent-Length: 4\r\n\r\nbo")
 	c.answered("ok")
-	assert.Assert(t, time.Since(began) < restBound/2, "%v", time.Since(began))
+	assert.Assert(t, time.Since(began) < bodyReadTimeout/2, "%v", time.Since(began))
 }
 
 // Symptom: a caller who asks before it sends a body has its refusal a second late.
@@ -111,7 +111,7 @@
 	_ = resp.Body.Close()
 	assert.Equal(t, resp.StatusCode, http.StatusNotFound)
 	assert.Assert(t, resp.Close)
-	assert.Assert(t, time.Since(began) < restBound/2, "%v", time.Since(began))
+	assert.Assert(t, time.Since(began) < bodyReadTimeout/2, "%v", time.Since(began))
 }
 
 // Symptom: a stop lasts a second longer for each connection that rests.
@@ -119,7 +119,7 @@
 // Cause: more of a request is awaited where none has begun.
 func TestARestingConnectionClosesAtOnce(t *testing.T) {
 	t.Parallel()
-	s := serve(t, sayOK, nil)
+	s := serve(t, answerOK, nil)
 	c := s.dial()
 	c.send(get)
 	c.answered("ok")
@@ -127,7 +127,7 @@
 	began := time.Now()
 	s.drain.DrainStep()
 	within(t, "the connection ends", s.closed)
-	assert.Assert(t, time.Since(began) < lingerBound/2, "%v", time.Since(began))
+	assert.Assert(t, time.Since(began) < lingerTimeout/2, "%v", time.Since(began))
 }
 
 // Symptom: a caller sees a reset in place of the server's own answer.
@@ -135,9 +135,9 @@
 // Cause: what may still come counts of a connection's first request only.
 func TestTheServersOwnAnswersArriveOnKeptConnections(t *testing.T) {
 	t.Parallel()
-	s := serve(t, sayOK, nil)
+	s := serve(t, answerOK, nil)
 	c := s.dial()
 	c.send(get)
 	c.answered("ok")
-	c.sendsNoRequest()
+	c.checkMalformedRequest()
 }
--- a/node/drain/rest_test.go
+++ b/node/drain/linger_test.go
@@ -82,7 +82,7 @@
 	t.Parallel()
 	t.Run("after the answer", func(t *testing.T) {
 		t.Parallel()
-		s := serve(t, sayOK, nil)
+		s := serve(t, answerOK, nil)
 		c := s.dial()
 		c.send(get)
 		c.answered("ok")
@@ -95,7 +95,7 @@
 		answer := make(chan struct{})
 		s := serve(t, func(w http.ResponseWriter, r *http.Request) {
 			<-answer
-			sayOK(w, r)
+			answerOK(w, r)
 		}, nil)
 		c := s.dial()
 		c.send(get)
@@ -128,7 +128,7 @@
 	began := time.Now()
 	c.send("dy")
 	within(t, "the connection ends", s.closed)
-	assert.Assert(t, time.Since(began) < lingerBound/2)
+	assert.Assert(t, time.Since(began) < lingerTimeout/2)
 }
 
 // Symptom: a request counts as left by its caller, who waits for it.
@@ -143,8 +143,8 @@
 		s := serve(t, func(w http.ResponseWriter, r *http.Request) {
 			select {
 			case <-r.Context().Done():
-			case <-time.After(restBound + 200*time.Millisecond):
-				sayOK(w, r)
+			case <-time.After(bodyReadTimeout + 200*time.Millisecond):
+				answerOK(w, r)
 			}
 		}, nil)
 		c := s.dial()
@@ -162,12 +162,12 @@
 			} else if r.Context().Err() != nil {
 				return
 			}
-			sayOK(w, r)
+			answerOK(w, r)
 		}, nil)
 		c := s.dial()
 		c.send(get)
 		within(t, "the answer is written", s.ln.write.reached)
-		time.Sleep(restBound + 200*time.Millisecond)
+		time.Sleep(bodyReadTimeout + 200*time.Millisecond)
 		close(s.ln.write.release)
 		c.answered("ok")
 		c.send(get)
@@ -179,9 +179,9 @@
 // Sequence: a stop has seen that nothing is under way; a connection that was
 // opened before is accepted.
 // Cause: connections are followed until the end, the choice to end is made before.
-func TestNothingIsTakenAfterTheLastLook(t *testing.T) {
+func TestNothingIsAcceptedAfterTheLastDrainStep(t *testing.T) {
 	t.Parallel()
-	s := serve(t, sayOK, nil)
+	s := serve(t, answerOK, nil)
 	assert.Equal(t, s.drain.DrainStep(), 0)
 	c := s.dial()
 	c.send(get)
@@ -196,13 +196,13 @@
 // Cause: only answers of handlers are followed.
 func TestTheServersOwnAnswersArrive(t *testing.T) {
 	t.Parallel()
-	s := serve(t, sayOK, nil)
+	s := serve(t, answerOK, nil)
 	c := s.dial()
-	c.sendsNoRequest()
+	c.checkMalformedRequest()
 }
 
-// sendsNoRequest sends what is none, in pieces, and expects to be told so.
-func (c *caller) sendsNoRequest() {
+// checkMalformedRequest sends what is none, in pieces, and expects to be told so.
+func (c *caller) checkMalformedRequest() {
 	c.t.Helper()
 	c.send("no request\r\n\r\n")
 	for range 10 {
--- a/node/drain/secured_test.go
+++ b/node/drain/secured_test.go
@@ -12,29 +12,29 @@
 	"gotest.tools/v3/assert"
 )
 
-// heldTLS stops a secured connection's reader once it has bytes.
-type heldTLS struct {
+// gatedTLSListener stops a secured connection's reader once it has bytes.
+type gatedTLSListener struct {
 	net.Listener
-	wasRead *hold
+	wasRead *gate
 }
 
-func (l heldTLS) Accept() (net.Conn, error) {
+func (l gatedTLSListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return heldTLSConn{nc.(*tls.Conn), l.wasRead}, nil
+	return gatedTLSConn{nc.(*tls.Conn), l.wasRead}, nil
 }
 
-type heldTLSConn struct {
+type gatedTLSConn struct {
 	*tls.Conn
-	wasRead *hold
+	wasRead *gate
 }
 
 // NetConn is the connection below.
-func (c heldTLSConn) NetConn() net.Conn { return c.Conn }
+func (c gatedTLSConn) NetConn() net.Conn { return c.Conn }
 
-func (c heldTLSConn) Read(p []byte) (int, error) {
+func (c gatedTLSConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
 		c.wasRead.pass()
@@ -49,8 +49,8 @@
 // Cause: that nothing came for a while is taken for a handshake that is done.
 func TestAStallIsNoUnusedConnection(t *testing.T) {
 	for range 400 { // the read ahead and the handler begin side by side
-		h := newHold()
-		s := runOver(t, sayOK, func(ln net.Listener) net.Listener { return heldTLS{ln, h} })
+		h := newGate()
+		s := runWrapped(t, answerOK, func(ln net.Listener) net.Listener { return gatedTLSListener{ln, h} })
 		c, err := s.dial()
 		assert.NilError(t, err)
 		_ = c.SetDeadline(time.Now().Add(8 * time.Second))
@@ -58,24 +58,24 @@
 		_, err = io.WriteString(c, get)
 		assert.NilError(t, err)
 		within(t, "the request is read", h.reached)
-		s.longAgo()
+		s.backdateReads()
 		s.DrainStep()
-		assert.Equal(t, s.phases()[asked], 1)
+		assert.Equal(t, s.phases()[phaseCloseRequested], 1)
 		close(h.release)
 		answered(t, bufio.NewReader(c))
 		_ = c.Close()
 	}
 }
 
-// longAgo has what was heard last on each connection, with the end of its
+// backdateReads has what was heard last on each connection, with the end of its
 // handshake, lie in the past.
-func (s *running) longAgo() {
+func (s *running) backdateReads() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.shaken.Store(true)
+		c.handshakeDone.Store(true)
 		c.used.Store(false)
-		c.heard.Store(-int64(2 * handshakeRest))
+		c.lastRead.Store(-int64(2 * handshakeGrace))
 	}
 }
 
@@ -100,7 +100,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for c := range s.conns {
-			return c.lingers.Load()
+			return c.lingering.Load()
 		}
 		return false
 	})
@@ -111,5 +111,5 @@
 		defer s.mu.Unlock()
 		return len(s.conns) == 0
 	})
-	assert.Assert(t, time.Since(began) < lingerBound/2, "%v", time.Since(began))
+	assert.Assert(t, time.Since(began) < lingerTimeout/2, "%v", time.Since(began))
 }
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -83,29 +83,29 @@
 try "no reuse of a connection that spoke" node/upstream/conn/pool.go \
   '&& quiet(l.nc)' '' ./node/upstream/conn
 try "a request before the close that was asked for" node/drain/conn.go \
-  'if !c.phase.CompareAndSwap(asked, busy) {' 'if true {' ./node/drain
+  'if !c.phase.CompareAndSwap(phaseCloseRequested, phaseBusy) {' 'if true {' ./node/drain
 try "end of a read that waits" node/drain/conn.go \
   '_ = c.Conn.SetReadDeadline(past)' '_ = past' ./node/drain
 try "bytes that wait at a close" node/drain/conn.go \
-  '&& c.pending() && c.stay()' '&& false' ./node/drain
+  '&& c.hasPending() && c.cancelClose()' '&& false' ./node/drain
 try "the server's bounds after a close was asked for" node/drain/conn.go \
-  'if p := c.phase.Load(); p == asked || p == closing {' 'if false {' ./node/drain
+  'if p := c.phase.Load(); p == phaseCloseRequested || p == phaseClosing {' 'if false {' ./node/drain
 try "time again after a close that was asked for" node/drain/conn.go \
-  '_ = c.Conn.SetReadDeadline(until)' '_ = until' ./node/drain
+  '_ = c.Conn.SetReadDeadline(deadline)' '_ = deadline' ./node/drain
 try "bound of a head's first bytes" node/drain/conn.go \
-  '	if next {
-' '	if false && next {
+  '	if firstBytes {
+' '	if false && firstBytes {
 ' ./node/drain
 try "requests sent ahead" node/drain/conn.go \
-  '&& size < c.room' '&& false' ./node/drain
+  '&& size < c.bufferSize' '&& false' ./node/drain
 try "a head that was read while a close was asked for" node/drain/drain.go \
-  'c.begin() // a head' '// a head' ./node/drain -race -run 'AHeadThatWasRead|AStallIs'
+  'c.tryBegin() // a head' '// a head' ./node/drain -race -run 'AHeadThatWasRead|AStallIs'
 try "a head in the server's buffer" node/drain/conn.go \
-  'c.waits, c.bounded = !c.bounded, true' 'c.bounded = true' ./node/drain
+  'c.awaitsNext, c.waitBounded = !c.waitBounded, true' 'c.waitBounded = true' ./node/drain
 try "bound of what a handler left" node/drain/conn.go \
-  '_ = rc.SetReadDeadline(time.Now().Add(restBound))' '' ./node/drain
+  '_ = rc.SetReadDeadline(time.Now().Add(bodyReadTimeout))' '' ./node/drain
 try "no bound on a body that is whole" node/drain/conn.go \
-  'if rest.whole {
+  'if body.complete {
 		return' 'if false {
 		return' ./node/drain
 try "an answer before the rest of its body" node/drain/conn.go \
@@ -113,7 +113,7 @@
 try "what comes after an answer" node/drain/conn.go \
   'c.linger()' '' ./node/drain
 try "last look" node/drain/drain.go \
-  's.over = left == 0' 's.over = false' ./node/drain
+  's.stopped = left == 0' 's.stopped = false' ./node/drain
 try "drain: no end of an answer that broke off" node/drain/conn.go \
   '!returned || ' '' ./node/drain
 try "drain: last chunk before the rest of a body" node/drain/conn.go \
@@ -121,30 +121,30 @@
 try "drain: half closed after the last answer" node/drain/conn.go \
   '_ = half.CloseWrite()' '_ = half' ./node/drain
 try "drain: nothing awaited of a connection that rests" node/drain/conn.go \
-  'c.unread.Load() && c.phase.Load() == busy && c' 'c.unread.Load() && c' ./node/drain
+  'c.mayHaveUnread.Load() && c.phase.Load() == phaseBusy && c' 'c.mayHaveUnread.Load() && c' ./node/drain
 try "drain: answers of the server on kept connections" node/drain/drain.go \
-  '			c.unread.Store(true)
+  '			c.mayHaveUnread.Store(true)
 ' '' ./node/drain
 try "drain: new connections are asked" node/drain/drain.go \
-  'left = s.ask(func(*conn) bool { return true })' 'left = 0' ./node/drain
+  'left = s.requestClose(func(*conn) bool { return true })' 'left = 0' ./node/drain
 try "drain: new connections are asked last" node/drain/drain.go \
-  'left := s.ask((*conn).kept)' 'left := s.ask(func(*conn) bool { return true })' ./node/drain
+  'left := s.requestClose((*conn).keptAlive)' 'left := s.requestClose(func(*conn) bool { return true })' ./node/drain
 try "drain: what is asked counts" node/drain/drain.go \
-  'p == busy || p == asked' 'p == busy' ./node/drain
+  'p == phaseBusy || p == phaseCloseRequested' 'p == phaseBusy' ./node/drain
 try "drain: only kept connections are idle" node/drain/conn.go \
-  '	if !c.kept() {
+  '	if !c.keptAlive() {
 		return 0' '	if false {
 		return 0' ./node/drain
 try "drain: the end of what is awaited when secured" node/drain/drain.go \
   '		_ = c.Conn.Close() // one' '		_ = c // one' ./node/drain
 try "drain: the body that the server made" node/drain/drain.go \
-  'own := r.WithContext(r.Context())' 'own := r' ./node/drain
+  'tracked := r.WithContext(r.Context())' 'tracked := r' ./node/drain
 try "drain: a look at the socket below the account" node/host/callers.go \
   'if sc, ok := c.Conn.(syscall.Conn); ok {' 'if sc, ok := c.Conn.(syscall.Conn); ok && false {' ./node/host
 try "drain: half closing of the socket below the account" node/host/callers.go \
   'if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {' 'if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && false {' ./node/host
 try "bound of an answer that is left to write" node/drain/conn.go \
-  '_ = rc.SetWriteDeadline(time.Now().Add(answerBound))' '' ./node/drain
+  '_ = rc.SetWriteDeadline(time.Now().Add(answerWriteTimeout))' '' ./node/drain
 try "at most the route's attempts" node/gate/gate.go \
   'q.maybe < max(q.route.Attempts, 1) && q.mayGoOn(res)' '(q.mayGoOn(res) || true)' ./node/gate
 try "nothing after the beginning of an answer" node/gate/gate.go \
