--- a/node/lease/failover_test.go
+++ b/node/lease/failover_test.go
@@ -16,8 +16,8 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// vacancyAfterHolderStops measures how long the role stands empty once its holder is gone,
-// by shutdown or by dying without a word.
+// vacancyAfterHolderStops measures how long the role has no holder after its
+// holder shuts down or crashes, and the rate of writes before that.
 func vacancyAfterHolderStops(t *testing.T, seed uint64, crash bool) (vacant time.Duration, writesPerSecond float64) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := standin.NewTable()
@@ -57,8 +57,8 @@
 }
 
 // Symptom: a pool has no planner for minutes after a host was replaced.
-// Sequence: the holder shuts down, or dies. Cause: a hand-over that is not
-// written, or candidates that look too rarely.
+// Sequence: the holder shuts down or crashes. Cause: the lease is not released
+// on shutdown, or candidates poll too rarely.
 func TestTheRoleIsSoonHeldAgain(t *testing.T) {
 	const runs = 60
 	p := decide.DefaultPolicy()
@@ -75,7 +75,7 @@
 				took, writes = append(took, d), w
 			}
 			slices.Sort(took)
-			t.Logf("empty for p50 %v, max %v; %.2f writes/s", took[runs/2], took[runs-1], writes)
+			t.Logf("without a holder for p50 %v, max %v; %.2f writes/s", took[runs/2], took[runs-1], writes)
 			assert.Assert(t, took[runs-1] <= c.max)
 		})
 	}
--- a/node/lease/lease.go
+++ b/node/lease/lease.go
@@ -1,6 +1,6 @@
-// Package lease holds a role for one process at a time through the platform's
-// table: it campaigns, renews and hands over, and tells its user right before
-// each act whether the role is still held.
+// Package lease grants a role to one process at a time through rows of the
+// platform's table. It campaigns for the lease, renews it and releases it, and
+// its user checks right before each action that the lease is still held.
 package lease
 
 import (
@@ -19,36 +19,38 @@
 )
 
 const (
-	jitterFraction = 0.1             // share of each wait
-	retryDelay     = time.Second / 2 // after a refusal by the table: several tries within one TTL
-	callTimeout    = 2 * time.Second // of one call while not holding
-	releaseTimeout = 2 * time.Second // of the hand-over on shutdown
+	jitterFraction = 0.1             // random fraction of each wait
+	retryDelay     = time.Second / 2 // after a failed call to the table; short enough for several tries within one TTL
+	callTimeout    = 2 * time.Second // timeout of the calls of one step while the lease is not held
+	releaseTimeout = 2 * time.Second // timeout of the release on shutdown
 )
 
-// Prefix starts the keys of all leases; beatSuffix ends a lease's second row.
+// Prefix starts the row keys of all leases; heartbeatSuffix ends the key of a
+// lease's heartbeat row.
 const (
 	Prefix          = "lease/"
 	heartbeatSuffix = "/beat"
 )
 
-// ErrNotHeld says that the lease is not held, or not in the epoch asked for,
-// or not for long enough: the act must not be done.
+// ErrNotHeld reports that the lease is not held, not held in the given epoch,
+// or expires too soon; the action must not be carried out.
 var ErrNotHeld = errors.New("lease not held")
 
-// Config names a lease and this process.
+// Config configures a Lease.
 type Config struct {
-	Name   string // of the role, as in "planner/order-desk"
-	Holder string // this process, new at each start; "" makes one up
-	Policy decide.Policy
-	// Ended says whether a holder is known to have ended, as a former process
-	// of this host has; nil: none is. It need not be waited for.
+	Name   string        // name of the role, for example "planner/order-desk"
+	Holder string        // identifies this process, unique for each start; "" generates one
+	Policy decide.Policy // the zero value is DefaultPolicy
+	// HasTerminated reports whether a holder's process is known to have
+	// terminated, such as an earlier process of this host. A candidate need not
+	// wait for such a holder's lease to expire. With nil, none is known.
 	HasTerminated func(holder string) bool
-	// TryBound bounds one try of a call; 0: none. An answer can be lost without
-	// a sign, and waiting for it would cost the whole term.
+	// TryTimeout bounds each try of a commit; 0 means no bound. A response can be
+	// lost without an error, and waiting for it would use up the whole term.
 	TryTimeout time.Duration
 }
 
-// Deps are what a lease works with; Now and Rand may be nil.
+// Deps are the dependencies of a Lease. Log, Now and Rand may be nil.
 type Deps struct {
 	Table store.Table
 	Log   *event.Log
@@ -56,13 +58,13 @@
 	Rand  pace.Rand
 }
 
-// Term is one holding of a lease.
+// Term is one period in which a process holds a lease.
 type Term struct {
 	Epoch uint64     // fencing number for orders under this term
-	Guard store.Cond // holds as long as nobody else took the lease; put it into every write under this term
+	Guard store.Cond // true until another process acquires the lease; every write under this term must include it
 }
 
-// Lease campaigns for one role.
+// Lease campaigns for one lease and renews it.
 type Lease struct {
 	cfg  Config
 	deps Deps
@@ -71,19 +73,21 @@
 	mu       sync.Mutex
 	held     *decide.Held // nil: not held
 	observed decide.Observed
-	// yielded is the newest epoch whose holder said that it acts no more.
+	// steppedDownEpoch is the highest epoch whose holder has reported that it no
+	// longer acts.
 	steppedDownEpoch uint64
-	// lapsed is the epoch that this process held last and that ended only
-	// because it was not renewed in time; 0: none.
+	// lapsedEpoch is the last epoch that this process held, if it ended only
+	// because the lease was not renewed in time; 0 otherwise.
 	lapsedEpoch uint64
 
-	acquired pace.Signal // given when the lease is taken
+	acquired pace.Signal // notified when this process acquires the lease
 }
 
-// Acquired returns a channel that is closed when this process takes the lease next.
+// Acquired returns a channel that is closed when this process next acquires the
+// lease.
 func (l *Lease) Acquired() <-chan struct{} { return l.acquired.Next() }
 
-// New makes a lease; Run campaigns for it.
+// New returns a Lease that is not held; Run campaigns for it.
 func New(cfg Config, deps Deps) *Lease {
 	if cfg.Holder == "" {
 		cfg.Holder = uuid.NewString()
@@ -106,7 +110,7 @@
 	return &Lease{cfg: cfg, deps: deps, log: deps.Log.With(zap.String("lease", cfg.Name))}
 }
 
-// timeoutTable gives each commit a bound of its own.
+// timeoutTable is a table that bounds each commit by a timeout.
 type timeoutTable struct {
 	store.Table
 	timeout time.Duration
@@ -119,7 +123,7 @@
 	return t.Table.Commit(ctx, txn)
 }
 
-// Term returns the present term, if the lease is held now.
+// Term returns the current term, and whether the lease is held now.
 func (l *Lease) Term() (Term, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,10 +133,11 @@
 	return Term{Epoch: l.held.Record.Epoch, Guard: store.Cond{Key: l.grantKey(), Version: l.held.Rows.Grant}}, true
 }
 
-// Check says whether an act that ends within need may be started now under
-// the term of epoch. It asks the clock anew each time: a process that was
-// paused for longer than its lease wakes in the middle of its work, and only
-// a check right before the act stops it from acting beside its successor.
+// Check returns nil if an action that takes at most need may be started now
+// under the term of epoch, and ErrNotHeld otherwise. It reads the clock on each
+// call: a process that was paused for longer than its lease resumes in the
+// middle of its work, and only a check right before the action prevents it from
+// acting at the same time as its successor.
 func (l *Lease) Check(epoch uint64, need time.Duration) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,8 +147,8 @@
 	return nil
 }
 
-// Run campaigns for the lease and renews it until ctx ends, then hands it
-// over. The user must have ended its acts by then.
+// Run campaigns for the lease and renews it until ctx ends, then releases it.
+// By then the user must have finished all actions under the lease.
 func (l *Lease) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait := l.step(ctx)
@@ -153,7 +158,8 @@
 	return ctx.Err()
 }
 
-// step does what is due and returns the wait until the next step.
+// step carries out the action that is due and returns the wait until the next
+// step.
 func (l *Lease) step(ctx context.Context) time.Duration {
 	held, ok := l.currentHeld()
 	if !ok {
@@ -170,7 +176,7 @@
 	}
 }
 
-// Refresh reads who holds the lease, for Seen, without running for it.
+// Refresh reads the lease's rows, for LastObserved, without campaigning.
 func (l *Lease) Refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -197,9 +203,9 @@
 	v, err := store.CommitResolved(ctx, l.deps.Table, store.Txn{Op: uuid.NewString(), Conds: l.conds(rows),
 		Writes: []store.Write{{Key: l.grantKey(), Value: d.Next.Encode()}, {Key: l.heartbeatKey()}}})
 	if err != nil {
-		// Lost the race, or unknown. An acquisition that takes effect later
-		// names this process in an epoch in which it never acts; it is waited
-		// out like another's.
+		// Another candidate won, or the outcome is unknown. An acquisition that
+		// takes effect later names this process in an epoch in which it never
+		// acts; hasTerminated is true for that holder.
 		return retryDelay
 	}
 	l.setHeld(&decide.Held{Rows: decide.Rows{Grant: v, Heartbeat: v}, Record: d.Next, TTLStart: start})
@@ -216,14 +222,14 @@
 	return observed
 }
 
-// hasTerminated says whether a holder acts no more. This process itself does not while
-// it campaigns.
+// hasTerminated reports whether a holder no longer acts. That includes this
+// process itself, which does not act while it campaigns.
 func (l *Lease) hasTerminated(holder string) bool {
 	return holder == l.cfg.Holder || l.cfg.HasTerminated != nil && l.cfg.HasTerminated(holder)
 }
 
-// HeldRecord returns the rows and the grant of the lease while it is held, for
-// the holder to tell to others.
+// HeldRecord returns the row versions and the record of the lease, and whether
+// it is held now. The holder announces them to other hosts.
 func (l *Lease) HeldRecord() (decide.Rows, decide.Record, bool) {
 	h, ok := l.currentHeld()
 	if !ok || l.cfg.Policy.Remaining(h, l.deps.Now()) <= 0 {
@@ -232,19 +238,21 @@
 	return h.Rows, h.Record, true
 }
 
-// Observe takes the holder's own word of its rows. A candidate that has heard
-// it need not begin to wait only when the holder falls silent.
+// Observe records the row versions and the record that the holder announced. A
+// candidate that has received them has already begun to measure the time
+// without a renewal when the announcements stop.
 func (l *Lease) Observe(rows decide.Rows, record decide.Record) { l.observe(rows, record) }
 
-// RecordStepDown notes that the holder of an epoch has said itself that it acts in it
-// no more. It need not be waited for.
+// RecordStepDown records that the holder of epoch has reported that it no longer
+// acts. A candidate need not wait for that term to expire.
 func (l *Lease) RecordStepDown(epoch uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.steppedDownEpoch = max(l.steppedDownEpoch, epoch)
 }
 
-// LastObserved is the grant that was read last while the lease was not held.
+// LastObserved returns the record that was last read or announced while the
+// lease was not held.
 func (l *Lease) LastObserved() decide.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -268,8 +276,8 @@
 	return retryDelay
 }
 
-// release hands the lease over. It stops holding before it writes: a term
-// that is still used while its successor may start would be no term.
+// release frees the lease for the next holder. It ends the term before it
+// writes, so that the term cannot be used once its successor may start.
 func (l *Lease) release() {
 	held, ok := l.currentHeld()
 	l.setHeld(nil)
@@ -335,8 +343,8 @@
 	l.mu.Unlock()
 }
 
-// Lapsed says whether this process held the lease last, as far as it knows, and
-// its time ran out without a renewal, as it does while the store is away.
+// Lapsed reports whether, as far as this process knows, it was the last holder
+// and its lease expired without a renewal, as happens during a store outage.
 func (l *Lease) Lapsed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/node/lease/lease_test.go
+++ b/node/lease/lease_test.go
@@ -19,14 +19,14 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// act is one act of a holder on a target that checks fencing numbers.
+// act is one action of a holder on a target that checks fencing numbers.
 type act struct {
 	holder string
 	epoch  uint64
 }
 
-// fencedTarget is a target that refuses acts under an old epoch, as the model sees
-// it: an accepted act is by the one holder of the newest epoch.
+// fencedTarget is the model of a target that refuses actions of earlier epochs:
+// an accepted action belongs to the one holder of the highest epoch so far.
 var fencedTarget = porcupine.Model{
 	Init: func() any { return act{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -38,7 +38,7 @@
 	},
 }
 
-// gate stops a paused process: its calls and acts wait until it goes on.
+// gate simulates a paused process: its calls and actions block until it resumes.
 type gate struct {
 	mu     sync.Mutex
 	paused bool
@@ -86,12 +86,12 @@
 	return rows, err
 }
 
-// history is what happened in one run.
+// history records the actions of one run.
 type history struct {
 	mu       sync.Mutex
-	fence    uint64 // of the target that checks
+	fence    uint64 // highest epoch that the fenced target accepted
 	fenced   []porcupine.Operation
-	unfenced []act // on a target that ignores fencing, in order, without a pause between check and act
+	unfenced []act // on a target that ignores fencing, in order, without a pause between check and action
 }
 
 func (h *history) actFenced(client int, a act, called int64, now func() int64) {
@@ -102,13 +102,13 @@
 	h.fenced = append(h.fenced, porcupine.Operation{ClientId: client, Input: a, Output: ok, Call: called, Return: now()})
 }
 
-// script is one run: faults of the table and pauses of processes.
+// script describes one run: faults of the table and pauses of processes.
 type script struct {
 	seed   uint64
 	faults standin.Settings
 	skew   float64
 	pauses []pauseAt
-	outage time.Duration // one, in the middle
+	outage time.Duration // of the table, once in the run
 }
 
 type pauseAt struct {
@@ -177,7 +177,7 @@
 		}
 		h.mu.Unlock()
 		called := nanos()
-		time.Sleep(actEvery) // between decision and act, where a pause may fall
+		time.Sleep(actEvery) // a pause may occur here, between the decision and the action
 		g.pass()
 		h.actFenced(client, a, called, nanos)
 	}
@@ -195,14 +195,15 @@
 		holders[a.epoch], last = a.holder, a.epoch
 	}
 	if !porcupine.CheckOperations(fencedTarget, h.fenced) {
-		return fmt.Errorf("the history of %d fenced acts has two holders in one epoch", len(h.fenced))
+		return fmt.Errorf("the history of %d fenced actions has two holders in one epoch", len(h.fenced))
 	}
 	return nil
 }
 
-// Symptom: two planners order one upstream at once. Sequence: pauses longer
-// than the lease at any point, lost and late answers, an outage, clocks at
-// the bound of their rate. Cause: authority taken from an old check.
+// Symptom: two planners send orders to one upstream at the same time. Sequence:
+// processes are paused for longer than the lease at any point, responses are
+// lost or late, the store has an outage, and clocks run at the bound of their
+// rate. Cause: a process relies on a check that it made before a pause.
 func TestNoTwoHoldersActInOneEpoch(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		share := rapid.SampledFrom([]float64{0, 0.1, 0.3})
@@ -214,7 +215,8 @@
 			skew:   rapid.SampledFrom([]float64{-0.0099, 0, 0.0099}).Draw(rt, "skew"),
 			outage: time.Duration(rapid.IntRange(0, 30).Draw(rt, "outage s")) * time.Second,
 		}
-		// Rapid prefers small numbers; pauses must fall anywhere and outlast the lease.
+		// Rapid prefers small numbers, but pauses must occur at any time and
+		// outlast the lease.
 		rng := rand.New(rand.NewPCG(s.seed, 0))
 		for range rapid.IntRange(0, 12).Draw(rt, "pauses") {
 			s.pauses = append(s.pauses, pauseAt{rng.IntN(processes),
@@ -226,9 +228,9 @@
 	})
 }
 
-// Symptom: after a store outage the role stays empty, or both act. Sequence:
-// the holder cannot renew for longer than its lease. Cause: a holder that
-// goes on, or candidates that never try again.
+// Symptom: after a store outage the role has no holder, or two processes act.
+// Sequence: the holder cannot renew for longer than its lease. Cause: the holder
+// continues to act, or candidates do not try again.
 func TestRoleFollowsOutageAndShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := standin.NewTable()
@@ -244,7 +246,7 @@
 		wg.Go(func() { _ = b.Run(ctxB) })
 		time.Sleep(30 * time.Second)
 		_, ok = b.Term()
-		assert.Assert(t, !ok, "a renewed lease is not taken")
+		assert.Assert(t, !ok, "a renewed lease is not acquired")
 
 		tb.Faults.OutageFor(time.Minute)
 		time.Sleep(policy.TTL)
@@ -256,7 +258,7 @@
 		_, err := tb.Commit(t.Context(), store.Txn{Op: "x", Conds: []store.Cond{first.Guard}})
 		assert.ErrorIs(t, err, store.ErrConflict, "a write under the old term is refused")
 
-		// Hand-over: the successor acts within a poll, not after the full TTL.
+		// After a release the successor acts within a poll, not after the full TTL.
 		stopA()
 		time.Sleep(policy.TTL / 2)
 		_, okB = b.Term()
@@ -266,9 +268,9 @@
 	})
 }
 
-// Symptom: nobody gives orders for five seconds after a loss of all hosts.
+// Symptom: nobody gives orders for five seconds after all hosts were lost.
 // Sequence: the holder's process is killed and starts again a second later.
-// Cause: it waits for the time of its own former process to run out.
+// Cause: it waits for the lease of its own former process to expire.
 func TestAFormerProcessOfTheSameHostIsNotWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := standin.NewTable()
@@ -280,7 +282,7 @@
 		synctest.Wait()
 		before, ok := former.Term()
 		assert.Assert(t, ok)
-		g.set(true) // as a killed process, it writes no more
+		g.set(true) // like a killed process, it writes nothing more
 
 		start := time.Now()
 		ctxNew, stop := context.WithCancel(t.Context())
@@ -297,9 +299,9 @@
 	})
 }
 
-// Symptom: all hosts decide by themselves, and ask the store, while it is away.
-// Sequence: the holder cannot renew; nobody else can take the lease either.
-// Cause: nobody knows that it held the lease last.
+// Symptom: during a store outage all hosts decide by themselves and query the
+// store. Sequence: the holder cannot renew, and nobody else can acquire the
+// lease. Cause: the last holder does not know that it was the last holder.
 func TestALeaseThatRanOutIsTheLastHoldersUntilItIsTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := standin.NewTable()
@@ -314,7 +316,7 @@
 		time.Sleep(2 * policy.TTL)
 		_, ok := a.Term()
 		assert.Assert(t, !ok && a.Lapsed())
-		g.set(true) // cut off while the store returns for others
+		g.set(true) // disconnected from the store while it recovers for others
 		time.Sleep(2 * policy.TTL)
 		ctxB, stopB := context.WithCancel(t.Context())
 		b := lease.New(lease.Config{Name: "r", Holder: "b", Policy: policy}, lease.Deps{Table: tb})
@@ -325,7 +327,7 @@
 		g.set(false)
 		time.Sleep(policy.TTL)
 		_, ok = a.Term()
-		assert.Assert(t, !ok && !a.Lapsed(), "it has seen that another took it")
+		assert.Assert(t, !ok && !a.Lapsed(), "it has observed that another process acquired it")
 		stop()
 		stopB()
 		wg.Wait()
