--- a/node/dispatch/attempt.go
+++ b/node/dispatch/attempt.go
@@ -20,7 +20,8 @@
 )
 
 // ErrCancelled is the cause of a context that the caller or an operator
-// cancelled by name, as opposed to a lost connection: the upstream is told at once.
+// cancelled explicitly. Unlike after a lost connection, the upstream is told at
+// once.
 var ErrCancelled = errors.New("request was cancelled")
 
 // attempt is one dispatch of a request to one upstream.
@@ -31,8 +32,8 @@
 	ep               *route.Endpoint
 	id               string
 	sentTo           incarnationRef
-	bodyConsumed     bool // a body that cannot be sent again was sent
-	wrongIncarnation bool // the upstream's process is not the one that the attempt was meant for
+	bodyConsumed     bool // the body cannot be sent again, and was sent
+	wrongIncarnation bool // the upstream's incarnation is not the one that the attempt was meant for
 	split            splitter
 	watch            watchdog
 	pace             paceMeter
@@ -46,8 +47,9 @@
 	return a
 }
 
-// run sends the attempt and relays its answer, through lost answers and
-// silent connections, until the attempt's fate is known or cannot be learnt.
+// run sends the attempt and forwards its answer. It recovers from lost answers
+// and stalled connections until the attempt's outcome is known or cannot be
+// found out.
 func (a *attempt) run(ctx context.Context) error {
 	ctx, cancel := context.WithDeadline(ctx, a.w.Deadline)
 	defer cancel()
@@ -64,9 +66,10 @@
 	return err
 }
 
-// cancelIfAbandoned tells the upstream to stop work that nobody waits for. The engine
-// itself keeps a stream for a while after its connection was lost, so that
-// the caller can resume it through another host.
+// cancelIfAbandoned tells the upstream to stop work whose answer is no longer
+// needed. The exception is a stream whose caller's connection was lost: the
+// engine itself keeps it for a while, so that the caller can resume it through
+// another host.
 func (a *attempt) cancelIfAbandoned(ctx context.Context, err error) {
 	if err == nil || ctx.Err() == nil {
 		return
@@ -77,8 +80,9 @@
 	}
 }
 
-// canRecover says whether the attempt's fate is worth asking for: it may have
-// run, its caller still waits, and the answer could still be handed over whole.
+// canRecover reports whether to ask the upstream for the attempt's outcome: the
+// attempt may have run, its caller is still connected, and a complete answer
+// could still be delivered.
 func (a *attempt) canRecover(ctx context.Context, err error) bool {
 	f := fault.From(fault.StepDispatch, err)
 	if f.Outcome != outcome.Unknown || ctx.Err() != nil || f.Step == fault.StepRelay && f.Peer == callerPeer {
@@ -89,7 +93,7 @@
 
 const callerPeer = "caller"
 
-// buildRequest makes the exchange that carries the attempt.
+// buildRequest returns the HTTP request that carries the attempt.
 func (a *attempt) buildRequest() *conn.Request {
 	h := a.w.Header.Clone()
 	if h == nil {
@@ -99,10 +103,11 @@
 	h.Set(engineapi.HeaderPriority, strconv.Itoa(int(a.w.Class)))
 	h.Set(engineapi.HeaderDeadline, strconv.FormatInt(time.Until(a.w.Deadline).Milliseconds(), 10))
 	if a.w.Claim != nil {
-		// The claim names this process, and its word alone settles the claim.
-		// Without the header, a host that was paused here while the process
-		// was asked for the attempt's fate, told "unseen" and then restarted,
-		// would run on the new one what was freed for another run.
+		// The claim names this incarnation, and only its report can resolve the
+		// claim. Without the header the request could run twice: if this host is
+		// paused here while the upstream is asked for the attempt's outcome,
+		// answers "unseen", which frees the key for another run, and then
+		// restarts, the new incarnation would run this attempt too.
 		h.Set(engineapi.HeaderForIncarnation, a.ep.Incarnation)
 	}
 	if a.w.Prefix != 0 {
@@ -117,7 +122,7 @@
 	return r
 }
 
-// send makes the exchange and relays what comes back.
+// send makes the exchange and forwards its answer.
 func (a *attempt) send(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -126,9 +131,9 @@
 	resp, err := a.d.deps.Client.Do(ctx, a.buildRequest())
 	if err != nil {
 		var body *conn.BodyError
-		// A body that broke is its caller's doing. With the upstream taken for
-		// down because of it, one caller that hangs up in the middle of its
-		// body, time and again, would take upstreams from everybody.
+		// An error of the body is caused by the caller. If it marked the upstream
+		// as down, one caller that repeatedly disconnects in the middle of its
+		// body would make upstreams unavailable to all callers.
 		if !errors.As(err, &body) && fault.From(fault.StepDispatch, err).Outcome == outcome.NotRun {
 			a.bodyConsumed = false
 			a.d.deps.View.MarkDown(a.ep.Upstream)
@@ -142,9 +147,10 @@
 	return a.forward(ctx, resp)
 }
 
-// checkResponse accepts an answer only if it is this attempt's own. An answer under
-// another id is another caller's: it is dropped with its connection, on which
-// every later answer would be shifted too.
+// checkResponse returns an error unless the answer belongs to this attempt and
+// is no refusal. An answer with another attempt's id belongs to another caller:
+// it is dropped together with its connection, on which every later answer would
+// be mismatched too.
 func (a *attempt) checkResponse(resp *conn.Response) error {
 	if got := resp.Header.Get(engineapi.HeaderAttempt); got != a.id {
 		a.d.deps.Metrics.Add(metrics.Mismatched, a.ep.DataCentre, a.ep.Upstream, 1)
@@ -162,7 +168,7 @@
 	return a.refusalError(resp)
 }
 
-// refusalError turns an upstream's refusal into an error; nil when it is an answer.
+// refusalError returns an error if the upstream refused the attempt, else nil.
 func (a *attempt) refusalError(resp *conn.Response) error {
 	why := resp.Header.Get(engineapi.HeaderRefused)
 	if why == "" {
@@ -175,7 +181,7 @@
 			a.d.deps.Log.Emit(event.UpstreamLeaving, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("incarnation", a.sentTo.get()), zap.String("source", "refusal"))
 		}
 	case engineapi.RefusedSettled:
-		// The watchdog asked for the fate before the attempt arrived.
+		// The watchdog asked for the attempt's outcome before the attempt arrived.
 		return fault.Unknown(fault.StepDispatch, a.ep.Upstream, fault.CodeUpstreamFailed, "refused: %s", why)
 	case engineapi.RefusedNotLoaded:
 		a.d.deps.View.MarkNotReady(a.ep.Upstream, a.w.Key)
--- a/node/dispatch/dispatch.go
+++ b/node/dispatch/dispatch.go
@@ -19,37 +19,40 @@
 	"peridotpier.example/node/upstream/conn"
 )
 
-// Config bounds dispatching; zero values take the defaults.
+// Config configures a Dispatcher; zero values mean the defaults.
 type Config struct {
-	// Silence is how long an exchange may go without a byte before its
-	// upstream is asked on a new connection whether there is anything to wait for.
+	// IdleBeforeProbe is how long an exchange may go without a byte before the
+	// upstream is asked, on a new connection, whether its answer is still coming.
 	IdleBeforeProbe time.Duration
-	// RetryShare is the share of requests that retries may add, 0 to 1.
+	// RetryShare is the number of retries allowed as a share of all requests, 0 to 1.
 	RetryShare float64
-	// NoReplicaRetryAfter is told to callers of a model that no upstream holds.
+	// NoReplicaRetryAfter is the Retry-After for callers of a model that is
+	// resident at no upstream.
 	NoReplicaRetryAfter time.Duration
-	// KeepBytes bounds what is held at once of all answers to requests that
-	// may not be repeated; of those beyond it only the fact is kept.
+	// RetainBudgetBytes bounds the memory for all answers that are retained for
+	// claims at the same time. Of an answer that exceeds it, only the fact that
+	// there was one is stored.
 	RetainBudgetBytes int64
 }
 
 const (
-	defaultIdleBeforeProbe     = 2 * time.Second // above any pause between tokens, far below a deadline
+	defaultIdleBeforeProbe     = 2 * time.Second // longer than any pause between tokens, far shorter than a deadline
 	defaultRetryShare          = 0.1
-	defaultNoReplicaRetryAfter = 5 * time.Second // a load takes seconds
+	defaultNoReplicaRetryAfter = 5 * time.Second // loading a model takes seconds
 	busyRetryAfter             = time.Second
-	minRemainingMs             = 0.001    // a deadline that has passed still is one
-	defaultRetainBudget        = 32 << 20 // four answers of the largest size; usual ones take some KB
+	minRemainingMs             = 0.001    // the remaining time given to routing once the deadline has passed
+	defaultRetainBudget        = 32 << 20 // four answers of the maximum size; typical answers take some KB
 )
 
-// Deps are what a Dispatcher works with.
+// Deps are the dependencies of a Dispatcher.
 type Deps struct {
 	View    View
 	Picker  route.Picker
 	Client  *conn.Client
 	Log     *event.Log
 	Metrics *metrics.Set
-	// Demand, when set, is told of requests for a model that no upstream holds.
+	// NotifyDemand, if not nil, is called for each request for a model that is
+	// resident at no upstream.
 	NotifyDemand func(pool string, key route.ModelKey)
 }
 
@@ -60,13 +63,13 @@
 	upstreams *UpstreamClient
 	lengths   *answerLengths
 
-	retain retainBudget
+	retainBudget retainBudget
 
 	mu     sync.Mutex // guards budget
 	budget *retry.Budget
 }
 
-// New makes a Dispatcher.
+// New returns a Dispatcher.
 func New(cfg Config, deps Deps) *Dispatcher {
 	if cfg.IdleBeforeProbe == 0 {
 		cfg.IdleBeforeProbe = defaultIdleBeforeProbe
@@ -80,25 +83,25 @@
 	if cfg.RetainBudgetBytes == 0 {
 		cfg.RetainBudgetBytes = defaultRetainBudget
 	}
-	return &Dispatcher{cfg: cfg, deps: deps, retain: retainBudget{max: cfg.RetainBudgetBytes}, upstreams: NewUpstreamClient(deps.Client), lengths: newAnswerLengths(),
+	return &Dispatcher{cfg: cfg, deps: deps, retainBudget: retainBudget{max: cfg.RetainBudgetBytes}, upstreams: NewUpstreamClient(deps.Client), lengths: newAnswerLengths(),
 		budget: retry.NewBudget(cfg.RetryShare)}
 }
 
-// UpstreamClient asks after attempts.
+// UpstreamClient returns the client that queries and cancels attempts.
 func (d *Dispatcher) UpstreamClient() *UpstreamClient { return d.upstreams }
 
-// randomSource adapts the runtime's generator to route.Source; it is sharded
-// by processor, so that requests do not wait for each other.
+// randomSource adapts the runtime's generator to route.Source. The generator is
+// sharded by processor, so that requests do not contend for it.
 type randomSource struct{}
 
 func (randomSource) Uint64N(n uint64) uint64 { return rand.Uint64N(n) }
 
-// Do carries w out. A nil error means that the whole answer was handed to
-// sink; otherwise the error is a *fault.Error with the request's outcome.
-// A claim that was taken out is settled before Do returns.
+// Do dispatches w. A nil error means that the complete answer was written to
+// sink; otherwise the error is a *fault.Error with the request's outcome. The
+// outcome of a request under a claim is recorded before Do returns.
 func (d *Dispatcher) Do(ctx context.Context, w *Work, sink Sink) error {
 	claimed := w.Claim != nil
-	out := &output{sink: sink, retain: claimed, maxRetained: w.MaxRetainedBytes, budget: &d.retain, detached: claimed}
+	out := &output{sink: sink, retain: claimed, maxRetained: w.MaxRetainedBytes, budget: &d.retainBudget, detached: claimed}
 	r := &execution{d: d, w: w, out: out,
 		retries: retry.NewRequest(retry.Config{}, w.Repeatable, w.Deadline),
 		route: route.Request{Pool: w.Pool, Key: w.Key, PlainService: w.PlainService, Class: w.Class, Prefix: w.Prefix,
@@ -112,20 +115,20 @@
 	return err
 }
 
-// execution is one request on its way through its attempts.
+// execution is the state of one request across its attempts.
 type execution struct {
 	d       *Dispatcher
 	w       *Work
 	out     *output
 	retries *retry.Request
 	route   route.Request
-	grant   Grant // nil until claimed
+	grant   Grant // nil until the request is claimed
 	lastErr *fault.Error
 }
 
-// resolveClaim tells the claim what became of the request. The context of a caller
-// that went away must not stop it. What cannot be written now is kept and
-// written later by the claim store, which logs it; there is nothing to add here.
+// resolveClaim records the request's outcome in its claim. A caller that has
+// disconnected, which ends the context, must not prevent that. The claim store
+// queues and logs what it cannot write now, so errors need no handling here.
 func (r *execution) resolveClaim(ctx context.Context, err error) {
 	ctx = context.WithoutCancel(ctx)
 	switch {
@@ -138,7 +141,7 @@
 	}
 }
 
-// runAttempts makes one attempt after another, as core/retry allows.
+// runAttempts makes one attempt after another, as far as core/retry allows.
 func (r *execution) runAttempts(ctx context.Context) error {
 	for {
 		snap := r.d.deps.View.Snapshot()
@@ -164,10 +167,10 @@
 	}
 }
 
-var errNoIncarnation = errors.New("upstream does not say which process it is")
+var errNoIncarnation = errors.New("upstream reports no incarnation, or another upstream answered")
 
-// resolveIncarnation learns which process of the upstream a claimed attempt is meant for. A
-// host that has just started may not have heard of the upstream yet.
+// resolveIncarnation finds out the upstream's incarnation for an attempt under a
+// claim. A host that has just started may have no report of the upstream yet.
 func (r *execution) resolveIncarnation(ctx context.Context, a *attempt) error {
 	if r.w.Claim == nil || a.ep.Incarnation != "" {
 		return nil
@@ -187,8 +190,9 @@
 	return nil
 }
 
-// recordClaim makes durable where the attempt goes, for a request that may not be
-// repeated. A repeat of one that ran is answered here.
+// recordClaim durably records, for a request that must not run twice, to which
+// upstream the attempt goes. A repeat of a request that has run is answered
+// here (replayed).
 func (r *execution) recordClaim(ctx context.Context, a *attempt) (replayed bool, err error) {
 	if r.w.Claim == nil {
 		return false, nil
@@ -208,8 +212,8 @@
 	return false, grant.RecordDispatch(ctx, to, r.w.Deadline)
 }
 
-// prepareRetry says whether another attempt follows the one that failed, and waits
-// for its time.
+// prepareRetry reports whether another attempt follows the one that failed. If
+// so, it waits for the backoff before it returns.
 func (r *execution) prepareRetry(ctx context.Context, a *attempt, err error) bool {
 	r.lastErr = fault.From(fault.StepDispatch, err)
 	if r.out.started || ctx.Err() != nil {
@@ -217,10 +221,10 @@
 	}
 	avoid := a.ep.Upstream
 	if r.lastErr.Step == fault.StepResume && r.lastErr.Outcome == outcome.NotRun {
-		avoid = "" // the upstream answered that the attempt never reached it: the connection failed, not it
+		avoid = "" // the upstream answered that the attempt never reached it: the connection failed, not the upstream
 	}
 	if a.wrongIncarnation {
-		avoid = "" // a former process was meant; the new one has refused nothing
+		avoid = "" // the attempt was meant for an earlier incarnation; that says nothing against the current one
 	}
 	next := r.d.nextRetry(r.retries, retry.Attempt{Outcome: r.lastErr.Outcome, ExcludeUpstream: avoid,
 		RetryAfter: r.lastErr.RetryAfter, TryOthers: true})
@@ -233,10 +237,12 @@
 	return sleep(ctx, next.Backoff) == nil
 }
 
-// answerWithoutEndpoint is the answer when no upstream, or no other one, can be tried.
+// answerWithoutEndpoint answers a request for which no upstream, or no further
+// one, can be tried.
 func (r *execution) answerWithoutEndpoint(ctx context.Context, why route.Reason) error {
 	if r.w.Claim != nil && r.grant == nil {
-		// A repeat of a request that ran has its answer, even if nothing could run now.
+		// A repeat of a request that has run gets its stored answer even if no
+		// upstream is available now.
 		grant, stored, err := r.w.Claim(ctx, claim.Route{})
 		if err != nil {
 			return err
@@ -265,7 +271,8 @@
 	return r.Next(a, d.budget, time.Now())
 }
 
-// completeFinalError completes the error of a request that gets no further attempt.
+// completeFinalError sets the code and the Retry-After of the error of a request
+// that gets no further attempt.
 func completeFinalError(last *fault.Error, why retry.Reason) {
 	if why == retry.DeadlineTooClose {
 		last.Code = fault.CodeDeadlineExceeded
@@ -278,7 +285,7 @@
 	}
 }
 
-// refuse is the answer to a request for which there is no upstream.
+// refuse returns the error for a request for which there is no upstream.
 func (d *Dispatcher) refuse(w *Work, why route.Reason) error {
 	if why == route.NoReplica {
 		if d.deps.NotifyDemand != nil {
@@ -307,7 +314,7 @@
 }
 
 // cancelAttempt tells the upstream, in the background and for a bounded time,
-// that nobody waits for an attempt any more.
+// that the answer to an attempt is no longer needed.
 func (d *Dispatcher) cancelAttempt(address, attempt string) {
 	go func() {
 		if err := d.upstreams.Cancel(context.Background(), address, attempt); err != nil {
--- a/node/dispatch/forward.go
+++ b/node/dispatch/forward.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	// maxBufferedAnswer is how much of an unstreamed answer is held back until its
-	// end, so that a broken one can still be had from another attempt. Larger
-	// answers are passed on as they come.
+	// maxBufferedAnswer is up to how many bytes an unstreamed answer is held back
+	// until its end, so that another attempt can replace one that broke off. Larger
+	// answers are forwarded as they arrive.
 	maxBufferedAnswer = 256 << 10
-	// streamBufferBytes holds some twenty tokens' events.
+	// streamBufferBytes has room for the events of some twenty tokens.
 	streamBufferBytes = 4 << 10
 )
 
-// forwardedHeaders are the answer's headers that callers see. All others are between
-// hosts and upstreams.
+// forwardedHeaders lists the headers of an answer that callers receive. All
+// others are for the host only.
 var forwardedHeaders = []string{"Content-Type", "Content-Language", "Content-Encoding", "Cache-Control", "Etag", "Last-Modified", "Location"}
 
 func (a *attempt) responseHead(resp *conn.Response) Head {
@@ -41,7 +41,7 @@
 	return Head{Status: resp.Status, Header: h, Attempt: a.id, Upstream: a.ep.Upstream, Incarnation: a.sentTo.get()}
 }
 
-// forward passes an answer on, by its kind.
+// forward forwards an answer as a stream or unstreamed.
 func (a *attempt) forward(ctx context.Context, resp *conn.Response) error {
 	if a.w.Stream && isEventStream(resp.Header) {
 		if !a.out.started {
@@ -56,8 +56,8 @@
 	return a.forwardUnstreamed(resp)
 }
 
-// forwardUnstreamed holds an answer back up to wholeHold and passes the rest on as
-// it comes.
+// forwardUnstreamed buffers an answer up to maxBufferedAnswer and forwards the
+// remainder as it arrives.
 func (a *attempt) forwardUnstreamed(resp *conn.Response) error {
 	buffered, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer))
 	if err != nil {
@@ -108,24 +108,24 @@
 	return fault.Unknown(fault.StepRelay, a.ep.Upstream, fault.CodeUpstreamFailed, "answer broke off: %w", err)
 }
 
-// buffers hold what was read of a stream but not yet passed on, and the form
-// in which it goes to the caller.
+// buffers hold what was read of a stream but not yet forwarded (in), and the
+// same events in the caller's form (out).
 type buffers struct{ in, out []byte }
 
 var bufferPool = sync.Pool{New: func() any {
 	return &buffers{in: make([]byte, streamBufferBytes), out: make([]byte, 0, streamBufferBytes)}
 }}
 
-// forwardStream passes events on until the end marker. Whatever was read at
-// once is written at once, so that a fast stream costs few system calls.
+// forwardStream forwards events up to the end marker. Events that were read
+// together are written together, so that a fast stream costs few system calls.
 func (a *attempt) forwardStream(ctx context.Context, resp *conn.Response) error {
 	b := bufferPool.Get().(*buffers)
 	defer func() { bufferPool.Put(b) }()
 	unread := 0
 	for {
 		if unread == 0 {
-			// Most streams are between two tokens at any moment: buffers held
-			// meanwhile would be the largest part of their memory.
+			// Most streams are waiting for their next token at any moment. If they
+			// held their buffers, these would be the largest part of their memory.
 			bufferPool.Put(b)
 			resp.Wait()
 			b = bufferPool.Get().(*buffers)
@@ -158,7 +158,8 @@
 	}
 }
 
-// forwardEvents hands the whole events in src to the caller.
+// forwardEvents writes the complete events in src to the caller and returns how
+// many bytes of src it used.
 func (a *attempt) forwardEvents(b *buffers, src []byte) (used int, err error) {
 	before := a.split.position
 	b.out, used, err = a.split.rewrite(b.out[:0], src)
@@ -181,7 +182,7 @@
 	return used, a.out.flush()
 }
 
-// recordPace learns the upstream's pace, and how long its model's answers are.
+// recordPace records the upstream's pace and, at the end, the answer's length.
 func (a *attempt) recordPace() {
 	now := time.Now()
 	if a.pace.at.IsZero() && a.split.position > 0 && a.ep.Running+a.ep.Waiting < a.ep.MaxBatch {
@@ -200,7 +201,7 @@
 	a.d.deps.View.ObserveAnswerLength(a.ep.Upstream, tokens)
 }
 
-// finishStream gives the connection back if nothing but the end of the body is
+// finishStream returns the connection for reuse if only the end of the body is
 // left on it.
 func (a *attempt) finishStream(resp *conn.Response, err error) {
 	var rest [64]byte
--- a/node/dispatch/forward_bench_test.go
+++ b/node/dispatch/forward_bench_test.go
@@ -8,15 +8,15 @@
 	"peridotpier.example/node/metrics"
 )
 
-// discardSink is a caller that takes everything.
+// discardSink is a caller that discards its answer.
 type discardSink struct{}
 
 func (discardSink) WriteHead(Head)     {}
 func (discardSink) Write([]byte) error { return nil }
 func (discardSink) Flush() error       { return nil }
 
-// BenchmarkRelayToken passes one token's event on; its allocations are those
-// that each relayed token costs.
+// BenchmarkRelayToken forwards one token's event per iteration; its allocations
+// are those of each forwarded token.
 func BenchmarkRelayToken(b *testing.B) {
 	d := New(Config{}, Deps{Log: event.NewLog(nil), Metrics: metrics.New()})
 	a := &attempt{d: d, w: &Work{Stream: true}, out: &output{sink: discardSink{}, started: true}, id: "a-1"}
--- a/node/dispatch/output.go
+++ b/node/dispatch/output.go
@@ -10,15 +10,15 @@
 	nodeclaim "peridotpier.example/node/claim"
 )
 
-// output passes an answer to the caller and, for a claim, keeps it.
+// output writes an answer to the caller and, for a claim, retains it.
 type output struct {
 	sink        Sink
-	started     bool // the head went out: no other attempt may answer
+	started     bool // the head was written: no other attempt may answer
 	retain      bool
 	maxRetained int64
 	budget      *retainBudget
-	detached    bool // the request goes on when its caller is gone
-	callerGone  bool // the caller is gone
+	detached    bool // the request continues after its caller has disconnected
+	callerGone  bool
 	head        Head
 	retained    []byte
 	overflow    bool
@@ -31,8 +31,9 @@
 	}
 }
 
-// write passes p on. A claimed request goes on without its caller, since the
-// answer will be asked for again under its key; any other ends.
+// write writes p to the caller. A request under a claim continues without its
+// caller, since its answer will be requested again under its key; any other
+// request ends with an error.
 func (o *output) write(p []byte) error {
 	if o.retain && !o.overflow {
 		o.retainBytes(p)
@@ -43,8 +44,8 @@
 	return o.handleSinkError(o.sink.Write(p))
 }
 
-// retainBytes keeps p for the claim, unless the answer gets too large for its own
-// bound or for what the host holds of all answers together.
+// retainBytes retains p for the claim, unless the answer exceeds its own maximum
+// or the host's budget for all answers.
 func (o *output) retainBytes(p []byte) {
 	if int64(len(o.retained)+len(p)) > o.maxRetained || !o.budget.reserve(len(p)) {
 		o.releaseRetained()
@@ -54,7 +55,7 @@
 	o.retained = append(o.retained, p...)
 }
 
-// releaseRetained gives back what the answer took of the host's memory.
+// releaseRetained drops the retained answer and returns its bytes to the budget.
 func (o *output) releaseRetained() {
 	if len(o.retained) > 0 {
 		o.budget.release(len(o.retained))
@@ -62,9 +63,9 @@
 	o.retained = nil
 }
 
-// retainBudget bounds the bytes of answers that a host holds for claims while
-// their requests run. Without it, many large answers at once would take the
-// memory of a small host.
+// retainBudget bounds the bytes of answers that a host retains for claims while
+// their requests run. Without it, many large answers at the same time would
+// exhaust the memory of a small host.
 type retainBudget struct {
 	used atomic.Int64
 	max  int64
@@ -98,19 +99,19 @@
 	return fault.Unknown(fault.StepRelay, "caller", fault.CodeInternal, "caller is gone: %w", err)
 }
 
-// answer is what a claim keeps.
+// answer returns what the claim stores.
 func (o *output) answer() nodeclaim.Answer {
 	return nodeclaim.Answer{Status: o.head.Status, ContentType: o.head.Header.Get("Content-Type"), Body: o.retained, Dropped: o.overflow}
 }
 
-// replay hands over the stored answer of a request that ran before.
+// replay writes the stored answer of a request that ran before.
 func (o *output) replay(a *nodeclaim.Answer) error {
 	h := http.Header{}
 	if a.ContentType != "" {
 		h.Set("Content-Type", a.ContentType)
 	}
 	h.Set("Content-Length", strconv.Itoa(len(a.Body)))
-	o.retain = false // it is kept
+	o.retain = false // it is stored already
 	o.start(Head{Status: a.Status, Header: h})
 	if err := o.write(a.Body); err != nil {
 		return err
--- a/node/dispatch/pace.go
+++ b/node/dispatch/pace.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// paceSampleTokens is how many tokens of a stream make one sample of an upstream's
-	// pace: enough that tokens which arrive together do not distort it.
+	// paceSampleTokens is the number of tokens of a stream in one sample of an
+	// upstream's pace: enough that tokens which arrive together do not distort it.
 	paceSampleTokens = 8
-	// lengthWeight is the part that one answer has in the mean length.
+	// lengthWeight is the weight of one answer in the moving average of lengths.
 	lengthWeight = 0.05
-	// lengthHeadroom is by how much an answer may be longer than its model's mean
-	// before a prediction falls short.
+	// lengthHeadroom is the factor by which predictions exceed the mean length of a
+	// model's answers.
 	lengthHeadroom = 1.5
 )
 
@@ -25,7 +25,8 @@
 	at       time.Time
 }
 
-// sample takes the stream's position now; a sample is the time of one token.
+// sample records the stream's position at now. If enough tokens have arrived
+// since the last sample, it returns the mean time per token and true.
 func (p *paceMeter) sample(position int, now time.Time) (step time.Duration, ok bool) {
 	if p.at.IsZero() {
 		p.position, p.at = position, now
@@ -40,9 +41,10 @@
 	return step, true
 }
 
-// answerLengths learns how long the answers of each model are. What callers allow is
-// often far more than what they get: were it taken for the length, requests
-// would be refused as too long for their deadline which are not.
+// answerLengths keeps a moving average of the length of each model's answers.
+// Callers often allow far more tokens than they get. If the allowed number were
+// used as the length, requests would be refused as too long for their deadline
+// although they are not.
 type answerLengths struct {
 	mu   sync.RWMutex
 	mean map[route.ModelKey]float64
@@ -60,7 +62,8 @@
 	l.mean[key] = mean + lengthWeight*(float64(tokens)-mean)
 }
 
-// predict is the length to expect of an answer of which at most so many tokens are allowed.
+// predict returns the expected length, in tokens, of an answer of at most
+// maxTokens; 0: unknown.
 func (l *answerLengths) predict(key route.ModelKey, maxTokens int) int {
 	l.mu.RLock()
 	mean, known := l.mean[key]
@@ -73,7 +76,8 @@
 
 var usageField = []byte(`"completion_tokens":`)
 
-// completionTokens reads the length that an unstreamed answer states; 0: none.
+// completionTokens returns the number of tokens that an unstreamed answer states;
+// 0: none.
 func completionTokens(body []byte) int {
 	_, rest, ok := bytes.Cut(body, usageField)
 	if !ok {
@@ -84,6 +88,6 @@
 	for end < len(rest) && rest[end] >= '0' && rest[end] <= '9' {
 		end++
 	}
-	n, _ := parseNumber(rest[:end]) // not a number: 0, nothing to learn
+	n, _ := parseNumber(rest[:end]) // not a number: 0, which is not recorded
 	return n
 }
--- a/node/dispatch/pace_test.go
+++ b/node/dispatch/pace_test.go
@@ -24,10 +24,10 @@
 // Symptom: requests are refused as too long for their deadline though their
 // answers are short.
 // Sequence: callers allow thousands of tokens; answers have a few dozen.
-// Cause: what is allowed is taken for the length.
+// Cause: the allowed number of tokens is used as the predicted length.
 func TestLengthsAreLearntAndNotTakenFromTheBound(t *testing.T) {
 	l, key := newAnswerLengths(), route.ModelKey{Model: "m"}
-	assert.Equal(t, l.predict(key, 4000), 0, "nothing known: nothing predicted")
+	assert.Equal(t, l.predict(key, 4000), 0, "no answer observed: no prediction")
 	for range 20 {
 		l.observe(key, 40)
 	}
--- a/node/dispatch/recover.go
+++ b/node/dispatch/recover.go
@@ -18,19 +18,20 @@
 )
 
 const (
-	// recoverInterval spaces questions for a fate that is not yet known.
+	// recoverInterval is the time between queries for an outcome that is not yet
+	// known.
 	recoverInterval = 100 * time.Millisecond
-	// maxRecoverFailures is how many questions may go unanswered one after
-	// another: with probeTimeout each, an upstream may be cut off for some ten
-	// seconds while a stream is held open for it.
+	// maxRecoverFailures is the number of consecutive queries that may fail: with
+	// probeTimeout each, an upstream may be unreachable for some ten seconds while
+	// the caller's stream is held open.
 	maxRecoverFailures = 10
 	// maxRecoverFailuresRepeatable is the same for a request that another upstream
 	// could answer: it is not worth waiting long.
 	maxRecoverFailuresRepeatable = 2
 )
 
-// recoverAnswer finds out what became of an attempt whose answer was lost, and
-// hands the answer over if there is one.
+// recoverAnswer finds out the outcome of an attempt whose answer was lost, and
+// delivers the answer if there is one.
 func (a *attempt) recoverAnswer(ctx context.Context, cause error) error {
 	failures := 0
 	for ctx.Err() == nil {
@@ -53,8 +54,9 @@
 	return cause
 }
 
-// shouldAskAgain says whether to ask for a fate again. A refused connection
-// means that the process is gone and its attempts with it.
+// shouldAskAgain reports whether to query the outcome again. A refused
+// connection means that the upstream's process, and its attempts with it, are
+// gone.
 func (a *attempt) shouldAskAgain(err error, failures int) bool {
 	terminated := fault.From(fault.StepResume, err).Outcome == outcome.NotRun && failures > 1
 	if terminated || errors.Is(err, errForgotten) {
@@ -66,7 +68,8 @@
 	return failures < maxRecoverFailures
 }
 
-// applyOutcome ends the recovery (done) or leaves it to go on.
+// applyOutcome acts on the attempt's outcome, and returns whether the recovery
+// is done.
 func (a *attempt) applyOutcome(ctx context.Context, f engineapi.Attempt, cause error) (done bool, err error) {
 	switch {
 	case !a.sentTo.matches(f.Incarnation):
@@ -84,12 +87,12 @@
 	}
 }
 
-// resume takes a stream up again after the last position passed on.
+// resume continues a stream after the last position that was forwarded.
 func (a *attempt) resume(ctx context.Context) (done bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// From before the question: its connection, new as it is, may go silent too
-	// before the head of the answer comes, and the caller would wait for ever.
+	// Started before the request: its connection, although new, may stall too
+	// before the head of the answer arrives, and the caller would wait for ever.
 	stop := a.watchExchange(ctx, cancel)
 	defer stop()
 	resp, err := a.d.upstreams.Resume(ctx, a.ep.Address, a.id, a.split.position)
@@ -102,7 +105,7 @@
 	return err == nil || a.out.callerGone, err
 }
 
-// deliver hands over a whole answer that the upstream kept.
+// deliver writes a complete answer that the upstream has kept.
 func (a *attempt) deliver(f engineapi.Attempt) error {
 	h := http.Header{}
 	if f.ContentType != "" {
@@ -116,18 +119,18 @@
 	return nil
 }
 
-// Resumption names a stream that was dispatched by any host.
+// Resumption identifies a stream that this or another host dispatched.
 type Resumption struct {
 	Attempt     string
 	Upstream    string
 	Address     string
 	DataCentre  string
 	Incarnation string
-	After       int // the position that the caller saw last
+	After       int // the position of the last event that the caller received
 }
 
-// Resume relays the rest of a stream, which this or another host dispatched,
-// after the position that the caller saw last.
+// Resume forwards the remainder of a stream, which this or another host
+// dispatched, after the last event that the caller received.
 func (d *Dispatcher) Resume(ctx context.Context, w *Work, r Resumption, sink Sink) error {
 	ep := &route.Endpoint{Upstream: r.Upstream, Address: r.Address, DataCentre: r.DataCentre, Incarnation: r.Incarnation}
 	a := newAttempt(d, w, &output{sink: sink}, ep)
--- a/node/dispatch/sse.go
+++ b/node/dispatch/sse.go
@@ -15,7 +15,7 @@
 	errEventTooLong = errors.New("event of the stream is too long")
 )
 
-const maxEventBytes = 1 << 20 // bytes of one event; a token's event takes some 200
+const maxEventBytes = 1 << 20 // maximum size of one event; a token's event takes some 200 bytes
 
 var (
 	eventEnd  = []byte("\n\n")
@@ -24,17 +24,18 @@
 	streamEnd = []byte(engineapi.StreamEnd)
 )
 
-// splitter passes the events of one attempt's stream on, each once and in
-// order. It survives resumption: the position goes on counting.
+// splitter rewrites the events of one attempt's stream for the caller, each once
+// and in order. It is kept across resumptions, so that positions continue.
 type splitter struct {
 	attempt  []byte
-	position int  // of the last event passed on
-	ended    bool // the end marker was passed on
+	position int  // position of the last event that was rewritten
+	ended    bool // the end marker was rewritten
 }
 
-// rewrite appends to dst the caller's form of every whole event in src and
-// returns how much of src it used. An upstream's id is "attempt.position";
-// the caller sees the position alone, which serves as Last-Event-ID.
+// rewrite appends to dst the caller's form of every complete event in src and
+// returns how many bytes of src it used. An upstream's event id is
+// "attempt.position"; the caller gets the position alone, which serves as
+// Last-Event-ID.
 func (s *splitter) rewrite(dst, src []byte) (out []byte, used int, err error) {
 	for !s.ended {
 		n := bytes.Index(src[used:], eventEnd)
@@ -54,7 +55,7 @@
 
 func (s *splitter) rewriteEvent(dst, ev []byte) ([]byte, error) {
 	if len(ev) == 0 || ev[0] == ':' {
-		return dst, nil // a comment keeps the connection alive
+		return dst, nil // a comment, sent to keep the connection alive
 	}
 	id, data, ok := bytes.Cut(ev, []byte{'\n'})
 	if !ok || !bytes.HasPrefix(id, idField) || !bytes.HasPrefix(data, dataField) || hasLineBreak(data) {
@@ -83,14 +84,14 @@
 	return append(dst, eventEnd...), nil
 }
 
-// hasLineBreak says whether there is more than one line. A second one would reach the
-// caller as a field of its own: an id there moves the position that its
-// resumption starts from.
+// hasLineBreak reports whether b has more than one line. A second line would
+// reach the caller as a field of its own: an id there would change the position
+// from which the caller resumes.
 func hasLineBreak(b []byte) bool {
 	return bytes.IndexByte(b, '\n') >= 0 || bytes.IndexByte(b, '\r') >= 0
 }
 
-// parseNumber reads a position without allocating.
+// parseNumber parses a decimal number without allocating.
 func parseNumber(b []byte) (int, bool) {
 	n := 0
 	for _, c := range b {
--- a/node/dispatch/sse_test.go
+++ b/node/dispatch/sse_test.go
@@ -12,9 +12,9 @@
 	return fmt.Sprintf("id: %s.%d\ndata: %s\n\n", attempt, position, data)
 }
 
-// Symptom: a caller gets a token twice, lacks one, or sees another caller's.
-// Sequence: a stream broke and was taken up again, or an answer was crossed.
-// Cause: events are passed on as they come.
+// Symptom: a caller gets a token twice, misses one, or gets another caller's.
+// Sequence: a stream broke off and was resumed, or an answer was mismatched.
+// Cause: events are forwarded without a check of their attempt and position.
 func TestSplitterPassesOwnEventsOnce(t *testing.T) {
 	for _, c := range []struct {
 		name, in, out string
@@ -22,7 +22,7 @@
 	}{
 		{"in order", upstreamEvent("a", 1, "x") + upstreamEvent("a", 2, "y"), "id: 1\ndata: x\n\nid: 2\ndata: y\n\n", nil},
 		{"again after a resumption", upstreamEvent("a", 1, "x") + upstreamEvent("a", 1, "x") + upstreamEvent("a", 2, "y"), "id: 1\ndata: x\n\nid: 2\ndata: y\n\n", nil},
-		{"another's, at the right position", upstreamEvent("a", 1, "x") + upstreamEvent("b", 2, "theirs"), "id: 1\ndata: x\n\n", errMismatched},
+		{"another attempt's, at the right position", upstreamEvent("a", 1, "x") + upstreamEvent("b", 2, "theirs"), "id: 1\ndata: x\n\n", errMismatched},
 		{"a gap", upstreamEvent("a", 1, "x") + upstreamEvent("a", 3, "z"), "id: 1\ndata: x\n\n", errGap},
 		{"nothing after the end", upstreamEvent("a", 1, "[DONE]") + upstreamEvent("a", 2, "y"), "id: 1\ndata: [DONE]\n\n", nil},
 		{"keep-alive", ": still here\n\n" + upstreamEvent("a", 1, "x"), "id: 1\ndata: x\n\n", nil},
@@ -38,8 +38,8 @@
 	}
 }
 
-// FuzzSplitter: however a stream is cut into reads, the caller gets the same,
-// event by event, with positions 1, 2, 3, …
+// FuzzSplitter checks that the caller gets the same events, with positions 1, 2,
+// 3, …, however a stream is cut into reads.
 func FuzzSplitter(f *testing.F) {
 	f.Add([]byte(upstreamEvent("a", 1, "x")+upstreamEvent("a", 2, "[DONE]")), uint8(7))
 	f.Add([]byte(upstreamEvent("a", 1, "x")+upstreamEvent("a", 1, "x")+": c\n\n"+upstreamEvent("a", 2, "y")), uint8(3))
@@ -64,7 +64,7 @@
 	})
 }
 
-// checkPositions checks that the caller's form counts from 1 to last.
+// checkPositions checks that the positions in the caller's form go from 1 to last.
 func checkPositions(t *testing.T, out []byte, last int) {
 	t.Helper()
 	n := 0
--- a/node/dispatch/upstreamclient.go
+++ b/node/dispatch/upstreamclient.go
@@ -17,28 +17,29 @@
 )
 
 const (
-	// probeTimeout bounds one question to an upstream on a new connection;
-	// within and between close data centres an answer takes milliseconds.
+	// probeTimeout bounds one query to an upstream on a new connection; within
+	// and between nearby data centres an answer takes milliseconds.
 	probeTimeout = time.Second
-	// maxOutcomeBytes bounds the answer to a question for an attempt's fate: the
-	// largest answer that is kept, in base64, and its frame.
+	// maxOutcomeBytes bounds the response to a query for an attempt's outcome: the
+	// largest answer that is retained, in base64, and the JSON around it.
 	maxOutcomeBytes = config.MaxAnswerBytes*4/3 + 64<<10
 )
 
-// errForgotten says that the upstream cannot tell the fate any more: it is no
-// use to ask again.
+// errForgotten reports that the upstream no longer knows the attempt's outcome,
+// so that asking again is useless.
 var errForgotten = errors.New("upstream has forgotten the attempt")
 
-// UpstreamClient asks upstreams about attempts and cancels them.
+// UpstreamClient queries, resumes and cancels attempts at upstreams.
 type UpstreamClient struct{ client *conn.Client }
 
-// NewUpstreamClient uses the given connections.
+// NewUpstreamClient returns a client that uses the given connections.
 func NewUpstreamClient(c *conn.Client) *UpstreamClient { return &UpstreamClient{client: c} }
 
 func attemptPath(pattern, id string) string { return strings.Replace(pattern, "{id}", id, 1) }
 
-// AttemptOutcome asks an upstream on a new connection what became of an attempt. After
-// the answer AttemptUnseen the upstream refuses that attempt for good.
+// AttemptOutcome asks an upstream on a new connection for the outcome of an
+// attempt. After the answer AttemptUnseen the upstream refuses that attempt for
+// good.
 func (u *UpstreamClient) AttemptOutcome(ctx context.Context, address, attempt string) (engineapi.Attempt, error) {
 	var a engineapi.Attempt
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
@@ -66,7 +67,7 @@
 	return a, nil
 }
 
-// Report asks an upstream for its state, on a new connection.
+// Report requests an upstream's report on a new connection.
 func (u *UpstreamClient) Report(ctx context.Context, address string) (engineapi.Report, error) {
 	var r engineapi.Report
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
@@ -83,7 +84,7 @@
 	return r, json.NewDecoder(io.LimitReader(resp.Body, maxOutcomeBytes)).Decode(&r)
 }
 
-// Cancel tells an upstream to give an attempt up.
+// Cancel tells an upstream to cancel an attempt.
 func (u *UpstreamClient) Cancel(ctx context.Context, address, attempt string) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -96,7 +97,8 @@
 	return nil
 }
 
-// Resume opens an attempt's stream again after a position, on a new connection.
+// Resume reopens an attempt's stream on a new connection, from the event after
+// the given position.
 func (u *UpstreamClient) Resume(ctx context.Context, address, attempt string, after int) (*conn.Response, error) {
 	resp, err := u.client.Do(ctx, &conn.Request{Address: address, Method: http.MethodGet,
 		Path: attemptPath(engineapi.PathResume, attempt), Query: "after=" + strconv.Itoa(after), Header: http.Header{}, Fresh: true})
--- a/node/dispatch/watchdog.go
+++ b/node/dispatch/watchdog.go
@@ -14,47 +14,48 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// inFlightGrace is how long what an upstream says it has sent may still be
-// under way before the connection counts as silent.
+// inFlightGrace is how long bytes that an upstream reports as sent may still be
+// in flight before the connection counts as stalled.
 const inFlightGrace = 100 * time.Millisecond
 
 const (
-	// idleDivisor is the part of the time left until the deadline that an
-	// exchange may be silent before it is looked into: found out later, there
-	// would be no time left for another attempt.
+	// idleDivisor divides the time left until the deadline; an exchange that was
+	// idle for the quotient is probed. If a stall were noticed later, there would
+	// be no time left for another attempt.
 	idleDivisor = 4
-	// minIdleBeforeProbe keeps requests with little time left from asking more often
-	// than an upstream answers.
+	// minIdleBeforeProbe keeps requests with little time left from probing more
+	// often than an upstream can answer.
 	minIdleBeforeProbe = 100 * time.Millisecond
 )
 
-// idleBeforeProbe is how long this attempt's exchange may go without a byte.
+// idleBeforeProbe returns how long this attempt's exchange may go without a byte
+// before it is probed.
 func (a *attempt) idleBeforeProbe() time.Duration {
 	return min(a.d.cfg.IdleBeforeProbe, max(time.Until(a.w.Deadline)/idleDivisor, minIdleBeforeProbe))
 }
 
-// watchdog notices that an exchange has gone without a byte for a while. Its
-// fields are shared with the goroutine that relays.
+// watchdog detects that an exchange has been idle. Its fields are shared with
+// the goroutine that forwards the answer.
 type watchdog struct {
-	reads    atomic.Int64 // reads that brought something
-	position atomic.Int64 // of the last event passed on
+	reads    atomic.Int64 // number of reads that returned bytes
+	position atomic.Int64 // position of the last event that was forwarded
 }
 
 func (w *watchdog) recordRead() { w.reads.Add(1) }
 
-// watchExchange asks the upstream on a new connection, each time the exchange
-// was silent for a while, whether there is something that did not arrive. If
-// there is, the connection has gone silent: something between the two ends
-// lost track of it, which neither end is told. TCP keep-alive would not show
-// it soon enough (its default is hours), and passes where a middle box answers
-// for the other end. The old connections are then retired as a whole, since
-// they went through the same box, and the exchange is ended by cancel, to be
-// recovered on a new connection. The returned function stops the watch and
-// waits for it.
+// watchExchange watches an exchange. Each time the exchange was idle for a
+// while, it asks the upstream on a new connection whether it has sent something
+// that did not arrive. If so, the connection is stalled: something between the
+// two ends has lost its state, and neither end is notified. TCP keep-alive would
+// not detect this soon enough (its default is hours), and it succeeds where a
+// middlebox answers for the other end. The old connections to the upstream are
+// then all retired, since they go through the same middlebox, and the exchange
+// is ended by cancel, so that the attempt can be recovered on a new connection.
+// The returned function stops the watch and waits for its end.
 func (a *attempt) watchExchange(ctx context.Context, cancel context.CancelFunc) func() {
 	done, interval := make(chan struct{}), a.idleBeforeProbe()
 	var timer *time.Timer
-	var mu sync.Mutex // guards timer and stopped
+	var mu sync.Mutex // guards timer, stopped and running
 	var stopped, running bool
 	last := a.watch.reads.Load()
 	check := func() {
@@ -94,13 +95,16 @@
 	}
 }
 
-// isStalled asks whether the upstream has more for this exchange than arrived.
+// isStalled reports whether nothing more can arrive on the exchange: the upstream
+// no longer runs the attempt or has sent more of its answer than arrived, or
+// nothing listens at the upstream's address.
 func (a *attempt) isStalled(ctx context.Context) bool {
 	readsBefore := a.watch.reads.Load()
 	f, err := a.d.upstreams.AttemptOutcome(ctx, a.ep.Address, a.id)
 	if err != nil {
-		// Refused: the process is gone, and its connections with it. No answer
-		// at all: the upstream may be cut off for a while; go on waiting.
+		// A refused connection means that the process has terminated, and its
+		// connections with it. Without any answer the upstream may be
+		// unreachable for a while; go on waiting.
 		if fault.From(fault.StepResume, err).Outcome != outcome.NotRun || ctx.Err() != nil {
 			return false
 		}
@@ -120,7 +124,7 @@
 	return true
 }
 
-// incarnationRef is the process that an attempt was sent to, as far as known.
+// incarnationRef is the incarnation that an attempt was sent to, as far as known.
 type incarnationRef struct {
 	mu   sync.Mutex
 	name string
@@ -138,6 +142,7 @@
 	return i.name
 }
 
-// matches says whether an answer from the named process speaks for the attempt.
-// One that restarted knows nothing of it, so its "unseen" proves nothing.
+// matches reports whether a report from the named incarnation is valid for the
+// attempt. An upstream that has restarted knows nothing of it, so its "unseen"
+// proves nothing.
 func (i *incarnationRef) matches(name string) bool { return name != "" && i.get() == name }
--- a/node/dispatch/work.go
+++ b/node/dispatch/work.go
@@ -1,7 +1,8 @@
-// Package dispatch carries one admitted request to an upstream and its answer
-// back: it picks the upstream, sends attempts, checks that each answer belongs
-// to its attempt, finds out what became of attempts whose answer was lost, and
-// relays the answer whole. What may be tried again is decided in core/retry.
+// Package dispatch sends one admitted request to an upstream and forwards its
+// answer to the caller. It picks the upstream, makes the attempts, checks that
+// each answer belongs to its attempt, resolves the outcome of attempts whose
+// answer was lost, and forwards the answer complete or not at all. Package
+// core/retry decides what may be tried again.
 package dispatch
 
 import (
@@ -22,43 +23,44 @@
 	Team         string
 	Class        class.Class
 	Pool         string
-	Key          route.ModelKey // of a model request
-	PlainService bool           // a call to a plain service
+	Key          route.ModelKey // model and adapter of a model request
+	PlainService bool           // the request is a call to a plain service
 	Method       string
-	Path         string // at the upstream
+	Path         string // path at the upstream
 	Query        string
-	Header       http.Header // to pass on
+	Header       http.Header // header to forward to the upstream
 	Body         []byte
-	BodyStream   io.Reader // instead of Body, when it was too large to hold; sent once at most
-	BodyLength   int64     // of BodyStream; -1: unknown
+	BodyStream   io.Reader // replaces a Body that was too large to hold in memory; sent at most once
+	BodyLength   int64     // length of BodyStream in bytes; -1: unknown
 	Stream       bool      // the caller asked for server-sent events
 	Deadline     time.Time
 	Repeatable   bool
 	Prefix       uint64  // salted prefix hash; 0: none
-	MaxTokens    int     // that the caller allows; 0: not said
-	IdleStepMs   float64 // one decoding step of the model alone, milliseconds; 0: not known
-	// Claim takes out the claim of a request that may not be repeated, naming
-	// its first attempt; nil for all others. A repeat of a request that ran
-	// gets the stored answer in place of a grant.
+	MaxTokens    int     // maximum answer length that the caller allows, in tokens; 0: not given
+	IdleStepMs   float64 // one decoding step of the model on an idle upstream, in milliseconds; 0: unknown
+	// Claim claims a request that must not run twice and records its first
+	// attempt; it is nil for all other requests. A repeat of a request that has
+	// run gets the stored answer instead of a grant.
 	Claim            func(ctx context.Context, first claim.Route) (Grant, *nodeclaim.Answer, error)
-	MaxRetainedBytes int64 // most bytes of an answer to keep for its claim
+	MaxRetainedBytes int64 // maximum size of an answer that is retained for its claim
 }
 
-// Grant is the claim under which a request that may not be repeated runs;
+// Grant is the claim under which a request that must not run twice runs;
 // *claim.Grant of node/claim implements it.
 type Grant interface {
-	// Dispatching makes durable which attempt goes where, before its first
-	// byte is written. On an error the attempt must not be sent.
+	// RecordDispatch durably records the attempt and its upstream before the
+	// first byte of the attempt is written. On an error the attempt must not be
+	// sent.
 	RecordDispatch(ctx context.Context, r claim.Route, deadline time.Time) error
-	// Complete keeps the answer; it may finish later in the background.
+	// Complete stores the answer; it may finish later in the background.
 	Complete(ctx context.Context, a nodeclaim.Answer) error
-	// NotRun frees the key, so that a retry may run.
+	// Release frees the key, so that a retry may run.
 	Release(ctx context.Context) error
-	// Unknown keeps the key: no retry runs until the fate is known.
+	// MarkUnknown keeps the key: no retry runs until the outcome is known.
 	MarkUnknown(ctx context.Context) error
 }
 
-// Head is what is known of an answer when its first byte is due.
+// Head is the part of an answer that precedes its body.
 type Head struct {
 	Status      int
 	Header      http.Header
@@ -67,15 +69,15 @@
 	Incarnation string
 }
 
-// Sink takes the answer to the caller. Head comes once, before any Write.
-// After an error the caller is gone.
+// Sink writes the answer to the caller. WriteHead is called once, before any
+// Write. An error means that the caller has disconnected.
 type Sink interface {
 	WriteHead(h Head)
 	Write(p []byte) error
 	Flush() error
 }
 
-// View is the host's picture of the upstreams; node/upstream/view implements it.
+// View is the host's view of the upstreams; node/upstream/view implements it.
 type View interface {
 	Snapshot() *route.Snapshot
 	AttemptStarted(upstream string)
