--- a/node/dispatch/pace_test.go
+++ b/node/dispatch/pace_test.go
@@ -25,7 +25,7 @@
 // answers are short.
 // Sequence: callers allow thousands of tokens; answers have a few dozen.
 // Cause: the allowed number of tokens is used as the predicted length.
-func TestLengthsAreLearntAndNotTakenFromTheBound(t *testing.T) {
+func TestLengthsAreObservedAndNotTakenFromTheBound(t *testing.T) {
 	l, key := newAnswerLengths(), route.ModelKey{Model: "m"}
 	assert.Equal(t, l.predict(key, 4000), 0, "no answer observed: no prediction")
 	for range 20 {
--- a/node/drain/begin_test.go
+++ b/node/drain/begin_test.go
@@ -21,7 +21,7 @@
 	address string
 }
 
-// run serves h, plain or secured.
+// run serves h on plain or secured connections.
 func run(t *testing.T, h http.HandlerFunc, secured bool) *running {
 	t.Helper()
 	if secured {
@@ -30,7 +30,8 @@
 	return runWrapped(t, h, nil)
 }
 
-// runWrapped serves h, secured if over is there, which then wraps the secured listener.
+// runWrapped serves h; if wrap is not nil, on secured connections whose listener
+// wrap has wrapped.
 func runWrapped(t *testing.T, h http.HandlerFunc, wrap func(net.Listener) net.Listener) *running {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,7 +63,7 @@
 	return net.Dial("tcp", s.address)
 }
 
-// answered reads one answer.
+// answered reads one answer and checks its body.
 func answered(t *testing.T, r *bufio.Reader) {
 	t.Helper()
 	resp, err := http.ReadResponse(r, nil)
@@ -85,11 +86,12 @@
 
 // Symptom: a caller's connection ends while it sends a request of which the
 // server has the beginning.
-// Sequence: the beginning was sent ahead, and read together with the request
-// before; the server reads on; a stop or the idle bound asks the connection.
-// Cause: bytes in the server's buffer count as nothing when the read that brought
-// them brought the end of the request before, too.
-func TestABeginningThatWasSentAheadIsUnderWay(t *testing.T) {
+// Sequence: the beginning was pipelined, and read together with the request
+// before; the server reads on; the connection is asked to close by a shutdown or
+// for being idle.
+// Cause: bytes in the server's buffer do not count if the read that returned them
+// also returned the end of the request before.
+func TestAPipelinedBeginningCountsAsARequest(t *testing.T) {
 	t.Parallel()
 	for name, of := range map[string]struct {
 		bytes   int
@@ -122,8 +124,9 @@
 	}
 }
 
-// Symptom: a connection is closed though the beginning of a request arrived.
-// Sequence: secured callers at a stop: a kept connection, the next request in one record.
+// Symptom: a connection is closed although the beginning of a request arrived.
+// Sequence: secured callers at a shutdown: a kept-alive connection, the next
+// request in one TLS record.
 func TestASecuredConnectionIsAnswered(t *testing.T) {
 	t.Parallel()
 	s := run(t, answerOK, true)
@@ -137,7 +140,7 @@
 	answered(t, answers)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if s.phases()[phaseIdle] != 1 {
-			return poll.Continue("not quiet")
+			return poll.Continue("not idle")
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond))
@@ -154,8 +157,8 @@
 // Symptom: a connection is never idle again after a request with a long body.
 // Sequence: the handler reads the body in pieces that are larger than the
 // server's buffer.
-// Cause: what waits in that buffer is told by the size of the next read.
-func TestAConnectionIsQuietAfterALongBody(t *testing.T) {
+// Cause: the fill of that buffer is derived from the size of the next read.
+func TestAConnectionIsIdleAfterALongBody(t *testing.T) {
 	t.Parallel()
 	s := run(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.ReadAll(r.Body)
--- a/node/drain/conn.go
+++ b/node/drain/conn.go
@@ -12,60 +12,63 @@
 	"time"
 )
 
-// The phases of a connection. Only its reader makes it closing: bytes that have
-// left the kernel are known to nobody else, and a request among them would end
-// without an answer. Who wants it closed asks, and wakes the reader.
+// The phases of a connection. Only its reader sets phaseClosing: nobody else
+// knows of bytes that have left the kernel, and a request among them would end
+// without an answer. Others request the close and wake the reader.
 const (
-	phaseIdle           int32 = iota // nothing came, ever or since the last answer
-	phaseBusy                        // a request is read, handled or answered
-	phaseCloseRequested              // it was quiet, and is to be closed unless a request comes first
-	phaseClosing                     // it is being closed, and nothing more is read
+	phaseIdle           int32 = iota // nothing was read yet, or since the last answer
+	phaseBusy                        // a request is being read, handled or answered
+	phaseCloseRequested              // no request was in progress; to be closed unless a request comes first
+	phaseClosing                     // being closed; nothing more is read
 )
 
 const (
-	// bodyReadTimeout is how long the rest of a body that a handler left is read
-	// before its connection is closed; a caller that trickles it holds no more.
+	// bodyReadTimeout is how long the remainder of a body that a handler did not
+	// read is awaited before the connection is closed. A caller that sends it byte
+	// by byte cannot hold the connection for longer.
 	bodyReadTimeout = time.Second
-	// lingerTimeout is how long a connection is read from after its last answer
-	// when its caller may still send; a few round trips, or 1 MB at 8 Mbit/s.
+	// lingerTimeout is how long a connection is read from after its last answer if
+	// its caller may still send: a few round trips, or 1 MB at 8 Mbit/s.
 	lingerTimeout = time.Second
-	// maxLingerBytes is how much is read then: twice a usual bound of bodies.
+	// maxLingerBytes is how many bytes are read then: twice a usual limit of bodies.
 	maxLingerBytes = 8 << 20
-	// answerWriteTimeout is how long the HTTP server may take to write what a handler
-	// left of its answer: 4 KB at most, whose caller may not read. Longer than a
-	// way to the caller is usually cut for, so that what waits still arrives.
+	// answerWriteTimeout is how long the HTTP server may take to write what is left
+	// of an answer after its handler has returned: 4 KB at most, which the caller
+	// may not read. It is longer than a usual network interruption, so that bytes
+	// which wait for its end still arrive.
 	answerWriteTimeout = 5 * time.Second
-	// handshakeGrace is how long after its handshake a secured connection counts as
-	// one without a request. The beginning of one may have come in the same packet,
-	// which cannot be seen; its rest follows within a round trip.
+	// handshakeGrace is how long after its handshake a secured connection still
+	// counts as one with a request. The beginning of a request may have come in the
+	// same packet, which cannot be seen; its remainder follows within a round trip.
 	handshakeGrace = 500 * time.Millisecond
 )
 
-// conn knows from the first byte on that a request is being read.
+// conn is a tracked connection. It detects a request at its first byte.
 type conn struct {
 	net.Conn
 	s           *Server
 	phase       atomic.Int32
-	deadlineMu  sync.Mutex   // held over a change of the deadline of reads, with the phase that it goes by
-	closeReason Reason       // it is asked
-	idleSince   atomic.Int64 // from the Server's begin to the last change to quiet, ns; 0: no answer yet
-	// unread says that bytes of the last request may still come.
+	deadlineMu  sync.Mutex   // held while the read deadline changes together with the phase that it depends on
+	closeReason Reason       // why the close is requested
+	idleSince   atomic.Int64 // time of the last change to phaseIdle after an answer, ns since Server.startedAt; 0: no answer yet
+	// mayHaveUnread is true while bytes of the last request may still come.
 	mayHaveUnread atomic.Bool
 	lingering     atomic.Bool
-	lastRead      atomic.Int64 // from the Server's begin to the last bytes read, ns
-	handshakeDone atomic.Bool  // the handshake is done
-	used          atomic.Bool  // bytes came since, or a request was read
+	lastRead      atomic.Int64 // time of the last read that returned bytes, ns since Server.startedAt
+	handshakeDone atomic.Bool
+	used          atomic.Bool // bytes came after the handshake, or a request was read
 
-	// Of the HTTP server's goroutine, and of the reads that it starts.
+	// Used only by the HTTP server's goroutine and the reads that it starts.
 	awaitsNext  bool // the answer is written, and the next read waits for the next request
-	waitBounded bool // the wait for it has its bound
-	bufferSize  int  // of the server's buffer when it is empty; plain connections only
+	waitBounded bool // the HTTP server has set the deadline of that wait
+	bufferSize  int  // size of the HTTP server's read buffer when it is empty; used only without Secure
 }
 
-// keptAlive says whether the connection had an answer.
+// keptAlive reports whether the connection has had an answer.
 func (c *conn) keptAlive() bool { return c.idleSince.Load() > 0 }
 
-// idleFor is how long a kept connection had no request at the time now.
+// idleFor returns how long a connection that has had an answer has had no
+// request, at the time now since Server.startedAt.
 func (c *conn) idleFor(now time.Duration) time.Duration {
 	if !c.keptAlive() {
 		return 0
@@ -73,10 +76,11 @@
 	return now - time.Duration(c.idleSince.Load())
 }
 
-// past ends a wait for bytes at once.
+// past is a read deadline that ends a waiting read at once.
 var past = time.Unix(1, 0)
 
-// requestClose has a connection without a request closed by its reader, unless one comes first.
+// requestClose lets the reader of a connection without a request close it, unless
+// a request comes first.
 func (c *conn) requestClose(why Reason) {
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
@@ -87,14 +91,15 @@
 	if c.phase.Load() != from {
 		return
 	}
-	c.closeReason = why // before the phase, after which the reader goes by it
+	c.closeReason = why // before the phase changes: the reader uses it after that
 	if c.phase.CompareAndSwap(from, phaseCloseRequested) {
-		_ = c.Conn.SetReadDeadline(past) // it fails on one that has ended, whose reader sees that by itself
+		_ = c.Conn.SetReadDeadline(past) // fails on a closed connection, which its reader notices by itself
 	}
 }
 
-// isUnused says that a secured connection has had its handshake and no request.
-// Callers open some in advance; each would hold a stop until the bound of heads.
+// isUnused reports whether a secured connection has completed its handshake and
+// has had no request. Callers open some connections in advance; each would delay
+// a shutdown until the timeout of heads.
 func (c *conn) isUnused() bool {
 	if !c.handshakeDone.Load() || c.used.Load() || c.phase.Load() != phaseBusy {
 		return false
@@ -102,8 +107,8 @@
 	return time.Since(c.s.startedAt)-time.Duration(c.lastRead.Load()) > handshakeGrace
 }
 
-// SetReadDeadline implements net.Conn. The HTTP server's own bounds do not put
-// off the end of a connection that is asked to close.
+// SetReadDeadline implements net.Conn. The HTTP server's own deadlines do not
+// delay the end of a connection whose close is requested.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.observeDeadline(t)
 	c.deadlineMu.Lock()
@@ -114,9 +119,10 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// observeDeadline notes what the HTTP server's bounds tell of its next read. After an
-// answer it bounds the wait, and then the head, if it has four bytes of one. It
-// bounds handshakes, and lifts that when they are done.
+// observeDeadline records what the HTTP server's deadlines imply for its next
+// read. After an answer the HTTP server sets a deadline for the wait for the next
+// request, and then, once it has four bytes of a head, one for the head. It sets
+// a deadline for the handshake and clears it when the handshake is done.
 func (c *conn) observeDeadline(t time.Time) {
 	if c.awaitsNext {
 		c.awaitsNext, c.waitBounded = !c.waitBounded, true
@@ -126,7 +132,7 @@
 	}
 }
 
-// tryBegin says whether a request may begin or go on.
+// tryBegin reports whether a request may begin or continue.
 func (c *conn) tryBegin() bool {
 	if c.phase.CompareAndSwap(phaseIdle, phaseBusy) || c.phase.Load() == phaseBusy {
 		return true
@@ -134,7 +140,8 @@
 	return c.cancelClose()
 }
 
-// cancelClose makes a connection busy that was asked to close.
+// cancelClose makes a connection busy whose close was requested, and reports
+// whether it is busy now.
 func (c *conn) cancelClose() bool {
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
@@ -168,7 +175,7 @@
 		c.used.Store(true)
 	}
 	if !c.tryBegin() {
-		return 0, c.closedError() // this process has ended it by force
+		return 0, c.closedError() // the connection is being closed
 	}
 	if firstBytes {
 		c.boundHeader()
@@ -176,9 +183,9 @@
 	return n, err
 }
 
-// closeOrRead closes a connection that was asked to close, after a read that brought
-// nothing but err. Bytes that came before the read was woken are a request that
-// a close would destroy; they are read.
+// closeOrRead closes a connection whose close was requested, after a read that
+// returned only err. If bytes arrived before the read was woken, they are the
+// beginning of a request that a close would destroy; then it reads them instead.
 func (c *conn) closeOrRead(p []byte, err error) (int, error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) && c.hasPending() && c.cancelClose() {
 		return c.Conn.Read(p)
@@ -192,13 +199,13 @@
 	return 0, c.closedError()
 }
 
-// closedError is the error of a read from a connection that is being closed. The HTTP
-// server takes it for the end of the connection, and answers nothing.
+// closedError returns the error of a read from a connection that is being closed.
+// The HTTP server takes it as the end of the connection and answers nothing.
 func (c *conn) closedError() error {
 	return &net.OpError{Op: "read", Net: c.LocalAddr().Network(), Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: net.ErrClosed}
 }
 
-// hasPending says whether bytes wait to be read.
+// hasPending reports whether the kernel has bytes for the connection.
 func (c *conn) hasPending() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -209,16 +216,16 @@
 		return false
 	}
 	n := 0
-	err = raw.Control(func(fd uintptr) { // not Read, which heeds the deadline
+	err = raw.Control(func(fd uintptr) { // not Read, which the deadline would end
 		var buf [1]byte
 		n, _, _ = syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	return err == nil && n > 0
 }
 
-// markIdle makes the connection quiet when the HTTP server reads on after an
-// answer, up to size bytes. It does so only when it has handled all that it has
-// read; what waits in its buffer takes of the room for the next read.
+// markIdle makes the connection idle when the HTTP server, after an answer, reads
+// up to size bytes more. The server does so only when it has handled all that it
+// has read. Bytes that wait in its buffer reduce the size of the next read.
 func (c *conn) markIdle(size int) {
 	if !c.awaitsNext {
 		return
@@ -232,24 +239,25 @@
 	c.phase.Store(phaseIdle)
 }
 
-// boundHeader bounds the rest of a head: the HTTP server does so from the fourth
-// byte on, and a connection with one to three would stay for ever.
+// boundHeader sets the deadline for the remainder of a head. The HTTP server does
+// so only from the fourth byte on; a connection with one to three bytes of a head
+// would stay open for ever.
 func (c *conn) boundHeader() {
 	if timeout := c.s.cfg.Server.ReadHeaderTimeout; timeout > 0 {
 		_ = c.SetReadDeadline(time.Now().Add(timeout))
 	}
 }
 
-// handlerReturned bounds how long the rest of a body is read that a handler left. It
-// must not when nothing is left: the deadline would end the read that tells
-// whether the caller is gone.
+// handlerReturned bounds how long the remainder of a body that a handler did not
+// read is awaited. It sets no read deadline if nothing remains: the deadline would
+// end the read that detects a disconnected caller.
 //
-// An answer whose length is known is whole now. It leaves at once, and the rest
-// is read before the HTTP server closes the connection; without a length, the
-// answer's last chunk would wait for that.
+// An answer with a Content-Length is complete now. It is written at once, and the
+// remainder of the body is read before the HTTP server closes the connection.
+// Without a Content-Length, the answer's last chunk would wait for that.
 func (c *conn) handlerReturned(w http.ResponseWriter, body *trackedBody, returned bool) {
 	rc := http.NewResponseController(w)
-	_ = rc.SetWriteDeadline(time.Now().Add(answerWriteTimeout)) // the HTTP server lifts it before the next request
+	_ = rc.SetWriteDeadline(time.Now().Add(answerWriteTimeout)) // the HTTP server clears it before the next request
 	c.mayHaveUnread.Store(!body.complete)
 	if body.complete {
 		return
@@ -275,8 +283,8 @@
 	return err
 }
 
-// linger reads what the caller still sends after its answer. A connection that
-// is closed with bytes unread is reset, and the reset overtakes the answer.
+// linger reads what the caller still sends after its answer. If a connection is
+// closed with bytes unread, it is reset, and the reset overtakes the answer.
 func (c *conn) linger() {
 	c.s.mu.Lock()
 	over := c.s.stopped
@@ -291,7 +299,7 @@
 	_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes)
 }
 
-// trackedBody notes whether a handler has read all of it.
+// trackedBody is a request body that records whether all of it was read.
 type trackedBody struct {
 	io.ReadCloser
 	complete bool
--- a/node/drain/conn_test.go
+++ b/node/drain/conn_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/poll"
 )
 
-// pair is a followed connection, as its server has it, and its caller's end.
+// pair returns a tracked connection, as its server has it, and its caller's end.
 func pair(t *testing.T) (*conn, net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,10 +26,10 @@
 	return nc.(*conn), caller
 }
 
-// Symptom: a caller's connection is reset though its request had arrived.
-// Sequence: a connection is asked to close while bytes wait to be read from it.
+// Symptom: a caller's connection is reset although its request had arrived.
+// Sequence: a connection is asked to close while it has bytes to be read.
 // Cause: the close destroys them unread.
-func TestBytesThatWaitKeepAConnectionOpen(t *testing.T) {
+func TestPendingBytesKeepAConnectionOpen(t *testing.T) {
 	c, caller := pair(t)
 	_, err := io.WriteString(caller, "GET")
 	assert.NilError(t, err)
@@ -48,15 +48,15 @@
 	_, err = io.WriteString(caller, " /")
 	assert.NilError(t, err)
 	n, err = c.Read(buf)
-	assert.NilError(t, err, "the rest of the head is read too")
+	assert.NilError(t, err, "the remainder of the head is read too")
 	assert.Equal(t, string(buf[:n]), " /")
 }
 
-// Symptom: a stop hangs on a connection without a request.
-// Sequence: it is asked to close; the server then sets its own bound for the
-// wait for the next request, or has set none.
-// Cause: the bound puts the end of that wait off again.
-func TestAnAskedConnectionEndsWhateverTheServersBounds(t *testing.T) {
+// Symptom: a shutdown hangs on a connection without a request.
+// Sequence: the connection is asked to close; the server then sets its own
+// deadline for the wait for the next request, or has set none.
+// Cause: the server's deadline replaces the one that ends that wait.
+func TestARequestedCloseIsNotDelayedByTheServersDeadlines(t *testing.T) {
 	c, caller := pair(t)
 	done := make(chan error, 1)
 	go func() {
@@ -79,19 +79,19 @@
 	assert.Equal(t, c.s.DrainStep(), 0)
 }
 
-// Symptom: a stop takes its whole grace, and connections of callers that do not
-// read stay for ever.
+// Symptom: a shutdown takes its whole grace period, and connections of callers
+// that do not read stay open for ever.
 // Sequence: a caller sends one request after the other and reads no answer; the
 // server has handled one and writes its answer.
-// Cause: a handler's own bound on writes ends with it; what the server writes
+// Cause: a handler's own write deadline ends with it; what the server writes
 // after that has none.
 func TestACallerThatDoesNotReadIsNotAwaitedForLong(t *testing.T) {
 	t.Parallel()
-	large := strings.Repeat("x", 2000) // that the server holds back until the handler has returned
+	large := strings.Repeat("x", 2000) // an answer that the server buffers until the handler has returned
 	var s *served
 	s = serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, large) }, func() {
 		select {
-		case <-s.idle: // nobody waits for it here
+		case <-s.idle: // no test waits for it here
 		default:
 		}
 	})
@@ -102,11 +102,11 @@
 	within(t, "the connection ends", s.closed)
 }
 
-// Symptom: a secured caller's first request ends without an answer at a stop.
-// Sequence: its head was read a while ago, by a server short of processor time;
-// the connection counts as unused and is asked to close; then the server has
-// parsed the head.
-// Cause: the reader that could keep the connection has nothing more to read.
+// Symptom: a secured caller's first request ends without an answer at a shutdown.
+// Sequence: a server short of processor time read its head a while ago; the
+// connection counts as unused and is asked to close; then the server has parsed
+// the head.
+// Cause: only the reader can cancel the close, and it has nothing more to read.
 func TestAHeadThatWasReadKeepsItsConnection(t *testing.T) {
 	c, _ := pair(t)
 	c.handshakeDone.Store(true)
@@ -117,5 +117,5 @@
 	c.s.cfg.Server.ConnState(c, http.StateActive)
 	assert.Equal(t, c.phase.Load(), phaseBusy)
 	assert.Equal(t, c.s.DrainStep(), 1)
-	assert.Equal(t, c.phase.Load(), phaseBusy, "it is used now")
+	assert.Equal(t, c.phase.Load(), phaseBusy, "the connection is used now")
 }
--- a/node/drain/drain.go
+++ b/node/drain/drain.go
@@ -1,10 +1,12 @@
-// Package drain serves HTTP on a listener so that a stop cuts no request off.
+// Package drain serves HTTP on a listener so that a shutdown interrupts no
+// request.
 //
-// What is under way is a property of a connection, not of a handler: a request
-// counts from its first byte until its answer is written. The HTTP server's own
-// states say less: it tells of a request when the head is whole, writes answers
-// after their handler has returned, and closes what it takes for idle without
-// asking whether something is being read.
+// Whether a request is in progress is a property of a connection, not of a
+// handler: a request counts from its first byte until its answer is written. The
+// states that the HTTP server reports are not sufficient: it reports a request
+// only when the head is complete, writes answers after their handler has
+// returned, and closes connections that it considers idle without checking
+// whether a request is being read.
 package drain
 
 import (
@@ -18,25 +20,26 @@
 	"github.com/rotisserie/eris"
 )
 
-// Reason is why a connection without a request is closed.
+// Reason is the reason why a connection without a request is closed.
 type Reason string
 
 // The reasons.
 const (
-	IdleTimeout Reason = "idle" // for longer than is allowed
-	Shutdown    Reason = "stop" // the server stops
+	IdleTimeout Reason = "idle" // the connection was idle for longer than allowed
+	Shutdown    Reason = "stop" // the server shuts down
 )
 
-// Config is what a Server is made of.
+// Config configures a Server.
 type Config struct {
 	Listener net.Listener
-	// Secure wraps the listener, as for TLS; nil: connections stay plain.
+	// Secure wraps the listener, for example with TLS; with nil, connections are
+	// not secured.
 	Secure func(net.Listener) net.Listener
-	// Server serves the connections. Its handler and hooks become the Server's
-	// own, which call those that it has.
+	// Server serves the connections. New replaces its handler and hooks by its
+	// own, which call the original ones.
 	Server *http.Server
-	// Closing is told before a connection of Listener without a request is closed;
-	// nil: nobody is.
+	// BeforeClose, if not nil, is called before a connection of Listener without a
+	// request is closed.
 	BeforeClose func(nc net.Conn, why Reason)
 }
 
@@ -49,10 +52,10 @@
 
 	mu      sync.Mutex
 	conns   map[*conn]struct{}
-	stopped bool // no connection is taken any more
+	stopped bool // no further connection is accepted
 }
 
-// New makes a Server.
+// New returns a Server.
 func New(cfg Config) *Server {
 	s := &Server{cfg: cfg, startedAt: time.Now(), closed: make(chan struct{}), conns: map[*conn]struct{}{}}
 	cfg.Server.Handler = s.trackRequests(cfg.Server.Handler)
@@ -61,8 +64,9 @@
 	return s
 }
 
-// Serve returns when the listener fails or after Close. The closing of the
-// listener alone does not end it: requests are still being finished then.
+// Serve accepts connections until the listener fails or Close is called. It does
+// not return when only the listener is closed, because requests may still be in
+// progress then.
 func (s *Server) Serve() error {
 	var ln net.Listener = trackingListener{s.cfg.Listener, s}
 	if s.cfg.Secure != nil {
@@ -76,10 +80,11 @@
 	return eris.Wrap(err, "accept connections")
 }
 
-// CloseListener takes no more connections.
+// CloseListener closes the listener, so that no further connection is accepted.
 func (s *Server) CloseListener() { _ = s.cfg.Listener.Close() }
 
-// CloseIdle closes the connections without a request for longer than most.
+// CloseIdle closes the connections that have had no request for longer than
+// maxIdle. Connections that have not had an answer yet are not idle.
 func (s *Server) CloseIdle(now time.Time, maxIdle time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,10 +95,11 @@
 	}
 }
 
-// DrainStep asks the connections that had an answer and have no request to close,
-// and returns how many have a request or may have one still. When none has, it
-// asks the new ones too; when none is left, the Server takes none any more:
-// what is looked at last is then what ends.
+// DrainStep asks the connections to close that have had an answer and have no
+// request, and returns how many have a request or may still have one. If none
+// has, it also asks the connections that have not had a request yet. If none is
+// left then, the Server accepts no further connection, so that the result 0 is
+// final.
 func (s *Server) DrainStep() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,25 +111,25 @@
 	return left
 }
 
-// requestClose asks connections to close and counts those that have a request, or have
-// not closed yet. The lock is held.
+// requestClose asks connections to close, and returns how many have a request or
+// have not closed yet. s.mu is held.
 func (s *Server) requestClose(selected func(*conn) bool) int {
 	left := 0
 	for c := range s.conns {
-		request := selected(c) || c.isUnused()
-		if request {
+		shouldClose := selected(c) || c.isUnused()
+		if shouldClose {
 			c.requestClose(Shutdown)
 		}
 		p := c.phase.Load()
-		if p == phaseBusy || p == phaseCloseRequested || request && p == phaseIdle { // quiet again: its request was over since it was asked
+		if p == phaseBusy || p == phaseCloseRequested || shouldClose && p == phaseIdle { // idle again: it had a request, which ended, after it was asked to close
 			left++
 		}
 	}
 	return left
 }
 
-// Active is the number of connections with a request that is read, handled or
-// answered.
+// Active returns the number of connections with a request that is being read,
+// handled or answered.
 func (s *Server) Active() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,10 +142,12 @@
 	return n
 }
 
-// drainPollInterval is how often Drain looks whether nothing is under way.
+// drainPollInterval is the time between the checks of Drain whether a request is
+// in progress.
 const drainPollInterval = 20 * time.Millisecond
 
-// Drain takes no more connections and waits until nothing is under way, or ctx ends.
+// Drain accepts no further connections and waits until no request is in
+// progress, or until ctx ends.
 func (s *Server) Drain(ctx context.Context) error {
 	s.CloseListener()
 	t := time.NewTicker(drainPollInterval)
@@ -154,7 +162,7 @@
 	return nil
 }
 
-// Close ends whatever is left.
+// Close closes all remaining connections.
 func (s *Server) Close() {
 	s.once.Do(func() { close(s.closed) })
 	s.mu.Lock()
@@ -164,20 +172,20 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		_ = c.Conn.Close() // one that lingers, which a second Close of TLS does not reach
+		_ = c.Conn.Close() // one that lingers: it is already in Close, and a second Close of its TLS connection does not reach it
 	}
 }
 
-// trackRequests lets requests of open connections through, and notes what their
-// handler leaves of the body.
+// trackRequests returns a handler that admits requests of open connections and
+// tracks whether h reads the whole body.
 func (s *Server) trackRequests(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := r.Context().Value(connKey{}).(*conn)
 		if !c.tryBegin() {
-			panic(http.ErrAbortHandler) // nobody can be answered, so that nothing may run
+			panic(http.ErrAbortHandler) // no answer can be written, so that the handler must not run
 		}
 		body := &trackedBody{ReadCloser: r.Body, complete: r.Body == http.NoBody}
-		tracked := r.WithContext(r.Context()) // the server needs the body that it made in its own
+		tracked := r.WithContext(r.Context()) // the server needs its own body in its own request
 		tracked.Body = body
 		returned := false
 		defer func() { c.handlerReturned(w, body, returned) }()
@@ -186,7 +194,8 @@
 	})
 }
 
-// trackState follows the server's states.
+// trackState returns a hook that tracks the HTTP server's states and calls next
+// first.
 func (s *Server) trackState(next func(net.Conn, http.ConnState)) func(net.Conn, http.ConnState) {
 	return func(nc net.Conn, to http.ConnState) {
 		if next != nil {
@@ -197,7 +206,7 @@
 		case http.StateActive:
 			c.awaitsNext = false
 			c.used.Store(true)
-			c.tryBegin() // a head that was read while it was asked to close is served
+			c.tryBegin() // a head that was read while the close was requested is served
 		case http.StateIdle:
 			c.awaitsNext, c.waitBounded = true, false
 			c.mayHaveUnread.Store(true)
@@ -208,6 +217,8 @@
 // connKey is the key of a request's connection in its context.
 type connKey struct{}
 
+// trackContext returns a hook that adds the connection to the context, after
+// next.
 func (s *Server) trackContext(next func(context.Context, net.Conn) context.Context) func(context.Context, net.Conn) context.Context {
 	return func(ctx context.Context, nc net.Conn) context.Context {
 		if next != nil {
@@ -217,10 +228,11 @@
 	}
 }
 
-// Underlying returns the connection of a Server's Listener below one that its hooks get.
+// Underlying returns the connection of Config.Listener below one that the HTTP
+// server's hooks get.
 func Underlying(nc net.Conn) net.Conn { return connOf(nc).Conn }
 
-// connOf finds the Server's connection below what Secure made of it.
+// connOf returns the Server's connection below the one that Secure made of it.
 func connOf(nc net.Conn) *conn {
 	for {
 		if c, ok := nc.(*conn); ok {
@@ -230,7 +242,7 @@
 	}
 }
 
-// trackingListener follows the connections that it accepts.
+// trackingListener tracks the connections that it accepts.
 type trackingListener struct {
 	net.Listener
 	s *Server
--- a/node/drain/drain_test.go
+++ b/node/drain/drain_test.go
@@ -12,7 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// gate stops whoever comes to it, once, from when it is set until it is let go.
+// gate stops the first goroutine that passes it after it was set, until it is
+// released.
 type gate struct {
 	set              atomic.Bool
 	reached, release chan struct{}
@@ -30,7 +31,7 @@
 // gatedListener accepts connections that a test can stop within their calls.
 type gatedListener struct {
 	net.Listener
-	wasRead, write *gate // after bytes came from the kernel, and before they go to it
+	wasRead, write *gate // passed after bytes were read from the kernel, and before they are written to it
 	reads, bytes   atomic.Int64
 }
 
@@ -65,18 +66,18 @@
 // headerTimeout is how long the tests' callers may take to send a head.
 const headerTimeout = 2 * time.Second
 
-// served is connections under a test's control.
+// served is a Server under a test's control, with its connections.
 type served struct {
 	t      *testing.T
 	ln     *gatedListener
 	drain  *Server
 	idle   chan struct{} // a connection waits for its next request
-	closed chan struct{} // the server is done with a connection
-	ran    atomic.Int64  // handlers
+	closed chan struct{} // the server has closed a connection
+	ran    atomic.Int64  // number of handlers that were called
 }
 
-// serve serves h; inIdle is called after a connection became idle and
-// before the server reads on.
+// serve serves h; inIdle, if not nil, is called after a connection became idle
+// and before the server reads on.
 func serve(t *testing.T, h http.HandlerFunc, inIdle func()) *served {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -134,7 +135,7 @@
 	assert.NilError(c.t, err)
 }
 
-// answer reads a whole answer.
+// answer reads a complete answer and returns its body.
 func (c *caller) answer() (string, error) {
 	resp, err := http.ReadResponse(c.buf, nil)
 	if err != nil {
@@ -145,7 +146,7 @@
 	return string(body), err
 }
 
-// answered checks the next answer.
+// answered checks the body of the next answer.
 func (c *caller) answered(want string) {
 	c.t.Helper()
 	got, err := c.answer()
@@ -153,7 +154,8 @@
 	assert.Equal(c.t, got, want)
 }
 
-// stop looks as a stop does until nothing is under way, then ends what is left.
+// stop makes drain steps, as a shutdown does, until no request is in progress,
+// and then closes what is left.
 func (s *served) stop() {
 	s.t.Helper()
 	for end := time.Now().Add(8 * time.Second); s.drain.DrainStep() > 0; time.Sleep(time.Millisecond) {
@@ -176,7 +178,8 @@
 
 func answerOK(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }
 
-// answerOKIfCallerWaits answers after a while, unless the caller is taken for gone.
+// answerOKIfCallerWaits answers after a while, unless the server considers the
+// caller disconnected.
 func answerOKIfCallerWaits(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-r.Context().Done():
@@ -186,14 +189,14 @@
 	}
 }
 
-// Symptom: a caller's connection ends without an answer though its whole
-// request was read and was passed on, or refused.
+// Symptom: a caller's connection ends without an answer although its whole
+// request was read and was forwarded, or refused.
 // Sequence: the handler has returned and the server has not written the answer
 // yet, or a stream's last chunk; or the request is read and its handler has not
-// begun. The stop looks, finds nothing under way and closes every connection.
-// Cause: what is under way is taken to be the handlers that run. The count of
-// the last look is the evidence: 0 while a request is read or answered.
-func TestWhatIsUnderWayIsCounted(t *testing.T) {
+// begun. The shutdown finds no request in progress and closes every connection.
+// Cause: only running handlers are counted as requests in progress. The evidence
+// is the result of the last drain step: 0 while a request is read or answered.
+func TestRequestsInProgressAreCounted(t *testing.T) {
 	t.Parallel()
 	t.Run("short answer", func(t *testing.T) {
 		var s *served
@@ -235,18 +238,18 @@
 		c.send(get)
 		c.answered("ok")
 		within(t, "the connection is idle", s.idle)
-		eventually(t, func() bool { return s.ln.reads.Load() >= 3 }) // the request, ahead of the next, the next
+		eventually(t, func() bool { return s.ln.reads.Load() >= 3 }) // the request, the read ahead for the next, the next
 		readInHalves(s, c, s.ln.reads.Load()-1)
 	})
 }
 
-// readInHalves sends a request of which the server has half at the first look.
-// Before it, the connection was read from as often as given.
+// readInHalves sends a request of which the server has read half at the first
+// drain step. The connection was read from before times before it.
 func readInHalves(s *served, c *caller, before int64) {
 	s.t.Helper()
 	half := len(get) / 2
 	c.send(get[:half])
-	eventually(s.t, func() bool { return s.ln.reads.Load() == before+2 }) // it waits for the other half
+	eventually(s.t, func() bool { return s.ln.reads.Load() == before+2 }) // the server waits for the other half
 	assert.Equal(s.t, s.drain.DrainStep(), 1)
 	c.send(get[half:])
 	s.stop()
@@ -260,21 +263,22 @@
 	}
 }
 
-// Symptom: a request runs at an upstream, and its caller has neither an answer
+// Symptom: a request runs at an upstream, and its caller gets neither an answer
 // nor a refusal.
-// Sequence: a kept connection is chosen to be closed, at a stop or for being
-// idle; the server's read has the next request already and has not said so; or
-// the request came together with the one before. The connection is closed and
-// the request is handled, or what was read of it is dropped.
-// Cause: the one who closes decides what the reader alone knows. The evidence:
-// of 1366 stops with 12,316 connections closed for being idle, 74 requests were
-// handled on a connection that had been closed; in ten runs of restarts with
-// callers 150 ms away seven callers got nothing, and each of the requests looked
-// up had come out of a connection that the stop had just closed.
+// Sequence: a kept-alive connection is selected to be closed, at a shutdown or
+// because it is idle; the server's read has the next request already and has not
+// reported it; or the request came together with the one before. The connection
+// is closed and the request is handled, or what was read of it is dropped.
+// Cause: whoever closes the connection decides on what only its reader knows. The
+// evidence: of 1366 shutdowns with 12,316 connections closed for being idle, 74
+// requests were handled on a connection that had been closed; in ten runs of
+// restarts with callers 150 ms away seven callers got nothing, and each of the
+// requests looked up had come from a connection that the shutdown had just
+// closed.
 func TestARequestThatWasReadIsAnswered(t *testing.T) {
 	t.Parallel()
 	for name, choose := range map[string]func(*Server){
-		"at a stop":         func(s *Server) { s.DrainStep() },
+		"at a shutdown":     func(s *Server) { s.DrainStep() },
 		"at the idle bound": func(s *Server) { s.CloseIdle(time.Now().Add(time.Hour), time.Minute) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -292,7 +296,7 @@
 			assert.Equal(t, s.ran.Load(), int64(2))
 			s.stop()
 		})
-		t.Run("sent ahead, "+name, func(t *testing.T) {
+		t.Run("pipelined, "+name, func(t *testing.T) {
 			chosen := atomic.Bool{}
 			var s *served
 			s = serve(t, answerOKIfCallerWaits, func() {
--- a/node/drain/guards_test.go
+++ b/node/drain/guards_test.go
@@ -10,9 +10,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: a request is cut by the end of a process that had nothing under way.
-// Sequence: a connection is asked to close; before it has, its request comes.
-// Cause: one that is asked counts as closed, or a new one is not asked at all.
+// Symptom: a request is interrupted by the end of a process that had counted no
+// request in progress.
+// Sequence: a connection is asked to close; before it has closed, a request
+// comes.
+// Cause: a connection that is asked to close counts as closed, or a new one is
+// not asked at all.
 func TestADrainStepCountsWhatItAsksToClose(t *testing.T) {
 	t.Parallel()
 	t.Run("after an answer", func(t *testing.T) {
@@ -30,10 +33,12 @@
 	})
 }
 
-// Symptom: callers who have just connected are sent away while the host still answers others.
-// Sequence: a new connection has sent nothing yet; a stop looks, or the idle bound does.
-// Cause: a new connection is taken for one that rests.
-func TestANewConnectionIsAskedLast(t *testing.T) {
+// Symptom: callers who have just connected are disconnected while the host still
+// answers others.
+// Sequence: a new connection has sent nothing yet when a drain step or CloseIdle
+// runs.
+// Cause: a new connection is treated as an idle one.
+func TestANewConnectionIsAskedToCloseLast(t *testing.T) {
 	t.Parallel()
 	c, _ := pair(t)
 	other := &conn{Conn: c.Conn, s: c.s}
@@ -46,10 +51,11 @@
 	delete(c.s.conns, other)
 }
 
-// Symptom: a caller waits for the end of an answer that says it is the last.
+// Symptom: a caller waits for the end of an answer that is marked as the last on
+// its connection.
 // Sequence: it is refused before its body is sent, and sends no more of it.
-// Cause: the connection is not half closed while the rest may still come.
-func TestTheEndOfTheLastAnswerIsTold(t *testing.T) {
+// Cause: the connection is not half closed while more of the body may come.
+func TestTheEndOfTheLastAnswerIsSignalled(t *testing.T) {
 	t.Parallel()
 	s := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Connection", "close")
@@ -64,10 +70,11 @@
 	assert.Assert(t, time.Since(began) < bodyReadTimeout+lingerTimeout/2, "%v", time.Since(began))
 }
 
-// Symptom: a caller gets the beginning of an answer whose handler gave none.
-// Sequence: the handler says how long its answer is, and breaks off; the body of
-// its request is not read.
-// Cause: what is written on return is written on a panic, too.
+// Symptom: a caller gets the beginning of an answer although the handler failed.
+// Sequence: the handler sets the length of its answer and panics; the body of its
+// request is not read.
+// Cause: the answer that is flushed when a handler returns is also flushed after
+// a panic.
 func TestABrokenHandlerAnswersNothing(t *testing.T) {
 	t.Parallel()
 	s := serve(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -82,7 +89,8 @@
 
 // Symptom: the end of an answer is late by a second.
 // Sequence: the answer has no length; the body of its request is not read.
-// Cause: the rest of the body is awaited before the answer's last chunk is written.
+// Cause: the remainder of the body is awaited before the answer's last chunk is
+// written.
 func TestAnAnswerWithoutALengthDoesNotWaitForTheBody(t *testing.T) {
 	t.Parallel()
 	s := serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -97,9 +105,10 @@
 	assert.Assert(t, time.Since(began) < bodyReadTimeout/2, "%v", time.Since(began))
 }
 
-// Symptom: a caller who asks before it sends a body has its refusal a second late.
+// Symptom: a caller that waits for permission to send its body gets its refusal a
+// second late.
 // Sequence: it expects 100 Continue, is refused and sends nothing.
-// Cause: the server does not recognize the body of the request that it made.
+// Cause: the HTTP server does not recognize its own body in the request.
 func TestARefusalBeforeTheBodyIsNotLate(t *testing.T) {
 	t.Parallel()
 	s := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNotFound) }, nil)
@@ -114,10 +123,10 @@
 	assert.Assert(t, time.Since(began) < bodyReadTimeout/2, "%v", time.Since(began))
 }
 
-// Symptom: a stop lasts a second longer for each connection that rests.
-// Sequence: a connection had an answer; it is asked to close.
+// Symptom: a shutdown takes a second longer for each idle connection.
+// Sequence: a connection has had an answer; it is asked to close.
 // Cause: more of a request is awaited where none has begun.
-func TestARestingConnectionClosesAtOnce(t *testing.T) {
+func TestAnIdleConnectionClosesAtOnce(t *testing.T) {
 	t.Parallel()
 	s := serve(t, answerOK, nil)
 	c := s.dial()
@@ -130,9 +139,9 @@
 	assert.Assert(t, time.Since(began) < lingerTimeout/2, "%v", time.Since(began))
 }
 
-// Symptom: a caller sees a reset in place of the server's own answer.
-// Sequence: the head that is none comes after an answer.
-// Cause: what may still come counts of a connection's first request only.
+// Symptom: a caller gets a reset instead of the HTTP server's own answer.
+// Sequence: the malformed head comes after an answer.
+// Cause: only a connection's first request marks that bytes may still come.
 func TestTheServersOwnAnswersArriveOnKeptConnections(t *testing.T) {
 	t.Parallel()
 	s := serve(t, answerOK, nil)
--- a/node/drain/linger_test.go
+++ b/node/drain/linger_test.go
@@ -12,12 +12,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: a caller who is refused sees its connection reset in place of the refusal.
-// Sequence: the refusal is written at the head; the caller still sends the
+// Symptom: a caller who is refused gets a reset instead of the refusal.
+// Sequence: the refusal is written after the head; the caller still sends the
 // body. The process ends, or the server closes the connection.
-// Cause: the connection is closed with bytes unread, and a reset is sent, which
+// Cause: the connection is closed with bytes unread. This sends a reset, which
 // overtakes the refusal on its way or ends the caller's write. The evidence is
-// the error at the caller, and the count of the last look.
+// the error at the caller, and the result of the last drain step.
 func TestARefusalReachesACallerWhoStillSends(t *testing.T) {
 	t.Parallel()
 	refuse := func(w http.ResponseWriter, _ *http.Request) {
@@ -32,7 +32,7 @@
 	}{
 		"small body":                {size: 100 << 10},
 		"large body":                {size: 2 << 20},
-		"a caller's own last words": {size: 100 << 10, head: "Connection: close\r\n"},
+		"the caller's last request": {size: 100 << 10, head: "Connection: close\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -40,7 +40,7 @@
 			c := s.dial()
 			c.send(fmt.Sprintf("POST / HTTP/1.1\r\nHost: site.example\r\n%sContent-Length: %d\r\n\r\n", of.head, of.size))
 			c.send(strings.Repeat("x", of.size/2))
-			c.answered("no\n") // before the body is in
+			c.answered("no\n") // before the whole body has arrived
 			stopped := make(chan struct{})
 			assert.Equal(t, s.drain.DrainStep(), 1)
 			go func() { defer close(stopped); s.stop() }()
@@ -53,9 +53,10 @@
 	}
 }
 
-// Symptom: connections pile up, or a stop takes its whole grace.
-// Sequence: callers are refused at the head and never send the rest of the body.
-// Cause: the rest is awaited without a bound.
+// Symptom: connections pile up, or a shutdown takes its whole grace period.
+// Sequence: callers are refused after the head and never send the remainder of
+// the body.
+// Cause: the remainder is awaited without a bound.
 func TestARefusedCallerIsNotAwaitedForLong(t *testing.T) {
 	t.Parallel()
 	for name, head := range map[string]string{"kept": "", "closed": "Connection: close\r\n"} {
@@ -73,11 +74,11 @@
 	}
 }
 
-// Symptom: connections pile up that no bound of idle ones closes.
+// Symptom: connections pile up that no idle timeout closes.
 // Sequence: a caller sends one to three bytes after an answer, or one while the
 // answer is written, and nothing more.
-// Cause: the HTTP server bounds a head from its fourth byte on, and what is
-// idle is told by whether anything came.
+// Cause: the HTTP server sets a deadline for a head from its fourth byte on, and
+// a connection counts as idle only if no byte came.
 func TestAFewBytesAreNotAwaitedForEver(t *testing.T) {
 	t.Parallel()
 	t.Run("after the answer", func(t *testing.T) {
@@ -112,11 +113,12 @@
 	})
 }
 
-// Symptom: a stop lasts longer for callers who were refused and have sent all.
-// Sequence: a request is refused at its head; the body comes in; the caller
-// keeps its end of the connection.
-// Cause: more is awaited although the request is whole.
-func TestAWholeRequestIsNotWaitedAfter(t *testing.T) {
+// Symptom: a shutdown takes longer for callers who were refused and have sent
+// everything.
+// Sequence: a request is refused after its head; the body arrives; the caller
+// keeps its end of the connection open.
+// Cause: more is awaited although the request is complete.
+func TestNothingIsAwaitedAfterACompleteRequest(t *testing.T) {
 	t.Parallel()
 	s := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Connection", "close")
@@ -131,11 +133,11 @@
 	assert.Assert(t, time.Since(began) < lingerTimeout/2)
 }
 
-// Symptom: a request counts as left by its caller, who waits for it.
-// Sequence: the one before was answered without its body being looked at, or
+// Symptom: a request counts as abandoned although its caller waits for it.
+// Sequence: the request before it was answered without its body being read, or
 // its answer took long to be written.
-// Cause: the bound on the rest of a body outlives it, or holds without one: the
-// read that tells whether the caller is gone ends with it.
+// Cause: the deadline for the remainder of a body outlives it, or is set without
+// a body: it ends the read that detects a disconnected caller.
 func TestTheNextRequestHasItsOwnTime(t *testing.T) {
 	t.Parallel()
 	t.Run("after a body", func(t *testing.T) {
@@ -175,10 +177,10 @@
 	})
 }
 
-// Symptom: a request is taken by a process that ends.
-// Sequence: a stop has seen that nothing is under way; a connection that was
+// Symptom: a request is accepted by a process that ends.
+// Sequence: a shutdown has found no request in progress; a connection that was
 // opened before is accepted.
-// Cause: connections are followed until the end, the choice to end is made before.
+// Cause: connections are accepted until the end, after the decision to end.
 func TestNothingIsAcceptedAfterTheLastDrainStep(t *testing.T) {
 	t.Parallel()
 	s := serve(t, answerOK, nil)
@@ -190,10 +192,10 @@
 	assert.Equal(t, s.ran.Load(), int64(0))
 }
 
-// Symptom: a caller sees a reset in place of the server's own answer to a head
-// that is none.
+// Symptom: a caller gets a reset instead of the HTTP server's own answer to a
+// malformed head.
 // Sequence: the answer is written while the caller still sends.
-// Cause: only answers of handlers are followed.
+// Cause: only answers of handlers are tracked.
 func TestTheServersOwnAnswersArrive(t *testing.T) {
 	t.Parallel()
 	s := serve(t, answerOK, nil)
@@ -201,7 +203,8 @@
 	c.checkMalformedRequest()
 }
 
-// checkMalformedRequest sends what is none, in pieces, and expects to be told so.
+// checkMalformedRequest sends a malformed request in pieces and expects the
+// answer 400.
 func (c *caller) checkMalformedRequest() {
 	c.t.Helper()
 	c.send("no request\r\n\r\n")
--- a/node/drain/secured_test.go
+++ b/node/drain/secured_test.go
@@ -12,7 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// gatedTLSListener stops a secured connection's reader once it has bytes.
+// gatedTLSListener accepts secured connections whose reader a test can stop once
+// it has bytes.
 type gatedTLSListener struct {
 	net.Listener
 	wasRead *gate
@@ -31,7 +32,7 @@
 	wasRead *gate
 }
 
-// NetConn is the connection below.
+// NetConn returns the connection below the secured one.
 func (c gatedTLSConn) NetConn() net.Conn { return c.Conn }
 
 func (c gatedTLSConn) Read(p []byte) (int, error) {
@@ -42,13 +43,14 @@
 	return n, err
 }
 
-// Symptom: a whole request was read, and its connection ends without an answer.
+// Symptom: a complete request was read, and its connection ends without an answer.
 // Sequence: the first request of a secured connection is read, in one packet with
-// the end of the handshake; the process stands still for a while before it says
-// so; a stop looks.
-// Cause: that nothing came for a while is taken for a handshake that is done.
+// the end of the handshake; the process is stalled for a while before it reports
+// the request; a drain step runs.
+// Cause: a connection without reads for a while is treated as unused after its
+// handshake.
 func TestAStallIsNoUnusedConnection(t *testing.T) {
-	for range 400 { // the read ahead and the handler begin side by side
+	for range 400 { // the read ahead and the handler begin concurrently
 		h := newGate()
 		s := runWrapped(t, answerOK, func(ln net.Listener) net.Listener { return gatedTLSListener{ln, h} })
 		c, err := s.dial()
@@ -67,8 +69,8 @@
 	}
 }
 
-// backdateReads has what was heard last on each connection, with the end of its
-// handshake, lie in the past.
+// backdateReads moves the last read of each connection, which completed its
+// handshake, into the past.
 func (s *running) backdateReads() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,10 +81,10 @@
 	}
 }
 
-// Symptom: the end of a process is late by a second.
-// Sequence: the rest of a refused body is awaited on a secured connection; the
-// server is closed.
-// Cause: what is secured is closed once, and is already.
+// Symptom: a process ends a second late.
+// Sequence: the remainder of a refused body is awaited on a secured connection;
+// the server is closed.
+// Cause: a TLS connection can be closed only once, and already is.
 func TestCloseEndsWhatIsAwaitedOnASecuredConnection(t *testing.T) {
 	t.Parallel()
 	s := run(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/node/lease/lease_test.go
+++ b/node/lease/lease_test.go
@@ -302,7 +302,7 @@
 // Symptom: during a store outage all hosts decide by themselves and query the
 // store. Sequence: the holder cannot renew, and nobody else can acquire the
 // lease. Cause: the last holder does not know that it was the last holder.
-func TestALeaseThatRanOutIsTheLastHoldersUntilItIsTaken(t *testing.T) {
+func TestALapsedLeaseBelongsToItsLastHolderUntilItIsAcquired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := standin.NewTable()
 		g := &gate{}
