--- a/node/dispatch/forward.go
+++ b/node/dispatch/forward.go
@@ -121,28 +121,28 @@
 func (a *attempt) forwardStream(ctx context.Context, resp *conn.Response) error {
 	b := bufferPool.Get().(*buffers)
 	defer func() { bufferPool.Put(b) }()
-	unread := 0
+	buffered := 0
 	for {
-		if unread == 0 {
+		if buffered == 0 {
 			// Most streams are waiting for their next token at any moment. If they
 			// held their buffers, these would be the largest part of their memory.
 			bufferPool.Put(b)
 			resp.Wait()
 			b = bufferPool.Get().(*buffers)
 		}
-		if unread == len(b.in) {
+		if buffered == len(b.in) {
 			b.in = append(b.in, make([]byte, len(b.in))...)
 		}
-		n, err := resp.Body.Read(b.in[unread:])
-		unread += n
+		n, err := resp.Body.Read(b.in[buffered:])
+		buffered += n
 		if n > 0 {
 			a.watch.recordRead()
-			used, perr := a.forwardEvents(b, b.in[:unread])
+			used, perr := a.forwardEvents(b, b.in[:buffered])
 			if perr != nil {
 				resp.Abort()
 				return perr
 			}
-			unread = copy(b.in, b.in[used:unread])
+			buffered = copy(b.in, b.in[used:buffered])
 		}
 		if a.split.ended {
 			a.finishStream(resp, err)
--- a/node/drain/conn.go
+++ b/node/drain/conn.go
@@ -287,9 +287,9 @@
 // closed with bytes unread, it is reset, and the reset overtakes the answer.
 func (c *conn) linger() {
 	c.s.mu.Lock()
-	over := c.s.stopped
+	stopped := c.s.stopped
 	c.s.mu.Unlock()
-	if over {
+	if stopped {
 		return
 	}
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
