--- a/node/admission/admission.go
+++ b/node/admission/admission.go
@@ -31,11 +31,11 @@
 
 // Request is one request that asks for leave to be dispatched.
 type Request struct {
-	Team     string
-	Class    class.Class
-	Pool     string
-	Deadline time.Time     // zero: none
-	Need     time.Duration // least time that it takes once dispatched; 0: not known
+	Team        string
+	Class       class.Class
+	Pool        string
+	Deadline    time.Time     // zero: none
+	MinDuration time.Duration // least time that it takes once dispatched; 0: not known
 }
 
 // Controller admits requests.
@@ -109,15 +109,15 @@
 	c.poolLocked(name).setPolicy(time.Now(), admit.NewPolicy(c.cfg.Preset, c.cfg.Classes, slots))
 }
 
-// SetPeerUsage tells what the other hosts together are asked for by a team.
-func (c *Controller) SetPeerUsage(name string, rps, concurrent float64, hosts int) {
+// SetPeerTeamUsage tells what the other hosts together are asked for by a team.
+func (c *Controller) SetPeerTeamUsage(name string, rps, concurrent float64, hosts int) {
 	if t := c.team(name); t != nil {
 		t.setPeers(rps, concurrent, hosts)
 	}
 }
 
-// Usage is what this host is asked for by a team, to be told to its peers.
-func (c *Controller) Usage(name string) (rps, concurrent float64) {
+// TeamUsage is what this host is asked for by a team, to be told to its peers.
+func (c *Controller) TeamUsage(name string) (rps, concurrent float64) {
 	if t := c.team(name); t != nil {
 		return t.demand(time.Now())
 	}
@@ -146,18 +146,18 @@
 	return &Ticket{pool: p, team: t, request: r, begun: begun, granted: time.Now()}, nil
 }
 
-// Load is the state of one pool's admission, for queries and metrics.
-type Load struct {
+// PoolLoad is the state of one pool's admission, for queries and metrics.
+type PoolLoad struct {
 	Used    [class.Count]int
 	Waiting [class.Count]int
 }
 
-// Load tells the state of a pool's admission.
-func (c *Controller) Load(name string) Load {
+// PoolLoad tells the state of a pool's admission.
+func (c *Controller) PoolLoad(name string) PoolLoad {
 	if p := c.pool(name); p != nil {
 		return p.load()
 	}
-	return Load{}
+	return PoolLoad{}
 }
 
 func (c *Controller) pool(name string) *pool {
--- a/node/admission/admission_test.go
+++ b/node/admission/admission_test.go
@@ -50,10 +50,10 @@
 		}()
 		second, err := c.Admit(t.Context(), request("a", class.Standard, time.Minute))
 		assert.NilError(t, err)
-		assert.Equal(t, second.Waited(), 3*time.Second)
-		assert.Equal(t, c.Load("p").Used[class.Standard], 1)
+		assert.Equal(t, second.WaitTime(), 3*time.Second)
+		assert.Equal(t, c.PoolLoad("p").Used[class.Standard], 1)
 		second.Release()
-		assert.Equal(t, c.Load("p").Used[class.Standard], 0)
+		assert.Equal(t, c.PoolLoad("p").Used[class.Standard], 0)
 	})
 }
 
@@ -98,7 +98,7 @@
 			ticket.Release()
 		}
 		wg.Wait()
-		assert.Equal(t, c.Load("p"), Load{})
+		assert.Equal(t, c.PoolLoad("p"), PoolLoad{})
 	})
 }
 
@@ -122,7 +122,7 @@
 			})
 		}
 		wg.Wait()
-		assert.Equal(t, c.Load("p"), Load{})
+		assert.Equal(t, c.PoolLoad("p"), PoolLoad{})
 	})
 }
 
--- a/node/admission/pool.go
+++ b/node/admission/pool.go
@@ -49,7 +49,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.next++
-	it := admit.Item{ID: p.next, Team: r.Team, Weight: weight, Class: r.Class, Deadline: r.Deadline, MinDuration: r.Need}
+	it := admit.Item{ID: p.next, Team: r.Team, Weight: weight, Class: r.Class, Deadline: r.Deadline, MinDuration: r.MinDuration}
 	verdict, refusal, displaced := p.core.Arrive(time.Now(), it)
 	if displaced != nil {
 		p.settle(admit.Result{Refused: []admit.Refusal{*displaced}})
@@ -104,10 +104,10 @@
 	p.settle(p.core.SetPolicy(now, policy))
 }
 
-func (p *pool) load() Load {
+func (p *pool) load() PoolLoad {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var l Load
+	var l PoolLoad
 	for c := class.Bulk; c < class.Count; c++ {
 		l.Used[c], l.Waiting[c] = p.core.Used(c), p.core.Waiting(c)
 	}
--- a/node/admission/ticket.go
+++ b/node/admission/ticket.go
@@ -24,5 +24,5 @@
 	})
 }
 
-// Waited is how long the request waited for its slot.
-func (t *Ticket) Waited() time.Duration { return t.granted.Sub(t.begun) }
+// WaitTime is how long the request waited for its slot.
+func (t *Ticket) WaitTime() time.Duration { return t.granted.Sub(t.begun) }
--- a/node/dispatch/attempt.go
+++ b/node/dispatch/attempt.go
@@ -114,7 +114,7 @@
 		h.Set(engineapi.HeaderPrefix, strconv.FormatUint(a.w.Prefix, 16))
 	}
 	r := &conn.Request{Address: a.ep.Address, Method: a.w.Method, Path: a.w.Path, Query: a.w.Query, Header: h,
-		Body: a.w.Body, Fresh: !a.w.Repeatable}
+		Body: a.w.Body, NewConnection: !a.w.Repeatable}
 	if a.w.BodyStream != nil {
 		r.Stream, r.StreamLength = a.w.BodyStream, a.w.BodyLength
 		a.bodyConsumed = true
@@ -176,11 +176,11 @@
 	}
 	a.d.deps.Metrics.Add(metrics.Refused, a.ep.DataCentre, a.ep.Upstream, 1)
 	switch why {
-	case engineapi.RefusedLeaving:
+	case engineapi.RefusedDraining:
 		if a.d.deps.View.MarkDraining(a.ep.Upstream, a.sentTo.get()) {
 			a.d.deps.Log.Emit(event.UpstreamLeaving, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("incarnation", a.sentTo.get()), zap.String("source", "refusal"))
 		}
-	case engineapi.RefusedSettled:
+	case engineapi.RefusedAttemptClosed:
 		// The watchdog asked for the attempt's outcome before the attempt arrived.
 		return fault.Unknown(fault.StepDispatch, a.ep.Upstream, fault.CodeUpstreamFailed, "refused: %s", why)
 	case engineapi.RefusedNotLoaded:
--- a/node/dispatch/forward.go
+++ b/node/dispatch/forward.go
@@ -127,7 +127,7 @@
 			// Most streams are waiting for their next token at any moment. If they
 			// held their buffers, these would be the largest part of their memory.
 			bufferPool.Put(b)
-			resp.Wait()
+			resp.WaitReadable()
 			b = bufferPool.Get().(*buffers)
 		}
 		if buffered == len(b.in) {
--- a/node/keys/handshake.go
+++ b/node/keys/handshake.go
@@ -42,16 +42,16 @@
 	r.log.Emit(e, append(fields, zap.Int64("held_back", r.heldBack.Swap(0)))...)
 }
 
-// Refused writes a handshake that failed on a listener.
-func (r *Ring) Refused(listener, peer, reason string) {
+// LogRefused writes a handshake that failed on a listener.
+func (r *Ring) LogRefused(listener, peer, reason string) {
 	r.refused.emit(event.HandshakeRefused, zap.String("where", listener), zap.String(event.FieldPeer, peer), zap.String("reason", reason))
 }
 
-// Callers wraps the callers' listener in TLS where the settings say so.
-func (r *Ring) Callers(ln net.Listener) net.Listener { return secure(ln, r.caller) }
+// CallerListener wraps the callers' listener in TLS where the settings say so.
+func (r *Ring) CallerListener(ln net.Listener) net.Listener { return secure(ln, r.caller) }
 
-// Operators wraps the operators' listener.
-func (r *Ring) Operators(ln net.Listener) net.Listener { return secure(ln, r.operator) }
+// OperatorListener wraps the operators' listener.
+func (r *Ring) OperatorListener(ln net.Listener) net.Listener { return secure(ln, r.operator) }
 
 func secure(ln net.Listener, id *identity) net.Listener {
 	c := id.server()
@@ -61,9 +61,9 @@
 	return tls.NewListener(ln, c)
 }
 
-// Peers wraps the listener for entry hosts. What serves it does not say why a
+// PeerListener wraps the listener for entry hosts. What serves it does not say why a
 // connection ended, so the wrapper does.
-func (r *Ring) Peers(ln net.Listener) net.Listener {
+func (r *Ring) PeerListener(ln net.Listener) net.Listener {
 	c := r.peer.server()
 	if c == nil {
 		return ln
@@ -99,7 +99,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), handshakeBound)
 		defer cancel()
 		if c.err = c.Conn.HandshakeContext(ctx); c.err != nil {
-			c.ring.Refused("peers", c.RemoteAddr().String(), c.err.Error())
+			c.ring.LogRefused("peers", c.RemoteAddr().String(), c.err.Error())
 		}
 	})
 	return c.err
@@ -121,12 +121,12 @@
 	return c.Conn.Write(p)
 }
 
-// SecuresPeers says whether entry hosts talk over TLS.
-func (r *Ring) SecuresPeers() bool { return r.peer.files != nil }
+// PeersUseTLS says whether entry hosts talk over TLS.
+func (r *Ring) PeersUseTLS() bool { return r.peer.files != nil }
 
-// Secure makes a connection to a peer secure where the settings say so. It
+// SecurePeerConn makes a connection to a peer secure where the settings say so. It
 // closes nc when it fails.
-func (r *Ring) Secure(ctx context.Context, nc net.Conn, address string) (net.Conn, error) {
+func (r *Ring) SecurePeerConn(ctx context.Context, nc net.Conn, address string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		_ = nc.Close()
--- a/node/keys/handshake_test.go
+++ b/node/keys/handshake_test.go
@@ -21,7 +21,7 @@
 	b.t.Helper()
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b.t, err)
-	ln := r.Peers(plain)
+	ln := r.PeerListener(plain)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -54,7 +54,7 @@
 	address := b.serve(to)
 	nc, err := net.Dial("tcp", address)
 	assert.NilError(b.t, err)
-	c, err := from.Secure(context.Background(), nc, address)
+	c, err := from.SecurePeerConn(context.Background(), nc, address)
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 			}()
 			plain, err := net.Dial("tcp", ln.Addr().String())
 			assert.NilError(t, err)
-			_, err = good.Secure(t.Context(), plain, ln.Addr().String())
+			_, err = good.SecurePeerConn(t.Context(), plain, ln.Addr().String())
 			assert.ErrorContains(t, err, c.server)
 			poll.WaitOn(t, b.logged(1008, c.server))
 		})
@@ -156,17 +156,17 @@
 	assert.NilError(t, b.connect(behind, moved))
 
 	b.files.Put(caFile, append(b.ca.PEM(), next.PEM()...))
-	moved.Look()
-	behind.Look()
+	moved.Reload()
+	behind.Reload()
 	c, k, err := next.Issue("host", pki.Address("127.0.0.1"))
 	assert.NilError(t, err)
 	b.files.Put(certFile, c)
 	b.files.Put(keyFile, k)
-	moved.Look()
+	moved.Reload()
 	assert.NilError(t, b.connect(behind, moved), "both authorities are trusted")
 	assert.NilError(t, b.connect(moved, behind))
 
 	b.files.Put(caFile, next.PEM())
-	moved.Look()
+	moved.Reload()
 	assert.Assert(t, b.connect(behind, moved) != nil, "the old authority is still trusted")
 }
--- a/node/keys/keys.go
+++ b/node/keys/keys.go
@@ -37,8 +37,8 @@
 	Settings *settings.Settings
 	// File is the settings file, of which keys.resume is read again when it
 	// changes; "": the list stays as it is in Settings.
-	File  string
-	Every time.Duration // mean time between two looks; 0: 10 s
+	File          string
+	CheckInterval time.Duration // mean time between two looks; 0: 10 s
 }
 
 // Deps are what a Ring works with; zero values take the process's own.
@@ -66,8 +66,8 @@
 
 // Load reads everything that the settings name; a fault in any is an error.
 func Load(cfg Config, deps Deps) (*Ring, error) {
-	if cfg.Every == 0 {
-		cfg.Every = defaultEvery
+	if cfg.CheckInterval == 0 {
+		cfg.CheckInterval = defaultEvery
 	}
 	if deps.Files == nil {
 		deps.Files = Disk{}
@@ -104,20 +104,20 @@
 // two looks varies, so that the hosts of a site do not all look at once.
 func (r *Ring) Run(ctx context.Context) error {
 	for {
-		t := time.NewTimer(time.Duration(float64(r.cfg.Every) * (0.5 + rand.Float64())))
+		t := time.NewTimer(time.Duration(float64(r.cfg.CheckInterval) * (0.5 + rand.Float64())))
 		select {
 		case <-ctx.Done():
 			t.Stop()
 			return nil
 		case <-t.C:
-			r.Look()
+			r.Reload()
 		}
 	}
 }
 
-// Look puts in force what changed. What cannot be used is logged, and what was
+// Reload puts in force what changed. What cannot be used is logged, and what was
 // in force stays: a half-copied file must not take a host out of service.
-func (r *Ring) Look() {
+func (r *Ring) Reload() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.looks++
--- a/node/keys/keys_test.go
+++ b/node/keys/keys_test.go
@@ -107,8 +107,8 @@
 			signed, err := r.Encode(token.Token{Team: "a", Expires: time.Now().Add(time.Hour).Unix()})
 			assert.NilError(t, err)
 			c.spoil(b)
-			r.Look()
-			r.Look()
+			r.Reload()
+			r.Reload()
 			want := []int{}
 			if c.event != 0 {
 				want = append(want, c.event) // once, not at each look
@@ -120,7 +120,7 @@
 			if c.event != 0 {
 				b.issue(b.files, b.ca, pki.Address("127.0.0.1"))
 				b.files.Put(resumeFile, []byte(strings.Repeat("n", 32)))
-				r.Look()
+				r.Reload()
 				assert.DeepEqual(t, b.events(), []int{1004, 1004}) // keys.resume and peer.tls
 			}
 		})
@@ -161,7 +161,7 @@
 			assert.NilError(t, err)
 			move := func(stage int) {
 				write("settings.json", at(stage)+strings.Repeat(" ", 1+stage)) // another size: the clock of files is coarse
-				ring.Look()
+				ring.Reload()
 			}
 			move(signer)
 			signed, err := ring.Encode(token.Token{Team: "a", Expires: time.Now().Add(time.Hour).Unix()})
@@ -186,7 +186,7 @@
 func TestChangesAndEndsAreNoticedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t)
-		r, err := keys.Load(keys.Config{Settings: b.set, Every: time.Minute}, keys.Deps{Files: sameStamp{b.files}, Log: b.log})
+		r, err := keys.Load(keys.Config{Settings: b.set, CheckInterval: time.Minute}, keys.Deps{Files: sameStamp{b.files}, Log: b.log})
 		assert.NilError(t, err)
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan error, 1)
--- a/node/peer/ask.go
+++ b/node/peer/ask.go
@@ -15,11 +15,11 @@
 // askAtOnce bounds the calls under way when every host is asked.
 const askAtOnce = 32
 
-// Versions asks every host that is alive or suspect which configuration
+// ConfigVersions asks every host that is alive or suspect which configuration
 // version it has in force; 0 stands for no answer. It is asked for by
 // operators only: telling it on the links at each change would cost each host
 // more than all other news together.
-func (m *Mesh) Versions(ctx context.Context) map[string]uint64 {
+func (m *Mesh) ConfigVersions(ctx context.Context) map[string]uint64 {
 	out := map[string]uint64{}
 	var mu sync.Mutex
 	m.each(func(h member.Host) {
@@ -39,7 +39,7 @@
 
 // each calls f for every other host that may live, some at once.
 func (m *Mesh) each(f func(member.Host)) {
-	hosts, _ := m.All()
+	hosts, _ := m.AllHosts()
 	self := m.Self().Name
 	var g errgroup.Group
 	g.SetLimit(askAtOnce)
--- a/node/peer/link.go
+++ b/node/peer/link.go
@@ -99,7 +99,7 @@
 	if err := s.Send(l.first()); err != nil {
 		return err
 	}
-	beat := time.NewTimer(l.m.cfg.Heartbeat)
+	beat := time.NewTimer(l.m.cfg.HeartbeatInterval)
 	defer beat.Stop()
 	for beats := 1; ; {
 		select {
@@ -122,7 +122,7 @@
 				return err
 			}
 		}
-		beat.Reset(l.m.cfg.Heartbeat)
+		beat.Reset(l.m.cfg.HeartbeatInterval)
 	}
 }
 
--- a/node/peer/mesh.go
+++ b/node/peer/mesh.go
@@ -32,28 +32,28 @@
 
 // Config bounds a Mesh; zero values take the defaults.
 type Config struct {
-	Self      member.Host // name, address, data centre, process
-	Heartbeat time.Duration
-	HostList  time.Duration // between two looks at the platform's list
-	Local     int
-	Remote    int
+	Self              member.Host // name, address, data centre, process
+	HeartbeatInterval time.Duration
+	HostListInterval  time.Duration // between two looks at the platform's list
+	LocalLinks        int
+	RemoteLinks       int
 }
 
 // Deps are what a Mesh works with. The functions must not block.
 type Deps struct {
-	Hosts    store.Hosts
-	Config   *query.ConfigReader
-	Requests *inflight.Registry
-	Cancel   error // cause for requests cancelled through a peer
-	Dial     Dial
-	Log      *event.Log
-	Now      func() time.Time
+	Hosts       store.Hosts
+	Config      *query.ConfigReader
+	Requests    *inflight.Registry
+	CancelCause error // cause for requests cancelled through a peer
+	Dial        Dial
+	Log         *event.Log
+	Now         func() time.Time
 	// Upstream is told each word that was news, wherever it came from.
-	Upstream func(member.Upstream)
+	OnUpstreamChange func(member.Upstream)
 	// Changed is told when the hosts that count changed.
-	Changed func()
+	OnHostsChange func()
 	// Usage sums up over all hosts; nil: this host takes no part.
-	Usage *Usage
+	Usage *UsageExchange
 	// Claims are kept here for other hosts; nil: for none.
 	Claims claim.Records
 	// Forecast tells what a preset would move in the pools that this host
@@ -85,17 +85,17 @@
 
 // New makes a Mesh. Serve and Run make it work.
 func New(cfg Config, deps Deps) *Mesh {
-	if cfg.Heartbeat == 0 {
-		cfg.Heartbeat = defaultHeartbeat
+	if cfg.HeartbeatInterval == 0 {
+		cfg.HeartbeatInterval = defaultHeartbeat
 	}
-	if cfg.HostList == 0 {
-		cfg.HostList = defaultHostList
+	if cfg.HostListInterval == 0 {
+		cfg.HostListInterval = defaultHostList
 	}
-	if cfg.Local == 0 {
-		cfg.Local = defaultLocal
+	if cfg.LocalLinks == 0 {
+		cfg.LocalLinks = defaultLocal
 	}
-	if cfg.Remote == 0 {
-		cfg.Remote = defaultRemote
+	if cfg.RemoteLinks == 0 {
+		cfg.RemoteLinks = defaultRemote
 	}
 	if deps.Now == nil {
 		deps.Now = time.Now
@@ -135,7 +135,7 @@
 
 // rest waits for half a heartbeat, about, or until woken.
 func (m *Mesh) rest(ctx context.Context) {
-	t := time.NewTimer(pace.DefaultRand().Jitter(m.cfg.Heartbeat/2, 0.2))
+	t := time.NewTimer(pace.DefaultRand().Jitter(m.cfg.HeartbeatInterval/2, 0.2))
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -181,8 +181,8 @@
 	}
 }
 
-// Live returns the hosts that count as members: those alive, this one included.
-func (m *Mesh) Live() []member.Host {
+// LiveHosts returns the hosts that count as members: those alive, this one included.
+func (m *Mesh) LiveHosts() []member.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.liveLocked()
@@ -198,8 +198,8 @@
 	return out
 }
 
-// All returns every host known, and whether this host has a link to it.
-func (m *Mesh) All() (hosts []member.Host, linked map[string]bool) {
+// AllHosts returns every host known, and whether this host has a link to it.
+func (m *Mesh) AllHosts() (hosts []member.Host, linked map[string]bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	linked = map[string]bool{}
@@ -209,22 +209,22 @@
 	return m.hosts.All(), linked
 }
 
-// Tell takes this host's own word on an upstream, from its report or refusal.
-func (m *Mesh) Tell(u member.Upstream) {
+// ReportUpstream takes this host's own word on an upstream, from its report or refusal.
+func (m *Mesh) ReportUpstream(u member.Upstream) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.mergeUpstreamLocked(u, nil)
 }
 
-// Current returns what is known of an upstream's newest process.
-func (m *Mesh) Current(upstream string) (member.Upstream, bool) {
+// CurrentUpstream returns what is known of an upstream's newest process.
+func (m *Mesh) CurrentUpstream(upstream string) (member.Upstream, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.upstreams.Current(upstream)
 }
 
-// KeepUpstreams forgets those that are not in the configuration any more.
-func (m *Mesh) KeepUpstreams(known func(string) bool) {
+// RetainUpstreams forgets those that are not in the configuration any more.
+func (m *Mesh) RetainUpstreams(known func(string) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.upstreams.Retain(known)
@@ -240,8 +240,8 @@
 			l.queueUpstream(now)
 		}
 	}
-	if m.deps.Upstream != nil {
-		m.deps.Upstream(now)
+	if m.deps.OnUpstreamChange != nil {
+		m.deps.OnUpstreamChange(now)
 	}
 }
 
@@ -306,8 +306,8 @@
 
 func (m *Mesh) changedLocked() {
 	m.tendSoon()
-	if m.deps.Changed != nil {
-		m.deps.Changed()
+	if m.deps.OnHostsChange != nil {
+		m.deps.OnHostsChange()
 	}
 }
 
@@ -337,8 +337,8 @@
 	}
 }
 
-// Hear takes a word on a host that came by another way than a link.
-func (m *Mesh) Hear(h member.Host) {
+// MergeHost takes a word on a host that came by another way than a link.
+func (m *Mesh) MergeHost(h member.Host) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.mergeHostLocked(h, nil)
--- a/node/peer/mesh_test.go
+++ b/node/peer/mesh_test.go
@@ -219,7 +219,7 @@
 "presets":[{"name":"ordinary","urgent_headroom":0.1,"moves_per_minute":1,"spread_threshold":0.5,"bulk_share":0.5,"accept_bulk":true}],
 "weight_store":{"loads_per_second":1,"concurrent":1,"mb_per_second":1},"limits":{"body_bytes":1,"answer_bytes":1,"claim_ttl_s":60,"retry_budget_share":0.1}}`
 
-func (w *world) live(of string) int { return len(w.hosts[of].mesh.Live()) }
+func (w *world) live(of string) int { return len(w.hosts[of].mesh.LiveHosts()) }
 
 // Symptom: callers wait for a host that has died, or one that was replaced is
 // never used again.
@@ -262,9 +262,9 @@
 			assert.Equal(t, w.live("a"), 2)
 			assert.Equal(t, w.live("b"), 2)
 		}
-		w.hosts["a"].mesh.Tell(member.Upstream{Name: "u", Incarnation: "1", FirstSeenMs: 1, Sequence: 1, Draining: true})
+		w.hosts["a"].mesh.ReportUpstream(member.Upstream{Name: "u", Incarnation: "1", FirstSeenMs: 1, Sequence: 1, Draining: true})
 		time.Sleep(time.Second)
-		u, ok := w.hosts["b"].mesh.Current("u")
+		u, ok := w.hosts["b"].mesh.CurrentUpstream("u")
 		assert.Assert(t, ok && u.Draining)
 		w.end()
 	})
@@ -287,7 +287,7 @@
 			assert.Assert(t, ok && st.Version == head.Version, n)
 		}
 		assert.Equal(t, w.hosts["c"].config.Freshness(), revision.Confirmed)
-		versions := w.hosts["a"].mesh.Versions(t.Context())
+		versions := w.hosts["a"].mesh.ConfigVersions(t.Context())
 		assert.DeepEqual(t, versions, map[string]uint64{"a": head.Version, "b": head.Version, "c": head.Version})
 		w.end()
 	})
@@ -300,10 +300,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "a", "b", "c")
 		time.Sleep(5 * time.Second)
-		for _, h := range w.hosts["a"].mesh.Live() {
+		for _, h := range w.hosts["a"].mesh.LiveHosts() {
 			if h.Name == "b" {
 				h.State = member.Suspect
-				w.hosts["a"].mesh.Hear(h)
+				w.hosts["a"].mesh.MergeHost(h)
 			}
 		}
 		time.Sleep(5 * time.Second)
--- a/node/peer/serve.go
+++ b/node/peer/serve.go
@@ -46,7 +46,7 @@
 	if k := q.Known; k != nil && k.Host == s.m.Self().Name {
 		// Without this, two sides of a healed cut would call each other suspect
 		// for good: the host's own word is no newer than the one against it.
-		s.m.Hear(hostFromWire(k))
+		s.m.MergeHost(hostFromWire(k))
 	}
 	r := hostToWire(s.m.Self())
 	if st, ok := s.m.deps.Config.Current(); ok {
@@ -75,7 +75,7 @@
 	if !ok {
 		return &peerpb.RequestAnswer{}, nil
 	}
-	if q.Cancel && !s.m.deps.Requests.Cancel(q.Id, inflight.AllTeams, s.m.deps.Cancel) {
+	if q.Cancel && !s.m.deps.Requests.Cancel(q.Id, inflight.AllTeams, s.m.deps.CancelCause) {
 		return &peerpb.RequestAnswer{}, nil
 	}
 	data, err := json.Marshal(r)
--- a/node/peer/tend.go
+++ b/node/peer/tend.go
@@ -48,7 +48,7 @@
 			continue
 		}
 		have[name] = have[name] || l.dialed
-		if now.Sub(time.Unix(0, l.heard.Load())) > silentAfter*m.cfg.Heartbeat {
+		if now.Sub(time.Unix(0, l.heard.Load())) > silentAfter*m.cfg.HeartbeatInterval {
 			silent = append(silent, l)
 		}
 	}
@@ -88,7 +88,7 @@
 		}
 	}
 	out := map[string]want{}
-	for _, h := range member.ChooseLinks(m.self, candidates, m.cfg.Local, m.cfg.Remote) {
+	for _, h := range member.ChooseLinks(m.self, candidates, m.cfg.LocalLinks, m.cfg.RemoteLinks) {
 		out[h.Name] = want{h, true}
 	}
 	return out
@@ -227,10 +227,10 @@
 // followHostList takes new hosts from the platform's list and forgets those
 // long gone from it. The list lags: what the hosts say themselves goes first.
 func (m *Mesh) followHostList(ctx context.Context) {
-	wait := m.cfg.Heartbeat / 2 // until the first list is there
+	wait := m.cfg.HeartbeatInterval / 2 // until the first list is there
 	for {
 		if m.readHostList(ctx) {
-			wait = m.cfg.HostList
+			wait = m.cfg.HostListInterval
 		}
 		if !pace.Sleep(ctx, pace.DefaultRand().Jitter(wait, listJitter)) {
 			return
@@ -263,8 +263,8 @@
 	return len(next) > 0
 }
 
-// AwaitList waits until the platform has listed any entry host, some time at most.
-func (m *Mesh) AwaitList(ctx context.Context, most time.Duration) {
+// AwaitHostList waits until the platform has listed any entry host, some time at most.
+func (m *Mesh) AwaitHostList(ctx context.Context, most time.Duration) {
 	t := time.NewTimer(most)
 	defer t.Stop()
 	select {
@@ -305,8 +305,8 @@
 	}
 }
 
-// Listed returns the platform's list of entry hosts as last read.
-func (m *Mesh) Listed() []store.Host {
+// ListedHosts returns the platform's list of entry hosts as last read.
+func (m *Mesh) ListedHosts() []store.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := make([]store.Host, 0, len(m.listed))
--- a/node/peer/usage.go
+++ b/node/peer/usage.go
@@ -28,20 +28,20 @@
 	usageLapse = 3
 )
 
-// Sum is one host's part, or the others' sum, of two quantities under a key.
-type Sum struct {
+// UsageEntry is one host's part, or the others' sum, of two quantities under a key.
+type UsageEntry struct {
 	Key  string
 	A, B float64
 }
 
-// Usage is how hosts learn sums over all hosts: a team's use of its limits, a
+// UsageExchange is how hosts learn sums over all hosts: a team's use of its limits, a
 // model's demand. Each host tells its part to the one that adds up the key's
 // bucket, chosen by rendezvous hash, and gets the others' sum back.
-type Usage struct {
+type UsageExchange struct {
 	// Own returns this host's part of every key that it wants the sum of.
-	Own func() []Sum
+	Own func() []UsageEntry
 	// Others takes the sums over the other hosts, for the keys asked about.
-	Others func(hosts int, sums []Sum)
+	OnTotals func(hosts int, sums []UsageEntry)
 
 	mu    sync.Mutex
 	heard map[string]map[string]heardPart // by key, then host
@@ -64,7 +64,7 @@
 }
 
 // take notes a host's use and answers the other hosts' sum.
-func (u *Usage) take(r *peerpb.UsageReport, now time.Time) *peerpb.UsageTotals {
+func (u *UsageExchange) take(r *peerpb.UsageReport, now time.Time) *peerpb.UsageTotals {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.heard == nil {
@@ -85,7 +85,7 @@
 	return out
 }
 
-func (u *Usage) othersLocked(key, host string, now time.Time) *peerpb.Sum {
+func (u *UsageExchange) othersLocked(key, host string, now time.Time) *peerpb.Sum {
 	sum := &peerpb.Sum{Key: key}
 	hosts := u.heard[key]
 	lapse := usageLapse * interval(len(hosts))
@@ -104,14 +104,14 @@
 // shareUsage tells this host's parts and learns the others', until ctx ends.
 func (m *Mesh) shareUsage(ctx context.Context) {
 	for {
-		live := m.Live()
+		live := m.LiveHosts()
 		if !pace.Sleep(ctx, interval(len(live))) {
 			return
 		}
 		if len(live) == 0 {
 			continue // this host leaves and knows no other
 		}
-		byBucket := map[string][]Sum{}
+		byBucket := map[string][]UsageEntry{}
 		for _, s := range m.deps.Usage.Own() {
 			byBucket[bucket(s.Key)] = append(byBucket[bucket(s.Key)], s)
 		}
@@ -121,7 +121,7 @@
 	}
 }
 
-func (m *Mesh) shareBucket(ctx context.Context, adder member.Host, sums []Sum, hosts int) {
+func (m *Mesh) shareBucket(ctx context.Context, adder member.Host, sums []UsageEntry, hosts int) {
 	self := m.Self()
 	r := &peerpb.UsageReport{Host: self.Name, Incarnation: self.Incarnation}
 	for _, s := range sums {
@@ -146,9 +146,9 @@
 }
 
 func (m *Mesh) tellOthers(hosts int, totals *peerpb.UsageTotals) {
-	out := make([]Sum, len(totals.Sums))
+	out := make([]UsageEntry, len(totals.Sums))
 	for i, s := range totals.Sums {
-		out[i] = Sum{s.Key, s.A, s.B}
+		out[i] = UsageEntry{s.Key, s.A, s.B}
 	}
-	m.deps.Usage.Others(hosts, out)
+	m.deps.Usage.OnTotals(hosts, out)
 }
--- a/node/server/claimwriters.go
+++ b/node/server/claimwriters.go
@@ -38,7 +38,7 @@
 	if r.s.siteHosts.Load() <= ownWriterMost && !r.s.cfg.Policy.ForwardClaims {
 		return member.Host{}, false // without a look at the hosts, on the path of each claim
 	}
-	live := r.s.mesh.Live()
+	live := r.s.mesh.LiveHosts()
 	if len(live) == 0 {
 		return member.Host{}, false
 	}
--- a/node/server/configure.go
+++ b/node/server/configure.go
@@ -25,11 +25,11 @@
 		}
 		seen = st.Version
 		if s.phase.Load() == phaseStarting {
-			s.mesh.AwaitList(ctx, listWait)
+			s.mesh.AwaitHostList(ctx, listWait)
 		}
 		s.configure(st)
 		if s.phase.Load() == phaseStarting {
-			s.poller.AskAll(ctx)
+			s.poller.PollAll(ctx)
 			if s.phase.CompareAndSwap(phaseStarting, phaseReady) {
 				s.reconcileSoon()
 				s.log.Emit(event.ProcessReady, zap.String("host", s.cfg.Settings.Host), zap.String("callers", s.CallerAddress()),
@@ -50,8 +50,8 @@
 func (s *Server) configure(st *query.State) {
 	s.view.Configure(st.Index)
 	s.claims.limit(st.Index.Limits)
-	s.mesh.KeepUpstreams(func(name string) bool { _, ok := st.Index.Upstream(name); return ok })
-	s.assignUpstreams(st.Index.Config, s.mesh.Live())
+	s.mesh.RetainUpstreams(func(name string) bool { _, ok := st.Index.Upstream(name); return ok })
+	s.assignUpstreams(st.Index.Config, s.mesh.LiveHosts())
 	s.reconcileSoon()
 	s.limits(st)
 }
--- a/node/server/listener.go
+++ b/node/server/listener.go
@@ -99,7 +99,7 @@
 	line := strings.TrimSpace(string(p))
 	if rest, ok := strings.CutPrefix(line, handshakeLine); ok {
 		peer, reason, _ := strings.Cut(rest, ": ")
-		c.s.cfg.Keys.Refused(c.where, peer, reason)
+		c.s.cfg.Keys.LogRefused(c.where, peer, reason)
 		return len(p), nil
 	}
 	fields := []zap.Field{zap.String("where", c.where)}
--- a/node/server/mesh.go
+++ b/node/server/mesh.go
@@ -22,10 +22,10 @@
 func (s *Server) newMesh(address string) *peer.Mesh {
 	set := s.cfg.Settings
 	return peer.New(peer.Config{Self: member.Host{Name: set.Host, Address: address, DataCentre: set.DataCentre, Process: s.incarnation},
-		Heartbeat: s.cfg.Heartbeat, HostList: s.cfg.HostList},
-		peer.Deps{Hosts: s.cfg.Platform.Hosts, Config: s.config, Requests: s.requests, Cancel: dispatch.ErrCancelled,
-			Dial: s.dialPeer, Log: s.log, Upstream: s.heardOfUpstream, Changed: s.reconcileSoon,
-			Usage: &peer.Usage{Own: s.ownSums, Others: s.othersSums}, Forecast: s.forecast, Claims: s.claims.rows})
+		HeartbeatInterval: s.cfg.Heartbeat, HostListInterval: s.cfg.HostList},
+		peer.Deps{Hosts: s.cfg.Platform.Hosts, Config: s.config, Requests: s.requests, CancelCause: dispatch.ErrCancelled,
+			Dial: s.dialPeer, Log: s.log, OnUpstreamChange: s.heardOfUpstream, OnHostsChange: s.reconcileSoon,
+			Usage: &peer.UsageExchange{Own: s.ownSums, OnTotals: s.othersSums}, Forecast: s.forecast, Claims: s.claims.rows})
 }
 
 // dialPeer opens a connection to a peer.
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return s.cfg.Keys.Secure(ctx, c, address)
+	return s.cfg.Keys.SecurePeerConn(ctx, c, address)
 }
 
 // peerSource is the address that connections to peers come from. With TLS it
@@ -46,7 +46,7 @@
 // addresses the system may choose another, and the peer would refuse it.
 func (s *Server) peerSource() net.Addr {
 	own, ok := s.peerLn.Addr().(*net.TCPAddr)
-	if !ok || own.IP.IsUnspecified() || !s.cfg.Keys.SecuresPeers() {
+	if !ok || own.IP.IsUnspecified() || !s.cfg.Keys.PeersUseTLS() {
 		return nil
 	}
 	return &net.TCPAddr{IP: own.IP, Zone: own.Zone}
@@ -59,17 +59,17 @@
 		model, adapter, _ := strings.Cut(r, "/")
 		ready[route.ModelKey{Model: model, Adapter: adapter}] = true
 	}
-	s.view.Heard(u.Name, u.Incarnation, u.Draining, ready)
+	s.view.ApplyPeerReport(u.Name, u.Incarnation, u.Draining, ready)
 }
 
 // tellReport passes on what a report changed.
 func (s *Server) tellReport(r engineapi.Report, at time.Time) {
 	seen := uint64(at.UnixMilli())
-	if cur, ok := s.mesh.Current(r.Upstream); ok && cur.Incarnation == r.Incarnation {
+	if cur, ok := s.mesh.CurrentUpstream(r.Upstream); ok && cur.Incarnation == r.Incarnation {
 		seen = cur.FirstSeenMs
 	}
-	s.mesh.Tell(member.Upstream{Name: r.Upstream, Incarnation: r.Incarnation, FirstSeenMs: seen, Sequence: r.Sequence,
-		Draining: r.Leaving, Residents: readyNames(r.Residents)})
+	s.mesh.ReportUpstream(member.Upstream{Name: r.Upstream, Incarnation: r.Incarnation, FirstSeenMs: seen, Sequence: r.Sequence,
+		Draining: r.Draining, Residents: readyNames(r.Residents)})
 }
 
 // readyNames lists what a report shows as ready, in a fixed order.
@@ -98,18 +98,18 @@
 // ownSums are this host's parts: the use of its teams, and the demand by model.
 // A host that plans asks for every model of its pools, so that it hears of
 // those that only others are asked for.
-func (s *Server) ownSums() []peer.Sum {
+func (s *Server) ownSums() []peer.UsageEntry {
 	st, ok := s.config.Current()
 	if !ok {
 		return nil
 	}
-	var out []peer.Sum
+	var out []peer.UsageEntry
 	for _, t := range st.Index.Teams {
 		if t.Limits.RequestsPerSecond == 0 && t.Limits.Concurrent == 0 {
 			continue
 		}
-		if rps, concurrent := s.admit.Usage(t.Name); rps > 0 || concurrent > 0 {
-			out = append(out, peer.Sum{Key: teamSum + t.Name, A: rps, B: concurrent})
+		if rps, concurrent := s.admit.TeamUsage(t.Name); rps > 0 || concurrent > 0 {
+			out = append(out, peer.UsageEntry{Key: teamSum + t.Name, A: rps, B: concurrent})
 		}
 	}
 	own := s.demand.Means()
@@ -119,17 +119,17 @@
 		}
 	}
 	for k, d := range own {
-		out = append(out, peer.Sum{Key: demandSum + k.Model + "/" + k.Adapter, A: d.Short, B: d.Long})
+		out = append(out, peer.UsageEntry{Key: demandSum + k.Model + "/" + k.Adapter, A: d.Short, B: d.Long})
 	}
 	return out
 }
 
 // othersSums takes what the other hosts have.
-func (s *Server) othersSums(hosts int, sums []peer.Sum) {
+func (s *Server) othersSums(hosts int, sums []peer.UsageEntry) {
 	demand := map[place.Key]place.Demand{}
 	for _, sum := range sums {
 		if team, ok := strings.CutPrefix(sum.Key, teamSum); ok {
-			s.admit.SetPeerUsage(team, sum.A, sum.B, hosts)
+			s.admit.SetPeerTeamUsage(team, sum.A, sum.B, hosts)
 			continue
 		}
 		if name, ok := strings.CutPrefix(sum.Key, demandSum); ok {
--- a/node/server/roles.go
+++ b/node/server/roles.go
@@ -80,7 +80,7 @@
 	if !ok || s.phase.Load() == phaseStarting {
 		return // a host that knows no other yet would campaign for every lease
 	}
-	live := s.mesh.Live()
+	live := s.mesh.LiveHosts()
 	wanted := map[string]func() *role{}
 	if !s.cfg.Policy.NoPlanner {
 		for _, p := range st.Index.Pools {
--- a/node/server/server.go
+++ b/node/server/server.go
@@ -128,7 +128,7 @@
 func New(cfg Config) (*Server, error) {
 	s := &Server{cfg: cfg, incarnation: uuid.NewString(), started: time.Now(), log: event.NewLog(cfg.Log),
 		metrics: metrics.New(), requests: inflight.New(), client: conn.New(conn.Config{Dialer: cfg.Dialer}),
-		sparse: conn.New(conn.Config{Dialer: cfg.Dialer, IdleMost: sparseIdle}),
+		sparse: conn.New(conn.Config{Dialer: cfg.Dialer, MaxIdleTime: sparseIdle}),
 		killed: make(chan struct{}), reconcile: make(chan struct{}, 1), roles: roles{byID: map[string]*role{}}}
 	s.siteHosts.Store(1)
 	s.dataPath()
@@ -150,9 +150,9 @@
 	if picker == nil {
 		picker = route.New(route.Config{})
 	}
-	s.dispatch = dispatch.New(dispatch.Config{IdleBeforeProbe: set.Bounds.Silence(), RetryShare: set.Bounds.RetryShare},
+	s.dispatch = dispatch.New(dispatch.Config{IdleBeforeProbe: set.Bounds.IdleBeforeProbe(), RetryShare: set.Bounds.RetryShare},
 		dispatch.Deps{View: s.view, Picker: picker, Client: s.client, Log: s.log, Metrics: s.metrics, NotifyDemand: s.cfg.Policy.Demand})
-	s.poller.Fresh = s.tellReport
+	s.poller.OnReport = s.tellReport
 	s.demand = demand.New(s.cfg.Demand)
 	s.admit = admission.New(admission.Config{Hosts: 1})
 	s.claims = newClaims(s)
@@ -169,7 +169,7 @@
 	if err != nil {
 		return eris.Wrap(err, "listen for peers")
 	}
-	s.peerLn = s.cfg.Keys.Peers(ln)
+	s.peerLn = s.cfg.Keys.PeerListener(ln)
 	s.mesh = s.newMesh(ln.Addr().String())
 	return nil
 }
@@ -201,7 +201,7 @@
 		Config: s.config, Admission: admitter{c: s.admit, open: s.cfg.Policy.OpenAdmission}, Claims: s.claims,
 		Dispatcher: s.dispatch, Demand: s.demand, Tokens: s.cfg.Keys, Requests: s.requests, Metrics: s.metrics, Log: s.log, Now: time.Now})
 	var err error
-	if s.callers, err = s.newListener("callers", set.Caller.Address, api, s.cfg.Keys.Callers); err != nil {
+	if s.callers, err = s.newListener("callers", set.Caller.Address, api, s.cfg.Keys.CallerListener); err != nil {
 		return err
 	}
 	s.conns = newConnStates(s.metrics)
@@ -210,7 +210,7 @@
 	ops := operatorapi.New(operatorapi.Deps{Operators: set.Operator.Operators, Changes: command.NewConfiguration(deps),
 		Audit:  query.NewAuditReader(query.Deps{Table: s.cfg.Platform.Table, Objects: s.cfg.Platform.Objects}),
 		Config: s.config, Site: s, Ready: func() bool { return s.phase.Load() == phaseReady }, Requests: s.requests, Metrics: s.metrics, Log: s.log})
-	if s.operators, err = s.newListener("operators", set.Operator.Address, ops, s.cfg.Keys.Operators); err != nil {
+	if s.operators, err = s.newListener("operators", set.Operator.Address, ops, s.cfg.Keys.OperatorListener); err != nil {
 		_ = s.callers.ln.Close()
 		return err
 	}
--- a/node/server/status.go
+++ b/node/server/status.go
@@ -25,7 +25,7 @@
 	}
 	snap := s.view.Snapshot()
 	out.Leases = s.leaseStatus()
-	hosts, linked := s.mesh.All()
+	hosts, linked := s.mesh.AllHosts()
 	for _, h := range hosts {
 		out.Peers = append(out.Peers, operatorapi.Peer{Host: h.Name, DataCentre: h.DataCentre, Incarnation: h.Process,
 			State: h.State.String(), Linked: linked[h.Name]})
@@ -54,7 +54,7 @@
 func (s *Server) Everywhere(ctx context.Context) (operatorapi.Everywhere, error) {
 	out := operatorapi.Everywhere{Version: s.version(), Hosts: []query.HostVersion{}}
 	heard := query.NewVersionTracker(nil)
-	versions := s.mesh.Versions(ctx)
+	versions := s.mesh.ConfigVersions(ctx)
 	for host, version := range versions {
 		if version == 0 {
 			continue
@@ -63,7 +63,7 @@
 		out.Hosts = append(out.Hosts, query.HostVersion{Host: host, Version: version, At: time.Now()})
 	}
 	sort.Slice(out.Hosts, func(i, j int) bool { return out.Hosts[i].Host < out.Hosts[j].Host })
-	out.Waiting = heard.HostsBelow(out.Version, expected(s.mesh.Listed(), versions))
+	out.Waiting = heard.HostsBelow(out.Version, expected(s.mesh.ListedHosts(), versions))
 	return out, nil
 }
 
--- a/node/server/watch.go
+++ b/node/server/watch.go
@@ -20,7 +20,7 @@
 func (s *Server) PollSoon() { s.config.PollSoon() }
 
 // Members are the entry hosts that count as alive, this one included.
-func (s *Server) Members() []member.Host { return s.mesh.Live() }
+func (s *Server) Members() []member.Host { return s.mesh.LiveHosts() }
 
 // KnowsLeaving says whether this host gives an upstream no new work because it leaves.
 func (s *Server) KnowsLeaving(upstream string) bool {
--- a/standin/local/secrets_test.go
+++ b/standin/local/secrets_test.go
@@ -116,7 +116,7 @@
 	for _, f := range []struct{ name, text string }{{local.ResumeKeyFile, brokenKey}, {"certificate-key", string(private[:len(private)/2])},
 		{local.ResumeKeyFile, newSecret}, {"certificate-key", string(private)}} {
 		v.files.Put(f.name, []byte(f.text))
-		v.node.Keys.Look()
+		v.node.Keys.Reload()
 	}
 	// Strangers: no certificate for operators, no TLS for callers.
 	_, err = v.callers.Get(operators + "/v1/status")
