--- a/node/dispatch/dispatch.go
+++ b/node/dispatch/dispatch.go
@@ -19,37 +19,40 @@
 	"peridotpier.example/node/upstream/conn"
 )
 
-// Config bounds dispatching; zero values take the defaults.
+// Config configures a Dispatcher; zero values mean the defaults.
 type Config struct {
-	// Silence is how long an exchange may go without a byte before its
-	// upstream is asked on a new connection whether there is anything to wait for.
+	// IdleBeforeProbe is how long an exchange may go without a byte before the
+	// upstream is asked, on a new connection, whether its answer is still coming.
 	IdleBeforeProbe time.Duration
-	// RetryShare is the share of requests that retries may add, 0 to 1.
+	// RetryShare is the number of retries allowed as a share of all requests, 0 to 1.
 	RetryShare float64
-	// NoReplicaRetryAfter is told to callers of a model that no upstream holds.
+	// NoReplicaRetryAfter is the Retry-After for callers of a model that is
+	// resident at no upstream.
 	NoReplicaRetryAfter time.Duration
-	// KeepBytes bounds what is held at once of all answers to requests that
-	// may not be repeated; of those beyond it only the fact is kept.
+	// RetainBudgetBytes bounds the memory for all answers that are retained for
+	// claims at the same time. Of an answer that exceeds it, only the fact that
+	// there was one is stored.
 	RetainBudgetBytes int64
 }
 
 const (
-	defaultSilence    = 2 * time.Second // above any pause between tokens, far below a deadline
-	defaultRetryShare = 0.1
-	defaultNoReplica  = 5 * time.Second // a load takes seconds
-	busyRetryAfter    = time.Second
-	leastLeftMs       = 0.001    // a deadline that has passed still is one
-	defaultKeep       = 32 << 20 // four answers of the largest size; usual ones take some KB
+	defaultIdleBeforeProbe     = 2 * time.Second // longer than any pause between tokens, far shorter than a deadline
+	defaultRetryShare          = 0.1
+	defaultNoReplicaRetryAfter = 5 * time.Second // loading a model takes seconds
+	busyRetryAfter             = time.Second
+	minRemainingMs             = 0.001    // the remaining time given to routing once the deadline has passed
+	defaultRetainBudget        = 32 << 20 // four answers of the maximum size; typical answers take some KB
 )
 
-// Deps are what a Dispatcher works with.
+// Deps are the dependencies of a Dispatcher.
 type Deps struct {
 	View    View
 	Picker  route.Picker
 	Client  *conn.Client
 	Log     *event.Log
 	Metrics *metrics.Set
-	// Demand, when set, is told of requests for a model that no upstream holds.
+	// NotifyDemand, if not nil, is called for each request for a model that is
+	// resident at no upstream.
 	NotifyDemand func(pool string, key route.ModelKey)
 }
 
@@ -58,75 +61,75 @@
 	cfg       Config
 	deps      Deps
 	upstreams *UpstreamClient
-	lengths   *lengths
+	lengths   *answerLengths
 
-	keep keepBudget
+	retainBudget retainBudget
 
 	mu     sync.Mutex // guards budget
 	budget *retry.Budget
 }
 
-// New makes a Dispatcher.
+// New returns a Dispatcher.
 func New(cfg Config, deps Deps) *Dispatcher {
 	if cfg.IdleBeforeProbe == 0 {
-		cfg.IdleBeforeProbe = defaultSilence
+		cfg.IdleBeforeProbe = defaultIdleBeforeProbe
 	}
 	if cfg.RetryShare == 0 {
 		cfg.RetryShare = defaultRetryShare
 	}
 	if cfg.NoReplicaRetryAfter == 0 {
-		cfg.NoReplicaRetryAfter = defaultNoReplica
+		cfg.NoReplicaRetryAfter = defaultNoReplicaRetryAfter
 	}
 	if cfg.RetainBudgetBytes == 0 {
-		cfg.RetainBudgetBytes = defaultKeep
+		cfg.RetainBudgetBytes = defaultRetainBudget
 	}
-	return &Dispatcher{cfg: cfg, deps: deps, keep: keepBudget{most: cfg.RetainBudgetBytes}, upstreams: NewUpstreamClient(deps.Client), lengths: newLengths(),
+	return &Dispatcher{cfg: cfg, deps: deps, retainBudget: retainBudget{max: cfg.RetainBudgetBytes}, upstreams: NewUpstreamClient(deps.Client), lengths: newAnswerLengths(),
 		budget: retry.NewBudget(cfg.RetryShare)}
 }
 
-// UpstreamClient asks after attempts.
+// UpstreamClient returns the client that queries and cancels attempts.
 func (d *Dispatcher) UpstreamClient() *UpstreamClient { return d.upstreams }
 
-// randomSource adapts the runtime's generator to route.Source; it is sharded
-// by processor, so that requests do not wait for each other.
+// randomSource adapts the runtime's generator to route.Source. The generator is
+// sharded by processor, so that requests do not contend for it.
 type randomSource struct{}
 
 func (randomSource) Uint64N(n uint64) uint64 { return rand.Uint64N(n) }
 
-// Do carries w out. A nil error means that the whole answer was handed to
-// sink; otherwise the error is a *fault.Error with the request's outcome.
-// A claim that was taken out is settled before Do returns.
+// Do dispatches w. A nil error means that the complete answer was written to
+// sink; otherwise the error is a *fault.Error with the request's outcome. The
+// outcome of a request under a claim is recorded before Do returns.
 func (d *Dispatcher) Do(ctx context.Context, w *Work, sink Sink) error {
 	claimed := w.Claim != nil
-	out := &output{sink: sink, keep: claimed, most: w.MaxRetainedBytes, budget: &d.keep, detached: claimed}
-	r := &run{d: d, w: w, out: out,
+	out := &output{sink: sink, retain: claimed, maxRetained: w.MaxRetainedBytes, budget: &d.retainBudget, detached: claimed}
+	r := &execution{d: d, w: w, out: out,
 		retries: retry.NewRequest(retry.Config{}, w.Repeatable, w.Deadline),
 		route: route.Request{Pool: w.Pool, Key: w.Key, PlainService: w.PlainService, Class: w.Class, Prefix: w.Prefix,
 			AnswerTokens: d.lengths.predict(w.Key, w.MaxTokens), IdleStepMs: w.IdleStepMs}}
 	d.countRequest()
-	err := r.attempts(ctx)
+	err := r.runAttempts(ctx)
 	if r.grant != nil {
-		r.settle(ctx, err)
+		r.resolveClaim(ctx, err)
 	}
-	out.release()
+	out.releaseRetained()
 	return err
 }
 
-// run is one request on its way through its attempts.
-type run struct {
+// execution is the state of one request across its attempts.
+type execution struct {
 	d       *Dispatcher
 	w       *Work
 	out     *output
 	retries *retry.Request
 	route   route.Request
-	grant   Grant // nil until claimed
-	last    *fault.Error
+	grant   Grant // nil until the request is claimed
+	lastErr *fault.Error
 }
 
-// settle tells the claim what became of the request. The context of a caller
-// that went away must not stop it. What cannot be written now is kept and
-// written later by the claim store, which logs it; there is nothing to add here.
-func (r *run) settle(ctx context.Context, err error) {
+// resolveClaim records the request's outcome in its claim. A caller that has
+// disconnected, which ends the context, must not prevent that. The claim store
+// queues and logs what it cannot write now, so errors need no handling here.
+func (r *execution) resolveClaim(ctx context.Context, err error) {
 	ctx = context.WithoutCancel(ctx)
 	switch {
 	case err == nil:
@@ -138,19 +141,19 @@
 	}
 }
 
-// attempts makes one attempt after another, as core/retry allows.
-func (r *run) attempts(ctx context.Context) error {
+// runAttempts makes one attempt after another, as far as core/retry allows.
+func (r *execution) runAttempts(ctx context.Context) error {
 	for {
 		snap := r.d.deps.View.Snapshot()
-		r.route.RemainingMs = max(float64(time.Until(r.w.Deadline))/float64(time.Millisecond), leastLeftMs)
+		r.route.RemainingMs = max(float64(time.Until(r.w.Deadline))/float64(time.Millisecond), minRemainingMs)
 		dec := r.d.deps.Picker.Pick(snap, &r.route, randomSource{})
 		if dec.Index < 0 {
-			return r.noEndpoint(ctx, dec.Reason)
+			return r.answerWithoutEndpoint(ctx, dec.Reason)
 		}
 		a := newAttempt(r.d, r.w, r.out, &snap.Endpoints[dec.Index])
-		err := r.aim(ctx, a)
+		err := r.resolveIncarnation(ctx, a)
 		if err == nil {
-			if replayed, cerr := r.claim(ctx, a); replayed || cerr != nil {
+			if replayed, cerr := r.recordClaim(ctx, a); replayed || cerr != nil {
 				return cerr
 			}
 			err = a.run(ctx)
@@ -158,38 +161,39 @@
 		if err == nil {
 			return nil
 		}
-		if again := r.again(ctx, a, err); !again {
-			return r.last
+		if retrying := r.prepareRetry(ctx, a, err); !retrying {
+			return r.lastErr
 		}
 	}
 }
 
-var errNoProcess = errors.New("upstream does not say which process it is")
+var errNoIncarnation = errors.New("upstream reports no incarnation, or another upstream answered")
 
-// aim learns which process of the upstream a claimed attempt is meant for. A
-// host that has just started may not have heard of the upstream yet.
-func (r *run) aim(ctx context.Context, a *attempt) error {
+// resolveIncarnation finds out the upstream's incarnation for an attempt under a
+// claim. A host that has just started may have no report of the upstream yet.
+func (r *execution) resolveIncarnation(ctx context.Context, a *attempt) error {
 	if r.w.Claim == nil || a.ep.Incarnation != "" {
 		return nil
 	}
 	rep, err := r.d.upstreams.Report(ctx, a.ep.Address)
 	if err == nil && (rep.Upstream != a.ep.Upstream || rep.Incarnation == "") {
-		err = errNoProcess
+		err = errNoIncarnation
 	}
 	if err != nil {
 		r.d.deps.View.MarkDown(a.ep.Upstream)
 		return fault.NotRun(fault.StepRoute, a.ep.Upstream, fault.CodeNoUpstream, "ask for a report: %w", err)
 	}
-	aimed := *a.ep // the snapshot is shared
-	aimed.Incarnation = rep.Incarnation
-	a.ep = &aimed
-	a.sent.set(rep.Incarnation)
+	ep := *a.ep // the snapshot is shared
+	ep.Incarnation = rep.Incarnation
+	a.ep = &ep
+	a.sentTo.set(rep.Incarnation)
 	return nil
 }
 
-// claim makes durable where the attempt goes, for a request that may not be
-// repeated. A repeat of one that ran is answered here.
-func (r *run) claim(ctx context.Context, a *attempt) (replayed bool, err error) {
+// recordClaim durably records, for a request that must not run twice, to which
+// upstream the attempt goes. A repeat of a request that has run is answered
+// here (replayed).
+func (r *execution) recordClaim(ctx context.Context, a *attempt) (replayed bool, err error) {
 	if r.w.Claim == nil {
 		return false, nil
 	}
@@ -208,35 +212,37 @@
 	return false, grant.RecordDispatch(ctx, to, r.w.Deadline)
 }
 
-// again says whether another attempt follows the one that failed, and waits
-// for its time.
-func (r *run) again(ctx context.Context, a *attempt, err error) bool {
-	r.last = fault.From(fault.StepDispatch, err)
+// prepareRetry reports whether another attempt follows the one that failed. If
+// so, it waits for the backoff before it returns.
+func (r *execution) prepareRetry(ctx context.Context, a *attempt, err error) bool {
+	r.lastErr = fault.From(fault.StepDispatch, err)
 	if r.out.started || ctx.Err() != nil {
 		return false
 	}
 	avoid := a.ep.Upstream
-	if r.last.Step == fault.StepResume && r.last.Outcome == outcome.NotRun {
-		avoid = "" // the upstream answered that the attempt never reached it: the connection failed, not it
+	if r.lastErr.Step == fault.StepResume && r.lastErr.Outcome == outcome.NotRun {
+		avoid = "" // the upstream answered that the attempt never reached it: the connection failed, not the upstream
 	}
-	if a.outdated {
-		avoid = "" // a former process was meant; the new one has refused nothing
+	if a.wrongIncarnation {
+		avoid = "" // the attempt was meant for an earlier incarnation; that says nothing against the current one
 	}
-	next := r.d.after(r.retries, retry.Attempt{Outcome: r.last.Outcome, ExcludeUpstream: avoid,
-		RetryAfter: r.last.RetryAfter, TryOthers: true})
-	r.last.Outcome = next.Outcome
-	if !next.Retry || a.bodyUsed {
-		gaveUp(r.last, next.Reason)
+	next := r.d.nextRetry(r.retries, retry.Attempt{Outcome: r.lastErr.Outcome, ExcludeUpstream: avoid,
+		RetryAfter: r.lastErr.RetryAfter, TryOthers: true})
+	r.lastErr.Outcome = next.Outcome
+	if !next.Retry || a.bodyConsumed {
+		completeFinalError(r.lastErr, next.Reason)
 		return false
 	}
 	r.route.Excluded = next.Excluded
 	return sleep(ctx, next.Backoff) == nil
 }
 
-// noEndpoint is the answer when no upstream, or no other one, can be tried.
-func (r *run) noEndpoint(ctx context.Context, why route.Reason) error {
+// answerWithoutEndpoint answers a request for which no upstream, or no further
+// one, can be tried.
+func (r *execution) answerWithoutEndpoint(ctx context.Context, why route.Reason) error {
 	if r.w.Claim != nil && r.grant == nil {
-		// A repeat of a request that ran has its answer, even if nothing could run now.
+		// A repeat of a request that has run gets its stored answer even if no
+		// upstream is available now.
 		grant, stored, err := r.w.Claim(ctx, claim.Route{})
 		if err != nil {
 			return err
@@ -246,9 +252,9 @@
 		}
 		r.grant = grant
 	}
-	if r.last != nil {
-		gaveUp(r.last, retry.AttemptsExhausted)
-		return r.last
+	if r.lastErr != nil {
+		completeFinalError(r.lastErr, retry.AttemptsExhausted)
+		return r.lastErr
 	}
 	return r.d.refuse(r.w, why)
 }
@@ -259,14 +265,15 @@
 	d.mu.Unlock()
 }
 
-func (d *Dispatcher) after(r *retry.Request, a retry.Attempt) retry.Decision {
+func (d *Dispatcher) nextRetry(r *retry.Request, a retry.Attempt) retry.Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return r.Next(a, d.budget, time.Now())
 }
 
-// gaveUp completes the error of a request that gets no further attempt.
-func gaveUp(last *fault.Error, why retry.Reason) {
+// completeFinalError sets the code and the Retry-After of the error of a request
+// that gets no further attempt.
+func completeFinalError(last *fault.Error, why retry.Reason) {
 	if why == retry.DeadlineTooClose {
 		last.Code = fault.CodeDeadlineExceeded
 	}
@@ -278,7 +285,7 @@
 	}
 }
 
-// refuse is the answer to a request for which there is no upstream.
+// refuse returns the error for a request for which there is no upstream.
 func (d *Dispatcher) refuse(w *Work, why route.Reason) error {
 	if why == route.NoReplica {
 		if d.deps.NotifyDemand != nil {
@@ -307,7 +314,7 @@
 }
 
 // cancelAttempt tells the upstream, in the background and for a bounded time,
-// that nobody waits for an attempt any more.
+// that the answer to an attempt is no longer needed.
 func (d *Dispatcher) cancelAttempt(address, attempt string) {
 	go func() {
 		if err := d.upstreams.Cancel(context.Background(), address, attempt); err != nil {
--- a/node/drain/conn.go
+++ b/node/drain/conn.go
@@ -12,194 +12,201 @@
 	"time"
 )
 
-// The phases of a connection. Only its reader makes it closing: bytes that have
-// left the kernel are known to nobody else, and a request among them would end
-// without an answer. Who wants it closed asks, and wakes the reader.
+// The phases of a connection. Only its reader sets phaseClosing: nobody else
+// knows of bytes that have left the kernel, and a request among them would end
+// without an answer. Others request the close and wake the reader.
 const (
-	quiet   int32 = iota // nothing came, ever or since the last answer
-	busy                 // a request is read, handled or answered
-	asked                // it was quiet, and is to be closed unless a request comes first
-	closing              // it is being closed, and nothing more is read
+	phaseIdle           int32 = iota // nothing was read yet, or since the last answer
+	phaseBusy                        // a request is being read, handled or answered
+	phaseCloseRequested              // no request was in progress; to be closed unless a request comes first
+	phaseClosing                     // being closed; nothing more is read
 )
 
 const (
-	// restBound is how long the rest of a body that a handler left is read
-	// before its connection is closed; a caller that trickles it holds no more.
-	restBound = time.Second
-	// lingerBound is how long a connection is read from after its last answer
-	// when its caller may still send; a few round trips, or 1 MB at 8 Mbit/s.
-	lingerBound = time.Second
-	// lingerBytes is how much is read then: twice a usual bound of bodies.
-	lingerBytes = 8 << 20
-	// answerBound is how long the HTTP server may take to write what a handler
-	// left of its answer: 4 KB at most, whose caller may not read. Longer than a
-	// way to the caller is usually cut for, so that what waits still arrives.
-	answerBound = 5 * time.Second
-	// handshakeRest is how long after its handshake a secured connection counts as
-	// one without a request. The beginning of one may have come in the same packet,
-	// which cannot be seen; its rest follows within a round trip.
-	handshakeRest = 500 * time.Millisecond
+	// bodyReadTimeout is how long the remainder of a body that a handler did not
+	// read is awaited before the connection is closed. A caller that sends it byte
+	// by byte cannot hold the connection for longer.
+	bodyReadTimeout = time.Second
+	// lingerTimeout is how long a connection is read from after its last answer if
+	// its caller may still send: a few round trips, or 1 MB at 8 Mbit/s.
+	lingerTimeout = time.Second
+	// maxLingerBytes is how many bytes are read then: twice a usual limit of bodies.
+	maxLingerBytes = 8 << 20
+	// answerWriteTimeout is how long the HTTP server may take to write what is left
+	// of an answer after its handler has returned: 4 KB at most, which the caller
+	// may not read. It is longer than a usual network interruption, so that bytes
+	// which wait for its end still arrive.
+	answerWriteTimeout = 5 * time.Second
+	// handshakeGrace is how long after its handshake a secured connection still
+	// counts as one with a request. The beginning of a request may have come in the
+	// same packet, which cannot be seen; its remainder follows within a round trip.
+	handshakeGrace = 500 * time.Millisecond
 )
 
-// conn knows from the first byte on that a request is being read.
+// conn is a tracked connection. It detects a request at its first byte.
 type conn struct {
 	net.Conn
-	s     *Server
-	phase atomic.Int32
-	limit sync.Mutex   // held over a change of the deadline of reads, with the phase that it goes by
-	why   Reason       // it is asked
-	since atomic.Int64 // from the Server's begin to the last change to quiet, ns; 0: no answer yet
-	// unread says that bytes of the last request may still come.
-	unread  atomic.Bool
-	lingers atomic.Bool
-	heard   atomic.Int64 // from the Server's begin to the last bytes read, ns
-	shaken  atomic.Bool  // the handshake is done
-	used    atomic.Bool  // bytes came since, or a request was read
+	s           *Server
+	phase       atomic.Int32
+	deadlineMu  sync.Mutex   // held while the read deadline changes together with the phase that it depends on
+	closeReason Reason       // why the close is requested
+	idleSince   atomic.Int64 // time of the last change to phaseIdle after an answer, ns since Server.startedAt; 0: no answer yet
+	// mayHaveUnread is true while bytes of the last request may still come.
+	mayHaveUnread atomic.Bool
+	lingering     atomic.Bool
+	lastRead      atomic.Int64 // time of the last read that returned bytes, ns since Server.startedAt
+	handshakeDone atomic.Bool
+	used          atomic.Bool // bytes came after the handshake, or a request was read
 
-	// Of the HTTP server's goroutine, and of the reads that it starts.
-	waits   bool // the answer is written, and the next read waits for the next request
-	bounded bool // the wait for it has its bound
-	room    int  // of the server's buffer when it is empty; plain connections only
+	// Used only by the HTTP server's goroutine and the reads that it starts.
+	awaitsNext  bool // the answer is written, and the next read waits for the next request
+	waitBounded bool // the HTTP server has set the deadline of that wait
+	bufferSize  int  // size of the HTTP server's read buffer when it is empty; used only without Secure
 }
 
-// kept says whether the connection had an answer.
-func (c *conn) kept() bool { return c.since.Load() > 0 }
+// keptAlive reports whether the connection has had an answer.
+func (c *conn) keptAlive() bool { return c.idleSince.Load() > 0 }
 
-// rested is how long a kept connection had no request at the time now.
-func (c *conn) rested(now time.Duration) time.Duration {
-	if !c.kept() {
+// idleFor returns how long a connection that has had an answer has had no
+// request, at the time now since Server.startedAt.
+func (c *conn) idleFor(now time.Duration) time.Duration {
+	if !c.keptAlive() {
 		return 0
 	}
-	return now - time.Duration(c.since.Load())
+	return now - time.Duration(c.idleSince.Load())
 }
 
-// past ends a wait for bytes at once.
+// past is a read deadline that ends a waiting read at once.
 var past = time.Unix(1, 0)
 
-// ask has a connection without a request closed by its reader, unless one comes first.
-func (c *conn) ask(why Reason) {
-	c.limit.Lock()
-	defer c.limit.Unlock()
-	from := quiet
-	if c.unused() {
-		from = busy
+// requestClose lets the reader of a connection without a request close it, unless
+// a request comes first.
+func (c *conn) requestClose(why Reason) {
+	c.deadlineMu.Lock()
+	defer c.deadlineMu.Unlock()
+	from := phaseIdle
+	if c.isUnused() {
+		from = phaseBusy
 	}
 	if c.phase.Load() != from {
 		return
 	}
-	c.why = why // before the phase, after which the reader goes by it
-	if c.phase.CompareAndSwap(from, asked) {
-		_ = c.Conn.SetReadDeadline(past) // it fails on one that has ended, whose reader sees that by itself
+	c.closeReason = why // before the phase changes: the reader uses it after that
+	if c.phase.CompareAndSwap(from, phaseCloseRequested) {
+		_ = c.Conn.SetReadDeadline(past) // fails on a closed connection, which its reader notices by itself
 	}
 }
 
-// unused says that a secured connection has had its handshake and no request.
-// Callers open some in advance; each would hold a stop until the bound of heads.
-func (c *conn) unused() bool {
-	if !c.shaken.Load() || c.used.Load() || c.phase.Load() != busy {
+// isUnused reports whether a secured connection has completed its handshake and
+// has had no request. Callers open some connections in advance; each would delay
+// a shutdown until the timeout of heads.
+func (c *conn) isUnused() bool {
+	if !c.handshakeDone.Load() || c.used.Load() || c.phase.Load() != phaseBusy {
 		return false
 	}
-	return time.Since(c.s.began)-time.Duration(c.heard.Load()) > handshakeRest
+	return time.Since(c.s.startedAt)-time.Duration(c.lastRead.Load()) > handshakeGrace
 }
 
-// SetReadDeadline implements net.Conn. The HTTP server's own bounds do not put
-// off the end of a connection that is asked to close.
+// SetReadDeadline implements net.Conn. The HTTP server's own deadlines do not
+// delay the end of a connection whose close is requested.
 func (c *conn) SetReadDeadline(t time.Time) error {
-	c.told(t)
-	c.limit.Lock()
-	defer c.limit.Unlock()
-	if p := c.phase.Load(); p == asked || p == closing {
+	c.observeDeadline(t)
+	c.deadlineMu.Lock()
+	defer c.deadlineMu.Unlock()
+	if p := c.phase.Load(); p == phaseCloseRequested || p == phaseClosing {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// told notes what the HTTP server's bounds tell of its next read. After an
-// answer it bounds the wait, and then the head, if it has four bytes of one. It
-// bounds handshakes, and lifts that when they are done.
-func (c *conn) told(t time.Time) {
-	if c.waits {
-		c.waits, c.bounded = !c.bounded, true
+// observeDeadline records what the HTTP server's deadlines imply for its next
+// read. After an answer the HTTP server sets a deadline for the wait for the next
+// request, and then, once it has four bytes of a head, one for the head. It sets
+// a deadline for the handshake and clears it when the handshake is done.
+func (c *conn) observeDeadline(t time.Time) {
+	if c.awaitsNext {
+		c.awaitsNext, c.waitBounded = !c.waitBounded, true
 	}
 	if c.s.cfg.Secure != nil && t.IsZero() {
-		c.shaken.Store(true)
+		c.handshakeDone.Store(true)
 	}
 }
 
-// begin says whether a request may begin or go on.
-func (c *conn) begin() bool {
-	if c.phase.CompareAndSwap(quiet, busy) || c.phase.Load() == busy {
+// tryBegin reports whether a request may begin or continue.
+func (c *conn) tryBegin() bool {
+	if c.phase.CompareAndSwap(phaseIdle, phaseBusy) || c.phase.Load() == phaseBusy {
 		return true
 	}
-	return c.stay()
+	return c.cancelClose()
 }
 
-// stay makes a connection busy that was asked to close.
-func (c *conn) stay() bool {
-	c.limit.Lock()
-	defer c.limit.Unlock()
-	if !c.phase.CompareAndSwap(asked, busy) {
-		return c.phase.Load() == busy
+// cancelClose makes a connection busy whose close was requested, and reports
+// whether it is busy now.
+func (c *conn) cancelClose() bool {
+	c.deadlineMu.Lock()
+	defer c.deadlineMu.Unlock()
+	if !c.phase.CompareAndSwap(phaseCloseRequested, phaseBusy) {
+		return c.phase.Load() == phaseBusy
 	}
-	until := time.Time{}
-	if most := c.s.cfg.Server.ReadHeaderTimeout; most > 0 {
-		until = time.Now().Add(most)
+	deadline := time.Time{}
+	if timeout := c.s.cfg.Server.ReadHeaderTimeout; timeout > 0 {
+		deadline = time.Now().Add(timeout)
 	}
-	_ = c.Conn.SetReadDeadline(until)
+	_ = c.Conn.SetReadDeadline(deadline)
 	return true
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
-	if c.room == 0 {
-		c.room = len(p)
+	if c.bufferSize == 0 {
+		c.bufferSize = len(p)
 	}
-	c.rest(len(p))
-	next := c.phase.Load() != busy && c.kept()
+	c.markIdle(len(p))
+	firstBytes := c.phase.Load() != phaseBusy && c.keptAlive()
 	n, err := c.Conn.Read(p)
-	if n <= 0 && c.phase.Load() == asked {
-		n, err = c.part(p, err)
+	if n <= 0 && c.phase.Load() == phaseCloseRequested {
+		n, err = c.closeOrRead(p, err)
 	}
 	if n <= 0 {
 		return n, err
 	}
-	c.heard.Store(int64(time.Since(c.s.began)))
-	if c.shaken.Load() {
+	c.lastRead.Store(int64(time.Since(c.s.startedAt)))
+	if c.handshakeDone.Load() {
 		c.used.Store(true)
 	}
-	if !c.begin() {
-		return 0, c.ended() // this process has ended it by force
+	if !c.tryBegin() {
+		return 0, c.closedError() // the connection is being closed
 	}
-	if next {
-		c.boundHead()
+	if firstBytes {
+		c.boundHeader()
 	}
 	return n, err
 }
 
-// part closes a connection that was asked to close, after a read that brought
-// nothing but err. Bytes that came before the read was woken are a request that
-// a close would destroy; they are read.
-func (c *conn) part(p []byte, err error) (int, error) {
-	if errors.Is(err, os.ErrDeadlineExceeded) && c.pending() && c.stay() {
+// closeOrRead closes a connection whose close was requested, after a read that
+// returned only err. If bytes arrived before the read was woken, they are the
+// beginning of a request that a close would destroy; then it reads them instead.
+func (c *conn) closeOrRead(p []byte, err error) (int, error) {
+	if errors.Is(err, os.ErrDeadlineExceeded) && c.hasPending() && c.cancelClose() {
 		return c.Conn.Read(p)
 	}
-	if !c.phase.CompareAndSwap(asked, closing) {
+	if !c.phase.CompareAndSwap(phaseCloseRequested, phaseClosing) {
 		return 0, err
 	}
 	if c.s.cfg.BeforeClose != nil {
-		c.s.cfg.BeforeClose(c.Conn, c.why)
+		c.s.cfg.BeforeClose(c.Conn, c.closeReason)
 	}
-	return 0, c.ended()
+	return 0, c.closedError()
 }
 
-// ended is the error of a read from a connection that is being closed. The HTTP
-// server takes it for the end of the connection, and answers nothing.
-func (c *conn) ended() error {
+// closedError returns the error of a read from a connection that is being closed.
+// The HTTP server takes it as the end of the connection and answers nothing.
+func (c *conn) closedError() error {
 	return &net.OpError{Op: "read", Net: c.LocalAddr().Network(), Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: net.ErrClosed}
 }
 
-// pending says whether bytes wait to be read.
-func (c *conn) pending() bool {
+// hasPending reports whether the kernel has bytes for the connection.
+func (c *conn) hasPending() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -209,63 +216,64 @@
 		return false
 	}
 	n := 0
-	err = raw.Control(func(fd uintptr) { // not Read, which heeds the deadline
-		var one [1]byte
-		n, _, _ = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	err = raw.Control(func(fd uintptr) { // not Read, which the deadline would end
+		var buf [1]byte
+		n, _, _ = syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	return err == nil && n > 0
 }
 
-// rest makes the connection quiet when the HTTP server reads on after an
-// answer, up to size bytes. It does so only when it has handled all that it has
-// read; what waits in its buffer takes of the room for the next read.
-func (c *conn) rest(size int) {
-	if !c.waits {
+// markIdle makes the connection idle when the HTTP server, after an answer, reads
+// up to size bytes more. The server does so only when it has handled all that it
+// has read. Bytes that wait in its buffer reduce the size of the next read.
+func (c *conn) markIdle(size int) {
+	if !c.awaitsNext {
 		return
 	}
-	c.waits = false
-	if c.s.cfg.Secure == nil && size < c.room {
-		c.boundHead()
+	c.awaitsNext = false
+	if c.s.cfg.Secure == nil && size < c.bufferSize {
+		c.boundHeader()
 		return
 	}
-	c.since.Store(int64(time.Since(c.s.began)))
-	c.phase.Store(quiet)
+	c.idleSince.Store(int64(time.Since(c.s.startedAt)))
+	c.phase.Store(phaseIdle)
 }
 
-// boundHead bounds the rest of a head: the HTTP server does so from the fourth
-// byte on, and a connection with one to three would stay for ever.
-func (c *conn) boundHead() {
-	if most := c.s.cfg.Server.ReadHeaderTimeout; most > 0 {
-		_ = c.SetReadDeadline(time.Now().Add(most))
+// boundHeader sets the deadline for the remainder of a head. The HTTP server does
+// so only from the fourth byte on; a connection with one to three bytes of a head
+// would stay open for ever.
+func (c *conn) boundHeader() {
+	if timeout := c.s.cfg.Server.ReadHeaderTimeout; timeout > 0 {
+		_ = c.SetReadDeadline(time.Now().Add(timeout))
 	}
 }
 
-// handled bounds how long the rest of a body is read that a handler left. It
-// must not when nothing is left: the deadline would end the read that tells
-// whether the caller is gone.
+// handlerReturned bounds how long the remainder of a body that a handler did not
+// read is awaited. It sets no read deadline if nothing remains: the deadline would
+// end the read that detects a disconnected caller.
 //
-// An answer whose length is known is whole now. It leaves at once, and the rest
-// is read before the HTTP server closes the connection; without a length, the
-// answer's last chunk would wait for that.
-func (c *conn) handled(w http.ResponseWriter, rest *body, returned bool) {
+// An answer with a Content-Length is complete now. It is written at once, and the
+// remainder of the body is read before the HTTP server closes the connection.
+// Without a Content-Length, the answer's last chunk would wait for that.
+func (c *conn) handlerReturned(w http.ResponseWriter, body *trackedBody, returned bool) {
 	rc := http.NewResponseController(w)
-	_ = rc.SetWriteDeadline(time.Now().Add(answerBound)) // the HTTP server lifts it before the next request
-	c.unread.Store(!rest.whole)
-	if rest.whole {
+	_ = rc.SetWriteDeadline(time.Now().Add(answerWriteTimeout)) // the HTTP server clears it before the next request
+	c.mayHaveUnread.Store(!body.complete)
+	if body.complete {
 		return
 	}
-	_ = rc.SetReadDeadline(time.Now().Add(restBound))
+	_ = rc.SetReadDeadline(time.Now().Add(bodyReadTimeout))
 	if !returned || w.Header().Get("Content-Length") == "" {
 		return
 	}
 	_ = rc.Flush()
-	_, _ = io.CopyN(io.Discard, rest, lingerBytes)
-	c.unread.Store(!rest.whole)
+	_, _ = io.CopyN(io.Discard, body, maxLingerBytes)
+	c.mayHaveUnread.Store(!body.complete)
 }
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	if c.unread.Load() && c.phase.Load() == busy && c.lingers.CompareAndSwap(false, true) {
+	if c.mayHaveUnread.Load() && c.phase.Load() == phaseBusy && c.lingering.CompareAndSwap(false, true) {
 		c.linger()
 	}
 	err := c.Conn.Close()
@@ -275,33 +283,33 @@
 	return err
 }
 
-// linger reads what the caller still sends after its answer. A connection that
-// is closed with bytes unread is reset, and the reset overtakes the answer.
+// linger reads what the caller still sends after its answer. If a connection is
+// closed with bytes unread, it is reset, and the reset overtakes the answer.
 func (c *conn) linger() {
 	c.s.mu.Lock()
-	over := c.s.over
+	stopped := c.s.stopped
 	c.s.mu.Unlock()
-	if over {
+	if stopped {
 		return
 	}
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()
 	}
-	_ = c.Conn.SetReadDeadline(time.Now().Add(lingerBound))
-	_, _ = io.CopyN(io.Discard, c.Conn, lingerBytes)
+	_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes)
 }
 
-// body notes whether a handler has read all of it.
-type body struct {
+// trackedBody is a request body that records whether all of it was read.
+type trackedBody struct {
 	io.ReadCloser
-	whole bool
+	complete bool
 }
 
 // Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
+func (b *trackedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
-		b.whole = true
+		b.complete = true
 	}
 	return n, err
 }
--- a/node/drain/rest_test.go
+++ b/node/drain/linger_test.go
@@ -12,12 +12,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: a caller who is refused sees its connection reset in place of the refusal.
-// Sequence: the refusal is written at the head; the caller still sends the
+// Symptom: a caller who is refused gets a reset instead of the refusal.
+// Sequence: the refusal is written after the head; the caller still sends the
 // body. The process ends, or the server closes the connection.
-// Cause: the connection is closed with bytes unread, and a reset is sent, which
+// Cause: the connection is closed with bytes unread. This sends a reset, which
 // overtakes the refusal on its way or ends the caller's write. The evidence is
-// the error at the caller, and the count of the last look.
+// the error at the caller, and the result of the last drain step.
 func TestARefusalReachesACallerWhoStillSends(t *testing.T) {
 	t.Parallel()
 	refuse := func(w http.ResponseWriter, _ *http.Request) {
@@ -32,7 +32,7 @@
 	}{
 		"small body":                {size: 100 << 10},
 		"large body":                {size: 2 << 20},
-		"a caller's own last words": {size: 100 << 10, head: "Connection: close\r\n"},
+		"the caller's last request": {size: 100 << 10, head: "Connection: close\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -40,7 +40,7 @@
 			c := s.dial()
 			c.send(fmt.Sprintf("POST / HTTP/1.1\r\nHost: site.example\r\n%sContent-Length: %d\r\n\r\n", of.head, of.size))
 			c.send(strings.Repeat("x", of.size/2))
-			c.answered("no\n") // before the body is in
+			c.answered("no\n") // before the whole body has arrived
 			stopped := make(chan struct{})
 			assert.Equal(t, s.drain.DrainStep(), 1)
 			go func() { defer close(stopped); s.stop() }()
@@ -53,9 +53,10 @@
 	}
 }
 
-// Symptom: connections pile up, or a stop takes its whole grace.
-// Sequence: callers are refused at the head and never send the rest of the body.
-// Cause: the rest is awaited without a bound.
+// Symptom: connections pile up, or a shutdown takes its whole grace period.
+// Sequence: callers are refused after the head and never send the remainder of
+// the body.
+// Cause: the remainder is awaited without a bound.
 func TestARefusedCallerIsNotAwaitedForLong(t *testing.T) {
 	t.Parallel()
 	for name, head := range map[string]string{"kept": "", "closed": "Connection: close\r\n"} {
@@ -73,16 +74,16 @@
 	}
 }
 
-// Symptom: connections pile up that no bound of idle ones closes.
+// Symptom: connections pile up that no idle timeout closes.
 // Sequence: a caller sends one to three bytes after an answer, or one while the
 // answer is written, and nothing more.
-// Cause: the HTTP server bounds a head from its fourth byte on, and what is
-// idle is told by whether anything came.
+// Cause: the HTTP server sets a deadline for a head from its fourth byte on, and
+// a connection counts as idle only if no byte came.
 func TestAFewBytesAreNotAwaitedForEver(t *testing.T) {
 	t.Parallel()
 	t.Run("after the answer", func(t *testing.T) {
 		t.Parallel()
-		s := serve(t, sayOK, nil)
+		s := serve(t, answerOK, nil)
 		c := s.dial()
 		c.send(get)
 		c.answered("ok")
@@ -95,7 +96,7 @@
 		answer := make(chan struct{})
 		s := serve(t, func(w http.ResponseWriter, r *http.Request) {
 			<-answer
-			sayOK(w, r)
+			answerOK(w, r)
 		}, nil)
 		c := s.dial()
 		c.send(get)
@@ -112,11 +113,12 @@
 	})
 }
 
-// Symptom: a stop lasts longer for callers who were refused and have sent all.
-// Sequence: a request is refused at its head; the body comes in; the caller
-// keeps its end of the connection.
-// Cause: more is awaited although the request is whole.
-func TestAWholeRequestIsNotWaitedAfter(t *testing.T) {
+// Symptom: a shutdown takes longer for callers who were refused and have sent
+// everything.
+// Sequence: a request is refused after its head; the body arrives; the caller
+// keeps its end of the connection open.
+// Cause: more is awaited although the request is complete.
+func TestNothingIsAwaitedAfterACompleteRequest(t *testing.T) {
 	t.Parallel()
 	s := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Connection", "close")
@@ -128,14 +130,14 @@
 	began := time.Now()
 	c.send("dy")
 	within(t, "the connection ends", s.closed)
-	assert.Assert(t, time.Since(began) < lingerBound/2)
+	assert.Assert(t, time.Since(began) < lingerTimeout/2)
 }
 
-// Symptom: a request counts as left by its caller, who waits for it.
-// Sequence: the one before was answered without its body being looked at, or
+// Symptom: a request counts as abandoned although its caller waits for it.
+// Sequence: the request before it was answered without its body being read, or
 // its answer took long to be written.
-// Cause: the bound on the rest of a body outlives it, or holds without one: the
-// read that tells whether the caller is gone ends with it.
+// Cause: the deadline for the remainder of a body outlives it, or is set without
+// a body: it ends the read that detects a disconnected caller.
 func TestTheNextRequestHasItsOwnTime(t *testing.T) {
 	t.Parallel()
 	t.Run("after a body", func(t *testing.T) {
@@ -143,8 +145,8 @@
 		s := serve(t, func(w http.ResponseWriter, r *http.Request) {
 			select {
 			case <-r.Context().Done():
-			case <-time.After(restBound + 200*time.Millisecond):
-				sayOK(w, r)
+			case <-time.After(bodyReadTimeout + 200*time.Millisecond):
+				answerOK(w, r)
 			}
 		}, nil)
 		c := s.dial()
@@ -162,12 +164,12 @@
 			} else if r.Context().Err() != nil {
 				return
 			}
-			sayOK(w, r)
+			answerOK(w, r)
 		}, nil)
 		c := s.dial()
 		c.send(get)
 		within(t, "the answer is written", s.ln.write.reached)
-		time.Sleep(restBound + 200*time.Millisecond)
+		time.Sleep(bodyReadTimeout + 200*time.Millisecond)
 		close(s.ln.write.release)
 		c.answered("ok")
 		c.send(get)
@@ -175,13 +177,13 @@
 	})
 }
 
-// Symptom: a request is taken by a process that ends.
-// Sequence: a stop has seen that nothing is under way; a connection that was
+// Symptom: a request is accepted by a process that ends.
+// Sequence: a shutdown has found no request in progress; a connection that was
 // opened before is accepted.
-// Cause: connections are followed until the end, the choice to end is made before.
-func TestNothingIsTakenAfterTheLastLook(t *testing.T) {
+// Cause: connections are accepted until the end, after the decision to end.
+func TestNothingIsAcceptedAfterTheLastDrainStep(t *testing.T) {
 	t.Parallel()
-	s := serve(t, sayOK, nil)
+	s := serve(t, answerOK, nil)
 	assert.Equal(t, s.drain.DrainStep(), 0)
 	c := s.dial()
 	c.send(get)
@@ -190,19 +192,20 @@
 	assert.Equal(t, s.ran.Load(), int64(0))
 }
 
-// Symptom: a caller sees a reset in place of the server's own answer to a head
-// that is none.
+// Symptom: a caller gets a reset instead of the HTTP server's own answer to a
+// malformed head.
 // Sequence: the answer is written while the caller still sends.
-// Cause: only answers of handlers are followed.
+// Cause: only answers of handlers are tracked.
 func TestTheServersOwnAnswersArrive(t *testing.T) {
 	t.Parallel()
-	s := serve(t, sayOK, nil)
+	s := serve(t, answerOK, nil)
 	c := s.dial()
-	c.sendsNoRequest()
+	c.checkMalformedRequest()
 }
 
-// sendsNoRequest sends what is none, in pieces, and expects to be told so.
-func (c *caller) sendsNoRequest() {
+// checkMalformedRequest sends a malformed request in pieces and expects the
+// answer 400.
+func (c *caller) checkMalformedRequest() {
 	c.t.Helper()
 	c.send("no request\r\n\r\n")
 	for range 10 {
--- a/node/lease/lease.go
+++ b/node/lease/lease.go
@@ -1,6 +1,6 @@
-// Package lease holds a role for one process at a time through the platform's
-// table: it campaigns, renews and hands over, and tells its user right before
-// each act whether the role is still held.
+// Package lease grants a role to one process at a time through rows of the
+// platform's table. It campaigns for the lease, renews it and releases it, and
+// its user checks right before each action that the lease is still held.
 package lease
 
 import (
@@ -19,36 +19,38 @@
 )
 
 const (
-	jitter       = 0.1             // share of each wait
-	retryPause   = time.Second / 2 // after a refusal by the table: several tries within one TTL
-	callTimeout  = 2 * time.Second // of one call while not holding
-	releaseBound = 2 * time.Second // of the hand-over on shutdown
+	jitterFraction = 0.1             // random fraction of each wait
+	retryDelay     = time.Second / 2 // after a failed call to the table; short enough for several tries within one TTL
+	callTimeout    = 2 * time.Second // timeout of the calls of one step while the lease is not held
+	releaseTimeout = 2 * time.Second // timeout of the release on shutdown
 )
 
-// Prefix starts the keys of all leases; beatSuffix ends a lease's second row.
+// Prefix starts the row keys of all leases; heartbeatSuffix ends the key of a
+// lease's heartbeat row.
 const (
-	Prefix     = "lease/"
-	beatSuffix = "/beat"
+	Prefix          = "lease/"
+	heartbeatSuffix = "/beat"
 )
 
-// ErrNotHeld says that the lease is not held, or not in the epoch asked for,
-// or not for long enough: the act must not be done.
+// ErrNotHeld reports that the lease is not held, not held in the given epoch,
+// or expires too soon; the action must not be carried out.
 var ErrNotHeld = errors.New("lease not held")
 
-// Config names a lease and this process.
+// Config configures a Lease.
 type Config struct {
-	Name   string // of the role, as in "planner/order-desk"
-	Holder string // this process, new at each start; "" makes one up
-	Policy decide.Policy
-	// Ended says whether a holder is known to have ended, as a former process
-	// of this host has; nil: none is. It need not be waited for.
+	Name   string        // name of the role, for example "planner/order-desk"
+	Holder string        // identifies this process, unique for each start; "" generates one
+	Policy decide.Policy // the zero value is DefaultPolicy
+	// HasTerminated reports whether a holder's process is known to have
+	// terminated, such as an earlier process of this host. A candidate need not
+	// wait for such a holder's lease to expire. With nil, none is known.
 	HasTerminated func(holder string) bool
-	// TryBound bounds one try of a call; 0: none. An answer can be lost without
-	// a sign, and waiting for it would cost the whole term.
+	// TryTimeout bounds each try of a commit; 0 means no bound. A response can be
+	// lost without an error, and waiting for it would use up the whole term.
 	TryTimeout time.Duration
 }
 
-// Deps are what a lease works with; Now and Rand may be nil.
+// Deps are the dependencies of a Lease. Log, Now and Rand may be nil.
 type Deps struct {
 	Table store.Table
 	Log   *event.Log
@@ -56,34 +58,36 @@
 	Rand  pace.Rand
 }
 
-// Term is one holding of a lease.
+// Term is one period in which a process holds a lease.
 type Term struct {
 	Epoch uint64     // fencing number for orders under this term
-	Guard store.Cond // holds as long as nobody else took the lease; put it into every write under this term
+	Guard store.Cond // true until another process acquires the lease; every write under this term must include it
 }
 
-// Lease campaigns for one role.
+// Lease campaigns for one lease and renews it.
 type Lease struct {
 	cfg  Config
 	deps Deps
 	log  *event.Log
 
-	mu   sync.Mutex
-	held *decide.Held // nil: not held
-	seen decide.Observed
-	// yielded is the newest epoch whose holder said that it acts no more.
-	yielded uint64
-	// lapsed is the epoch that this process held last and that ended only
-	// because it was not renewed in time; 0: none.
-	lapsed uint64
-
-	taken pace.Signal // given when the lease is taken
+	mu       sync.Mutex
+	held     *decide.Held // nil: not held
+	observed decide.Observed
+	// steppedDownEpoch is the highest epoch whose holder has reported that it no
+	// longer acts.
+	steppedDownEpoch uint64
+	// lapsedEpoch is the last epoch that this process held, if it ended only
+	// because the lease was not renewed in time; 0 otherwise.
+	lapsedEpoch uint64
+
+	acquired pace.Signal // notified when this process acquires the lease
 }
 
-// Acquired returns a channel that is closed when this process takes the lease next.
-func (l *Lease) Acquired() <-chan struct{} { return l.taken.Next() }
+// Acquired returns a channel that is closed when this process next acquires the
+// lease.
+func (l *Lease) Acquired() <-chan struct{} { return l.acquired.Next() }
 
-// New makes a lease; Run campaigns for it.
+// New returns a Lease that is not held; Run campaigns for it.
 func New(cfg Config, deps Deps) *Lease {
 	if cfg.Holder == "" {
 		cfg.Holder = uuid.NewString()
@@ -101,25 +105,25 @@
 		deps.Log = event.NewLog(nil)
 	}
 	if cfg.TryTimeout > 0 {
-		deps.Table = boundedTable{Table: deps.Table, bound: cfg.TryTimeout}
+		deps.Table = timeoutTable{Table: deps.Table, timeout: cfg.TryTimeout}
 	}
 	return &Lease{cfg: cfg, deps: deps, log: deps.Log.With(zap.String("lease", cfg.Name))}
 }
 
-// boundedTable gives each commit a bound of its own.
-type boundedTable struct {
+// timeoutTable is a table that bounds each commit by a timeout.
+type timeoutTable struct {
 	store.Table
-	bound time.Duration
+	timeout time.Duration
 }
 
 // Commit implements store.Table.
-func (t boundedTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, t.bound)
+func (t timeoutTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
+	ctx, cancel := context.WithTimeout(ctx, t.timeout)
 	defer cancel()
 	return t.Table.Commit(ctx, txn)
 }
 
-// Term returns the present term, if the lease is held now.
+// Term returns the current term, and whether the lease is held now.
 func (l *Lease) Term() (Term, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,10 +133,11 @@
 	return Term{Epoch: l.held.Record.Epoch, Guard: store.Cond{Key: l.grantKey(), Version: l.held.Rows.Grant}}, true
 }
 
-// Check says whether an act that ends within need may be started now under
-// the term of epoch. It asks the clock anew each time: a process that was
-// paused for longer than its lease wakes in the middle of its work, and only
-// a check right before the act stops it from acting beside its successor.
+// Check returns nil if an action that takes at most need may be started now
+// under the term of epoch, and ErrNotHeld otherwise. It reads the clock on each
+// call: a process that was paused for longer than its lease resumes in the
+// middle of its work, and only a check right before the action prevents it from
+// acting at the same time as its successor.
 func (l *Lease) Check(epoch uint64, need time.Duration) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,20 +147,21 @@
 	return nil
 }
 
-// Run campaigns for the lease and renews it until ctx ends, then hands it
-// over. The user must have ended its acts by then.
+// Run campaigns for the lease and renews it until ctx ends, then releases it.
+// By then the user must have finished all actions under the lease.
 func (l *Lease) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait := l.step(ctx)
-		pace.Sleep(ctx, l.deps.Rand.Jitter(wait, jitter))
+		pace.Sleep(ctx, l.deps.Rand.Jitter(wait, jitterFraction))
 	}
 	l.release()
 	return ctx.Err()
 }
 
-// step does what is due and returns the wait until the next step.
+// step carries out the action that is due and returns the wait until the next
+// step.
 func (l *Lease) step(ctx context.Context) time.Duration {
-	held, ok := l.holding()
+	held, ok := l.currentHeld()
 	if !ok {
 		return l.campaign(ctx)
 	}
@@ -170,13 +176,13 @@
 	}
 }
 
-// Refresh reads who holds the lease, for Seen, without running for it.
+// Refresh reads the lease's rows, for LastObserved, without campaigning.
 func (l *Lease) Refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	rows, record, err := l.read(ctx)
+	rows, record, err := l.readRows(ctx)
 	if err == nil {
-		l.see(rows, record)
+		l.observe(rows, record)
 	}
 	return err
 }
@@ -184,71 +190,73 @@
 func (l *Lease) campaign(ctx context.Context) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	rows, record, err := l.read(ctx)
+	rows, record, err := l.readRows(ctx)
 	if err != nil {
-		return retryPause
+		return retryDelay
 	}
-	seen := l.see(rows, record)
-	d := l.cfg.Policy.DecideForCandidate(l.cfg.Holder, seen, l.deps.Now())
+	observed := l.observe(rows, record)
+	d := l.cfg.Policy.DecideForCandidate(l.cfg.Holder, observed, l.deps.Now())
 	if d.Action != decide.Acquire {
 		return d.Wait
 	}
-	from := l.deps.Now()
+	start := l.deps.Now()
 	v, err := store.CommitResolved(ctx, l.deps.Table, store.Txn{Op: uuid.NewString(), Conds: l.conds(rows),
-		Writes: []store.Write{{Key: l.grantKey(), Value: d.Next.Encode()}, {Key: l.beatKey()}}})
+		Writes: []store.Write{{Key: l.grantKey(), Value: d.Next.Encode()}, {Key: l.heartbeatKey()}}})
 	if err != nil {
-		// Lost the race, or unknown. An acquisition that takes effect later
-		// names this process in an epoch in which it never acts; it is waited
-		// out like another's.
-		return retryPause
+		// Another candidate won, or the outcome is unknown. An acquisition that
+		// takes effect later names this process in an epoch in which it never
+		// acts; hasTerminated is true for that holder.
+		return retryDelay
 	}
-	l.hold(&decide.Held{Rows: decide.Rows{Grant: v, Heartbeat: v}, Record: d.Next, TTLStart: from})
+	l.setHeld(&decide.Held{Rows: decide.Rows{Grant: v, Heartbeat: v}, Record: d.Next, TTLStart: start})
 	l.log.Emit(event.LeaseTaken, zap.Uint64("epoch", d.Next.Epoch))
 	return 0
 }
 
-func (l *Lease) see(rows decide.Rows, record decide.Record) decide.Observed {
+func (l *Lease) observe(rows decide.Rows, record decide.Record) decide.Observed {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.seen = l.seen.Observe(rows, record, l.deps.Now())
-	seen := l.seen
-	seen.SteppedDown = record.Epoch <= l.yielded || l.ended(record.Holder)
-	return seen
+	l.observed = l.observed.Observe(rows, record, l.deps.Now())
+	observed := l.observed
+	observed.SteppedDown = record.Epoch <= l.steppedDownEpoch || l.hasTerminated(record.Holder)
+	return observed
 }
 
-// ended says whether a holder acts no more. This process itself does not while
-// it campaigns.
-func (l *Lease) ended(holder string) bool {
+// hasTerminated reports whether a holder no longer acts. That includes this
+// process itself, which does not act while it campaigns.
+func (l *Lease) hasTerminated(holder string) bool {
 	return holder == l.cfg.Holder || l.cfg.HasTerminated != nil && l.cfg.HasTerminated(holder)
 }
 
-// HeldRecord returns the rows and the grant of the lease while it is held, for
-// the holder to tell to others.
+// HeldRecord returns the row versions and the record of the lease, and whether
+// it is held now. The holder announces them to other hosts.
 func (l *Lease) HeldRecord() (decide.Rows, decide.Record, bool) {
-	h, ok := l.holding()
+	h, ok := l.currentHeld()
 	if !ok || l.cfg.Policy.Remaining(h, l.deps.Now()) <= 0 {
 		return decide.Rows{}, decide.Record{}, false
 	}
 	return h.Rows, h.Record, true
 }
 
-// Observe takes the holder's own word of its rows. A candidate that has heard
-// it need not begin to wait only when the holder falls silent.
-func (l *Lease) Observe(rows decide.Rows, record decide.Record) { l.see(rows, record) }
+// Observe records the row versions and the record that the holder announced. A
+// candidate that has received them has already begun to measure the time
+// without a renewal when the announcements stop.
+func (l *Lease) Observe(rows decide.Rows, record decide.Record) { l.observe(rows, record) }
 
-// RecordStepDown notes that the holder of an epoch has said itself that it acts in it
-// no more. It need not be waited for.
+// RecordStepDown records that the holder of epoch has reported that it no longer
+// acts. A candidate need not wait for that term to expire.
 func (l *Lease) RecordStepDown(epoch uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.yielded = max(l.yielded, epoch)
+	l.steppedDownEpoch = max(l.steppedDownEpoch, epoch)
 }
 
-// LastObserved is the grant that was read last while the lease was not held.
+// LastObserved returns the record that was last read or announced while the
+// lease was not held.
 func (l *Lease) LastObserved() decide.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.seen.Record
+	return l.observed.Record
 }
 
 func (l *Lease) renew(ctx context.Context, held decide.Held) time.Duration {
@@ -256,32 +264,32 @@
 	ctx, cancel := context.WithTimeout(ctx, l.cfg.Policy.Remaining(held, from))
 	defer cancel()
 	v, err := store.CommitResolved(ctx, l.deps.Table, store.Txn{Op: uuid.NewString(),
-		Conds: l.conds(held.Rows), Writes: []store.Write{{Key: l.beatKey()}}})
+		Conds: l.conds(held.Rows), Writes: []store.Write{{Key: l.heartbeatKey()}}})
 	switch {
 	case err == nil:
 		held.Rows.Heartbeat, held.TTLStart = v, from
-		l.hold(&held)
+		l.setHeld(&held)
 		return 0
 	case errors.Is(err, store.ErrConflict):
 		l.lose("taken over", false)
 	}
-	return retryPause
+	return retryDelay
 }
 
-// release hands the lease over. It stops holding before it writes: a term
-// that is still used while its successor may start would be no term.
+// release frees the lease for the next holder. It ends the term before it
+// writes, so that the term cannot be used once its successor may start.
 func (l *Lease) release() {
-	held, ok := l.holding()
-	l.hold(nil)
+	held, ok := l.currentHeld()
+	l.setHeld(nil)
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), releaseBound)
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	free := held.Record
-	free.Holder = ""
+	released := held.Record
+	released.Holder = ""
 	_, err := store.CommitResolved(ctx, l.deps.Table, store.Txn{Op: uuid.NewString(),
-		Conds: l.conds(held.Rows), Writes: []store.Write{{Key: l.grantKey(), Value: free.Encode()}}})
+		Conds: l.conds(held.Rows), Writes: []store.Write{{Key: l.grantKey(), Value: released.Encode()}}})
 	if err != nil {
 		l.log.Emit(event.LeaseKept, zap.Error(err))
 		return
@@ -289,35 +297,35 @@
 	l.log.Emit(event.LeaseReleased, zap.Uint64("epoch", held.Record.Epoch))
 }
 
-func (l *Lease) read(ctx context.Context) (decide.Rows, decide.Record, error) {
-	var at decide.Rows
-	rows, err := l.deps.Table.Get(ctx, l.grantKey(), l.beatKey())
+func (l *Lease) readRows(ctx context.Context) (decide.Rows, decide.Record, error) {
+	var versions decide.Rows
+	rows, err := l.deps.Table.Get(ctx, l.grantKey(), l.heartbeatKey())
 	if err != nil {
-		return at, decide.Record{}, err
+		return versions, decide.Record{}, err
 	}
 	var value []byte
 	for _, r := range rows {
 		if r.Key == l.grantKey() {
-			at.Grant, value = r.Version, r.Value
+			versions.Grant, value = r.Version, r.Value
 		} else {
-			at.Heartbeat = r.Version
+			versions.Heartbeat = r.Version
 		}
 	}
 	record, err := decide.Decode(value)
 	if err != nil {
 		l.log.Emit(event.LeaseCorrupt, zap.Error(err))
 	}
-	return at, record, err
+	return versions, record, err
 }
 
 func (l *Lease) conds(r decide.Rows) []store.Cond {
-	return []store.Cond{{Key: l.grantKey(), Version: r.Grant}, {Key: l.beatKey(), Version: r.Heartbeat}}
+	return []store.Cond{{Key: l.grantKey(), Version: r.Grant}, {Key: l.heartbeatKey(), Version: r.Heartbeat}}
 }
 
-func (l *Lease) grantKey() string { return Prefix + l.cfg.Name }
-func (l *Lease) beatKey() string  { return Prefix + l.cfg.Name + beatSuffix }
+func (l *Lease) grantKey() string     { return Prefix + l.cfg.Name }
+func (l *Lease) heartbeatKey() string { return Prefix + l.cfg.Name + heartbeatSuffix }
 
-func (l *Lease) holding() (decide.Held, bool) {
+func (l *Lease) currentHeld() (decide.Held, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.held == nil {
@@ -326,33 +334,33 @@
 	return *l.held, true
 }
 
-func (l *Lease) hold(h *decide.Held) {
+func (l *Lease) setHeld(h *decide.Held) {
 	l.mu.Lock()
 	if l.held == nil && h != nil {
-		l.taken.Notify()
+		l.acquired.Notify()
 	}
-	l.held, l.lapsed = h, 0
+	l.held, l.lapsedEpoch = h, 0
 	l.mu.Unlock()
 }
 
-// Lapsed says whether this process held the lease last, as far as it knows, and
-// its time ran out without a renewal, as it does while the store is away.
+// Lapsed reports whether, as far as this process knows, it was the last holder
+// and its lease expired without a renewal, as happens during a store outage.
 func (l *Lease) Lapsed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held := l.lapsed
+	lastHeld := l.lapsedEpoch
 	if l.held != nil && l.cfg.Policy.Remaining(*l.held, l.deps.Now()) <= 0 {
-		held = l.held.Record.Epoch
+		lastHeld = l.held.Record.Epoch
 	}
-	return held > 0 && l.seen.Record.Epoch <= held
+	return lastHeld > 0 && l.observed.Record.Epoch <= lastHeld
 }
 
 func (l *Lease) lose(why string, lapsed bool) {
-	held, _ := l.holding()
-	l.hold(nil)
+	held, _ := l.currentHeld()
+	l.setHeld(nil)
 	if lapsed {
 		l.mu.Lock()
-		l.lapsed = held.Record.Epoch
+		l.lapsedEpoch = held.Record.Epoch
 		l.mu.Unlock()
 	}
 	l.log.Emit(event.LeaseLost, zap.Uint64("epoch", held.Record.Epoch), zap.String("why", why))
