--- a/node/coordinator/accounts.go
+++ b/node/coordinator/accounts.go
@@ -13,62 +13,62 @@
 type accounts struct {
 	c *Coordinator
 	// word is how a team's account stood as another host told this one last.
-	word func(team string) (quota.KnownState, bool)
+	lastState func(team string) (quota.KnownState, bool)
 
-	mu       sync.Mutex
-	ledger   *quota.Ledger
-	of       *deploy.Config // whose limits are in force in the ledger
-	partedAt time.Time      // when the part of the hosts that is heard was last counted
+	mu          sync.Mutex
+	ledger      *quota.Ledger
+	limitsOf    *deploy.Config // whose limits are in force in the ledger
+	hostShareAt time.Time      // when the part of the hosts that is heard was last counted
 }
 
 func newAccounts(c *Coordinator) *accounts {
 	return &accounts{c: c, ledger: quota.NewLedger(c.cfg.LimitSlack)}
 }
 
-// begin forgets what an earlier term left: others have counted since.
-func (a *accounts) begin() {
+// reset forgets what an earlier term left: others have counted since.
+func (a *accounts) reset() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ledger, a.of, a.partedAt = quota.NewLedger(a.c.cfg.LimitSlack), nil, time.Time{}
+	a.ledger, a.limitsOf, a.hostShareAt = quota.NewLedger(a.c.cfg.LimitSlack), nil, time.Time{}
 }
 
-// followLocked brings the limits up to date with the configuration, and with
+// refreshLocked brings the limits up to date with the configuration, and with
 // how many hosts are heard. It says whether there are any.
-func (a *accounts) followLocked(now time.Time) bool {
+func (a *accounts) refreshLocked(now time.Time) bool {
 	t := a.c.deps.Config.Current()
-	if t == nil || len(t.Config.Teams) == 0 && a.of == nil {
+	if t == nil || len(t.Config.Teams) == 0 && a.limitsOf == nil {
 		return false
 	}
-	if a.of != t.Config {
-		a.of = t.Config
+	if a.limitsOf != t.Config {
+		a.limitsOf = t.Config
 		teams := make([]quota.Team, len(t.Config.Teams))
 		for i := range t.Config.Teams {
 			teams[i] = quota.Team{Name: t.Config.Teams[i].Name, Limit: t.Config.Teams[i].Limit}
 		}
-		a.ledger.SetTeams(teams, a.word, now)
+		a.ledger.SetTeams(teams, a.lastState, now)
 	}
-	if now.Sub(a.partedAt) >= expiryEach {
-		a.partedAt = now
-		a.ledger.SetConnectedShare(a.c.sums.heard(now), now)
+	if now.Sub(a.hostShareAt) >= expiryInterval {
+		a.hostShareAt = now
+		a.ledger.SetConnectedShare(a.c.aggregate.reportingShare(now), now)
 	}
 	return true
 }
 
-// ask asks for leave for one request.
-func (a *accounts) ask(team string, cost float64, now time.Time) (wait time.Duration, ok bool) {
+// charge asks for leave for one request.
+func (a *accounts) charge(team string, cost float64, now time.Time) (wait time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.followLocked(now) {
+	if !a.refreshLocked(now) {
 		return 0, true
 	}
 	return a.ledger.Take(team, cost, now)
 }
 
-// told enters what a host passed by itself.
-func (a *accounts) told(uses []*coordpb.TeamUse, now time.Time) {
+// addUse enters what a host passed by itself.
+func (a *accounts) addUse(uses []*coordpb.TeamUse, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.followLocked(now) {
+	if !a.refreshLocked(now) {
 		return
 	}
 	for _, u := range uses {
@@ -76,14 +76,14 @@
 	}
 }
 
-// heardOf enters how accounts stood when a host was told last by another holder.
-func (a *accounts) heardOf(words []*coordpb.TeamWord, now time.Time) {
+// adoptStates enters how accounts stood when a host was told last by another holder.
+func (a *accounts) adoptStates(words []*coordpb.TeamWord, now time.Time) {
 	if len(words) == 0 {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.followLocked(now) {
+	if !a.refreshLocked(now) {
 		return
 	}
 	for _, w := range words {
@@ -92,11 +92,11 @@
 	}
 }
 
-// tell says how the accounts stand whose limits may bind.
-func (a *accounts) tell(out *coordpb.SiteState, now time.Time) {
+// addTo says how the accounts stand whose limits may bind.
+func (a *accounts) addTo(out *coordpb.SiteState, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.followLocked(now) {
+	if !a.refreshLocked(now) {
 		return
 	}
 	out.CountsTeams = true
--- a/node/coordinator/adapters.go
+++ b/node/coordinator/adapters.go
@@ -15,29 +15,29 @@
 
 // The reasons why no adapter is loaded.
 var (
-	errNotHolding = errors.New("this host does not hold the lease")
+	errNoLease    = errors.New("this host does not hold the lease")
 	errNoUpstream = errors.New("no upstream can take the adapter now")
 )
 
 const (
-	// adapterTries is how many orders one adapter may take: one that makes
+	// maxAdapterOrders is how many orders one adapter may take: one that makes
 	// room, its load, and one more when the upstream's number has moved on.
-	adapterTries = 5
-	// adapterOrderBound is how long an order for an adapter may take to be
+	maxAdapterOrders = 5
+	// adapterOrderTimeout is how long an order for an adapter may take to be
 	// answered before another upstream is asked. A caller waits for it, and
 	// upstreams answer within a few milliseconds, or not at all.
-	adapterOrderBound = 150 * time.Millisecond
-	// adapterPoll is how often a load that is on its way is looked at.
-	adapterPoll = 4 * time.Millisecond
+	adapterOrderTimeout = 150 * time.Millisecond
+	// adapterPollInterval is how often a load that is on its way is looked at.
+	adapterPollInterval = 4 * time.Millisecond
 )
 
 // LoadAdapter has an adapter loaded, at the upstream asked for if that may be, and
 // returns where it is ready.
 func (c *Coordinator) LoadAdapter(ctx context.Context, upstream, model, adapter string) (string, error) {
 	if !c.HoldsLease() {
-		return "", errNotHolding
+		return "", errNoLease
 	}
-	for _, u := range c.adapterPlaces(upstream, model) {
+	for _, u := range c.adapterTargets(upstream, model) {
 		err := u.loadAdapter(ctx, model, adapter)
 		if err == nil {
 			return u.entry.ID(), nil
@@ -49,14 +49,14 @@
 	return "", errNoUpstream
 }
 
-// adapterPlaces are the upstreams that could take an adapter of a model: the
+// adapterTargets are the upstreams that could take an adapter of a model: the
 // one asked for first, then those with the fewest adapters. All places of one
 // may be in use.
-func (c *Coordinator) adapterPlaces(first, model string) []*unit {
-	var out []*unit
+func (c *Coordinator) adapterTargets(first, model string) []*managedUpstream {
+	var out []*managedUpstream
 	now := c.now()
-	for _, u := range c.allUnits() {
-		if u.usable() && u.holds(model, "") && !c.quietFor(u.entry.ID(), now) {
+	for _, u := range c.allUpstreams() {
+		if u.isUsable() && u.serves(model, "") && !c.inQuietPeriod(u.entry.ID(), now) {
 			out = append(out, u)
 		}
 	}
@@ -64,21 +64,21 @@
 		if a, b := out[i].entry.ID() == first, out[j].entry.ID() == first; a != b {
 			return a
 		}
-		return out[i].adapters() < out[j].adapters()
+		return out[i].adapterCount() < out[j].adapterCount()
 	})
 	return out
 }
 
-func (u *unit) adapters() int {
+func (u *managedUpstream) adapterCount() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.book.UsedAdapterSlots()
+	return u.record.UsedAdapterSlots()
 }
 
 // loadAdapter gives the orders that bring the adapter to the upstream.
-func (u *unit) loadAdapter(ctx context.Context, model, adapter string) error {
-	for range adapterTries {
-		done, err := u.adapterStep(ctx, model, adapter)
+func (u *managedUpstream) loadAdapter(ctx context.Context, model, adapter string) error {
+	for range maxAdapterOrders {
+		done, err := u.adapterOrder(ctx, model, adapter)
 		if done {
 			return u.awaitAdapter(ctx, model, adapter)
 		}
@@ -92,22 +92,22 @@
 	return errNoUpstream
 }
 
-// adapterStep gives one order; done says that the adapter is there or coming.
-func (u *unit) adapterStep(ctx context.Context, model, adapter string) (done bool, err error) {
+// adapterOrder gives one order; done says that the adapter is there or coming.
+func (u *managedUpstream) adapterOrder(ctx context.Context, model, adapter string) (done bool, err error) {
 	if !u.lockOrders(ctx) {
 		return false, ctx.Err()
 	}
 	defer u.unlockOrders()
 	u.mu.Lock()
-	coming := u.book.HasAdapter(model, adapter)
-	doubtful := u.book.NeedsReport()
-	o, ok := u.book.NextAdapterOrder(model, adapter, u.c.now())
+	coming := u.record.HasAdapter(model, adapter)
+	doubtful := u.record.NeedsReport()
+	o, ok := u.record.NextAdapterOrder(model, adapter, u.c.now())
 	u.mu.Unlock()
 	switch {
 	case coming:
 		return true, nil
 	case doubtful:
-		return false, u.settle(ctx)
+		return false, u.reconcile(ctx)
 	case !ok:
 		return false, errNoUpstream
 	}
@@ -115,31 +115,31 @@
 	if o.Op == residency.Unload {
 		why = "makes way for " + model + "/" + adapter
 	}
-	if err := u.send(ctx, o, why, adapterOrderBound); err != nil {
+	if err := u.sendOrder(ctx, o, why, adapterOrderTimeout); err != nil {
 		return false, err
 	}
 	if o.Op == residency.Load {
-		u.readyLater(o)
+		u.markAdapterReadyLater(o)
 		return true, nil
 	}
 	return false, nil
 }
 
-// readyLater takes an adapter's load for done after its time: the upstream
+// markAdapterReadyLater takes an adapter's load for done after its time: the upstream
 // does not tell, and its report would show it some hundred milliseconds late.
-func (u *unit) readyLater(o residency.Order) {
+func (u *managedUpstream) markAdapterReadyLater(o residency.Order) {
 	time.AfterFunc(u.c.cfg.AdapterLoadTime, func() {
 		u.mu.Lock()
-		u.book.MarkAdapterReady(o.Model, o.Adapter, u.c.now())
+		u.record.MarkAdapterReady(o.Model, o.Adapter, u.c.now())
 		u.mu.Unlock()
-		u.c.changed(u)
-		u.c.deps.Log.Emit(event.OrderDone, u.fields(o, zap.Duration("took", u.c.cfg.AdapterLoadTime))...)
+		u.c.publishChange(u)
+		u.c.deps.Log.Emit(event.OrderDone, u.logFields(o, zap.Duration("took", u.c.cfg.AdapterLoadTime))...)
 	})
 }
 
-func (u *unit) awaitAdapter(ctx context.Context, model, adapter string) error {
-	for !u.holds(model, adapter) {
-		if !pace.Sleep(ctx, adapterPoll) {
+func (u *managedUpstream) awaitAdapter(ctx context.Context, model, adapter string) error {
+	for !u.serves(model, adapter) {
+		if !pace.Sleep(ctx, adapterPollInterval) {
 			return ctx.Err()
 		}
 	}
--- a/node/coordinator/adapters_test.go
+++ b/node/coordinator/adapters_test.go
@@ -27,14 +27,14 @@
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
 	f.Replace([]deploy.Upstream{{ID: "a", Service: "s", Residents: []deploy.Resident{{Model: "m"}}}}, 1)
 	c := New(Config{}, Deps{Fleet: f, Config: config, Log: log, Lease: lease.New(lease.Config{Name: "l"}, lease.Deps{Table: noTable{}})})
-	c.standingIn.Store(true)
-	c.follow()
-	u, _ := c.unit("a")
+	c.actingWithoutLease.Store(true)
+	c.refresh()
+	u, _ := c.upstream("a")
 	assert.Assert(t, u.lockOrders(t.Context()))
 	defer u.unlockOrders()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	within(t, func() {
+	finishesSoon(t, func() {
 		assert.ErrorIs(t, u.loadAdapter(ctx, "m", "a1"), context.DeadlineExceeded)
 	})
 }
--- a/node/coordinator/sums_test.go
+++ b/node/coordinator/aggregate_test.go
@@ -18,7 +18,7 @@
 // are those of the reports that still count, to the time between two looks.
 func TestSumsAreThoseOfTheReportsThatCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, now := newSums("", func(string) bool { return true }), time.Unix(1_700_000_000, 0)
+		s, now := newAggregate("", func(string) bool { return true }), time.Unix(1_700_000_000, 0)
 		last, at := map[string]*coordpb.HostReport{}, map[string]time.Time{}
 		for range rapid.IntRange(1, 60).Draw(t, "reports") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "pause_ms")) * time.Millisecond)
@@ -27,10 +27,10 @@
 				r.Loads = append(r.Loads, &coordpb.Load{Upstream: fmt.Sprint("u", rapid.IntRange(0, 2).Draw(t, "upstream")),
 					Requests: uint32(rapid.IntRange(0, 5).Draw(t, "requests")), Waiting: uint32(rapid.IntRange(0, 9).Draw(t, "waiting")), Tokens: 7})
 			}
-			s.take(r, now)
+			s.record(r, now)
 			last[r.Host], at[r.Host] = r, now
 			asker := fmt.Sprint("h", rapid.IntRange(0, 4).Draw(t, "asker"))
-			later := now.Add(expiryEach) // the reports are looked at in any case
+			later := now.Add(expiryInterval) // the reports are looked at in any case
 			all, hosts := s.others(asker, later, func(string) bool { return true })
 			got := map[string]fleet.Load{}
 			for _, l := range all {
@@ -38,7 +38,7 @@
 			}
 			want, counted := map[string]fleet.Load{}, 0
 			for host, h := range last {
-				if later.Sub(at[host]) > hostFresh {
+				if later.Sub(at[host]) > hostCountedFor {
 					continue
 				}
 				counted++
@@ -67,7 +67,7 @@
 // each upstream, five times a second.
 // Cause: each look searched the list of models for every model held anywhere, for
 // each of the models: 310 ms of a processor, where the next look came after 200.
-func TestALookAtAllPlacesTakesAFractionOfItsPeriod(t *testing.T) {
+func TestAPlanTakesAFractionOfItsInterval(t *testing.T) {
 	c := holderSize{195, 156, 340}.holder()
 	table := c.deps.Config.Current()
 	runtime.LockOSThread()
@@ -75,10 +75,10 @@
 	least := time.Hour
 	for range 5 { // the least: the first ones warm caches
 		began := processorTime(t)
-		c.cfg.Policy.Plan(c.planInput(table.Config, &table.Config.Services[0], c.allUnits(), c.now()))
+		c.cfg.Policy.Plan(c.planInput(table.Config, &table.Config.Services[0], c.allUpstreams(), c.now()))
 		least = min(least, processorTime(t)-began)
 	}
-	assert.Assert(t, least < tick/4, "took %v", least)
+	assert.Assert(t, least < runInterval/4, "took %v", least)
 }
 
 // processorTime is what this thread has used. Unlike the time on a clock it does
--- a/node/coordinator/news.go
+++ b/node/coordinator/announcements.go
@@ -12,14 +12,14 @@
 // announced on the streams of turns; each host then asks for them by a report. Hosts
 // that report often enough hear of it without.
 
-// announcedTo is how many hosts report a second on an announcement. All at once would
+// announceRate is how many hosts report a second on an announcement. All at once would
 // keep the one that acts for all from turns for as long as they take together.
-const announcedTo = 5000
+const announceRate = 5000
 
 // announce has all hosts told that there is something new.
 func (c *Coordinator) announce() {
 	select {
-	case c.announced <- struct{}{}:
+	case c.announcePending <- struct{}{}:
 	default: // the next announcement tells of it
 	}
 }
@@ -37,35 +37,35 @@
 func (c *Coordinator) RunAnnouncements(ctx context.Context) error {
 	for {
 		select {
-		case <-c.announced:
+		case <-c.announcePending:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if c.sums.period(c.now()) > reportPeriod {
-			c.turns.announce()
+		if c.aggregate.period(c.now()) > minReportPeriod {
+			c.permits.announce()
 		}
-		if !pace.Sleep(ctx, reportPeriod) {
+		if !pace.Sleep(ctx, minReportPeriod) {
 			return ctx.Err()
 		}
 	}
 }
 
 // announce tells all hosts that have a stream.
-func (t *turns) announce() {
+func (t *permits) announce() {
 	t.mu.Lock()
-	streams := make([]*turnStream, 0, len(t.streams))
+	streams := make([]*permitStream, 0, len(t.streams))
 	for s := range t.streams {
 		streams = append(streams, s)
 	}
 	t.mu.Unlock()
-	within := time.Second * time.Duration(len(streams)) / announcedTo
+	within := time.Second * time.Duration(len(streams)) / announceRate
 	for _, s := range streams {
 		s.send(&coordpb.TurnAnswer{Kind: coordpb.TurnAnswer_NEWS, WaitMs: uint32(within.Milliseconds())})
 	}
 }
 
-// enter keeps a stream until leave.
-func (t *turns) enter(s *turnStream) {
+// addStream keeps a stream until leave.
+func (t *permits) addStream(s *permitStream) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.streams[s] = struct{}{}
--- a/node/coordinator/size_test.go
+++ b/node/coordinator/answersize_test.go
@@ -18,13 +18,13 @@
 // Sequence: all hosts link to it at once; it knows of 3,000 upstreams.
 // Cause: each is told all that the upstreams hold in one answer, more than the
 // holder's link carries in the time of a report; it then begins anew.
-func TestWhatManyUpstreamsHoldIsToldInParts(t *testing.T) {
+func TestHoldingsOfManyUpstreamsAreSentInParts(t *testing.T) {
 	c := holderSize{7, 900, 720}.holder()
 	told := map[string]bool{}
 	revision, answers := uint64(0), 0
 	for revision < c.revision {
-		out := c.tellSums(&coordpb.HostReport{Host: "h", Revision: revision, ModelsLater: true}, c.now())
-		assert.Assert(t, len(out.Holdings) <= holdingsMost)
+		out := c.answerLoads(&coordpb.HostReport{Host: "h", Revision: revision, ModelsLater: true}, c.now())
+		assert.Assert(t, len(out.Holdings) <= maxHoldings)
 		assert.Assert(t, out.Revision > revision, "each answer brings the host further")
 		for _, h := range out.Holdings {
 			told[h.Upstream] = true
@@ -41,22 +41,22 @@
 // itself yet.
 // Cause: its first word, which is of no version of the store, counts as the whole
 // list; from then on only changes of it are told.
-func TestAListThatTheHolderHasNotReadIsToldAgain(t *testing.T) {
+func TestAListThatTheHolderHasNotReadIsSentAgain(t *testing.T) {
 	c := holderSize{7, 12, 26}.holder()
 	listed := 0
 	c.deps.Feed = follow.New(follow.Deps{Config: c.deps.Config, Upstreams: c.deps.Fleet, OnListed: func() { listed++ }})
 	l := NewLink(LinkConfig{Host: "h"}, c, nil, c.deps.Log)
-	l.takeRelay(&coordpb.SiteState{List: 5, ListFull: true})
-	assert.Equal(t, l.report().List, uint64(0), "the whole list is asked for again")
+	l.applyRelay(&coordpb.SiteState{List: 5, ListFull: true})
+	assert.Equal(t, l.buildReport().List, uint64(0), "the whole list is asked for again")
 	assert.Equal(t, listed, 0)
-	l.takeRelay(&coordpb.SiteState{List: 6, ListAt: 3, ListFull: true})
-	assert.Equal(t, l.report().List, uint64(6))
+	l.applyRelay(&coordpb.SiteState{List: 6, ListAt: 3, ListFull: true})
+	assert.Equal(t, l.buildReport().List, uint64(6))
 	assert.Equal(t, listed, 1)
 }
 
 // Symptom: 299 hosts that start together take 0.3 GB over the holder's link.
 // Cause: the list of 3,000 upstreams goes to each of them as text.
-func TestAWholeListIsSentPacked(t *testing.T) {
+func TestACompleteListIsSentPacked(t *testing.T) {
 	c := holderSize{7, 900, 720}.holder()
 	c.deps.Feed = follow.New(follow.Deps{Config: c.deps.Config, Upstreams: c.deps.Fleet})
 	c.deps.Feed.ApplyRelay(follow.Relay{UpstreamsVersion: 1})
@@ -65,13 +65,13 @@
 	assert.NilError(t, c.relay(&coordpb.HostReport{PackedList: true}, packed))
 	assert.NilError(t, c.relay(&coordpb.HostReport{PackedList: true}, again))
 	const slowLink = 10_000_000 / 8 // bytes a second
-	most := int(reportCallBound.Seconds() * slowLink * 900 / 3000)
+	most := int(reportTimeout.Seconds() * slowLink * 900 / 3000)
 	assert.Assert(t, proto.Size(packed) < most, "%d bytes: a list of 3,000 must come in the time of a report", proto.Size(packed))
 	assert.Assert(t, proto.Size(plain) > most)
 	assert.Assert(t, &packed.PackedList[0] == &again.PackedList[0], "it is packed once for all that ask together")
 	assert.Assert(t, packed.ListFull && packed.List > 0)
 	of := func(s *coordpb.SiteState) map[string]string {
-		all, err := upstreamsOf(s)
+		all, err := decodeUpstreams(s)
 		assert.NilError(t, err)
 		out := map[string]string{}
 		for _, u := range all {
@@ -80,24 +80,24 @@
 		return out
 	}
 	assert.DeepEqual(t, of(plain), of(packed))
-	_, err := upstreamsOf(&coordpb.SiteState{PackedList: []byte("no list")})
+	_, err := decodeUpstreams(&coordpb.SiteState{PackedList: []byte("no list")})
 	assert.Assert(t, err != nil)
 }
 
 const (
-	// underWay is how many requests an engine has at the design size: 205 streams
+	// requestsUnderWay is how many requests an engine has at the design size: 205 streams
 	// at each of 420 hosts, over 2,500 engines.
-	underWay = 34
-	// blameBytes bounds what one end of an engine costs each host, there and back:
+	requestsUnderWay = 34
+	// maxCrashBytes bounds what one end of an engine costs each host, there and back:
 	// the budget of a second.
-	blameBytes = 3000
+	maxCrashBytes = 3000
 )
 
 // Guards against ends of engines that take more of the hosts' links than control may.
-func TestAnEndOfAnEngineIsToldWithinTheBudget(t *testing.T) {
+func TestAnEngineCrashIsReportedWithinTheByteBudget(t *testing.T) {
 	c := holderSize{7, 12, 26}.holder()
 	var ran []poison.Fingerprint
-	for i := range underWay {
+	for i := range requestsUnderWay {
 		ran = append(ran, (&poison.Content{Target: fmt.Sprint(i)}).Fingerprint())
 	}
 	r := &coordpb.HostReport{Host: "h"}
@@ -106,12 +106,12 @@
 	out := c.report(r)
 	out.Holdings, out.Others, out.Deputies = nil, nil, nil
 	told := proto.Size(out)
-	assert.Equal(t, len(out.Quarantine), underWay)
+	assert.Equal(t, len(out.Quarantine), requestsUnderWay)
 	for _, m := range ran {
 		c.quarantine.ledger.Clear(m.Digest, c.now())
 	}
 	cleared := &coordpb.SiteState{}
-	c.quarantine.update(&coordpb.HostReport{QuarantineId: out.QuarantineId, QuarantineRevision: out.QuarantineRevision}, cleared, c.now())
+	c.quarantine.addTo(&coordpb.HostReport{QuarantineId: out.QuarantineId, QuarantineRevision: out.QuarantineRevision}, cleared, c.now())
 	t.Logf("to the holder %d bytes, to each host %d, once these have run to their end %d", asked, told, proto.Size(cleared))
-	assert.Assert(t, asked+told <= blameBytes && proto.Size(cleared) <= blameBytes)
+	assert.Assert(t, asked+told <= maxCrashBytes && proto.Size(cleared) <= maxCrashBytes)
 }
--- a/node/coordinator/authority.go
+++ b/node/coordinator/authority.go
@@ -8,31 +8,31 @@
 )
 
 // errQuiet: the lease is new, and the former holder's orders may still arrive.
-var errQuiet = errors.New("the quiet time of a new lease is not over")
+var errQuietPeriod = errors.New("the quiet time of a new lease is not over")
 
 // mayOrder says whether an order that ends within need may be sent now. It is
 // asked right before each send: a process that was paused wakes in the middle
 // of its work, beside its successor.
 func (c *Coordinator) mayOrder(need time.Duration) error {
 	c.mu.Lock()
-	epoch, quiet := c.term.Epoch, c.quiet
+	epoch, quiet := c.term.Epoch, c.quietUntil
 	c.mu.Unlock()
 	if err := c.deps.Lease.Check(epoch, need); err != nil {
 		return err
 	}
 	if c.now().Before(quiet) {
-		return errQuiet
+		return errQuietPeriod
 	}
 	return nil
 }
 
 // mayOrderTo says the same of one upstream.
-func (c *Coordinator) mayOrderTo(u *unit, need time.Duration) error {
+func (c *Coordinator) mayOrderTo(u *managedUpstream, need time.Duration) error {
 	if err := c.mayOrder(need); err != nil {
 		return err
 	}
-	if c.quietFor(u.entry.ID(), c.now()) {
-		return errQuiet
+	if c.inQuietPeriod(u.entry.ID(), c.now()) {
+		return errQuietPeriod
 	}
 	return nil
 }
@@ -52,22 +52,22 @@
 // storeLoads counts the loads from the weight store in a sliding window. Past
 // its ceiling the store serves everybody more slowly.
 type storeLoads struct {
-	window time.Duration
-	over   float64
-	mu     sync.Mutex
-	begun  []time.Time
-	doubts []time.Time // until when each load whose order went unanswered may still begin
-	told   []time.Time // of those begun, what a former holder told
-	full   time.Time   // until when a former holder's loads are assumed to fill the window
+	window           time.Duration
+	factor           float64
+	mu               sync.Mutex
+	startedAt        []time.Time
+	unconfirmedUntil []time.Time // until when each load whose order went unanswered may still begin
+	inheritedAt      []time.Time // of those begun, what a former holder told
+	assumedFullUntil time.Time   // until when a former holder's loads are assumed to fill the window
 }
 
-// doubt notes that a load may begin at any time until then, or not at all: its
+// addUnconfirmed notes that a load may begin at any time until then, or not at all: its
 // order went unanswered, and orders are carried out up to seconds late. Counted
 // at the time of its order only, it would pass the ceiling unseen when it comes.
-func (s *storeLoads) doubt(until time.Time) {
+func (s *storeLoads) addUnconfirmed(until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.doubts = append(s.doubts, until)
+	s.unconfirmedUntil = append(s.unconfirmedUntil, until)
 }
 
 // recent keeps the times that count within a window before now.
@@ -80,7 +80,7 @@
 func (s *storeLoads) assumeFull(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.full = now.Add(s.window)
+	s.assumedFullUntil = now.Add(s.window)
 }
 
 // inherit takes over the loads that a former holder told, beside those of this
@@ -88,8 +88,8 @@
 func (s *storeLoads) inherit(begun, doubts []time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.begun, s.doubts = append(s.begun, begun...), append(s.doubts, doubts...)
-	s.told = slices.Clone(begun)
+	s.startedAt, s.unconfirmedUntil = append(s.startedAt, begun...), append(s.unconfirmedUntil, doubts...)
+	s.inheritedAt = slices.Clone(begun)
 }
 
 // inheritedWithin is how many loads that a former holder told began within a
@@ -97,56 +97,56 @@
 func (s *storeLoads) inheritedWithin(longest time.Duration, now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told = recent(s.told, now, longest)
-	return len(s.told)
+	s.inheritedAt = recent(s.inheritedAt, now, longest)
+	return len(s.inheritedAt)
 }
 
-// tell returns the loads that count now; known: there are no others.
-func (s *storeLoads) tell(now time.Time) (begun, doubts []time.Time, known bool) {
+// counted returns the loads that count now; known: there are no others.
+func (s *storeLoads) counted(now time.Time) (begun, doubts []time.Time, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.begun, s.doubts = recent(s.begun, now, s.window), recent(s.doubts, now, s.window)
-	return slices.Clone(s.begun), slices.Clone(s.doubts), !now.Before(s.full)
+	s.startedAt, s.unconfirmedUntil = recent(s.startedAt, now, s.window), recent(s.unconfirmedUntil, now, s.window)
+	return slices.Clone(s.startedAt), slices.Clone(s.unconfirmedUntil), !now.Before(s.assumedFullUntil)
 }
 
-// left is how many loads may begin now, at a rate a second.
-func (s *storeLoads) left(rate float64, now time.Time) int {
+// remaining is how many loads may begin now, at a rate a second.
+func (s *storeLoads) remaining(rate float64, now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Before(s.full) {
+	if now.Before(s.assumedFullUntil) {
 		return 0
 	}
-	s.begun, s.doubts = recent(s.begun, now, s.window), recent(s.doubts, now, s.window)
-	return int(rate*s.window.Seconds()*s.over) + storeBurst - len(s.begun) - len(s.doubts)
+	s.startedAt, s.unconfirmedUntil = recent(s.startedAt, now, s.window), recent(s.unconfirmedUntil, now, s.window)
+	return int(rate*s.window.Seconds()*s.factor) + storeBurst - len(s.startedAt) - len(s.unconfirmedUntil)
 }
 
 // storeBurst is how many loads beyond its rate the weight store takes in one
 // window, less one that a former holder may have begun at its end.
 const storeBurst = 2
 
-func (s *storeLoads) begin(now time.Time) {
+func (s *storeLoads) add(now time.Time) {
 	s.mu.Lock()
-	s.begun = append(s.begun, now)
+	s.startedAt = append(s.startedAt, now)
 	s.mu.Unlock()
 }
 
-// undo takes back a load that began at a time and was not ordered.
-func (s *storeLoads) undo(at time.Time) {
+// remove takes back a load that began at a time and was not ordered.
+func (s *storeLoads) remove(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := slices.IndexFunc(s.begun, at.Equal); i >= 0 {
-		s.begun = slices.Delete(s.begun, i, i+1)
+	if i := slices.IndexFunc(s.startedAt, at.Equal); i >= 0 {
+		s.startedAt = slices.Delete(s.startedAt, i, i+1)
 	}
 }
 
-// postpone counts a load that began at one time as one that begins now, or
+// recount counts a load that began at one time as one that begins now, or
 // says no when there is no room for that now.
-func (s *storeLoads) postpone(at time.Time, rate float64, now time.Time) bool {
-	s.undo(at)
-	if s.left(rate, now) <= 0 {
-		s.begin(at)
+func (s *storeLoads) recount(at time.Time, rate float64, now time.Time) bool {
+	s.remove(at)
+	if s.remaining(rate, now) <= 0 {
+		s.add(at)
 		return false
 	}
-	s.begin(now)
+	s.add(now)
 	return true
 }
--- /dev/null
+++ b/node/coordinator/backoffs_test.go
@@ -0,0 +1,43 @@
+package coordinator
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"peridotpier.example/node/coordinator/coordpb"
+)
+
+// backedOffRequest is a request of a host that upstream "u" asked for rest; 0: of another host.
+func backedOffRequest(left time.Duration) *permitRequest {
+	w := &permitRequest{upstream: "u", event: &coordpb.TurnEvent{}}
+	if left > 0 {
+		w.event.Rests = []*coordpb.UpstreamRest{{Upstream: "u", ForMs: uint32(left.Milliseconds())}}
+	}
+	return w
+}
+
+// Guards against all hosts sending at once to an upstream that turns requests away.
+func TestAnUpstreamAfterBackoffGetsOneRequestAtATimeUntilItAnswers(t *testing.T) {
+	r, now := backoffs{}, time.Now()
+	w := backedOffRequest(3 * time.Second)
+	r.record(w, now)
+	assert.Equal(t, w.hostBackoffs["u"], now.Add(3*time.Second))
+	other, next := backedOffRequest(0), backedOffRequest(0)
+	assert.Equal(t, r.wait("u"), time.Duration(0))
+	assert.Assert(t, r.recordGrant(other))
+	assert.Assert(t, r.wait("u") > 0)
+	r.recordEnd(other)
+	assert.Equal(t, r.wait("u"), time.Duration(0), "it was turned away")
+	assert.Assert(t, r.recordGrant(next))
+	r.recordAnswer(next, 1)
+	r.recordEnd(next)
+	assert.Assert(t, !r.recordGrant(backedOffRequest(0)))
+	r.record(backedOffRequest(2500*time.Millisecond), now.Add(500*time.Millisecond))
+	assert.Assert(t, !r.recordGrant(backedOffRequest(0)), "the rest that is known")
+	r.record(backedOffRequest(3*time.Second), now.Add(500*time.Millisecond))
+	assert.Assert(t, r.recordGrant(backedOffRequest(0)), "another one")
+	r.expire(now.Add(10 * time.Second))
+	assert.Equal(t, len(r), 0)
+}
--- a/node/coordinator/conns.go
+++ b/node/coordinator/conns.go
@@ -15,11 +15,11 @@
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 const (
-	// dialBound is how long a connection to another host may take to open.
-	dialBound = 500 * time.Millisecond
-	// idleConns is how many connections to one host are kept. One call at a
+	// dialTimeout is how long a connection to another host may take to open.
+	dialTimeout = 500 * time.Millisecond
+	// maxIdleConns is how many connections to one host are kept. One call at a
 	// time goes over each.
-	idleConns = 4
+	maxIdleConns = 4
 )
 
 // conns keeps connections to other hosts.
@@ -33,7 +33,7 @@
 
 // call makes one call; a connection on which one failed is not used again.
 func (c *conns) call(ctx context.Context, address string, f func(context.Context, coordpb.DRPCCoordinatorClient) error) error {
-	conn, err := c.take(ctx, address)
+	conn, err := c.get(ctx, address)
 	if err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 
 // callOnce makes one call that is answered at once, within reportCallBound.
 func callOnce[A any](ctx context.Context, c *conns, address string, f func(context.Context, coordpb.DRPCCoordinatorClient) (A, error)) (answer A, err error) {
-	ctx, cancel := context.WithTimeout(ctx, reportCallBound)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	err = c.call(ctx, address, func(ctx context.Context, peer coordpb.DRPCCoordinatorClient) (err error) {
 		answer, err = f(ctx, peer)
@@ -77,7 +77,7 @@
 	})
 }
 
-func (c *conns) take(ctx context.Context, address string) (*drpcconn.Conn, error) {
+func (c *conns) get(ctx context.Context, address string) (*drpcconn.Conn, error) {
 	c.mu.Lock()
 	for len(c.idle[address]) > 0 {
 		all := c.idle[address]
@@ -92,7 +92,7 @@
 		return conn, nil
 	}
 	c.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, dialBound)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	nc, err := c.dial(ctx, "tcp", address)
 	if err != nil {
@@ -104,15 +104,15 @@
 func (c *conns) put(address string, conn *drpcconn.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[address]) >= idleConns {
+	if len(c.idle[address]) >= maxIdleConns {
 		_ = conn.Close()
 		return
 	}
 	c.idle[address] = append(c.idle[address], conn)
 }
 
-// drop closes what is kept to a host.
-func (c *conns) drop(address string) {
+// closeIdle closes what is kept to a host.
+func (c *conns) closeIdle(address string) {
 	c.mu.Lock()
 	all := c.idle[address]
 	delete(c.idle, address)
--- a/node/coordinator/coordinator.go
+++ b/node/coordinator/coordinator.go
@@ -93,21 +93,21 @@
 
 // Coordinator acts for the whole deployment while its host holds the lease.
 type Coordinator struct {
-	cfg        Config
-	deps       Deps
-	id         uint64 // of this process, drawn
-	now        func() time.Time
-	sums       *sums
-	newest     time.Time // when an upstream was first seen last; under mu
-	demand     *demand
-	speeds     *speeds
-	turns      *turns
-	accounts   *accounts
-	quarantine *quarantine
-	stores     storeLoads
-
-	standingIn atomic.Bool // acts though it has never held the lease
-	begins     pace.Signal // given when it begins to
+	cfg              Config
+	deps             Deps
+	id               uint64 // of this process, drawn
+	now              func() time.Time
+	aggregate        *aggregate
+	newestUpstreamAt time.Time // when an upstream was first seen last; under mu
+	demand           *demand
+	speeds           *speeds
+	permits          *permits
+	accounts         *accounts
+	quarantine       *quarantine
+	storeLoads       storeLoads
+
+	actingWithoutLease atomic.Bool // acts though it has never held the lease
+	actingStarted      pace.Signal // given when it begins to
 
 	// Linked tells the address that this host's own reports go to; set before Run.
 	LinkedAddress func() string
@@ -115,38 +115,38 @@
 	// Hosts tells how many hosts the one had that acted before; set before Run.
 	FormerHostCount func() int
 
-	encodings encodings
-	lists     listSends
-	published published
-	announced chan struct{} // has a token while there is something to announce
-
-	mu        sync.Mutex
-	units     map[string]*unit             // by upstream; kept while this host acts
-	held      changes.Log[*unit]           // in which order what they hold changed
-	looked    look                         // at what the units are of
-	traits    map[string]*residency.Traits // of upstreams, by service
-	revision  uint64                       // rises when what the units hold changes
-	term      lease.Term
-	lastEpoch uint64               // that this host held
-	holds     bool                 // the lease, at the last look
-	quiet     time.Time            // until when no order is sent
-	ordered   time.Time            // the last order that may have been sent, by this host or one before it; zero: none
-	whole     bool                 // orders holds all that were sent lately
-	orders    map[string]lastOrder // by upstream
-	former    handover
-	handed    handed
+	encodings       encodings
+	listBudget      listSendBudget
+	published       published
+	announcePending chan struct{} // has a token while there is something to announce
+
+	mu             sync.Mutex
+	upstreams      map[string]*managedUpstream   // by upstream; kept while this host acts
+	holdingChanges changes.Log[*managedUpstream] // in which order what they hold changed
+	scanned        scanPosition                  // at what the units are of
+	traits         map[string]*residency.Traits  // of upstreams, by service
+	revision       uint64                        // rises when what the units hold changes
+	term           lease.Term
+	lastEpoch      uint64               // that this host held
+	heldLease      bool                 // the lease, at the last look
+	quietUntil     time.Time            // until when no order is sent
+	lastOrderAt    time.Time            // the last order that may have been sent, by this host or one before it; zero: none
+	ordersComplete bool                 // orders holds all that were sent lately
+	lastOrders     map[string]lastOrder // by upstream
+	predecessor    handover
+	sentHandover   sentHandover
 }
 
-// newestUnit is when an upstream was first seen last.
-func (c *Coordinator) newestUnit() time.Time {
+// newestUpstream is when an upstream was first seen last.
+func (c *Coordinator) newestUpstream() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.newest
+	return c.newestUpstreamAt
 }
 
-// relayPeriods is how many reports of a host there are at least in the time for which
+// minReportsPerRelayAge is how many reports of a host there are at least in the time for which
 // it goes by a relay, so that one that is lost does not send it to the store.
-const relayPeriods = 3
+const minReportsPerRelayAge = 3
 
 // New makes a Coordinator.
 func New(cfg Config, deps Deps) *Coordinator {
@@ -160,50 +160,50 @@
 		cfg.Policy = replica.DefaultPolicy
 	}
 	if cfg.AdapterLoadTime == 0 {
-		cfg.AdapterLoadTime = defaultAdapterLoad
+		cfg.AdapterLoadTime = defaultAdapterLoadTime
 	}
-	c := &Coordinator{cfg: cfg, deps: deps, id: rand.Uint64() | 1, now: deps.Now, demand: newDemand(), speeds: newSpeeds(), units: map[string]*unit{},
-		announced: make(chan struct{}, 1), traits: map[string]*residency.Traits{}, orders: map[string]lastOrder{}, stores: storeLoads{window: cfg.CeilingWindow, over: cfg.CeilingFactor}}
-	c.sums = newSums(cfg.Address, c.runsModelsAt)
-	c.sums.longest = cfg.MaxRelayAge / relayPeriods
-	c.turns, c.accounts, c.quarantine = newTurns(c), newAccounts(c), newQuarantine(c)
+	c := &Coordinator{cfg: cfg, deps: deps, id: rand.Uint64() | 1, now: deps.Now, demand: newDemand(), speeds: newSpeeds(), upstreams: map[string]*managedUpstream{},
+		announcePending: make(chan struct{}, 1), traits: map[string]*residency.Traits{}, lastOrders: map[string]lastOrder{}, storeLoads: storeLoads{window: cfg.CeilingWindow, factor: cfg.CeilingFactor}}
+	c.aggregate = newAggregate(cfg.Address, c.runsModelsAt)
+	c.aggregate.maxPeriod = cfg.MaxRelayAge / minReportsPerRelayAge
+	c.permits, c.accounts, c.quarantine = newPermits(c), newAccounts(c), newQuarantine(c)
 	return c
 }
 
-// tick is how often books and plans are looked at.
-const tick = 200 * time.Millisecond
+// runInterval is how often books and plans are looked at.
+const runInterval = 200 * time.Millisecond
 
-// planPause is how many times as long as a plan took the next one waits, so that
+// planPauseFactor is how many times as long as a plan took the next one waits, so that
 // plans of thousands of upstreams leave the processor to turns.
-const planPause = 20
+const planPauseFactor = 20
 
-// idleTick is that of a host that does not act.
-const idleTick = time.Second
+// idleInterval is that of a host that does not act.
+const idleInterval = time.Second
 
 // Run acts until ctx ends.
 func (c *Coordinator) Run(ctx context.Context) error {
 	var next time.Time // plan
-	for c.pause(ctx) {
-		c.follow()
-		c.turns.sweep()
+	for c.waitNext(ctx) {
+		c.refresh()
+		c.permits.maintain()
 		began := time.Now()
 		if c.mayOrder(0) != nil || began.Before(next) {
 			continue
 		}
-		c.plan(ctx)
+		c.planMoves(ctx)
 		now := time.Now()
-		next = now.Add(planPause * now.Sub(began))
+		next = now.Add(planPauseFactor * now.Sub(began))
 	}
 	return ctx.Err()
 }
 
-// pause waits for the next look; it says no when ctx ends.
-func (c *Coordinator) pause(ctx context.Context) bool {
-	taken, acts := c.deps.Lease.Acquired(), c.begins.Next()
+// waitNext waits for the next look; it says no when ctx ends.
+func (c *Coordinator) waitNext(ctx context.Context) bool {
+	taken, acts := c.deps.Lease.Acquired(), c.actingStarted.Next()
 	if c.Acting() {
-		return pace.Sleep(ctx, tick)
+		return pace.Sleep(ctx, runInterval)
 	}
-	timer := time.NewTimer(idleTick)
+	timer := time.NewTimer(idleInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -215,8 +215,8 @@
 	return ctx.Err() == nil
 }
 
-// linked is the address of the host that holds the lease; "": not known.
-func (c *Coordinator) linked() string {
+// linkedAddress is the address of the host that holds the lease; "": not known.
+func (c *Coordinator) linkedAddress() string {
 	if c.LinkedAddress == nil {
 		return ""
 	}
@@ -235,84 +235,84 @@
 // more authority than that hosts ask, and without it they would all decide by
 // themselves and look for the store at once. Orders need the lease.
 func (c *Coordinator) Acting() bool {
-	return c.HoldsLease() || c.deps.Lease.Lapsed() || c.standingIn.Load()
+	return c.HoldsLease() || c.deps.Lease.Lapsed() || c.actingWithoutLease.Load()
 }
 
-// standIn has this host act without ever having held the lease, until standBack.
-func (c *Coordinator) standIn() {
-	if c.standingIn.Swap(true) {
+// startActing has this host act without ever having held the lease, until standBack.
+func (c *Coordinator) startActing() {
+	if c.actingWithoutLease.Swap(true) {
 		return
 	}
-	c.begins.Notify()
-	c.beginCounts(c.now())
+	c.actingStarted.Notify()
+	c.resetCounts(c.now())
 	c.deps.Log.Emit(event.StandingIn, zap.Duration("store_age", c.deps.Feed.StoreAge()))
 }
 
-// beginCounts forgets what this host counted when it acted before: others have
+// resetCounts forgets what this host counted when it acted before: others have
 // counted since, for as many hosts as they told.
-func (c *Coordinator) beginCounts(now time.Time) {
-	c.accounts.begin()
-	c.quarantine.begin()
-	c.turns.begin()
+func (c *Coordinator) resetCounts(now time.Time) {
+	c.accounts.reset()
+	c.quarantine.reset()
+	c.permits.reset()
 	if c.FormerHostCount != nil {
-		c.sums.expect(c.FormerHostCount(), now)
+		c.aggregate.expectHosts(c.FormerHostCount(), now)
 	}
 }
 
-// standBack ends that.
-func (c *Coordinator) standBack() { c.standingIn.Store(false) }
+// stopActing ends that.
+func (c *Coordinator) stopActing() { c.actingWithoutLease.Store(false) }
 
-// follow notices a new term and, while this host acts, brings the accounts of
+// refresh notices a new term and, while this host acts, brings the accounts of
 // upstreams up to date with what they say of themselves.
-func (c *Coordinator) follow() {
+func (c *Coordinator) refresh() {
 	now := c.now()
 	term, held := c.deps.Lease.Term()
 	acts := held || c.Acting()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if held && (!c.holds || term.Epoch != c.term.Epoch) {
-		c.beginLocked(term, now)
+	if held && (!c.heldLease || term.Epoch != c.term.Epoch) {
+		c.beginTermLocked(term, now)
 	}
-	c.holds, c.term = held, term
+	c.heldLease, c.term = held, term
 	if held {
 		c.lastEpoch = term.Epoch
 	}
-	maps.DeleteFunc(c.orders, func(_ string, o lastOrder) bool { return now.Sub(o.at) > c.cfg.QuietPeriod })
+	maps.DeleteFunc(c.lastOrders, func(_ string, o lastOrder) bool { return now.Sub(o.at) > c.cfg.QuietPeriod })
 	if acts {
-		c.bookLocked(now)
+		c.refreshUpstreamsLocked(now)
 	}
 }
 
-// look is up to where the upstreams were looked at.
-type look struct {
+// scanPosition is up to where the upstreams were looked at.
+type scanPosition struct {
 	config     *deploy.Config
 	membership uint64 // of the fleet
 	state      uint64 // of its list
 }
 
-// bookLocked opens and closes accounts as upstreams come and go, and enters what
+// refreshUpstreamsLocked opens and closes accounts as upstreams come and go, and enters what
 // their descriptions say. Most looks find a few new descriptions.
-func (c *Coordinator) bookLocked(now time.Time) {
+func (c *Coordinator) refreshUpstreamsLocked(now time.Time) {
 	table := c.deps.Config.Current()
 	if table == nil {
 		return
 	}
-	next := look{table.Config, c.deps.Fleet.MembershipVersion(), c.looked.state}
+	next := scanPosition{table.Config, c.deps.Fleet.MembershipVersion(), c.scanned.state}
 	var described []*fleet.Entry
-	described, next.state = c.deps.Fleet.DescribedSince(c.looked.state)
-	if c.looked.config != next.config || c.looked.membership != next.membership {
-		c.bookAllLocked(table, now)
+	described, next.state = c.deps.Fleet.DescribedSince(c.scanned.state)
+	if c.scanned.config != next.config || c.scanned.membership != next.membership {
+		c.rebuildUpstreamsLocked(table, now)
 	} else {
 		for _, e := range described {
-			if u := c.units[e.ID()]; u != nil && u.entry == e && u.describe(now) {
-				c.changedLocked(u)
+			if u := c.upstreams[e.ID()]; u != nil && u.entry == e && u.describe(now) {
+				c.publishChangeLocked(u)
 			}
 		}
 	}
-	c.looked = next
+	c.scanned = next
 }
 
-func (c *Coordinator) bookAllLocked(table *deploy.Table, now time.Time) {
+func (c *Coordinator) rebuildUpstreamsLocked(table *deploy.Table, now time.Time) {
 	seen := map[string]bool{}
 	for _, e := range c.deps.Fleet.All() {
 		s, ok := table.Service(e.Service())
@@ -320,35 +320,35 @@
 			continue
 		}
 		seen[e.ID()] = true
-		u := c.units[e.ID()]
+		u := c.upstreams[e.ID()]
 		if u == nil || u.entry != e {
-			c.openLocked(e, s, u, now)
+			c.addUpstreamLocked(e, s, u, now)
 			continue
 		}
 		if u.describe(now) {
-			c.changedLocked(u)
+			c.publishChangeLocked(u)
 		}
 	}
-	for id, u := range c.units {
+	for id, u := range c.upstreams {
 		if !seen[id] {
-			delete(c.units, id)
-			c.held.Forget(u)
+			delete(c.upstreams, id)
+			c.holdingChanges.Forget(u)
 		}
 	}
 }
 
-// openLocked opens the account of an upstream's process; former is that of the
+// addUpstreamLocked opens the account of an upstream's process; former is that of the
 // process before, or nil.
-func (c *Coordinator) openLocked(e *fleet.Entry, s *deploy.Service, former *unit, now time.Time) {
-	u := newUnit(c, e, s.Engine, now)
-	u.book.ShareTraits(c.traitsLocked(s.Name))
+func (c *Coordinator) addUpstreamLocked(e *fleet.Entry, s *deploy.Service, former *managedUpstream, now time.Time) {
+	u := newManagedUpstream(c, e, s.Engine, now)
+	u.record.ShareTraits(c.traitsLocked(s.Name))
 	if former != nil { // the upstream has started again under its ID
-		u.book.InheritUnconfirmed(former.doubts(now))
-		c.held.Forget(former)
+		u.record.InheritUnconfirmed(former.unconfirmedOrders(now))
+		c.holdingChanges.Forget(former)
 	}
-	c.units[e.ID()] = u
-	c.newest = now
-	c.changedLocked(u)
+	c.upstreams[e.ID()] = u
+	c.newestUpstreamAt = now
+	c.publishChangeLocked(u)
 }
 
 // traitsLocked is what was learnt of a service's upstreams. It outlives terms.
@@ -361,38 +361,38 @@
 	return t
 }
 
-// changed tells the hosts, with their next reports, what an upstream holds now,
+// publishChange tells the hosts, with their next reports, what an upstream holds now,
 // if that is not what they were told last: an upstream's report, asked for
 // several times during each move, mostly shows what is known.
-func (c *Coordinator) changed(u *unit) {
+func (c *Coordinator) publishChange(u *managedUpstream) {
 	c.mu.Lock()
-	c.changedLocked(u)
+	c.publishChangeLocked(u)
 	c.mu.Unlock()
 }
 
-// changedLocked sets both numbers under one lock: a report that is answered
+// publishChangeLocked sets both numbers under one lock: a report that is answered
 // with the new one must find the unit's change.
-func (c *Coordinator) changedLocked(u *unit) {
-	if !u.news() && u.revision.Load() > 0 {
+func (c *Coordinator) publishChangeLocked(u *managedUpstream) {
+	if !u.updatePublished() && u.revision.Load() > 0 {
 		return
 	}
 	c.revision++
 	u.revision.Store(c.revision)
-	c.held.Record(u, c.revision)
+	c.holdingChanges.Record(u, c.revision)
 }
 
-func (c *Coordinator) unit(id string) (*unit, bool) {
+func (c *Coordinator) upstream(id string) (*managedUpstream, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	u, ok := c.units[id]
+	u, ok := c.upstreams[id]
 	return u, ok
 }
 
-func (c *Coordinator) allUnits() []*unit {
+func (c *Coordinator) allUpstreams() []*managedUpstream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := make([]*unit, 0, len(c.units))
-	for _, u := range c.units {
+	out := make([]*managedUpstream, 0, len(c.upstreams))
+	for _, u := range c.upstreams {
 		out = append(out, u)
 	}
 	return out
--- /dev/null
+++ b/node/coordinator/demandhandover.go
@@ -0,0 +1,66 @@
+package coordinator
+
+import (
+	"math"
+	"time"
+
+	"peridotpier.example/node/coordinator/coordpb"
+)
+
+// snapshot writes the demand for a successor. Without it models are moved for those
+// alone who wait, until the demand was heard for demandKnown.
+func (d *demand) snapshot(now time.Time) (all []*coordpb.HeldDemand, heard time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for k, w := range d.models {
+		if now.Sub(w.lastAt) > demandExpiry {
+			continue
+		}
+		w.decay(now)
+		h := &coordpb.HeldDemand{Service: k.service, Model: k.model, EngineMs: uint32(w.engineSeconds * 1000),
+			FirstMs: uint32(min(now.Sub(w.firstAt), time.Hour).Milliseconds()), LastMs: uint32(now.Sub(w.lastAt).Milliseconds()),
+			PatienceMs: uint32(w.minObjective.Milliseconds())}
+		if now.Sub(w.unservedAt) < unservedFor {
+			h.UnservedMs = uint32(now.Sub(w.unservedAt).Milliseconds()) + 1
+		}
+		all = append(all, h)
+	}
+	if !d.reportedSince.IsZero() && now.Sub(d.lastReportAt) <= reportFresh {
+		heard = min(now.Sub(d.reportedSince), time.Hour)
+	}
+	return all, heard
+}
+
+// inherit adds what a former holder told at a time to what was reported here since.
+func (d *demand) inherit(all []*coordpb.HeldDemand, heard time.Duration, at, now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, h := range all {
+		own := d.modelLocked(modelKey{h.Service, h.Model}, now)
+		own.decay(now)
+		own.engineSeconds += float64(h.EngineMs) / 1000 * math.Exp(-now.Sub(at).Seconds()/demandDecay.Seconds())
+		own.firstAt = earlier(own.firstAt, at.Add(-milliseconds(h.FirstMs)))
+		own.lastAt = later(own.lastAt, at.Add(-milliseconds(h.LastMs)))
+		own.minObjective = min(own.minObjective, milliseconds(h.PatienceMs))
+		if h.UnservedMs > 0 {
+			own.unservedAt = later(own.unservedAt, at.Add(-milliseconds(h.UnservedMs)))
+		}
+	}
+	if heard > 0 && now.Sub(at) <= reportFresh {
+		d.reportedSince, d.lastReportAt = at.Add(-heard), now
+	}
+}
+
+func earlier(a, b time.Time) time.Time {
+	if a.Before(b) {
+		return a
+	}
+	return b
+}
+
+func later(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
+	}
+	return b
+}
--- a/node/coordinator/lead.go
+++ b/node/coordinator/elector.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// lookEach is how often a host looks whether it is linked or holds the lease.
-	lookEach = 100 * time.Millisecond
-	// findEach is how often a host that is linked to one without the lease asks
+	// pollInterval is how often a host looks whether it is linked or holds the lease.
+	pollInterval = 100 * time.Millisecond
+	// searchInterval is how often a host that is linked to one without the lease asks
 	// the others whether somebody has taken it: the store may turn just these
 	// two away.
-	findEach = time.Second
-	// tryEach is the least time between two tries to reach the holder that the
+	searchInterval = time.Second
+	// minTryInterval is the least time between two tries to reach the holder that the
 	// lease names.
-	tryEach = 300 * time.Millisecond
+	minTryInterval = 300 * time.Millisecond
 )
 
 // Elector sees to it that some host holds the lease and that this one is linked
@@ -31,20 +31,20 @@
 	// StoreAnswers says whether the store answered this host lately.
 	StoreReachable func() bool
 
-	yielded time.Time // when this host last gave the lease up for another
+	yieldedAt time.Time // when this host last gave the lease up for another
 }
 
 // Run works until ctx ends.
 func (d *Elector) Run(ctx context.Context) error {
 	var asked time.Time
 	for ctx.Err() == nil {
-		moved := d.Link.moved.Next()
+		moved := d.Link.linkChanged.Next()
 		if d.Link.Linked() {
-			if d.Link.LinkedWithoutLease() && time.Since(asked) > findEach {
+			if d.Link.LinkedWithoutLease() && time.Since(asked) > searchInterval {
 				asked = time.Now()
 				d.Link.FindCoordinator(ctx)
 			}
-			pace.SleepOrWake(ctx, d.look(), moved)
+			pace.SleepOrWake(ctx, d.idleWait(), moved)
 			continue
 		}
 		if d.Link.Candidate() || d.standBy(ctx) {
@@ -54,27 +54,27 @@
 	return ctx.Err()
 }
 
-// look is how long a linked host waits for a sign that it is not any more.
-func (d *Elector) look() time.Duration {
-	if d.Link.linkedTo() == "" { // it acts itself, without a lease
-		return lookEach
+// idleWait is how long a linked host waits for a sign that it is not any more.
+func (d *Elector) idleWait() time.Duration {
+	if d.Link.linkedAddress() == "" { // it acts itself, without a lease
+		return pollInterval
 	}
-	return idleTick
+	return idleInterval
 }
 
 const (
-	// findFor is how long a host that should not run for the lease asks others who
+	// maxSearchTime is how long a host that should not run for the lease asks others who
 	// holds it, before it runs all the same: those that should may all be gone.
-	findFor = 3 * time.Second
-	// findAmple is the same for one that has enough to spare to act for all: the few
+	maxSearchTime = 3 * time.Second
+	// maxSearchTimeSpare is the same for one that has enough to spare to act for all: the few
 	// that each host knows at its start may have too little.
-	findAmple = 600 * time.Millisecond
+	maxSearchTimeSpare = 600 * time.Millisecond
 	// yieldAfter is how long a host with too little to spare holds the lease before it
 	// gives it up for one that has enough: its hosts have found it by then.
 	yieldAfter = 5 * time.Second
-	// yieldEach is the least time between two times that it does so: the others may
+	// minYieldInterval is the least time between two times that it does so: the others may
 	// be those that the store turns away.
-	yieldEach = time.Minute
+	minYieldInterval = time.Minute
 )
 
 // standBy asks others who holds the lease until this host is linked, and says
@@ -87,39 +87,39 @@
 // and at its return the first to write would, however little it has to spare.
 func (d *Elector) standBy(ctx context.Context) bool {
 	answered := time.Now()
-	for pace.Sleep(ctx, pace.DefaultRand().Jitter(tryEach, reportJitter)) {
+	for pace.Sleep(ctx, pace.DefaultRand().Jitter(minTryInterval, reportJitter)) {
 		if d.Link.Linked() || d.Link.FindCoordinator(ctx) {
 			return false
 		}
-		if d.Link.named() {
+		if d.Link.takeNamedSelf() {
 			return true
 		}
 		if !d.StoreReachable() {
 			answered = time.Now()
 		}
-		if time.Since(answered) > d.patience() {
+		if time.Since(answered) > d.searchTime() {
 			return true
 		}
 	}
 	return false
 }
 
-func (d *Elector) patience() time.Duration {
+func (d *Elector) searchTime() time.Duration {
 	if d.Link.HasSpareCapacity() {
-		return findAmple
+		return maxSearchTimeSpare
 	}
-	return findFor
+	return maxSearchTime
 }
 
-// foundWithin waits for a time and says whether this host was linked meanwhile, or ctx
+// linkedWithin waits for a time and says whether this host was linked meanwhile, or ctx
 // has ended. One that waits for long looks who has taken the lease: the others ask it.
-func (d *Elector) foundWithin(ctx context.Context, wait time.Duration) bool {
+func (d *Elector) linkedWithin(ctx context.Context, wait time.Duration) bool {
 	until := time.Now().Add(wait)
-	for left := wait; left > tryEach; left = time.Until(until) {
+	for left := wait; left > minTryInterval; left = time.Until(until) {
 		if d.Lease.Refresh(ctx) == nil && d.Link.TryLink(ctx, addressOf(d.Lease.LastObserved().Holder)) {
 			return true
 		}
-		if !pace.Sleep(ctx, min(left, tryEach)) {
+		if !pace.Sleep(ctx, min(left, minTryInterval)) {
 			return true
 		}
 	}
@@ -129,7 +129,7 @@
 // campaign runs for the lease until this host has held and lost it, or is
 // linked to the host that holds it.
 func (d *Elector) campaign(ctx context.Context) {
-	if d.CampaignDelay != nil && d.foundWithin(ctx, pace.DefaultRand().Jitter(d.CampaignDelay(), 1)) {
+	if d.CampaignDelay != nil && d.linkedWithin(ctx, pace.DefaultRand().Jitter(d.CampaignDelay(), 1)) {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -138,25 +138,25 @@
 		defer close(done)
 		_ = d.Lease.Run(ctx) // ends with ctx only
 	}()
-	d.search(ctx)
+	d.awaitCoordinator(ctx)
 	cancel()
 	<-done // hands the lease over if it is held
 }
 
-// search returns when this host is linked to another, when the store is away
+// awaitCoordinator returns when this host is linked to another, when the store is away
 // and this host should not be first at its return, or when ctx ends. While this
 // host holds the lease itself it goes on, unless it has too little to spare and
 // another has enough.
-func (d *Elector) search(ctx context.Context) {
-	defer d.Link.own.standBack()
+func (d *Elector) awaitCoordinator(ctx context.Context) {
+	defer d.Link.own.stopActing()
 	var tried, held time.Time
-	for pace.Sleep(ctx, lookEach) {
+	for pace.Sleep(ctx, pollInterval) {
 		if d.Link.own.HoldsLease() {
 			if held.IsZero() {
 				held = time.Now()
 			}
-			if time.Since(held) > yieldAfter && time.Since(d.yielded) > yieldEach && d.Link.outranked() {
-				d.yielded = time.Now()
+			if time.Since(held) > yieldAfter && time.Since(d.yieldedAt) > minYieldInterval && d.Link.shouldYield() {
+				d.yieldedAt = time.Now()
 				return
 			}
 			continue
@@ -165,26 +165,26 @@
 		if !d.Link.Candidate() && !d.StoreReachable() && !d.Link.own.Acting() {
 			return
 		}
-		if time.Since(tried) < tryEach {
+		if time.Since(tried) < minTryInterval {
 			continue
 		}
 		tried = time.Now()
 		if d.Link.TryLink(ctx, addressOf(d.Lease.LastObserved().Holder)) || d.Link.FindCoordinator(ctx) {
 			return
 		}
-		d.standIn(ctx)
+		d.updateActing(ctx)
 	}
 }
 
-// standIn has this host act without the lease while nobody can take it, if it is
+// updateActing has this host act without the lease while nobody can take it, if it is
 // the one to do so. Without anybody who acts each host would decide by itself,
 // and what an upstream takes from all, or a team may ask of all, would be shared
 // out blindly.
-func (d *Elector) standIn(ctx context.Context) {
+func (d *Elector) updateActing(ctx context.Context) {
 	switch own := d.Link.own; {
 	case d.StoreReachable():
-		own.standBack()
-	case !own.Acting() && d.Link.comesFirst(ctx):
-		own.standIn()
+		own.stopActing()
+	case !own.Acting() && d.Link.isFirstDeputy(ctx):
+		own.startActing()
 	}
 }
--- a/node/coordinator/lead_test.go
+++ b/node/coordinator/elector_test.go
@@ -38,7 +38,7 @@
 // first to write at its return takes it: one that has too little to keep it.
 // Cause: the time in which nobody can take the lease counts as time in which
 // those with more to spare did not.
-func TestAHostThatShouldNotLeadStandsByWhileTheStoreIsAway(t *testing.T) {
+func TestANonCandidateStandsByWhileTheStoreIsUnavailable(t *testing.T) {
 	t.Parallel()
 	log := event.NewLog(nil)
 	table := &countedTable{}
@@ -55,12 +55,12 @@
 		defer close(done)
 		_ = lead.Run(ctx)
 	}()
-	time.Sleep(findFor + time.Second)
+	time.Sleep(maxSearchTime + time.Second)
 	assert.Equal(t, table.asked.Load(), int32(0), "the store is away")
 	answers.Store(true)
-	time.Sleep(findFor / 2)
+	time.Sleep(maxSearchTime / 2)
 	assert.Equal(t, table.asked.Load(), int32(0), "those with more to spare come first")
-	time.Sleep(findFor)
+	time.Sleep(maxSearchTime)
 	assert.Assert(t, table.asked.Load() > 0, "they may all be gone")
 	answers.Store(false)
 	time.Sleep(time.Second)
@@ -71,8 +71,8 @@
 	<-done
 }
 
-// leading is a host that runs for the lease beside others that cannot be reached.
-func leading(ample bool, table store.Table) (*Elector, *Coordinator) {
+// newTestElector is a host that runs for the lease beside others that cannot be reached.
+func newTestElector(ample bool, table store.Table) (*Elector, *Coordinator) {
 	log := event.NewLog(nil)
 	l := lease.New(lease.Config{Name: "l", Policy: leasing.Policy{TTL: 1500 * time.Millisecond, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}}, lease.Deps{Table: table})
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
@@ -84,16 +84,16 @@
 
 // Guards against a large fleet led by whichever host the others are told at their
 // start, however little it has to spare.
-func TestAHostWithMuchToSpareDoesNotWaitForThoseThatAllKnow(t *testing.T) {
+func TestAHostWithSpareCapacityDoesNotWaitForTheSeeds(t *testing.T) {
 	for _, ample := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			lead, own := leading(ample, standin.NewTable())
+			lead, own := newTestElector(ample, standin.NewTable())
 			ctx, cancel := context.WithCancel(t.Context())
 			var wg sync.WaitGroup
 			wg.Go(func() { _ = lead.Run(ctx) })
-			time.Sleep(2 * findAmple)
+			time.Sleep(2 * maxSearchTimeSpare)
 			assert.Equal(t, own.HoldsLease(), ample)
-			time.Sleep(2 * findFor)
+			time.Sleep(2 * maxSearchTime)
 			assert.Assert(t, own.HoldsLease(), "there may be no other")
 			cancel()
 			wg.Wait()
@@ -103,18 +103,18 @@
 
 // Guards against a fleet that stays with a host that cannot bear it once one that can
 // is there; and against the lease going to and fro where the store turns that one away.
-func TestAHolderWithLittleToSpareYieldsOnceToOneWithMuch(t *testing.T) {
+func TestAHolderWithoutSpareCapacityYieldsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		lead, own := leading(false, standin.NewTable())
+		lead, own := newTestElector(false, standin.NewTable())
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		wg.Go(func() { _ = lead.Run(ctx) })
-		time.Sleep(2 * findFor)
+		time.Sleep(2 * maxSearchTime)
 		assert.Assert(t, own.HoldsLease())
 		lost := 0
 		held := true
 		for range 300 {
-			own.sums.take(&coordpb.HostReport{Host: "large", Address: "large", Ample: true}, time.Now())
+			own.aggregate.record(&coordpb.HostReport{Host: "large", Address: "large", Ample: true}, time.Now())
 			time.Sleep(100 * time.Millisecond)
 			if now := own.HoldsLease(); now != held {
 				held = now
@@ -132,7 +132,7 @@
 
 // Guards against a fleet that finds its holder only once the hosts that all others ask
 // have run for the lease themselves, last of all since they have little to spare.
-func TestAHostThatWaitsToRunLooksWhoHasTheLease(t *testing.T) {
+func TestAHostThatWaitsToCampaignChecksTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := standin.NewTable()
 		other := lease.New(lease.Config{Name: "l", Holder: HolderName("large", "large:1", "p")}, lease.Deps{Table: table})
@@ -140,7 +140,7 @@
 		var wg sync.WaitGroup
 		wg.Go(func() { _ = other.Run(ctx) })
 		time.Sleep(100 * time.Millisecond)
-		lead, own := leading(false, table)
+		lead, own := newTestElector(false, table)
 		lead.Link.cfg.Seeds = []string{"me"}
 		lead.CampaignDelay = func() time.Duration { return 10 * time.Second }
 		wg.Go(func() { _ = lead.Run(ctx) })
--- a/node/coordinator/encodings.go
+++ b/node/coordinator/encodings.go
@@ -17,59 +17,59 @@
 // host within a fraction of a second: while models were moved, up to 14,000
 // upstreams a second were encoded for 195 hosts.
 type encodings struct {
-	mu     sync.Mutex
-	of     *deploy.Config // that plain and packed are of
-	plain  []byte
-	packed []byte
-	listed map[string]encodedUpstream // by upstream
-	all    wholeList
-	brief  wholeList // without copies
+	mu           sync.Mutex
+	configOf     *deploy.Config // that plain and packed are of
+	configJSON   []byte
+	configPacked []byte
+	upstreamJSON map[string]encodedUpstream // by upstream
+	fullList     packedList
+	compactList  packedList // without copies
 }
 
-// wholeList is the list at one state, packed.
-type wholeList struct {
-	to     uint64 // state
-	at     uint64 // the store's version that it is of
-	packed []byte
-	made   time.Time
+// packedList is the list at one state, packed.
+type packedList struct {
+	state        uint64 // state
+	storeVersion uint64 // the store's version that it is of
+	data         []byte
+	packedAt     time.Time
 }
 
-// wholeFor is how long a packed list is handed out. All hosts that start together
+// packedListMaxAge is how long a packed list is handed out. All hosts that start together
 // ask for it within this time, while it changes many times; what is newer goes to
 // each with its next report. With 3,000 upstreams the list takes 1.2 MB of text for
 // each of 299 hosts.
-const wholeFor = 500 * time.Millisecond
+const packedListMaxAge = 500 * time.Millisecond
 
-// whole returns the list, packed, brief or not; it is read anew when that is too old.
+// packedList returns the list, packed, brief or not; it is read anew when that is too old.
 // at is the store's version that it is of then, at least.
-func (e *encodings) whole(now time.Time, at uint64, brief bool, f *fleet.Fleet) (wholeList, error) {
+func (e *encodings) packedList(now time.Time, at uint64, brief bool, f *fleet.Fleet) (packedList, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	kept := &e.all
+	kept := &e.fullList
 	if brief {
-		kept = &e.brief
+		kept = &e.compactList
 	}
-	if kept.at > 0 && now.Sub(kept.made) < wholeFor {
+	if kept.storeVersion > 0 && now.Sub(kept.packedAt) < packedListMaxAge {
 		return *kept, nil
 	}
-	next, err := packWhole(f, brief, now)
+	next, err := packFullList(f, brief, now)
 	if err != nil {
-		return wholeList{}, err
+		return packedList{}, err
 	}
-	next.at = at
+	next.storeVersion = at
 	*kept = next
 	return next, nil
 }
 
-// packWhole packs the list as it is now; the store's version is for its caller to say.
-func packWhole(f *fleet.Fleet, brief bool, now time.Time) (wholeList, error) {
+// packFullList packs the list as it is now; the store's version is for its caller to say.
+func packFullList(f *fleet.Fleet, brief bool, now time.Time) (packedList, error) {
 	all := f.ChangesSince(0, brief)
-	packed, err := packList(plainOf(all.Put, brief))
-	return wholeList{to: all.Revision, packed: packed, made: now}, err
+	packed, err := packList(listedUpstreams(all.Put, brief))
+	return packedList{state: all.Revision, data: packed, packedAt: now}, err
 }
 
-// plainOf are upstreams as they are told; brief leaves out which copies they have.
-func plainOf(put []fleet.Listed, brief bool) []deploy.Upstream {
+// listedUpstreams are upstreams as they are told; brief leaves out which copies they have.
+func listedUpstreams(put []fleet.Listed, brief bool) []deploy.Upstream {
 	out := make([]deploy.Upstream, len(put))
 	for i := range put {
 		out[i] = put[i].Upstream
@@ -91,7 +91,7 @@
 }
 
 type encodedUpstream struct {
-	since uint64 // state of the list
+	state uint64 // state of the list
 	data  []byte
 }
 
@@ -101,8 +101,8 @@
 func (e *encodings) config(cfg *deploy.Config) (plain, packed []byte, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.of == cfg {
-		return e.plain, e.packed, nil
+	if e.configOf == cfg {
+		return e.configJSON, e.configPacked, nil
 	}
 	if plain, err = json.Marshal(cfg); err != nil {
 		return nil, nil, eris.Wrap(err, "encode configuration")
@@ -110,7 +110,7 @@
 	if packed, err = revision.Compress(plain); err != nil {
 		return nil, nil, eris.Wrap(err, "pack configuration")
 	}
-	e.of, e.plain, e.packed = cfg, plain, packed
+	e.configOf, e.configJSON, e.configPacked = cfg, plain, packed
 	return plain, packed, nil
 }
 
@@ -121,27 +121,27 @@
 	out := make([][]byte, len(all))
 	for i := range all {
 		l := &all[i]
-		known, ok := e.listed[l.ID]
-		if !ok || known.since != l.Revision {
+		known, ok := e.upstreamJSON[l.ID]
+		if !ok || known.state != l.Revision {
 			data, err := json.Marshal(l.Upstream)
 			if err != nil {
 				return nil, eris.Wrapf(err, "encode upstream %s", l.ID)
 			}
 			known = encodedUpstream{l.Revision, data}
-			e.keep(l.ID, known)
+			e.store(l.ID, known)
 		}
 		out[i] = known.data
 	}
 	return out, nil
 }
 
-// encodedMost is how many encodings are kept: more than upstreams are listed at
+// maxEncoded is how many encodings are kept: more than upstreams are listed at
 // a time. Beyond it those of upstreams that are gone are dropped with the rest.
-const encodedMost = 4096
+const maxEncoded = 4096
 
-func (e *encodings) keep(upstream string, u encodedUpstream) {
-	if e.listed == nil || len(e.listed) >= encodedMost {
-		e.listed = map[string]encodedUpstream{}
+func (e *encodings) store(upstream string, u encodedUpstream) {
+	if e.upstreamJSON == nil || len(e.upstreamJSON) >= maxEncoded {
+		e.upstreamJSON = map[string]encodedUpstream{}
 	}
-	e.listed[upstream] = u
+	e.upstreamJSON[upstream] = u
 }
--- a/node/coordinator/find.go
+++ b/node/coordinator/find.go
@@ -25,15 +25,15 @@
 // first. The others would only cost the store calls.
 func (l *Link) Candidate() bool { return slices.Contains(l.peers(), l.cfg.Address) }
 
-// outranked says whether this host has too little to spare to act for all, and one
+// shouldYield says whether this host has too little to spare to act for all, and one
 // that reports to it has enough.
-func (l *Link) outranked() bool {
-	return !l.HasSpareCapacity() && l.own.sums.anyAmple(l.own.now())
+func (l *Link) shouldYield() bool {
+	return !l.HasSpareCapacity() && l.own.aggregate.anyOtherWithSpareCapacity(l.own.now())
 }
 
-// comesFirst says whether this host is the first of the deputies that the last
+// isFirstDeputy says whether this host is the first of the deputies that the last
 // holder named which answers.
-func (l *Link) comesFirst(ctx context.Context) bool {
+func (l *Link) isFirstDeputy(ctx context.Context) bool {
 	l.mu.Lock()
 	deputies := l.deputies
 	l.mu.Unlock()
@@ -64,7 +64,7 @@
 		return false
 	}
 	l.mu.Lock()
-	l.ownName = a.Coordinator == l.cfg.Address
+	l.namedSelf = a.Coordinator == l.cfg.Address
 	l.mu.Unlock()
 	return l.TryLink(ctx, a.Coordinator)
 }
@@ -76,13 +76,13 @@
 	}
 }
 
-// named says whether the host that was asked last took this one for the holder
+// takeNamedSelf says whether the host that was asked last took this one for the holder
 // of the lease. It says so once for each time it was told.
-func (l *Link) named() bool {
+func (l *Link) takeNamedSelf() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	own := l.ownName
-	l.ownName = false
+	own := l.namedSelf
+	l.namedSelf = false
 	return own
 }
 
@@ -106,7 +106,7 @@
 	if len(a.Config) == 0 || json.Unmarshal(a.Config, &cfg) != nil {
 		return false
 	}
-	all, err := decode(a.Upstreams)
+	all, err := decodeEach(a.Upstreams)
 	if err != nil {
 		return false
 	}
--- a/node/coordinator/fleetplay_test.go
+++ b/node/coordinator/fleetsim_test.go
@@ -73,63 +73,63 @@
 	}
 }
 
-// door is one host's way to the store, which may turn just that host away.
-type door struct {
+// storeGate is one host's way to the store, which may turn just that host away.
+type storeGate struct {
 	store.Table
-	shut  atomic.Bool
-	calls atomic.Int64 // for changes and lists
-	since time.Time
-	list  []deploy.Upstream
-	slow  bool // the list has several parts, which take long
+	unavailable atomic.Bool
+	calls       atomic.Int64 // for changes and lists
+	since       time.Time
+	list        []deploy.Upstream
+	slow        bool // the list has several parts, which take long
 }
 
-func (d *door) Commit(ctx context.Context, t store.Txn) (uint64, error) {
-	if d.shut.Load() {
+func (d *storeGate) Commit(ctx context.Context, t store.Txn) (uint64, error) {
+	if d.unavailable.Load() {
 		return 0, store.ErrUnavailable
 	}
 	return d.Table.Commit(ctx, t)
 }
 
-func (d *door) Get(ctx context.Context, keys ...string) ([]store.Row, error) {
-	if d.shut.Load() {
+func (d *storeGate) Get(ctx context.Context, keys ...string) ([]store.Row, error) {
+	if d.unavailable.Load() {
 		return nil, store.ErrUnavailable
 	}
 	return d.Table.Get(ctx, keys...)
 }
 
-// changeEach is how often the list changes: upstreams tell what they hold.
-const changeEach = 100 * time.Millisecond
+// changeInterval is how often the list changes: upstreams tell what they hold.
+const changeInterval = 100 * time.Millisecond
 
-func (d *door) ask(ctx context.Context, after uint64, wait time.Duration) (at uint64, err error) {
+func (d *storeGate) poll(ctx context.Context, after uint64, wait time.Duration) (at uint64, err error) {
 	d.calls.Add(1)
 	for until := time.Now().Add(wait); ; {
-		if d.shut.Load() {
+		if d.unavailable.Load() {
 			return 0, store.ErrUnavailable
 		}
-		at = 1 + uint64(time.Since(d.since)/changeEach)
+		at = 1 + uint64(time.Since(d.since)/changeInterval)
 		if at > after || !time.Now().Before(until) {
 			return at, nil
 		}
 		select {
 		case <-ctx.Done():
 			return 0, ctx.Err()
-		case <-time.After(changeEach / 10):
+		case <-time.After(changeInterval / 10):
 		}
 	}
 }
 
-func (d *door) ReadConfig(ctx context.Context) (*deploy.Config, uint64, error) {
-	at, err := d.ask(ctx, 0, 0)
+func (d *storeGate) ReadConfig(ctx context.Context) (*deploy.Config, uint64, error) {
+	at, err := d.poll(ctx, 0, 0)
 	return &deploy.Config{Version: 1}, at, err
 }
 
-func (d *door) WaitConfig(ctx context.Context, _ uint64, wait time.Duration) (*deploy.Config, uint64, error) {
-	at, err := d.ask(ctx, 1<<62, wait) // it never changes
+func (d *storeGate) WaitConfig(ctx context.Context, _ uint64, wait time.Duration) (*deploy.Config, uint64, error) {
+	at, err := d.poll(ctx, 1<<62, wait) // it never changes
 	return nil, at, err
 }
 
-func (d *door) ReadUpstreams(ctx context.Context, more func() error) (follow.UpstreamUpdate, uint64, error) {
-	at, err := d.ask(ctx, 0, 0)
+func (d *storeGate) ReadUpstreams(ctx context.Context, more func() error) (follow.UpstreamUpdate, uint64, error) {
+	at, err := d.poll(ctx, 0, 0)
 	if d.slow {
 		if err := more(); err != nil {
 			return follow.UpstreamUpdate{}, 0, err
@@ -143,8 +143,8 @@
 	return follow.UpstreamUpdate{Put: d.list}, at, err
 }
 
-func (d *door) WaitUpstreams(ctx context.Context, after uint64, wait time.Duration) (follow.UpstreamUpdate, uint64, error) {
-	at, err := d.ask(ctx, after, wait)
+func (d *storeGate) WaitUpstreams(ctx context.Context, after uint64, wait time.Duration) (follow.UpstreamUpdate, uint64, error) {
+	at, err := d.poll(ctx, after, wait)
 	return follow.UpstreamUpdate{}, at, err
 }
 
@@ -152,28 +152,28 @@
 type fleetHost struct {
 	coord *Coordinator
 	link  *Link
-	door  *door
+	store *storeGate
 }
 
 // fleetReports is how many reports a second all hosts of a test's fleet make together,
 // so that each makes one a second.
 const fleetReports = 60
 
-// fleetOf is a fleet to start.
-type fleetOf struct {
-	hosts, ample int // the first few have enough to spare to act
-	linkMbps     float64
-	list         []deploy.Upstream // which these read at once, and others in minutes
+// fleetConfig is a fleet to start.
+type fleetConfig struct {
+	hosts, spareHosts int // the first few have enough to spare to act
+	linkMbps          float64
+	list              []deploy.Upstream // which these read at once, and others in minutes
 }
 
-func (o *fleetOf) start(ctx context.Context, wg *sync.WaitGroup) []*fleetHost {
+func (o *fleetConfig) start(ctx context.Context, wg *sync.WaitGroup) []*fleetHost {
 	n, table, began := &network{listeners: map[string]*listener{}}, standin.NewTable(), time.Now()
 	out := make([]*fleetHost, o.hosts)
 	for i := range out {
 		address := fmt.Sprintf("h%03d", i)
-		d := &door{Table: table, since: began, list: o.list, slow: i >= o.ample}
+		d := &storeGate{Table: table, since: began, list: o.list, slow: i >= o.spareHosts}
 		log := event.NewLog(nil)
-		h := &fleetHost{door: d}
+		h := &fleetHost{store: d}
 		config, f := follow.NewActiveConfig(log), fleet.New(fleet.Config{}, fleet.Deps{})
 		l := lease.New(lease.Config{Name: "l", Holder: HolderName(address, address, "p"), TryTimeout: 400 * time.Millisecond,
 			Policy: leasing.Policy{TTL: 1500 * time.Millisecond, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}}, lease.Deps{Table: d})
@@ -183,9 +183,9 @@
 			LinkedToCoordinator: func() bool { return h.link.LinkedWithoutLease() },
 			IsRelaying:          func() bool { return h.coord.Acting() }})
 		h.coord = New(Config{Host: address, Address: address, MaxRelayAge: fresh, LinkMbps: o.linkMbps}, Deps{Fleet: f, Config: config, Lease: l, Feed: feed, Log: log})
-		h.coord.sums.reports = fleetReports
+		h.coord.aggregate.maxRate = fleetReports
 		h.coord.LinkedAddress = func() string { return h.link.CoordinatorAddress() }
-		h.link = NewLink(LinkConfig{Host: address, Address: address, Seeds: []string{"h000", "h001", "h002"}, HasSpareCapacity: func(int) bool { return i < o.ample }}, h.coord, n.dial, log)
+		h.link = NewLink(LinkConfig{Host: address, Address: address, Seeds: []string{"h000", "h001", "h002"}, HasSpareCapacity: func(int) bool { return i < o.spareHosts }}, h.coord, n.dial, log)
 		lead := &Elector{Lease: l, Link: h.link, StoreReachable: h.link.StoreReachable, CampaignDelay: func() time.Duration { return 40 * time.Millisecond }}
 		ln := n.listen(ctx, address)
 		for _, run := range []func(context.Context) error{feed.RunConfig, feed.RunUpstreams, h.coord.Run, h.link.Run, h.link.RunPermits, h.coord.RunAnnouncements, lead.Run,
@@ -199,24 +199,24 @@
 
 // Guards against a fleet whose every host asks the store since just the one that acts
 // for all was turned away.
-func TestHostsFollowToTheNextHolderBeforeTheyAskTheStore(t *testing.T) {
+func TestHostsLinkToTheNextHolderBeforeTheyQueryTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		defer wg.Wait()
 		defer cancel()
-		hosts := (&fleetOf{hosts: fleetReports, ample: 8}).start(ctx, &wg)
+		hosts := (&fleetConfig{hosts: fleetReports, spareHosts: 8}).start(ctx, &wg)
 		time.Sleep(20 * time.Second)
 		var holder *fleetHost
 		before := make([]int64, len(hosts))
 		for i, h := range hosts {
-			before[i] = h.door.calls.Load()
+			before[i] = h.store.calls.Load()
 			if h.coord.HoldsLease() {
 				holder = h
 			}
 		}
 		assert.Assert(t, holder != nil)
-		holder.door.shut.Store(true)
+		holder.store.unavailable.Store(true)
 		named := map[*fleetHost]bool{holder: true} // that act, or were told to act next
 		for range 1000 {
 			time.Sleep(10 * time.Millisecond)
@@ -226,17 +226,17 @@
 		}
 		asked := 0
 		for i, h := range hosts {
-			if h.door.calls.Load() > before[i] && !named[h] {
+			if h.store.calls.Load() > before[i] && !named[h] {
 				asked++
 			}
 			assert.Assert(t, h == holder || h.link.Linked())
 		}
 		assert.Equal(t, asked, 0, "hosts that neither act nor would act next")
-		assert.Assert(t, count(named) <= 3*deputiesMost, "%d hosts were told to act next", count(named))
+		assert.Assert(t, countTrue(named) <= 3*maxDeputies, "%d hosts were told to act next", countTrue(named))
 	})
 }
 
-func count(all map[*fleetHost]bool) (n int) {
+func countTrue(all map[*fleetHost]bool) (n int) {
 	for _, is := range all {
 		if is {
 			n++
@@ -247,13 +247,13 @@
 
 // Guards against a fleet that waits, after all its hosts were killed, for one host to
 // tell each of the others the whole list.
-func TestAListThatOneLinkCannotTellToAllIsHandedOn(t *testing.T) {
+func TestAListTooLargeForOneLinkIsForwarded(t *testing.T) {
 	const (
 		oneLink = 12 * time.Second // for all hosts, one after the other
 		aim     = 5 * time.Second  // until all can serve
 	)
 	list := holderSize{1, 400, 20}.holder().deps.Fleet.ChangesSince(0, true).Put
-	packed, err := packList(plainOf(list, true))
+	packed, err := packList(listedUpstreams(list, true))
 	assert.NilError(t, err)
 	const bitsPerByte, perMega = 8, 1e6
 	mbps := float64(len(packed)*bitsPerByte*fleetReports) / oneLink.Seconds() / perMega / listShare
@@ -262,7 +262,7 @@
 		var wg sync.WaitGroup
 		defer wg.Wait()
 		defer cancel()
-		hosts := (&fleetOf{hosts: fleetReports, ample: 8, linkMbps: mbps, list: plainOf(list, true)}).start(ctx, &wg)
+		hosts := (&fleetConfig{hosts: fleetReports, spareHosts: 8, linkMbps: mbps, list: listedUpstreams(list, true)}).start(ctx, &wg)
 		time.Sleep(aim)
 		without := 0
 		for _, h := range hosts {
--- a/node/coordinator/fleetsize_test.go
+++ b/node/coordinator/fleetsize_test.go
@@ -19,8 +19,8 @@
 
 // Sizes of a fleet, and of one twice as large.
 var (
-	fleetSize = holderSize{986, 4000, 698}
-	fleetTwo  = holderSize{1972, 8000, 698}
+	fleetSize       = holderSize{986, 4000, 698}
+	doubleFleetSize = holderSize{1972, 8000, 698}
 )
 
 const (
@@ -30,10 +30,10 @@
 	holderBytes = 10_000_000
 )
 
-// known is a holder to which all hosts have reported since it knew of all.
-func (s holderSize) known() *Coordinator {
+// knownHolder is a holder to which all hosts have reported since it knew of all.
+func (s holderSize) knownHolder() *Coordinator {
 	c := s.holder()
-	now := c.now().Add(deputiesEach)
+	now := c.now().Add(deputyInterval)
 	c.now = func() time.Time { return now }
 	for i := range s.hosts {
 		c.report(s.report(i))
@@ -41,11 +41,11 @@
 	return c
 }
 
-// seldom is a host that is none of those that would act next.
-func (c *Coordinator) seldom(t *testing.T, s holderSize) *coordpb.HostReport {
+// infrequentReporter is a host that is none of those that would act next.
+func (c *Coordinator) infrequentReporter(t *testing.T, s holderSize) *coordpb.HostReport {
 	t.Helper()
 	for i := range s.hosts {
-		if r := s.report(i); !slices.Contains(c.sums.deputies(c.now()), r.Address) {
+		if r := s.report(i); !slices.Contains(c.aggregate.deputies(c.now()), r.Address) {
 			return r
 		}
 	}
@@ -53,11 +53,11 @@
 	return nil
 }
 
-// steady is what one host's report and its answer take, once it knows what there is.
-func (s holderSize) steady(t *testing.T) (bytes int, period time.Duration, allocs float64) {
+// steadyCost is what one host's report and its answer take, once it knows what there is.
+func (s holderSize) steadyCost(t *testing.T) (bytes int, period time.Duration, allocs float64) {
 	t.Helper()
-	c := s.known()
-	r := c.seldom(t, s)
+	c := s.knownHolder()
+	r := c.infrequentReporter(t, s)
 	r.Revision = c.revision
 	out := c.report(r)
 	return proto.Size(r) + proto.Size(out), milliseconds(out.PeriodMs), testing.AllocsPerRun(20, func() { c.report(r) })
@@ -66,15 +66,15 @@
 // Guards against answers that grow with the number of hosts or of upstreams that
 // their host has nothing to do with.
 func TestAnAnswerDoesNotGrowWithTheFleet(t *testing.T) {
-	one, period, allocs := fleetSize.steady(t)
-	two, later, more := fleetTwo.steady(t)
-	t.Logf("%d bytes each %v at %v, %d each %v at %v", one, period, fleetSize, two, later, fleetTwo)
+	one, period, allocs := fleetSize.steadyCost(t)
+	two, later, more := doubleFleetSize.steadyCost(t)
+	t.Logf("%d bytes each %v at %v, %d each %v at %v", one, period, fleetSize, two, later, doubleFleetSize)
 	assert.Assert(t, two <= one+one/10 && more <= allocs+2, "%d bytes and %v allocations, then %d and %v", one, allocs, two, more)
 	for _, at := range []struct {
 		holderSize
 		bytes  int
 		period time.Duration
-	}{{fleetSize, one, period}, {fleetTwo, two, later}} {
+	}{{fleetSize, one, period}, {doubleFleetSize, two, later}} {
 		perSecond := float64(at.bytes) / at.period.Seconds()
 		assert.Assert(t, perSecond < hostBytes && perSecond*float64(at.hosts) < holderBytes, "%v: %v bytes a second and host", at.holderSize, perSecond)
 	}
@@ -82,21 +82,21 @@
 
 // Guards against a new holder, or many orders, that fill its link: what upstreams
 // hold is told at a rate that all hosts share.
-func TestWhatUpstreamsHoldIsToldWithinTheBudget(t *testing.T) {
-	for _, s := range []holderSize{fleetSize, fleetTwo} {
-		c := s.known()
-		r := c.seldom(t, s)
+func TestHoldingsAreSentWithinTheByteBudget(t *testing.T) {
+	for _, s := range []holderSize{fleetSize, doubleFleetSize} {
+		c := s.knownHolder()
+		r := c.infrequentReporter(t, s)
 		out := c.report(r)
-		assert.Assert(t, len(out.Holdings) >= holdingsLeast && out.Revision > 0)
+		assert.Assert(t, len(out.Holdings) >= minHoldings && out.Revision > 0)
 		perSecond := float64(proto.Size(r)+proto.Size(out)) / milliseconds(out.PeriodMs).Seconds()
 		assert.Assert(t, perSecond < hostBytes && perSecond*float64(s.hosts) < holderBytes, "%v: %v bytes a second and host", s, perSecond)
 	}
 }
 
 // Guards against a caller that waits for a model while its host is told of others.
-func TestWhatHoldsAnAwaitedModelIsToldFirst(t *testing.T) {
-	c := fleetSize.known()
-	r := c.seldom(t, fleetSize)
+func TestUpstreamsWithAnAwaitedModelAreSentFirst(t *testing.T) {
+	c := fleetSize.knownHolder()
+	r := c.infrequentReporter(t, fleetSize)
 	model := modelName(697)
 	r.Demand = []*coordpb.Demand{{Service: "s", Model: model, Unserved: 1}}
 	told := map[string]bool{}
@@ -110,25 +110,25 @@
 
 // Guards against hosts that all report as often as in a small deployment, and against
 // those that would act next noticing as late as the others that nobody does.
-func TestTheMoreHostsTheLessOftenEachReports(t *testing.T) {
-	for _, s := range []holderSize{{7, 12, 26}, {195, 156, 340}, fleetSize, fleetTwo} {
-		c := s.known()
-		want := max(reportPeriod, time.Duration(s.hosts)*time.Second/reportsMost)
+func TestTheReportPeriodGrowsWithTheNumberOfHosts(t *testing.T) {
+	for _, s := range []holderSize{{7, 12, 26}, {195, 156, 340}, fleetSize, doubleFleetSize} {
+		c := s.knownHolder()
+		want := max(minReportPeriod, time.Duration(s.hosts)*time.Second/maxReportRate)
 		now := c.now()
-		assert.Equal(t, c.sums.period(now), want, s.String())
-		c.sums.deputies(now)
+		assert.Equal(t, c.aggregate.period(now), want, s.String())
+		c.aggregate.deputies(now)
 		often, seldom := 0, 0
 		for i := range s.hosts {
 			r := s.report(i)
 			switch milliseconds(c.report(r).PeriodMs) {
-			case reportPeriod:
+			case minReportPeriod:
 				often++
 			case want:
 				seldom++
 			}
 		}
-		if want > reportPeriod {
-			assert.Equal(t, often, deputiesMost, s.String())
+		if want > minReportPeriod {
+			assert.Equal(t, often, maxDeputies, s.String())
 		}
 		assert.Equal(t, often+seldom, s.hosts)
 	}
@@ -137,48 +137,48 @@
 // Guards against hosts that ask the store since their relay is older than they may go
 // by, where an upstream that leaves must be known sooner than a large fleet reports.
 func TestAHostReportsSeveralTimesWhileItsRelayIsFresh(t *testing.T) {
-	c := fleetTwo.known()
-	c.sums.longest = time.Second / relayPeriods
-	assert.Equal(t, c.sums.period(c.now()), time.Second/relayPeriods)
-	c.sums.longest = reportPeriod / 2
-	assert.Equal(t, c.sums.period(c.now()), reportPeriod)
+	c := doubleFleetSize.knownHolder()
+	c.aggregate.maxPeriod = time.Second / minReportsPerRelayAge
+	assert.Equal(t, c.aggregate.period(c.now()), time.Second/minReportsPerRelayAge)
+	c.aggregate.maxPeriod = minReportPeriod / 2
+	assert.Equal(t, c.aggregate.period(c.now()), minReportPeriod)
 }
 
 // Guards against hosts that count as lost, and words that count as old, before the
 // next report of their host is due.
 func TestAReportCountsUntilTheNextIsOverdue(t *testing.T) {
-	c := fleetTwo.known()
+	c := doubleFleetSize.knownHolder()
 	now := c.now()
-	h := c.sums.hosts["h1000"]
+	h := c.aggregate.hosts["h1000"]
 	assert.Equal(t, h.period, 1972*time.Millisecond)
 	h.report.Silent = []string{"x"}
-	c.sums.hosts["h1001"].report.Silent = []string{"x"}
-	c.sums.wordsAt = time.Time{}
-	assert.Assert(t, c.sums.suspects(now.Add(h.period))["x"])
-	assert.Assert(t, c.sums.heard(now.Add(2*h.period)) > 0.99, "but for those that report more often")
-	assert.Assert(t, c.sums.heard(now.Add(freshFor(h.period)+time.Second)) < 0.1)
+	c.aggregate.hosts["h1001"].report.Silent = []string{"x"}
+	c.aggregate.suspectsAt = time.Time{}
+	assert.Assert(t, c.aggregate.suspects(now.Add(h.period))["x"])
+	assert.Assert(t, c.aggregate.reportingShare(now.Add(2*h.period)) > 0.99, "but for those that report more often")
+	assert.Assert(t, c.aggregate.reportingShare(now.Add(freshFor(h.period)+time.Second)) < 0.1)
 }
 
 // Guards against a change that a host hears of with its next report, seconds later.
-func TestNewsReachAHostThatReportsSeldomWithinHalfASecond(t *testing.T) {
+func TestAnAnnouncementReachesAnInfrequentReporterWithinHalfASecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := fleetTwo.holder()
+		c := doubleFleetSize.holder()
 		l := NewLink(LinkConfig{Host: "h1", Address: "a"}, newHolder(&clock{time.Now()}, "b"), nil, c.deps.Log)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		streams := make([]*turnStream, fleetTwo.hosts)
+		streams := make([]*permitStream, doubleFleetSize.hosts)
 		for i := range streams {
-			streams[i] = stream()
-			c.turns.enter(streams[i])
+			streams[i] = newTestStream()
+			c.permits.addStream(streams[i])
 		}
 		go func() { _ = c.RunAnnouncements(ctx) }()
-		l.pace.set(2 * time.Second)
+		l.pace.setPeriod(2 * time.Second)
 		assert.Assert(t, l.pace.wait(ctx))
 		time.Sleep(300 * time.Millisecond) // its last report is past
-		c.standingIn.Store(true)
+		c.actingWithoutLease.Store(true)
 		c.Announce()
 		began := time.Now()
-		l.asking.deliver(<-streams[7].out)
+		l.permitClient.deliver(<-streams[7].out)
 		assert.Assert(t, l.pace.wait(ctx))
 		assert.Assert(t, time.Since(began) <= 500*time.Millisecond, "after %v", time.Since(began))
 	})
@@ -186,7 +186,7 @@
 
 // Guards against lists that all come too late: where all hosts ask together, as many
 // get one at a time as the holder's link carries.
-func TestWholeListsAreGivenAtARateThatTheLinkBears(t *testing.T) {
+func TestCompleteListsAreSentWithinTheLinksCapacity(t *testing.T) {
 	c := holderSize{7, 2000, 698}.holder()
 	c.deps.Feed = follow.New(follow.Deps{Config: c.deps.Config, Upstreams: c.deps.Fleet})
 	c.deps.Feed.ApplyRelay(follow.Relay{UpstreamsVersion: 1})
@@ -208,18 +208,18 @@
 	assert.Assert(t, float64(sent) > 0.3*bytesOfLink && float64(sent) < 0.7*bytesOfLink, "%d bytes in a second", sent)
 }
 
-// follower takes what it is told of a list, and nothing else.
-type follower struct {
+// listFollower takes what it is told of a list, and nothing else.
+type listFollower struct {
 	of    *fleet.Fleet
 	state uint64
 }
 
 // ask asks once, at any state, and says whether it got the whole list.
-func (f *follower) ask(t assert.TestingT, c *Coordinator) (whole bool) {
+func (f *listFollower) ask(t assert.TestingT, c *Coordinator) (whole bool) {
 	r, out := &coordpb.HostReport{Host: "h", List: f.state, BriefList: true, PackedList: true}, &coordpb.SiteState{PeriodMs: 1000}
 	assert.NilError(t, c.relay(r, out))
 	assert.Assert(t, out.ListBrief && len(out.Put) == 0)
-	put, gone, err := listOf(out)
+	put, gone, err := decodeList(out)
 	assert.NilError(t, err)
 	if out.ListFull {
 		f.of.Replace(put, out.ListAt)
@@ -232,14 +232,14 @@
 
 // Property: whatever comes, leaves, starts again and goes, and however seldom a host
 // asks, it knows who there is and who leaves once it has asked.
-func TestABriefListTellsWhoComesLeavesAndGoes(t *testing.T) {
+func TestACompactListShowsWhichUpstreamsAppearDrainAndAreRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := &clock{time.Unix(1_700_000_000, 0)}
 		c := newHolder(k, "a")
 		c.deps.Feed = follow.New(follow.Deps{Config: c.deps.Config, Upstreams: c.deps.Fleet})
 		version := uint64(1)
 		c.deps.Feed.ApplyRelay(follow.Relay{UpstreamsVersion: version})
-		hosts := []*follower{{of: newFleet(k)}, {of: newFleet(k)}}
+		hosts := []*listFollower{{of: newFleet(k)}, {of: newFleet(k)}}
 		born, left := map[string]int64{}, map[string]bool{} // a process that leaves does not come back
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			k.now = k.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause_ms")) * time.Millisecond)
@@ -261,9 +261,9 @@
 					Residents: []deploy.Resident{{Model: modelName(rapid.IntRange(0, 3).Draw(t, "model"))}}}}, nil, version)
 			default:
 				f := hosts[rapid.IntRange(0, 1).Draw(t, "host")]
-				k.now = k.now.Add(publishEach)
+				k.now = k.now.Add(publishInterval)
 				f.ask(t, c)
-				assert.DeepEqual(t, standings(f.of), standings(c.deps.Fleet))
+				assert.DeepEqual(t, usableIncarnations(f.of), usableIncarnations(c.deps.Fleet))
 			}
 		}
 	})
@@ -273,8 +273,8 @@
 	return fleet.New(fleet.Config{}, fleet.Deps{Now: func() time.Time { return k.now }})
 }
 
-// standings is who may get work, by process.
-func standings(f *fleet.Fleet) map[string]int64 {
+// usableIncarnations is who may get work, by process.
+func usableIncarnations(f *fleet.Fleet) map[string]int64 {
 	out := map[string]int64{}
 	for _, e := range f.All() {
 		if e.Usable() {
@@ -286,7 +286,7 @@
 
 // Guards against a thousand hosts that are each sent the text of thousands of
 // upstreams that come at once, and against whole lists where changes would do.
-func TestUpstreamsThatComeTogetherAreSentOncePackedToAll(t *testing.T) {
+func TestSimultaneousNewUpstreamsArePackedOnceForAllHosts(t *testing.T) {
 	c := holderSize{7, 4000, 698}.holder()
 	c.deps.Feed = follow.New(follow.Deps{Config: c.deps.Config, Upstreams: c.deps.Fleet})
 	c.deps.Feed.ApplyRelay(follow.Relay{UpstreamsVersion: 1})
@@ -303,8 +303,8 @@
 		all[i].ID, all[i].Address = "new-"+all[i].ID, "new-"+all[i].Address
 	}
 	for part := range 8 {
-		k.now = k.now.Add(publishEach)
-		c.deps.Fleet.Apply(plainOf(all[part*500:(part+1)*500], false), nil, uint64(part+2))
+		k.now = k.now.Add(publishInterval)
+		c.deps.Fleet.Apply(listedUpstreams(all[part*500:(part+1)*500], false), nil, uint64(part+2))
 		told(from)
 	}
 	a, b := told(from), told(from)
@@ -315,7 +315,7 @@
 }
 
 // Guards against a host whose own work grows with upstreams that it has nothing to do with.
-func TestAHostLooksAtTheUpstreamsThatItUses(t *testing.T) {
+func TestAHostsWorkDependsOnTheUpstreamsThatItUses(t *testing.T) {
 	work := func(upstreams int) float64 {
 		s := holderSize{7, upstreams, 698}
 		c := s.holder()
@@ -325,12 +325,12 @@
 			e, _ := c.deps.Fleet.Entry(upstreamName(i))
 			e.Begin(&fleet.Request{Model: "m"}, fleet.Cost{PromptTokens: 10})
 		}
-		out := c.report(l.report())
+		out := c.report(l.buildReport())
 		return testing.AllocsPerRun(10, func() {
-			l.report()
-			l.take(&coordpb.SiteState{Hosts: out.Hosts, Others: out.Others[:8]})
+			l.buildReport()
+			l.applyAnswer(&coordpb.SiteState{Hosts: out.Hosts, Others: out.Others[:8]})
 			c.deps.Fleet.RunChecks()
-			c.follow()
+			c.refresh()
 		})
 	}
 	few, many := work(400), work(4000)
--- a/node/coordinator/handover.go
+++ b/node/coordinator/handover.go
@@ -24,34 +24,34 @@
 // undo the other's; upstreams that got none lately need no such wait, and loads
 // that are known need not be assumed.
 type handover struct {
-	epoch     uint64
-	ordered   time.Time // the last order, at the latest
-	whole     bool      // what follows is all there is
-	upstreams map[string]time.Time
-	loads     []time.Time // from the weight store, when each began
-	doubts    []time.Time // until when each load whose order went unanswered may begin
-	demand    []*coordpb.HeldDemand
-	heard     time.Duration // for which the demand had been reported
-	at        time.Time     // when it was said
+	epoch            uint64
+	lastOrderAt      time.Time // the last order, at the latest
+	complete         bool      // what follows is all there is
+	orderedAt        map[string]time.Time
+	loads            []time.Time // from the weight store, when each began
+	unconfirmedUntil []time.Time // until when each load whose order went unanswered may begin
+	demand           []*coordpb.HeldDemand
+	demandPeriod     time.Duration // for which the demand had been reported
+	receivedAt       time.Time     // when it was said
 }
 
 // RecordHandover notes what a host said that held the lease in an epoch and gave it up.
 func (c *Coordinator) RecordHandover(epoch uint64, sinceOrder time.Duration, told *coordpb.Handover) {
 	now := c.now()
-	h := handover{epoch: epoch, ordered: now.Add(-sinceOrder), whole: told.GetWhole(), upstreams: map[string]time.Time{},
-		demand: told.GetDemand(), heard: milliseconds(told.GetHeardMs()), at: now}
+	h := handover{epoch: epoch, lastOrderAt: now.Add(-sinceOrder), complete: told.GetWhole(), orderedAt: map[string]time.Time{},
+		demand: told.GetDemand(), demandPeriod: milliseconds(told.GetHeardMs()), receivedAt: now}
 	for _, o := range told.GetOrders() {
-		h.upstreams[o.Upstream] = now.Add(-milliseconds(o.AgeMs))
+		h.orderedAt[o.Upstream] = now.Add(-milliseconds(o.AgeMs))
 	}
 	for _, ms := range told.GetLoadAgesMs() {
 		h.loads = append(h.loads, now.Add(-milliseconds(ms)))
 	}
 	for _, ms := range told.GetLoadDoubtsMs() {
-		h.doubts = append(h.doubts, now.Add(milliseconds(ms)))
+		h.unconfirmedUntil = append(h.unconfirmedUntil, now.Add(milliseconds(ms)))
 	}
 	c.mu.Lock()
-	if epoch >= c.former.epoch {
-		c.former = h
+	if epoch >= c.predecessor.epoch {
+		c.predecessor = h
 	}
 	c.mu.Unlock()
 	c.deps.Lease.RecordStepDown(epoch)
@@ -59,48 +59,48 @@
 
 func milliseconds(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// beginLocked starts a term. Orders of the former holder may still be on their
+// beginTermLocked starts a term. Orders of the former holder may still be on their
 // way, so that each upstream gets none until the quiet time after its last one
 // is over; where that is not known, none of them does.
-func (c *Coordinator) beginLocked(t lease.Term, now time.Time) {
+func (c *Coordinator) beginTermLocked(t lease.Term, now time.Time) {
 	again := c.lastEpoch > 0 && c.lastEpoch+1 == t.Epoch
-	c.units, c.held, c.looked = map[string]*unit{}, changes.Log[*unit]{}, look{}
+	c.upstreams, c.holdingChanges, c.scanned = map[string]*managedUpstream{}, changes.Log[*managedUpstream]{}, scanPosition{}
 	if !again {
-		c.beginCounts(now)
+		c.resetCounts(now)
 	}
 	switch {
 	case t.Epoch <= 1: // nobody was there before
-		c.quiet, c.whole = now, true
+		c.quietUntil, c.ordersComplete = now, true
 	case again: // what this process knows of the former term still holds
-	case c.former.epoch+1 == t.Epoch:
-		c.inheritLocked(&c.former, now)
+	case c.predecessor.epoch+1 == t.Epoch:
+		c.inheritLocked(&c.predecessor, now)
 	case c.succeedsItself(t): // the orders of one host are those of one holder
-		c.quiet = now
-		c.stores.assumeFull(now)
+		c.quietUntil = now
+		c.storeLoads.assumeFull(now)
 	default:
-		c.quiet, c.ordered, c.whole = now.Add(c.cfg.QuietPeriod), now, false
-		c.stores.assumeFull(now)
+		c.quietUntil, c.lastOrderAt, c.ordersComplete = now.Add(c.cfg.QuietPeriod), now, false
+		c.storeLoads.assumeFull(now)
 	}
-	c.deps.Log.Emit(event.QuietPeriod, zap.Uint64("epoch", t.Epoch), zap.Duration("for", max(c.quiet.Sub(now), 0)), zap.Int("upstreams", len(c.orders)))
+	c.deps.Log.Emit(event.QuietPeriod, zap.Uint64("epoch", t.Epoch), zap.Duration("for", max(c.quietUntil.Sub(now), 0)), zap.Int("upstreams", len(c.lastOrders)))
 }
 
 // inheritLocked goes by the former holder's word.
 func (c *Coordinator) inheritLocked(h *handover, now time.Time) {
-	if h.ordered.After(c.ordered) {
-		c.ordered = h.ordered
+	if h.lastOrderAt.After(c.lastOrderAt) {
+		c.lastOrderAt = h.lastOrderAt
 	}
-	c.whole = h.whole
-	c.demand.inherit(h.demand, h.heard, h.at, now)
-	if !h.whole {
-		c.quiet = h.ordered.Add(c.cfg.QuietPeriod)
-		c.stores.assumeFull(now)
+	c.ordersComplete = h.complete
+	c.demand.inherit(h.demand, h.demandPeriod, h.receivedAt, now)
+	if !h.complete {
+		c.quietUntil = h.lastOrderAt.Add(c.cfg.QuietPeriod)
+		c.storeLoads.assumeFull(now)
 		return
 	}
-	c.quiet = now
-	for id, at := range h.upstreams {
-		c.orders[id] = lastOrder{at: at}
+	c.quietUntil = now
+	for id, at := range h.orderedAt {
+		c.lastOrders[id] = lastOrder{at: at}
 	}
-	c.stores.inherit(h.loads, h.doubts)
+	c.storeLoads.inherit(h.loads, h.unconfirmedUntil)
 }
 
 // succeedsItself says whether this host held the lease in the epoch before a
@@ -110,29 +110,29 @@
 	return before.Epoch+1 == t.Epoch && sameHost(c.cfg.Holder, before.Holder)
 }
 
-// ordering notes that an order is sent to an upstream now.
-func (c *Coordinator) ordering(upstream string) {
+// recordOrder notes that an order is sent to an upstream now.
+func (c *Coordinator) recordOrder(upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ordered = c.now()
-	c.orders[upstream] = lastOrder{at: c.ordered, own: true}
+	c.lastOrderAt = c.now()
+	c.lastOrders[upstream] = lastOrder{at: c.lastOrderAt, own: true}
 }
 
-// quietFor says whether the quiet time after a former holder's last order to
+// inQuietPeriod says whether the quiet time after a former holder's last order to
 // an upstream is not over.
-func (c *Coordinator) quietFor(upstream string, now time.Time) bool {
+func (c *Coordinator) inQuietPeriod(upstream string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o, ok := c.orders[upstream]
+	o, ok := c.lastOrders[upstream]
 	return ok && !o.own && now.Before(o.at.Add(c.cfg.QuietPeriod))
 }
 
-// handed is what was told last to hosts that may succeed this one.
-type handed struct {
-	told   *coordpb.Handover
-	of     orderState
-	acting bool
-	at     time.Time
+// sentHandover is what was told last to hosts that may succeed this one.
+type sentHandover struct {
+	message *coordpb.Handover
+	state   orderState
+	acting  bool
+	at      time.Time
 }
 
 // orderState is which orders a handover tells of: it lacks those given since, and in
@@ -142,41 +142,41 @@
 	last  time.Time
 }
 
-// tellHandover is makeHandover, made anew expiryEach at most: all hosts ask at once.
+// currentHandover is makeHandover, made anew expiryEach at most: all hosts ask at once.
 // What it says happened counts as having happened that much later.
-func (c *Coordinator) tellHandover(acting bool, now time.Time) *coordpb.Handover {
+func (c *Coordinator) currentHandover(acting bool, now time.Time) *coordpb.Handover {
 	c.mu.Lock()
-	h, of := c.handed, orderState{c.lastEpoch, c.ordered}
+	h, of := c.sentHandover, orderState{c.lastEpoch, c.lastOrderAt}
 	c.mu.Unlock()
-	if h.told != nil && h.of == of && h.acting == acting && now.Sub(h.at) < expiryEach {
-		return h.told
+	if h.message != nil && h.state == of && h.acting == acting && now.Sub(h.at) < expiryInterval {
+		return h.message
 	}
-	h = handed{c.makeHandover(acting, now), of, acting, now}
+	h = sentHandover{c.buildHandover(acting, now), of, acting, now}
 	c.mu.Lock()
-	c.handed = h
+	c.sentHandover = h
 	c.mu.Unlock()
-	return h.told
+	return h.message
 }
 
-// makeHandover tells a successor what it needs to know. c.mu is not held.
+// buildHandover tells a successor what it needs to know. c.mu is not held.
 //
 // A host that acts on without the lease is asked five times a second by every
 // other. It leaves the demand out, which is most of it: 4 of 5.5 kB at 131
 // models, so that 81 hosts would cost 1.6 MB/s while the store is away.
-func (c *Coordinator) makeHandover(acting bool, now time.Time) *coordpb.Handover {
-	loads, doubts, known := c.stores.tell(now)
-	for _, u := range c.allUnits() {
-		if u.loadUnanswered() { // it may turn out to be carried out late
+func (c *Coordinator) buildHandover(acting bool, now time.Time) *coordpb.Handover {
+	loads, doubts, known := c.storeLoads.counted(now)
+	for _, u := range c.allUpstreams() {
+		if u.hasUnconfirmedStoreLoad() { // it may turn out to be carried out late
 			doubts = append(doubts, now.Add(residency.MaxOrderDelay))
 		}
 	}
 	c.mu.Lock()
-	orders := maps.Clone(c.orders)
-	whole := known && (c.whole || !now.Before(c.quiet))
+	orders := maps.Clone(c.lastOrders)
+	whole := known && (c.ordersComplete || !now.Before(c.quietUntil))
 	c.mu.Unlock()
 	out := &coordpb.Handover{Whole: whole}
 	if !acting {
-		demand, heard := c.demand.tell(now)
+		demand, heard := c.demand.snapshot(now)
 		out.Demand, out.HeardMs = demand, uint32(heard.Milliseconds())
 	}
 	for id, o := range orders {
@@ -191,11 +191,11 @@
 	return out
 }
 
-// loadUnanswered says whether a load from the weight store was ordered here and
+// hasUnconfirmedStoreLoad says whether a load from the weight store was ordered here and
 // is not known to have been taken.
-func (u *unit) loadUnanswered() bool {
+func (u *managedUpstream) hasUnconfirmedStoreLoad() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	v := u.moving
-	return v != nil && v.sent && !v.taken.Load()
+	v := u.activeMove
+	return v != nil && v.ordered && !v.accepted.Load()
 }
--- a/node/coordinator/handover_bench_test.go
+++ b/node/coordinator/handover_bench_test.go
@@ -17,20 +17,20 @@
 		b.Run(fmt.Sprintf("%d upstreams, %d models", size.upstreams, size.models), func(b *testing.B) {
 			k := &clock{time.Unix(1_700_000_000, 0)}
 			c := newHolder(k, "a")
-			c.takes(1)
+			c.takeLease(1)
 			for i := range size.upstreams {
-				c.ordering(fmt.Sprintf("i-%010d", i))
+				c.recordOrder(fmt.Sprintf("i-%010d", i))
 			}
 			var all []*coordpb.Demand
 			for i := range size.models {
 				all = append(all, &coordpb.Demand{Service: "models", Model: fmt.Sprintf("model-%04d", i), Requests: 1, PatienceMs: 1000})
 			}
-			c.demand.take(all, func(modelKey, int, int) time.Duration { return 50 * time.Millisecond }, k.now)
+			c.demand.add(all, func(modelKey, int, int) time.Duration { return 50 * time.Millisecond }, k.now)
 			k.now = k.now.Add(300 * time.Millisecond)
 			for b.Loop() {
-				c.tellHandover(false, k.now)
+				c.currentHandover(false, k.now)
 			}
-			b.ReportMetric(float64(proto.Size(c.tellHandover(false, k.now))), "B")
+			b.ReportMetric(float64(proto.Size(c.currentHandover(false, k.now))), "B")
 		})
 	}
 }
--- a/node/coordinator/handover_test.go
+++ b/node/coordinator/handover_test.go
@@ -31,45 +31,45 @@
 			Lease: lease.New(lease.Config{Name: "l"}, lease.Deps{Table: noTable{}}), Now: func() time.Time { return k.now }})
 }
 
-// takes begins a term.
-func (c *Coordinator) takes(epoch uint64) {
+// takeLease begins a term.
+func (c *Coordinator) takeLease(epoch uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.beginLocked(lease.Term{Epoch: epoch}, c.now())
+	c.beginTermLocked(lease.Term{Epoch: epoch}, c.now())
 	c.lastEpoch, c.term = epoch, lease.Term{Epoch: epoch}
 }
 
-// tells hands over to a successor.
-func (c *Coordinator) tells(next *Coordinator) {
+// handOverTo hands over to a successor.
+func (c *Coordinator) handOverTo(next *Coordinator) {
 	out := &coordpb.SiteState{}
-	c.tellLease(out, c.now())
+	c.addLease(out, c.now())
 	next.RecordHandover(out.Epoch, milliseconds(out.LastOrderMs), out.Handover)
 }
 
-// silent says whether no order may go to an upstream yet.
-func (c *Coordinator) silent(upstream string) bool {
-	return c.now().Before(c.quiet) || c.quietFor(upstream, c.now())
+// mustNotOrder says whether no order may go to an upstream yet.
+func (c *Coordinator) mustNotOrder(upstream string) bool {
+	return c.now().Before(c.quietUntil) || c.inQuietPeriod(upstream, c.now())
 }
 
 // Guards against a second holder's order beside one that the first gave after it had
 // told how it stood: what is kept for all that ask tells of no order since.
-func TestAHandoverTellsOfOrdersSinceTheLastOne(t *testing.T) {
+func TestAHandoverIncludesOrdersSinceTheLastOne(t *testing.T) {
 	k := &clock{time.Unix(1_700_000_000, 0)}
 	a, b, d := newHolder(k, "a"), newHolder(k, "b"), newHolder(k, "d")
-	a.takes(1)
-	a.tells(b)
-	a.takes(2)
-	a.ordering("u")
-	a.tells(b)
-	b.takes(3)
-	assert.Assert(t, b.silent("u"), "ordered in a later term")
+	a.takeLease(1)
+	a.handOverTo(b)
+	a.takeLease(2)
+	a.recordOrder("u")
+	a.handOverTo(b)
+	b.takeLease(3)
+	assert.Assert(t, b.mustNotOrder("u"), "ordered in a later term")
 	k.now = k.now.Add(testQuiet)
-	b.tells(d)
+	b.handOverTo(d)
 	k.now = k.now.Add(time.Millisecond)
-	b.ordering("v")
-	b.tells(d)
-	d.takes(4)
-	assert.Assert(t, d.silent("v"), "ordered in the same term")
+	b.recordOrder("v")
+	b.handOverTo(d)
+	d.takeLease(4)
+	assert.Assert(t, d.mustNotOrder("v"), "ordered in the same term")
 }
 
 // Symptom: models and adapters that callers wait for are loaded nowhere for
@@ -82,50 +82,50 @@
 func TestASuccessorWaitsWhereTheFormerHolderOrdered(t *testing.T) {
 	k := &clock{time.Unix(1_700_000_000, 0)}
 	a, b := newHolder(k, "a"), newHolder(k, "b")
-	a.takes(1)
-	a.ordering("u")
-	a.stores.begin(k.now)
-	free := a.stores.left(1, k.now)
+	a.takeLease(1)
+	a.recordOrder("u")
+	a.storeLoads.add(k.now)
+	free := a.storeLoads.remaining(1, k.now)
 	k.now = k.now.Add(time.Second)
-	a.tells(b)
-	b.takes(2)
-	assert.Assert(t, b.silent("u") && !b.silent("v"))
-	assert.Equal(t, b.stores.left(1, k.now), free, "the former holder's load counts")
-	assert.Equal(t, b.stores.inheritedWithin(2*time.Second, k.now), 1, "it may be under way")
-	assert.Equal(t, b.stores.inheritedWithin(time.Second/2, k.now), 0)
+	a.handOverTo(b)
+	b.takeLease(2)
+	assert.Assert(t, b.mustNotOrder("u") && !b.mustNotOrder("v"))
+	assert.Equal(t, b.storeLoads.remaining(1, k.now), free, "the former holder's load counts")
+	assert.Equal(t, b.storeLoads.inheritedWithin(2*time.Second, k.now), 1, "it may be under way")
+	assert.Equal(t, b.storeLoads.inheritedWithin(time.Second/2, k.now), 0)
 	k.now = k.now.Add(testQuiet - time.Second - time.Millisecond)
-	assert.Assert(t, b.silent("u"))
+	assert.Assert(t, b.mustNotOrder("u"))
 	k.now = k.now.Add(2 * time.Millisecond)
-	assert.Assert(t, !b.silent("u"))
+	assert.Assert(t, !b.mustNotOrder("u"))
 	k.now = k.now.Add(testWindow)
-	assert.Equal(t, b.stores.left(1, k.now), free+1)
+	assert.Equal(t, b.storeLoads.remaining(1, k.now), free+1)
 }
 
 // Symptom: two holders give orders to one upstream within the quiet time.
 // Sequence: one orders and stops; the next takes the lease, waits, and stops
 // before it has given an order; the third hears from it that it never gave one.
 // Cause: a holder tells of its own orders only.
-func TestWhatAHolderWaitedForIsToldOn(t *testing.T) {
+func TestAHolderPassesOnTheOrdersThatItInherited(t *testing.T) {
 	k := &clock{time.Unix(1_700_000_000, 0)}
 	a, b, c := newHolder(k, "a"), newHolder(k, "b"), newHolder(k, "c")
-	a.takes(1)
-	a.ordering("u")
-	a.tells(b)
-	b.takes(2)
+	a.takeLease(1)
+	a.recordOrder("u")
+	a.handOverTo(b)
+	b.takeLease(2)
 	k.now = k.now.Add(200 * time.Millisecond)
-	b.tells(c)
-	c.takes(3)
-	assert.Assert(t, c.silent("u") && !c.silent("v"))
+	b.handOverTo(c)
+	c.takeLease(3)
+	assert.Assert(t, c.mustNotOrder("u") && !c.mustNotOrder("v"))
 
 	d := newHolder(k, "d") // hears of c's end only after it took the lease
-	d.takes(4)
-	assert.Assert(t, d.silent("u") && d.silent("v"), "without a word all wait")
+	d.takeLease(4)
+	assert.Assert(t, d.mustNotOrder("u") && d.mustNotOrder("v"), "without a word all wait")
 	k.now = k.now.Add(time.Second)
 	e := newHolder(k, "e")
-	d.tells(e)
-	e.takes(5)
-	assert.Assert(t, e.silent("v"), "d did not know all that was ordered")
-	assert.Assert(t, e.stores.left(1, k.now) == 0)
+	d.handOverTo(e)
+	e.takeLease(5)
+	assert.Assert(t, e.mustNotOrder("v"), "d did not know all that was ordered")
+	assert.Assert(t, e.storeLoads.remaining(1, k.now) == 0)
 }
 
 // Symptom: the hot models' next replicas come 3 s late after a restart of the
@@ -133,53 +133,53 @@
 // Sequence: its successor moves models only for those who wait, until it has
 // heard the demand for 3 s.
 // Cause: what the former holder knew of the demand is lost.
-func TestASuccessorKnowsTheDemand(t *testing.T) {
+func TestASuccessorInheritsTheDemand(t *testing.T) {
 	k := &clock{time.Unix(1_700_000_000, 0)}
 	a, b := newHolder(k, "a"), newHolder(k, "b")
-	a.takes(1)
+	a.takeLease(1)
 	engineTime := func(modelKey, int, int) time.Duration { return 100 * time.Millisecond }
 	for range 20 {
-		a.demand.take([]*coordpb.Demand{{Service: "s", Model: "hot", Requests: 1, PatienceMs: 1000}}, engineTime, k.now)
+		a.demand.add([]*coordpb.Demand{{Service: "s", Model: "hot", Requests: 1, PatienceMs: 1000}}, engineTime, k.now)
 		k.now = k.now.Add(200 * time.Millisecond)
 	}
 	e := &deploy.Engine{Models: []deploy.Model{{Name: "hot", StoreLoad: time.Second}}}
 	before := a.demand.service("s", e, k.now)["hot"]
 	assert.Assert(t, before.EngineLoad > 0.3)
-	a.tells(b)
+	a.handOverTo(b)
 	k.now = k.now.Add(200 * time.Millisecond)
-	b.demand.take([]*coordpb.Demand{{Service: "s", Model: "hot", Requests: 1, PatienceMs: 1000}}, engineTime, k.now)
-	b.takes(2)
-	assert.Assert(t, b.demand.heard(k.now) && b.demand.known("s", "hot", k.now))
+	b.demand.add([]*coordpb.Demand{{Service: "s", Model: "hot", Requests: 1, PatienceMs: 1000}}, engineTime, k.now)
+	b.takeLease(2)
+	assert.Assert(t, b.demand.allKnown(k.now) && b.demand.isKnown("s", "hot", k.now))
 	after := b.demand.service("s", e, k.now)["hot"]
 	assert.Assert(t, after.EngineLoad > 0.9*before.EngineLoad && after.EngineLoad < 1.1*before.EngineLoad, "%v %v", before, after)
 	assert.Equal(t, after.WaitsForLoad, before.WaitsForLoad)
-	k.now = k.now.Add(quietAfter + time.Second)
+	k.now = k.now.Add(demandExpiry + time.Second)
 	assert.Equal(t, b.demand.service("s", e, k.now)["hot"].EngineLoad, 0.0)
-	assert.Assert(t, !newHolder(k, "c").demand.heard(k.now))
+	assert.Assert(t, !newHolder(k, "c").demand.allKnown(k.now))
 }
 
 // Symptom: more loads begin in one window than the weight store allows.
 // Sequence: a holder orders a load, and stops before it is answered; the load
 // begins seconds later, beside its successor's.
 // Cause: what is not settled is not handed over.
-func TestALoadWithoutAnAnswerIsHandedOver(t *testing.T) {
+func TestAnUnconfirmedLoadIsHandedOver(t *testing.T) {
 	k := &clock{time.Unix(1_700_000_000, 0)}
 	a, b := newHolder(k, "a"), newHolder(k, "b")
-	a.takes(1)
+	a.takeLease(1)
 	e := &deploy.Engine{MemoryMB: 1, Models: []deploy.Model{{Name: "m"}}}
 	entries := fleet.New(fleet.Config{}, fleet.Deps{})
 	entries.Replace([]deploy.Upstream{{ID: "u", Service: "s"}}, 1)
 	entry, _ := entries.Entry("u")
-	u := newUnit(a, entry, e, k.now)
-	u.moving = &moving{sent: true, began: k.now}
-	a.units["u"] = u
-	a.stores.begin(k.now)
-	free := b.stores.left(1, k.now)
-	a.tells(b)
-	b.takes(2)
-	assert.Equal(t, b.stores.left(1, k.now), free-2, "it may have begun, and may begin late")
+	u := newManagedUpstream(a, entry, e, k.now)
+	u.activeMove = &activeMove{ordered: true, countedAt: k.now}
+	a.upstreams["u"] = u
+	a.storeLoads.add(k.now)
+	free := b.storeLoads.remaining(1, k.now)
+	a.handOverTo(b)
+	b.takeLease(2)
+	assert.Equal(t, b.storeLoads.remaining(1, k.now), free-2, "it may have begun, and may begin late")
 	k.now = k.now.Add(14 * time.Second)
-	assert.Equal(t, b.stores.left(1, k.now), free-1)
+	assert.Equal(t, b.storeLoads.remaining(1, k.now), free-1)
 }
 
 // Property: whoever holds the lease, whether its former holder was heard or
@@ -195,33 +195,33 @@
 		}{}
 		var loads []time.Time
 		holder, epoch := hosts[0], uint64(1)
-		holder.takes(epoch)
-		most := holder.stores.left(1, k.now)
+		holder.takeLease(epoch)
+		most := holder.storeLoads.remaining(1, k.now)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			k.now = k.now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			if rapid.IntRange(0, 3).Draw(t, "change") == 0 {
 				next := hosts[rapid.IntRange(0, 2).Draw(t, "next")]
 				if rapid.Bool().Draw(t, "heard") && next != holder {
-					holder.tells(next)
+					holder.handOverTo(next)
 				}
 				holder, epoch = next, epoch+1
-				holder.takes(epoch)
+				holder.takeLease(epoch)
 				continue
 			}
 			id := fmt.Sprint("u", rapid.IntRange(0, 2).Draw(t, "upstream"))
-			if holder.silent(id) {
+			if holder.mustNotOrder(id) {
 				continue
 			}
 			if l, ok := last[id]; ok && l.by != holder {
 				assert.Assert(t, k.now.Sub(l.at) >= testQuiet, "%s ordered %v apart", id, k.now.Sub(l.at))
 			}
-			holder.ordering(id)
+			holder.recordOrder(id)
 			last[id] = struct {
 				by *Coordinator
 				at time.Time
 			}{holder, k.now}
-			if holder.stores.left(1, k.now) > 0 {
-				holder.stores.begin(k.now)
+			if holder.storeLoads.remaining(1, k.now) > 0 {
+				holder.storeLoads.add(k.now)
 				loads = append(recent(loads, k.now, testWindow), k.now)
 				assert.Assert(t, len(loads) <= most, "%d loads in a window", len(loads))
 			}
@@ -233,14 +233,14 @@
 // Sequence: the lease runs out; the last holder goes on with sums and turns, and
 // answers every host five times a second.
 // Cause: each answer tells the demand for all models.
-func TestAHostThatActsWithoutTheLeaseTellsNoDemand(t *testing.T) {
+func TestAHostActingWithoutTheLeaseSendsNoDemand(t *testing.T) {
 	k := &clock{time.Unix(1_700_000_000, 0)}
 	a := newHolder(k, "a")
-	a.takes(1)
-	a.ordering("u")
-	a.demand.take([]*coordpb.Demand{{Service: "s", Model: "m", Requests: 1}}, func(modelKey, int, int) time.Duration { return time.Second }, k.now)
-	told := a.tellHandover(true, k.now)
+	a.takeLease(1)
+	a.recordOrder("u")
+	a.demand.add([]*coordpb.Demand{{Service: "s", Model: "m", Requests: 1}}, func(modelKey, int, int) time.Duration { return time.Second }, k.now)
+	told := a.currentHandover(true, k.now)
 	assert.Equal(t, len(told.Demand), 0)
 	assert.Equal(t, len(told.Orders), 1, "what its successor must wait for")
-	assert.Equal(t, len(a.tellHandover(false, k.now).Demand), 1)
+	assert.Equal(t, len(a.currentHandover(false, k.now).Demand), 1)
 }
--- a/node/coordinator/holder_bench_test.go
+++ b/node/coordinator/holder_bench_test.go
@@ -46,8 +46,8 @@
 		}
 	}
 	c.deps.Fleet.Apply(all, nil, 1)
-	c.standingIn.Store(true)
-	c.follow()
+	c.actingWithoutLease.Store(true)
+	c.refresh()
 	k.now = k.now.Add(time.Minute)
 	for i := range s.hosts {
 		c.report(s.report(i))
@@ -77,25 +77,25 @@
 			r.Revision = c.revision
 			b.ReportAllocs()
 			for b.Loop() {
-				c.enter(r, c.now())
-				c.tellSums(r, c.now())
+				c.applyReport(r, c.now())
+				c.answerLoads(r, c.now())
 			}
 		})
 	}
 }
 
-// BenchmarkHolderTurn is one request's turn, from its question to its end.
-func BenchmarkHolderTurn(b *testing.B) {
+// BenchmarkHolderPermit is one request's turn, from its question to its end.
+func BenchmarkHolderPermit(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
-			c, from := s.holder(), stream()
+			c, from := s.holder(), newTestStream()
 			from.out = make(chan *coordpb.TurnAnswer, 8)
 			b.ReportAllocs()
 			for b.Loop() {
-				c.turns.take(from, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_ASK, Service: "s", Model: modelName(1), Prompt: 2000, Output: 20, Reading: 6000, InTimeMs: 1000})
+				c.permits.handle(from, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_ASK, Service: "s", Model: modelName(1), Prompt: 2000, Output: 20, Reading: 6000, InTimeMs: 1000})
 				<-from.out
-				c.turns.take(from, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_FIRST})
-				c.turns.take(from, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_END})
+				c.permits.handle(from, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_FIRST})
+				c.permits.handle(from, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_END})
 			}
 		})
 	}
@@ -110,22 +110,22 @@
 			for b.Loop() {
 				now := c.now()
 				table := c.deps.Config.Current()
-				in := c.planInput(table.Config, &table.Config.Services[0], c.allUnits(), now)
+				in := c.planInput(table.Config, &table.Config.Services[0], c.allUpstreams(), now)
 				replica.DefaultPolicy.Plan(in)
 			}
 		})
 	}
 }
 
-// BenchmarkFollow is what every host does several times a second to keep its
+// BenchmarkRefresh is what every host does several times a second to keep its
 // accounts of the upstreams, holder or not.
-func BenchmarkFollow(b *testing.B) {
+func BenchmarkRefresh(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
 			c := s.holder()
 			b.ReportAllocs()
 			for b.Loop() {
-				c.follow()
+				c.refresh()
 			}
 		})
 	}
@@ -150,10 +150,10 @@
 	}
 }
 
-// BenchmarkHostLook is what each host does by itself between two reports, which it
+// BenchmarkHostReportCycle is what each host does by itself between two reports, which it
 // makes of three upstreams that it uses: two sweeps, the report, and the entry of its
 // answer.
-func BenchmarkHostLook(b *testing.B) {
+func BenchmarkHostReportCycle(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
 			c := s.holder()
@@ -170,8 +170,8 @@
 			for b.Loop() {
 				c.deps.Fleet.RunChecks()
 				c.deps.Fleet.RunChecks()
-				l.report()
-				l.take(answer)
+				l.buildReport()
+				l.applyAnswer(answer)
 			}
 		})
 	}
--- a/node/coordinator/linkanswers.go
+++ b/node/coordinator/linkanswers.go
@@ -15,17 +15,17 @@
 
 // This file is what a host takes from an answer to its report.
 
-// storeFresh is how old the store's last answer may be for it to count as
+// storeReachableFor is how old the store's last answer may be for it to count as
 // reached: a call for changes that waits at a host without a relay lasts 2 s.
-const storeFresh = 2500 * time.Millisecond
+const storeReachableFor = 2500 * time.Millisecond
 
 // StoreReachable says whether the store answered this host itself lately.
-func (l *Link) StoreReachable() bool { return l.own.deps.Feed.StoreAge() < storeFresh }
+func (l *Link) StoreReachable() bool { return l.own.deps.Feed.StoreAge() < storeReachableFor }
 
-// follows says whether this host goes by what another told. One that acts without
+// accepts says whether this host goes by what another told. One that acts without
 // the lease is gone by only while the store does not answer this host, or has not
 // since it answered that one: else somebody can take the lease.
-func (l *Link) follows(s *coordpb.SiteState) bool {
+func (l *Link) accepts(s *coordpb.SiteState) bool {
 	return s.Holding || s.Acting && (!l.StoreReachable() || l.own.deps.Feed.StoreAge() >= milliseconds(s.StoreAgeMs))
 }
 
@@ -33,15 +33,15 @@
 func (l *Link) LinkedWithoutLease() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.address != "" && l.led
+	return l.coordinator != "" && l.linkedWithoutLease
 }
 
-// takeRelay enters what the holder has from the store.
-func (l *Link) takeRelay(s *coordpb.SiteState) {
+// applyRelay enters what the holder has from the store.
+func (l *Link) applyRelay(s *coordpb.SiteState) {
 	r := follow.Relay{StoreAge: milliseconds(s.StoreAgeMs), UpstreamsVersion: s.ListAt, Complete: s.ListFull, Compact: s.ListBrief}
 	var err error
-	if r.Config, err = configOf(s); err == nil {
-		r.Put, r.Removed, err = listOf(s)
+	if r.Config, err = decodeConfig(s); err == nil {
+		r.Put, r.Removed, err = decodeList(s)
 	}
 	if err != nil {
 		l.log.Emit(event.RoutesUnusable, zap.Error(err))
@@ -56,37 +56,37 @@
 	l.mu.Unlock()
 }
 
-// take enters what the others have sent and what the upstreams hold.
-func (l *Link) take(s *coordpb.SiteState) {
+// applyAnswer enters what the others have sent and what the upstreams hold.
+func (l *Link) applyAnswer(s *coordpb.SiteState) {
 	now := l.own.now()
 	if record, err := leasing.Decode(s.Grant); err == nil && len(s.Grant) > 0 && !l.own.HoldsLease() {
 		l.own.deps.Lease.Observe(leasing.Rows{Grant: s.GrantRow, Heartbeat: s.BeatRow}, record)
 	}
 	l.mu.Lock()
-	l.failed, l.led = 0, !s.Holding
-	l.begun, l.term = s.QuarantineId != l.term, s.QuarantineId
+	l.failedReports, l.linkedWithoutLease = 0, !s.Holding
+	l.countIsNew, l.countID = s.QuarantineId != l.countID, s.QuarantineId
 	if !s.ModelsLater {
-		l.modelsAt = now
+		l.modelLoadsAt = now
 	}
 	if len(s.Deputies) > 0 {
 		l.deputies = s.Deputies
 	}
-	l.hosts, l.revision = max(l.hosts, int(s.Hosts)), s.Revision
-	heard := l.heard
+	l.maxHosts, l.revision = max(l.maxHosts, int(s.Hosts)), s.Revision
+	heard := l.coordinatorChanges
 	l.mu.Unlock()
 	if t := l.own.deps.Config.Current(); t != nil {
-		l.teams.keep(t.Config.Teams, now)
+		l.teams.followTeams(t.Config.Teams, now)
 	}
 	until := now.Add(freshFor(milliseconds(s.PeriodMs)))
-	l.teams.tell(s, now, until)
-	l.takeOthers(s, until)
+	l.teams.apply(s, now, until)
+	l.applyOthers(s, until)
 	l.own.deps.Fleet.CoordinatorSeen(heard, until)
 	l.own.deps.Fleet.ApplyResidency(holdings(s, now), now)
 	l.own.deps.Fleet.NotifyChanged()
 }
 
-// takeOthers enters what the other hosts have sent, which counts until then.
-func (l *Link) takeOthers(s *coordpb.SiteState, until time.Time) {
+// applyOthers enters what the other hosts have sent, which counts until then.
+func (l *Link) applyOthers(s *coordpb.SiteState, until time.Time) {
 	t := l.own.deps.Config.Current()
 	if t == nil {
 		return
@@ -115,7 +115,7 @@
 func holdings(s *coordpb.SiteState, now time.Time) []fleet.Residency {
 	out := make([]fleet.Residency, len(s.Holdings))
 	for i, h := range s.Holdings {
-		out[i] = fleet.Residency{Upstream: h.Upstream, StartedMs: h.Born, Residents: residents(h), Loading: coming(h, now)}
+		out[i] = fleet.Residency{Upstream: h.Upstream, StartedMs: h.Born, Residents: residents(h), Loading: loadingModels(h, now)}
 	}
 	return out
 }
@@ -128,7 +128,7 @@
 	return out
 }
 
-func coming(h *coordpb.Holding, now time.Time) []fleet.LoadingModel {
+func loadingModels(h *coordpb.Holding, now time.Time) []fleet.LoadingModel {
 	out := make([]fleet.LoadingModel, len(h.Coming))
 	for i, m := range h.Coming {
 		out[i] = fleet.LoadingModel{Model: m.Model, ReadyAt: now.Add(milliseconds(m.ReadyMs))}
--- a/node/coordinator/linkmodels.go
+++ b/node/coordinator/linkmodels.go
@@ -14,7 +14,7 @@
 
 // LoadAdapter implements gate.Models.
 func (l *Link) LoadAdapter(ctx context.Context, upstream, model, adapter string) error {
-	address := l.where()
+	address := l.coordinatorAddress()
 	if address == "" {
 		return errNotLinked
 	}
--- a/node/coordinator/linkquarantine.go
+++ b/node/coordinator/linkquarantine.go
@@ -19,12 +19,12 @@
 func reportQuarantine(r *coordpb.HostReport, next local.Report, now time.Time) {
 	r.QuarantineRevision, r.QuarantineId = next.Revision, next.ID
 	for i := range next.Barred {
-		r.Barred = append(r.Barred, entryTo(&next.Barred[i], now))
+		r.Barred = append(r.Barred, encodeEntry(&next.Barred[i], now))
 	}
 	for _, e := range next.Events {
 		switch {
 		case e.Crash != nil:
-			r.Crashes = append(r.Crashes, crashTo(e.Crash, now))
+			r.Crashes = append(r.Crashes, encodeCrash(e.Crash, now))
 		case e.Completed != nil:
 			r.Completed = append(r.Completed, e.Completed[:])
 		case e.Released != nil:
@@ -33,19 +33,19 @@
 	}
 }
 
-func crashTo(x *local.Crash, now time.Time) *coordpb.UpstreamCrash {
+func encodeCrash(x *local.Crash, now time.Time) *coordpb.UpstreamCrash {
 	out := &coordpb.UpstreamCrash{Upstream: x.Upstream, AgeMs: uint32(max(now.Sub(x.At), 0).Milliseconds())}
 	for _, m := range x.Running {
-		out.Running = append(out.Running, markTo(m))
+		out.Running = append(out.Running, encodeMark(m))
 	}
 	return out
 }
 
-// updateOf reads what an answer brings.
-func updateOf(s *coordpb.SiteState, now time.Time) local.Update {
+// decodeUpdate reads what an answer brings.
+func decodeUpdate(s *coordpb.SiteState, now time.Time) local.Update {
 	a := local.Update{ID: s.QuarantineId, Revision: s.QuarantineRevision}
 	for _, x := range s.Quarantine {
-		if entry, err := entryOf(x, now); err == nil {
+		if entry, err := decodeEntry(x, now); err == nil {
 			a.Changed = append(a.Changed, entry)
 		}
 	}
--- a/node/coordinator/linkteams.go
+++ b/node/coordinator/linkteams.go
@@ -12,9 +12,9 @@
 	"peridotpier.example/node/gate"
 )
 
-// aloneRetry is when a caller should come back that was refused while nobody
+// uncoordinatedRetry is when a caller should come back that was refused while nobody
 // counts for all: by then another host mostly does.
-const aloneRetry = time.Second
+const uncoordinatedRetry = time.Second
 
 // teamShares are this host's parts in the accounts of the teams.
 type teamShares struct {
@@ -43,8 +43,8 @@
 	f(t.shareLocked(team, now))
 }
 
-// word is how a team's account stood when this host was told last.
-func (t *teamShares) word(team string, now time.Time) (quota.KnownState, bool) {
+// state is how a team's account stood when this host was told last.
+func (t *teamShares) state(team string, now time.Time) (quota.KnownState, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.byName[team]; s != nil {
@@ -53,8 +53,8 @@
 	return quota.KnownState{}, false
 }
 
-// report adds to a report what nobody who counts has heard of.
-func (t *teamShares) report(r *coordpb.HostReport, now time.Time) {
+// addUse adds to a report what nobody who counts has heard of.
+func (t *teamShares) addUse(r *coordpb.HostReport, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, s := range t.byName {
@@ -64,14 +64,14 @@
 	}
 }
 
-// words adds to a report how the accounts stood whose limits may bind. A holder that
+// addStates adds to a report how the accounts stood whose limits may bind. A holder that
 // has just started knows nothing of them.
-func (t *teamShares) words(r *coordpb.HostReport, now time.Time) {
+func (t *teamShares) addStates(r *coordpb.HostReport, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, s := range t.byName {
 		w, ok := s.KnownState(now)
-		if !ok || !w.Constrained || w.Age > wordFor {
+		if !ok || !w.Constrained || w.Age > maxStateAge {
 			continue
 		}
 		r.TeamWords = append(r.TeamWords, &coordpb.TeamWord{AgeMs: uint32(w.Age.Milliseconds()),
@@ -79,12 +79,12 @@
 	}
 }
 
-// wordFor is how old a word may be that is handed on. In this time an account gains
+// maxStateAge is how old a word may be that is handed on. In this time an account gains
 // more than most bursts hold.
-const wordFor = 5 * time.Second
+const maxStateAge = 5 * time.Second
 
-// reported notes that the last report was answered.
-func (t *teamShares) reported() {
+// confirmReported notes that the last report was answered.
+func (t *teamShares) confirmReported() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.byName {
@@ -92,8 +92,8 @@
 	}
 }
 
-// tell enters the answer to a report, which counts until then.
-func (t *teamShares) tell(s *coordpb.SiteState, now, until time.Time) {
+// apply enters the answer to a report, which counts until then.
+func (t *teamShares) apply(s *coordpb.SiteState, now, until time.Time) {
 	if !s.CountsTeams {
 		return
 	}
@@ -109,9 +109,9 @@
 	}
 }
 
-// keep makes shares for the teams of a configuration, so that each is told of
+// followTeams makes shares for the teams of a configuration, so that each is told of
 // before its first request, and drops those of teams that are gone.
-func (t *teamShares) keep(teams []deploy.Team, now time.Time) {
+func (t *teamShares) followTeams(teams []deploy.Team, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range teams {
@@ -137,13 +137,13 @@
 	verdict := quota.ConsultLedger
 	l.teams.with(team, now, func(s *quota.Share) { verdict = s.Decide(cost, now) })
 	if verdict == quota.ConsultLedger {
-		wait, ok, err := l.asking.charge(ctx, team.Name, cost)
+		wait, ok, err := l.permitClient.charge(ctx, team.Name, cost)
 		if err == nil {
 			return wait, ok
 		}
 		l.teams.with(team, now, func(s *quota.Share) { verdict = s.DecideWithoutLedger(cost, now, rand.Float64()) })
 	}
-	return aloneRetry, verdict == quota.Admit
+	return uncoordinatedRetry, verdict == quota.Admit
 }
 
 // Refund implements gate.Limits.
@@ -155,10 +155,10 @@
 var _ gate.TeamLimits = (*Link)(nil)
 
 // charge asks the host that counts for all whether a request may be sent.
-func (a *asking) charge(ctx context.Context, team string, cost float64) (wait time.Duration, ok bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, askBound)
+func (a *permitClient) charge(ctx context.Context, team string, cost float64) (wait time.Duration, ok bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, firstAnswerTimeout)
 	defer cancel()
-	answer, err := a.exchange(ctx, &coordpb.TurnEvent{Kind: coordpb.TurnEvent_CHARGE, Team: team, Charge: uint32(cost)})
+	answer, err := a.call(ctx, &coordpb.TurnEvent{Kind: coordpb.TurnEvent_CHARGE, Team: team, Charge: uint32(cost)})
 	if err != nil {
 		return 0, false, err
 	}
--- a/node/coordinator/listsends.go
+++ b/node/coordinator/listbudget.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// listSends bounds what whole lists take of this host's link. Where thousands of
+// listSendBudget bounds what whole lists take of this host's link. Where thousands of
 // upstreams are listed and a thousand hosts ask together, all of them would else come
 // too slowly for any host to take one before its report counts as lost.
-type listSends struct {
-	mu   sync.Mutex
-	over time.Time // when those that were given leave are sent
+type listSendBudget struct {
+	mu        sync.Mutex
+	busyUntil time.Time // when those that were given leave are sent
 }
 
 const (
 	// listShare is the part of the link for whole lists.
 	listShare = 0.4
 	// listBurst is how far ahead leave is given: a part of what a report may take.
-	listBurst = reportCallBound / 4
+	listBurst = reportTimeout / 4
 )
 
-// take gives leave to send some bytes over a link, in megabits a second; 0: not bounded.
-func (l *listSends) take(bytes int, mbps float64, now time.Time) bool {
+// reserve gives leave to send some bytes over a link, in megabits a second; 0: not bounded.
+func (l *listSendBudget) reserve(bytes int, mbps float64, now time.Time) bool {
 	if mbps == 0 {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over.Sub(now) > listBurst {
+	if l.busyUntil.Sub(now) > listBurst {
 		return false
 	}
 	const bitsPerByte, perMega = 8, 1e6
 	takes := time.Duration(float64(bytes*bitsPerByte) / (mbps * perMega * listShare) * float64(time.Second))
-	l.over = later(l.over, now).Add(takes)
+	l.busyUntil = later(l.busyUntil, now).Add(takes)
 	return true
 }
--- a/node/coordinator/listcall.go
+++ b/node/coordinator/listcall.go
@@ -25,35 +25,35 @@
 	if at == 0 {
 		return &coordpb.ListAnswer{}, nil
 	}
-	w, err := c.encodings.whole(c.now(), at, true, c.deps.Fleet)
-	if err != nil || !c.lists.take(len(w.packed), c.cfg.LinkMbps, c.now()) {
+	w, err := c.encodings.packedList(c.now(), at, true, c.deps.Fleet)
+	if err != nil || !c.listBudget.reserve(len(w.data), c.cfg.LinkMbps, c.now()) {
 		return &coordpb.ListAnswer{}, err
 	}
-	c.countBytes(bytesHandedOn, len(w.packed))
-	return &coordpb.ListAnswer{Packed: w.packed, At: w.at}, nil
+	c.countBytes(bytesForwardedList, len(w.data))
+	return &coordpb.ListAnswer{Packed: w.data, At: w.storeVersion}, nil
 }
 
 // listRetry is how long a host without a list waits before it asks again: those that
 // would act next have it by then.
-const listRetry = 2 * reportPeriod
+const listRetry = 2 * minReportPeriod
 
 // fetchList asks the hosts that would act next for the list, until one hands it over.
 func (l *Link) fetchList(ctx context.Context) {
-	l.pace.set(listRetry)
+	l.pace.setPeriod(listRetry)
 	peers := l.peers()
 	for _, i := range rand.Perm(len(peers)) {
-		if peers[i] == l.cfg.Address || peers[i] == l.where() {
+		if peers[i] == l.cfg.Address || peers[i] == l.coordinatorAddress() {
 			continue
 		}
-		if a, err := l.conns.list(ctx, peers[i]); err == nil && a.At > 0 && l.takeList(a) {
+		if a, err := l.conns.list(ctx, peers[i]); err == nil && a.At > 0 && l.applyList(a) {
 			return
 		}
 	}
 }
 
-// takeList enters a list that another handed on. Its age is not known: what changed
+// applyList enters a list that another handed on. Its age is not known: what changed
 // since comes with the answer to the next report.
-func (l *Link) takeList(a *coordpb.ListAnswer) bool {
+func (l *Link) applyList(a *coordpb.ListAnswer) bool {
 	put, err := unpackList(a.Packed)
 	if err != nil {
 		l.log.Emit(event.RoutesUnusable, zap.Error(err))
--- a/node/coordinator/coming_test.go
+++ b/node/coordinator/loadingmodels_test.go
@@ -15,31 +15,31 @@
 // Sequence: the holder moves a model; what makes way for it ends its streams
 // first, then its load begins.
 // Cause: hosts are told of a model when it is there, not before.
-func TestHostsAreToldWhenAModelComes(t *testing.T) {
+func TestHostsReceiveTheReadyTimeOfALoadingModel(t *testing.T) {
 	holder, host := holderSize{7, 12, 340}.holder(), holderSize{7, 12, 340}.holder()
 	l := NewLink(LinkConfig{Host: "h"}, host, nil, host.deps.Log)
 	tell := func() {
-		l.take(holder.tellSums(&coordpb.HostReport{Host: "h", Revision: l.revision}, holder.now()))
+		l.applyAnswer(holder.answerLoads(&coordpb.HostReport{Host: "h", Revision: l.revision}, holder.now()))
 	}
 	tell()
 	_, coming := host.deps.Fleet.ExpectedReady("s", modelName(200))
 	assert.Assert(t, !coming)
 
-	u, _ := holder.unit(upstreamName(0))
-	u.moving = &moving{Move: replica.Move{Upstream: upstreamName(0), Unload: modelName(0), Load: modelName(200), From: replica.FromStore}}
-	holder.changed(u)
+	u, _ := holder.upstream(upstreamName(0))
+	u.activeMove = &activeMove{Move: replica.Move{Upstream: upstreamName(0), Unload: modelName(0), Load: modelName(200), From: replica.FromStore}}
+	holder.publishChange(u)
 	tell()
 	at, coming := host.deps.Fleet.ExpectedReady("s", modelName(200))
 	assert.Assert(t, coming && at.Sub(host.now()) == 9*time.Second, "at the earliest")
 
-	u.moving.loads = holder.now().Add(-4 * time.Second)
-	holder.changed(u)
+	u.activeMove.loadingSince = holder.now().Add(-4 * time.Second)
+	holder.publishChange(u)
 	tell()
 	at, coming = host.deps.Fleet.ExpectedReady("s", modelName(200))
 	assert.Assert(t, coming && at.Sub(host.now()) == 5*time.Second)
 
-	u.moving = nil
-	holder.changed(u)
+	u.activeMove = nil
+	holder.publishChange(u)
 	tell()
 	_, coming = host.deps.Fleet.ExpectedReady("s", modelName(200))
 	assert.Assert(t, !coming, "it came to nothing")
--- /dev/null
+++ b/node/coordinator/managedupstream.go
@@ -0,0 +1,220 @@
+package coordinator
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+
+	"peridotpier.example/core/deploy"
+	"peridotpier.example/core/residency"
+	"peridotpier.example/node/coordinator/coordpb"
+	"peridotpier.example/node/event"
+	"peridotpier.example/node/fleet"
+	"peridotpier.example/node/pace"
+)
+
+const (
+	// orderTimeout is how long an order may take to be answered. A lease must
+	// last longer than that when the order is sent.
+	orderTimeout = 600 * time.Millisecond
+	// reportLag is how old an upstream's report may be: it is not asked sooner
+	// than this after an order whose fate it should show.
+	reportLag = 300 * time.Millisecond
+	// describedLag is how long what an order changed is believed against the
+	// upstream's description in the store, which comes with its heartbeats.
+	describedLag = 2500 * time.Millisecond
+	// defaultAdapterLoadTime is how long an adapter's load takes on the largest models.
+	defaultAdapterLoadTime = 32 * time.Millisecond
+)
+
+// managedUpstream is one upstream as orders see it. ordering is held over the sending of an
+// order and is taken before mu.
+type managedUpstream struct {
+	c      *Coordinator
+	entry  *fleet.Entry
+	engine *deploy.Engine
+
+	orderToken chan struct{} // holds a token while an order is given
+	revision   atomic.Uint64 // of the coordinator, at this unit's last change
+
+	mu            sync.Mutex
+	record        *residency.Record
+	changedAt     time.Time        // of the last order or report
+	describedAt   time.Time        // arrival of the description that was entered last
+	activeMove    *activeMove      // the change of models that is under way; nil: none
+	excludedUntil time.Time        // until when no move begins, after one that came to nothing
+	polledAt      time.Time        // when the end of a former holder's order was last asked for
+	published     publishedHolding // as of the last change
+}
+
+// newManagedUpstream opens the book of an upstream.
+func newManagedUpstream(c *Coordinator, e *fleet.Entry, engine *deploy.Engine, now time.Time) *managedUpstream {
+	described, _ := e.Description()
+	return &managedUpstream{c: c, entry: e, engine: engine, orderToken: make(chan struct{}, 1), record: residency.New(engine, &described, now)}
+}
+
+// publishedHolding is what hosts are told of an upstream.
+type publishedHolding struct {
+	residents    []deploy.Resident
+	loading      string    // model that is being loaded, or will be; "": none
+	loadingSince time.Time // since when
+}
+
+func (t publishedHolding) equal(o publishedHolding) bool {
+	return t.loading == o.loading && t.loadingSince.Equal(o.loadingSince) && slices.EqualFunc(t.residents, o.residents, deploy.Resident.Equal)
+}
+
+// updatePublished says whether hosts were told something else last.
+func (u *managedUpstream) updatePublished() bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	now := publishedHolding{residents: u.record.ReadyResidents()}
+	if u.activeMove != nil {
+		now.loading, now.loadingSince = u.activeMove.Load, u.activeMove.loadingSince
+	}
+	if now.equal(u.published) {
+		return false
+	}
+	u.published = now
+	return true
+}
+
+// lockOrders waits until no other order is being given, and says no when ctx
+// ends before: callers wait here, each for its own time.
+func (u *managedUpstream) lockOrders(ctx context.Context) bool {
+	select {
+	case u.orderToken <- struct{}{}:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+func (u *managedUpstream) unlockOrders() { <-u.orderToken }
+
+// describe enters the upstream's newest description, unless it may be older
+// than what is known.
+func (u *managedUpstream) describe(now time.Time) (changed bool) {
+	d, at := u.entry.Description()
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if !at.After(u.describedAt) || at.Sub(u.changedAt) < describedLag {
+		return false
+	}
+	u.describedAt = at
+	u.record.ApplyDescription(d.Residents, now)
+	return true
+}
+
+// sendOrder gives one order, whose answer may take as long as bound, and enters its outcome.
+func (u *managedUpstream) sendOrder(ctx context.Context, o residency.Order, why string, bound time.Duration) error {
+	c := u.c
+	if err := c.mayOrderTo(u, bound); err != nil {
+		return err
+	}
+	if !u.isUsable() { // it leaves, or has started again and has another account
+		return errNoUpstream
+	}
+	described, _ := u.entry.Description()
+	t := c.authority()
+	u.mu.Lock()
+	u.record.MarkSent(o, c.now())
+	u.mu.Unlock()
+	c.recordOrder(u.entry.ID())
+	c.publishChange(u)
+	c.deps.Log.Emit(event.OrderSent, u.logFields(o, zap.String("why", why), zap.Uint64("epoch", t.Epoch))...)
+	ctx, cancel := context.WithTimeout(ctx, bound)
+	defer cancel()
+	v, err := c.deps.Orders.Order(ctx, &described, o, t)
+	return u.recordOutcome(o, v, err)
+}
+
+func (u *managedUpstream) logFields(o residency.Order, more ...zap.Field) []zap.Field {
+	return append([]zap.Field{zap.String(event.FieldPeer, u.entry.ID()), zap.Stringer("operation", o.Op), zap.String("model", o.Model),
+		zap.String("adapter", o.Adapter), zap.Uint64("expected", o.Expected)}, more...)
+}
+
+// errRefused: the upstream did not take the order.
+var errRefused = errors.New("order refused")
+
+// recordOutcome writes the outcome of an order into the book.
+func (u *managedUpstream) recordOutcome(o residency.Order, v Verdict, err error) error {
+	now := u.c.now()
+	u.mu.Lock()
+	u.changedAt = now
+	switch {
+	case err != nil:
+		u.record.MarkUnanswered(o, now)
+	case v == Accepted:
+		u.record.MarkAccepted(o, false, now)
+	case v == Done:
+		u.record.MarkAccepted(o, true, now)
+	default:
+		u.record.MarkRefused(o)
+	}
+	u.mu.Unlock()
+	u.c.publishChange(u)
+	switch {
+	case err != nil:
+		u.c.deps.Log.Emit(event.OrderUnanswered, u.logFields(o, zap.Error(err))...)
+		return err
+	case v == Accepted || v == Done:
+		return nil
+	}
+	if v == Replaced {
+		u.entry.MarkReplaced()
+	}
+	u.c.deps.Log.Emit(event.OrderRejected, u.logFields(o, zap.Stringer("verdict", v))...)
+	return errRefused
+}
+
+// reconcile asks the upstream for its report and enters it.
+func (u *managedUpstream) reconcile(ctx context.Context) error {
+	u.mu.Lock()
+	since := u.c.now().Sub(u.changedAt)
+	u.mu.Unlock()
+	if since < reportLag && !pace.Sleep(ctx, reportLag-since) {
+		return ctx.Err()
+	}
+	described, _ := u.entry.Description()
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	defer cancel()
+	r, err := u.c.deps.Orders.Report(ctx, &described)
+	if err != nil {
+		return err
+	}
+	u.mu.Lock()
+	u.record.Reconcile(r, u.c.now())
+	u.mu.Unlock()
+	u.c.publishChange(u)
+	return nil
+}
+
+// isUsable says whether the upstream may get orders and work.
+func (u *managedUpstream) isUsable() bool { return u.entry.Usable() }
+
+// unconfirmedOrders are the orders sent to the upstream that may still be carried out.
+func (u *managedUpstream) unconfirmedOrders(now time.Time) []residency.UnconfirmedOrder {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.record.Unconfirmed(now)
+}
+
+// serves says whether requests may be sent there for a model and adapter.
+func (u *managedUpstream) serves(model, adapter string) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.record.IsReady(model, adapter)
+}
+
+// recordUse notes what callers asked of a host.
+func (u *managedUpstream) recordUse(d *coordpb.Demand, now time.Time) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.record.MarkUsed(d.Model, d.Adapter, now)
+}
--- a/node/coordinator/overload_test.go
+++ b/node/coordinator/overload_test.go
@@ -16,15 +16,15 @@
 // A play of one upstream that reads prompts one after the other, and of callers
 // who ask for twice as much as it can read.
 const (
-	playObjective = time.Second
-	playReads     = 118 * time.Millisecond // 2,368 tokens at 20.4 a millisecond
-	playArrives   = playReads / 2
-	playGivesUp   = 800 * time.Millisecond // what a host waits for a turn
-	playLasts     = 20 * time.Second
+	simObjective       = time.Second
+	simReadTime        = 118 * time.Millisecond // 2,368 tokens at 20.4 a millisecond
+	simArrivalInterval = simReadTime / 2
+	simMaxWait         = 800 * time.Millisecond // what a host waits for a turn
+	simDuration        = 20 * time.Second
 )
 
-// played is one request of the play.
-type played struct {
+// simRequest is one request of the play.
+type simRequest struct {
 	id      uint64
 	arrived time.Time
 	granted bool
@@ -42,45 +42,45 @@
 	f.Apply([]deploy.Upstream{{ID: "u", Service: "s", Address: "u", Slots: 32, Residents: []deploy.Resident{{Model: "m"}}}}, nil, 0)
 	log := event.NewLog(nil)
 	c := New(Config{}, Deps{Fleet: f, Config: follow.NewActiveConfig(log), Log: log, Now: func() time.Time { return k.now }})
-	from := stream()
-	var all, reading []*played
+	from := newTestStream()
+	var all, reading []*simRequest
 	inTime, readUntil := 0, k.now
 	began := k.now
-	for step := 0; k.now.Sub(began) < playLasts; step++ {
+	for step := 0; k.now.Sub(began) < simDuration; step++ {
 		k.now = k.now.Add(time.Millisecond)
-		if step%int(playArrives.Milliseconds()) == 0 {
-			p := &played{id: uint64(len(all)), arrived: k.now}
+		if step%int(simArrivalInterval.Milliseconds()) == 0 {
+			p := &simRequest{id: uint64(len(all)), arrived: k.now}
 			all = append(all, p)
-			e := ask(p.id, 1)
-			e.Prompt, e.Reading, e.InTimeMs = 2368, 3760, uint32(playObjective.Milliseconds())
-			c.turns.take(from, e)
+			e := newRequestEvent(p.id, 1)
+			e.Prompt, e.Reading, e.InTimeMs = 2368, 3760, uint32(simObjective.Milliseconds())
+			c.permits.handle(from, e)
 		}
-		for id, a := range answers(from) {
+		for id, a := range drainAnswers(from) {
 			if a.Kind == coordpb.TurnAnswer_GRANTED && !all[id].ended {
 				all[id].granted = true
 				reading = append(reading, all[id])
 				if len(reading) == 1 {
-					readUntil = k.now.Add(playReads)
+					readUntil = k.now.Add(simReadTime)
 				}
 			}
 		}
 		if len(reading) > 0 && !k.now.Before(readUntil) {
 			p := reading[0]
 			reading = reading[1:]
-			readUntil = k.now.Add(playReads)
-			if k.now.Sub(p.arrived) <= playObjective {
+			readUntil = k.now.Add(simReadTime)
+			if k.now.Sub(p.arrived) <= simObjective {
 				inTime++
 			}
-			c.turns.take(from, &coordpb.TurnEvent{Id: p.id, Kind: coordpb.TurnEvent_FIRST})
-			c.turns.take(from, &coordpb.TurnEvent{Id: p.id, Kind: coordpb.TurnEvent_END})
+			c.permits.handle(from, &coordpb.TurnEvent{Id: p.id, Kind: coordpb.TurnEvent_FIRST})
+			c.permits.handle(from, &coordpb.TurnEvent{Id: p.id, Kind: coordpb.TurnEvent_END})
 		}
 		for _, p := range all {
-			if !p.granted && !p.ended && k.now.Sub(p.arrived) >= playGivesUp {
+			if !p.granted && !p.ended && k.now.Sub(p.arrived) >= simMaxWait {
 				p.ended = true
-				c.turns.take(from, &coordpb.TurnEvent{Id: p.id, Kind: coordpb.TurnEvent_END})
+				c.permits.handle(from, &coordpb.TurnEvent{Id: p.id, Kind: coordpb.TurnEvent_END})
 			}
 		}
 	}
-	could := int(playLasts / playReads)
+	could := int(simDuration / simReadTime)
 	assert.Assert(t, inTime*10 >= could*8, "%d in time of the %d that could be read", inTime, could)
 }
--- a/node/coordinator/asking.go
+++ b/node/coordinator/permitclient.go
@@ -14,46 +14,46 @@
 )
 
 const (
-	// askBound is how long the first word on a question may take: several ways
+	// firstAnswerTimeout is how long the first word on a question may take: several ways
 	// between data centres and a busy host's delay. A host waits this long at
 	// most for one that has stopped without a sign.
-	askBound = 40 * time.Millisecond
-	// askPause is how long a host decides by itself after a question went
+	firstAnswerTimeout = 40 * time.Millisecond
+	// localDecisionTime is how long a host decides by itself after a question went
 	// unanswered.
-	askPause = 600 * time.Millisecond
-	// askRetry is the least time between two tries to open a stream.
-	askRetry = 300 * time.Millisecond
+	localDecisionTime = 600 * time.Millisecond
+	// minOpenInterval is the least time between two tries to open a stream.
+	minOpenInterval = 300 * time.Millisecond
 )
 
-// asking is a host's stream of questions to the one that decides for all.
-type asking struct {
+// permitClient is a host's stream of questions to the one that decides for all.
+type permitClient struct {
 	link *Link
 
-	mu     sync.Mutex
-	stream askStream // nil: none
-	asks   map[uint64]chan *coordpb.TurnAnswer
-	next   uint64
-	until  time.Time // until when this host decides by itself
-	opened time.Time // the last try to open a stream
+	mu          sync.Mutex
+	stream      permitSender // nil: none
+	pending     map[uint64]chan *coordpb.TurnAnswer
+	lastID      uint64
+	pausedUntil time.Time // until when this host decides by itself
+	openedAt    time.Time // the last try to open a stream
 }
 
-// askStream is the sending side of a stream, over the network or to this host's
+// permitSender is the sending side of a stream, over the network or to this host's
 // own coordinator. Neither of its methods waits for the other side.
-type askStream interface {
+type permitSender interface {
 	Send(*coordpb.TurnEvent) error
 	Close() error
 }
 
-func newAsking(l *Link) *asking {
-	return &asking{link: l, asks: map[uint64]chan *coordpb.TurnAnswer{}}
+func newPermitClient(l *Link) *permitClient {
+	return &permitClient{link: l, pending: map[uint64]chan *coordpb.TurnAnswer{}}
 }
 
 // run keeps a stream to the host that holds the lease until ctx ends.
-func (a *asking) run(ctx context.Context) error {
-	defer a.lose(nil)
+func (a *permitClient) run(ctx context.Context) error {
+	defer a.closeStream(nil)
 	at := ""
-	for a.pause(ctx, at) {
-		address := a.link.where()
+	for a.waitNext(ctx, at) {
+		address := a.link.coordinatorAddress()
 		a.mu.Lock()
 		open := a.stream != nil
 		a.mu.Unlock()
@@ -61,12 +61,12 @@
 			continue
 		}
 		if open {
-			a.lose(nil)
+			a.closeStream(nil)
 		}
-		if address == "" || time.Since(a.opened) < askRetry {
+		if address == "" || time.Since(a.openedAt) < minOpenInterval {
 			continue
 		}
-		a.opened = time.Now()
+		a.openedAt = time.Now()
 		if a.open(ctx, address) == nil {
 			at = address
 		}
@@ -74,25 +74,25 @@
 	return ctx.Err()
 }
 
-// pause waits for the next look at a stream to an address; it says no when ctx ends.
-func (a *asking) pause(ctx context.Context, at string) bool {
-	moved := a.link.moved.Next()
+// waitNext waits for the next look at a stream to an address; it says no when ctx ends.
+func (a *permitClient) waitNext(ctx context.Context, at string) bool {
+	moved := a.link.linkChanged.Next()
 	a.mu.Lock()
 	open := a.stream != nil
 	a.mu.Unlock()
-	if open && a.link.where() == at {
-		return pace.SleepOrWake(ctx, idleTick, moved)
+	if open && a.link.coordinatorAddress() == at {
+		return pace.SleepOrWake(ctx, idleInterval, moved)
 	}
-	return pace.Sleep(ctx, lookEach)
+	return pace.Sleep(ctx, pollInterval)
 }
 
 // open starts a stream.
-func (a *asking) open(ctx context.Context, address string) error {
+func (a *permitClient) open(ctx context.Context, address string) error {
 	if address == a.link.cfg.Address {
-		a.openOwn()
+		a.openLocal()
 		return nil
 	}
-	conn, err := a.link.conns.take(ctx, address)
+	conn, err := a.link.conns.get(ctx, address)
 	if err != nil {
 		return err
 	}
@@ -103,7 +103,7 @@
 		_ = conn.Close()
 		return err
 	}
-	own := &peerStream{out: make(chan *coordpb.TurnEvent, turnQueue), cancel: cancel}
+	own := &peerStream{out: make(chan *coordpb.TurnEvent, permitQueueLen), cancel: cancel}
 	a.mu.Lock()
 	a.stream = own
 	a.mu.Unlock()
@@ -114,7 +114,7 @@
 		for {
 			answer, err := st.Recv()
 			if err != nil {
-				a.lose(own)
+				a.closeStream(own)
 				return
 			}
 			a.deliver(answer)
@@ -131,7 +131,7 @@
 }
 
 // errTurnsFull: the host that gives turns reads more slowly than this one asks.
-var errTurnsFull = errors.New("the stream of questions is full")
+var errPermitQueueFull = errors.New("the stream of questions is full")
 
 // Send implements askStream.
 func (p *peerStream) Send(e *coordpb.TurnEvent) error {
@@ -139,7 +139,7 @@
 	case p.out <- e:
 		return nil
 	default:
-		return errTurnsFull
+		return errPermitQueueFull
 	}
 }
 
@@ -164,33 +164,33 @@
 	}
 }
 
-// ownStream leads to the coordinator in this process.
-type ownStream struct {
+// localStream leads to the coordinator in this process.
+type localStream struct {
 	c    *Coordinator
-	to   *turnStream
+	to   *permitStream
 	stop context.CancelFunc
 }
 
 // Send implements askStream.
-func (o *ownStream) Send(e *coordpb.TurnEvent) error {
-	if asks(e) && !o.c.Acting() {
-		return errNotHolding
+func (o *localStream) Send(e *coordpb.TurnEvent) error {
+	if needsActingHost(e) && !o.c.Acting() {
+		return errNoLease
 	}
-	o.c.turns.take(o.to, e)
+	o.c.permits.handle(o.to, e)
 	return nil
 }
 
 // Close implements askStream.
-func (o *ownStream) Close() error {
+func (o *localStream) Close() error {
 	o.stop()
-	o.c.turns.leave(o.to)
+	o.c.permits.removeStream(o.to)
 	return nil
 }
 
-func (a *asking) openOwn() {
+func (a *permitClient) openLocal() {
 	ctx, cancel := context.WithCancel(context.Background())
-	to := &turnStream{out: make(chan *coordpb.TurnAnswer, turnQueue), cancel: cancel}
-	own := &ownStream{c: a.link.own, to: to, stop: cancel}
+	to := &permitStream{out: make(chan *coordpb.TurnAnswer, permitQueueLen), cancel: cancel}
+	own := &localStream{c: a.link.own, to: to, stop: cancel}
 	a.mu.Lock()
 	a.stream = own
 	a.mu.Unlock()
@@ -198,7 +198,7 @@
 		for {
 			select {
 			case <-ctx.Done():
-				a.lose(own) // so that another is opened
+				a.closeStream(own) // so that another is opened
 				return
 			case answer := <-to.out:
 				a.deliver(answer)
@@ -207,9 +207,9 @@
 	}()
 }
 
-// lose ends the stream, if it is still st (nil: whichever it is), and has those
+// closeStream ends the stream, if it is still st (nil: whichever it is), and has those
 // who wait on it decide by themselves.
-func (a *asking) lose(st askStream) {
+func (a *permitClient) closeStream(st permitSender) {
 	a.mu.Lock()
 	old := a.stream
 	if old == nil || st != nil && old != st {
@@ -217,23 +217,23 @@
 		return
 	}
 	a.stream = nil
-	for id, ch := range a.asks {
+	for id, ch := range a.pending {
 		close(ch)
-		delete(a.asks, id)
+		delete(a.pending, id)
 	}
 	a.mu.Unlock()
-	a.link.moved.Notify()
+	a.link.linkChanged.Notify()
 	_ = old.Close()
 }
 
-func (a *asking) deliver(answer *coordpb.TurnAnswer) {
+func (a *permitClient) deliver(answer *coordpb.TurnAnswer) {
 	if answer.Kind == coordpb.TurnAnswer_NEWS {
 		a.link.pace.hasten(milliseconds(answer.WaitMs))
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if ch := a.asks[answer.Id]; ch != nil {
+	if ch := a.pending[answer.Id]; ch != nil {
 		select {
 		case ch <- answer:
 		default: // two answers at most; a third would be a fault of the other side
@@ -241,43 +241,43 @@
 	}
 }
 
-// tell sends an event; a stream that fails is given up.
-func (a *asking) tell(st askStream, e *coordpb.TurnEvent) error {
+// send sends an event; a stream that fails is given up.
+func (a *permitClient) send(st permitSender, e *coordpb.TurnEvent) error {
 	err := st.Send(e)
 	if err != nil {
-		a.lose(st)
+		a.closeStream(st)
 	}
 	return err
 }
 
-// begin sends a question; its answers come on the channel until done is called.
-func (a *asking) begin(e *coordpb.TurnEvent) (st askStream, answers <-chan *coordpb.TurnAnswer, done func(), err error) {
+// start sends a question; its answers come on the channel until done is called.
+func (a *permitClient) start(e *coordpb.TurnEvent) (st permitSender, answers <-chan *coordpb.TurnAnswer, done func(), err error) {
 	a.mu.Lock()
 	st = a.stream
-	if st == nil || time.Now().Before(a.until) {
+	if st == nil || time.Now().Before(a.pausedUntil) {
 		a.mu.Unlock()
-		return nil, nil, nil, errNoTurns
+		return nil, nil, nil, errNoCoordinator
 	}
-	a.next++
-	e.Id = a.next
+	a.lastID++
+	e.Id = a.lastID
 	ch := make(chan *coordpb.TurnAnswer, 2)
-	a.asks[e.Id] = ch
+	a.pending[e.Id] = ch
 	a.mu.Unlock()
 	done = func() {
 		a.mu.Lock()
-		delete(a.asks, e.Id)
+		delete(a.pending, e.Id)
 		a.mu.Unlock()
 	}
-	if err := a.tell(st, e); err != nil {
+	if err := a.send(st, e); err != nil {
 		done()
 		return nil, nil, nil, err
 	}
 	return st, ch, done, nil
 }
 
-// exchange asks what is answered at once, and waits until ctx ends at most.
-func (a *asking) exchange(ctx context.Context, e *coordpb.TurnEvent) (*coordpb.TurnAnswer, error) {
-	_, answers, done, err := a.begin(e)
+// call asks what is answered at once, and waits until ctx ends at most.
+func (a *permitClient) call(ctx context.Context, e *coordpb.TurnEvent) (*coordpb.TurnAnswer, error) {
+	_, answers, done, err := a.start(e)
 	if err != nil {
 		return nil, err
 	}
@@ -285,7 +285,7 @@
 	select {
 	case answer, ok := <-answers:
 		if !ok {
-			return nil, errNoTurns
+			return nil, errNoCoordinator
 		}
 		return answer, nil
 	case <-ctx.Done():
@@ -293,16 +293,16 @@
 	}
 }
 
-// ask asks where a request may go and waits until ctx ends at most.
-func (a *asking) ask(ctx context.Context, e *coordpb.TurnEvent) (*gate.Permit, error) {
-	st, answers, done, err := a.begin(e)
+// request asks where a request may go and waits until ctx ends at most.
+func (a *permitClient) request(ctx context.Context, e *coordpb.TurnEvent) (*gate.Permit, error) {
+	st, answers, done, err := a.start(e)
 	if err != nil {
 		return nil, err
 	}
 	defer done()
-	answer, err := a.await(ctx, answers)
+	answer, err := a.awaitAnswer(ctx, answers)
 	if err != nil {
-		_ = a.tell(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_END})
+		_ = a.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_END})
 		return nil, err
 	}
 	switch answer.Kind {
@@ -314,20 +314,20 @@
 	}
 	return &gate.Permit{Upstream: answer.Upstream, Predicted: milliseconds(answer.PredictedMs),
 		InFlight: int(answer.Load), PendingPromptTokens: int(answer.Waiting), CachedTokens: int(answer.Cached), WithinLimit: answer.WithinLimit, IsProbe: answer.Trial,
-		Began:        func() { _ = a.tell(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_FIRST}) },
-		NotListening: func() { _ = a.tell(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_ABSENT}) },
-		Release:      func() { _ = a.tell(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_END}) }}, nil
+		Began:        func() { _ = a.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_FIRST}) },
+		NotListening: func() { _ = a.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_ABSENT}) },
+		Release:      func() { _ = a.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_END}) }}, nil
 }
 
-// await waits for the first word within askBound, and for the last until ctx ends.
-func (a *asking) await(ctx context.Context, ch <-chan *coordpb.TurnAnswer) (*coordpb.TurnAnswer, error) {
-	first := time.NewTimer(askBound)
+// awaitAnswer waits for the first word within askBound, and for the last until ctx ends.
+func (a *permitClient) awaitAnswer(ctx context.Context, ch <-chan *coordpb.TurnAnswer) (*coordpb.TurnAnswer, error) {
+	first := time.NewTimer(firstAnswerTimeout)
 	defer first.Stop()
 	for {
 		select {
 		case answer, ok := <-ch:
 			if !ok {
-				return nil, errNoTurns
+				return nil, errNoCoordinator
 			}
 			if answer.Kind != coordpb.TurnAnswer_QUEUED {
 				return answer, nil
@@ -336,9 +336,9 @@
 		case <-first.C:
 			a.link.ReportSoon() // which finds out whether the other is lost
 			a.mu.Lock()
-			a.until = time.Now().Add(askPause)
+			a.pausedUntil = time.Now().Add(localDecisionTime)
 			a.mu.Unlock()
-			return nil, errNoTurns
+			return nil, errNoCoordinator
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -361,5 +361,5 @@
 	for _, p := range q.Request.PromptParts {
 		e.Parts = append(e.Parts, &coordpb.Part{Id: p.ID, Tokens: uint32(p.Tokens)})
 	}
-	return l.asking.ask(ctx, e)
+	return l.permitClient.request(ctx, e)
 }
--- a/node/coordinator/asking_test.go
+++ b/node/coordinator/permitclient_test.go
@@ -17,12 +17,12 @@
 	"peridotpier.example/node/gate"
 )
 
-// stalled is a host that gives one turn and then reads nothing more.
-type stalled struct {
+// stalledHost is a host that gives one turn and then reads nothing more.
+type stalledHost struct {
 	coordpb.DRPCCoordinatorUnimplementedServer
 }
 
-func (*stalled) Turns(st coordpb.DRPCCoordinator_TurnsStream) error {
+func (*stalledHost) Turns(st coordpb.DRPCCoordinator_TurnsStream) error {
 	e, err := st.Recv()
 	if err != nil {
 		return err
@@ -44,28 +44,28 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	mux := drpcmux.New()
-	assert.NilError(t, coordpb.DRPCRegisterCoordinator(mux, &stalled{}))
+	assert.NilError(t, coordpb.DRPCRegisterCoordinator(mux, &stalledHost{}))
 	near, far := net.Pipe() // it holds no bytes: a write waits for its reader
 	go func() { _ = drpcserver.New(mux).ServeOne(ctx, far) }()
 	link := NewLink(LinkConfig{Host: "h", Address: "own"}, nil, func(context.Context, string, string) (net.Conn, error) { return near, nil }, event.NewLog(nil))
-	assert.NilError(t, link.asking.open(ctx, "other"))
+	assert.NilError(t, link.permitClient.open(ctx, "other"))
 	q := &gate.PermitRequest{Service: "s", Request: &fleet.Request{Model: "m"}}
 	turn, err := link.RequestPermit(ctx, q)
 	assert.NilError(t, err)
 	assert.Equal(t, turn.Upstream, "u")
-	within(t, func() {
-		for range 4 * turnQueue {
+	finishesSoon(t, func() {
+		for range 4 * permitQueueLen {
 			turn.Began()
 		}
 		turn.Release()
 	})
-	within(t, func() {
+	finishesSoon(t, func() {
 		_, err := link.RequestPermit(ctx, q)
-		assert.ErrorIs(t, err, errNoTurns)
+		assert.ErrorIs(t, err, errNoCoordinator)
 	})
 }
 
-func within(t *testing.T, f func()) {
+func finishesSoon(t *testing.T, f func()) {
 	t.Helper()
 	done := make(chan struct{})
 	go func() {
@@ -83,12 +83,12 @@
 // a wait in vain, for ever.
 // Sequence: more answers to its own requests wait than its queue holds.
 // Cause: the end of its stream to itself is not noticed, so that no other is opened.
-func TestAStreamToItselfThatEndedIsGivenUp(t *testing.T) {
+func TestAnEndedLocalStreamIsClosed(t *testing.T) {
 	log := event.NewLog(nil)
 	own := New(Config{}, Deps{Fleet: fleet.New(fleet.Config{}, fleet.Deps{}), Log: log})
-	a := NewLink(LinkConfig{Host: "h"}, own, nil, log).asking
-	a.openOwn()
-	to := a.stream.(*ownStream).to
+	a := NewLink(LinkConfig{Host: "h"}, own, nil, log).permitClient
+	a.openLocal()
+	to := a.stream.(*localStream).to
 	to.cancel() // as a full queue does
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		a.mu.Lock()
--- /dev/null
+++ b/node/coordinator/permits.go
@@ -0,0 +1,406 @@
+package coordinator
+
+import (
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"sort"
+	"sync"
+	"time"
+
+	"peridotpier.example/core/balance"
+	"peridotpier.example/core/speed"
+	"peridotpier.example/node/coordinator/coordpb"
+	"peridotpier.example/node/fleet"
+)
+
+// permits decides for all hosts where each request for a model goes, and when.
+//
+// Hosts that decide by themselves see what the others have sent a fraction of
+// a second late, and send to the same upstream at once; its streams then pause
+// while it reads all those prompts. One place that knows every send can let
+// each request wait until an upstream has read what it was given, and let it
+// go to the first that is done, the most urgent first.
+type permits struct {
+	c *Coordinator
+
+	mu          sync.Mutex
+	streams     map[*permitStream]struct{}
+	granted     map[permitKey]*permitRequest
+	grants      map[string]*upstreamGrants // by upstream
+	waiting     []*permitRequest           // the most urgent first, then the oldest
+	suspects    map[string]bool            // upstreams that several hosts leave alone, as of the last question or sweep
+	unreachable map[string]time.Time       // upstreams at whose address nothing listened, and when
+	limits      upstreamLimits
+	backoffs    backoffs
+	wakeAt      map[*fleet.Entry]time.Time // when what waits for an upstream is looked at next
+
+	endpoints []balance.Endpoint // of one pick; kept, since each names hundreds
+}
+
+// upstreamGrants is what was granted at one upstream.
+type upstreamGrants struct {
+	load          fleet.Load
+	cache         fleet.PromptCache
+	newestReading *permitRequest // of those whose prompts are being read there; nil: none
+}
+
+// permitKey names a request: the stream that it came on and the host's number.
+type permitKey struct {
+	from *permitStream
+	id   uint64
+}
+
+// permitRequest is one request.
+type permitRequest struct {
+	key           permitKey
+	event         *coordpb.TurnEvent
+	ask           fleet.Request
+	tried         map[string]bool
+	warm          map[string]bool
+	hostBackoffs  map[string]time.Time // until when upstreams want nothing from the host; nil: none does
+	askedAt       time.Time
+	upstream      string // where it was sent; "": it waits
+	readingPrompt bool   // its first event has not come
+	solePrompt    bool   // its upstream had no other prompt to read beside it
+	grantedAt     time.Time
+	firstAt       time.Time // when its first event came
+	waitReason    balance.Reason
+	isTrial       bool // its upstream had asked a host for rest
+}
+
+func newPermits(c *Coordinator) *permits {
+	return &permits{c: c, streams: map[*permitStream]struct{}{}, granted: map[permitKey]*permitRequest{}, grants: map[string]*upstreamGrants{}, unreachable: map[string]time.Time{}, limits: newUpstreamLimits(c), backoffs: backoffs{}, wakeAt: map[*fleet.Entry]time.Time{}}
+}
+
+// reset starts a term. What an earlier one counted does not hold any more.
+func (t *permits) reset() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.limits.reset()
+}
+
+// handle enters one event of a host and sends what follows from it.
+func (t *permits) handle(from *permitStream, e *coordpb.TurnEvent) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	k := permitKey{from, e.Id}
+	switch e.Kind {
+	case coordpb.TurnEvent_ASK:
+		t.request(k, e)
+	case coordpb.TurnEvent_FIRST:
+		t.promptRead(k)
+	case coordpb.TurnEvent_END:
+		t.end(k)
+	case coordpb.TurnEvent_ABSENT:
+		t.upstreamUnreachable(k)
+	case coordpb.TurnEvent_CHARGE:
+		if t.chargeTeam(k, e, t.c.now()) {
+			from.send(&coordpb.TurnAnswer{Id: k.id, Kind: coordpb.TurnAnswer_GRANTED})
+		}
+	}
+}
+
+// removeStream forgets all requests of a host whose stream has ended.
+func (t *permits) removeStream(from *permitStream) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.streams, from)
+	for k, g := range t.granted {
+		if k.from == from {
+			t.release(g)
+		}
+	}
+	kept := t.waiting[:0]
+	for _, w := range t.waiting {
+		if w.key.from != from {
+			kept = append(kept, w)
+		}
+	}
+	t.waiting = kept
+}
+
+// chargeTeam charges a request to its team's limit. It answers the host when that
+// does not allow it.
+func (t *permits) chargeTeam(k permitKey, e *coordpb.TurnEvent, now time.Time) bool {
+	if e.Team == "" {
+		return true
+	}
+	wait, ok := t.c.accounts.charge(e.Team, float64(e.Charge), now)
+	if !ok {
+		k.from.send(&coordpb.TurnAnswer{Id: k.id, Kind: coordpb.TurnAnswer_OVER, WaitMs: uint32(wait.Milliseconds()) + 1})
+	}
+	return ok
+}
+
+func (t *permits) request(k permitKey, e *coordpb.TurnEvent) {
+	now := t.c.now()
+	if !t.chargeTeam(k, e, now) {
+		return
+	}
+	t.suspects = t.c.aggregate.suspects(now)
+	w := &permitRequest{key: k, event: e, ask: fleet.Request{Model: e.Model, Adapter: e.Adapter}, askedAt: now, tried: setOf(e.Tried), warm: setOf(e.Warm)}
+	t.backoffs.record(w, now)
+	for _, p := range e.Parts {
+		w.ask.PromptParts = append(w.ask.PromptParts, fleet.PromptPart{ID: p.Id, Tokens: int(p.Tokens)})
+	}
+	w.waitReason = t.tryAll(w, now)
+	if !mayQueue(w.waitReason) || w.waitReason == balance.AllBackoff && t.refuseUnservable(w, now) {
+		return
+	}
+	at := sort.Search(len(t.waiting), func(i int) bool { return t.waiting[i].event.Priority > e.Priority })
+	t.waiting = append(t.waiting, nil)
+	copy(t.waiting[at+1:], t.waiting[at:])
+	t.waiting[at] = w
+	k.from.send(&coordpb.TurnAnswer{Id: k.id, Kind: coordpb.TurnAnswer_QUEUED, Reason: uint32(w.waitReason)})
+}
+
+// mayQueue says whether a request that was not granted for a reason waits here
+// until that has passed.
+func mayQueue(r balance.Reason) bool {
+	return r == balance.AllPrefilling || r == balance.AllFull || r == balance.AllBackoff
+}
+
+// tryAll looks for an upstream among all of the request's service. It answers the
+// host unless the request waits.
+func (t *permits) tryAll(w *permitRequest, now time.Time) balance.Reason {
+	entries := t.c.deps.Fleet.EntriesWithModel(w.event.Service, w.ask.Model)
+	d := t.pick(w, entries, now)
+	if d.Reason == balance.NoUpstream && t.c.deps.Fleet.HasUsableWithoutModel(w.event.Service, w.ask.Model, func(e *fleet.Entry) bool { return t.isExcluded(e, w, now) }) {
+		d.Reason = balance.NoModel
+	}
+	if d.Index < 0 && !mayQueue(d.Reason) {
+		a := &coordpb.TurnAnswer{Id: w.key.id, Kind: coordpb.TurnAnswer_NONE, Reason: uint32(d.Reason)}
+		if d.AdapterTarget >= 0 {
+			a.Home = entries[d.AdapterTarget].ID()
+		}
+		w.key.from.send(a)
+	}
+	return d.Reason
+}
+
+// pick grants the request the best of some upstreams, if one can take it now.
+func (t *permits) pick(w *permitRequest, entries []*fleet.Entry, now time.Time) balance.Decision {
+	endpoints := t.endpoints[:0]
+	for _, e := range entries {
+		endpoints = append(endpoints, t.endpoint(e, w, now))
+	}
+	t.endpoints = endpoints
+	r := balance.Request{Model: w.ask.Model, Adapter: w.ask.Adapter, PromptTokens: int(w.event.Prompt), OutputTokens: int(w.event.Output), MaxPendingPromptTokens: int(w.event.Reading)}
+	if e := t.c.engine(w.event.Service); e != nil {
+		r.CacheTokens = e.CacheTokens
+	}
+	d := balance.Pick(endpoints, &r, rand.Float64)
+	if d.Index >= 0 {
+		t.grant(w, entries[d.Index], &endpoints[d.Index], d, now)
+	}
+	return d
+}
+
+// endpoint is the upstream with what was granted there, in place of what hosts
+// report. A host that has no stream here counts by its report.
+func (t *permits) endpoint(e *fleet.Entry, w *permitRequest, now time.Time) balance.Endpoint {
+	out := e.Endpoint(&w.ask, now)
+	out.SameDataCentre, out.Tried, out.HasIdleConn = e.DataCentre() == w.event.DataCentre, w.tried[e.ID()], w.warm[e.ID()]
+	out.Down = out.Down || t.isExcluded(e, w, now)
+	out.Backoff = max(t.limits.wait(e, now), t.backoffs.wait(e.ID()), w.hostBackoffs[e.ID()].Sub(now))
+	p := t.grants[e.ID()]
+	if p == nil {
+		out.PendingPromptTokens = 0
+		return out
+	}
+	out.InFlight, out.InFlightTokens, out.PendingPromptTokens = max(p.load.Requests, out.InFlight), max(p.load.Tokens, out.InFlightTokens), p.load.PendingPromptTokens
+	if out.ModelResident {
+		out.CachedTokens = max(out.CachedTokens, p.cache.CachedTokens(&w.ask, now))
+	}
+	return out
+}
+
+// isExcluded says whether an upstream is passed over for what hosts found there, or
+// for having had an attempt of the request.
+func (t *permits) isExcluded(e *fleet.Entry, w *permitRequest, now time.Time) bool {
+	return w.tried[e.ID()] || t.suspects[e.ID()] || now.Sub(t.unreachable[e.ID()]) < unreachableFor
+}
+
+func (t *permits) grant(w *permitRequest, e *fleet.Entry, at *balance.Endpoint, d balance.Decision, now time.Time) {
+	w.upstream, w.readingPrompt = e.ID(), true
+	prompt := w.event.Prompt
+	w.event.Prompt -= min(w.event.Prompt, uint32(at.CachedTokens)) // the rest is what there is to read
+	if w.event.Model != "" {
+		t.c.speeds.with(w.model(), func(m speed.Estimator) { m.AddPrompt(int(prompt), int(w.event.Prompt)) })
+	}
+	w.grantedAt, w.solePrompt = now, at.PendingPromptTokens == 0
+	t.granted[w.key] = w
+	p := t.grants[w.upstream]
+	if p == nil {
+		p = &upstreamGrants{}
+		t.grants[w.upstream] = p
+	}
+	if p.newestReading != nil {
+		p.newestReading.solePrompt = false
+	}
+	p.newestReading = w
+	within := t.limits.take(e, now)
+	trial := t.backoffs.recordGrant(w)
+	p.cache.Record(&w.ask, now)
+	p.load.Requests++
+	p.load.Tokens += int(w.event.Prompt + w.event.Output)
+	p.load.PendingPromptTokens += int(w.event.Prompt)
+	w.key.from.send(&coordpb.TurnAnswer{Id: w.key.id, Kind: coordpb.TurnAnswer_GRANTED, Upstream: w.upstream,
+		PredictedMs: uint32(d.PredictedWait.Milliseconds()), Load: uint32(at.InFlight), Waiting: uint32(at.PendingPromptTokens), Cached: uint32(at.CachedTokens), WithinLimit: within, Trial: trial})
+}
+
+// promptRead notes that an upstream has read a request's prompt.
+func (t *permits) promptRead(k permitKey) {
+	if g := t.granted[k]; g != nil && g.readingPrompt {
+		g.firstAt = t.c.now()
+		t.backoffs.recordAnswer(g, t.slotCount(g.upstream))
+		if g.solePrompt && g.event.Model != "" {
+			t.c.speeds.with(g.model(), func(m speed.Estimator) { m.Read(int(g.event.Prompt), g.firstAt.Sub(g.grantedAt)) })
+		}
+		t.finishPrompt(g)
+		t.grantWaitingAt(g.upstream)
+	}
+}
+
+// slotCount is how many requests an upstream runs at a time; 0: not known.
+func (t *permits) slotCount(upstream string) int {
+	e, ok := t.c.deps.Fleet.Entry(upstream)
+	if !ok {
+		return 0
+	}
+	described, _ := e.Description()
+	return described.Slots
+}
+
+// finishPrompt takes a request's prompt out of what its upstream has to read.
+func (t *permits) finishPrompt(g *permitRequest) {
+	if p := t.grants[g.upstream]; p != nil && g.readingPrompt {
+		p.load.PendingPromptTokens -= int(g.event.Prompt)
+		if p.newestReading == g {
+			p.newestReading = nil
+		}
+	}
+	g.readingPrompt = false
+}
+
+// release takes a request out of its upstream's load.
+func (t *permits) release(g *permitRequest) {
+	t.finishPrompt(g)
+	t.backoffs.recordEnd(g)
+	if p := t.grants[g.upstream]; p != nil {
+		p.load.Requests--
+		p.load.Tokens -= int(g.event.Prompt + g.event.Output)
+	}
+	delete(t.granted, g.key)
+}
+
+func (t *permits) end(k permitKey) {
+	if g := t.granted[k]; g != nil {
+		if !g.firstAt.IsZero() && g.event.Output > 0 {
+			took := t.c.now().Sub(g.firstAt)
+			t.c.speeds.with(g.model(), func(m speed.Estimator) { m.AddGeneration(int(g.event.Output), took) })
+		}
+		t.release(g)
+		t.grantWaitingAt(g.upstream)
+		return
+	}
+	for i, w := range t.waiting {
+		if w.key == k {
+			t.waiting = append(t.waiting[:i], t.waiting[i+1:]...)
+			return
+		}
+	}
+}
+
+// unreachableFor is how long an upstream gets no turns after one host found nothing
+// listening at its address. By then that host and others tell in their reports
+// that they leave it alone. A refused connection is the word of the upstream's
+// own machine: unlike silence, it does not depend on the way there.
+const unreachableFor = 600 * time.Millisecond
+
+// upstreamUnreachable ends a request whose upstream is not there. Without it each of the
+// hosts would be sent there until it has found out by itself.
+func (t *permits) upstreamUnreachable(k permitKey) {
+	if g := t.granted[k]; g != nil {
+		t.unreachable[g.upstream] = t.c.now()
+		t.release(g)
+	}
+}
+
+// maxWaitingScan bounds how many waiting requests are looked at for one event.
+const maxWaitingScan = 48
+
+// grantWaitingAt lets go what can go to one upstream, where something has ended. The
+// others are as they were when what waits was tried there.
+func (t *permits) grantWaitingAt(upstream string) {
+	e, ok := t.c.deps.Fleet.Entry(upstream)
+	if !ok {
+		return
+	}
+	now := t.c.now()
+	t.grantWaiting(now, func(w *permitRequest) bool {
+		return w.event.Service == e.Service() && t.pick(w, []*fleet.Entry{e}, now).Index >= 0
+	})
+	if len(t.waiting) > 0 {
+		t.wakeAfter(e, now, t.limits.wait(e, now))
+	}
+}
+
+// grantWaiting lets go what goes by the word of try. Requests whose answers would come
+// late in any case let those pass that can still be in time.
+func (t *permits) grantWaiting(now time.Time, try func(*permitRequest) (gone bool)) {
+	looked := 0
+	for _, late := range []bool{false, true} {
+		for i, w := range t.waiting {
+			if looked >= maxWaitingScan || w == nil || w.isOverdue(now) != late {
+				continue
+			}
+			looked++
+			if try(w) {
+				t.waiting[i] = nil
+			}
+		}
+	}
+	t.waiting = slices.DeleteFunc(t.waiting, func(w *permitRequest) bool { return w == nil })
+}
+
+func (w *permitRequest) model() modelKey { return modelKey{w.event.Service, w.event.Model} }
+
+// isOverdue says that an answer to the request would not begin in time any more.
+func (w *permitRequest) isOverdue(now time.Time) bool {
+	inTime := milliseconds(w.event.InTimeMs)
+	if w.event.Model == "" {
+		return now.Sub(w.askedAt) > time.Duration(float64(inTime)*plainCallShare)
+	}
+	return now.Sub(w.askedAt) > inTime-promptReadTime
+}
+
+// promptReadTime is about how long a prompt takes to be read on an upstream that
+// reads nothing else.
+const promptReadTime = 120 * time.Millisecond
+
+// plainCallShare is the part of its objective for which a call of a plain service may
+// wait and be answered in time: the rest is for the call and its way.
+const plainCallShare = 0.6
+
+// maintain tries what waits again: upstreams come, recover, and gain models
+// without a word here. It forgets upstreams that are gone.
+func (t *permits) maintain() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.c.now()
+	t.suspects = t.c.aggregate.suspects(now)
+	t.grantWaiting(now, func(w *permitRequest) bool {
+		w.waitReason = t.tryAll(w, now)
+		return !mayQueue(w.waitReason)
+	})
+	t.limits.expire()
+	t.backoffs.expire(now)
+	for id := range t.grants {
+		if _, ok := t.c.deps.Fleet.Entry(id); !ok {
+			delete(t.grants, id)
+		}
+	}
+	maps.DeleteFunc(t.unreachable, func(_ string, at time.Time) bool { return now.Sub(at) >= unreachableFor })
+}
--- a/node/coordinator/turns_test.go
+++ b/node/coordinator/permits_test.go
@@ -13,8 +13,8 @@
 	"peridotpier.example/node/follow"
 )
 
-// bench is a coordinator over upstreams that hold the model m.
-func bench(upstreams ...string) (*turns, *fleet.Fleet) {
+// newTestPermits is a coordinator over upstreams that hold the model m.
+func newTestPermits(upstreams ...string) (*permits, *fleet.Fleet) {
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
 	var all []deploy.Upstream
 	for _, id := range upstreams {
@@ -22,19 +22,19 @@
 	}
 	f.Apply(all, nil, 0)
 	c := New(Config{}, Deps{Fleet: f, Config: follow.NewActiveConfig(event.NewLog(nil)), Log: event.NewLog(nil)})
-	return c.turns, f
+	return c.permits, f
 }
 
-func stream() *turnStream {
-	return &turnStream{out: make(chan *coordpb.TurnAnswer, turnQueue), cancel: func() {}}
+func newTestStream() *permitStream {
+	return &permitStream{out: make(chan *coordpb.TurnAnswer, permitQueueLen), cancel: func() {}}
 }
 
-func ask(id uint64, priority int32) *coordpb.TurnEvent {
+func newRequestEvent(id uint64, priority int32) *coordpb.TurnEvent {
 	return &coordpb.TurnEvent{Id: id, Kind: coordpb.TurnEvent_ASK, Service: "s", Model: "m", Prompt: 2000, Output: 20, Priority: priority, Reading: 3000, InTimeMs: 60_000}
 }
 
-// answers takes what was answered so far: the kind of each by id, the last one counts.
-func answers(s *turnStream) map[uint64]*coordpb.TurnAnswer {
+// drainAnswers takes what was answered so far: the kind of each by id, the last one counts.
+func drainAnswers(s *permitStream) map[uint64]*coordpb.TurnAnswer {
 	out := map[uint64]*coordpb.TurnAnswer{}
 	for {
 		select {
@@ -50,89 +50,89 @@
 // Sequence: two hosts ask at once; the upstream has read neither prompt.
 // Cause: each host counts its own sends.
 func TestAPromptWaitsUntilTheOneBeforeItIsRead(t *testing.T) {
-	ts, _ := bench("u")
-	a, b := stream(), stream()
-	ts.take(a, ask(1, 1))
-	ts.take(b, ask(1, 2))
-	ts.take(b, ask(2, 0))
-	assert.Equal(t, answers(a)[1].Kind, coordpb.TurnAnswer_GRANTED)
-	got := answers(b)
+	ts, _ := newTestPermits("u")
+	a, b := newTestStream(), newTestStream()
+	ts.handle(a, newRequestEvent(1, 1))
+	ts.handle(b, newRequestEvent(1, 2))
+	ts.handle(b, newRequestEvent(2, 0))
+	assert.Equal(t, drainAnswers(a)[1].Kind, coordpb.TurnAnswer_GRANTED)
+	got := drainAnswers(b)
 	assert.Equal(t, got[1].Kind, coordpb.TurnAnswer_QUEUED)
 	assert.Equal(t, got[2].Kind, coordpb.TurnAnswer_QUEUED)
-	ts.take(a, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_FIRST})
-	got = answers(b)
+	ts.handle(a, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_FIRST})
+	got = drainAnswers(b)
 	assert.Equal(t, got[2].Kind, coordpb.TurnAnswer_GRANTED, "the more urgent one first, though it came later")
 	assert.Assert(t, got[1] == nil)
-	ts.take(b, &coordpb.TurnEvent{Id: 2, Kind: coordpb.TurnEvent_END})
-	assert.Equal(t, answers(b)[1].Kind, coordpb.TurnAnswer_GRANTED)
+	ts.handle(b, &coordpb.TurnEvent{Id: 2, Kind: coordpb.TurnEvent_END})
+	assert.Equal(t, drainAnswers(b)[1].Kind, coordpb.TurnAnswer_GRANTED)
 }
 
 // Symptom: an upstream counts as full for ever.
 // Sequence: a host is killed with requests granted and waiting.
 // Cause: what it had is never given back.
-func TestAHostThatIsGoneGivesBackWhatItHad(t *testing.T) {
-	ts, _ := bench("u")
-	a, b := stream(), stream()
+func TestTheLoadOfADisconnectedHostIsReleased(t *testing.T) {
+	ts, _ := newTestPermits("u")
+	a, b := newTestStream(), newTestStream()
 	for i := range uint64(3) {
-		ts.take(a, ask(i, 1))
+		ts.handle(a, newRequestEvent(i, 1))
 	}
-	ts.take(b, ask(9, 1))
-	assert.Equal(t, answers(b)[9].Kind, coordpb.TurnAnswer_QUEUED)
-	ts.leave(a)
-	ts.sweep()
-	assert.Equal(t, answers(b)[9].Kind, coordpb.TurnAnswer_GRANTED)
-	ts.leave(b)
-	assert.Equal(t, ts.places["u"].load, fleet.Load{})
+	ts.handle(b, newRequestEvent(9, 1))
+	assert.Equal(t, drainAnswers(b)[9].Kind, coordpb.TurnAnswer_QUEUED)
+	ts.removeStream(a)
+	ts.maintain()
+	assert.Equal(t, drainAnswers(b)[9].Kind, coordpb.TurnAnswer_GRANTED)
+	ts.removeStream(b)
+	assert.Equal(t, ts.grants["u"].load, fleet.Load{})
 }
 
 // Symptom: requests are sent to an upstream that other hosts have found dark.
 // Sequence: two hosts leave it alone; a third asks.
 // Cause: the holder goes by its own traffic only.
-func TestWhatTwoHostsLeaveAloneIsNotNamed(t *testing.T) {
-	ts, _ := bench("dark", "sound")
+func TestAnUpstreamThatTwoHostsExcludeGetsNoPermits(t *testing.T) {
+	ts, _ := newTestPermits("dark", "sound")
 	for _, host := range []string{"h1", "h2"} {
-		ts.c.sums.take(&coordpb.HostReport{Host: host, Silent: []string{"dark"}}, ts.c.now())
+		ts.c.aggregate.record(&coordpb.HostReport{Host: host, Silent: []string{"dark"}}, ts.c.now())
 	}
-	a := stream()
+	a := newTestStream()
 	for i := range uint64(3) {
-		ts.take(a, ask(i, 1))
-		ts.take(a, &coordpb.TurnEvent{Id: i, Kind: coordpb.TurnEvent_FIRST})
+		ts.handle(a, newRequestEvent(i, 1))
+		ts.handle(a, &coordpb.TurnEvent{Id: i, Kind: coordpb.TurnEvent_FIRST})
 	}
-	for id, got := range answers(a) {
+	for id, got := range drainAnswers(a) {
 		assert.Equal(t, got.Upstream, "sound", "%d", id)
 	}
 }
 
 // Property: whatever comes in whatever order, what is granted at an upstream is
 // what was not given back, and all of it is given back in the end.
-func TestLoadsAddUp(t *testing.T) {
+func TestGrantedLoadsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ts, _ := bench("u1", "u2")
-		streams := []*turnStream{stream(), stream()}
+		ts, _ := newTestPermits("u1", "u2")
+		streams := []*permitStream{newTestStream(), newTestStream()}
 		for i := range rapid.IntRange(1, 80).Draw(t, "events") {
 			s := streams[rapid.IntRange(0, 1).Draw(t, "stream")]
 			id := uint64(rapid.IntRange(0, 12).Draw(t, "id"))
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
-				ts.take(s, ask(uint64(100+i), int32(i%3)))
+				ts.handle(s, newRequestEvent(uint64(100+i), int32(i%3)))
 			case 1:
-				ts.take(s, &coordpb.TurnEvent{Id: 100 + id, Kind: coordpb.TurnEvent_FIRST})
+				ts.handle(s, &coordpb.TurnEvent{Id: 100 + id, Kind: coordpb.TurnEvent_FIRST})
 			case 2:
-				ts.take(s, &coordpb.TurnEvent{Id: 100 + id, Kind: coordpb.TurnEvent_END})
+				ts.handle(s, &coordpb.TurnEvent{Id: 100 + id, Kind: coordpb.TurnEvent_END})
 			default:
-				ts.sweep()
+				ts.maintain()
 			}
 			requests := 0
-			for _, p := range ts.places {
+			for _, p := range ts.grants {
 				requests += p.load.Requests
 				assert.Assert(t, p.load.PendingPromptTokens >= 0 && p.load.PendingPromptTokens <= p.load.Tokens)
 			}
 			assert.Equal(t, requests, len(ts.granted))
 		}
 		for _, s := range streams {
-			ts.leave(s)
+			ts.removeStream(s)
 		}
-		for id, p := range ts.places {
+		for id, p := range ts.grants {
 			assert.Equal(t, p.load, fleet.Load{}, id)
 		}
 		assert.Equal(t, len(ts.waiting), 0)
@@ -143,42 +143,42 @@
 // Sequence: dozens wait; each event of any host has all of them weighed against
 // all upstreams.
 // Cause: what an event cannot have changed is looked at again.
-func TestOnlyWhereARequestEndedIsLookedAt(t *testing.T) {
-	ts, f := bench("a", "b")
-	s := stream()
+func TestOnlyTheUpstreamWhereARequestEndedIsTried(t *testing.T) {
+	ts, f := newTestPermits("a", "b")
+	s := newTestStream()
 	for i := range uint64(2) {
-		ts.take(s, ask(i, 1))
+		ts.handle(s, newRequestEvent(i, 1))
 	}
-	ts.take(s, ask(2, 1))
-	got := answers(s)
+	ts.handle(s, newRequestEvent(2, 1))
+	got := drainAnswers(s)
 	assert.Equal(t, got[2].Kind, coordpb.TurnAnswer_QUEUED)
 	// "b" takes more than was known when the request was queued: an event at "a" does not show it.
 	ended, other := got[0].Upstream, got[1].Upstream
-	ts.places[other].load = fleet.Load{}
+	ts.grants[other].load = fleet.Load{}
 	e, _ := f.Entry(ended)
 	e.MarkNotResident("m", "")
-	ts.take(s, &coordpb.TurnEvent{Id: 0, Kind: coordpb.TurnEvent_END})
-	assert.Assert(t, answers(s)[2] == nil, "it was not tried elsewhere, and not sent away for what one upstream lacks")
-	ts.sweep()
-	assert.Equal(t, answers(s)[2].Upstream, other)
+	ts.handle(s, &coordpb.TurnEvent{Id: 0, Kind: coordpb.TurnEvent_END})
+	assert.Assert(t, drainAnswers(s)[2] == nil, "it was not tried elsewhere, and not sent away for what one upstream lacks")
+	ts.maintain()
+	assert.Equal(t, drainAnswers(s)[2].Upstream, other)
 }
 
 // Symptom: all hosts send to an upstream that has crashed, each until it has
 // noticed by itself.
 // Sequence: one host finds nothing listening there.
 // Cause: the host that decides for all learns of it from reports only.
-func TestAnUpstreamThatIsNotThereGetsNoMoreTurns(t *testing.T) {
-	ts, _ := bench("u", "v")
-	a := stream()
-	ts.take(a, ask(1, 1))
-	first := answers(a)[1].Upstream
-	ts.take(a, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_ABSENT})
+func TestAnUpstreamThatIsNotListeningGetsNoPermits(t *testing.T) {
+	ts, _ := newTestPermits("u", "v")
+	a := newTestStream()
+	ts.handle(a, newRequestEvent(1, 1))
+	first := drainAnswers(a)[1].Upstream
+	ts.handle(a, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_ABSENT})
 	for i := uint64(2); i < 6; i++ {
-		ts.take(a, ask(i, 1))
-		next := answers(a)[i]
+		ts.handle(a, newRequestEvent(i, 1))
+		next := drainAnswers(a)[i]
 		assert.Assert(t, next.Upstream != "" && next.Upstream != first)
-		ts.take(a, &coordpb.TurnEvent{Id: i, Kind: coordpb.TurnEvent_FIRST})
-		ts.take(a, &coordpb.TurnEvent{Id: i, Kind: coordpb.TurnEvent_END})
+		ts.handle(a, &coordpb.TurnEvent{Id: i, Kind: coordpb.TurnEvent_FIRST})
+		ts.handle(a, &coordpb.TurnEvent{Id: i, Kind: coordpb.TurnEvent_END})
 	}
-	assert.Equal(t, ts.places[first].load, fleet.Load{})
+	assert.Equal(t, ts.grants[first].load, fleet.Load{})
 }
--- a/node/coordinator/turnstream.go
+++ b/node/coordinator/permitstream.go
@@ -8,18 +8,18 @@
 	"peridotpier.example/node/metrics"
 )
 
-// turnQueue is how many answers may wait to be sent to one host. A host that
+// permitQueueLen is how many answers may wait to be sent to one host. A host that
 // is that slow decides by itself anyway.
-const turnQueue = 512
+const permitQueueLen = 512
 
-// turnStream is one host's stream of questions.
-type turnStream struct {
+// permitStream is one host's stream of questions.
+type permitStream struct {
 	out    chan *coordpb.TurnAnswer
 	cancel context.CancelFunc
 }
 
 // send queues an answer; a host that does not read loses its stream.
-func (s *turnStream) send(a *coordpb.TurnAnswer) {
+func (s *permitStream) send(a *coordpb.TurnAnswer) {
 	select {
 	case s.out <- a:
 	default:
@@ -31,9 +31,9 @@
 func (s service) Turns(st coordpb.DRPCCoordinator_TurnsStream) error {
 	ctx, cancel := context.WithCancel(st.Context())
 	defer cancel()
-	own := &turnStream{out: make(chan *coordpb.TurnAnswer, turnQueue), cancel: cancel}
-	s.c.turns.enter(own)
-	defer s.c.turns.leave(own)
+	own := &permitStream{out: make(chan *coordpb.TurnAnswer, permitQueueLen), cancel: cancel}
+	s.c.permits.addStream(own)
+	defer s.c.permits.removeStream(own)
 	go func() {
 		defer cancel()
 		for {
@@ -53,18 +53,18 @@
 		if err != nil {
 			return err
 		}
-		if asks(e) && !s.c.Acting() {
-			return errNotHolding
+		if needsActingHost(e) && !s.c.Acting() {
+			return errNoLease
 		}
 		s.c.deps.Metrics.CountKind(metrics.PeerCalls, callTurn, 1)
-		s.c.turns.take(own, e)
+		s.c.permits.handle(own, e)
 	}
 }
 
-// asks says whether an event is a question, which only the host answers that acts for all.
-func asks(e *coordpb.TurnEvent) bool {
+// needsActingHost says whether an event is a question, which only the host answers that acts for all.
+func needsActingHost(e *coordpb.TurnEvent) bool {
 	return e.Kind == coordpb.TurnEvent_ASK || e.Kind == coordpb.TurnEvent_CHARGE
 }
 
 // errNoTurns: no host decides for all; this one decides by itself.
-var errNoTurns = errors.New("no host decides for all")
+var errNoCoordinator = errors.New("no host decides for all")
--- a/node/coordinator/plan_test.go
+++ b/node/coordinator/plan_test.go
@@ -18,29 +18,29 @@
 // Cause: how many loads run at once is not bounded.
 func TestLoadsFromTheStoreWaitForThoseUnderWay(t *testing.T) {
 	e := &deploy.Engine{LoadsPerSecond: 1.1, Models: []deploy.Model{{Name: "a", StoreLoad: 2400 * time.Millisecond}, {Name: "b", StoreLoad: 2200 * time.Millisecond}}}
-	assert.Equal(t, storePlaces(e), 3)
+	assert.Equal(t, storeSlots(e), 3)
 	slow := &deploy.Engine{LoadsPerSecond: 1.4, Models: []deploy.Model{{Name: "a", StoreLoad: 9 * time.Second}}}
-	assert.Equal(t, storePlaces(slow), 13)
-	assert.Equal(t, storePlaces(&deploy.Engine{}), leastStorePlaces, "one that tells nothing")
+	assert.Equal(t, storeSlots(slow), 13)
+	assert.Equal(t, storeSlots(&deploy.Engine{}), minStoreSlots, "one that tells nothing")
 
 	now := time.Now()
-	unitWith := func(v *moving, r residency.Report) *unit {
-		u := &unit{engine: e, book: residency.New(e, &deploy.Upstream{}, now), moving: v}
-		u.book.Reconcile(r, now)
+	unitWith := func(v *activeMove, r residency.Report) *managedUpstream {
+		u := &managedUpstream{engine: e, record: residency.New(e, &deploy.Upstream{}, now), activeMove: v}
+		u.record.Reconcile(r, now)
 		return u
 	}
 	idle := residency.Report{}
-	units := []*unit{
+	units := []*managedUpstream{
 		unitWith(nil, idle),
-		unitWith(&moving{Move: replica.Move{Load: "a", From: replica.FromDisk}}, idle),
-		unitWith(&moving{Move: replica.Move{Load: "a", Unload: "b", From: replica.FromStore}}, idle), // the unload is not over
+		unitWith(&activeMove{Move: replica.Move{Load: "a", From: replica.FromDisk}}, idle),
+		unitWith(&activeMove{Move: replica.Move{Load: "a", Unload: "b", From: replica.FromStore}}, idle), // the unload is not over
 	}
-	assert.Equal(t, loadingFromStore(units, 0), 0)
+	assert.Equal(t, storeLoadsUnderWay(units, 0), 0)
 	units = append(units,
-		unitWith(&moving{Move: replica.Move{Load: "a", From: replica.FromStore}}, idle),
-		unitWith(&moving{Move: replica.Move{Load: "a", Unload: "b", From: replica.FromStore}, sent: true}, idle),
+		unitWith(&activeMove{Move: replica.Move{Load: "a", From: replica.FromStore}}, idle),
+		unitWith(&activeMove{Move: replica.Move{Load: "a", Unload: "b", From: replica.FromStore}, ordered: true}, idle),
 		unitWith(nil, residency.Report{Sequence: 4, Busy: true})) // a former holder's order
-	assert.Equal(t, loadingFromStore(units, 0), 3)
-	assert.Equal(t, loadingFromStore(units, 1), 3, "the one that was told is the one that shows")
-	assert.Equal(t, loadingFromStore(units, 2), 4)
+	assert.Equal(t, storeLoadsUnderWay(units, 0), 3)
+	assert.Equal(t, storeLoadsUnderWay(units, 1), 3, "the one that was told is the one that shows")
+	assert.Equal(t, storeLoadsUnderWay(units, 2), 4)
 }
--- a/node/coordinator/published.go
+++ b/node/coordinator/published.go
@@ -17,28 +17,28 @@
 // all of them. When thousands of upstreams come at once, each as text to each of a
 // thousand hosts would be more than any link carries.
 type published struct {
-	mu       sync.Mutex
-	segments []segment // the oldest first
-	begin    uint64    // state from which on they are complete
-	to       uint64    // state up to which all is published
-	at       uint64    // the store's version that it is of
-	closed   time.Time // when that was
-	whole    wholeList
+	mu           sync.Mutex
+	segments     []segment // the oldest first
+	completeFrom uint64    // state from which on they are complete
+	state        uint64    // state up to which all is published
+	storeVersion uint64    // the store's version that it is of
+	publishedAt  time.Time // when that was
+	fullList     packedList
 }
 
 // segment is what changed since the one before, up to a state of the list.
 type segment struct {
-	to     uint64
-	packed []byte
-	made   time.Time
+	state    uint64
+	data     []byte
+	packedAt time.Time
 }
 
 const (
-	// publishEach is the least time between two segments: what comes together is
+	// publishInterval is the least time between two segments: what comes together is
 	// packed together. A fraction of the time in which a change is to be known.
-	publishEach = 100 * time.Millisecond
-	// publishedFor is how long segments are kept: several reports of any host.
-	publishedFor = 10 * time.Second
+	publishInterval = 100 * time.Millisecond
+	// segmentLifetime is how long segments are kept: several reports of any host.
+	segmentLifetime = 10 * time.Second
 )
 
 // listChange is a segment's content.
@@ -52,28 +52,28 @@
 func (p *published) publish(f *fleet.Fleet, at uint64, now time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.closed) < publishEach {
+	if now.Sub(p.publishedAt) < publishInterval {
 		return nil
 	}
-	change := f.ChangesSince(p.to, true)
+	change := f.ChangesSince(p.state, true)
 	if change.Complete {
-		p.segments, p.begin = nil, change.Revision
+		p.segments, p.completeFrom = nil, change.Revision
 	} else if len(change.Put)+len(change.Removed) > 0 {
-		packed, err := packList(listChange{plainOf(change.Put, true), change.Removed})
+		packed, err := packList(listChange{listedUpstreams(change.Put, true), change.Removed})
 		if err != nil {
 			return err
 		}
 		p.segments = append(p.segments, segment{change.Revision, packed, now})
 	}
-	p.to, p.at, p.closed = change.Revision, at, now
-	p.dropLocked(now)
+	p.state, p.storeVersion, p.publishedAt = change.Revision, at, now
+	p.expireLocked(now)
 	return nil
 }
 
-func (p *published) dropLocked(now time.Time) {
-	old := sort.Search(len(p.segments), func(i int) bool { return now.Sub(p.segments[i].made) < publishedFor })
+func (p *published) expireLocked(now time.Time) {
+	old := sort.Search(len(p.segments), func(i int) bool { return now.Sub(p.segments[i].packedAt) < segmentLifetime })
 	if old > 0 {
-		p.begin, p.segments = p.segments[old-1].to, append([]segment(nil), p.segments[old:]...)
+		p.completeFrom, p.segments = p.segments[old-1].state, append([]segment(nil), p.segments[old:]...)
 	}
 }
 
@@ -82,35 +82,35 @@
 func (p *published) since(from uint64) (packed [][]byte, to, at uint64, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if from == 0 || p.at == 0 || from < p.begin {
+	if from == 0 || p.storeVersion == 0 || from < p.completeFrom {
 		return nil, 0, 0, false
 	}
-	first := sort.Search(len(p.segments), func(i int) bool { return p.segments[i].to > from })
+	first := sort.Search(len(p.segments), func(i int) bool { return p.segments[i].state > from })
 	for _, s := range p.segments[first:] {
-		packed = append(packed, s.packed)
+		packed = append(packed, s.data)
 	}
-	return packed, p.to, p.at, true
+	return packed, p.state, p.storeVersion, true
 }
 
-// wholeList returns the list as of what is published, at most wholeFor older.
-func (p *published) wholeList(f *fleet.Fleet, now time.Time) (wholeList, error) {
+// packedFullList returns the list as of what is published, at most wholeFor older.
+func (p *published) packedFullList(f *fleet.Fleet, now time.Time) (packedList, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.whole.to > 0 && p.whole.to >= p.begin && now.Sub(p.whole.made) < wholeFor {
-		return p.whole, nil
+	if p.fullList.state > 0 && p.fullList.state >= p.completeFrom && now.Sub(p.fullList.packedAt) < packedListMaxAge {
+		return p.fullList, nil
 	}
-	next, err := packWhole(f, true, now)
+	next, err := packFullList(f, true, now)
 	if err != nil {
-		return wholeList{}, err
+		return packedList{}, err
 	}
-	next.to, next.at = p.to, p.at // what is newer comes with the next segments
-	p.whole = next
+	next.state, next.storeVersion = p.state, p.storeVersion // what is newer comes with the next segments
+	p.fullList = next
 	return next, nil
 }
 
-// readChanges reads segments that follow a list, or what is known of it: of an
+// mergeChanges reads segments that follow a list, or what is known of it: of an
 // upstream that changed several times, the last.
-func readChanges(list []deploy.Upstream, segments [][]byte) (put []deploy.Upstream, gone []string, err error) {
+func mergeChanges(list []deploy.Upstream, segments [][]byte) (put []deploy.Upstream, gone []string, err error) {
 	newest := map[string]*deploy.Upstream{} // nil: gone
 	for i := range list {
 		newest[list[i].ID] = &list[i]
