--- a/node/coordinator/quarantine.go
+++ b/node/coordinator/quarantine.go
@@ -13,9 +13,9 @@
 	"peridotpier.example/node/event"
 )
 
-// quarantineMost is how many entries one answer brings; the rest follows with the
+// maxQuarantineEntries is how many entries one answer brings; the rest follows with the
 // next ones. With it an answer grows by 10 kB at most.
-const quarantineMost = 256
+const maxQuarantineEntries = 256
 
 // quarantine finds out for all hosts which requests end upstreams, while this host
 // acts for all.
@@ -30,18 +30,18 @@
 
 func newQuarantine(c *Coordinator) *quarantine {
 	q := &quarantine{c: c}
-	q.beginLocked()
+	q.resetLocked()
 	return q
 }
 
-// begin forgets what an earlier term left. All hosts tell what they know.
-func (q *quarantine) begin() {
+// reset forgets what an earlier term left. All hosts tell what they know.
+func (q *quarantine) reset() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.beginLocked()
+	q.resetLocked()
 }
 
-func (q *quarantine) beginLocked() {
+func (q *quarantine) resetLocked() {
 	q.id, q.ledger, q.rows = rand.Uint64()|1, poison.NewLedger(poison.DefaultPolicy), quarantineRows{}
 }
 
@@ -53,7 +53,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, x := range r.Barred {
-		if e, err := entryOf(x, now); err == nil {
+		if e, err := decodeEntry(x, now); err == nil {
 			q.ledger.Adopt(e, now)
 		}
 	}
@@ -77,7 +77,7 @@
 	ran := make([]poison.Fingerprint, 0, len(x.Running))
 	digests := make([]poison.Digest, 0, len(x.Running))
 	for _, m := range x.Running {
-		if mark, err := markOf(m); err == nil {
+		if mark, err := decodeMark(m); err == nil {
 			ran, digests = append(ran, mark), append(digests, mark.Digest)
 		}
 	}
@@ -99,18 +99,18 @@
 	}
 }
 
-// update adds to an answer what the host does not have yet.
-func (q *quarantine) update(r *coordpb.HostReport, out *coordpb.SiteState, now time.Time) {
+// addTo adds to an answer what the host does not have yet.
+func (q *quarantine) addTo(r *coordpb.HostReport, out *coordpb.SiteState, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	from := r.QuarantineRevision
 	if r.QuarantineId != q.id {
 		from = 0
 	}
-	changed, to := q.ledger.ChangedSince(from, quarantineMost, now)
+	changed, to := q.ledger.ChangedSince(from, maxQuarantineEntries, now)
 	out.QuarantineId, out.QuarantineRevision = q.id, to
 	for i := range changed {
-		out.Quarantine = append(out.Quarantine, entryTo(&changed[i], now))
+		out.Quarantine = append(out.Quarantine, encodeEntry(&changed[i], now))
 	}
 	q.logDecisionsLocked("", now)
 }
@@ -119,23 +119,23 @@
 // the lease, until ctx ends.
 func (c *Coordinator) RunQuarantine(ctx context.Context) error { return c.quarantine.run(ctx) }
 
-func markOf(m *coordpb.RequestMark) (poison.Fingerprint, error) {
+func decodeMark(m *coordpb.RequestMark) (poison.Fingerprint, error) {
 	d, err := poison.DigestFromBytes(m.GetDigest())
 	return poison.Fingerprint{Digest: d, Shape: poison.Shape(m.GetShape())}, err
 }
 
-func markTo(m poison.Fingerprint) *coordpb.RequestMark {
+func encodeMark(m poison.Fingerprint) *coordpb.RequestMark {
 	return &coordpb.RequestMark{Digest: m.Digest[:], Shape: uint64(m.Shape)}
 }
 
-// entryOf reads an entry; the time that is left is counted from now.
-func entryOf(x *coordpb.QuarantineEntry, now time.Time) (poison.Entry, error) {
-	m, err := markOf(x.Mark)
+// decodeEntry reads an entry; the time that is left is counted from now.
+func decodeEntry(x *coordpb.QuarantineEntry, now time.Time) (poison.Entry, error) {
+	m, err := decodeMark(x.Mark)
 	return poison.Entry{Fingerprint: m, State: poison.State(min(x.State, uint32(poison.Barred))), CrashCount: int(x.Crashes),
 		BarCount: int(x.Bars), BarredUntil: now.Add(milliseconds(x.ForMs))}, err
 }
 
-func entryTo(e *poison.Entry, now time.Time) *coordpb.QuarantineEntry {
-	return &coordpb.QuarantineEntry{Mark: markTo(e.Fingerprint), State: uint32(e.State), Crashes: uint32(e.CrashCount), Bars: uint32(e.BarCount),
+func encodeEntry(e *poison.Entry, now time.Time) *coordpb.QuarantineEntry {
+	return &coordpb.QuarantineEntry{Mark: encodeMark(e.Fingerprint), State: uint32(e.State), Crashes: uint32(e.CrashCount), Bars: uint32(e.BarCount),
 		ForMs: uint32(max(e.BarredUntil.Sub(now), 0).Milliseconds())}
 }
--- a/node/coordinator/quarantinerows.go
+++ b/node/coordinator/quarantinerows.go
@@ -20,23 +20,23 @@
 	// of their own: after a loss of all of them a barred request would end three
 	// more upstreams.
 	quarantineTable = "quarantine/"
-	// quarantineRowsMost bounds the rows that are written at once, and
+	// maxQuarantineWrites bounds the rows that are written at once, and
 	// quarantineRowsRead those of one read.
-	quarantineRowsMost = 100
-	quarantineRowsRead = 500
-	// quarantineEach is how often it is looked whether something must be written.
-	quarantineEach = 200 * time.Millisecond
+	maxQuarantineWrites = 100
+	quarantinePageSize  = 500
+	// quarantineInterval is how often it is looked whether something must be written.
+	quarantineInterval = 200 * time.Millisecond
 	// quarantineRetry lies between tries while the store does not answer.
 	quarantineRetry = time.Second
-	// quarantineCall bounds one call.
-	quarantineCall = time.Second
+	// quarantineTimeout bounds one call.
+	quarantineTimeout = time.Second
 )
 
 // quarantineRows is what a term knows of the rows.
 type quarantineRows struct {
-	read    bool
-	written map[poison.Digest]time.Time // end of the bar that the row tells
-	tried   time.Time
+	read     bool
+	written  map[poison.Digest]time.Time // end of the bar that the row tells
+	failedAt time.Time
 }
 
 // quarantineRow is a row's value.
@@ -46,45 +46,45 @@
 	Bars    int    `json:"bars"`
 }
 
-// pause waits for the next look; it says no when ctx ends.
-func (q *quarantine) pause(ctx context.Context) bool {
+// waitNext waits for the next look; it says no when ctx ends.
+func (q *quarantine) waitNext(ctx context.Context) bool {
 	taken := q.c.deps.Lease.Acquired()
 	if q.c.HoldsLease() {
-		return pace.Sleep(ctx, quarantineEach)
+		return pace.Sleep(ctx, quarantineInterval)
 	}
-	return pace.SleepOrWake(ctx, idleTick, taken)
+	return pace.SleepOrWake(ctx, idleInterval, taken)
 }
 
 func (q *quarantine) run(ctx context.Context) error {
-	for q.pause(ctx) {
+	for q.waitNext(ctx) {
 		term, held := q.c.deps.Lease.Term()
-		if !held || !q.due() {
+		if !held || !q.needsSync() {
 			continue
 		}
-		if err := q.keep(ctx, term.Guard); err != nil && ctx.Err() == nil {
+		if err := q.sync(ctx, term.Guard); err != nil && ctx.Err() == nil {
 			q.c.deps.Log.Emit(event.BarsUnsaved, zap.Error(err))
 			q.mu.Lock()
-			q.rows.tried = q.c.now()
+			q.rows.failedAt = q.c.now()
 			q.mu.Unlock()
 		}
 	}
 	return ctx.Err()
 }
 
-// due says whether the rows were not read yet, or do not tell what is barred now.
-func (q *quarantine) due() bool {
+// needsSync says whether the rows were not read yet, or do not tell what is barred now.
+func (q *quarantine) needsSync() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.c.now()
-	if now.Sub(q.rows.tried) < quarantineRetry {
+	if now.Sub(q.rows.failedAt) < quarantineRetry {
 		return false
 	}
 	return !q.rows.read || len(q.changesLocked(now)) > 0
 }
 
-// keep reads the rows of a former term, or writes what has changed.
-func (q *quarantine) keep(ctx context.Context, guard store.Cond) error {
-	ctx, cancel := context.WithTimeout(ctx, quarantineCall)
+// sync reads the rows of a former term, or writes what has changed.
+func (q *quarantine) sync(ctx context.Context, guard store.Cond) error {
+	ctx, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
 	q.mu.Lock()
 	read, id := q.rows.read, q.id
@@ -95,12 +95,12 @@
 		if err != nil {
 			return eris.Wrap(err, "read what is barred")
 		}
-		q.enter(id, rows)
+		q.adoptRows(id, rows)
 		return nil
 	}
 	txn := store.Txn{Op: uuid.NewString(), Conds: []store.Cond{guard}}
 	for d, e := range changes {
-		w, err := writeOf(d, e)
+		w, err := rowWrite(d, e)
 		if err != nil {
 			return err
 		}
@@ -109,25 +109,25 @@
 	if _, err := store.CommitResolved(ctx, q.c.deps.Table, txn); err != nil {
 		return eris.Wrap(err, "write what is barred")
 	}
-	q.wrote(id, changes)
+	q.recordWritten(id, changes)
 	return nil
 }
 
 func (q *quarantine) readRows(ctx context.Context) (all []store.Row, err error) {
 	for after := ""; ; after = all[len(all)-1].Key {
-		rows, err := q.c.deps.Table.List(ctx, quarantineTable, after, quarantineRowsRead)
+		rows, err := q.c.deps.Table.List(ctx, quarantineTable, after, quarantinePageSize)
 		if err != nil {
 			return nil, err
 		}
 		all = append(all, rows...)
-		if len(rows) < quarantineRowsRead {
+		if len(rows) < quarantinePageSize {
 			return all, nil
 		}
 	}
 }
 
-// writeOf makes the row of an entry, or removes that of one that is not barred.
-func writeOf(d poison.Digest, e *poison.Entry) (store.Write, error) {
+// rowWrite makes the row of an entry, or removes that of one that is not barred.
+func rowWrite(d poison.Digest, e *poison.Entry) (store.Write, error) {
 	w := store.Write{Key: quarantineTable + d.String()}
 	if e == nil {
 		w.Delete = true
@@ -138,8 +138,8 @@
 	return w, eris.Wrap(err, "encode what is barred")
 }
 
-// enter takes the rows over.
-func (q *quarantine) enter(id uint64, rows []store.Row) {
+// adoptRows takes the rows over.
+func (q *quarantine) adoptRows(id uint64, rows []store.Row) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.id != id {
@@ -161,8 +161,8 @@
 	q.logDecisionsLocked("", now)
 }
 
-// rowsApart is by how much the end of a bar may differ from what its row tells.
-const rowsApart = time.Second
+// maxRowDrift is by how much the end of a bar may differ from what its row tells.
+const maxRowDrift = time.Second
 
 // changesLocked are the rows to be written; nil: to be removed.
 func (q *quarantine) changesLocked(now time.Time) map[poison.Digest]*poison.Entry {
@@ -175,22 +175,22 @@
 			continue
 		}
 		barred[e.Digest] = true
-		if len(out) >= quarantineRowsMost {
+		if len(out) >= maxQuarantineWrites {
 			continue
 		}
-		if until, ok := q.rows.written[e.Digest]; !ok || e.BarredUntil.Sub(until).Abs() > rowsApart {
+		if until, ok := q.rows.written[e.Digest]; !ok || e.BarredUntil.Sub(until).Abs() > maxRowDrift {
 			out[e.Digest] = &e
 		}
 	}
 	for d := range q.rows.written {
-		if !barred[d] && len(out) < quarantineRowsMost {
+		if !barred[d] && len(out) < maxQuarantineWrites {
 			out[d] = nil
 		}
 	}
 	return out
 }
 
-func (q *quarantine) wrote(id uint64, changes map[poison.Digest]*poison.Entry) {
+func (q *quarantine) recordWritten(id uint64, changes map[poison.Digest]*poison.Entry) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.id != id {
--- a/node/coordinator/relay.go
+++ b/node/coordinator/relay.go
@@ -18,68 +18,68 @@
 	if err := c.relayConfig(r, out); err != nil {
 		return err
 	}
-	if r.BriefList && milliseconds(out.PeriodMs) > reportPeriod {
-		return c.relayBrief(r, out)
+	if r.BriefList && milliseconds(out.PeriodMs) > minReportPeriod {
+		return c.relayCompactList(r, out)
 	}
 	at := c.deps.Feed.UpstreamsVersion() // before the list: it may be newer than what is said of it
-	from := c.listedUpTo(r)
+	from := c.listState(r)
 	if from == 0 && r.PackedList { // without a copy of the list for each that asks
-		return c.relayWhole(r, at, out)
+		return c.relayFullList(r, at, out)
 	}
 	change := c.deps.Fleet.ChangesSince(from, false)
 	if change.Complete && r.PackedList {
-		return c.relayWhole(r, at, out)
+		return c.relayFullList(r, at, out)
 	}
 	put, err := c.encodings.upstreams(change.Put)
 	out.List, out.ListAt, out.ListFull, out.Put, out.Gone = change.Revision, at, change.Complete, put, change.Removed
 	return err
 }
 
-// listedUpTo is up to which state of the list a host knows it; 0: not at all.
-func (c *Coordinator) listedUpTo(r *coordpb.HostReport) uint64 {
+// listState is up to which state of the list a host knows it; 0: not at all.
+func (c *Coordinator) listState(r *coordpb.HostReport) uint64 {
 	if r.List != 0 {
 		return r.List
 	}
 	return c.deps.Fleet.RevisionAt(r.ListAt)
 }
 
-// relayWhole adds the whole list, packed.
-func (c *Coordinator) relayWhole(r *coordpb.HostReport, at uint64, out *coordpb.SiteState) error {
-	w, err := c.encodings.whole(c.now(), at, false, c.deps.Fleet)
+// relayFullList adds the whole list, packed.
+func (c *Coordinator) relayFullList(r *coordpb.HostReport, at uint64, out *coordpb.SiteState) error {
+	w, err := c.encodings.packedList(c.now(), at, false, c.deps.Fleet)
 	if err != nil {
 		return err
 	}
-	c.addWhole(w, r, out)
+	c.addFullList(w, r, out)
 	return nil
 }
 
-// addWhole adds a whole list, unless this host's link is busy with those for others: a
+// addFullList adds a whole list, unless this host's link is busy with those for others: a
 // host that is told nothing of the list asks one that would act next, or again with its
 // next report. Those that would act next hand it on, and so come first.
-func (c *Coordinator) addWhole(w wholeList, r *coordpb.HostReport, out *coordpb.SiteState) {
-	if slices.Contains(out.Deputies, r.Address) || c.lists.take(len(w.packed), c.cfg.LinkMbps, c.now()) {
-		out.List, out.ListAt, out.ListFull, out.PackedList = w.to, w.at, true, w.packed
+func (c *Coordinator) addFullList(w packedList, r *coordpb.HostReport, out *coordpb.SiteState) {
+	if slices.Contains(out.Deputies, r.Address) || c.listBudget.reserve(len(w.data), c.cfg.LinkMbps, c.now()) {
+		out.List, out.ListAt, out.ListFull, out.PackedList = w.state, w.storeVersion, true, w.data
 	}
 }
 
-// relayBrief adds what every host needs of the list, as published.
-func (c *Coordinator) relayBrief(r *coordpb.HostReport, out *coordpb.SiteState) error {
+// relayCompactList adds what every host needs of the list, as published.
+func (c *Coordinator) relayCompactList(r *coordpb.HostReport, out *coordpb.SiteState) error {
 	out.ListBrief = true
 	p := &c.published
 	if err := p.publish(c.deps.Fleet, c.deps.Feed.UpstreamsVersion(), c.now()); err != nil {
 		return err
 	}
-	changes, to, at, ok := p.since(c.listedUpTo(r))
+	changes, to, at, ok := p.since(c.listState(r))
 	if ok {
 		out.List, out.ListAt, out.PackedChanges = to, at, changes
 		return nil
 	}
-	w, err := p.wholeList(c.deps.Fleet, c.now())
+	w, err := p.packedFullList(c.deps.Fleet, c.now())
 	if err != nil {
 		return err
 	}
-	c.addWhole(w, r, out)
-	if changes, to, at, ok := p.since(w.to); ok && out.ListFull { // the list may be of a moment ago
+	c.addFullList(w, r, out)
+	if changes, to, at, ok := p.since(w.state); ok && out.ListFull { // the list may be of a moment ago
 		out.List, out.ListAt, out.PackedChanges = to, at, changes
 	}
 	return nil
@@ -100,8 +100,8 @@
 	return err
 }
 
-// configOf reads the configuration of an answer; nil: it brings none.
-func configOf(s *coordpb.SiteState) (*deploy.Config, error) {
+// decodeConfig reads the configuration of an answer; nil: it brings none.
+func decodeConfig(s *coordpb.SiteState) (*deploy.Config, error) {
 	data := s.Config
 	if len(s.PackedConfig) > 0 {
 		var err error
@@ -119,18 +119,18 @@
 	return cfg, nil
 }
 
-// listOf reads the list of an answer, or its changes.
-func listOf(s *coordpb.SiteState) (put []deploy.Upstream, gone []string, err error) {
-	if put, err = upstreamsOf(s); err != nil || len(s.PackedChanges) == 0 {
+// decodeList reads the list of an answer, or its changes.
+func decodeList(s *coordpb.SiteState) (put []deploy.Upstream, gone []string, err error) {
+	if put, err = decodeUpstreams(s); err != nil || len(s.PackedChanges) == 0 {
 		return put, s.Gone, err
 	}
-	return readChanges(put, s.PackedChanges)
+	return mergeChanges(put, s.PackedChanges)
 }
 
-// upstreamsOf reads the upstreams of an answer.
-func upstreamsOf(s *coordpb.SiteState) ([]deploy.Upstream, error) {
+// decodeUpstreams reads the upstreams of an answer.
+func decodeUpstreams(s *coordpb.SiteState) ([]deploy.Upstream, error) {
 	if len(s.PackedList) == 0 {
-		return decode(s.Put)
+		return decodeEach(s.Put)
 	}
 	return unpackList(s.PackedList)
 }
@@ -145,8 +145,8 @@
 	return out, eris.Wrap(json.Unmarshal(data, &out), "decode list")
 }
 
-// decode reads upstreams that another host encoded.
-func decode(all [][]byte) ([]deploy.Upstream, error) {
+// decodeEach reads upstreams that another host encoded.
+func decodeEach(all [][]byte) ([]deploy.Upstream, error) {
 	out := make([]deploy.Upstream, len(all))
 	for i, data := range all {
 		if err := json.Unmarshal(data, &out[i]); err != nil {
--- a/node/coordinator/relay_test.go
+++ b/node/coordinator/relay_test.go
@@ -28,15 +28,15 @@
 	assert.NilError(t, c.relayConfig(&coordpb.HostReport{Packed: true}, packed))
 	assert.Assert(t, 5*proto.Size(packed) < proto.Size(plain), "%d of %d", proto.Size(packed), proto.Size(plain))
 	for _, s := range []*coordpb.SiteState{plain, packed} {
-		got, err := configOf(s)
+		got, err := decodeConfig(s)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, got, table.Config)
 	}
 	none := &coordpb.SiteState{}
 	assert.NilError(t, c.relayConfig(&coordpb.HostReport{Packed: true, Config: 1}, none))
-	got, err := configOf(none)
+	got, err := decodeConfig(none)
 	assert.Assert(t, err == nil && got == nil, "the host has it")
-	_, err = configOf(&coordpb.SiteState{PackedConfig: []byte("no document")})
+	_, err = decodeConfig(&coordpb.SiteState{PackedConfig: []byte("no document")})
 	assert.Assert(t, err != nil)
 }
 
@@ -44,17 +44,17 @@
 // Sequence: models are moved at half of 156 upstreams; each is asked for its
 // report several times until a load is there.
 // Cause: every report of an upstream counts as a change of what it holds.
-func TestOnlyWhatIsNewOfAnUpstreamIsTold(t *testing.T) {
+func TestOnlyNewHoldingsArePublished(t *testing.T) {
 	c := holderSize{7, 12, 26}.holder()
-	u, _ := c.unit(upstreamName(0))
+	u, _ := c.upstream(upstreamName(0))
 	at := c.revision
-	u.book.Reconcile(residency.Report{Residents: []deploy.Resident{{Model: modelName(0)}, {Model: modelName(1)}, {Model: modelName(2)}}}, c.now())
-	c.changed(u)
+	u.record.Reconcile(residency.Report{Residents: []deploy.Resident{{Model: modelName(0)}, {Model: modelName(1)}, {Model: modelName(2)}}}, c.now())
+	c.publishChange(u)
 	assert.Equal(t, c.revision, at, "it shows what is known")
-	u.book.Reconcile(residency.Report{Residents: []deploy.Resident{{Model: modelName(0)}}}, c.now())
-	c.changed(u)
+	u.record.Reconcile(residency.Report{Residents: []deploy.Resident{{Model: modelName(0)}}}, c.now())
+	c.publishChange(u)
 	assert.Equal(t, c.revision, at+1)
-	out := c.tellSums(&coordpb.HostReport{Host: "h", Revision: at}, c.now())
+	out := c.answerLoads(&coordpb.HostReport{Host: "h", Revision: at}, c.now())
 	assert.Equal(t, len(out.Holdings), 1)
 	assert.Equal(t, len(out.Holdings[0].Residents), 1)
 }
@@ -62,20 +62,20 @@
 // Symptom: a holder tells 195 hosts some 3.6 MB of loads a second, of upstreams
 // that they look at only when there is no holder.
 // Cause: all loads go with every answer to a report.
-func TestLoadsOfModelsAreToldWhenAskedFor(t *testing.T) {
+func TestLoadsOfModelsAreSentOnRequest(t *testing.T) {
 	c := holderSize{7, 12, 26}.holder()
-	all := c.tellSums(&coordpb.HostReport{Host: "h"}, c.now())
-	later := c.tellSums(&coordpb.HostReport{Host: "h", ModelsLater: true}, c.now())
+	all := c.answerLoads(&coordpb.HostReport{Host: "h"}, c.now())
+	later := c.answerLoads(&coordpb.HostReport{Host: "h", ModelsLater: true}, c.now())
 	assert.Assert(t, len(all.Others) > 0 && !all.ModelsLater)
 	assert.Assert(t, len(later.Others) == 0 && later.ModelsLater, "its upstreams all run models")
 
 	own := holderSize{7, 12, 26}.holder()
 	l := NewLink(LinkConfig{Host: "h"}, own, nil, own.deps.Log)
-	l.take(all)
+	l.applyAnswer(all)
 	e, _ := own.deps.Fleet.Entry(all.Others[0].Upstream)
 	loaded := e.Endpoint(&fleet.Request{}, own.now()).InFlight
 	assert.Assert(t, loaded > 0)
-	l.take(later)
+	l.applyAnswer(later)
 	assert.Equal(t, e.Endpoint(&fleet.Request{}, own.now()).InFlight, loaded, "what was told before goes on")
 }
 
@@ -85,7 +85,7 @@
 	say := func(slots int, since uint64) string {
 		out, err := e.upstreams([]fleet.Listed{{Upstream: deploy.Upstream{ID: "u", Slots: slots}, Revision: since}})
 		assert.NilError(t, err)
-		back, err := decode(out)
+		back, err := decodeEach(out)
 		assert.NilError(t, err)
 		return fmt.Sprint(back[0].Slots)
 	}
--- a/node/coordinator/reportpace.go
+++ b/node/coordinator/reportpace.go
@@ -11,28 +11,28 @@
 
 // reportPace says when the next report is due.
 type reportPace struct {
-	mu     sync.Mutex
-	began  time.Time // the last report
-	due    time.Time
-	period time.Duration
-	sooner chan struct{} // has a token when due was brought forward
+	mu          sync.Mutex
+	lastAt      time.Time // the last report
+	due         time.Time
+	period      time.Duration
+	rescheduled chan struct{} // has a token when due was brought forward
 }
 
 func newReportPace() *reportPace {
-	return &reportPace{period: reportPeriod, sooner: make(chan struct{}, 1)}
+	return &reportPace{period: minReportPeriod, rescheduled: make(chan struct{}, 1)}
 }
 
 // wait returns when the next report is due; it says no when ctx ends before.
 func (p *reportPace) wait(ctx context.Context) bool {
 	for {
-		left := p.left(time.Now())
+		left := p.remaining(time.Now())
 		if left <= 0 {
 			return ctx.Err() == nil
 		}
 		timer := time.NewTimer(left)
 		select {
 		case <-timer.C:
-		case <-p.sooner:
+		case <-p.rescheduled:
 		case <-ctx.Done():
 			timer.Stop()
 			return false
@@ -41,26 +41,26 @@
 	}
 }
 
-// left is the time until the next report; when it is due, that after it is set.
-func (p *reportPace) left(now time.Time) time.Duration {
+// remaining is the time until the next report; when it is due, that after it is set.
+func (p *reportPace) remaining(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now.Before(p.due) {
 		return p.due.Sub(now)
 	}
-	p.began, p.due = now, now.Add(pace.DefaultRand().Jitter(p.period, reportJitter))
+	p.lastAt, p.due = now, now.Add(pace.DefaultRand().Jitter(p.period, reportJitter))
 	return 0
 }
 
-// set is how often reports are due from now on that bring nothing new.
-func (p *reportPace) set(period time.Duration) {
+// setPeriod is how often reports are due from now on that bring nothing new.
+func (p *reportPace) setPeriod(period time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.period = max(period, reportPeriod)
-	p.bringForwardLocked(p.began.Add(p.period))
+	p.period = max(period, minReportPeriod)
+	p.bringForwardLocked(p.lastAt.Add(p.period))
 }
 
-func (p *reportPace) current() time.Duration {
+func (p *reportPace) currentPeriod() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.period
@@ -72,7 +72,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := time.Now().Add(time.Duration(rand.Float64() * float64(within)))
-	p.bringForwardLocked(later(at, p.began.Add(reportPeriod)))
+	p.bringForwardLocked(later(at, p.lastAt.Add(minReportPeriod)))
 }
 
 func (p *reportPace) bringForwardLocked(at time.Time) {
@@ -81,7 +81,7 @@
 	}
 	p.due = at
 	select {
-	case p.sooner <- struct{}{}:
+	case p.rescheduled <- struct{}{}:
 	default: // it looks anyway
 	}
 }
--- a/node/coordinator/serve.go
+++ b/node/coordinator/serve.go
@@ -38,7 +38,7 @@
 
 func (s service) Adapter(ctx context.Context, a *coordpb.AdapterCall) (*coordpb.AdapterAnswer, error) {
 	s.c.deps.Metrics.CountKind(metrics.PeerCalls, callAdapter, 1)
-	ctx, cancel := context.WithTimeout(ctx, adapterBound)
+	ctx, cancel := context.WithTimeout(ctx, adapterTimeout)
 	defer cancel()
 	upstream, err := s.c.LoadAdapter(ctx, a.Upstream, a.Model, a.Adapter)
 	if err != nil {
@@ -47,13 +47,13 @@
 	return &coordpb.AdapterAnswer{Upstream: upstream}, nil
 }
 
-// adapterBound ends the work for a host whose own wait is over.
-const adapterBound = time.Second
+// adapterTimeout ends the work for a host whose own wait is over.
+const adapterTimeout = time.Second
 
 func (s service) State(_ context.Context, q *coordpb.StateCall) (*coordpb.StateAnswer, error) {
 	s.c.deps.Metrics.CountKind(metrics.PeerCalls, callState, 1)
 	out := &coordpb.StateAnswer{Coordinator: addressOf(s.c.deps.Lease.LastObserved().Holder)}
-	if linked := s.c.linked(); linked != "" {
+	if linked := s.c.linkedAddress(); linked != "" {
 		out.Coordinator = linked
 	}
 	if q.Brief {
@@ -74,26 +74,26 @@
 // report takes one host's report and answers what it needs of the others.
 func (c *Coordinator) report(r *coordpb.HostReport) *coordpb.SiteState {
 	now := c.now()
-	c.enter(r, now)
-	out := c.tellSums(r, now)
-	c.accounts.tell(out, now)
-	c.quarantine.update(r, out, now)
-	c.tellSignals(r, out, now)
-	c.tellLease(out, now)
+	c.applyReport(r, now)
+	out := c.answerLoads(r, now)
+	c.accounts.addTo(out, now)
+	c.quarantine.addTo(r, out, now)
+	c.addSignals(r, out, now)
+	c.addLease(out, now)
 	return out
 }
 
-// enter notes what a host has sent and what callers asked of it.
-func (c *Coordinator) enter(r *coordpb.HostReport, now time.Time) {
-	c.sums.take(r, now)
+// applyReport notes what a host has sent and what callers asked of it.
+func (c *Coordinator) applyReport(r *coordpb.HostReport, now time.Time) {
+	c.aggregate.record(r, now)
 	c.deps.Fleet.ApplySignals(decodeSignals(r.Signals, now), fromHost+r.Host)
-	c.accounts.heardOf(r.TeamWords, now)
-	c.accounts.told(r.Teams, now)
+	c.accounts.adoptStates(r.TeamWords, now)
+	c.accounts.addUse(r.Teams, now)
 	c.quarantine.receive(r, now)
-	c.demand.take(r.Demand, c.engineTime, now)
+	c.demand.add(r.Demand, c.engineTime, now)
 	for _, d := range r.Demand {
-		for _, u := range c.unitsOf(c.deps.Fleet.EntriesWithModel(d.Service, d.Model)) {
-			u.usedBy(d, now)
+		for _, u := range c.managedUpstreams(c.deps.Fleet.EntriesWithModel(d.Service, d.Model)) {
+			u.recordUse(d, now)
 		}
 	}
 	if len(r.Signals)+len(r.Crashes) > 0 {
@@ -101,61 +101,61 @@
 	}
 }
 
-// unitsOf are the accounts of some upstreams.
-func (c *Coordinator) unitsOf(entries []*fleet.Entry) []*unit {
+// managedUpstreams are the accounts of some upstreams.
+func (c *Coordinator) managedUpstreams(entries []*fleet.Entry) []*managedUpstream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := make([]*unit, 0, len(entries))
+	out := make([]*managedUpstream, 0, len(entries))
 	for _, e := range entries {
-		if u := c.units[e.ID()]; u != nil && u.entry == e {
+		if u := c.upstreams[e.ID()]; u != nil && u.entry == e {
 			out = append(out, u)
 		}
 	}
 	return out
 }
 
-// tellSums says what the others have sent and what changed at the upstreams.
-func (c *Coordinator) tellSums(r *coordpb.HostReport, now time.Time) *coordpb.SiteState {
-	out := &coordpb.SiteState{Deputies: c.sums.deputies(now), ModelsLater: r.ModelsLater}
-	others, hosts := c.sums.others(r.Host, now, func(upstream string) bool {
+// answerLoads says what the others have sent and what changed at the upstreams.
+func (c *Coordinator) answerLoads(r *coordpb.HostReport, now time.Time) *coordpb.SiteState {
+	out := &coordpb.SiteState{Deputies: c.aggregate.deputies(now), ModelsLater: r.ModelsLater}
+	others, hosts := c.aggregate.others(r.Host, now, func(upstream string) bool {
 		return !r.ModelsLater || !c.runsModelsAt(upstream)
 	})
 	out.Others, out.Hosts = others, uint32(hosts)
-	out.PeriodMs = uint32(c.sums.periodOf(r.Host).Milliseconds())
-	c.tellHeld(r, out, now)
+	out.PeriodMs = uint32(c.aggregate.periodFor(r.Host).Milliseconds())
+	c.addHoldings(r, out, now)
 	return out
 }
 
 const (
-	// holdingsMost is how many upstreams' holdings one answer tells; the rest follow
+	// maxHoldings is how many upstreams' holdings one answer tells; the rest follow
 	// with the next ones, the oldest changes first. 299 hosts that link at once would
 	// get 3,000 each, some 300 kB: more than the holder's memory and link carry before
 	// their reports count as lost and they begin anew.
-	holdingsMost = 250
+	maxHoldings = 250
 	// holdingsRate is how many are told a second to all hosts together, some 8 MB.
 	// A host needs them to go on by itself; while it has turns it needs those alone
 	// that its callers wait for.
 	holdingsRate = 100_000
-	// holdingsLeast is how many an answer tells in any case.
-	holdingsLeast = 16
+	// minHoldings is how many an answer tells in any case.
+	minHoldings = 16
 )
 
-// holdingsFor is how many upstreams' holdings an answer to one of some hosts tells
+// holdingsLimit is how many upstreams' holdings an answer to one of some hosts tells
 // that reports once in a period.
-func holdingsFor(hosts int, period time.Duration) int {
+func holdingsLimit(hosts int, period time.Duration) int {
 	most := int(holdingsRate * period.Seconds() / float64(max(hosts, 1)))
-	return min(max(most, holdingsLeast), holdingsMost)
+	return min(max(most, minHoldings), maxHoldings)
 }
 
-// tellHeld adds what changed of what upstreams hold, and what holds or loads the
+// addHoldings adds what changed of what upstreams hold, and what holds or loads the
 // models that the host's callers wait for.
-func (c *Coordinator) tellHeld(r *coordpb.HostReport, out *coordpb.SiteState, now time.Time) {
-	awaited := map[*unit]bool{}
+func (c *Coordinator) addHoldings(r *coordpb.HostReport, out *coordpb.SiteState, now time.Time) {
+	awaited := map[*managedUpstream]bool{}
 	for _, d := range r.Demand {
 		if d.Unserved == 0 {
 			continue
 		}
-		for _, u := range c.unitsOf(slices.Concat(c.deps.Fleet.EntriesWithModel(d.Service, d.Model), c.deps.Fleet.EntriesLoading(d.Service, d.Model))) {
+		for _, u := range c.managedUpstreams(slices.Concat(c.deps.Fleet.EntriesWithModel(d.Service, d.Model), c.deps.Fleet.EntriesLoading(d.Service, d.Model))) {
 			awaited[u] = true
 		}
 	}
@@ -163,7 +163,7 @@
 	defer c.mu.Unlock()
 	out.Revision = c.revision
 	if r.Revision < c.revision {
-		changed, to, whole := c.held.Since(r.Revision, holdingsFor(int(out.Hosts), milliseconds(out.PeriodMs)))
+		changed, to, whole := c.holdingChanges.Since(r.Revision, holdingsLimit(int(out.Hosts), milliseconds(out.PeriodMs)))
 		if !whole {
 			out.Revision = to
 		}
@@ -199,19 +199,19 @@
 	return ok && c.runsModels(e.Service())
 }
 
-// tellLease says whether this host holds the lease, and what its successor
+// addLease says whether this host holds the lease, and what its successor
 // needs to know when it does not any more.
-func (c *Coordinator) tellLease(out *coordpb.SiteState, now time.Time) {
+func (c *Coordinator) addLease(out *coordpb.SiteState, now time.Time) {
 	if rows, record, held := c.deps.Lease.HeldRecord(); held {
 		out.Holding, out.Epoch, out.GrantRow, out.BeatRow, out.Grant = true, record.Epoch, rows.Grant, rows.Heartbeat, record.Encode()
 		return
 	}
-	if c.standingIn.Load() { // it has nothing of the lease to hand over
+	if c.actingWithoutLease.Load() { // it has nothing of the lease to hand over
 		out.Acting = true
 		return
 	}
 	out.Acting = c.deps.Lease.Lapsed()
-	out.Handover = c.tellHandover(out.Acting, now)
+	out.Handover = c.currentHandover(out.Acting, now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out.Epoch = c.term.Epoch
@@ -219,32 +219,32 @@
 		out.Epoch = c.lastEpoch
 	}
 	age := time.Hour
-	if !c.ordered.IsZero() {
-		age = now.Sub(c.ordered)
+	if !c.lastOrderAt.IsZero() {
+		age = now.Sub(c.lastOrderAt)
 	}
 	out.LastOrderMs = uint32(min(age, time.Hour).Milliseconds())
 }
 
 // holding is what the upstream can answer now or will soon, for the other hosts.
-func (u *unit) holding(now time.Time) *coordpb.Holding {
+func (u *managedUpstream) holding(now time.Time) *coordpb.Holding {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	out := &coordpb.Holding{Upstream: u.entry.ID(), Born: u.entry.StartedMs()}
-	for _, r := range u.book.ReadyResidents() {
+	for _, r := range u.record.ReadyResidents() {
 		out.Residents = append(out.Residents, &coordpb.Resident{Model: r.Model, Adapters: r.Adapters})
 	}
-	if v := u.moving; v != nil {
-		out.Coming = []*coordpb.Coming{{Model: v.Load, ReadyMs: uint32(max(u.readyLocked(v, now).Sub(now), 0).Milliseconds())}}
+	if v := u.activeMove; v != nil {
+		out.Coming = []*coordpb.Coming{{Model: v.Load, ReadyMs: uint32(max(u.readyAtLocked(v, now).Sub(now), 0).Milliseconds())}}
 	}
 	return out
 }
 
-// readyLocked is when the model of a move can be expected to answer, at the
+// readyAtLocked is when the model of a move can be expected to answer, at the
 // earliest: what makes way for it may have to end its streams first.
-func (u *unit) readyLocked(v *moving, now time.Time) time.Time {
+func (u *managedUpstream) readyAtLocked(v *activeMove, now time.Time) time.Time {
 	took := replica.LoadTime(u.engine, v.Load, v.From)
-	if v.loads.IsZero() {
+	if v.loadingSince.IsZero() {
 		return now.Add(took)
 	}
-	return v.loads.Add(took)
+	return v.loadingSince.Add(took)
 }
--- a/node/coordinator/serve_test.go
+++ b/node/coordinator/serve_test.go
@@ -20,7 +20,7 @@
 // Sequence: an adapter is loaded at one upstream; each of 80 hosts is told what
 // all 60 upstreams hold.
 // Cause: holdings are told as a whole.
-func TestAReportIsAnsweredWithWhatChanged(t *testing.T) {
+func TestAReportIsAnsweredWithChangesOnly(t *testing.T) {
 	log := event.NewLog(nil)
 	config := follow.NewActiveConfig(log)
 	config.ApplyIfNewer(&deploy.Config{Version: 1, Services: []deploy.Service{{Name: "s", Engine: &deploy.Engine{MemoryMB: 100, AdapterSlots: 2,
@@ -29,14 +29,14 @@
 	f.Replace([]deploy.Upstream{{ID: "a", Service: "s", Residents: []deploy.Resident{{Model: "m"}}},
 		{ID: "b", Service: "s", Residents: []deploy.Resident{{Model: "m"}}}}, 1)
 	c := New(Config{}, Deps{Fleet: f, Config: config, Log: log, Lease: lease.New(lease.Config{Name: "l"}, lease.Deps{Table: noTable{}})})
-	c.standingIn.Store(true)
-	c.follow()
+	c.actingWithoutLease.Store(true)
+	c.refresh()
 	all := c.report(&coordpb.HostReport{Host: "h"})
 	assert.Equal(t, len(all.Holdings), 2)
 	assert.Equal(t, len(c.report(&coordpb.HostReport{Host: "h", Revision: all.Revision}).Holdings), 0)
-	u, _ := c.unit("b")
-	u.book.Reconcile(residency.Report{Residents: []deploy.Resident{{Model: "m", Adapters: []string{"x"}}}}, time.Now())
-	c.changed(u)
+	u, _ := c.upstream("b")
+	u.record.Reconcile(residency.Report{Residents: []deploy.Resident{{Model: "m", Adapters: []string{"x"}}}}, time.Now())
+	c.publishChange(u)
 	some := c.report(&coordpb.HostReport{Host: "h", Revision: all.Revision})
 	assert.Equal(t, len(some.Holdings), 1)
 	assert.Equal(t, some.Holdings[0].Upstream, "b")
@@ -51,7 +51,7 @@
 // Sequence: the holder tells what a new upstream holds before this host's list
 // names it; the list follows.
 // Cause: what was told of an unknown upstream is dropped, and is not told again.
-func TestWhatIsToldOfAnUpstreamBeforeTheListIsKept(t *testing.T) {
+func TestHoldingsOfAnUnlistedUpstreamAreKept(t *testing.T) {
 	log := event.NewLog(nil)
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
 	own := New(Config{}, Deps{Fleet: f, Config: follow.NewActiveConfig(log), Log: log, Lease: lease.New(lease.Config{Name: "l"}, lease.Deps{Table: noTable{}})})
@@ -60,11 +60,11 @@
 		e, ok := f.Entry(id)
 		return ok && e.Endpoint(&fleet.Request{Model: "m"}, time.Now()).ModelResident
 	}
-	link.take(&coordpb.SiteState{Revision: 1, Holdings: []*coordpb.Holding{{Upstream: "u", Residents: []*coordpb.Resident{{Model: "m"}}}}})
+	link.applyAnswer(&coordpb.SiteState{Revision: 1, Holdings: []*coordpb.Holding{{Upstream: "u", Residents: []*coordpb.Resident{{Model: "m"}}}}})
 	f.Apply([]deploy.Upstream{{ID: "u", Service: "s"}}, nil, 1)
-	link.take(&coordpb.SiteState{Revision: 1})
+	link.applyAnswer(&coordpb.SiteState{Revision: 1})
 	assert.Assert(t, holds("u"))
-	link.take(&coordpb.SiteState{Revision: 2, Holdings: []*coordpb.Holding{{Upstream: "v", Residents: []*coordpb.Resident{{Model: "m"}}}}})
+	link.applyAnswer(&coordpb.SiteState{Revision: 2, Holdings: []*coordpb.Holding{{Upstream: "v", Residents: []*coordpb.Resident{{Model: "m"}}}}})
 	f.Apply(nil, []string{"v"}, 2)
 	f.Apply([]deploy.Upstream{{ID: "v", Service: "s"}}, nil, 3)
 	assert.Assert(t, !holds("v"), "what was told of one that is gone is not kept")
@@ -74,7 +74,7 @@
 // Sequence: its process starts again under its id, empty; this host learns so
 // before the holder tells what the new process holds.
 // Cause: what the holder told of the former process is taken for the new one's.
-func TestWhatWasToldOfAFormerProcessIsNotBelievedOfItsSuccessor(t *testing.T) {
+func TestHoldingsOfAFormerProcessAreNotUsedForItsSuccessor(t *testing.T) {
 	log := event.NewLog(nil)
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
 	own := New(Config{}, Deps{Fleet: f, Config: follow.NewActiveConfig(log), Log: log, Lease: lease.New(lease.Config{Name: "l"}, lease.Deps{Table: noTable{}})})
@@ -84,11 +84,11 @@
 		return ok && e.Endpoint(&fleet.Request{Model: "m"}, time.Now()).ModelResident
 	}
 	f.Apply([]deploy.Upstream{{ID: "u", Service: "s", Born: 1}}, nil, 1)
-	link.take(&coordpb.SiteState{Revision: 1, Holdings: []*coordpb.Holding{{Upstream: "u", Born: 1, Residents: []*coordpb.Resident{{Model: "m"}}}}})
+	link.applyAnswer(&coordpb.SiteState{Revision: 1, Holdings: []*coordpb.Holding{{Upstream: "u", Born: 1, Residents: []*coordpb.Resident{{Model: "m"}}}}})
 	assert.Assert(t, holds())
 	f.Apply([]deploy.Upstream{{ID: "u", Service: "s", Born: 2}}, nil, 2)
-	link.take(&coordpb.SiteState{Revision: 1})
+	link.applyAnswer(&coordpb.SiteState{Revision: 1})
 	assert.Assert(t, !holds())
-	link.take(&coordpb.SiteState{Revision: 2, Holdings: []*coordpb.Holding{{Upstream: "u", Born: 2, Residents: []*coordpb.Resident{{Model: "m"}}}}})
+	link.applyAnswer(&coordpb.SiteState{Revision: 2, Holdings: []*coordpb.Holding{{Upstream: "u", Born: 2, Residents: []*coordpb.Resident{{Model: "m"}}}}})
 	assert.Assert(t, holds())
 }
--- a/node/coordinator/signals.go
+++ b/node/coordinator/signals.go
@@ -14,41 +14,41 @@
 	fromHolder = "holder"
 )
 
-// tellSignals adds to the answer to a report what upstreams asked for that the
+// addSignals adds to the answer to a report what upstreams asked for that the
 // host has not been told.
-func (c *Coordinator) tellSignals(r *coordpb.HostReport, out *coordpb.SiteState, now time.Time) {
+func (c *Coordinator) addSignals(r *coordpb.HostReport, out *coordpb.SiteState, now time.Time) {
 	since := r.SignalsRevision
 	if r.SignalsId != c.id {
 		since = 0
 	}
 	all, revision := c.deps.Fleet.SignalsSince(since)
 	out.SignalsId, out.SignalsRevision, out.Signals = c.id, revision, encodeSignals(all, now)
-	out.Place = uint32(c.sums.place(r.Host))
+	out.Place = uint32(c.aggregate.hostIndex(r.Host))
 }
 
 // signals is what a host and the one that acts for all have told each other of
 // what upstreams ask for.
 type signals struct {
-	of    uint64 // process that acts for all
-	heard uint64 // revision of its up to which this host has been told
-	told  uint64 // revision of this host's up to which it was told
+	process          uint64 // process that acts for all
+	receivedRevision uint64 // revision of its up to which this host has been told
+	sentRevision     uint64 // revision of this host's up to which it was told
 }
 
-// report adds to a report what the one that acts for all has not been told, and
+// addTo adds to a report what the one that acts for all has not been told, and
 // returns the revision of this host's that it brings that one to.
-func (s *signals) report(r *coordpb.HostReport, f *fleet.Fleet, now time.Time) (revision uint64) {
-	all, revision := f.SignalsSince(s.told)
-	r.SignalsId, r.SignalsRevision, r.Signals = s.of, s.heard, encodeSignals(all, now)
+func (s *signals) addTo(r *coordpb.HostReport, f *fleet.Fleet, now time.Time) (revision uint64) {
+	all, revision := f.SignalsSince(s.sentRevision)
+	r.SignalsId, r.SignalsRevision, r.Signals = s.process, s.receivedRevision, encodeSignals(all, now)
 	return revision
 }
 
-// take enters the answer to a report that brought its receiver to a revision. A
+// apply enters the answer to a report that brought its receiver to a revision. A
 // process that answers for the first time has still to be told all.
-func (s *signals) take(a *coordpb.SiteState, told uint64) {
-	if a.SignalsId != s.of && s.of != 0 {
+func (s *signals) apply(a *coordpb.SiteState, told uint64) {
+	if a.SignalsId != s.process && s.process != 0 {
 		told = 0
 	}
-	s.of, s.heard, s.told = a.SignalsId, a.SignalsRevision, told
+	s.process, s.receivedRevision, s.sentRevision = a.SignalsId, a.SignalsRevision, told
 }
 
 func encodeSignals(all []fleet.UpstreamSignal, now time.Time) []*coordpb.UpstreamSignal {
--- a/node/coordinator/signals_test.go
+++ b/node/coordinator/signals_test.go
@@ -21,12 +21,12 @@
 	for _, round := range []int{0, 1} {
 		for i := range 5 {
 			r := &coordpb.HostReport{Host: fmt.Sprint("h", i)}
-			c.sums.take(r, now)
+			c.aggregate.record(r, now)
 			if round == 0 {
 				continue
 			}
 			out := &coordpb.SiteState{}
-			c.tellSignals(r, out, now)
+			c.addSignals(r, out, now)
 			seen[out.Place] = true
 			assert.Assert(t, out.Place < 5)
 		}
@@ -35,7 +35,7 @@
 }
 
 // Guards against a successor that is told nothing of what its predecessor knew.
-func TestAHolderThatAnswersForTheFirstTimeIsToldAll(t *testing.T) {
+func TestANewHolderReceivesAllSignals(t *testing.T) {
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
 	f.Replace([]deploy.Upstream{{ID: "u", Service: "s"}}, 1)
 	e, _ := f.Entry("u")
@@ -44,8 +44,8 @@
 	var s signals
 	tell := func(holder uint64) int {
 		r := &coordpb.HostReport{}
-		revision := s.report(r, f, now)
-		s.take(&coordpb.SiteState{SignalsId: holder}, revision)
+		revision := s.addTo(r, f, now)
+		s.apply(&coordpb.SiteState{SignalsId: holder}, revision)
 		return len(r.Signals)
 	}
 	assert.Equal(t, tell(1), 1)
--- a/node/coordinator/traffic.go
+++ b/node/coordinator/traffic.go
@@ -18,17 +18,17 @@
 
 // Kinds of bytes between hosts: what a report is, and the fields of its answer.
 const (
-	bytesReport     = "report"
-	bytesOthers     = "answer_others"
-	bytesHoldings   = "answer_holdings"
-	bytesList       = "answer_list"
-	bytesConfig     = "answer_configuration"
-	bytesHandover   = "answer_handover"
-	bytesTeams      = "answer_teams"
-	bytesQuarantine = "answer_quarantine"
-	bytesSignals    = "answer_signals"
-	bytesRest       = "answer_rest" // the lease, deputies and versions
-	bytesHandedOn   = "list"        // to a host that the one that acts for all has not told yet
+	bytesReport        = "report"
+	bytesOthers        = "answer_others"
+	bytesHoldings      = "answer_holdings"
+	bytesList          = "answer_list"
+	bytesConfig        = "answer_configuration"
+	bytesHandover      = "answer_handover"
+	bytesTeams         = "answer_teams"
+	bytesQuarantine    = "answer_quarantine"
+	bytesSignals       = "answer_signals"
+	bytesRemainder     = "answer_rest" // the lease, deputies and versions
+	bytesForwardedList = "list"        // to a host that the one that acts for all has not told yet
 )
 
 // countReport counts a report and its answer by what they bring.
@@ -40,7 +40,7 @@
 		c.countBytes(kind, n)
 		rest -= n
 	}
-	c.countBytes(bytesRest, rest)
+	c.countBytes(bytesRemainder, rest)
 }
 
 func (c *Coordinator) countBytes(kind string, n int) {
--- /dev/null
+++ b/node/coordinator/waitestimate.go
@@ -0,0 +1,95 @@
+package coordinator
+
+import (
+	"time"
+
+	"peridotpier.example/core/balance"
+	"peridotpier.example/node/coordinator/coordpb"
+	"peridotpier.example/node/fleet"
+)
+
+// refuseUnservable answers a request that no upstream takes while it waits: it is told when
+// to come back. Else it has the queue looked at when one of them does.
+func (t *permits) refuseUnservable(w *permitRequest, now time.Time) bool {
+	o := t.estimateWait(w, now)
+	patience := milliseconds(w.event.PatienceMs)
+	if patience == 0 || o.dispatchIn <= patience {
+		return false
+	}
+	w.key.from.send(&coordpb.TurnAnswer{Id: w.key.id, Kind: coordpb.TurnAnswer_NONE, Reason: uint32(balance.AllBackoff),
+		WaitMs: uint32(o.retryIn.Milliseconds()) + 1})
+	return true
+}
+
+// waitEstimate is when a request can go whose upstreams all take nothing for now.
+type waitEstimate struct {
+	dispatchIn time.Duration // from its host
+	retryIn    time.Duration // when its caller should come back, if that is too late
+}
+
+func (t *permits) estimateWait(w *permitRequest, now time.Time) waitEstimate {
+	var o waitEstimate
+	first, perSecond := true, 0.0
+	for _, e := range t.c.deps.Fleet.EntriesWithModel(w.event.Service, w.ask.Model) {
+		at := t.endpoint(e, w, now)
+		if balance.Check(&at, &balance.Request{Model: w.ask.Model}) != balance.AllBackoff {
+			continue
+		}
+		t.wakeAfter(e, now, at.Backoff)
+		own := waitEstimate{dispatchIn: at.Backoff, retryIn: t.retryAfter(e, at.Backoff, now)}
+		if first {
+			o, first = own, false
+		}
+		o = waitEstimate{dispatchIn: min(o.dispatchIn, own.dispatchIn), retryIn: min(o.retryIn, own.retryIn)}
+		if limit := e.Limit(); limit.Stated {
+			perSecond += limit.Rate()
+		}
+	}
+	if perSecond > 0 {
+		queued := time.Duration(float64(t.queuedAhead(w)) / perSecond * float64(time.Second))
+		o.dispatchIn, o.retryIn = o.dispatchIn+queued, o.retryIn+queued
+	}
+	return o
+}
+
+// otherHostRetry is when a caller should come back whom other hosts can serve now: by
+// chance it comes to one of them.
+const otherHostRetry = 100 * time.Millisecond
+
+// retryAfter is when a caller should come back for an upstream that takes nothing of
+// its host for a time: an upstream that asked one host for rest may serve the others.
+func (t *permits) retryAfter(e *fleet.Entry, backoff time.Duration, now time.Time) time.Duration {
+	if t.limits.wait(e, now) == 0 && t.backoffs.serves(e.ID()) {
+		return otherHostRetry
+	}
+	return backoff
+}
+
+// queuedAhead is how many of those that wait for the same upstreams go before a request.
+func (t *permits) queuedAhead(w *permitRequest) int {
+	n := 0
+	for _, o := range t.waiting {
+		if o.waitReason == balance.AllBackoff && o.event.Priority <= w.event.Priority && o.event.Service == w.event.Service && o.ask.Model == w.ask.Model {
+			n++
+		}
+	}
+	return n
+}
+
+// wakeAfter has what waits looked at after a time when an upstream may take one more.
+func (t *permits) wakeAfter(e *fleet.Entry, now time.Time, wait time.Duration) {
+	if wait <= 0 {
+		return
+	}
+	at := now.Add(wait)
+	if due, ok := t.wakeAt[e]; ok && !at.Before(due) {
+		return
+	}
+	t.wakeAt[e] = at
+	time.AfterFunc(wait, func() {
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		delete(t.wakeAt, e)
+		t.grantWaitingAt(e.ID())
+	})
+}
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -42,12 +42,12 @@
 	}
 	if c.now()' ./node/coordinator ./platform -run 'Order|Holder'
 try "quiet period of a new holder" node/coordinator/handover.go \
-  'c.quiet, c.ordered, c.whole = now.Add(c.cfg.Quiet), now' 'c.quiet, c.ordered, c.whole = now, now' ./node/coordinator
+  'c.quietUntil, c.lastOrderAt, c.ordersComplete = now.Add(c.cfg.QuietPeriod), now' 'c.quietUntil, c.lastOrderAt, c.ordersComplete = now, now' ./node/coordinator
 try "order within the former holder's quiet time at one upstream" node/coordinator/handover.go \
   'return ok && !o.own' 'return false && ok && !o.own' ./node/coordinator ./platform -run 'Holder|Orders'
 try "bound of loads from the weight store" node/coordinator/plan.go \
-  'min(c.stores.left(s.Engine.LoadsPerSecond, now), c.storeRoom(s.Engine, units, now))' \
-  'c.stores.left(s.Engine.LoadsPerSecond, now)' ./node/coordinator ./platform -run 'Loads|EnginesReplaced'
+  'min(c.storeLoads.remaining(s.Engine.LoadsPerSecond, now), c.freeStoreSlots(s.Engine, units, now))' \
+  'c.storeLoads.remaining(s.Engine.LoadsPerSecond, now)' ./node/coordinator ./platform -run 'Loads|EnginesReplaced'
 try "loads by what they serve" core/replica/replica.go \
   'if x, y := a.gain(), b.gain(); x != y {' 'if x, y := a.gain(), b.gain(); false && x != y {' ./core/replica
 try "bound of what is prepared for" core/replica/prior.go \
@@ -60,7 +60,7 @@
 try "requests that an upstream lost go first" node/gate/pick.go \
   'if lost && now.Sub' 'if false && now.Sub' ./node/gate -run 'BeforeWhatIsNew'
 try "holdings told once" node/coordinator/coordinator.go \
-  'if !u.news() && u.revision.Load() > 0 {' 'if false {' ./node/coordinator -run 'OnlyWhatIsNew'
+  'if !u.updatePublished() && u.revision.Load() > 0 {' 'if false {' ./node/coordinator -run 'OnlyNewHoldings'
 try "packed configuration" node/coordinator/relay.go \
   'if r.Packed {' 'if false {' ./node/coordinator -run 'Packed'
 try "reports that are too old leave the sums" node/coordinator/sums.go \
@@ -74,7 +74,7 @@
 try "end of a former holder's load" core/residency/settle.go \
   'b.foreign = r.Busy && b.busy == nil' 'b.foreign = false' ./core/residency
 try "loads counted when they begin" node/coordinator/authority.go \
-  's.undo(at)
+  's.remove(at)
 	if' 'if' ./node/coordinator
 try "answer to another attempt" node/gate/attempt.go \
   'facts.Attempt != "" && facts.Attempt != q.facts.Attempt' 'false' ./platform -run 'Answers'
@@ -170,7 +170,7 @@
 ' '' ./platform -run 'AStop'
 try "caller gone" node/gate/gate.go \
   'WithDeadlineCause(r.Context()' 'WithDeadlineCause(context.Background()' ./node/gate
-try "time to stand by while the store is away" node/coordinator/lead.go \
+try "time to stand by while the store is away" node/coordinator/elector.go \
   'answered = time.Now()
 		}' '_ = answered
 		}' ./node/coordinator -run 'StandsBy'
@@ -182,8 +182,8 @@
   'if q.revoked() {' 'if false {' ./platform -run 'KeyWasTakenAway'
 try "one key in two teams" core/deploy/team.go \
   'if other, ok := owners[k]; ok && other != team {' 'if other := 0; false {' ./core/deploy
-try "a limit is charged with the turn" node/coordinator/turns.go \
-  '	if !t.within(k, e, now) {
+try "a limit is charged with the turn" node/coordinator/permits.go \
+  '	if !t.chargeTeam(k, e, now) {
 		return
 	}
 ' '' ./node/coordinator ./platform -run 'Limit'
@@ -199,11 +199,11 @@
 try "the part of hosts that are not heard is withheld" core/quota/ledger.go \
   'limit.PerSecond *= l.part' '' ./core/quota ./node/coordinator -run 'NotHeard|Limit'
 try "a new count goes on from the former's" node/coordinator/accounts.go \
-  'a.ledger.Follow(teams, a.word, now)' 'a.ledger.Follow(teams, nil, now)' ./node/coordinator
+  'a.ledger.SetTeams(teams, a.lastState, now)' 'a.ledger.SetTeams(teams, nil, now)' ./node/coordinator
 try "a process that begins to count hears how accounts stood" node/coordinator/serve.go \
-  'c.accounts.heardOf(r.TeamWords, now)' '' ./node/coordinator -run 'HowAccountsStood'
+  'c.accounts.adoptStates(r.TeamWords, now)' '' ./node/coordinator -run 'ReceivesAccountStates'
 try "a holder that is back at once hears how accounts stood" node/coordinator/link.go \
-  'return l.failed > 0 || l.begun' 'return false' ./node/coordinator -run 'BackAtOnce'
+  'return l.failedReports > 0 || l.countIsNew' 'return false' ./node/coordinator -run 'QuicklyRestartedHolder'
 try "a crash blames all that ran there" core/poison/ledger.go \
   'len(c.ran) >= ranMost' 'len(c.ran) >= 1' ./core/poison
 try "what a known one explains speaks half" core/poison/judge.go \
@@ -228,12 +228,12 @@
   'q.g.deps.Guard.Completed(q.content)' '' ./node/gate -run 'RanToItsEnd'
 try "a pick heeds what an upstream takes" node/fleet/entry.go \
   'out.Backoff = e.backoffLocked(now)' '' ./node/fleet ./platform -run 'ItsShare|LimitOfAnUpstream|InTheRest'
-try "a turn heeds what an upstream takes" node/coordinator/turns.go \
-  'out.Backoff = max(t.limits.wait(e, now), t.rests.wait(e.ID()), w.rests[e.ID()].Sub(now))' 'out.Backoff = 0' ./platform -run 'UpstreamWithALimit|SoonestTime'
+try "a turn heeds what an upstream takes" node/coordinator/permits.go \
+  'out.Backoff = max(t.limits.wait(e, now), t.backoffs.wait(e.ID()), w.hostBackoffs[e.ID()].Sub(now))' 'out.Backoff = 0' ./platform -run 'UpstreamWithALimit|SoonestTime'
 try "calls of a service with a limited upstream go by turns" node/gate/pick.go \
   'if q.g.deps.Fleet.Limited(q.service.Name) {' 'if false {' ./platform -run 'UpstreamWithALimit'
 try "hosts alone have a turn each" node/coordinator/signals.go \
-  'out.Place = uint32(c.sums.place(r.Host))' '' ./node/coordinator -run 'PlaceOfItsOwn'
+  'out.Place = uint32(c.aggregate.hostIndex(r.Host))' '' ./node/coordinator -run 'PlaceOfItsOwn'
 try "turns that nobody took do not pile up" core/backpressure/pacer.go \
   'return max(p.taken+1/perSecond, at-keepFor.Seconds()-keepTurns/perSecond)' 'return p.taken+1/perSecond' ./core/backpressure
 try "a turn lies a period after the last" core/backpressure/pacer.go \
@@ -251,6 +251,6 @@
   'e.Limit().Named && !t.WithinLimit' 'false' ./node/gate -run 'NotCounted'
 try "what nothing takes in time is refused at once" node/gate/pick.go \
   'p.Reason == balance.AllBackoff && !q.started && (p.inVain ||' 'false && (p.inVain ||' ./platform -run 'SoonestTime'
-try "somebody acts while nobody can take the lease" node/coordinator/lead.go \
-  'case !own.Acting() && d.Link.comesFirst(ctx):' 'case false:' ./platform -run 'NobodyCanTake'
+try "somebody acts while nobody can take the lease" node/coordinator/elector.go \
+  'case !own.Acting() && d.Link.isFirstDeputy(ctx):' 'case false:' ./platform -run 'NobodyCanTake'
 exit $missed
