--- a/node/coordinator/accounts.go
+++ b/node/coordinator/accounts.go
@@ -77,8 +77,8 @@
 }
 
 // adoptStates enters how accounts stood when a host was told last by another holder.
-func (a *accounts) adoptStates(words []*coordpb.TeamWord, now time.Time) {
-	if len(words) == 0 {
+func (a *accounts) adoptStates(states []*coordpb.TeamWord, now time.Time) {
+	if len(states) == 0 {
 		return
 	}
 	a.mu.Lock()
@@ -86,7 +86,7 @@
 	if !a.refreshLocked(now) {
 		return
 	}
-	for _, w := range words {
+	for _, w := range states {
 		a.ledger.Correct(w.Standing.GetTeam(), quota.KnownState{Constrained: true, Age: milliseconds(w.AgeMs),
 			AccountState: quota.AccountState{Level: float64(w.Standing.GetLevel()), Demand: float64(w.Standing.GetAsked())}}, now)
 	}
--- a/node/coordinator/adapters.go
+++ b/node/coordinator/adapters.go
@@ -99,14 +99,14 @@
 	}
 	defer u.unlockOrders()
 	u.mu.Lock()
-	coming := u.record.HasAdapter(model, adapter)
-	doubtful := u.record.NeedsReport()
+	loading := u.record.HasAdapter(model, adapter)
+	needsReport := u.record.NeedsReport()
 	o, ok := u.record.NextAdapterOrder(model, adapter, u.c.now())
 	u.mu.Unlock()
 	switch {
-	case coming:
+	case loading:
 		return true, nil
-	case doubtful:
+	case needsReport:
 		return false, u.reconcile(ctx)
 	case !ok:
 		return false, errNoUpstream
--- a/node/coordinator/aggregate.go
+++ b/node/coordinator/aggregate.go
@@ -149,21 +149,21 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLocked(now)
-	own := map[string]fleet.Load{}
+	ownLoads := map[string]fleet.Load{}
 	if h := s.hosts[host]; h != nil && h.inTotals {
 		for _, l := range h.report.Loads {
-			own[l.Upstream] = own[l.Upstream].Plus(loadOf(l))
+			ownLoads[l.Upstream] = ownLoads[l.Upstream].Plus(loadOf(l))
 		}
 	}
-	highest := s.busiestLocked(now)
-	room := make([]coordpb.Load, 0, len(highest))
-	for _, id := range highest {
-		sum := s.totals[id].Plus(own[id].Negated())
+	busiest := s.busiestLocked(now)
+	buf := make([]coordpb.Load, 0, len(busiest))
+	for _, id := range busiest {
+		sum := s.totals[id].Plus(ownLoads[id].Negated())
 		if sum.Requests <= 0 || !wanted(id) {
 			continue
 		}
-		room = room[:len(room)+1]
-		l := &room[len(room)-1]
+		buf = buf[:len(buf)+1]
+		l := &buf[len(buf)-1]
 		l.Upstream, l.Requests, l.Waiting, l.Tokens = id, uint32(sum.Requests), uint32(max(sum.PendingPromptTokens, 0)), uint32(max(sum.Tokens, 0))
 		all = append(all, l)
 	}
@@ -294,15 +294,15 @@
 	if !s.suspectsAt.IsZero() && now.Sub(s.suspectsAt) < expiryInterval {
 		return s.cachedSuspects
 	}
-	words := map[string]int{}
+	counts := map[string]int{}
 	out := map[string]bool{}
 	for _, h := range s.hosts {
 		if !h.suspectsCount(now) {
 			continue
 		}
 		for _, id := range h.report.Silent {
-			words[id]++
-			out[id] = words[id] >= minSuspectHosts
+			counts[id]++
+			out[id] = counts[id] >= minSuspectHosts
 		}
 	}
 	s.cachedSuspects, s.suspectsAt = out, now
@@ -338,20 +338,20 @@
 	if now.Sub(s.deputiesAt) < deputyInterval && len(s.cachedDeputies) == min(len(s.hosts), maxDeputies) {
 		return s.cachedDeputies
 	}
-	var ample, other []string
+	var spare, other []string
 	for _, h := range s.hosts {
 		if !h.fresh(now) || h.report.Address == "" {
 			continue
 		}
 		if h.report.Ample {
-			ample = append(ample, h.report.Address)
+			spare = append(spare, h.report.Address)
 		} else {
 			other = append(other, h.report.Address)
 		}
 	}
-	sort.Slice(ample, func(i, j int) bool { return xxhash.Sum64String(ample[i]) < xxhash.Sum64String(ample[j]) })
+	sort.Slice(spare, func(i, j int) bool { return xxhash.Sum64String(spare[i]) < xxhash.Sum64String(spare[j]) })
 	sort.Strings(other)
-	all := append(ample, other...)
+	all := append(spare, other...)
 	s.cachedDeputies, s.deputiesAt = all[:min(len(all), maxDeputies)], now
 	return s.cachedDeputies
 }
--- a/node/coordinator/authority.go
+++ b/node/coordinator/authority.go
@@ -85,24 +85,24 @@
 
 // inherit takes over the loads that a former holder told, beside those of this
 // host's own earlier terms.
-func (s *storeLoads) inherit(begun, doubts []time.Time) {
+func (s *storeLoads) inherit(started, unconfirmed []time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.startedAt, s.unconfirmedUntil = append(s.startedAt, begun...), append(s.unconfirmedUntil, doubts...)
-	s.inheritedAt = slices.Clone(begun)
+	s.startedAt, s.unconfirmedUntil = append(s.startedAt, started...), append(s.unconfirmedUntil, unconfirmed...)
+	s.inheritedAt = slices.Clone(started)
 }
 
 // inheritedWithin is how many loads that a former holder told began within a
 // time, so that they may still be under way.
-func (s *storeLoads) inheritedWithin(longest time.Duration, now time.Time) int {
+func (s *storeLoads) inheritedWithin(maxAge time.Duration, now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.inheritedAt = recent(s.inheritedAt, now, longest)
+	s.inheritedAt = recent(s.inheritedAt, now, maxAge)
 	return len(s.inheritedAt)
 }
 
 // counted returns the loads that count now; known: there are no others.
-func (s *storeLoads) counted(now time.Time) (begun, doubts []time.Time, known bool) {
+func (s *storeLoads) counted(now time.Time) (started, unconfirmed []time.Time, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.startedAt, s.unconfirmedUntil = recent(s.startedAt, now, s.window), recent(s.unconfirmedUntil, now, s.window)
--- a/node/coordinator/backoffs.go
+++ b/node/coordinator/backoffs.go
@@ -34,24 +34,24 @@
 		return
 	}
 	w.hostBackoffs = make(map[string]time.Time, len(w.event.Rests))
-	for _, told := range w.event.Rests {
-		until := now.Add(milliseconds(told.ForMs))
-		w.hostBackoffs[told.Upstream] = until
-		x := r[told.Upstream]
-		if x == nil {
-			x = &upstreamBackoff{}
-			r[told.Upstream] = x
+	for _, asked := range w.event.Rests {
+		until := now.Add(milliseconds(asked.ForMs))
+		w.hostBackoffs[asked.Upstream] = until
+		u := r[asked.Upstream]
+		if u == nil {
+			u = &upstreamBackoff{}
+			r[asked.Upstream] = u
 		}
-		if until.Sub(x.until) > backoffTolerance {
-			x.until = until
-			x.slowStart.Start()
+		if until.Sub(u.until) > backoffTolerance {
+			u.until = until
+			u.slowStart.Start()
 		}
 	}
 }
 
 // wait is the time until an upstream may get one more.
 func (r backoffs) wait(upstream string) time.Duration {
-	if x := r[upstream]; x != nil && x.slowStart.AtLimit() {
+	if u := r[upstream]; u != nil && u.slowStart.AtLimit() {
 		return fleet.SlowStartWait
 	}
 	return 0
@@ -59,28 +59,28 @@
 
 // serves says whether an upstream has asked some host for rest, and answers others.
 func (r backoffs) serves(upstream string) bool {
-	x := r[upstream]
-	return x != nil && !x.slowStart.Active()
+	u := r[upstream]
+	return u != nil && !u.slowStart.Active()
 }
 
 // recordGrant notes a request that is sent; it says whether its answer is waited for.
 func (r backoffs) recordGrant(w *permitRequest) bool {
-	x := r[w.upstream]
-	w.isTrial = x != nil && x.slowStart.Sent()
+	u := r[w.upstream]
+	w.isTrial = u != nil && u.slowStart.Sent()
 	return w.isTrial
 }
 
 // recordAnswer notes that a request's answer began.
 func (r backoffs) recordAnswer(w *permitRequest, slots int) {
-	if x := r[w.upstream]; x != nil && w.isTrial {
-		x.slowStart.Answered(slots)
+	if u := r[w.upstream]; u != nil && w.isTrial {
+		u.slowStart.Answered(slots)
 	}
 }
 
 // recordEnd notes the end of a request.
 func (r backoffs) recordEnd(w *permitRequest) {
-	if x := r[w.upstream]; x != nil && w.isTrial {
-		x.slowStart.Ended()
+	if u := r[w.upstream]; u != nil && w.isTrial {
+		u.slowStart.Ended()
 	}
 	w.isTrial = false
 }
--- a/node/coordinator/coordinator.go
+++ b/node/coordinator/coordinator.go
@@ -199,7 +199,7 @@
 
 // waitNext waits for the next look; it says no when ctx ends.
 func (c *Coordinator) waitNext(ctx context.Context) bool {
-	taken, acts := c.deps.Lease.Acquired(), c.actingStarted.Next()
+	taken, started := c.deps.Lease.Acquired(), c.actingStarted.Next()
 	if c.Acting() {
 		return pace.Sleep(ctx, runInterval)
 	}
@@ -209,7 +209,7 @@
 	case <-ctx.Done():
 		return false
 	case <-taken:
-	case <-acts:
+	case <-started:
 	case <-timer.C:
 	}
 	return ctx.Err() == nil
@@ -266,19 +266,19 @@
 // upstreams up to date with what they say of themselves.
 func (c *Coordinator) refresh() {
 	now := c.now()
-	term, held := c.deps.Lease.Term()
-	acts := held || c.Acting()
+	term, holds := c.deps.Lease.Term()
+	acting := holds || c.Acting()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if held && (!c.heldLease || term.Epoch != c.term.Epoch) {
+	if holds && (!c.heldLease || term.Epoch != c.term.Epoch) {
 		c.beginTermLocked(term, now)
 	}
-	c.heldLease, c.term = held, term
-	if held {
+	c.heldLease, c.term = holds, term
+	if holds {
 		c.lastEpoch = term.Epoch
 	}
 	maps.DeleteFunc(c.lastOrders, func(_ string, o lastOrder) bool { return now.Sub(o.at) > c.cfg.QuietPeriod })
-	if acts {
+	if acting {
 		c.refreshUpstreamsLocked(now)
 	}
 }
@@ -297,10 +297,10 @@
 	if table == nil {
 		return
 	}
-	next := scanPosition{table.Config, c.deps.Fleet.MembershipVersion(), c.scanned.state}
+	pos := scanPosition{table.Config, c.deps.Fleet.MembershipVersion(), c.scanned.state}
 	var described []*fleet.Entry
-	described, next.state = c.deps.Fleet.DescribedSince(c.scanned.state)
-	if c.scanned.config != next.config || c.scanned.membership != next.membership {
+	described, pos.state = c.deps.Fleet.DescribedSince(c.scanned.state)
+	if c.scanned.config != pos.config || c.scanned.membership != pos.membership {
 		c.rebuildUpstreamsLocked(table, now)
 	} else {
 		for _, e := range described {
@@ -309,7 +309,7 @@
 			}
 		}
 	}
-	c.scanned = next
+	c.scanned = pos
 }
 
 func (c *Coordinator) rebuildUpstreamsLocked(table *deploy.Table, now time.Time) {
--- a/node/coordinator/demand.go
+++ b/node/coordinator/demand.go
@@ -51,27 +51,27 @@
 	d.lastReportAt = now
 	for _, w := range all {
 		k := modelKey{w.Service, w.Model}
-		own := d.modelLocked(k, now)
-		own.decay(now)
-		own.engineSeconds += engineTime(k, int(w.Prompt), int(w.Output)).Seconds()
-		own.requests += float64(w.Requests)
-		own.lastAt = now
+		m := d.modelLocked(k, now)
+		m.decay(now)
+		m.engineSeconds += engineTime(k, int(w.Prompt), int(w.Output)).Seconds()
+		m.requests += float64(w.Requests)
+		m.lastAt = now
 		if w.PatienceMs > 0 {
-			own.minObjective = min(own.minObjective, milliseconds(w.PatienceMs))
+			m.minObjective = min(m.minObjective, milliseconds(w.PatienceMs))
 		}
 		if w.Unserved > 0 {
-			own.unservedAt = now
+			m.unservedAt = now
 		}
 	}
 }
 
 func (d *demand) modelLocked(k modelKey, now time.Time) *modelDemand {
-	own := d.models[k]
-	if own == nil {
-		own = &modelDemand{decayedAt: now, firstAt: now, minObjective: time.Hour}
-		d.models[k] = own
+	m := d.models[k]
+	if m == nil {
+		m = &modelDemand{decayedAt: now, firstAt: now, minObjective: time.Hour}
+		d.models[k] = m
 	}
-	return own
+	return m
 }
 
 func (w *modelDemand) decay(now time.Time) {
--- a/node/coordinator/demandhandover.go
+++ b/node/coordinator/demandhandover.go
@@ -9,7 +9,7 @@
 
 // snapshot writes the demand for a successor. Without it models are moved for those
 // alone who wait, until the demand was heard for demandKnown.
-func (d *demand) snapshot(now time.Time) (all []*coordpb.HeldDemand, heard time.Duration) {
+func (d *demand) snapshot(now time.Time) (all []*coordpb.HeldDemand, period time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for k, w := range d.models {
@@ -26,28 +26,28 @@
 		all = append(all, h)
 	}
 	if !d.reportedSince.IsZero() && now.Sub(d.lastReportAt) <= reportFresh {
-		heard = min(now.Sub(d.reportedSince), time.Hour)
+		period = min(now.Sub(d.reportedSince), time.Hour)
 	}
-	return all, heard
+	return all, period
 }
 
 // inherit adds what a former holder told at a time to what was reported here since.
-func (d *demand) inherit(all []*coordpb.HeldDemand, heard time.Duration, at, now time.Time) {
+func (d *demand) inherit(all []*coordpb.HeldDemand, period time.Duration, receivedAt, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, h := range all {
-		own := d.modelLocked(modelKey{h.Service, h.Model}, now)
-		own.decay(now)
-		own.engineSeconds += float64(h.EngineMs) / 1000 * math.Exp(-now.Sub(at).Seconds()/demandDecay.Seconds())
-		own.firstAt = earlier(own.firstAt, at.Add(-milliseconds(h.FirstMs)))
-		own.lastAt = later(own.lastAt, at.Add(-milliseconds(h.LastMs)))
-		own.minObjective = min(own.minObjective, milliseconds(h.PatienceMs))
+		m := d.modelLocked(modelKey{h.Service, h.Model}, now)
+		m.decay(now)
+		m.engineSeconds += float64(h.EngineMs) / 1000 * math.Exp(-now.Sub(receivedAt).Seconds()/demandDecay.Seconds())
+		m.firstAt = earlier(m.firstAt, receivedAt.Add(-milliseconds(h.FirstMs)))
+		m.lastAt = later(m.lastAt, receivedAt.Add(-milliseconds(h.LastMs)))
+		m.minObjective = min(m.minObjective, milliseconds(h.PatienceMs))
 		if h.UnservedMs > 0 {
-			own.unservedAt = later(own.unservedAt, at.Add(-milliseconds(h.UnservedMs)))
+			m.unservedAt = later(m.unservedAt, receivedAt.Add(-milliseconds(h.UnservedMs)))
 		}
 	}
-	if heard > 0 && now.Sub(at) <= reportFresh {
-		d.reportedSince, d.lastReportAt = at.Add(-heard), now
+	if period > 0 && now.Sub(receivedAt) <= reportFresh {
+		d.reportedSince, d.lastReportAt = receivedAt.Add(-period), now
 	}
 }
 
--- a/node/coordinator/elector.go
+++ b/node/coordinator/elector.go
@@ -36,15 +36,15 @@
 
 // Run works until ctx ends.
 func (d *Elector) Run(ctx context.Context) error {
-	var asked time.Time
+	var searchedAt time.Time
 	for ctx.Err() == nil {
-		moved := d.Link.linkChanged.Next()
+		changed := d.Link.linkChanged.Next()
 		if d.Link.Linked() {
-			if d.Link.LinkedWithoutLease() && time.Since(asked) > searchInterval {
-				asked = time.Now()
+			if d.Link.LinkedWithoutLease() && time.Since(searchedAt) > searchInterval {
+				searchedAt = time.Now()
 				d.Link.FindCoordinator(ctx)
 			}
-			pace.SleepOrWake(ctx, d.idleWait(), moved)
+			pace.SleepOrWake(ctx, d.idleWait(), changed)
 			continue
 		}
 		if d.Link.Candidate() || d.standBy(ctx) {
--- a/node/coordinator/encodings.go
+++ b/node/coordinator/encodings.go
@@ -42,38 +42,38 @@
 
 // packedList returns the list, packed, brief or not; it is read anew when that is too old.
 // at is the store's version that it is of then, at least.
-func (e *encodings) packedList(now time.Time, at uint64, brief bool, f *fleet.Fleet) (packedList, error) {
+func (e *encodings) packedList(now time.Time, storeVersion uint64, compact bool, f *fleet.Fleet) (packedList, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	kept := &e.fullList
-	if brief {
-		kept = &e.compactList
+	cached := &e.fullList
+	if compact {
+		cached = &e.compactList
 	}
-	if kept.storeVersion > 0 && now.Sub(kept.packedAt) < packedListMaxAge {
-		return *kept, nil
+	if cached.storeVersion > 0 && now.Sub(cached.packedAt) < packedListMaxAge {
+		return *cached, nil
 	}
-	next, err := packFullList(f, brief, now)
+	next, err := packFullList(f, compact, now)
 	if err != nil {
 		return packedList{}, err
 	}
-	next.storeVersion = at
-	*kept = next
+	next.storeVersion = storeVersion
+	*cached = next
 	return next, nil
 }
 
 // packFullList packs the list as it is now; the store's version is for its caller to say.
-func packFullList(f *fleet.Fleet, brief bool, now time.Time) (packedList, error) {
-	all := f.ChangesSince(0, brief)
-	packed, err := packList(listedUpstreams(all.Put, brief))
+func packFullList(f *fleet.Fleet, compact bool, now time.Time) (packedList, error) {
+	all := f.ChangesSince(0, compact)
+	packed, err := packList(listedUpstreams(all.Put, compact))
 	return packedList{state: all.Revision, data: packed, packedAt: now}, err
 }
 
 // listedUpstreams are upstreams as they are told; brief leaves out which copies they have.
-func listedUpstreams(put []fleet.Listed, brief bool) []deploy.Upstream {
+func listedUpstreams(put []fleet.Listed, compact bool) []deploy.Upstream {
 	out := make([]deploy.Upstream, len(put))
 	for i := range put {
 		out[i] = put[i].Upstream
-		if brief {
+		if compact {
 			out[i].InMemory, out[i].OnDisk = nil, nil
 		}
 	}
@@ -121,16 +121,16 @@
 	out := make([][]byte, len(all))
 	for i := range all {
 		l := &all[i]
-		known, ok := e.upstreamJSON[l.ID]
-		if !ok || known.state != l.Revision {
+		cached, ok := e.upstreamJSON[l.ID]
+		if !ok || cached.state != l.Revision {
 			data, err := json.Marshal(l.Upstream)
 			if err != nil {
 				return nil, eris.Wrapf(err, "encode upstream %s", l.ID)
 			}
-			known = encodedUpstream{l.Revision, data}
-			e.store(l.ID, known)
+			cached = encodedUpstream{l.Revision, data}
+			e.store(l.ID, cached)
 		}
-		out[i] = known.data
+		out[i] = cached.data
 	}
 	return out, nil
 }
--- a/node/coordinator/fleetsize_test.go
+++ b/node/coordinator/fleetsize_test.go
@@ -214,8 +214,8 @@
 	state uint64
 }
 
-// ask asks once, at any state, and says whether it got the whole list.
-func (f *listFollower) ask(t assert.TestingT, c *Coordinator) (whole bool) {
+// poll asks once, at any state, and says whether it got the whole list.
+func (f *listFollower) poll(t assert.TestingT, c *Coordinator) (whole bool) {
 	r, out := &coordpb.HostReport{Host: "h", List: f.state, BriefList: true, PackedList: true}, &coordpb.SiteState{PeriodMs: 1000}
 	assert.NilError(t, c.relay(r, out))
 	assert.Assert(t, out.ListBrief && len(out.Put) == 0)
@@ -262,7 +262,7 @@
 			default:
 				f := hosts[rapid.IntRange(0, 1).Draw(t, "host")]
 				k.now = k.now.Add(publishInterval)
-				f.ask(t, c)
+				f.poll(t, c)
 				assert.DeepEqual(t, usableIncarnations(f.of), usableIncarnations(c.deps.Fleet))
 			}
 		}
--- a/node/coordinator/handover.go
+++ b/node/coordinator/handover.go
@@ -36,17 +36,17 @@
 }
 
 // RecordHandover notes what a host said that held the lease in an epoch and gave it up.
-func (c *Coordinator) RecordHandover(epoch uint64, sinceOrder time.Duration, told *coordpb.Handover) {
+func (c *Coordinator) RecordHandover(epoch uint64, sinceOrder time.Duration, msg *coordpb.Handover) {
 	now := c.now()
-	h := handover{epoch: epoch, lastOrderAt: now.Add(-sinceOrder), complete: told.GetWhole(), orderedAt: map[string]time.Time{},
-		demand: told.GetDemand(), demandPeriod: milliseconds(told.GetHeardMs()), receivedAt: now}
-	for _, o := range told.GetOrders() {
+	h := handover{epoch: epoch, lastOrderAt: now.Add(-sinceOrder), complete: msg.GetWhole(), orderedAt: map[string]time.Time{},
+		demand: msg.GetDemand(), demandPeriod: milliseconds(msg.GetHeardMs()), receivedAt: now}
+	for _, o := range msg.GetOrders() {
 		h.orderedAt[o.Upstream] = now.Add(-milliseconds(o.AgeMs))
 	}
-	for _, ms := range told.GetLoadAgesMs() {
+	for _, ms := range msg.GetLoadAgesMs() {
 		h.loads = append(h.loads, now.Add(-milliseconds(ms)))
 	}
-	for _, ms := range told.GetLoadDoubtsMs() {
+	for _, ms := range msg.GetLoadDoubtsMs() {
 		h.unconfirmedUntil = append(h.unconfirmedUntil, now.Add(milliseconds(ms)))
 	}
 	c.mu.Lock()
@@ -146,12 +146,12 @@
 // What it says happened counts as having happened that much later.
 func (c *Coordinator) currentHandover(acting bool, now time.Time) *coordpb.Handover {
 	c.mu.Lock()
-	h, of := c.sentHandover, orderState{c.lastEpoch, c.lastOrderAt}
+	h, state := c.sentHandover, orderState{c.lastEpoch, c.lastOrderAt}
 	c.mu.Unlock()
-	if h.message != nil && h.state == of && h.acting == acting && now.Sub(h.at) < expiryInterval {
+	if h.message != nil && h.state == state && h.acting == acting && now.Sub(h.at) < expiryInterval {
 		return h.message
 	}
-	h = sentHandover{c.buildHandover(acting, now), of, acting, now}
+	h = sentHandover{c.buildHandover(acting, now), state, acting, now}
 	c.mu.Lock()
 	c.sentHandover = h
 	c.mu.Unlock()
@@ -164,20 +164,20 @@
 // other. It leaves the demand out, which is most of it: 4 of 5.5 kB at 131
 // models, so that 81 hosts would cost 1.6 MB/s while the store is away.
 func (c *Coordinator) buildHandover(acting bool, now time.Time) *coordpb.Handover {
-	loads, doubts, known := c.storeLoads.counted(now)
+	loads, unconfirmed, known := c.storeLoads.counted(now)
 	for _, u := range c.allUpstreams() {
 		if u.hasUnconfirmedStoreLoad() { // it may turn out to be carried out late
-			doubts = append(doubts, now.Add(residency.MaxOrderDelay))
+			unconfirmed = append(unconfirmed, now.Add(residency.MaxOrderDelay))
 		}
 	}
 	c.mu.Lock()
 	orders := maps.Clone(c.lastOrders)
-	whole := known && (c.ordersComplete || !now.Before(c.quietUntil))
+	complete := known && (c.ordersComplete || !now.Before(c.quietUntil))
 	c.mu.Unlock()
-	out := &coordpb.Handover{Whole: whole}
+	out := &coordpb.Handover{Whole: complete}
 	if !acting {
-		demand, heard := c.demand.snapshot(now)
-		out.Demand, out.HeardMs = demand, uint32(heard.Milliseconds())
+		demand, demandPeriod := c.demand.snapshot(now)
+		out.Demand, out.HeardMs = demand, uint32(demandPeriod.Milliseconds())
 	}
 	for id, o := range orders {
 		out.Orders = append(out.Orders, &coordpb.OrderAge{Upstream: id, AgeMs: uint32(now.Sub(o.at).Milliseconds())})
@@ -185,7 +185,7 @@
 	for _, at := range loads {
 		out.LoadAgesMs = append(out.LoadAgesMs, uint32(now.Sub(at).Milliseconds()))
 	}
-	for _, until := range doubts {
+	for _, until := range unconfirmed {
 		out.LoadDoubtsMs = append(out.LoadDoubtsMs, uint32(until.Sub(now).Milliseconds())+1)
 	}
 	return out
--- a/node/coordinator/link.go
+++ b/node/coordinator/link.go
@@ -155,12 +155,12 @@
 
 // reportTo reports once and takes the answer.
 func (l *Link) reportTo(ctx context.Context, address string) {
-	r, w := l.buildReport(), l.Quarantine.NextReport(address)
+	r, quarantineReport := l.buildReport(), l.Quarantine.NextReport(address)
 	if l.mayBeNewProcess() {
 		l.teams.addStates(r, l.own.now())
 	}
-	reportQuarantine(r, w, l.own.now())
-	told := l.addSignals(r, address)
+	reportQuarantine(r, quarantineReport, l.own.now())
+	signalsRevision := l.addSignals(r, address)
 	var s *coordpb.SiteState
 	var err error
 	if address == l.cfg.Address {
@@ -186,8 +186,8 @@
 		l.applyRelay(s)
 	}
 	l.teams.confirmReported()
-	l.Quarantine.Acknowledge(w, decodeUpdate(s, l.own.now()))
-	l.applySignals(s, told)
+	l.Quarantine.Acknowledge(quarantineReport, decodeUpdate(s, l.own.now()))
+	l.applySignals(s, signalsRevision)
 	l.applyAnswer(s)
 	if s.ListBrief && l.own.deps.Feed.UpstreamsVersion() == 0 {
 		l.fetchList(ctx)
@@ -217,11 +217,11 @@
 
 // applySignals enters what the one that acts for all tells of upstreams, and of this
 // host's part in what they take.
-func (l *Link) applySignals(s *coordpb.SiteState, told uint64) {
+func (l *Link) applySignals(s *coordpb.SiteState, sentRevision uint64) {
 	if s.SignalsId != l.own.id {
 		l.mu.Lock()
 		l.lastHostCount = int(s.Hosts)
-		l.signals.apply(s, told)
+		l.signals.apply(s, sentRevision)
 		l.mu.Unlock()
 		l.own.deps.Fleet.ApplySignals(decodeSignals(s.Signals, l.own.now()), fromHolder)
 	}
@@ -258,8 +258,8 @@
 // buildReport gathers what this host tells.
 func (l *Link) buildReport() *coordpb.HostReport {
 	r := l.introduction()
-	for _, own := range l.own.deps.Fleet.OwnLoads() {
-		r.Loads = append(r.Loads, &coordpb.Load{Upstream: own.Upstream, Requests: uint32(own.Requests), Waiting: uint32(max(own.PendingPromptTokens, 0)), Tokens: uint32(max(own.Tokens, 0))})
+	for _, sent := range l.own.deps.Fleet.OwnLoads() {
+		r.Loads = append(r.Loads, &coordpb.Load{Upstream: sent.Upstream, Requests: uint32(sent.Requests), Waiting: uint32(max(sent.PendingPromptTokens, 0)), Tokens: uint32(max(sent.Tokens, 0))})
 	}
 	r.Silent = l.own.deps.Fleet.DownIDs()
 	l.teams.addUse(r, l.own.now())
@@ -287,12 +287,12 @@
 
 func (l *Link) unlink(address string, err error) {
 	l.mu.Lock()
-	was := l.coordinator
-	if was == address {
+	former := l.coordinator
+	if former == address {
 		l.coordinator, l.failedReports, l.revision, l.list = "", 0, 0, 0
 	}
 	l.mu.Unlock()
-	if was == address {
+	if former == address {
 		l.linkChanged.Notify()
 		l.own.deps.Fleet.SetUncoordinated()
 		l.log.Emit(event.CoordinatorOff, zap.String(event.FieldPeer, address), zap.Error(err))
@@ -304,12 +304,12 @@
 	if address == "" || address == l.cfg.Address || address == l.linkedAddress() {
 		return false
 	}
-	r, w := l.introduction(), l.Quarantine.NextReport(address)
-	reportQuarantine(r, w, l.own.now())
+	r, quarantineReport := l.introduction(), l.Quarantine.NextReport(address)
+	reportQuarantine(r, quarantineReport, l.own.now())
 	l.teams.addStates(r, l.own.now())
 	l.forgetSignals()
-	told := l.addSignals(r, address)
-	acted := l.own.Acting()
+	signalsRevision := l.addSignals(r, address)
+	wasActing := l.own.Acting()
 	s, err := l.conns.report(ctx, address, r)
 	if err != nil || !l.accepts(s) || !s.Holding && l.Linked() {
 		return false
@@ -321,10 +321,10 @@
 	l.mu.Unlock()
 	l.linkChanged.Notify()
 	l.applyRelay(s) // first: what upstreams hold goes by the list of them
-	l.Quarantine.Acknowledge(w, decodeUpdate(s, l.own.now()))
-	l.applySignals(s, told)
+	l.Quarantine.Acknowledge(quarantineReport, decodeUpdate(s, l.own.now()))
+	l.applySignals(s, signalsRevision)
 	l.applyAnswer(s)
-	if acted && !l.own.Acting() {
+	if wasActing && !l.own.Acting() {
 		l.own.announce() // those that go by this host find out whom it goes by
 	}
 	l.log.Emit(event.CoordinatorMet, zap.String(event.FieldPeer, address), zap.Uint32("hosts", s.Hosts))
--- a/node/coordinator/linkanswers.go
+++ b/node/coordinator/linkanswers.go
@@ -72,7 +72,7 @@
 		l.deputies = s.Deputies
 	}
 	l.maxHosts, l.revision = max(l.maxHosts, int(s.Hosts)), s.Revision
-	heard := l.coordinatorChanges
+	changes := l.coordinatorChanges
 	l.mu.Unlock()
 	if t := l.own.deps.Config.Current(); t != nil {
 		l.teams.followTeams(t.Config.Teams, now)
@@ -80,7 +80,7 @@
 	until := now.Add(freshFor(milliseconds(s.PeriodMs)))
 	l.teams.apply(s, now, until)
 	l.applyOthers(s, until)
-	l.own.deps.Fleet.CoordinatorSeen(heard, until)
+	l.own.deps.Fleet.CoordinatorSeen(changes, until)
 	l.own.deps.Fleet.ApplyResidency(holdings(s, now), now)
 	l.own.deps.Fleet.NotifyChanged()
 }
--- a/node/coordinator/move.go
+++ b/node/coordinator/move.go
@@ -175,16 +175,16 @@
 const storeSlotPollInterval = 100 * time.Millisecond
 
 // orderModel gives one order for a model.
-func (u *managedUpstream) orderModel(ctx context.Context, make func(*residency.Record) (residency.Order, bool), why string) error {
+func (u *managedUpstream) orderModel(ctx context.Context, nextOrder func(*residency.Record) (residency.Order, bool), why string) error {
 	for range maxAdapterOrders {
 		if !u.lockOrders(ctx) {
 			return ctx.Err()
 		}
 		u.mu.Lock()
-		unsure := u.record.NeedsReportForModel()
-		o, ok := make(u.record)
+		needsReport := u.record.NeedsReportForModel()
+		o, ok := nextOrder(u.record)
 		u.mu.Unlock()
-		if unsure {
+		if needsReport {
 			err := u.reconcile(ctx)
 			u.unlockOrders()
 			if err != nil {
--- a/node/coordinator/permitclient.go
+++ b/node/coordinator/permitclient.go
@@ -103,18 +103,18 @@
 		_ = conn.Close()
 		return err
 	}
-	own := &peerStream{out: make(chan *coordpb.TurnEvent, permitQueueLen), cancel: cancel}
+	s := &peerStream{out: make(chan *coordpb.TurnEvent, permitQueueLen), cancel: cancel}
 	a.mu.Lock()
-	a.stream = own
+	a.stream = s
 	a.mu.Unlock()
-	go own.send(ctx, st)
+	go s.send(ctx, st)
 	go func() {
 		defer cancel()
 		defer func() { _ = conn.Close() }()
 		for {
 			answer, err := st.Recv()
 			if err != nil {
-				a.closeStream(own)
+				a.closeStream(s)
 				return
 			}
 			a.deliver(answer)
@@ -190,15 +190,15 @@
 func (a *permitClient) openLocal() {
 	ctx, cancel := context.WithCancel(context.Background())
 	to := &permitStream{out: make(chan *coordpb.TurnAnswer, permitQueueLen), cancel: cancel}
-	own := &localStream{c: a.link.own, to: to, stop: cancel}
+	s := &localStream{c: a.link.own, to: to, stop: cancel}
 	a.mu.Lock()
-	a.stream = own
+	a.stream = s
 	a.mu.Unlock()
 	go func() {
 		for {
 			select {
 			case <-ctx.Done():
-				a.closeStream(own) // so that another is opened
+				a.closeStream(s) // so that another is opened
 				return
 			case answer := <-to.out:
 				a.deliver(answer)
--- a/node/coordinator/permits.go
+++ b/node/coordinator/permits.go
@@ -350,13 +350,13 @@
 // grantWaiting lets go what goes by the word of try. Requests whose answers would come
 // late in any case let those pass that can still be in time.
 func (t *permits) grantWaiting(now time.Time, try func(*permitRequest) (gone bool)) {
-	looked := 0
-	for _, late := range []bool{false, true} {
+	tried := 0
+	for _, overdue := range []bool{false, true} {
 		for i, w := range t.waiting {
-			if looked >= maxWaitingScan || w == nil || w.isOverdue(now) != late {
+			if tried >= maxWaitingScan || w == nil || w.isOverdue(now) != overdue {
 				continue
 			}
-			looked++
+			tried++
 			if try(w) {
 				t.waiting[i] = nil
 			}
--- a/node/coordinator/permitstream.go
+++ b/node/coordinator/permitstream.go
@@ -31,9 +31,9 @@
 func (s service) Turns(st coordpb.DRPCCoordinator_TurnsStream) error {
 	ctx, cancel := context.WithCancel(st.Context())
 	defer cancel()
-	own := &permitStream{out: make(chan *coordpb.TurnAnswer, permitQueueLen), cancel: cancel}
-	s.c.permits.addStream(own)
-	defer s.c.permits.removeStream(own)
+	stream := &permitStream{out: make(chan *coordpb.TurnAnswer, permitQueueLen), cancel: cancel}
+	s.c.permits.addStream(stream)
+	defer s.c.permits.removeStream(stream)
 	go func() {
 		defer cancel()
 		for {
@@ -41,7 +41,7 @@
 			case <-ctx.Done():
 				_ = st.Close() // ends the reading below
 				return
-			case a := <-own.out:
+			case a := <-stream.out:
 				if st.Send(a) != nil {
 					return
 				}
@@ -57,7 +57,7 @@
 			return errNoLease
 		}
 		s.c.deps.Metrics.CountKind(metrics.PeerCalls, callTurn, 1)
-		s.c.permits.handle(own, e)
+		s.c.permits.handle(stream, e)
 	}
 }
 
--- a/node/coordinator/plan.go
+++ b/node/coordinator/plan.go
@@ -24,9 +24,9 @@
 	// What a former holder placed followed a demand that this one has not seen
 	// yet; to go by the little that it has would undo it. Until it has seen more
 	// it only helps those who wait for a model.
-	early := c.epoch() > 1 && !c.demand.allKnown(now)
-	units := c.allUpstreams()
-	for _, u := range units {
+	unservedOnly := c.epoch() > 1 && !c.demand.allKnown(now)
+	upstreams := c.allUpstreams()
+	for _, u := range upstreams {
 		u.pollUnattendedOrder(ctx, now)
 	}
 	for i := range table.Config.Services {
@@ -34,7 +34,7 @@
 		if s.Engine == nil {
 			continue
 		}
-		in := c.planInput(table.Config, s, units, now)
+		in := c.planInput(table.Config, s, upstreams, now)
 		if len(in.Demand) == 0 {
 			in.MaxMoves = len(in.Upstreams) // nobody is disturbed
 			if now.Sub(c.newestUpstream()) < listQuietTime {
@@ -42,7 +42,7 @@
 			}
 		}
 		for _, m := range c.cfg.Policy.Plan(in) {
-			if early && !in.Demand[m.Load].Unserved {
+			if unservedOnly && !in.Demand[m.Load].Unserved {
 				continue
 			}
 			c.startMove(ctx, m, in.Demand[m.Load])
@@ -51,17 +51,17 @@
 }
 
 // planInput is the snapshot of one service that a plan goes by.
-func (c *Coordinator) planInput(cfg *deploy.Config, s *deploy.Service, units []*managedUpstream, now time.Time) replica.Input {
+func (c *Coordinator) planInput(cfg *deploy.Config, s *deploy.Service, upstreams []*managedUpstream, now time.Time) replica.Input {
 	in := replica.Input{Engine: s.Engine, Demand: c.demand.service(s.Name, s.Engine, now),
-		StoreLoadsLeft: min(c.storeLoads.remaining(s.Engine.LoadsPerSecond, now), c.freeStoreSlots(s.Engine, units, now))}
+		StoreLoadsLeft: min(c.storeLoads.remaining(s.Engine.LoadsPerSecond, now), c.freeStoreSlots(s.Engine, upstreams, now))}
 	in.SomeWaitForLoad, in.MaxCallerWait = hasPatientRoute(cfg, s), maxCallerWait(cfg, s.Name)
-	moving, each := 0, meanEngineTime(in.Demand)
-	for _, u := range units {
+	moving, timePerRequest := 0, meanEngineTime(in.Demand)
+	for _, u := range upstreams {
 		if u.entry.Service() != s.Name {
 			continue
 		}
 		at := u.snapshot(now)
-		at.UnavailableShare = lackingShare(u.entry.Limit(), each)
+		at.UnavailableShare = lackingShare(u.entry.Limit(), timePerRequest)
 		at.Movable = at.Movable && at.UnavailableShare < maxLackingShare
 		in.Upstreams = append(in.Upstreams, at)
 		if u.isMoving() {
@@ -80,11 +80,11 @@
 
 // lackingShare is the part of its engine's time that an upstream does not give when it
 // names a limit; each is what a request takes of that.
-func lackingShare(l backpressure.Limit, each time.Duration) float64 {
-	if !l.Stated || each == 0 {
+func lackingShare(l backpressure.Limit, timePerRequest time.Duration) float64 {
+	if !l.Stated || timePerRequest == 0 {
 		return 0
 	}
-	return max(1-l.PerSecond*each.Seconds(), 0)
+	return max(1-l.PerSecond*timePerRequest.Seconds(), 0)
 }
 
 // meanEngineTime is the engine's time that a request of any model takes; 0: not known.
@@ -116,9 +116,9 @@
 // storeLoadsUnderWay is how many loads from the weight store are under way, or
 // may be. Those of a former holder show as orders of unknown source once the
 // upstream's report was seen, and by the former holder's word before.
-func storeLoadsUnderWay(units []*managedUpstream, told int) int {
+func storeLoadsUnderWay(upstreams []*managedUpstream, inherited int) int {
 	own, foreign := 0, 0
-	for _, u := range units {
+	for _, u := range upstreams {
 		switch u.storeLoadOrigin() {
 		case ownStoreLoad:
 			own++
@@ -126,7 +126,7 @@
 			foreign++
 		}
 	}
-	return own + max(foreign, told)
+	return own + max(foreign, inherited)
 }
 
 // storeLoadOrigin says whether an upstream loads from the weight store.
@@ -152,8 +152,8 @@
 
 // freeStoreSlots is how many more loads from the weight store may begin beside those
 // under way.
-func (c *Coordinator) freeStoreSlots(e *deploy.Engine, units []*managedUpstream, now time.Time) int {
-	return storeSlots(e) - storeLoadsUnderWay(units, c.storeLoads.inheritedWithin(longestStoreLoad(e), now))
+func (c *Coordinator) freeStoreSlots(e *deploy.Engine, upstreams []*managedUpstream, now time.Time) int {
+	return storeSlots(e) - storeLoadsUnderWay(upstreams, c.storeLoads.inheritedWithin(longestStoreLoad(e), now))
 }
 
 // longestStoreLoad is how long the slowest load from the weight store takes by itself.
@@ -179,21 +179,21 @@
 	movable := !quiet && !u.record.Busy() && u.activeMove == nil && now.After(u.excludedUntil) && !u.entry.IsDown()
 	out := replica.Upstream{ID: u.entry.ID(), Usable: u.isUsable(), Movable: movable,
 		InMemory: setOf(d.InMemory), OnDisk: setOf(d.OnDisk), FreeMB: u.record.FreeMB()}
-	coming := ""
+	loading := ""
 	if u.activeMove != nil {
-		coming = u.activeMove.Load
+		loading = u.activeMove.Load
 	}
 	for _, h := range u.record.Models(now) {
 		if u.activeMove != nil && h.Model == u.activeMove.Unload {
 			continue
 		}
-		if h.Model == coming {
-			coming = ""
+		if h.Model == loading {
+			loading = ""
 		}
 		out.Residents = append(out.Residents, replica.Resident{Model: h.Model, Ready: h.Ready, ReadyFor: h.ReadyFor, IdleFor: h.IdleFor})
 	}
-	if coming != "" {
-		out.Residents = append(out.Residents, replica.Resident{Model: coming})
+	if loading != "" {
+		out.Residents = append(out.Residents, replica.Resident{Model: loading})
 	}
 	return out
 }
--- a/node/coordinator/published.go
+++ b/node/coordinator/published.go
@@ -49,7 +49,7 @@
 
 // publish adds what has changed since it was called last. at is the store's version
 // that the list is of, at least.
-func (p *published) publish(f *fleet.Fleet, at uint64, now time.Time) error {
+func (p *published) publish(f *fleet.Fleet, storeVersion uint64, now time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now.Sub(p.publishedAt) < publishInterval {
@@ -65,7 +65,7 @@
 		}
 		p.segments = append(p.segments, segment{change.Revision, packed, now})
 	}
-	p.state, p.storeVersion, p.publishedAt = change.Revision, at, now
+	p.state, p.storeVersion, p.publishedAt = change.Revision, storeVersion, now
 	p.expireLocked(now)
 	return nil
 }
--- a/node/coordinator/serve.go
+++ b/node/coordinator/serve.go
@@ -143,8 +143,8 @@
 // holdingsLimit is how many upstreams' holdings an answer to one of some hosts tells
 // that reports once in a period.
 func holdingsLimit(hosts int, period time.Duration) int {
-	most := int(holdingsRate * period.Seconds() / float64(max(hosts, 1)))
-	return min(max(most, minHoldings), maxHoldings)
+	limit := int(holdingsRate * period.Seconds() / float64(max(hosts, 1)))
+	return min(max(limit, minHoldings), maxHoldings)
 }
 
 // addHoldings adds what changed of what upstreams hold, and what holds or loads the
@@ -163,8 +163,8 @@
 	defer c.mu.Unlock()
 	out.Revision = c.revision
 	if r.Revision < c.revision {
-		changed, to, whole := c.holdingChanges.Since(r.Revision, holdingsLimit(int(out.Hosts), milliseconds(out.PeriodMs)))
-		if !whole {
+		changed, to, complete := c.holdingChanges.Since(r.Revision, holdingsLimit(int(out.Hosts), milliseconds(out.PeriodMs)))
+		if !complete {
 			out.Revision = to
 		}
 		for _, u := range changed {
--- a/node/coordinator/signals.go
+++ b/node/coordinator/signals.go
@@ -44,11 +44,11 @@
 
 // apply enters the answer to a report that brought its receiver to a revision. A
 // process that answers for the first time has still to be told all.
-func (s *signals) apply(a *coordpb.SiteState, told uint64) {
+func (s *signals) apply(a *coordpb.SiteState, sentRevision uint64) {
 	if a.SignalsId != s.process && s.process != 0 {
-		told = 0
+		sentRevision = 0
 	}
-	s.process, s.receivedRevision, s.sentRevision = a.SignalsId, a.SignalsRevision, told
+	s.process, s.receivedRevision, s.sentRevision = a.SignalsId, a.SignalsRevision, sentRevision
 }
 
 func encodeSignals(all []fleet.UpstreamSignal, now time.Time) []*coordpb.UpstreamSignal {
--- a/node/coordinator/waitestimate.go
+++ b/node/coordinator/waitestimate.go
@@ -36,11 +36,11 @@
 			continue
 		}
 		t.wakeAfter(e, now, at.Backoff)
-		own := waitEstimate{dispatchIn: at.Backoff, retryIn: t.retryAfter(e, at.Backoff, now)}
+		estimate := waitEstimate{dispatchIn: at.Backoff, retryIn: t.retryAfter(e, at.Backoff, now)}
 		if first {
-			o, first = own, false
+			o, first = estimate, false
 		}
-		o = waitEstimate{dispatchIn: min(o.dispatchIn, own.dispatchIn), retryIn: min(o.retryIn, own.retryIn)}
+		o = waitEstimate{dispatchIn: min(o.dispatchIn, estimate.dispatchIn), retryIn: min(o.retryIn, estimate.retryIn)}
 		if limit := e.Limit(); limit.Stated {
 			perSecond += limit.Rate()
 		}
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -46,7 +46,7 @@
 try "order within the former holder's quiet time at one upstream" node/coordinator/handover.go \
   'return ok && !o.own' 'return false && ok && !o.own' ./node/coordinator ./platform -run 'Holder|Orders'
 try "bound of loads from the weight store" node/coordinator/plan.go \
-  'min(c.storeLoads.remaining(s.Engine.LoadsPerSecond, now), c.freeStoreSlots(s.Engine, units, now))' \
+  'min(c.storeLoads.remaining(s.Engine.LoadsPerSecond, now), c.freeStoreSlots(s.Engine, upstreams, now))' \
   'c.storeLoads.remaining(s.Engine.LoadsPerSecond, now)' ./node/coordinator ./platform -run 'Loads|EnginesReplaced'
 try "loads by what they serve" core/replica/replica.go \
   'if x, y := a.gain(), b.gain(); x != y {' 'if x, y := a.gain(), b.gain(); false && x != y {' ./core/replica
