--- a/node/coordinator/accounts.go
+++ b/node/coordinator/accounts.go
@@ -9,31 +9,32 @@
 	"peridotpier.example/node/coordinator/coordpb"
 )
 
-// accounts counts for all hosts what teams ask for, while this host acts for all.
+// accounts counts the use of all teams, over all hosts, while this host is acting.
 type accounts struct {
 	c *Coordinator
-	// word is how a team's account stood as another host told this one last.
+	// lastState returns the state of a team's account as another coordinator last sent
+	// it to this host.
 	lastState func(team string) (quota.KnownState, bool)
 
 	mu          sync.Mutex
 	ledger      *quota.Ledger
-	limitsOf    *deploy.Config // whose limits are in force in the ledger
-	hostShareAt time.Time      // when the part of the hosts that is heard was last counted
+	limitsOf    *deploy.Config // configuration whose limits are in force in the ledger
+	hostShareAt time.Time      // when the share of reporting hosts was last computed
 }
 
 func newAccounts(c *Coordinator) *accounts {
 	return &accounts{c: c, ledger: quota.NewLedger(c.cfg.LimitSlack)}
 }
 
-// reset forgets what an earlier term left: others have counted since.
+// reset drops the counts of an earlier term: another coordinator has counted since.
 func (a *accounts) reset() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ledger, a.limitsOf, a.hostShareAt = quota.NewLedger(a.c.cfg.LimitSlack), nil, time.Time{}
 }
 
-// refreshLocked brings the limits up to date with the configuration, and with
-// how many hosts are heard. It says whether there are any.
+// refreshLocked updates the limits to the current configuration and to the share of
+// hosts that report. It reports whether there are any limits.
 func (a *accounts) refreshLocked(now time.Time) bool {
 	t := a.c.deps.Config.Current()
 	if t == nil || len(t.Config.Teams) == 0 && a.limitsOf == nil {
@@ -54,7 +55,8 @@
 	return true
 }
 
-// charge asks for leave for one request.
+// charge charges one request to a team's account. If the limit does not allow it, wait
+// is the time after which it may.
 func (a *accounts) charge(team string, cost float64, now time.Time) (wait time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -64,7 +66,7 @@
 	return a.ledger.Take(team, cost, now)
 }
 
-// addUse enters what a host passed by itself.
+// addUse enters the requests that a host let pass on its own.
 func (a *accounts) addUse(uses []*coordpb.TeamUse, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -76,7 +78,8 @@
 	}
 }
 
-// adoptStates enters how accounts stood when a host was told last by another holder.
+// adoptStates enters the states of accounts that a host last received from another
+// holder.
 func (a *accounts) adoptStates(states []*coordpb.TeamWord, now time.Time) {
 	if len(states) == 0 {
 		return
@@ -92,7 +95,7 @@
 	}
 }
 
-// addTo says how the accounts stand whose limits may bind.
+// addTo adds the states of the accounts whose limits may bind to an answer.
 func (a *accounts) addTo(out *coordpb.SiteState, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/node/coordinator/accounts_test.go
+++ b/node/coordinator/accounts_test.go
@@ -12,7 +12,7 @@
 	"peridotpier.example/node/lease"
 )
 
-// setTeamLimit puts a configuration in force in which team t may pass perSecond, and
+// setTeamLimit puts a configuration in force in which team t may use perSecond, and
 // twice that at once.
 func setTeamLimit(ts *permits, version uint64, perSecond float64) *deploy.Team {
 	team := deploy.Team{Name: "t", Limit: quota.Limit{Unit: quota.Tokens, PerSecond: perSecond, Burst: 2 * perSecond}}
@@ -26,7 +26,8 @@
 	return e
 }
 
-// Failure: a team gets more than its limit, or waits for an upstream only to be refused.
+// Guards against a team that gets more than its limit, or that waits for an upstream
+// only to be refused.
 func TestALimitIsChargedWithThePermitRequest(t *testing.T) {
 	ts, _ := newTestPermits("u")
 	setTeamLimit(ts, 1, 100)
@@ -38,14 +39,15 @@
 	assert.Equal(t, drainAnswers(a)[1].Kind, coordpb.TurnAnswer_GRANTED)
 	got := drainAnswers(b)
 	assert.Equal(t, got[1].Kind, coordpb.TurnAnswer_OVER)
-	assert.Assert(t, got[1].WaitMs > 900 && got[1].WaitMs <= 1001, "%d ms until 150 are there", got[1].WaitMs)
+	assert.Assert(t, got[1].WaitMs > 900 && got[1].WaitMs <= 1001, "%d ms until 150 are available", got[1].WaitMs)
 	assert.Equal(t, got[2].Kind, coordpb.TurnAnswer_GRANTED)
 	assert.Equal(t, got[3].Kind, coordpb.TurnAnswer_OVER)
 	ts.handle(a, &coordpb.TurnEvent{Id: 9, Kind: coordpb.TurnEvent_CHARGE, Team: "unknown", Charge: 1 << 30})
-	assert.Equal(t, drainAnswers(a)[9].Kind, coordpb.TurnAnswer_GRANTED, "no limit is known of it")
+	assert.Equal(t, drainAnswers(a)[9].Kind, coordpb.TurnAnswer_GRANTED, "the team has no limit")
 }
 
-// Failure: a team gets its limit once more whenever another host begins to count.
+// Guards against a team that gets its limit once more whenever another host begins to
+// count.
 func TestANewActingHostContinuesFromTheFormerAccountState(t *testing.T) {
 	ts, _ := newTestPermits("u")
 	team := setTeamLimit(ts, 1, 100)
@@ -62,7 +64,8 @@
 	assert.Equal(t, out.Teams[0].Level, int64(-350))
 }
 
-// Failure: a process that has just started counts, and each team gets a burst once more.
+// Guards against a process that has just started to count and grants each team a burst
+// once more.
 func TestARestartedCoordinatorReceivesAccountStates(t *testing.T) {
 	ts, _ := newTestPermits("u")
 	team := setTeamLimit(ts, 1, 100)
@@ -82,8 +85,8 @@
 	assert.Equal(t, len(old.TeamWords), 0, "by then the account has gained more than it lacked")
 }
 
-// A request that has not run is given back with the host's next report, and one
-// whose report was lost is told again.
+// A request that did not run is refunded with the host's next report, and a refund
+// whose report was lost is reported again.
 func TestARefundedChargeIsAvailableAgain(t *testing.T) {
 	ts, _ := newTestPermits("u")
 	team := setTeamLimit(ts, 1, 100)
@@ -92,7 +95,7 @@
 	ts.handle(s, chargedRequest(1, 200))
 	var shares teamShares
 	shares.with(team, now, func(s *quota.Share) { s.Refund(200, now) })
-	for range 2 { // the first is lost
+	for range 2 { // the first report is lost
 		r := &coordpb.HostReport{Host: "h"}
 		shares.addUse(r, now)
 		assert.Equal(t, r.Teams[0].Passed, int64(-200))
@@ -101,12 +104,12 @@
 	shares.confirmReported()
 	r := &coordpb.HostReport{Host: "h"}
 	shares.addUse(r, now)
-	assert.Equal(t, len(r.Teams), 0, "it is told once")
+	assert.Equal(t, len(r.Teams), 0, "it is reported once")
 	ts.handle(s, chargedRequest(2, 200))
 	assert.Equal(t, drainAnswers(s)[2].Kind, coordpb.TurnAnswer_GRANTED)
 }
 
-// Failure: a team gets more than its limit while hosts are cut off.
+// Guards against a team that gets more than its limit while hosts are disconnected.
 func TestTheShareOfHostsNotHeardFromIsWithheld(t *testing.T) {
 	ts, _ := newTestPermits("u")
 	setTeamLimit(ts, 1, 100)
@@ -121,7 +124,8 @@
 	assert.Assert(t, wait > 1900*time.Millisecond && wait < 2100*time.Millisecond, "at half of the rate: %v", wait)
 }
 
-// Guards against two hosts that act, in a split, and each give out the whole of a limit.
+// Guards against two hosts that are acting in a network partition and each grant a
+// limit in full.
 func TestANewActingHostLeavesTheShareOfHostsNotHeardFrom(t *testing.T) {
 	ts, _ := newTestPermits("u")
 	ts.c.FormerHostCount = func() int { return 4 }
@@ -134,10 +138,11 @@
 	later := now.Add(hostCountedFor)
 	ts.c.aggregate.record(&coordpb.HostReport{Host: "a"}, later)
 	ts.c.aggregate.record(&coordpb.HostReport{Host: "b"}, later)
-	assert.Equal(t, ts.c.aggregate.reportingShare(later), 1.0, "the others are gone")
+	assert.Equal(t, ts.c.aggregate.reportingShare(later), 1.0, "the other hosts are no longer counted")
 }
 
-// Failure: the counting host's process is killed and back between two reports, and begins all accounts full.
+// Guards against a counting host whose process is killed and restarts between two
+// reports, and then begins all accounts full.
 func TestAQuicklyRestartedHolderReceivesAccountStates(t *testing.T) {
 	ts, _ := newTestPermits("u")
 	ts.c.deps.Lease = lease.New(lease.Config{Name: "l"}, lease.Deps{Table: noTable{}})
@@ -150,5 +155,5 @@
 		assert.Equal(t, l.mayBeNewProcess(), c.begun)
 	}
 	l.reportFailed("other", errNoLease)
-	assert.Assert(t, l.mayBeNewProcess(), "what answers next may be another process")
+	assert.Assert(t, l.mayBeNewProcess(), "the next answer may come from another process")
 }
--- a/node/coordinator/adapters.go
+++ b/node/coordinator/adapters.go
@@ -13,26 +13,27 @@
 	"peridotpier.example/node/pace"
 )
 
-// The reasons why no adapter is loaded.
+// Errors that tell why no adapter is loaded.
 var (
 	errNoLease    = errors.New("this host does not hold the lease")
 	errNoUpstream = errors.New("no upstream can take the adapter now")
 )
 
 const (
-	// maxAdapterOrders is how many orders one adapter may take: one that makes
-	// room, its load, and one more when the upstream's number has moved on.
+	// maxAdapterOrders is how many orders one adapter may take: an unload for another
+	// adapter, its load, and more when the upstream's sequence number has changed
+	// meanwhile.
 	maxAdapterOrders = 5
-	// adapterOrderTimeout is how long an order for an adapter may take to be
-	// answered before another upstream is asked. A caller waits for it, and
-	// upstreams answer within a few milliseconds, or not at all.
+	// adapterOrderTimeout is how long an order for an adapter may take to be answered
+	// before another upstream is asked. A caller waits for it, and upstreams answer
+	// within a few milliseconds or not at all.
 	adapterOrderTimeout = 150 * time.Millisecond
-	// adapterPollInterval is how often a load that is on its way is looked at.
+	// adapterPollInterval is how often a running load is checked.
 	adapterPollInterval = 4 * time.Millisecond
 )
 
-// LoadAdapter has an adapter loaded, at the upstream asked for if that may be, and
-// returns where it is ready.
+// LoadAdapter has an adapter loaded, at the given upstream if possible, and returns the
+// upstream where it is ready.
 func (c *Coordinator) LoadAdapter(ctx context.Context, upstream, model, adapter string) (string, error) {
 	if !c.HoldsLease() {
 		return "", errNoLease
@@ -49,9 +50,9 @@
 	return "", errNoUpstream
 }
 
-// adapterTargets are the upstreams that could take an adapter of a model: the
-// one asked for first, then those with the fewest adapters. All places of one
-// may be in use.
+// adapterTargets returns the upstreams that could load an adapter of a model: the given
+// one first, then those with the fewest adapters. All adapter slots of an upstream may
+// be in use.
 func (c *Coordinator) adapterTargets(first, model string) []*managedUpstream {
 	var out []*managedUpstream
 	now := c.now()
@@ -75,7 +76,8 @@
 	return u.record.UsedAdapterSlots()
 }
 
-// loadAdapter gives the orders that bring the adapter to the upstream.
+// loadAdapter gives the orders to load the adapter at the upstream, and waits until it
+// is loaded.
 func (u *managedUpstream) loadAdapter(ctx context.Context, model, adapter string) error {
 	for range maxAdapterOrders {
 		done, err := u.adapterOrder(ctx, model, adapter)
@@ -92,7 +94,8 @@
 	return errNoUpstream
 }
 
-// adapterOrder gives one order; done says that the adapter is there or coming.
+// adapterOrder gives one order. done reports whether the adapter is loaded or being
+// loaded.
 func (u *managedUpstream) adapterOrder(ctx context.Context, model, adapter string) (done bool, err error) {
 	if !u.lockOrders(ctx) {
 		return false, ctx.Err()
@@ -125,8 +128,9 @@
 	return false, nil
 }
 
-// markAdapterReadyLater takes an adapter's load for done after its time: the upstream
-// does not tell, and its report would show it some hundred milliseconds late.
+// markAdapterReadyLater treats an adapter's load as done after the usual time: the
+// upstream does not announce its end, and its report would show it some hundred
+// milliseconds late.
 func (u *managedUpstream) markAdapterReadyLater(o residency.Order) {
 	time.AfterFunc(u.c.cfg.AdapterLoadTime, func() {
 		u.mu.Lock()
--- a/node/coordinator/adapters_test.go
+++ b/node/coordinator/adapters_test.go
@@ -14,11 +14,10 @@
 	"peridotpier.example/node/lease"
 )
 
-// Symptom: a request ends past its deadline, or with the host's process.
-// Sequence: an upstream does not answer an order; requests of the host that gives
-// orders wait there for adapters.
-// Cause: each waits until those before it have given their orders, however long
-// its own time is over.
+// Guards against requests that end past their deadline, or only with the host's
+// process: an upstream does not answer an order, and the requests that wait for
+// adapters there each wait for the orders before them, regardless of their own
+// deadlines.
 func TestAWaitForAnAdapterEndsWithItsRequest(t *testing.T) {
 	log := event.NewLog(nil)
 	config := follow.NewActiveConfig(log)
--- a/node/coordinator/aggregate.go
+++ b/node/coordinator/aggregate.go
@@ -15,70 +15,71 @@
 )
 
 const (
-	// freshPeriods and freshLeast are how long a host's report counts: a few of its
-	// periods, so that one lost report does not hide its load.
+	// freshPeriods and minFresh determine how long a host's report counts: for a few of
+	// its periods, so that one lost report doesn't hide its load.
 	freshPeriods = 3
 	minFresh     = 900 * time.Millisecond
-	// hostCountedFor is how long a host counts as one that shares the allowance of
-	// repeats. Long, since a host that is cut off goes on spending its share.
+	// hostCountedFor is how long a host counts among those that share the retry budget.
+	// It is long because a host that is disconnected goes on spending its share.
 	hostCountedFor = 20 * time.Second
-	// expiryInterval is how often reports are looked at for their age: often against
-	// the times above.
+	// expiryInterval is how often the age of reports is checked. It is short compared
+	// to the times above.
 	expiryInterval = 100 * time.Millisecond
 )
 
-// freshFor is how long a word counts that comes once in a period.
+// freshFor returns how long a message counts that is sent once in each period.
 func freshFor(period time.Duration) time.Duration { return minFresh + freshPeriods*period }
 
-// reportFresh is that at the least period.
+// reportFresh is freshFor(minReportPeriod).
 const reportFresh = minFresh + freshPeriods*minReportPeriod
 
-// aggregate adds up the hosts' loads. Each report changes the sums by what is new in
-// it: added up anew for each of 195 hosts, five times a second, they took a
-// quarter of a core.
+// aggregate adds up the loads of all hosts. Each report changes the totals only by its
+// difference to the last one: computing them anew for each of 195 hosts, five times a
+// second, took a quarter of a core.
 type aggregate struct {
 	mu        sync.Mutex
 	hosts     map[string]*lastReport
-	totals    map[string]fleet.Load // by upstream, of the reports that count; no zero loads
-	expiredAt time.Time             // when reports were last looked at for their age
+	totals    map[string]fleet.Load // by upstream ID, over reports that count; no zero loads
+	expiredAt time.Time             // when the age of reports was last checked
 
-	busiest    []string // upstreams with most requests, as of highestAt
+	busiest    []string // upstreams with the most requests, as of busiestAt
 	busiestAt  time.Time
 	runsModels func(upstream string) bool
 	ownAddress string        // address of this host
-	maxPeriod  time.Duration // period of reports; 0: not bounded
-	maxRate    int           // asked of all hosts a second
+	maxPeriod  time.Duration // maximum period of reports; 0: unbounded
+	maxRate    int           // maximum reports per second of all hosts together
 
-	indexes map[string]int // of hosts in the order of their names; nil: hosts have come or gone
+	indexes map[string]int // position of each host in the order of names; nil: outdated
 
-	expectedHosts int // hosts that another that acted had, until then
+	expectedHosts int // number of hosts of the previous acting coordinator, used until expectedUntil
 	expectedUntil time.Time
 
-	cachedDeputies []string // of deputies, as of namedAt
+	cachedDeputies []string // deputies as of deputiesAt
 	deputiesAt     time.Time
-	cachedSuspects map[string]bool // of suspects, as of wordsAt
+	cachedSuspects map[string]bool // suspects as of suspectsAt
 	suspectsAt     time.Time       // zero: a report has changed them
 }
 
+// lastReport is the last report of one host.
 type lastReport struct {
 	at       time.Time
-	period   time.Duration // until its next report, as it was told
+	period   time.Duration // time until its next report, as the host was told
 	report   *coordpb.HostReport
-	inTotals bool // in total
+	inTotals bool // whether it is included in totals
 }
 
-// fresh says whether the report counts.
+// fresh reports whether the report counts.
 func (h *lastReport) fresh(now time.Time) bool { return now.Sub(h.at) <= freshFor(h.period) }
 
-// suspectsCount says whether its word on upstreams that are left alone counts: until
-// its next report, and half a period more.
+// suspectsCount reports whether the upstreams that the host excludes still count as
+// suspects: until its next report is due, and half a period more.
 func (h *lastReport) suspectsCount(now time.Time) bool { return now.Sub(h.at) <= h.period*5/2 }
 
 func newAggregate(own string, runsModels func(upstream string) bool) *aggregate {
 	return &aggregate{hosts: map[string]*lastReport{}, totals: map[string]fleet.Load{}, runsModels: runsModels, ownAddress: own, maxRate: maxReportRate}
 }
 
-// record replaces one host's loads.
+// record replaces one host's report.
 func (s *aggregate) record(r *coordpb.HostReport, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +111,7 @@
 	s.totals[upstream] = sum
 }
 
-// subtractLocked takes a report out of the sums, if it is in them.
+// subtractLocked removes a report from the totals, if it is included.
 func (s *aggregate) subtractLocked(h *lastReport) {
 	if h == nil || !h.inTotals {
 		return
@@ -121,7 +122,7 @@
 	}
 }
 
-// expireLocked takes out what is too old.
+// expireLocked removes reports that are too old.
 func (s *aggregate) expireLocked(now time.Time) {
 	if now.Sub(s.expiredAt) < expiryInterval {
 		return
@@ -139,12 +140,12 @@
 	}
 }
 
-// maxOthers is how many upstreams' loads a host is told. Those that are not named
-// have less, or none.
+// maxOthers is how many upstreams' loads an answer to a host contains. Upstreams that
+// are left out have less load, or none.
 const maxOthers = 64
 
-// others adds up the loads of all hosts but one at those of the wanted upstreams
-// where they are highest, and counts the hosts.
+// others adds up the loads of all hosts except one, at those of the wanted upstreams
+// where they are highest. It also returns the number of hosts.
 func (s *aggregate) others(host string, now time.Time, wanted func(upstream string) bool) (all []*coordpb.Load, hosts int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,9 +171,9 @@
 	return all, len(s.hosts)
 }
 
-// busiestLocked are the upstreams with most requests, othersMost of those that run
-// models and as many others, brought up to date expiryEach; all there are, if these
-// are as few.
+// busiestLocked returns the upstreams with the most requests: up to maxOthers that run
+// models and up to maxOthers that don't, updated once per expiryInterval. If there are
+// only a few upstreams in all, it returns all of them.
 func (s *aggregate) busiestLocked(now time.Time) []string {
 	if len(s.totals) <= maxOthers {
 		return slices.Collect(maps.Keys(s.totals))
@@ -197,11 +198,11 @@
 }
 
 // maxReportRate is how many reports a second are asked of all hosts together. Each
-// takes some 60 us with its answer and its connection; the more hosts, the less
-// often each of them reports what can wait.
+// takes about 60 us with its answer and its connection; the more hosts there are, the
+// less often each one reports what is not urgent.
 const maxReportRate = 1000
 
-// period is how often each host reports that has nothing to tell at once.
+// period returns how often each host reports that has nothing urgent to report.
 func (s *aggregate) period(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -216,8 +217,8 @@
 	return max(minReportPeriod, period)
 }
 
-// periodForLocked is that of one host. Those that would act next notice soonest that
-// nobody does.
+// periodForLocked returns the period of one host. The deputies get the shortest one, so
+// that they notice first that there is no acting coordinator.
 func (s *aggregate) periodForLocked(r *coordpb.HostReport, now time.Time) time.Duration {
 	if r.Address == s.ownAddress || slices.Contains(s.cachedDeputies, r.Address) {
 		return minReportPeriod
@@ -225,7 +226,7 @@
 	return s.periodLocked(now)
 }
 
-// periodFor is that of one host that has reported.
+// periodFor returns the period of a host that has reported.
 func (s *aggregate) periodFor(host string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,7 +236,7 @@
 	return minReportPeriod
 }
 
-// hostCountLocked is how many hosts there are, as far as is known.
+// hostCountLocked returns the number of hosts, as far as it is known.
 func (s *aggregate) hostCountLocked(now time.Time) int {
 	if now.Before(s.expectedUntil) {
 		return max(len(s.hosts), s.expectedHosts)
@@ -243,7 +244,7 @@
 	return len(s.hosts)
 }
 
-// hostIndex is a host's among all, by name.
+// hostIndex returns the position of a host among all hosts, in the order of names.
 func (s *aggregate) hostIndex(host string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -256,15 +257,16 @@
 	return s.indexes[host]
 }
 
-// expectHosts notes how many hosts another had that acted before. Those that do not
-// report here may be cut off, and go on by their shares.
+// expectHosts records how many hosts the previous acting coordinator had. Those that do
+// not report here may be disconnected, and go on using their shares of the limits.
 func (s *aggregate) expectHosts(hosts int, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expectedHosts, s.expectedUntil = hosts, now.Add(hostCountedFor)
 }
 
-// reportingShare is the part of the hosts that share the limits which has reported lately.
+// reportingShare returns the share of the hosts that have reported recently, among all
+// that share the limits.
 func (s *aggregate) reportingShare(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -281,13 +283,14 @@
 	return float64(max(fresh, 1)) / float64(all)
 }
 
-// minSuspectHosts is how many hosts must leave an upstream alone for all to do so.
-// One may only have lost its own way to it.
+// minSuspectHosts is how many hosts must exclude an upstream before it is excluded for
+// all. A single one may have lost only its own path to the upstream.
 const minSuspectHosts = 2
 
-// suspects are the upstreams that several hosts leave alone. A host that has
-// just found one dark tells within a report's period, and spares the others
-// what they would send there until they notice themselves.
+// suspects returns the upstreams that some host excludes; the value is true for those
+// that at least minSuspectHosts do. A host that finds an upstream unresponsive reports
+// it within a report's period, which spares the other hosts the requests that they
+// would send there until they notice it themselves.
 func (s *aggregate) suspects(now time.Time) map[string]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -309,7 +312,8 @@
 	return out
 }
 
-// anyOtherWithSpareCapacity says whether a host reports that has enough to spare to act for all.
+// anyOtherWithSpareCapacity reports whether another host that reports here has enough
+// spare capacity to coordinate.
 func (s *aggregate) anyOtherWithSpareCapacity(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -322,16 +326,16 @@
 }
 
 const (
-	// maxDeputies is how many hosts may run for the lease at once when it falls
-	// free: enough that some are left after a data centre is lost.
+	// maxDeputies is how many hosts may campaign at once when the lease becomes free:
+	// enough that some are left after the loss of a data centre.
 	maxDeputies = 5
-	// deputyInterval is how often they are chosen anew: each of the lost ones is
+	// deputyInterval is how often deputies are chosen anew: that a deputy is lost is
 	// noticed after reportFresh at the earliest.
 	deputyInterval = 500 * time.Millisecond
 )
 
-// deputies names the hosts that should take the lease next: those with most to
-// spare, the same for all that ask.
+// deputies returns the addresses of the hosts that should take the lease next: those
+// with spare capacity first, in the same order for all that ask.
 func (s *aggregate) deputies(now time.Time) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/coordinator/aggregate_test.go
+++ b/node/coordinator/aggregate_test.go
@@ -14,8 +14,8 @@
 	"peridotpier.example/node/fleet"
 )
 
-// Property: whatever hosts report and however long some are silent, the sums
-// are those of the reports that still count, to the time between two looks.
+// Property: whatever hosts report and however long some do not, the totals are those of
+// the reports that still count, to the precision of the expiry interval.
 func TestSumsAreThoseOfTheReportsThatCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, now := newAggregate("", func(string) bool { return true }), time.Unix(1_700_000_000, 0)
@@ -30,7 +30,7 @@
 			s.record(r, now)
 			last[r.Host], at[r.Host] = r, now
 			asker := fmt.Sprint("h", rapid.IntRange(0, 4).Draw(t, "asker"))
-			later := now.Add(expiryInterval) // the reports are looked at in any case
+			later := now.Add(expiryInterval) // the age of reports is checked in any case
 			all, hosts := s.others(asker, later, func(string) bool { return true })
 			got := map[string]fleet.Load{}
 			for _, l := range all {
@@ -61,19 +61,17 @@
 	})
 }
 
-// Symptom: of 195 hosts, those that ask for turns get none in time and decide
-// by themselves, whichever host holds the lease.
-// Sequence: 156 upstreams, 340 models; the holder looks at each model's place at
-// each upstream, five times a second.
-// Cause: each look searched the list of models for every model held anywhere, for
-// each of the models: 310 ms of a processor, where the next look came after 200.
+// Guards against 195 hosts that get no permits in time and decide by themselves,
+// whichever host holds the lease: with 156 upstreams and 340 models, each plan searched
+// the list of models for every resident model, for each of the models. It took 310 ms
+// of a processor and was repeated after 200 ms.
 func TestAPlanTakesAFractionOfItsInterval(t *testing.T) {
 	c := holderSize{195, 156, 340}.holder()
 	table := c.deps.Config.Current()
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	least := time.Hour
-	for range 5 { // the least: the first ones warm caches
+	for range 5 { // the minimum, since the first ones warm caches
 		began := processorTime(t)
 		c.cfg.Policy.Plan(c.planInput(table.Config, &table.Config.Services[0], c.allUpstreams(), c.now()))
 		least = min(least, processorTime(t)-began)
@@ -81,8 +79,8 @@
 	assert.Assert(t, least < runInterval/4, "took %v", least)
 }
 
-// processorTime is what this thread has used. Unlike the time on a clock it does
-// not grow while other processes of the machine take their turns.
+// processorTime returns the processor time that this thread has used. Unlike elapsed
+// time it does not grow while other processes of the machine run.
 func processorTime(t *testing.T) time.Duration {
 	const thisThread = 1 // RUSAGE_THREAD, getrusage(2)
 	var used syscall.Rusage
--- a/node/coordinator/announcements.go
+++ b/node/coordinator/announcements.go
@@ -8,32 +8,33 @@
 	"peridotpier.example/node/pace"
 )
 
-// News that every host has to hear at once, as that an upstream leaves, are
-// announced on the streams of turns; each host then asks for them by a report. Hosts
-// that report often enough hear of it without.
+// Changes that every host needs at once, for instance that an upstream is draining, are
+// announced on the permit streams; each host then sends a report, whose answer contains
+// them. Hosts that report often enough get them without an announcement.
 
-// announceRate is how many hosts report a second on an announcement. All at once would
-// keep the one that acts for all from turns for as long as they take together.
+// announceRate is how many hosts are asked to report per second after an announcement.
+// The reports of all hosts at the same time would keep the coordinator from granting
+// permits until all are answered.
 const announceRate = 5000
 
-// announce has all hosts told that there is something new.
+// announce requests an announcement to all hosts.
 func (c *Coordinator) announce() {
 	select {
 	case c.announcePending <- struct{}{}:
-	default: // the next announcement tells of it
+	default: // covered by the announcement that is pending
 	}
 }
 
-// Announce has all hosts told, while this one acts for them, that there is something
-// new that each of them has to hear.
+// Announce tells all hosts, while this one is acting, that there is a change that each
+// of them needs at once.
 func (c *Coordinator) Announce() {
 	if c.Acting() {
 		c.announce()
 	}
 }
 
-// RunAnnouncements tells the hosts of news until ctx ends, once in a least period of
-// their reports at most.
+// RunAnnouncements sends pending announcements until ctx ends, at most one per
+// minReportPeriod.
 func (c *Coordinator) RunAnnouncements(ctx context.Context) error {
 	for {
 		select {
@@ -50,7 +51,7 @@
 	}
 }
 
-// announce tells all hosts that have a stream.
+// announce notifies all hosts that have a stream.
 func (t *permits) announce() {
 	t.mu.Lock()
 	streams := make([]*permitStream, 0, len(t.streams))
@@ -64,7 +65,7 @@
 	}
 }
 
-// addStream keeps a stream until leave.
+// addStream registers a stream until removeStream.
 func (t *permits) addStream(s *permitStream) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/coordinator/answersize_test.go
+++ b/node/coordinator/answersize_test.go
@@ -13,11 +13,10 @@
 	local "peridotpier.example/node/quarantine"
 )
 
-// Symptom: after all of 299 hosts were killed nobody is served for half a minute;
-// the holder of the lease ends for want of memory.
-// Sequence: all hosts link to it at once; it knows of 3,000 upstreams.
-// Cause: each is told all that the upstreams hold in one answer, more than the
-// holder's link carries in the time of a report; it then begins anew.
+// Guards against half a minute without service after all of 299 hosts were killed,
+// while the lease holder runs out of memory: all hosts link to it at the same time, it
+// knows of 3,000 upstreams, and each host is sent all holdings in one answer, more than
+// its link carries in the time of a report; the hosts then begin anew.
 func TestHoldingsOfManyUpstreamsAreSentInParts(t *testing.T) {
 	c := holderSize{7, 900, 720}.holder()
 	told := map[string]bool{}
@@ -25,7 +24,7 @@
 	for revision < c.revision {
 		out := c.answerLoads(&coordpb.HostReport{Host: "h", Revision: revision, ModelsLater: true}, c.now())
 		assert.Assert(t, len(out.Holdings) <= maxHoldings)
-		assert.Assert(t, out.Revision > revision, "each answer brings the host further")
+		assert.Assert(t, out.Revision > revision, "each answer must advance the host's revision")
 		for _, h := range out.Holdings {
 			told[h.Upstream] = true
 		}
@@ -36,26 +35,25 @@
 	assert.Assert(t, answers <= 4)
 }
 
-// Symptom: hosts are never ready, though they are linked and know all upstreams.
-// Sequence: they start together and link to a holder that has not read the list
-// itself yet.
-// Cause: its first word, which is of no version of the store, counts as the whole
-// list; from then on only changes of it are told.
+// Guards against hosts that are never ready, though they are linked and know all
+// upstreams: they start together and link to a coordinator that has not read the list
+// itself yet. Its first list, which has no version of the store, counts as complete,
+// and only changes are sent from then on.
 func TestAListThatTheHolderHasNotReadIsSentAgain(t *testing.T) {
 	c := holderSize{7, 12, 26}.holder()
 	listed := 0
 	c.deps.Feed = follow.New(follow.Deps{Config: c.deps.Config, Upstreams: c.deps.Fleet, OnListed: func() { listed++ }})
 	l := NewLink(LinkConfig{Host: "h"}, c, nil, c.deps.Log)
 	l.applyRelay(&coordpb.SiteState{List: 5, ListFull: true})
-	assert.Equal(t, l.buildReport().List, uint64(0), "the whole list is asked for again")
+	assert.Equal(t, l.buildReport().List, uint64(0), "the complete list is requested again")
 	assert.Equal(t, listed, 0)
 	l.applyRelay(&coordpb.SiteState{List: 6, ListAt: 3, ListFull: true})
 	assert.Equal(t, l.buildReport().List, uint64(6))
 	assert.Equal(t, listed, 1)
 }
 
-// Symptom: 299 hosts that start together take 0.3 GB over the holder's link.
-// Cause: the list of 3,000 upstreams goes to each of them as text.
+// Guards against 0.3 GB over the coordinator's link when 299 hosts start together: the
+// list of 3,000 upstreams was sent to each of them as text.
 func TestACompleteListIsSentPacked(t *testing.T) {
 	c := holderSize{7, 900, 720}.holder()
 	c.deps.Feed = follow.New(follow.Deps{Config: c.deps.Config, Upstreams: c.deps.Fleet})
@@ -66,9 +64,9 @@
 	assert.NilError(t, c.relay(&coordpb.HostReport{PackedList: true}, again))
 	const slowLink = 10_000_000 / 8 // bytes a second
 	most := int(reportTimeout.Seconds() * slowLink * 900 / 3000)
-	assert.Assert(t, proto.Size(packed) < most, "%d bytes: a list of 3,000 must come in the time of a report", proto.Size(packed))
+	assert.Assert(t, proto.Size(packed) < most, "%d bytes: a list of 3,000 must arrive in the time of a report", proto.Size(packed))
 	assert.Assert(t, proto.Size(plain) > most)
-	assert.Assert(t, &packed.PackedList[0] == &again.PackedList[0], "it is packed once for all that ask together")
+	assert.Assert(t, &packed.PackedList[0] == &again.PackedList[0], "it is packed once for all hosts that ask at the same time")
 	assert.Assert(t, packed.ListFull && packed.List > 0)
 	of := func(s *coordpb.SiteState) map[string]string {
 		all, err := decodeUpstreams(s)
@@ -85,15 +83,16 @@
 }
 
 const (
-	// requestsUnderWay is how many requests an engine has at the design size: 205 streams
-	// at each of 420 hosts, over 2,500 engines.
+	// requestsUnderWay is how many requests an engine has at the design size: 205
+	// streams at each of 420 hosts, over 2,500 engines.
 	requestsUnderWay = 34
-	// maxCrashBytes bounds what one end of an engine costs each host, there and back:
-	// the budget of a second.
+	// maxCrashBytes bounds what one crash of an engine costs each host, in both
+	// directions: the budget of a second.
 	maxCrashBytes = 3000
 )
 
-// Guards against ends of engines that take more of the hosts' links than control may.
+// Guards against crashes of engines that take more of the hosts' links than control
+// traffic may.
 func TestAnEngineCrashIsReportedWithinTheByteBudget(t *testing.T) {
 	c := holderSize{7, 12, 26}.holder()
 	var ran []poison.Fingerprint
@@ -112,6 +111,6 @@
 	}
 	cleared := &coordpb.SiteState{}
 	c.quarantine.addTo(&coordpb.HostReport{QuarantineId: out.QuarantineId, QuarantineRevision: out.QuarantineRevision}, cleared, c.now())
-	t.Logf("to the holder %d bytes, to each host %d, once these have run to their end %d", asked, told, proto.Size(cleared))
+	t.Logf("to the coordinator %d bytes, to each host %d, after these requests have completed %d", asked, told, proto.Size(cleared))
 	assert.Assert(t, asked+told <= maxCrashBytes && proto.Size(cleared) <= maxCrashBytes)
 }
--- a/node/coordinator/authority.go
+++ b/node/coordinator/authority.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// errQuiet: the lease is new, and the former holder's orders may still arrive.
+// errQuietPeriod means that the lease is new, and orders of the former holder may still
+// arrive.
 var errQuietPeriod = errors.New("the quiet time of a new lease is not over")
 
-// mayOrder says whether an order that ends within need may be sent now. It is
-// asked right before each send: a process that was paused wakes in the middle
-// of its work, beside its successor.
+// mayOrder returns nil if an order that ends within need may be sent now. It must be
+// called right before each send: a process that was paused may resume in the middle of
+// its work, when its successor already gives orders.
 func (c *Coordinator) mayOrder(need time.Duration) error {
 	c.mu.Lock()
 	epoch, quiet := c.term.Epoch, c.quietUntil
@@ -26,7 +27,7 @@
 	return nil
 }
 
-// mayOrderTo says the same of one upstream.
+// mayOrderTo is mayOrder for one upstream, whose own quiet period is checked as well.
 func (c *Coordinator) mayOrderTo(u *managedUpstream, need time.Duration) error {
 	if err := c.mayOrder(need); err != nil {
 		return err
@@ -49,42 +50,42 @@
 	return Authority{Holder: c.cfg.Host, Epoch: c.term.Epoch}
 }
 
-// storeLoads counts the loads from the weight store in a sliding window. Past
-// its ceiling the store serves everybody more slowly.
+// storeLoads counts the loads from the weight store in a sliding window. Beyond its
+// rate the store serves everybody more slowly.
 type storeLoads struct {
 	window           time.Duration
 	factor           float64
 	mu               sync.Mutex
 	startedAt        []time.Time
-	unconfirmedUntil []time.Time // until when each load whose order went unanswered may still begin
-	inheritedAt      []time.Time // of those begun, what a former holder told
-	assumedFullUntil time.Time   // until when a former holder's loads are assumed to fill the window
+	unconfirmedUntil []time.Time // until when each load whose order is unconfirmed may still begin
+	inheritedAt      []time.Time // the part of startedAt that a former holder handed over
+	assumedFullUntil time.Time   // until when the window is assumed to be full of a former holder's loads
 }
 
-// addUnconfirmed notes that a load may begin at any time until then, or not at all: its
-// order went unanswered, and orders are carried out up to seconds late. Counted
-// at the time of its order only, it would pass the ceiling unseen when it comes.
+// addUnconfirmed records that a load may begin at any time before until, or not at all:
+// its order is unconfirmed, and orders may be carried out seconds late. If it counted
+// only at the time of its order, a late load would exceed the store's rate unnoticed.
 func (s *storeLoads) addUnconfirmed(until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unconfirmedUntil = append(s.unconfirmedUntil, until)
 }
 
-// recent keeps the times that count within a window before now.
+// recent removes the times that lie more than window before now. It changes its
+// argument.
 func recent(all []time.Time, now time.Time, window time.Duration) []time.Time {
 	return slices.DeleteFunc(all, func(t time.Time) bool { return now.Sub(t) > window })
 }
 
-// assumeFull notes that another holder may have begun loads that this one does
-// not know of.
+// assumeFull records that another holder may have begun loads that are unknown here.
 func (s *storeLoads) assumeFull(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.assumedFullUntil = now.Add(s.window)
 }
 
-// inherit takes over the loads that a former holder told, beside those of this
-// host's own earlier terms.
+// inherit adds the loads that a former holder handed over to those of this host's
+// earlier terms.
 func (s *storeLoads) inherit(started, unconfirmed []time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,8 +93,8 @@
 	s.inheritedAt = slices.Clone(started)
 }
 
-// inheritedWithin is how many loads that a former holder told began within a
-// time, so that they may still be under way.
+// inheritedWithin returns how many inherited loads began within maxAge before now, so
+// that they may still be under way.
 func (s *storeLoads) inheritedWithin(maxAge time.Duration, now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +102,7 @@
 	return len(s.inheritedAt)
 }
 
-// counted returns the loads that count now; known: there are no others.
+// counted returns the loads that count now. known reports whether there are no others.
 func (s *storeLoads) counted(now time.Time) (started, unconfirmed []time.Time, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +110,7 @@
 	return slices.Clone(s.startedAt), slices.Clone(s.unconfirmedUntil), !now.Before(s.assumedFullUntil)
 }
 
-// remaining is how many loads may begin now, at a rate a second.
+// remaining returns how many loads may begin now; rate is in loads per second.
 func (s *storeLoads) remaining(rate float64, now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,8 +121,8 @@
 	return int(rate*s.window.Seconds()*s.factor) + storeBurst - len(s.startedAt) - len(s.unconfirmedUntil)
 }
 
-// storeBurst is how many loads beyond its rate the weight store takes in one
-// window, less one that a former holder may have begun at its end.
+// storeBurst is how many loads beyond its rate the weight store takes in one window,
+// less one that a former holder may have begun at its end.
 const storeBurst = 2
 
 func (s *storeLoads) add(now time.Time) {
@@ -130,7 +131,7 @@
 	s.mu.Unlock()
 }
 
-// remove takes back a load that began at a time and was not ordered.
+// remove drops a load that was counted at a time and was not ordered.
 func (s *storeLoads) remove(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,8 +140,8 @@
 	}
 }
 
-// recount counts a load that began at one time as one that begins now, or
-// says no when there is no room for that now.
+// recount counts a load that was counted at one time as beginning now. It returns false
+// if there is no room for that now.
 func (s *storeLoads) recount(at time.Time, rate float64, now time.Time) bool {
 	s.remove(at)
 	if s.remaining(rate, now) <= 0 {
--- a/node/coordinator/authority_test.go
+++ b/node/coordinator/authority_test.go
@@ -9,10 +9,9 @@
 	"peridotpier.example/core/replica"
 )
 
-// Symptom: more loads begin in one window than the weight store allows.
-// Sequence: loads are planned while models still make way for them; the
-// unloads wait seconds for streams to end, then all the loads begin at once.
-// Cause: each is counted at the time of its plan.
+// Guards against more loads in one window than the weight store allows: loads that are
+// counted when they are planned wait seconds for the streams of evicted models to end,
+// and then all begin at the same time.
 func TestALoadIsCountedWhenItBegins(t *testing.T) {
 	s := storeLoads{window: 5 * time.Second, factor: 1}
 	const rate = 1.0 // seven in a window, with storeBurst
@@ -32,10 +31,9 @@
 	assert.Assert(t, !s.recount(start.Add(100*time.Millisecond), rate, after))
 }
 
-// Symptom: models that are asked for stay nowhere for seconds after an upstream broke.
-// Sequence: a load is planned at an upstream that refuses connections, again
-// and again.
-// Cause: loads that were never ordered fill the window.
+// Guards against models with demand that stay unloaded for seconds after an upstream
+// failed: loads are planned again and again at an upstream that refuses connections,
+// and fill the window although they were never ordered.
 func TestALoadThatWasNotOrderedIsNotCounted(t *testing.T) {
 	s := storeLoads{window: 5 * time.Second, factor: 1}
 	now := time.Now()
@@ -46,10 +44,9 @@
 	assert.Equal(t, s.remaining(1, now), before)
 }
 
-// Symptom: more loads begin in one window than the weight store allows.
-// Sequence: orders for loads go unanswered and their moves are given up; the
-// loads begin seconds later, beside others that fill the window.
-// Cause: a load counts at the time of its order only.
+// Guards against more loads in one window than the weight store allows: orders for
+// loads go unanswered and their moves are given up; the loads begin seconds later,
+// beside others that fill the window, if each counts at the time of its order only.
 func TestAnUnconfirmedLoadCountsUntilItCanNoLongerBegin(t *testing.T) {
 	s := storeLoads{window: 5 * time.Second, factor: 1}
 	t0 := time.Unix(1_700_000_000, 0)
@@ -60,9 +57,9 @@
 	assert.Equal(t, s.remaining(1, t0.Add(21*time.Second)), all)
 }
 
-// Symptom: more loads begin in one window than the weight store allows.
-// Sequence: an order for a load goes unanswered for seconds before it is taken.
-// Cause: the load counts at the time of its first order.
+// Guards against more loads in one window than the weight store allows: an order for a
+// load goes unanswered for seconds before it is accepted, and the load counts at the
+// time of its first order.
 func TestALoadCountsFromTheAnswerToItsOrder(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	c := &Coordinator{now: func() time.Time { return now }, storeLoads: storeLoads{window: 5 * time.Second, factor: 1}}
@@ -74,7 +71,7 @@
 	now = now.Add(4 * time.Second)
 	assert.Equal(t, c.storeLoads.remaining(1, now), all-1)
 	c.reconcileStoreLoad(v)
-	assert.Equal(t, c.storeLoads.remaining(1, now), all-1, "it was taken")
+	assert.Equal(t, c.storeLoads.remaining(1, now), all-1, "its order was accepted")
 	now = now.Add(2 * time.Second)
 	assert.Equal(t, c.storeLoads.remaining(1, now), all)
 }
--- a/node/coordinator/backoffs.go
+++ b/node/coordinator/backoffs.go
@@ -8,27 +8,28 @@
 	"peridotpier.example/node/fleet"
 )
 
-// backoffs holds the upstreams that asked a host for rest. Others may not have been
-// asked; over all hosts together requests come back to it by a slow start. All at
-// once they would be turned away one by one, each host asked for rest, and all come
-// back together when that is over.
+// backoffs contains the upstreams that asked a host to back off. They may not have
+// asked the others; requests of all hosts together return to an upstream by a slow
+// start. All at once they would be refused one by one, each host asked to back off, and
+// all would return together when that time is over.
 type backoffs map[string]*upstreamBackoff
 
-// upstreamBackoff is that of one upstream.
+// upstreamBackoff is the backoff of one upstream.
 type upstreamBackoff struct {
-	until     time.Time // the last that hosts told
+	until     time.Time // the latest end that hosts reported
 	slowStart backpressure.SlowStart
 }
 
 const (
-	// backoffMemory is how long after a rest the upstream counts as one that may turn
-	// requests away, if nothing was sent there.
+	// backoffMemory is how long after its backoff an upstream counts as one that may
+	// refuse requests, if nothing was sent there.
 	backoffMemory = 5 * time.Second
-	// backoffTolerance is what two hosts' words on the end of one rest may differ by.
+	// backoffTolerance is by how much two hosts' reports on the end of one backoff may
+	// differ.
 	backoffTolerance = 100 * time.Millisecond
 )
 
-// record notes what a request's host was asked for.
+// record records what upstreams asked of a request's host.
 func (r backoffs) record(w *permitRequest, now time.Time) {
 	if len(w.event.Rests) == 0 {
 		return
@@ -49,7 +50,7 @@
 	}
 }
 
-// wait is the time until an upstream may get one more.
+// wait returns the time until an upstream may get one more request.
 func (r backoffs) wait(upstream string) time.Duration {
 	if u := r[upstream]; u != nil && u.slowStart.AtLimit() {
 		return fleet.SlowStartWait
@@ -57,27 +58,29 @@
 	return 0
 }
 
-// serves says whether an upstream has asked some host for rest, and answers others.
+// serves reports whether an upstream has asked some host to back off, but answers other
+// hosts.
 func (r backoffs) serves(upstream string) bool {
 	u := r[upstream]
 	return u != nil && !u.slowStart.Active()
 }
 
-// recordGrant notes a request that is sent; it says whether its answer is waited for.
+// recordGrant records a request that is granted, and reports whether its answer is
+// awaited.
 func (r backoffs) recordGrant(w *permitRequest) bool {
 	u := r[w.upstream]
 	w.isTrial = u != nil && u.slowStart.Sent()
 	return w.isTrial
 }
 
-// recordAnswer notes that a request's answer began.
+// recordAnswer records that a request's answer began.
 func (r backoffs) recordAnswer(w *permitRequest, slots int) {
 	if u := r[w.upstream]; u != nil && w.isTrial {
 		u.slowStart.Answered(slots)
 	}
 }
 
-// recordEnd notes the end of a request.
+// recordEnd records the end of a request.
 func (r backoffs) recordEnd(w *permitRequest) {
 	if u := r[w.upstream]; u != nil && w.isTrial {
 		u.slowStart.Ended()
@@ -85,7 +88,7 @@
 	w.isTrial = false
 }
 
-// expire drops what is too old.
+// expire drops backoffs that ended long ago.
 func (r backoffs) expire(now time.Time) {
 	maps.DeleteFunc(r, func(_ string, x *upstreamBackoff) bool { return now.Sub(x.until) > backoffMemory })
 }
--- a/node/coordinator/backoffs_test.go
+++ b/node/coordinator/backoffs_test.go
@@ -9,7 +9,8 @@
 	"peridotpier.example/node/coordinator/coordpb"
 )
 
-// backedOffRequest is a request of a host that upstream "u" asked for rest; 0: of another host.
+// backedOffRequest returns a request of a host that upstream "u" asked to back off; 0:
+// of another host.
 func backedOffRequest(left time.Duration) *permitRequest {
 	w := &permitRequest{upstream: "u", event: &coordpb.TurnEvent{}}
 	if left > 0 {
@@ -18,7 +19,7 @@
 	return w
 }
 
-// Guards against all hosts sending at once to an upstream that turns requests away.
+// Guards against all hosts sending at once to an upstream that refuses requests.
 func TestAnUpstreamAfterBackoffGetsOneRequestAtATimeUntilItAnswers(t *testing.T) {
 	r, now := backoffs{}, time.Now()
 	w := backedOffRequest(3 * time.Second)
@@ -35,9 +36,9 @@
 	r.recordEnd(next)
 	assert.Assert(t, !r.recordGrant(backedOffRequest(0)))
 	r.record(backedOffRequest(2500*time.Millisecond), now.Add(500*time.Millisecond))
-	assert.Assert(t, !r.recordGrant(backedOffRequest(0)), "the rest that is known")
+	assert.Assert(t, !r.recordGrant(backedOffRequest(0)), "the backoff that is known")
 	r.record(backedOffRequest(3*time.Second), now.Add(500*time.Millisecond))
-	assert.Assert(t, r.recordGrant(backedOffRequest(0)), "another one")
+	assert.Assert(t, r.recordGrant(backedOffRequest(0)), "another backoff")
 	r.expire(now.Add(10 * time.Second))
 	assert.Equal(t, len(r), 0)
 }
--- a/node/coordinator/conns.go
+++ b/node/coordinator/conns.go
@@ -17,8 +17,8 @@
 const (
 	// dialTimeout is how long a connection to another host may take to open.
 	dialTimeout = 500 * time.Millisecond
-	// maxIdleConns is how many connections to one host are kept. One call at a
-	// time goes over each.
+	// maxIdleConns is how many idle connections to one host are kept. Each carries one
+	// call at a time.
 	maxIdleConns = 4
 )
 
@@ -31,7 +31,7 @@
 
 func newConns(d Dial) *conns { return &conns{dial: d, idle: map[string][]*drpcconn.Conn{}} }
 
-// call makes one call; a connection on which one failed is not used again.
+// call makes one call. A connection on which a call failed is closed.
 func (c *conns) call(ctx context.Context, address string, f func(context.Context, coordpb.DRPCCoordinatorClient) error) error {
 	conn, err := c.get(ctx, address)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// callOnce makes one call that is answered at once, within reportCallBound.
+// callOnce makes one call that is answered at once, within reportTimeout.
 func callOnce[A any](ctx context.Context, c *conns, address string, f func(context.Context, coordpb.DRPCCoordinatorClient) (A, error)) (answer A, err error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -56,14 +56,14 @@
 	return answer, err
 }
 
-// report tells one host's report to the host at an address.
+// report sends a host's report to the host at an address.
 func (c *conns) report(ctx context.Context, address string, r *coordpb.HostReport) (*coordpb.SiteState, error) {
 	return callOnce(ctx, c, address, func(ctx context.Context, peer coordpb.DRPCCoordinatorClient) (*coordpb.SiteState, error) {
 		return peer.Report(ctx, r)
 	})
 }
 
-// state asks the host at an address for what it has.
+// state asks the host at an address for its state.
 func (c *conns) state(ctx context.Context, address string, q *coordpb.StateCall) (*coordpb.StateAnswer, error) {
 	return callOnce(ctx, c, address, func(ctx context.Context, peer coordpb.DRPCCoordinatorClient) (*coordpb.StateAnswer, error) {
 		return peer.State(ctx, q)
@@ -111,7 +111,7 @@
 	c.idle[address] = append(c.idle[address], conn)
 }
 
-// closeIdle closes what is kept to a host.
+// closeIdle closes the idle connections to a host.
 func (c *conns) closeIdle(address string) {
 	c.mu.Lock()
 	all := c.idle[address]
--- a/node/coordinator/coordinator.go
+++ b/node/coordinator/coordinator.go
@@ -1,11 +1,13 @@
-// Package coordinator is the part of a host that acts for the whole
-// deployment: it sums up what all hosts have sent to each upstream, gives the
-// upstreams their orders, and tells the hosts what the upstreams hold. Every
-// host has one; the one whose host holds the lease is heard.
+// Package coordinator contains the part of a host that can coordinate the whole
+// deployment: it aggregates the load that all hosts have sent to each upstream, gives
+// the upstreams their orders, grants dispatch permits and publishes to the hosts which
+// models the upstreams have resident.
 //
-// Requests for models ask it for a turn, and for an adapter that no upstream has
-// at hand. Without it, or without its word in time, hosts go on by what they see
-// themselves.
+// Every host runs a Coordinator. The hosts use the one whose host holds the lease, the
+// acting coordinator; see Coordinator.Acting. They request a permit from it for each
+// request for a model, and ask it to load an adapter that no upstream has resident. A
+// host that reaches no coordinator, or gets no answer in time, decides by what it
+// observes itself.
 package coordinator
 
 import (
@@ -34,50 +36,52 @@
 // Verdict is an upstream's answer to an order.
 type Verdict uint8
 
-// The verdicts.
+// The possible verdicts.
 const (
-	Accepted Verdict = iota // it is being carried out
-	Done                    // it holds already, or was done at once
-	Conflict                // another order is under way, or its number has moved on
-	Fenced                  // a higher epoch was seen
-	Invalid                 // there is no such order
-	Replaced                // another process is at the address
+	Accepted Verdict = iota // the order is being carried out
+	Done                    // the order's effect was there already, or was achieved at once
+	Conflict                // another order is under way, or the order's expected sequence number is outdated
+	Fenced                  // the upstream has seen a higher epoch
+	Invalid                 // the order is not a valid one
+	Replaced                // another process listens at the upstream's address
 )
 
-// String names the verdict in logs.
+// String returns the verdict's name for logs.
 func (v Verdict) String() string {
 	return [...]string{"accepted", "holds", "conflict", "fenced", "invalid", "replaced"}[v]
 }
 
-// Authority says under which authority an order is given.
+// Authority names the lease holder and the epoch of the lease under which an order is
+// given.
 type Authority struct {
 	Holder string
 	Epoch  uint64
 }
 
-// OrderClient carries orders to upstreams. An error means that no answer came.
+// OrderClient sends orders to upstreams and fetches their reports. An error means that
+// no usable answer arrived: the order may have been carried out.
 type OrderClient interface {
 	Order(ctx context.Context, u *deploy.Upstream, o residency.Order, t Authority) (Verdict, error)
 	Report(ctx context.Context, u *deploy.Upstream) (residency.Report, error)
 }
 
-// Config bounds a Coordinator.
+// Config holds the settings of a Coordinator.
 type Config struct {
 	Host            string
-	Holder          string        // this process, as the lease names it
-	Address         string        // where Serve listens
-	QuietPeriod     time.Duration // after a lease was taken from another holder
-	CeilingWindow   time.Duration // loads from the weight store are counted in any span of this length
-	CeilingFactor   float64       // factor on its rate
-	LimitSlack      float64       // by which operators allow a team's limit to be missed, in what it counts
+	Holder          string        // name of this process in the lease, as HolderName makes it
+	Address         string        // address that Serve listens on
+	QuietPeriod     time.Duration // time without orders after the lease was taken from another holder
+	CeilingWindow   time.Duration // length of the sliding window in which loads from the weight store are counted
+	CeilingFactor   float64       // factor on the weight store's rate
+	LimitSlack      float64       // amount by which operators allow a team's limit to be missed, in the limit's unit
 	Policy          replica.Policy
-	MaxRelayAge     time.Duration // for which hosts go by a relay of the store's changes; 0: not bounded
-	LinkMbps        float64       // of this host, megabits a second; 0: not known
-	AdapterLoadTime time.Duration // how long an adapter's load takes; 0: the default
-	NoModelMoves    bool          // models stay where they are, for measuring what moves gain
+	MaxRelayAge     time.Duration // maximum age of relayed store state that hosts may use; 0: unbounded
+	LinkMbps        float64       // speed of this host's link in megabits a second; 0: unknown
+	AdapterLoadTime time.Duration // time that loading an adapter takes; 0: the default
+	NoModelMoves    bool          // leaves models where they are, to measure what moves gain
 }
 
-// Deps are what a Coordinator works with.
+// Deps are the dependencies of a Coordinator.
 type Deps struct {
 	Fleet  *fleet.Fleet
 	Config *follow.ActiveConfig
@@ -86,19 +90,20 @@
 	Table  store.Table
 	Feed   *follow.Follower
 	Log    *event.Log
-	// Metrics are the host's; nil: a set of its own.
+	// Metrics are the host's metrics; nil: a separate set is made.
 	Metrics *metrics.Set
 	Now     func() time.Time
 }
 
-// Coordinator acts for the whole deployment while its host holds the lease.
+// Coordinator coordinates the whole deployment while its host is the acting
+// coordinator; see Acting.
 type Coordinator struct {
 	cfg              Config
 	deps             Deps
-	id               uint64 // of this process, drawn
+	id               uint64 // random number of this process, never 0
 	now              func() time.Time
 	aggregate        *aggregate
-	newestUpstreamAt time.Time // when an upstream was first seen last; under mu
+	newestUpstreamAt time.Time // when the newest upstream was first seen; guarded by mu
 	demand           *demand
 	speeds           *speeds
 	permits          *permits
@@ -106,49 +111,51 @@
 	quarantine       *quarantine
 	storeLoads       storeLoads
 
-	actingWithoutLease atomic.Bool // acts though it has never held the lease
-	actingStarted      pace.Signal // given when it begins to
+	actingWithoutLease atomic.Bool // this host is acting without ever having held the lease
+	actingStarted      pace.Signal // given when actingWithoutLease is set
 
-	// Linked tells the address that this host's own reports go to; set before Run.
+	// LinkedAddress returns the address that this host sends its reports to. It must be
+	// set before Run.
 	LinkedAddress func() string
 
-	// Hosts tells how many hosts the one had that acted before; set before Run.
+	// FormerHostCount returns how many hosts the previous acting coordinator had. It
+	// must be set before Run.
 	FormerHostCount func() int
 
 	encodings       encodings
 	listBudget      listSendBudget
 	published       published
-	announcePending chan struct{} // has a token while there is something to announce
+	announcePending chan struct{} // holds a token while an announcement is pending
 
 	mu             sync.Mutex
-	upstreams      map[string]*managedUpstream   // by upstream; kept while this host acts
-	holdingChanges changes.Log[*managedUpstream] // in which order what they hold changed
-	scanned        scanPosition                  // at what the units are of
-	traits         map[string]*residency.Traits  // of upstreams, by service
-	revision       uint64                        // rises when what the units hold changes
+	upstreams      map[string]*managedUpstream   // by upstream ID; reset when a term begins
+	holdingChanges changes.Log[*managedUpstream] // the order in which the upstreams' holdings changed
+	scanned        scanPosition                  // state of the list at the last scan
+	traits         map[string]*residency.Traits  // traits of upstreams, by service
+	revision       uint64                        // incremented when the holdings of an upstream change
 	term           lease.Term
-	lastEpoch      uint64               // that this host held
-	heldLease      bool                 // the lease, at the last look
-	quietUntil     time.Time            // until when no order is sent
-	lastOrderAt    time.Time            // the last order that may have been sent, by this host or one before it; zero: none
-	ordersComplete bool                 // orders holds all that were sent lately
-	lastOrders     map[string]lastOrder // by upstream
+	lastEpoch      uint64               // the last epoch in which this host held the lease
+	heldLease      bool                 // whether this host held the lease at the last refresh
+	quietUntil     time.Time            // no order is sent before this time
+	lastOrderAt    time.Time            // when the last order may have been sent, by this host or a predecessor; zero: never
+	ordersComplete bool                 // whether lastOrders contains all recent orders
+	lastOrders     map[string]lastOrder // by upstream ID
 	predecessor    handover
 	sentHandover   sentHandover
 }
 
-// newestUpstream is when an upstream was first seen last.
+// newestUpstream returns when the newest upstream was first seen.
 func (c *Coordinator) newestUpstream() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.newestUpstreamAt
 }
 
-// minReportsPerRelayAge is how many reports of a host there are at least in the time for which
-// it goes by a relay, so that one that is lost does not send it to the store.
+// minReportsPerRelayAge is how many reports a host makes at least within MaxRelayAge,
+// so that one lost report doesn't make the host read the store itself.
 const minReportsPerRelayAge = 3
 
-// New makes a Coordinator.
+// New returns a Coordinator that is not running yet.
 func New(cfg Config, deps Deps) *Coordinator {
 	if deps.Now == nil {
 		deps.Now = time.Now
@@ -170,19 +177,21 @@
 	return c
 }
 
-// runInterval is how often books and plans are looked at.
+// runInterval is how often an acting coordinator refreshes its upstreams and plans
+// moves.
 const runInterval = 200 * time.Millisecond
 
-// planPauseFactor is how many times as long as a plan took the next one waits, so that
-// plans of thousands of upstreams leave the processor to turns.
+// planPauseFactor is how long the next plan waits, as a multiple of the time that the
+// last one took, so that plans over thousands of upstreams leave the processor to
+// permits.
 const planPauseFactor = 20
 
-// idleInterval is that of a host that does not act.
+// idleInterval is the interval of a host that is not acting.
 const idleInterval = time.Second
 
-// Run acts until ctx ends.
+// Run coordinates until ctx ends.
 func (c *Coordinator) Run(ctx context.Context) error {
-	var next time.Time // plan
+	var next time.Time // when the next plan may begin
 	for c.waitNext(ctx) {
 		c.refresh()
 		c.permits.maintain()
@@ -197,7 +206,7 @@
 	return ctx.Err()
 }
 
-// waitNext waits for the next look; it says no when ctx ends.
+// waitNext waits until the next refresh is due. It returns false when ctx has ended.
 func (c *Coordinator) waitNext(ctx context.Context) bool {
 	taken, started := c.deps.Lease.Acquired(), c.actingStarted.Next()
 	if c.Acting() {
@@ -215,7 +224,7 @@
 	return ctx.Err() == nil
 }
 
-// linkedAddress is the address of the host that holds the lease; "": not known.
+// linkedAddress returns the address of the acting coordinator; "": unknown.
 func (c *Coordinator) linkedAddress() string {
 	if c.LinkedAddress == nil {
 		return ""
@@ -223,22 +232,24 @@
 	return c.LinkedAddress()
 }
 
-// HoldsLease says whether this host holds the lease now.
+// HoldsLease reports whether this host holds the lease now.
 func (c *Coordinator) HoldsLease() bool {
 	_, ok := c.deps.Lease.Term()
 	return ok
 }
 
-// Acting says whether this host sums up loads and gives turns. It does so while
-// it holds the lease, and after its lease ran out, as it does while the store
-// is away, for as long as nobody else is known to have taken it: neither needs
-// more authority than that hosts ask, and without it they would all decide by
-// themselves and look for the store at once. Orders need the lease.
+// Acting reports whether this host is the acting coordinator: whether it aggregates
+// loads and grants permits. It does while it holds the lease, and also after its lease
+// expired, as happens while the store is unavailable, for as long as no other holder is
+// known. Aggregation and permits need no authority beyond that hosts ask for them;
+// without an acting coordinator all hosts would decide on their own and query the store
+// at the same time. Orders need the lease.
 func (c *Coordinator) Acting() bool {
 	return c.HoldsLease() || c.deps.Lease.Lapsed() || c.actingWithoutLease.Load()
 }
 
-// startActing has this host act without ever having held the lease, until standBack.
+// startActing makes this host the acting coordinator although it has never held the
+// lease, until stopActing.
 func (c *Coordinator) startActing() {
 	if c.actingWithoutLease.Swap(true) {
 		return
@@ -248,8 +259,8 @@
 	c.deps.Log.Emit(event.StandingIn, zap.Duration("store_age", c.deps.Feed.StoreAge()))
 }
 
-// resetCounts forgets what this host counted when it acted before: others have
-// counted since, for as many hosts as they told.
+// resetCounts drops what this host counted when it was acting before: another
+// coordinator has counted since. The number of hosts that one had is taken over.
 func (c *Coordinator) resetCounts(now time.Time) {
 	c.accounts.reset()
 	c.quarantine.reset()
@@ -259,11 +270,11 @@
 	}
 }
 
-// stopActing ends that.
+// stopActing reverts startActing.
 func (c *Coordinator) stopActing() { c.actingWithoutLease.Store(false) }
 
-// refresh notices a new term and, while this host acts, brings the accounts of
-// upstreams up to date with what they say of themselves.
+// refresh detects a new term and, while this host is acting, updates its records of the
+// upstreams from their descriptions.
 func (c *Coordinator) refresh() {
 	now := c.now()
 	term, holds := c.deps.Lease.Term()
@@ -283,15 +294,15 @@
 	}
 }
 
-// scanPosition is up to where the upstreams were looked at.
+// scanPosition is the state of the upstreams up to which they were scanned.
 type scanPosition struct {
 	config     *deploy.Config
-	membership uint64 // of the fleet
-	state      uint64 // of its list
+	membership uint64 // version of the set of upstreams in the fleet
+	state      uint64 // state of the fleet's list
 }
 
-// refreshUpstreamsLocked opens and closes accounts as upstreams come and go, and enters what
-// their descriptions say. Most looks find a few new descriptions.
+// refreshUpstreamsLocked adds and removes upstreams with the list, and enters their new
+// descriptions. Most scans find only a few of these.
 func (c *Coordinator) refreshUpstreamsLocked(now time.Time) {
 	table := c.deps.Config.Current()
 	if table == nil {
@@ -337,12 +348,12 @@
 	}
 }
 
-// addUpstreamLocked opens the account of an upstream's process; former is that of the
-// process before, or nil.
+// addUpstreamLocked begins the record of an upstream's process. former is the record of
+// the process before, or nil.
 func (c *Coordinator) addUpstreamLocked(e *fleet.Entry, s *deploy.Service, former *managedUpstream, now time.Time) {
 	u := newManagedUpstream(c, e, s.Engine, now)
 	u.record.ShareTraits(c.traitsLocked(s.Name))
-	if former != nil { // the upstream has started again under its ID
+	if former != nil { // the upstream has restarted under its ID
 		u.record.InheritUnconfirmed(former.unconfirmedOrders(now))
 		c.holdingChanges.Forget(former)
 	}
@@ -351,7 +362,8 @@
 	c.publishChangeLocked(u)
 }
 
-// traitsLocked is what was learnt of a service's upstreams. It outlives terms.
+// traitsLocked returns what was observed of a service's upstreams. It is kept across
+// terms.
 func (c *Coordinator) traitsLocked(service string) *residency.Traits {
 	t := c.traits[service]
 	if t == nil {
@@ -361,17 +373,17 @@
 	return t
 }
 
-// publishChange tells the hosts, with their next reports, what an upstream holds now,
-// if that is not what they were told last: an upstream's report, asked for
-// several times during each move, mostly shows what is known.
+// publishChange publishes an upstream's holdings to the hosts, with the answers to
+// their next reports, if they differ from what was published last. An upstream is
+// polled several times during each move, and most of its reports show nothing new.
 func (c *Coordinator) publishChange(u *managedUpstream) {
 	c.mu.Lock()
 	c.publishChangeLocked(u)
 	c.mu.Unlock()
 }
 
-// publishChangeLocked sets both numbers under one lock: a report that is answered
-// with the new one must find the unit's change.
+// publishChangeLocked sets both revisions under one lock: a report that is answered
+// with the new revision must include the upstream's change.
 func (c *Coordinator) publishChangeLocked(u *managedUpstream) {
 	if !u.updatePublished() && u.revision.Load() > 0 {
 		return
--- a/node/coordinator/demand.go
+++ b/node/coordinator/demand.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// demandDecay is the time in which old demand loses most of its weight. The
-	// hot models change within seconds; a shorter time would follow bursts of
-	// single requests.
+	// demandDecay is the time constant by which old demand decays. The hot models
+	// change within seconds; a shorter time would follow bursts of single requests.
 	demandDecay = 1500 * time.Millisecond
-	// unservedFor is how long a model that nobody held counts as asked for.
+	// unservedFor is how long a model that no upstream had resident counts as
+	// requested.
 	unservedFor = 2 * time.Second
 )
 
 type modelKey struct{ service, model string }
 
-// demand follows what callers ask of each model.
+// demand tracks the demand for each model.
 type demand struct {
 	mu            sync.Mutex
 	models        map[modelKey]*modelDemand
@@ -30,18 +30,19 @@
 }
 
 type modelDemand struct {
-	engineSeconds float64 // decaying engine time, seconds
-	requests      float64 // decaying as sum does
+	engineSeconds float64 // decaying sum of engine time, in seconds
+	requests      float64 // decays like engineSeconds
 	decayedAt     time.Time
 	firstAt       time.Time
 	lastAt        time.Time
 	unservedAt    time.Time
-	minObjective  time.Duration // shortest objective of those who asked
+	minObjective  time.Duration // shortest objective of the requests
 }
 
 func newDemand() *demand { return &demand{models: map[modelKey]*modelDemand{}} }
 
-// add adds one host's report; engineTime says what requests of a model take.
+// add enters one host's report; engineTime returns the engine time of requests for a
+// model.
 func (d *demand) add(all []*coordpb.Demand, engineTime func(k modelKey, prompt, output int) time.Duration, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -82,18 +83,18 @@
 }
 
 const (
-	// minLoad is the load below which a model counts as not asked for.
+	// minLoad is the load below which a model counts as having no demand.
 	minLoad = 0.002
-	// patientLoads is how many loads from a disk an objective must be long for
-	// its callers to be patient: one for the load, one for what makes way, and
-	// as much again.
+	// patientLoads is how many loads from a disk an objective must last for its callers
+	// to count as patient: one for the load, one for the eviction before it, and as
+	// much again.
 	patientLoads = 3.5
-	// demandExpiry is how long after its last request a model's load is 0.
+	// demandExpiry is how long after its last request a model's load counts as 0.
 	demandExpiry = 12 * time.Second
 )
 
-// service returns the present demand for the models of a service, of all that
-// were ever asked for.
+// service returns the present demand for all models of a service that were ever
+// requested.
 func (d *demand) service(name string, e *deploy.Engine, now time.Time) map[string]replica.Demand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -112,10 +113,10 @@
 	return out
 }
 
-// minCounted is how many requests, decaying, must count for their mean to be known.
+// minCounted is how many requests, decayed, must count for their mean to be known.
 const minCounted = 0.5
 
-// engineTimePerRequest is the engine's time that a request takes; 0: not known.
+// engineTimePerRequest returns the engine time of one request; 0: unknown.
 func (w *modelDemand) engineTimePerRequest() time.Duration {
 	if w.requests < minCounted {
 		return 0
@@ -123,11 +124,11 @@
 	return time.Duration(w.engineSeconds / w.requests * float64(time.Second))
 }
 
-// demandKnownAfter is how long after its first request a model's demand is known
-// well enough to go by it alone: until then the sum is still filling.
+// demandKnownAfter is how long after its first request a model's demand is known well
+// enough to be used alone: until then the sum is still filling.
 const demandKnownAfter = 3 * time.Second
 
-// isKnown says whether the demand for a model can be gone by.
+// isKnown reports whether the demand for a model is known well enough to be used.
 func (d *demand) isKnown(service, model string, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -135,7 +136,7 @@
 	return w != nil && now.Sub(w.firstAt) >= demandKnownAfter
 }
 
-// allKnown says whether hosts have reported for long enough for the demand for all
+// allKnown reports whether hosts have reported for long enough for the demand for all
 // models to be known.
 func (d *demand) allKnown(now time.Time) bool {
 	d.mu.Lock()
@@ -143,13 +144,13 @@
 	return !d.reportedSince.IsZero() && now.Sub(d.reportedSince) >= demandKnownAfter
 }
 
-// isPatient says whether those who ask for a model within an objective would
-// wait for a load from a disk.
+// isPatient reports whether callers that request a model with this objective would wait
+// for a load from a disk.
 func isPatient(e *deploy.Engine, model string, objective time.Duration) bool {
 	return objective.Seconds() > patientLoads*replica.LoadTime(e, model, replica.FromDisk).Seconds()
 }
 
-// maxCallerWait is how long any caller of a service may wait for a model and still
+// maxCallerWait returns how long any caller of a service may wait for a model and still
 // be answered; 0: the service has no route.
 func maxCallerWait(c *deploy.Config, service string) time.Duration {
 	shortest := time.Duration(0)
@@ -164,8 +165,8 @@
 	return time.Duration(replica.MaxWaitShare * float64(shortest))
 }
 
-// hasPatientRoute says whether a service has a route whose callers would wait for
-// a load of any of its models.
+// hasPatientRoute reports whether a service has a route whose callers would wait for a
+// load of any of its models.
 func hasPatientRoute(c *deploy.Config, s *deploy.Service) bool {
 	for i := range c.Routes {
 		for _, split := range c.Routes[i].Splits {
--- a/node/coordinator/demandhandover.go
+++ b/node/coordinator/demandhandover.go
@@ -7,8 +7,8 @@
 	"peridotpier.example/node/coordinator/coordpb"
 )
 
-// snapshot writes the demand for a successor. Without it models are moved for those
-// alone who wait, until the demand was heard for demandKnown.
+// snapshot returns the demand for a successor. Without it the successor moves models
+// only for callers that wait, until it has received reports for demandKnownAfter.
 func (d *demand) snapshot(now time.Time) (all []*coordpb.HeldDemand, period time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -31,7 +31,8 @@
 	return all, period
 }
 
-// inherit adds what a former holder told at a time to what was reported here since.
+// inherit adds the demand that a former holder reported at a time to what was reported
+// here since.
 func (d *demand) inherit(all []*coordpb.HeldDemand, period time.Duration, receivedAt, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/node/coordinator/elector.go
+++ b/node/coordinator/elector.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	// pollInterval is how often a host looks whether it is linked or holds the lease.
+	// pollInterval is how often a host checks whether it is linked or holds the lease.
 	pollInterval = 100 * time.Millisecond
-	// searchInterval is how often a host that is linked to one without the lease asks
-	// the others whether somebody has taken it: the store may turn just these
-	// two away.
+	// searchInterval is how often a host that is linked to an acting coordinator
+	// without the lease asks the others whether somebody has taken it: the store may be
+	// refusing only these two.
 	searchInterval = time.Second
-	// minTryInterval is the least time between two tries to reach the holder that the
-	// lease names.
+	// minTryInterval is the minimum time between two attempts to reach the holder that
+	// the lease names.
 	minTryInterval = 300 * time.Millisecond
 )
 
-// Elector sees to it that some host holds the lease and that this one is linked
-// to it. A linked host leaves the lease alone: looking at it costs calls.
+// Elector ensures that some host holds the lease and that this one is linked to it. A
+// linked host does not query the lease: that would cost calls to the store.
 type Elector struct {
 	Lease *lease.Lease
 	Link  *Link
-	// Handicap is how long this host waits before it campaigns, so that one
-	// with more to spare comes first; nil: not at all.
+	// CampaignDelay returns how long this host waits before it campaigns, so that a
+	// host with more spare capacity comes first; nil: no delay.
 	CampaignDelay func() time.Duration
-	// StoreAnswers says whether the store answered this host lately.
+	// StoreReachable reports whether the store answered this host recently.
 	StoreReachable func() bool
 
-	yieldedAt time.Time // when this host last gave the lease up for another
+	yieldedAt time.Time // when this host last gave up the lease for another one
 }
 
-// Run works until ctx ends.
+// Run campaigns for the lease or keeps this host linked until ctx ends.
 func (d *Elector) Run(ctx context.Context) error {
 	var searchedAt time.Time
 	for ctx.Err() == nil {
@@ -54,37 +54,39 @@
 	return ctx.Err()
 }
 
-// idleWait is how long a linked host waits for a sign that it is not any more.
+// idleWait returns how long a linked host waits for a change before it checks its link
+// again.
 func (d *Elector) idleWait() time.Duration {
-	if d.Link.linkedAddress() == "" { // it acts itself, without a lease
+	if d.Link.linkedAddress() == "" { // this host is acting without a lease
 		return pollInterval
 	}
 	return idleInterval
 }
 
 const (
-	// maxSearchTime is how long a host that should not run for the lease asks others who
-	// holds it, before it runs all the same: those that should may all be gone.
+	// maxSearchTime is how long a host that is not a candidate asks others for the
+	// lease holder before it campaigns nevertheless: all candidates may be down.
 	maxSearchTime = 3 * time.Second
-	// maxSearchTimeSpare is the same for one that has enough to spare to act for all: the few
-	// that each host knows at its start may have too little.
+	// maxSearchTimeSpare is the same for a host with enough spare capacity to
+	// coordinate: the few hosts that each one knows at its start may have too little.
 	maxSearchTimeSpare = 600 * time.Millisecond
-	// yieldAfter is how long a host with too little to spare holds the lease before it
-	// gives it up for one that has enough: its hosts have found it by then.
+	// yieldAfter is how long a host with too little spare capacity holds the lease
+	// before it yields to one that has enough: by then its hosts have found that one.
 	yieldAfter = 5 * time.Second
-	// minYieldInterval is the least time between two times that it does so: the others may
-	// be those that the store turns away.
+	// minYieldInterval is the minimum time between two yields: the store may be
+	// refusing the other hosts.
 	minYieldInterval = time.Minute
 )
 
-// standBy asks others who holds the lease until this host is linked, and says
-// no, until the lease is found to name this host itself, or until nobody was
-// found though the store answered all the while. A lease that names this host
-// is its former process's, which has ended, so that this one may take it at
-// once: after a loss of all hosts nobody else could give orders before the
-// former holder's time, and the time for its last orders to arrive, are over. The
-// time while the store is away does not count: nobody can take the lease then,
-// and at its return the first to write would, however little it has to spare.
+// standBy asks others for the lease holder until this host is linked, and then returns
+// false. It returns true when the lease is found to name this host itself, or when no
+// holder was found although the store answered all the while. A lease that names this
+// host belongs to its former process, which has terminated, so that this one may take
+// it at once: after a loss of all hosts nobody else could give orders before the former
+// holder's lease and the time in which its last orders may arrive are over. Time in
+// which the store is unavailable does not count: nobody can take the lease then, and
+// when the store returns the first to write would, however little spare capacity it
+// has.
 func (d *Elector) standBy(ctx context.Context) bool {
 	answered := time.Now()
 	for pace.Sleep(ctx, pace.DefaultRand().Jitter(minTryInterval, reportJitter)) {
@@ -111,8 +113,9 @@
 	return maxSearchTime
 }
 
-// linkedWithin waits for a time and says whether this host was linked meanwhile, or ctx
-// has ended. One that waits for long looks who has taken the lease: the others ask it.
+// linkedWithin waits for a time and reports whether this host was linked meanwhile, or
+// ctx has ended. During a long wait it checks who has taken the lease: other hosts ask
+// this one.
 func (d *Elector) linkedWithin(ctx context.Context, wait time.Duration) bool {
 	until := time.Now().Add(wait)
 	for left := wait; left > minTryInterval; left = time.Until(until) {
@@ -126,8 +129,8 @@
 	return !pace.Sleep(ctx, max(time.Until(until), 0))
 }
 
-// campaign runs for the lease until this host has held and lost it, or is
-// linked to the host that holds it.
+// campaign campaigns for the lease until this host has held and lost it, or is linked
+// to its holder.
 func (d *Elector) campaign(ctx context.Context) {
 	if d.CampaignDelay != nil && d.linkedWithin(ctx, pace.DefaultRand().Jitter(d.CampaignDelay(), 1)) {
 		return
@@ -136,17 +139,17 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = d.Lease.Run(ctx) // ends with ctx only
+		_ = d.Lease.Run(ctx) // returns only when ctx ends
 	}()
 	d.awaitCoordinator(ctx)
 	cancel()
-	<-done // hands the lease over if it is held
+	<-done // releases the lease if it is held
 }
 
-// awaitCoordinator returns when this host is linked to another, when the store is away
-// and this host should not be first at its return, or when ctx ends. While this
-// host holds the lease itself it goes on, unless it has too little to spare and
-// another has enough.
+// awaitCoordinator returns when this host is linked to another, when the store is
+// unavailable and this host should not be first at its return, or when ctx ends. It
+// goes on while this host holds the lease itself, unless this host has too little spare
+// capacity and another has enough.
 func (d *Elector) awaitCoordinator(ctx context.Context) {
 	defer d.Link.own.stopActing()
 	var tried, held time.Time
@@ -176,10 +179,10 @@
 	}
 }
 
-// updateActing has this host act without the lease while nobody can take it, if it is
-// the one to do so. Without anybody who acts each host would decide by itself,
-// and what an upstream takes from all, or a team may ask of all, would be shared
-// out blindly.
+// updateActing makes this host act without the lease while nobody can take it, if this
+// host is the one that should. Without any acting coordinator each host would decide by
+// itself, and the limits of upstreams and teams would be divided among the hosts
+// without knowing their use.
 func (d *Elector) updateActing(ctx context.Context) {
 	switch own := d.Link.own; {
 	case d.StoreReachable():
--- a/node/coordinator/elector_test.go
+++ b/node/coordinator/elector_test.go
@@ -22,7 +22,7 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// countedTable is a store that is away and counts how often it is asked.
+// countedTable is a store that is unavailable and counts the calls to it.
 type countedTable struct {
 	store.Table
 	asked atomic.Int32
@@ -33,11 +33,11 @@
 	return nil, store.ErrUnavailable
 }
 
-// Symptom: the lease is lost again and again after the store's return.
-// Sequence: the store is away for seconds; all hosts run for the lease, and the
-// first to write at its return takes it: one that has too little to keep it.
-// Cause: the time in which nobody can take the lease counts as time in which
-// those with more to spare did not.
+// Guards against a lease that is lost again and again after the store's return: the
+// store is unavailable for seconds, all hosts campaign, and the first to write at its
+// return takes the lease, although it has too little spare capacity to keep it. This
+// happens if the time in which nobody can take the lease counts as time in which hosts
+// with more spare capacity did not.
 func TestANonCandidateStandsByWhileTheStoreIsUnavailable(t *testing.T) {
 	t.Parallel()
 	log := event.NewLog(nil)
@@ -56,22 +56,22 @@
 		_ = lead.Run(ctx)
 	}()
 	time.Sleep(maxSearchTime + time.Second)
-	assert.Equal(t, table.asked.Load(), int32(0), "the store is away")
+	assert.Equal(t, table.asked.Load(), int32(0), "the store is unavailable")
 	answers.Store(true)
 	time.Sleep(maxSearchTime / 2)
-	assert.Equal(t, table.asked.Load(), int32(0), "those with more to spare come first")
+	assert.Equal(t, table.asked.Load(), int32(0), "hosts with more spare capacity come first")
 	time.Sleep(maxSearchTime)
-	assert.Assert(t, table.asked.Load() > 0, "they may all be gone")
+	assert.Assert(t, table.asked.Load() > 0, "the candidates may all be down")
 	answers.Store(false)
 	time.Sleep(time.Second)
 	before := table.asked.Load()
 	time.Sleep(time.Second)
-	assert.Equal(t, table.asked.Load(), before, "it is away again")
+	assert.Equal(t, table.asked.Load(), before, "the store is unavailable again")
 	cancel()
 	<-done
 }
 
-// newTestElector is a host that runs for the lease beside others that cannot be reached.
+// newTestElector returns a host that campaigns beside others that are unreachable.
 func newTestElector(ample bool, table store.Table) (*Elector, *Coordinator) {
 	log := event.NewLog(nil)
 	l := lease.New(lease.Config{Name: "l", Policy: leasing.Policy{TTL: 1500 * time.Millisecond, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}}, lease.Deps{Table: table})
@@ -82,8 +82,8 @@
 	return &Elector{Lease: l, Link: link, StoreReachable: func() bool { return true }}, own
 }
 
-// Guards against a large fleet led by whichever host the others are told at their
-// start, however little it has to spare.
+// Guards against a large fleet whose coordinator is whichever host is a seed of the
+// others, however little spare capacity it has.
 func TestAHostWithSpareCapacityDoesNotWaitForTheSeeds(t *testing.T) {
 	for _, ample := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -94,15 +94,16 @@
 			time.Sleep(2 * maxSearchTimeSpare)
 			assert.Equal(t, own.HoldsLease(), ample)
 			time.Sleep(2 * maxSearchTime)
-			assert.Assert(t, own.HoldsLease(), "there may be no other")
+			assert.Assert(t, own.HoldsLease(), "there may be no other host")
 			cancel()
 			wg.Wait()
 		})
 	}
 }
 
-// Guards against a fleet that stays with a host that cannot bear it once one that can
-// is there; and against the lease going to and fro where the store turns that one away.
+// Guards against a fleet that stays with a host that lacks the capacity to coordinate
+// once another one has it; and against a lease that moves back and forth where the
+// store refuses the other one.
 func TestAHolderWithoutSpareCapacityYieldsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lead, own := newTestElector(false, standin.NewTable())
@@ -124,14 +125,14 @@
 			}
 		}
 		assert.Equal(t, lost, 1)
-		assert.Assert(t, held, "nobody else took it")
+		assert.Assert(t, held, "no other host took it")
 		cancel()
 		wg.Wait()
 	})
 }
 
-// Guards against a fleet that finds its holder only once the hosts that all others ask
-// have run for the lease themselves, last of all since they have little to spare.
+// Guards against a fleet that finds its coordinator only after the seeds have
+// campaigned themselves, which they do last because they have little spare capacity.
 func TestAHostThatWaitsToCampaignChecksTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := standin.NewTable()
--- a/node/coordinator/encodings.go
+++ b/node/coordinator/encodings.go
@@ -12,36 +12,37 @@
 	"peridotpier.example/node/fleet"
 )
 
-// encodings keeps what is told to all hosts in the form in which it is sent.
-// Each version of a configuration, and each change of an upstream, goes to every
-// host within a fraction of a second: while models were moved, up to 14,000
-// upstreams a second were encoded for 195 hosts.
+// encodings caches what is sent to all hosts in its encoded form. Each version of a
+// configuration, and each change of an upstream, goes to every host within a fraction
+// of a second: while models were moved, up to 14,000 upstreams a second were encoded
+// for 195 hosts.
 type encodings struct {
 	mu           sync.Mutex
-	configOf     *deploy.Config // that plain and packed are of
+	configOf     *deploy.Config // configuration that is encoded in configJSON and configPacked
 	configJSON   []byte
 	configPacked []byte
-	upstreamJSON map[string]encodedUpstream // by upstream
+	upstreamJSON map[string]encodedUpstream // by upstream ID
 	fullList     packedList
-	compactList  packedList // without copies
+	compactList  packedList // without local copies
 }
 
-// packedList is the list at one state, packed.
+// packedList is the complete list at one state, compressed.
 type packedList struct {
-	state        uint64 // state
-	storeVersion uint64 // the store's version that it is of
+	state        uint64 // state of the fleet's list
+	storeVersion uint64 // the store's version of the list
 	data         []byte
 	packedAt     time.Time
 }
 
-// packedListMaxAge is how long a packed list is handed out. All hosts that start together
-// ask for it within this time, while it changes many times; what is newer goes to
-// each with its next report. With 3,000 upstreams the list takes 1.2 MB of text for
-// each of 299 hosts.
+// packedListMaxAge is how long a packed list is sent. All hosts that start together ask
+// for it within this time, while it changes many times; newer changes reach each host
+// with the answer to its next report. With 3,000 upstreams the list takes 1.2 MB of
+// text for each of 299 hosts.
 const packedListMaxAge = 500 * time.Millisecond
 
-// packedList returns the list, packed, brief or not; it is read anew when that is too old.
-// at is the store's version that it is of then, at least.
+// packedList returns the complete list, packed, compact or not. It is built anew if the
+// cached one is too old, and is then of the store's version storeVersion or a newer
+// one.
 func (e *encodings) packedList(now time.Time, storeVersion uint64, compact bool, f *fleet.Fleet) (packedList, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -61,14 +62,15 @@
 	return next, nil
 }
 
-// packFullList packs the list as it is now; the store's version is for its caller to say.
+// packFullList packs the present list. The caller sets the store's version.
 func packFullList(f *fleet.Fleet, compact bool, now time.Time) (packedList, error) {
 	all := f.ChangesSince(0, compact)
 	packed, err := packList(listedUpstreams(all.Put, compact))
 	return packedList{state: all.Revision, data: packed, packedAt: now}, err
 }
 
-// listedUpstreams are upstreams as they are told; brief leaves out which copies they have.
+// listedUpstreams returns the upstreams as they are sent; compact leaves out their
+// local copies.
 func listedUpstreams(put []fleet.Listed, compact bool) []deploy.Upstream {
 	out := make([]deploy.Upstream, len(put))
 	for i := range put {
@@ -80,7 +82,7 @@
 	return out
 }
 
-// packList packs a list, or changes of it.
+// packList encodes and compresses a list, or changes of it.
 func packList(v any) ([]byte, error) {
 	plain, err := json.Marshal(v)
 	if err != nil {
@@ -95,9 +97,9 @@
 	data  []byte
 }
 
-// config returns a configuration as JSON, and that packed. A configuration of
-// 340 models is 44 kB and more: to tell 195 hosts of a new version took a link
-// of 200 Mbit/s for a third of a second, in which no turns were given.
+// config returns a configuration as JSON, and that JSON compressed. A configuration of
+// 340 models is 44 kB and more: sending a new version to 195 hosts took a link of 200
+// Mbit/s for a third of a second, in which no permits were granted.
 func (e *encodings) config(cfg *deploy.Config) (plain, packed []byte, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -135,8 +137,8 @@
 	return out, nil
 }
 
-// maxEncoded is how many encodings are kept: more than upstreams are listed at
-// a time. Beyond it those of upstreams that are gone are dropped with the rest.
+// maxEncoded is how many encodings are cached: more than upstreams are listed at a
+// time. When it is reached all are dropped, those of removed upstreams among them.
 const maxEncoded = 4096
 
 func (e *encodings) store(upstream string, u encodedUpstream) {
--- a/node/coordinator/find.go
+++ b/node/coordinator/find.go
@@ -11,7 +11,7 @@
 	"peridotpier.example/node/coordinator/coordpb"
 )
 
-// peers are the hosts to ask who holds the lease.
+// peers returns the addresses of the hosts to ask for the lease holder.
 func (l *Link) peers() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -21,18 +21,18 @@
 	return l.cfg.Seeds
 }
 
-// Candidate says whether this host is among those that should take the lease
-// first. The others would only cost the store calls.
+// Candidate reports whether this host is among those that should campaign for the lease
+// first. Campaigns of other hosts would only cost calls to the store.
 func (l *Link) Candidate() bool { return slices.Contains(l.peers(), l.cfg.Address) }
 
-// shouldYield says whether this host has too little to spare to act for all, and one
-// that reports to it has enough.
+// shouldYield reports whether this host has too little spare capacity to coordinate,
+// and a host that reports to it has enough.
 func (l *Link) shouldYield() bool {
 	return !l.HasSpareCapacity() && l.own.aggregate.anyOtherWithSpareCapacity(l.own.now())
 }
 
-// isFirstDeputy says whether this host is the first of the deputies that the last
-// holder named which answers.
+// isFirstDeputy reports whether this host is the first of the deputies named by the
+// last holder that answers.
 func (l *Link) isFirstDeputy(ctx context.Context) bool {
 	l.mu.Lock()
 	deputies := l.deputies
@@ -48,8 +48,8 @@
 	return false
 }
 
-// FindCoordinator asks another host who holds the lease, and links this one to it. It is
-// how a host finds the holder while the store turns it away.
+// FindCoordinator asks another host who holds the lease, and links this host to the
+// holder. This is how a host finds it while the store refuses the host's calls.
 func (l *Link) FindCoordinator(ctx context.Context) bool {
 	peers := l.peers()
 	if len(peers) == 0 {
@@ -69,15 +69,15 @@
 	return l.TryLink(ctx, a.Coordinator)
 }
 
-// followSuccessor links this host to the one that another goes by which has ceased to act for all.
+// followSuccessor links this host to the coordinator that a former one uses now.
 func (l *Link) followSuccessor(ctx context.Context, former string) {
 	if a, err := l.conns.state(ctx, former, &coordpb.StateCall{Brief: true}); err == nil {
 		l.TryLink(ctx, a.Coordinator)
 	}
 }
 
-// takeNamedSelf says whether the host that was asked last took this one for the holder
-// of the lease. It says so once for each time it was told.
+// takeNamedSelf reports whether the host that was asked last named this one as the
+// lease holder. It reports each answer once.
 func (l *Link) takeNamedSelf() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,8 +86,9 @@
 	return own
 }
 
-// FetchState asks the seeds for what a host needs that starts while the store is
-// away. It hands over what the first of them that has any answers.
+// FetchState asks the seeds for the configuration and the upstreams, which a host needs
+// that starts while the store is unavailable. It adopts the first answer that has a
+// configuration.
 func (l *Link) FetchState(ctx context.Context) {
 	for _, seed := range l.cfg.Seeds {
 		if seed == l.cfg.Address {
@@ -115,16 +116,18 @@
 	return true
 }
 
-// HolderName names a lease's holder so that others find its address.
+// HolderName returns the name of a process as a lease holder, from which others read
+// its host and address.
 func HolderName(host, address, process string) string { return host + " " + address + " " + process }
 
-// sameHost says whether two holders are processes of one host. Of these only the
-// newer one runs: they listen at one address.
+// sameHost reports whether two holders are processes of one host. Only the newer of
+// them is running: they listen at the same address.
 func sameHost(a, b string) bool {
 	return a != "" && b != "" && hostOf(a) == hostOf(b) && addressOf(a) == addressOf(b)
 }
 
-// FormerProcessOf says whether a holder is a former process of the host of another.
+// FormerProcessOf returns a function that reports whether a holder is a former process
+// of the host of own.
 func FormerProcessOf(own string) func(holder string) bool {
 	return func(holder string) bool { return holder != own && sameHost(own, holder) }
 }
--- a/node/coordinator/fleetsim_test.go
+++ b/node/coordinator/fleetsim_test.go
@@ -73,11 +73,11 @@
 	}
 }
 
-// storeGate is one host's way to the store, which may turn just that host away.
+// storeGate is one host's access to the store, which may refuse just that host.
 type storeGate struct {
 	store.Table
 	unavailable atomic.Bool
-	calls       atomic.Int64 // for changes and lists
+	calls       atomic.Int64 // calls for changes and lists
 	since       time.Time
 	list        []deploy.Upstream
 	slow        bool // the list has several parts, which take long
@@ -97,7 +97,7 @@
 	return d.Table.Get(ctx, keys...)
 }
 
-// changeInterval is how often the list changes: upstreams tell what they hold.
+// changeInterval is how often the list changes, as upstreams report their holdings.
 const changeInterval = 100 * time.Millisecond
 
 func (d *storeGate) poll(ctx context.Context, after uint64, wait time.Duration) (at uint64, err error) {
@@ -148,7 +148,7 @@
 	return follow.UpstreamUpdate{}, at, err
 }
 
-// fleetHost is a host as it runs, without callers.
+// fleetHost is a complete host without callers.
 type fleetHost struct {
 	coord *Coordinator
 	link  *Link
@@ -159,11 +159,11 @@
 // so that each makes one a second.
 const fleetReports = 60
 
-// fleetConfig is a fleet to start.
+// fleetConfig describes a fleet to start.
 type fleetConfig struct {
-	hosts, spareHosts int // the first few have enough to spare to act
+	hosts, spareHosts int // the first spareHosts hosts have enough spare capacity to coordinate
 	linkMbps          float64
-	list              []deploy.Upstream // which these read at once, and others in minutes
+	list              []deploy.Upstream // these hosts read it at once, and others in minutes
 }
 
 func (o *fleetConfig) start(ctx context.Context, wg *sync.WaitGroup) []*fleetHost {
@@ -197,8 +197,8 @@
 	return out
 }
 
-// Guards against a fleet whose every host asks the store since just the one that acts
-// for all was turned away.
+// Guards against a fleet in which every host queries the store because only the acting
+// coordinator was refused by it.
 func TestHostsLinkToTheNextHolderBeforeTheyQueryTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -217,7 +217,7 @@
 		}
 		assert.Assert(t, holder != nil)
 		holder.store.unavailable.Store(true)
-		named := map[*fleetHost]bool{holder: true} // that act, or were told to act next
+		named := map[*fleetHost]bool{holder: true} // hosts that are acting, or were named as deputies
 		for range 1000 {
 			time.Sleep(10 * time.Millisecond)
 			for _, h := range hosts {
@@ -231,8 +231,8 @@
 			}
 			assert.Assert(t, h == holder || h.link.Linked())
 		}
-		assert.Equal(t, asked, 0, "hosts that neither act nor would act next")
-		assert.Assert(t, countTrue(named) <= 3*maxDeputies, "%d hosts were told to act next", countTrue(named))
+		assert.Equal(t, asked, 0, "hosts that are neither acting nor deputies queried the store")
+		assert.Assert(t, countTrue(named) <= 3*maxDeputies, "%d hosts were named as deputies", countTrue(named))
 	})
 }
 
@@ -246,11 +246,11 @@
 }
 
 // Guards against a fleet that waits, after all its hosts were killed, for one host to
-// tell each of the others the whole list.
+// send the complete list to each of the others.
 func TestAListTooLargeForOneLinkIsForwarded(t *testing.T) {
 	const (
-		oneLink = 12 * time.Second // for all hosts, one after the other
-		aim     = 5 * time.Second  // until all can serve
+		oneLink = 12 * time.Second // to send it to all hosts, one after the other
+		aim     = 5 * time.Second  // until all hosts can serve
 	)
 	list := holderSize{1, 400, 20}.holder().deps.Fleet.ChangesSince(0, true).Put
 	packed, err := packList(listedUpstreams(list, true))
--- a/node/coordinator/fleetsize_test.go
+++ b/node/coordinator/fleetsize_test.go
@@ -24,13 +24,14 @@
 )
 
 const (
-	// hostBytes and holderBytes are what control may take a second of the link of a
-	// host that acts for none, and of the one that acts for all.
+	// hostBytes and holderBytes are how many bytes a second control traffic may take of
+	// the link of a host that is not acting, and of the acting coordinator's.
 	hostBytes   = 20_000
 	holderBytes = 10_000_000
 )
 
-// knownHolder is a holder to which all hosts have reported since it knew of all.
+// knownHolder returns a coordinator to which all hosts have reported since it knew
+// their number.
 func (s holderSize) knownHolder() *Coordinator {
 	c := s.holder()
 	now := c.now().Add(deputyInterval)
@@ -41,7 +42,7 @@
 	return c
 }
 
-// infrequentReporter is a host that is none of those that would act next.
+// infrequentReporter returns the report of a host that is not a deputy.
 func (c *Coordinator) infrequentReporter(t *testing.T, s holderSize) *coordpb.HostReport {
 	t.Helper()
 	for i := range s.hosts {
@@ -49,11 +50,12 @@
 			return r
 		}
 	}
-	t.Fatal("all hosts would act next")
+	t.Fatal("all hosts are deputies")
 	return nil
 }
 
-// steadyCost is what one host's report and its answer take, once it knows what there is.
+// steadyCost returns what one host's report and its answer take, once the host is up to
+// date.
 func (s holderSize) steadyCost(t *testing.T) (bytes int, period time.Duration, allocs float64) {
 	t.Helper()
 	c := s.knownHolder()
@@ -63,8 +65,8 @@
 	return proto.Size(r) + proto.Size(out), milliseconds(out.PeriodMs), testing.AllocsPerRun(20, func() { c.report(r) })
 }
 
-// Guards against answers that grow with the number of hosts or of upstreams that
-// their host has nothing to do with.
+// Guards against answers that grow with the number of hosts, or with upstreams that are
+// irrelevant to their host.
 func TestAnAnswerDoesNotGrowWithTheFleet(t *testing.T) {
 	one, period, allocs := fleetSize.steadyCost(t)
 	two, later, more := doubleFleetSize.steadyCost(t)
@@ -80,8 +82,8 @@
 	}
 }
 
-// Guards against a new holder, or many orders, that fill its link: what upstreams
-// hold is told at a rate that all hosts share.
+// Guards against a new holder, or many orders, that fill its link: holdings are sent at
+// a rate that all hosts share.
 func TestHoldingsAreSentWithinTheByteBudget(t *testing.T) {
 	for _, s := range []holderSize{fleetSize, doubleFleetSize} {
 		c := s.knownHolder()
@@ -93,7 +95,8 @@
 	}
 }
 
-// Guards against a caller that waits for a model while its host is told of others.
+// Guards against a caller that waits for a model while its host receives the holdings
+// of other upstreams.
 func TestUpstreamsWithAnAwaitedModelAreSentFirst(t *testing.T) {
 	c := fleetSize.knownHolder()
 	r := c.infrequentReporter(t, fleetSize)
@@ -109,7 +112,7 @@
 }
 
 // Guards against hosts that all report as often as in a small deployment, and against
-// those that would act next noticing as late as the others that nobody does.
+// deputies that notice a missing coordinator as late as the others.
 func TestTheReportPeriodGrowsWithTheNumberOfHosts(t *testing.T) {
 	for _, s := range []holderSize{{7, 12, 26}, {195, 156, 340}, fleetSize, doubleFleetSize} {
 		c := s.knownHolder()
@@ -134,8 +137,8 @@
 	}
 }
 
-// Guards against hosts that ask the store since their relay is older than they may go
-// by, where an upstream that leaves must be known sooner than a large fleet reports.
+// Guards against hosts that query the store because their relay is older than allowed,
+// where a draining upstream must be known sooner than a large fleet reports.
 func TestAHostReportsSeveralTimesWhileItsRelayIsFresh(t *testing.T) {
 	c := doubleFleetSize.knownHolder()
 	c.aggregate.maxPeriod = time.Second / minReportsPerRelayAge
@@ -144,8 +147,8 @@
 	assert.Equal(t, c.aggregate.period(c.now()), minReportPeriod)
 }
 
-// Guards against hosts that count as lost, and words that count as old, before the
-// next report of their host is due.
+// Guards against hosts that count as lost, and suspects that count as outdated, before
+// the next report of their host is due.
 func TestAReportCountsUntilTheNextIsOverdue(t *testing.T) {
 	c := doubleFleetSize.knownHolder()
 	now := c.now()
@@ -155,11 +158,12 @@
 	c.aggregate.hosts["h1001"].report.Silent = []string{"x"}
 	c.aggregate.suspectsAt = time.Time{}
 	assert.Assert(t, c.aggregate.suspects(now.Add(h.period))["x"])
-	assert.Assert(t, c.aggregate.reportingShare(now.Add(2*h.period)) > 0.99, "but for those that report more often")
+	assert.Assert(t, c.aggregate.reportingShare(now.Add(2*h.period)) > 0.99, "except for hosts that report more often")
 	assert.Assert(t, c.aggregate.reportingShare(now.Add(freshFor(h.period)+time.Second)) < 0.1)
 }
 
-// Guards against a change that a host hears of with its next report, seconds later.
+// Guards against a change that a host receives only with its next report, seconds
+// later.
 func TestAnAnnouncementReachesAnInfrequentReporterWithinHalfASecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := doubleFleetSize.holder()
@@ -184,8 +188,8 @@
 	})
 }
 
-// Guards against lists that all come too late: where all hosts ask together, as many
-// get one at a time as the holder's link carries.
+// Guards against complete lists that all arrive too late: where all hosts ask at the
+// same time, as many get one at a time as the coordinator's link carries.
 func TestCompleteListsAreSentWithinTheLinksCapacity(t *testing.T) {
 	c := holderSize{7, 2000, 698}.holder()
 	c.deps.Feed = follow.New(follow.Deps{Config: c.deps.Config, Upstreams: c.deps.Fleet})
@@ -199,7 +203,7 @@
 		for range 50 {
 			out := &coordpb.SiteState{}
 			assert.NilError(t, c.relay(&coordpb.HostReport{PackedList: true}, out))
-			assert.Equal(t, out.ListAt > 0, len(out.PackedList) > 0, "a host that gets none is told to ask again")
+			assert.Equal(t, out.ListAt > 0, len(out.PackedList) > 0, "a host that gets no list must ask again")
 			sent += len(out.PackedList)
 		}
 		k.now = k.now.Add(time.Second / second)
@@ -208,13 +212,13 @@
 	assert.Assert(t, float64(sent) > 0.3*bytesOfLink && float64(sent) < 0.7*bytesOfLink, "%d bytes in a second", sent)
 }
 
-// listFollower takes what it is told of a list, and nothing else.
+// listFollower applies what it receives of a list, and nothing else.
 type listFollower struct {
 	of    *fleet.Fleet
 	state uint64
 }
 
-// poll asks once, at any state, and says whether it got the whole list.
+// poll asks once, at any state, and reports whether it got the complete list.
 func (f *listFollower) poll(t assert.TestingT, c *Coordinator) (whole bool) {
 	r, out := &coordpb.HostReport{Host: "h", List: f.state, BriefList: true, PackedList: true}, &coordpb.SiteState{PeriodMs: 1000}
 	assert.NilError(t, c.relay(r, out))
@@ -230,8 +234,8 @@
 	return out.ListFull
 }
 
-// Property: whatever comes, leaves, starts again and goes, and however seldom a host
-// asks, it knows who there is and who leaves once it has asked.
+// Property: whichever upstreams appear, drain, restart and are removed, and however
+// seldom a host asks, it knows which exist and which are draining once it has asked.
 func TestACompactListShowsWhichUpstreamsAppearDrainAndAreRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := &clock{time.Unix(1_700_000_000, 0)}
@@ -240,7 +244,7 @@
 		version := uint64(1)
 		c.deps.Feed.ApplyRelay(follow.Relay{UpstreamsVersion: version})
 		hosts := []*listFollower{{of: newFleet(k)}, {of: newFleet(k)}}
-		born, left := map[string]int64{}, map[string]bool{} // a process that leaves does not come back
+		born, left := map[string]int64{}, map[string]bool{} // a draining process does not become ready again
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			k.now = k.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause_ms")) * time.Millisecond)
 			id := upstreamName(rapid.IntRange(0, 3).Draw(t, "upstream"))
@@ -273,7 +277,7 @@
 	return fleet.New(fleet.Config{}, fleet.Deps{Now: func() time.Time { return k.now }})
 }
 
-// usableIncarnations is who may get work, by process.
+// usableIncarnations returns the incarnations of the upstreams that may get work.
 func usableIncarnations(f *fleet.Fleet) map[string]int64 {
 	out := map[string]int64{}
 	for _, e := range f.All() {
@@ -284,8 +288,8 @@
 	return out
 }
 
-// Guards against a thousand hosts that are each sent the text of thousands of
-// upstreams that come at once, and against whole lists where changes would do.
+// Guards against a thousand hosts that are each sent thousands of new upstreams as
+// text, and against complete lists where changes would do.
 func TestSimultaneousNewUpstreamsArePackedOnceForAllHosts(t *testing.T) {
 	c := holderSize{7, 4000, 698}.holder()
 	c.deps.Feed = follow.New(follow.Deps{Config: c.deps.Config, Upstreams: c.deps.Fleet})
@@ -309,12 +313,12 @@
 	}
 	a, b := told(from), told(from)
 	assert.Assert(t, !a.ListFull && len(a.PackedChanges) == 8)
-	assert.Assert(t, &a.PackedChanges[0][0] == &b.PackedChanges[0][0], "they are packed once for all")
-	const within, listBytes = 5, listShare * 1e9 / 8 // seconds; bytes a second of a link of a gigabit
+	assert.Assert(t, &a.PackedChanges[0][0] == &b.PackedChanges[0][0], "the changes are packed once for all hosts")
+	const within, listBytes = 5, listShare * 1e9 / 8 // seconds; bytes per second of a link of one gigabit
 	assert.Assert(t, float64(proto.Size(a)*fleetSize.hosts) < within*listBytes, "%d bytes for each host", proto.Size(a))
 }
 
-// Guards against a host whose own work grows with upstreams that it has nothing to do with.
+// Guards against a host whose own work grows with upstreams that it does not use.
 func TestAHostsWorkDependsOnTheUpstreamsThatItUses(t *testing.T) {
 	work := func(upstreams int) float64 {
 		s := holderSize{7, upstreams, 698}
--- a/node/coordinator/handover.go
+++ b/node/coordinator/handover.go
@@ -13,29 +13,30 @@
 	"peridotpier.example/node/lease"
 )
 
-// lastOrder is the last order to one upstream.
+// lastOrder is the last order that was sent to one upstream.
 type lastOrder struct {
 	at  time.Time
-	own bool // this process sent it, so that it need not wait before its next
+	own bool // sent by this process, so that it need not wait before its next order
 }
 
-// handover is what the last holder of the lease said when it gave up. Two
-// holders that give orders to one upstream too soon after each other could each
-// undo the other's; upstreams that got none lately need no such wait, and loads
-// that are known need not be assumed.
+// handover is what the last lease holder reported when it gave up the lease. Two
+// holders that give orders to one upstream too soon after each other could each undo
+// the other's; upstreams that got none recently need no such wait, and loads that are
+// known need not be assumed.
 type handover struct {
 	epoch            uint64
-	lastOrderAt      time.Time // the last order, at the latest
-	complete         bool      // what follows is all there is
+	lastOrderAt      time.Time // latest time at which the last order may have been sent
+	complete         bool      // whether the fields below list everything recent
 	orderedAt        map[string]time.Time
-	loads            []time.Time // from the weight store, when each began
-	unconfirmedUntil []time.Time // until when each load whose order went unanswered may begin
+	loads            []time.Time // when each load from the weight store began
+	unconfirmedUntil []time.Time // until when each load whose order is unconfirmed may begin
 	demand           []*coordpb.HeldDemand
-	demandPeriod     time.Duration // for which the demand had been reported
-	receivedAt       time.Time     // when it was said
+	demandPeriod     time.Duration // how long the demand had been reported without a break
+	receivedAt       time.Time     // when the handover was received
 }
 
-// RecordHandover notes what a host said that held the lease in an epoch and gave it up.
+// RecordHandover records what a host reported that held the lease in an epoch and gave
+// it up.
 func (c *Coordinator) RecordHandover(epoch uint64, sinceOrder time.Duration, msg *coordpb.Handover) {
 	now := c.now()
 	h := handover{epoch: epoch, lastOrderAt: now.Add(-sinceOrder), complete: msg.GetWhole(), orderedAt: map[string]time.Time{},
@@ -59,9 +60,9 @@
 
 func milliseconds(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// beginTermLocked starts a term. Orders of the former holder may still be on their
-// way, so that each upstream gets none until the quiet time after its last one
-// is over; where that is not known, none of them does.
+// beginTermLocked starts a term. Orders of the former holder may still arrive, so that
+// each upstream gets none until the quiet period after its last order is over; if that
+// time is unknown, no upstream does.
 func (c *Coordinator) beginTermLocked(t lease.Term, now time.Time) {
 	again := c.lastEpoch > 0 && c.lastEpoch+1 == t.Epoch
 	c.upstreams, c.holdingChanges, c.scanned = map[string]*managedUpstream{}, changes.Log[*managedUpstream]{}, scanPosition{}
@@ -69,12 +70,12 @@
 		c.resetCounts(now)
 	}
 	switch {
-	case t.Epoch <= 1: // nobody was there before
+	case t.Epoch <= 1: // there is no former holder
 		c.quietUntil, c.ordersComplete = now, true
-	case again: // what this process knows of the former term still holds
+	case again: // what this process knows of its former term is still valid
 	case c.predecessor.epoch+1 == t.Epoch:
 		c.inheritLocked(&c.predecessor, now)
-	case c.succeedsItself(t): // the orders of one host are those of one holder
+	case c.succeedsItself(t): // orders of one host count as those of one holder
 		c.quietUntil = now
 		c.storeLoads.assumeFull(now)
 	default:
@@ -84,7 +85,7 @@
 	c.deps.Log.Emit(event.QuietPeriod, zap.Uint64("epoch", t.Epoch), zap.Duration("for", max(c.quietUntil.Sub(now), 0)), zap.Int("upstreams", len(c.lastOrders)))
 }
 
-// inheritLocked goes by the former holder's word.
+// inheritLocked takes over a former holder's handover.
 func (c *Coordinator) inheritLocked(h *handover, now time.Time) {
 	if h.lastOrderAt.After(c.lastOrderAt) {
 		c.lastOrderAt = h.lastOrderAt
@@ -103,14 +104,14 @@
 	c.storeLoads.inherit(h.loads, h.unconfirmedUntil)
 }
 
-// succeedsItself says whether this host held the lease in the epoch before a
-// term, in its former process.
+// succeedsItself reports whether a former process of this host held the lease in the
+// epoch before a term.
 func (c *Coordinator) succeedsItself(t lease.Term) bool {
 	before := c.deps.Lease.LastObserved()
 	return before.Epoch+1 == t.Epoch && sameHost(c.cfg.Holder, before.Holder)
 }
 
-// recordOrder notes that an order is sent to an upstream now.
+// recordOrder records that an order is being sent to an upstream now.
 func (c *Coordinator) recordOrder(upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +119,7 @@
 	c.lastOrders[upstream] = lastOrder{at: c.lastOrderAt, own: true}
 }
 
-// inQuietPeriod says whether the quiet time after a former holder's last order to
+// inQuietPeriod reports whether the quiet period after a former holder's last order to
 // an upstream is not over.
 func (c *Coordinator) inQuietPeriod(upstream string, now time.Time) bool {
 	c.mu.Lock()
@@ -127,7 +128,7 @@
 	return ok && !o.own && now.Before(o.at.Add(c.cfg.QuietPeriod))
 }
 
-// sentHandover is what was told last to hosts that may succeed this one.
+// sentHandover is the handover that was last sent to hosts that may succeed this one.
 type sentHandover struct {
 	message *coordpb.Handover
 	state   orderState
@@ -135,15 +136,16 @@
 	at      time.Time
 }
 
-// orderState is which orders a handover tells of: it lacks those given since, and in
-// later terms.
+// orderState identifies the orders that a handover lists: later orders, and those of
+// later terms, are missing from it.
 type orderState struct {
 	epoch uint64
 	last  time.Time
 }
 
-// currentHandover is makeHandover, made anew expiryEach at most: all hosts ask at once.
-// What it says happened counts as having happened that much later.
+// currentHandover returns the result of buildHandover, which is rebuilt at most once
+// per expiryInterval: all hosts ask at the same time. The receiver takes the ages in a
+// reused handover as counted from its arrival, so events appear up to that much later.
 func (c *Coordinator) currentHandover(acting bool, now time.Time) *coordpb.Handover {
 	c.mu.Lock()
 	h, state := c.sentHandover, orderState{c.lastEpoch, c.lastOrderAt}
@@ -158,15 +160,15 @@
 	return h.message
 }
 
-// buildHandover tells a successor what it needs to know. c.mu is not held.
+// buildHandover returns what a successor needs to know. The caller must not hold c.mu.
 //
-// A host that acts on without the lease is asked five times a second by every
-// other. It leaves the demand out, which is most of it: 4 of 5.5 kB at 131
-// models, so that 81 hosts would cost 1.6 MB/s while the store is away.
+// A host that is acting without the lease is asked by every other one five times a
+// second. It leaves out the demand, which is most of the message: 4 of 5.5 kB at 131
+// models, so that 81 hosts would cost 1.6 MB/s while the store is unavailable.
 func (c *Coordinator) buildHandover(acting bool, now time.Time) *coordpb.Handover {
 	loads, unconfirmed, known := c.storeLoads.counted(now)
 	for _, u := range c.allUpstreams() {
-		if u.hasUnconfirmedStoreLoad() { // it may turn out to be carried out late
+		if u.hasUnconfirmedStoreLoad() { // its order may still be carried out
 			unconfirmed = append(unconfirmed, now.Add(residency.MaxOrderDelay))
 		}
 	}
@@ -191,8 +193,8 @@
 	return out
 }
 
-// hasUnconfirmedStoreLoad says whether a load from the weight store was ordered here and
-// is not known to have been taken.
+// hasUnconfirmedStoreLoad reports whether a load from the weight store was ordered here
+// and its acceptance is not confirmed.
 func (u *managedUpstream) hasUnconfirmedStoreLoad() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/node/coordinator/handover_bench_test.go
+++ b/node/coordinator/handover_bench_test.go
@@ -10,8 +10,8 @@
 	"peridotpier.example/node/coordinator/coordpb"
 )
 
-// BenchmarkHandover is what a holder that gives up tells each host, at the sizes
-// of a small and of a grown deployment; B is its length.
+// BenchmarkHandover measures the handover that a former holder sends to each host, at
+// the sizes of a small and of a grown deployment; B is its length.
 func BenchmarkHandover(b *testing.B) {
 	for _, size := range []struct{ upstreams, models int }{{9, 18}, {60, 131}, {2500, 720}} {
 		b.Run(fmt.Sprintf("%d upstreams, %d models", size.upstreams, size.models), func(b *testing.B) {
--- a/node/coordinator/handover_test.go
+++ b/node/coordinator/handover_test.go
@@ -46,13 +46,13 @@
 	next.RecordHandover(out.Epoch, milliseconds(out.LastOrderMs), out.Handover)
 }
 
-// mustNotOrder says whether no order may go to an upstream yet.
+// mustNotOrder reports whether no order may be sent to an upstream yet.
 func (c *Coordinator) mustNotOrder(upstream string) bool {
 	return c.now().Before(c.quietUntil) || c.inQuietPeriod(upstream, c.now())
 }
 
-// Guards against a second holder's order beside one that the first gave after it had
-// told how it stood: what is kept for all that ask tells of no order since.
+// Guards against a second holder's order right after one that the first gave after its
+// last handover: the cached handover lacks the orders since.
 func TestAHandoverIncludesOrdersSinceTheLastOne(t *testing.T) {
 	k := &clock{time.Unix(1_700_000_000, 0)}
 	a, b, d := newHolder(k, "a"), newHolder(k, "b"), newHolder(k, "d")
@@ -72,13 +72,12 @@
 	assert.Assert(t, d.mustNotOrder("v"), "ordered in the same term")
 }
 
-// Symptom: models and adapters that callers wait for are loaded nowhere for
-// three to five seconds whenever the host that gives orders is restarted.
-// Sequence: it stops in good order; its successor waits, for all upstreams,
-// until the last order to any of them is old, and for a whole window before it
-// loads from the weight store.
-// Cause: the former holder tells no more than when its last order was.
-// Evidence: four holders in 20 s; loads began 5 s after each of them.
+// Guards against models and adapters with waiting callers that are not loaded for three
+// to five seconds whenever the lease holder restarts: it stops gracefully, and its
+// successor waits, for all upstreams, until the last order to any of them is old, and
+// for a complete window before it loads from the weight store, because the former
+// holder reported no more than the time of its last order. With four holders in 20 s,
+// loads began 5 s after each of them.
 func TestASuccessorWaitsWhereTheFormerHolderOrdered(t *testing.T) {
 	k := &clock{time.Unix(1_700_000_000, 0)}
 	a, b := newHolder(k, "a"), newHolder(k, "b")
@@ -101,10 +100,10 @@
 	assert.Equal(t, b.storeLoads.remaining(1, k.now), free+1)
 }
 
-// Symptom: two holders give orders to one upstream within the quiet time.
-// Sequence: one orders and stops; the next takes the lease, waits, and stops
-// before it has given an order; the third hears from it that it never gave one.
-// Cause: a holder tells of its own orders only.
+// Guards against two holders that give orders to one upstream within the quiet period:
+// one orders and stops; the next takes the lease, waits, and stops before it has given
+// an order; the third is told that the second never gave one, if a holder reports only
+// its own orders.
 func TestAHolderPassesOnTheOrdersThatItInherited(t *testing.T) {
 	k := &clock{time.Unix(1_700_000_000, 0)}
 	a, b, c := newHolder(k, "a"), newHolder(k, "b"), newHolder(k, "c")
@@ -117,22 +116,20 @@
 	c.takeLease(3)
 	assert.Assert(t, c.mustNotOrder("u") && !c.mustNotOrder("v"))
 
-	d := newHolder(k, "d") // hears of c's end only after it took the lease
+	d := newHolder(k, "d") // receives c's handover only after it took the lease
 	d.takeLease(4)
-	assert.Assert(t, d.mustNotOrder("u") && d.mustNotOrder("v"), "without a word all wait")
+	assert.Assert(t, d.mustNotOrder("u") && d.mustNotOrder("v"), "without a handover all upstreams wait")
 	k.now = k.now.Add(time.Second)
 	e := newHolder(k, "e")
 	d.handOverTo(e)
 	e.takeLease(5)
-	assert.Assert(t, e.mustNotOrder("v"), "d did not know all that was ordered")
+	assert.Assert(t, e.mustNotOrder("v"), "d did not know all recent orders")
 	assert.Assert(t, e.storeLoads.remaining(1, k.now) == 0)
 }
 
-// Symptom: the hot models' next replicas come 3 s late after a restart of the
-// host that gives orders.
-// Sequence: its successor moves models only for those who wait, until it has
-// heard the demand for 3 s.
-// Cause: what the former holder knew of the demand is lost.
+// Guards against replicas of hot models that are loaded 3 s late after a restart of the
+// lease holder: if the former holder's demand is lost, its successor moves models only
+// for waiting callers until it has received demand for 3 s.
 func TestASuccessorInheritsTheDemand(t *testing.T) {
 	k := &clock{time.Unix(1_700_000_000, 0)}
 	a, b := newHolder(k, "a"), newHolder(k, "b")
@@ -158,10 +155,9 @@
 	assert.Assert(t, !newHolder(k, "c").demand.allKnown(k.now))
 }
 
-// Symptom: more loads begin in one window than the weight store allows.
-// Sequence: a holder orders a load, and stops before it is answered; the load
-// begins seconds later, beside its successor's.
-// Cause: what is not settled is not handed over.
+// Guards against more loads in one window than the weight store allows: a holder orders
+// a load, and stops before the order is answered; the load begins seconds later, beside
+// its successor's, if unconfirmed loads are not handed over.
 func TestAnUnconfirmedLoadIsHandedOver(t *testing.T) {
 	k := &clock{time.Unix(1_700_000_000, 0)}
 	a, b := newHolder(k, "a"), newHolder(k, "b")
@@ -182,9 +178,9 @@
 	assert.Equal(t, b.storeLoads.remaining(1, k.now), free-1)
 }
 
-// Property: whoever holds the lease, whether its former holder was heard or
-// not, two hosts never give orders to one upstream within the quiet time, and
-// never begin more loads in a window than its bound.
+// Property: whoever holds the lease, whether its former holder's handover arrived or
+// not, two hosts never give orders to one upstream within the quiet period, and never
+// begin more loads in a window than its bound.
 func TestHoldersNeverOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := &clock{time.Unix(1_700_000_000, 0)}
@@ -229,10 +225,9 @@
 	})
 }
 
-// Symptom: a megabyte a second between data centres while the store is away.
-// Sequence: the lease runs out; the last holder goes on with sums and turns, and
-// answers every host five times a second.
-// Cause: each answer tells the demand for all models.
+// Guards against a megabyte a second between data centres while the store is
+// unavailable: the lease expires, and the last holder goes on acting and answers every
+// host five times a second, with the demand for all models in each answer.
 func TestAHostActingWithoutTheLeaseSendsNoDemand(t *testing.T) {
 	k := &clock{time.Unix(1_700_000_000, 0)}
 	a := newHolder(k, "a")
--- a/node/coordinator/holder_bench_test.go
+++ b/node/coordinator/holder_bench_test.go
@@ -14,10 +14,10 @@
 	"peridotpier.example/node/follow"
 )
 
-// holderSize is a deployment that one holder of the lease acts for.
+// holderSize is the size of a deployment with one coordinator.
 type holderSize struct{ hosts, upstreams, models int }
 
-// holderSizes are those of a small deployment, of ones with more hosts, of the
+// holderSizes are the sizes of a small deployment, of ones with more hosts, of the
 // design size, of the largest deployment that is served, and of twice that.
 var holderSizes = []holderSize{{7, 12, 26}, {81, 60, 131}, {195, 156, 340}, {420, 2500, 720}, {986, 4000, 698}, {2000, 8000, 698}}
 
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%d hosts, %d upstreams, %d models", s.hosts, s.upstreams, s.models)
 }
 
-// holder is a coordinator over upstreams that hold three models each.
+// holder returns a coordinator over upstreams that have three models each resident.
 func (s holderSize) holder() *Coordinator {
 	k := &clock{time.Unix(1_700_000_000, 0)}
 	c := newHolder(k, "a")
@@ -58,7 +58,7 @@
 func modelName(i int) string    { return fmt.Sprintf("model-%04d", i) }
 func upstreamName(i int) string { return fmt.Sprintf("i-%010d", i) }
 
-// report is what a host tells that has sent to eight upstreams.
+// report returns the report of a host that has sent requests to eight upstreams.
 func (s holderSize) report(host int) *coordpb.HostReport {
 	r := &coordpb.HostReport{Host: fmt.Sprint("h", host), Address: fmt.Sprintf("10.1.%d.%d:90", host/256, host%256), Ample: host%3 == 0, Config: 1, List: 1}
 	for j := range 8 {
@@ -68,7 +68,7 @@
 	return r
 }
 
-// BenchmarkHolderReport is one host's report and its answer.
+// BenchmarkHolderReport measures one host's report and its answer.
 func BenchmarkHolderReport(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// BenchmarkHolderPermit is one request's turn, from its question to its end.
+// BenchmarkHolderPermit measures the permit of one request, from its event to its end.
 func BenchmarkHolderPermit(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
@@ -101,7 +101,7 @@
 	}
 }
 
-// BenchmarkHolderPlan is one look at where models should be.
+// BenchmarkHolderPlan measures one plan of where models should be.
 func BenchmarkHolderPlan(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
@@ -117,8 +117,8 @@
 	}
 }
 
-// BenchmarkRefresh is what every host does several times a second to keep its
-// accounts of the upstreams, holder or not.
+// BenchmarkRefresh measures what every host does several times a second to update its
+// records of the upstreams, holder or not.
 func BenchmarkRefresh(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
@@ -131,8 +131,8 @@
 	}
 }
 
-// BenchmarkHolderBytes measures what one answer brings a host that knows all but
-// the others' loads, and what a new holder tells a host that it meets.
+// BenchmarkHolderBytes measures the answer to a host that is up to date except for the
+// others' loads, and what a new holder sends to a host that links to it.
 func BenchmarkHolderBytes(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
@@ -150,9 +150,8 @@
 	}
 }
 
-// BenchmarkHostReportCycle is what each host does by itself between two reports, which it
-// makes of three upstreams that it uses: two sweeps, the report, and the entry of its
-// answer.
+// BenchmarkHostReportCycle measures the work of each host between two reports, with
+// three upstreams in use: two sweeps, the report, and the application of its answer.
 func BenchmarkHostReportCycle(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
--- a/node/coordinator/link.go
+++ b/node/coordinator/link.go
@@ -15,69 +15,73 @@
 )
 
 const (
-	// minReportPeriod is how often a host reports at most, and does where there are few.
-	// The others' loads are then known within a fraction of the time that a prompt
-	// takes to be read. Of many hosts each is told to report less often; see
-	// sums.period.
+	// minReportPeriod is the shortest period between a host's reports, used where there
+	// are few hosts. The other hosts' loads are then known within a fraction of the
+	// time that an upstream takes to read a prompt. Many hosts are told to report less
+	// often; see aggregate.period.
 	minReportPeriod = 200 * time.Millisecond
 	// reportTimeout is how long a report may take to be answered.
 	reportTimeout = 500 * time.Millisecond
-	// maxFailedReports is how many reports in a row may fail.
+	// maxFailedReports is how many reports in a row must fail for the link to be given
+	// up.
 	maxFailedReports = 2
-	// modelLoadInterval is how often a host is told what the others have sent to
-	// upstreams that run models. It needs that only to judge their silence, and
-	// when it has to decide by itself; with 156 of them that is some 4 kB for each
-	// report of each host. A fraction of the time for which the word is trusted.
+	// modelLoadInterval is how often a host gets the others' loads at upstreams that
+	// run models. It needs them only to judge whether these are unresponsive, and when
+	// it has to decide by itself; with 156 such upstreams they are some 4 kB in the
+	// answer to each report of each host. The interval is a fraction of the time for
+	// which these loads are used.
 	modelLoadInterval = 500 * time.Millisecond
-	// assumedHosts is how many hosts are assumed before the first answer: so
-	// many that this host's share of the slack is nothing.
+	// assumedHosts is how many hosts are assumed before the first answer: so many that
+	// this host's share of the slack is practically zero.
 	assumedHosts = 1000
 )
 
-// LinkConfig names this host.
+// LinkConfig describes this host.
 type LinkConfig struct {
 	Host       string
 	DataCentre string
-	Address    string   // where its coordinator listens
-	Seeds      []string // of a few hosts, perhaps stale
-	// Ample says whether this host has enough to spare to act for so many; nil: it has not.
+	Address    string   // address that its coordinator listens on
+	Seeds      []string // addresses of a few hosts, possibly outdated
+	// HasSpareCapacity reports whether this host has enough spare capacity to
+	// coordinate that many hosts; nil: it has not.
 	HasSpareCapacity func(hosts int) bool
 }
 
-// Link is how a host reaches the one that holds the lease, be it itself.
+// Link connects a host to the acting coordinator, which may be its own.
 type Link struct {
 	cfg   LinkConfig
 	own   *Coordinator
 	conns *conns
 	log   *event.Log
-	// Quarantine is this host's part in finding requests that end upstreams; set before Run.
+	// Quarantine is this host's part in finding requests that crash upstreams. It may
+	// be set before Run.
 	Quarantine   Quarantine
 	permitClient *permitClient
 	teams        teamShares
 	pace         *reportPace
-	linkChanged  pace.Signal // given when this host goes by another than before, or loses its stream of turns
+	linkChanged  pace.Signal // given when this host gets another coordinator, or loses its stream of permits
 
 	mu                 sync.Mutex
 	demand             map[demandKey]*coordpb.Demand
-	modelLoadsAt       time.Time // when the others' loads at upstreams that run models were last told
-	coordinator        string    // of the host that holds the lease; "": not linked
-	failedReports      int       // reports in a row
-	linkedWithoutLease bool      // the host at address holds no lease
-	countID            uint64    // names what the host at address has counted since it began to act
-	countIsNew         bool      // that is another one than at the last report
-	namedSelf          bool      // the host asked last took this one for the holder
+	modelLoadsAt       time.Time // when the others' loads at upstreams that run models were last received
+	coordinator        string    // address of the acting coordinator, if it is another host; "": not linked
+	failedReports      int       // consecutive failed reports
+	linkedWithoutLease bool      // whether that coordinator is acting without the lease
+	countID            uint64    // identifies what that coordinator has counted since it began to act
+	countIsNew         bool      // whether countID changed with the last answer
+	namedSelf          bool      // whether the host that was asked last named this one as the lease holder
 	revision           uint64
-	list               uint64   // change of the holder's list up to which this host has it
-	coordinatorChanges uint64   // how many times another host became the one that acts for all
-	deputies           []string // as the holder last named them
-	maxHosts           int      // most that were ever seen to share the allowance
-	lastHostCount      int      // as last told by another
+	list               uint64   // state of the coordinator's list up to which this host has it
+	coordinatorChanges uint64   // how often another host became the coordinator
+	deputies           []string // addresses, as the holder last named them
+	maxHosts           int      // maximum number of hosts ever reported that share the retry budget
+	lastHostCount      int      // number of hosts that another coordinator last reported
 	signals            signals
 }
 
 type demandKey struct{ service, model, adapter string }
 
-// NewLink makes a Link that is not linked.
+// NewLink returns a Link that is not linked yet.
 func NewLink(cfg LinkConfig, own *Coordinator, dial Dial, log *event.Log) *Link {
 	l := &Link{cfg: cfg, own: own, conns: newConns(dial), log: log, Quarantine: noQuarantine{}, demand: map[demandKey]*coordpb.Demand{}}
 	l.permitClient, l.pace = newPermitClient(l), newReportPace()
@@ -88,7 +92,8 @@
 	return l
 }
 
-// RunPermits keeps a stream of questions to the host that decides for all.
+// RunPermits keeps a stream of permit requests to the acting coordinator until ctx
+// ends.
 func (l *Link) RunPermits(ctx context.Context) error { return l.permitClient.run(ctx) }
 
 // Run reports until ctx ends.
@@ -104,16 +109,18 @@
 	return ctx.Err()
 }
 
-// ReportSoon has this host report at once what should not wait for its next report.
+// ReportSoon makes this host send what should not wait for its next report at once.
 func (l *Link) ReportSoon() { l.pace.hasten(0) }
 
-// reportJitter spreads the hosts' reports, as a share.
+// reportJitter is the share by which periods vary, so that the hosts' reports are
+// spread.
 const reportJitter = 0.1
 
-// ReportPeriod is how often this host reports when nothing happens that is to be told at once.
+// ReportPeriod returns how often this host reports when nothing urgent happens.
 func (l *Link) ReportPeriod() time.Duration { return l.pace.currentPeriod() }
 
-// coordinatorAddress is the address to report to; this host's own while it acts for all.
+// coordinatorAddress returns the address to report to: this host's own while it is
+// acting.
 func (l *Link) coordinatorAddress() string {
 	if l.own.Acting() {
 		return l.cfg.Address
@@ -123,27 +130,30 @@
 	return l.coordinator // never this host's own
 }
 
-// linkedAddress is the other host that this one is linked to; "": none.
+// linkedAddress returns the address of the other host that this one is linked to; "":
+// none.
 func (l *Link) linkedAddress() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.coordinator
 }
 
-// CoordinatorAddress is the address of the host that acts for all; "": not known.
+// CoordinatorAddress returns the address of the acting coordinator; "": unknown.
 func (l *Link) CoordinatorAddress() string { return l.coordinatorAddress() }
 
-// Linked says whether this host is linked to one that acts for all.
+// Linked reports whether this host is linked to an acting coordinator, its own
+// included.
 func (l *Link) Linked() bool { return l.coordinatorAddress() != "" }
 
-// formerHostCount is how many hosts the one had that last told this one; 0: none did.
+// formerHostCount returns how many hosts the other coordinator had that last answered
+// this host; 0: none answered.
 func (l *Link) formerHostCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lastHostCount
 }
 
-// Hosts is how many hosts share the allowance of repeats.
+// Hosts returns how many hosts share the retry budget.
 func (l *Link) Hosts() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -153,7 +163,7 @@
 	return l.maxHosts
 }
 
-// reportTo reports once and takes the answer.
+// reportTo sends one report and applies the answer.
 func (l *Link) reportTo(ctx context.Context, address string) {
 	r, quarantineReport := l.buildReport(), l.Quarantine.NextReport(address)
 	if l.mayBeNewProcess() {
@@ -194,19 +204,19 @@
 	}
 }
 
-// addSignals adds what upstreams asked for to a report, and returns what to
-// enter with its answer.
+// addSignals adds to a report what upstreams asked for. It returns the revision that
+// applySignals needs with the answer.
 func (l *Link) addSignals(r *coordpb.HostReport, address string) (revision uint64) {
 	if address == l.cfg.Address {
-		return 0 // it is what this host goes by itself
+		return 0 // they are this host's own
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.signals.addTo(r, l.own.deps.Fleet, l.own.now())
 }
 
-// forgetSignals has the next report tell all, if no host is linked that was told:
-// one that is met anew may know nothing.
+// forgetSignals makes the next report contain all signals, unless this host is linked
+// to a coordinator that received them: a new one may know nothing.
 func (l *Link) forgetSignals() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -215,8 +225,8 @@
 	}
 }
 
-// applySignals enters what the one that acts for all tells of upstreams, and of this
-// host's part in what they take.
+// applySignals applies the coordinator's signals of upstreams, and this host's share of
+// what the upstreams accept.
 func (l *Link) applySignals(s *coordpb.SiteState, sentRevision uint64) {
 	if s.SignalsId != l.own.id {
 		l.mu.Lock()
@@ -228,16 +238,17 @@
 	l.own.deps.Fleet.SetShare(backpressure.Share{Index: int(s.Place), Count: int(max(s.Hosts, 1))})
 }
 
-// mayBeNewProcess says whether another process may act at the address than the one that
-// answered last: one that is back at once answers there before it is missed.
+// mayBeNewProcess reports whether the process acting at the address may be another than
+// the one that answered last: a process that restarts quickly answers there before the
+// former one is missed.
 func (l *Link) mayBeNewProcess() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.failedReports > 0 || l.countIsNew
 }
 
-// introduction is a report that says no more than who this host is and which
-// versions it has, so that a holder that it meets anew does not send it all.
+// introduction returns a report that contains only who this host is and which versions
+// it has, so that a new coordinator does not send it everything.
 func (l *Link) introduction() *coordpb.HostReport {
 	r := &coordpb.HostReport{Host: l.cfg.Host, Address: l.cfg.Address, Ample: l.HasSpareCapacity(), ListAt: l.own.deps.Feed.UpstreamsVersion(), Packed: true, PackedList: true, BriefList: true}
 	if t := l.own.deps.Config.Current(); t != nil {
@@ -246,8 +257,8 @@
 	return r
 }
 
-// HasSpareCapacity says whether this host has enough to spare to act for all, as many as it
-// knows of.
+// HasSpareCapacity reports whether this host has enough spare capacity to coordinate
+// all hosts that it knows of.
 func (l *Link) HasSpareCapacity() bool {
 	l.mu.Lock()
 	hosts := l.maxHosts
@@ -255,7 +266,7 @@
 	return l.cfg.HasSpareCapacity != nil && l.cfg.HasSpareCapacity(hosts)
 }
 
-// buildReport gathers what this host tells.
+// buildReport collects what this host has to report.
 func (l *Link) buildReport() *coordpb.HostReport {
 	r := l.introduction()
 	for _, sent := range l.own.deps.Fleet.OwnLoads() {
@@ -299,7 +310,7 @@
 	}
 }
 
-// TryLink links this host to the one at address if that one acts for all.
+// TryLink links this host to the one at address if that one is the acting coordinator.
 func (l *Link) TryLink(ctx context.Context, address string) bool {
 	if address == "" || address == l.cfg.Address || address == l.linkedAddress() {
 		return false
@@ -320,12 +331,12 @@
 	l.modelLoadsAt = time.Time{}
 	l.mu.Unlock()
 	l.linkChanged.Notify()
-	l.applyRelay(s) // first: what upstreams hold goes by the list of them
+	l.applyRelay(s) // comes first, since holdings are entered at the upstreams of the list
 	l.Quarantine.Acknowledge(quarantineReport, decodeUpdate(s, l.own.now()))
 	l.applySignals(s, signalsRevision)
 	l.applyAnswer(s)
 	if wasActing && !l.own.Acting() {
-		l.own.announce() // those that go by this host find out whom it goes by
+		l.own.announce() // hosts that are linked to this one find out which coordinator it uses now
 	}
 	l.log.Emit(event.CoordinatorMet, zap.String(event.FieldPeer, address), zap.Uint32("hosts", s.Hosts))
 	return true
--- a/node/coordinator/linkanswers.go
+++ b/node/coordinator/linkanswers.go
@@ -13,30 +13,32 @@
 	"peridotpier.example/node/follow"
 )
 
-// This file is what a host takes from an answer to its report.
+// This file contains what a host applies from the answer to its report.
 
-// storeReachableFor is how old the store's last answer may be for it to count as
-// reached: a call for changes that waits at a host without a relay lasts 2 s.
+// storeReachableFor is the maximum age of the store's last answer at which the store
+// counts as reachable: a long poll for changes, at a host that gets no relay, lasts 2
+// s.
 const storeReachableFor = 2500 * time.Millisecond
 
-// StoreReachable says whether the store answered this host itself lately.
+// StoreReachable reports whether the store itself answered this host recently.
 func (l *Link) StoreReachable() bool { return l.own.deps.Feed.StoreAge() < storeReachableFor }
 
-// accepts says whether this host goes by what another told. One that acts without
-// the lease is gone by only while the store does not answer this host, or has not
-// since it answered that one: else somebody can take the lease.
+// accepts reports whether this host uses the answer of another. It uses one that is
+// acting without the lease only while the store does not answer this host, or has not
+// since it answered that one: otherwise somebody can take the lease.
 func (l *Link) accepts(s *coordpb.SiteState) bool {
 	return s.Holding || s.Acting && (!l.StoreReachable() || l.own.deps.Feed.StoreAge() >= milliseconds(s.StoreAgeMs))
 }
 
-// LinkedWithoutLease says whether this host is linked to another that acts for all without the lease.
+// LinkedWithoutLease reports whether this host is linked to another that is acting
+// without the lease.
 func (l *Link) LinkedWithoutLease() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.coordinator != "" && l.linkedWithoutLease
 }
 
-// applyRelay enters what the holder has from the store.
+// applyRelay applies the store's state that the coordinator relays.
 func (l *Link) applyRelay(s *coordpb.SiteState) {
 	r := follow.Relay{StoreAge: milliseconds(s.StoreAgeMs), UpstreamsVersion: s.ListAt, Complete: s.ListFull, Compact: s.ListBrief}
 	var err error
@@ -49,14 +51,14 @@
 	}
 	l.own.deps.Feed.ApplyRelay(r)
 	if s.ListAt == 0 {
-		return // it has not read the list itself: what it told was passed over, and is to be told again whole
+		return // the coordinator has not read the list itself: its list was skipped and must be sent again in full
 	}
 	l.mu.Lock()
 	l.list = s.List
 	l.mu.Unlock()
 }
 
-// applyAnswer enters what the others have sent and what the upstreams hold.
+// applyAnswer applies the other hosts' loads and the holdings of the upstreams.
 func (l *Link) applyAnswer(s *coordpb.SiteState) {
 	now := l.own.now()
 	if record, err := leasing.Decode(s.Grant); err == nil && len(s.Grant) > 0 && !l.own.HoldsLease() {
@@ -85,7 +87,7 @@
 	l.own.deps.Fleet.NotifyChanged()
 }
 
-// applyOthers enters what the other hosts have sent, which counts until then.
+// applyOthers applies the other hosts' loads, which count until the given time.
 func (l *Link) applyOthers(s *coordpb.SiteState, until time.Time) {
 	t := l.own.deps.Config.Current()
 	if t == nil {
@@ -111,7 +113,7 @@
 	}
 }
 
-// holdings reads what an answer tells of what upstreams hold.
+// holdings decodes the holdings of upstreams in an answer.
 func holdings(s *coordpb.SiteState, now time.Time) []fleet.Residency {
 	out := make([]fleet.Residency, len(s.Holdings))
 	for i, h := range s.Holdings {
--- a/node/coordinator/linkmodels.go
+++ b/node/coordinator/linkmodels.go
@@ -9,7 +9,7 @@
 	"peridotpier.example/node/gate"
 )
 
-// errNotLinked: no host that holds the lease is known.
+// errNotLinked means that no acting coordinator is known.
 var errNotLinked = errors.New("not linked to a host that gives orders")
 
 // LoadAdapter implements gate.Models.
@@ -58,7 +58,7 @@
 	}
 	if unserved {
 		d.Unserved++
-		l.ReportSoon() // what holds or loads the model is told with the answer
+		l.ReportSoon() // the answer tells where the model is resident or being loaded
 		return
 	}
 	d.Requests++
--- a/node/coordinator/linkquarantine.go
+++ b/node/coordinator/linkquarantine.go
@@ -7,15 +7,15 @@
 	local "peridotpier.example/node/quarantine"
 )
 
-// Quarantine is a host's part in finding requests that end upstreams.
+// Quarantine is a host's part in finding requests that crash upstreams.
 type Quarantine interface {
-	// NextReport returns what the host at an address, which acts for all, has not
-	// heard of; Acknowledge takes its answer.
+	// NextReport returns what the acting coordinator at an address has not received
+	// yet; Acknowledge applies its answer.
 	NextReport(holder string) local.Report
 	Acknowledge(sent local.Report, u local.Update)
 }
 
-// reportQuarantine adds to a report what the holder has not heard of.
+// reportQuarantine adds to a report what the coordinator has not received yet.
 func reportQuarantine(r *coordpb.HostReport, next local.Report, now time.Time) {
 	r.QuarantineRevision, r.QuarantineId = next.Revision, next.ID
 	for i := range next.Barred {
@@ -41,7 +41,7 @@
 	return out
 }
 
-// decodeUpdate reads what an answer brings.
+// decodeUpdate decodes the quarantine entries of an answer.
 func decodeUpdate(s *coordpb.SiteState, now time.Time) local.Update {
 	a := local.Update{ID: s.QuarantineId, Revision: s.QuarantineRevision}
 	for _, x := range s.Quarantine {
@@ -52,7 +52,7 @@
 	return a
 }
 
-// noQuarantine is the part of a host that watches nothing.
+// noQuarantine is a Quarantine that watches nothing.
 type noQuarantine struct{}
 
 func (noQuarantine) NextReport(string) local.Report         { return local.Report{} }
--- a/node/coordinator/linkteams.go
+++ b/node/coordinator/linkteams.go
@@ -12,17 +12,17 @@
 	"peridotpier.example/node/gate"
 )
 
-// uncoordinatedRetry is when a caller should come back that was refused while nobody
-// counts for all: by then another host mostly does.
+// uncoordinatedRetry is when a caller should come back that was refused while no
+// coordinator counts the use of limits: by then another host usually does.
 const uncoordinatedRetry = time.Second
 
-// teamShares are this host's parts in the accounts of the teams.
+// teamShares contains this host's shares of the teams' limits.
 type teamShares struct {
 	mu     sync.Mutex
 	byName map[string]*quota.Share
 }
 
-// shareLocked finds a team's share under the limit of a configuration.
+// shareLocked returns a team's share, under the limit of the team's configuration.
 func (t *teamShares) shareLocked(team *deploy.Team, now time.Time) *quota.Share {
 	s := t.byName[team.Name]
 	if s == nil {
@@ -43,7 +43,7 @@
 	f(t.shareLocked(team, now))
 }
 
-// state is how a team's account stood when this host was told last.
+// state returns the state of a team's account as this host last received it.
 func (t *teamShares) state(team string, now time.Time) (quota.KnownState, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,7 +53,7 @@
 	return quota.KnownState{}, false
 }
 
-// addUse adds to a report what nobody who counts has heard of.
+// addUse adds to a report the use of limits that no coordinator has received yet.
 func (t *teamShares) addUse(r *coordpb.HostReport, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,8 +64,8 @@
 	}
 }
 
-// addStates adds to a report how the accounts stood whose limits may bind. A holder that
-// has just started knows nothing of them.
+// addStates adds to a report the states of the accounts whose limits may bind. A
+// coordinator that has just started has none of them.
 func (t *teamShares) addStates(r *coordpb.HostReport, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -79,11 +79,11 @@
 	}
 }
 
-// maxStateAge is how old a word may be that is handed on. In this time an account gains
-// more than most bursts hold.
+// maxStateAge is how old the state of an account may be that is sent to a coordinator.
+// In this time an account gains more than most bursts hold.
 const maxStateAge = 5 * time.Second
 
-// confirmReported notes that the last report was answered.
+// confirmReported records that the last report was answered.
 func (t *teamShares) confirmReported() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,7 +92,7 @@
 	}
 }
 
-// apply enters the answer to a report, which counts until then.
+// apply applies the answer to a report, which counts until the given time.
 func (t *teamShares) apply(s *coordpb.SiteState, now, until time.Time) {
 	if !s.CountsTeams {
 		return
@@ -109,8 +109,8 @@
 	}
 }
 
-// followTeams makes shares for the teams of a configuration, so that each is told of
-// before its first request, and drops those of teams that are gone.
+// followTeams creates shares for the teams of a configuration that have a limit, so
+// that each has a state before its first request, and drops those of removed teams.
 func (t *teamShares) followTeams(teams []deploy.Team, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -154,7 +154,7 @@
 
 var _ gate.TeamLimits = (*Link)(nil)
 
-// charge asks the host that counts for all whether a request may be sent.
+// charge asks the acting coordinator whether a team's limit allows a request.
 func (a *permitClient) charge(ctx context.Context, team string, cost float64) (wait time.Duration, ok bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, firstAnswerTimeout)
 	defer cancel()
--- a/node/coordinator/listbudget.go
+++ b/node/coordinator/listbudget.go
@@ -5,22 +5,25 @@
 	"time"
 )
 
-// listSendBudget bounds what whole lists take of this host's link. Where thousands of
-// upstreams are listed and a thousand hosts ask together, all of them would else come
-// too slowly for any host to take one before its report counts as lost.
+// listSendBudget bounds the use of this host's link for complete lists. Where thousands
+// of upstreams are listed and a thousand hosts ask at the same time, all answers would
+// otherwise arrive too slowly for any host to receive one before its report counts as
+// failed.
 type listSendBudget struct {
 	mu        sync.Mutex
-	busyUntil time.Time // when those that were given leave are sent
+	busyUntil time.Time // when the lists that were allowed will have been sent
 }
 
 const (
-	// listShare is the part of the link for whole lists.
+	// listShare is the share of the link that complete lists may use.
 	listShare = 0.4
-	// listBurst is how far ahead leave is given: a part of what a report may take.
+	// listBurst is how far ahead of the link lists are allowed: a fraction of the time
+	// that a report may take.
 	listBurst = reportTimeout / 4
 )
 
-// reserve gives leave to send some bytes over a link, in megabits a second; 0: not bounded.
+// reserve reports whether a list of that many bytes may be sent now, over a link of
+// mbps megabits a second; 0: unbounded. If so, its time on the link is reserved.
 func (l *listSendBudget) reserve(bytes int, mbps float64, now time.Time) bool {
 	if mbps == 0 {
 		return true
--- a/node/coordinator/listcall.go
+++ b/node/coordinator/listcall.go
@@ -13,15 +13,15 @@
 	"peridotpier.example/node/metrics"
 )
 
-// Where all hosts start at once, the one that acts for all cannot tell the list to each
-// of them within seconds: its size grows with the upstreams, and the number of times
-// that it is told with the hosts. Those that would act next hand it on.
+// When all hosts start at the same time, the acting coordinator cannot send the list to
+// each of them within seconds: its size grows with the upstreams, and the number of
+// times that it is sent with the hosts. The deputies forward it.
 
 // List implements coordpb.DRPCCoordinatorServer.
 func (s service) List(context.Context, *coordpb.ListCall) (*coordpb.ListAnswer, error) {
 	c := s.c
 	c.deps.Metrics.CountKind(metrics.PeerCalls, callList, 1)
-	at := c.deps.Feed.UpstreamsVersion() // before the list: it may be newer than what is said of it
+	at := c.deps.Feed.UpstreamsVersion() // read before the list, which may thus be newer than this version
 	if at == 0 {
 		return &coordpb.ListAnswer{}, nil
 	}
@@ -33,11 +33,11 @@
 	return &coordpb.ListAnswer{Packed: w.data, At: w.storeVersion}, nil
 }
 
-// listRetry is how long a host without a list waits before it asks again: those that
-// would act next have it by then.
+// listRetry is how long a host without a list waits before it asks again: by then the
+// deputies have it.
 const listRetry = 2 * minReportPeriod
 
-// fetchList asks the hosts that would act next for the list, until one hands it over.
+// fetchList asks the deputies for the list, until one of them sends it.
 func (l *Link) fetchList(ctx context.Context) {
 	l.pace.setPeriod(listRetry)
 	peers := l.peers()
@@ -51,8 +51,8 @@
 	}
 }
 
-// applyList enters a list that another handed on. Its age is not known: what changed
-// since comes with the answer to the next report.
+// applyList applies a list that another host forwarded. Its age is unknown; later
+// changes come with the answer to the next report.
 func (l *Link) applyList(a *coordpb.ListAnswer) bool {
 	put, err := unpackList(a.Packed)
 	if err != nil {
--- a/node/coordinator/loadingmodels_test.go
+++ b/node/coordinator/loadingmodels_test.go
@@ -10,11 +10,10 @@
 	"peridotpier.example/node/coordinator/coordpb"
 )
 
-// Symptom: callers are refused, or wait in vain, for a model whose load ends in
-// a known time.
-// Sequence: the holder moves a model; what makes way for it ends its streams
-// first, then its load begins.
-// Cause: hosts are told of a model when it is there, not before.
+// Guards against callers that are refused, or wait until they can no longer be served,
+// for a model whose load ends at a known time: the coordinator moves a model, the one
+// that is evicted for it ends its streams first, and hosts are notified only when the
+// new one is ready.
 func TestHostsReceiveTheReadyTimeOfALoadingModel(t *testing.T) {
 	holder, host := holderSize{7, 12, 340}.holder(), holderSize{7, 12, 340}.holder()
 	l := NewLink(LinkConfig{Host: "h"}, host, nil, host.deps.Log)
@@ -42,5 +41,5 @@
 	holder.publishChange(u)
 	tell()
 	_, coming = host.deps.Fleet.ExpectedReady("s", modelName(200))
-	assert.Assert(t, !coming, "it came to nothing")
+	assert.Assert(t, !coming, "the move failed")
 }
--- a/node/coordinator/managedupstream.go
+++ b/node/coordinator/managedupstream.go
@@ -19,57 +19,58 @@
 )
 
 const (
-	// orderTimeout is how long an order may take to be answered. A lease must
-	// last longer than that when the order is sent.
+	// orderTimeout is how long an order may take to be answered. The lease must last
+	// longer than that when the order is sent.
 	orderTimeout = 600 * time.Millisecond
-	// reportLag is how old an upstream's report may be: it is not asked sooner
-	// than this after an order whose fate it should show.
+	// reportLag is how old an upstream's report may be: the upstream is not asked
+	// sooner than this after an order whose outcome the report should show.
 	reportLag = 300 * time.Millisecond
-	// describedLag is how long what an order changed is believed against the
-	// upstream's description in the store, which comes with its heartbeats.
+	// describedLag is how long the outcome of an order takes precedence over the
+	// upstream's description in the store, which is updated with its heartbeats.
 	describedLag = 2500 * time.Millisecond
 	// defaultAdapterLoadTime is how long an adapter's load takes on the largest models.
 	defaultAdapterLoadTime = 32 * time.Millisecond
 )
 
-// managedUpstream is one upstream as orders see it. ordering is held over the sending of an
-// order and is taken before mu.
+// managedUpstream is one upstream as the coordinator manages it. The token in
+// orderToken is held while an order is sent, and is taken before mu.
 type managedUpstream struct {
 	c      *Coordinator
 	entry  *fleet.Entry
 	engine *deploy.Engine
 
-	orderToken chan struct{} // holds a token while an order is given
-	revision   atomic.Uint64 // of the coordinator, at this unit's last change
+	orderToken chan struct{} // holds a token while an order is being given
+	revision   atomic.Uint64 // revision of the coordinator at this upstream's last change
 
 	mu            sync.Mutex
 	record        *residency.Record
-	changedAt     time.Time        // of the last order or report
-	describedAt   time.Time        // arrival of the description that was entered last
-	activeMove    *activeMove      // the change of models that is under way; nil: none
-	excludedUntil time.Time        // until when no move begins, after one that came to nothing
-	polledAt      time.Time        // when the end of a former holder's order was last asked for
-	published     publishedHolding // as of the last change
+	changedAt     time.Time        // time of the last order or report
+	describedAt   time.Time        // arrival of the newest description that was entered
+	activeMove    *activeMove      // the move that is under way; nil: none
+	excludedUntil time.Time        // no move begins before this time, after one that failed
+	polledAt      time.Time        // when the end of a former holder's order was last polled for
+	published     publishedHolding // state as of the last change
 }
 
-// newManagedUpstream opens the book of an upstream.
+// newManagedUpstream begins the residency record of an upstream.
 func newManagedUpstream(c *Coordinator, e *fleet.Entry, engine *deploy.Engine, now time.Time) *managedUpstream {
 	described, _ := e.Description()
 	return &managedUpstream{c: c, entry: e, engine: engine, orderToken: make(chan struct{}, 1), record: residency.New(engine, &described, now)}
 }
 
-// publishedHolding is what hosts are told of an upstream.
+// publishedHolding is what is published to the hosts of an upstream.
 type publishedHolding struct {
 	residents    []deploy.Resident
 	loading      string    // model that is being loaded, or will be; "": none
-	loadingSince time.Time // since when
+	loadingSince time.Time // since when it is being loaded
 }
 
 func (t publishedHolding) equal(o publishedHolding) bool {
 	return t.loading == o.loading && t.loadingSince.Equal(o.loadingSince) && slices.EqualFunc(t.residents, o.residents, deploy.Resident.Equal)
 }
 
-// updatePublished says whether hosts were told something else last.
+// updatePublished updates what is published to the hosts and reports whether it
+// changed.
 func (u *managedUpstream) updatePublished() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -84,8 +85,8 @@
 	return true
 }
 
-// lockOrders waits until no other order is being given, and says no when ctx
-// ends before: callers wait here, each for its own time.
+// lockOrders waits until no other order is being given. It returns false if ctx ends
+// before: callers wait here, each for its own time.
 func (u *managedUpstream) lockOrders(ctx context.Context) bool {
 	select {
 	case u.orderToken <- struct{}{}:
@@ -97,8 +98,8 @@
 
 func (u *managedUpstream) unlockOrders() { <-u.orderToken }
 
-// describe enters the upstream's newest description, unless it may be older
-// than what is known.
+// describe enters the upstream's newest description, unless it may be older than what
+// is known from orders and reports.
 func (u *managedUpstream) describe(now time.Time) (changed bool) {
 	d, at := u.entry.Description()
 	u.mu.Lock()
@@ -111,13 +112,14 @@
 	return true
 }
 
-// sendOrder gives one order, whose answer may take as long as bound, and enters its outcome.
+// sendOrder sends one order, whose answer may take as long as bound, and records its
+// outcome.
 func (u *managedUpstream) sendOrder(ctx context.Context, o residency.Order, why string, bound time.Duration) error {
 	c := u.c
 	if err := c.mayOrderTo(u, bound); err != nil {
 		return err
 	}
-	if !u.isUsable() { // it leaves, or has started again and has another account
+	if !u.isUsable() { // it is draining, or has restarted and has another record
 		return errNoUpstream
 	}
 	described, _ := u.entry.Description()
@@ -139,10 +141,10 @@
 		zap.String("adapter", o.Adapter), zap.Uint64("expected", o.Expected)}, more...)
 }
 
-// errRefused: the upstream did not take the order.
+// errRefused means that the upstream did not accept the order.
 var errRefused = errors.New("order refused")
 
-// recordOutcome writes the outcome of an order into the book.
+// recordOutcome enters the outcome of an order in the residency record.
 func (u *managedUpstream) recordOutcome(o residency.Order, v Verdict, err error) error {
 	now := u.c.now()
 	u.mu.Lock()
@@ -195,24 +197,25 @@
 	return nil
 }
 
-// isUsable says whether the upstream may get orders and work.
+// isUsable reports whether the upstream may get orders and work.
 func (u *managedUpstream) isUsable() bool { return u.entry.Usable() }
 
-// unconfirmedOrders are the orders sent to the upstream that may still be carried out.
+// unconfirmedOrders returns the orders sent to the upstream that may still be carried
+// out.
 func (u *managedUpstream) unconfirmedOrders(now time.Time) []residency.UnconfirmedOrder {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.record.Unconfirmed(now)
 }
 
-// serves says whether requests may be sent there for a model and adapter.
+// serves reports whether requests for a model and adapter may be sent to the upstream.
 func (u *managedUpstream) serves(model, adapter string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.record.IsReady(model, adapter)
 }
 
-// recordUse notes what callers asked of a host.
+// recordUse records what callers requested at a host.
 func (u *managedUpstream) recordUse(d *coordpb.Demand, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/node/coordinator/move.go
+++ b/node/coordinator/move.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// unloadTimeout is how long an unload may take: as long as the longest
-	// streams that it waits for.
+	// unloadTimeout is how long an unload may take: as long as the longest streams that
+	// it waits for.
 	unloadTimeout = 12 * time.Second
-	// loadTimeFactor is how much longer than by itself a load may take, when many
-	// run at once, as a factor.
+	// loadTimeFactor is how much longer a load may take when many run at the same time,
+	// as a multiple of its time alone.
 	loadTimeFactor = 4
 	// reportPollInterval is how often the upstream is asked whether an order is done.
-	// Each question is priced.
+	// Each report has a price.
 	reportPollInterval = 300 * time.Millisecond
 )
 
-// startMove carries a move out beside the plan.
+// startMove carries out a move in a goroutine of its own.
 func (c *Coordinator) startMove(ctx context.Context, m replica.Move, d replica.Demand) {
 	u, ok := c.upstream(m.Upstream)
 	if !ok {
@@ -59,15 +59,15 @@
 // activeMove is a move that is being carried out.
 type activeMove struct {
 	replica.Move
-	demand       replica.Demand // that it is for
-	countedAt    time.Time      // under which its load from the weight store is counted
-	ordered      bool           // the load was ordered
-	loadingSince time.Time      // when its order was taken; zero: not yet; under the unit's mu
-	accepted     atomic.Bool    // the order was answered: it has been taken
+	demand       replica.Demand // the demand that caused the move
+	countedAt    time.Time      // time under which its load from the weight store is counted
+	ordered      bool           // whether an order for the load was made
+	loadingSince time.Time      // when its order was accepted; zero: not yet; guarded by the upstream's mu
+	accepted     atomic.Bool    // whether the order was answered as accepted
 }
 
-// storeLoadAccepted notes that a load was taken. It begins now: an order may have
-// been given several times before it was answered.
+// storeLoadAccepted records that the order for a load was accepted. The load is counted
+// from now on: the order may have been sent several times before it was answered.
 func (c *Coordinator) storeLoadAccepted(v *activeMove) {
 	v.accepted.Store(true)
 	if v.From == replica.FromStore {
@@ -77,8 +77,8 @@
 	}
 }
 
-// reconcileStoreLoad corrects the count of loads from the weight store by what
-// became of a move.
+// reconcileStoreLoad corrects the count of loads from the weight store by the outcome
+// of a move.
 func (c *Coordinator) reconcileStoreLoad(v *activeMove) {
 	if v.accepted.Load() || v.From != replica.FromStore {
 		return
@@ -90,20 +90,20 @@
 }
 
 const (
-	// moveBackoff is how long an upstream is left out of plans after a move there
-	// came to nothing. One that does not answer, or does something else than
-	// is known, would else be chosen again at every look, and take the room of
-	// moves that could be carried out.
+	// moveBackoff is how long an upstream is excluded from plans after a move there
+	// failed. An upstream that doesn't answer, or is in another state than recorded,
+	// would otherwise be chosen by every plan, and occupy the room of moves that could
+	// be carried out.
 	moveBackoff = time.Second
-	// unattendedPollInterval is how often the end of a former holder's order is asked for: a
-	// fraction of a load's time. Each question is priced.
+	// unattendedPollInterval is how often an upstream is asked whether the order of a
+	// former holder is done: a fraction of a load's time. Each report has a price.
 	unattendedPollInterval = 700 * time.Millisecond
 )
 
-// pollUnattendedOrder asks for the upstream's report, beside the plan, while an order is
-// being carried out there that no move of this host waits for: one of a former
-// holder, or one whose move took too long and was given up. Without it the
-// upstream would count as busy for good.
+// pollUnattendedOrder asks for the upstream's report, in a goroutine of its own, while
+// an order is being carried out there that no move of this host waits for: one of a
+// former holder, or one whose move took too long and was given up. Without the report
+// the upstream would count as busy for good.
 func (u *managedUpstream) pollUnattendedOrder(ctx context.Context, now time.Time) {
 	u.mu.Lock()
 	due := u.record.Busy() && u.activeMove == nil && now.Sub(u.polledAt) >= unattendedPollInterval
@@ -112,11 +112,11 @@
 	}
 	u.mu.Unlock()
 	if due {
-		go func() { _ = u.reconcile(ctx) }() // a report that does not come is asked for again
+		go func() { _ = u.reconcile(ctx) }() // a report that does not arrive is asked for again
 	}
 }
 
-// runMove drops one model and loads another.
+// runMove unloads one model, if the move says so, and loads another.
 func (u *managedUpstream) runMove(ctx context.Context, v *activeMove) error {
 	if v.Unload != "" {
 		why := "makes way for " + v.Load
@@ -151,9 +151,9 @@
 	return u.awaitReport(ctx, took*loadTimeFactor, func(b *residency.Record) bool { return b.IsReady(v.Load, "") })
 }
 
-// awaitStoreSlot has a load from the weight store counted from now on. What
-// makes way for it may have taken seconds, and a load that was counted then
-// would pass the store's ceiling now without being seen.
+// awaitStoreSlot waits until a load from the weight store may begin, and counts it from
+// then on. The model that is evicted for it may have taken seconds to unload, and a
+// load that counts from before that would exceed the store's rate now unnoticed.
 func (u *managedUpstream) awaitStoreSlot(ctx context.Context, v *activeMove) error {
 	if v.From != replica.FromStore || v.Unload == "" {
 		return nil
@@ -170,11 +170,11 @@
 	}
 }
 
-// storeSlotPollInterval is how often a load looks for its turn: loads begin several
-// times a second at most.
+// storeSlotPollInterval is how often a waiting load checks for a slot: loads begin
+// several times a second at most.
 const storeSlotPollInterval = 100 * time.Millisecond
 
-// orderModel gives one order for a model.
+// orderModel sends one order for a model.
 func (u *managedUpstream) orderModel(ctx context.Context, nextOrder func(*residency.Record) (residency.Order, bool), why string) error {
 	for range maxAdapterOrders {
 		if !u.lockOrders(ctx) {
@@ -208,7 +208,7 @@
 	return errNoUpstream
 }
 
-// awaitReport asks the upstream for its report until something holds.
+// awaitReport asks the upstream for its report until done returns true.
 func (u *managedUpstream) awaitReport(ctx context.Context, bound time.Duration, done func(*residency.Record) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
--- a/node/coordinator/overload_test.go
+++ b/node/coordinator/overload_test.go
@@ -13,17 +13,17 @@
 	"peridotpier.example/node/follow"
 )
 
-// A play of one upstream that reads prompts one after the other, and of callers
-// who ask for twice as much as it can read.
+// A simulation of one upstream that reads prompts one after the other, and of callers
+// that send twice as much as it can read.
 const (
 	simObjective       = time.Second
 	simReadTime        = 118 * time.Millisecond // 2,368 tokens at 20.4 a millisecond
 	simArrivalInterval = simReadTime / 2
-	simMaxWait         = 800 * time.Millisecond // what a host waits for a turn
+	simMaxWait         = 800 * time.Millisecond // how long a host waits for a permit
 	simDuration        = 20 * time.Second
 )
 
-// simRequest is one request of the play.
+// simRequest is one request of the simulation.
 type simRequest struct {
 	id      uint64
 	arrived time.Time
@@ -31,11 +31,10 @@
 	ended   bool
 }
 
-// Symptom: callers ask for twice what a model's upstreams can read, and hardly
-// one in ten answers begins in time.
-// Sequence: all wait for a turn, the oldest first, for as long as an answer could
-// begin in time.
-// Cause: requests that waited for their whole time are sent on beside the turns.
+// Guards against a model for which hardly one in ten answers begins in time when
+// callers send twice what its upstreams can read: all requests wait for a permit, the
+// oldest first, for as long as an answer could begin in time, and those that have
+// waited for their whole time are dispatched without one.
 func TestUnderTwiceTheLoadAnUpstreamIsBusyWithAnswersInTime(t *testing.T) {
 	k := &clock{time.Unix(1_700_000_000, 0)}
 	f := fleet.New(fleet.Config{}, fleet.Deps{Now: func() time.Time { return k.now }})
--- a/node/coordinator/permitclient.go
+++ b/node/coordinator/permitclient.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	// firstAnswerTimeout is how long the first word on a question may take: several ways
-	// between data centres and a busy host's delay. A host waits this long at
-	// most for one that has stopped without a sign.
+	// firstAnswerTimeout is how long the first answer to a permit request may take:
+	// several round trips between data centres and the delay of a busy host. A host
+	// waits this long at most for a coordinator that has stopped without notice.
 	firstAnswerTimeout = 40 * time.Millisecond
-	// localDecisionTime is how long a host decides by itself after a question went
-	// unanswered.
+	// localDecisionTime is how long a host decides by itself after a permit request
+	// went unanswered.
 	localDecisionTime = 600 * time.Millisecond
-	// minOpenInterval is the least time between two tries to open a stream.
+	// minOpenInterval is the minimum time between two attempts to open a stream.
 	minOpenInterval = 300 * time.Millisecond
 )
 
-// permitClient is a host's stream of questions to the one that decides for all.
+// permitClient is a host's stream of permit requests to the acting coordinator.
 type permitClient struct {
 	link *Link
 
 	mu          sync.Mutex
-	stream      permitSender // nil: none
+	stream      permitSender // nil: none is open
 	pending     map[uint64]chan *coordpb.TurnAnswer
 	lastID      uint64
 	pausedUntil time.Time // until when this host decides by itself
-	openedAt    time.Time // the last try to open a stream
+	openedAt    time.Time // the last attempt to open a stream
 }
 
-// permitSender is the sending side of a stream, over the network or to this host's
-// own coordinator. Neither of its methods waits for the other side.
+// permitSender is the sending side of a stream, over the network or to this host's own
+// coordinator. Neither of its methods blocks on the other side.
 type permitSender interface {
 	Send(*coordpb.TurnEvent) error
 	Close() error
@@ -48,7 +48,7 @@
 	return &permitClient{link: l, pending: map[uint64]chan *coordpb.TurnAnswer{}}
 }
 
-// run keeps a stream to the host that holds the lease until ctx ends.
+// run keeps a stream to the acting coordinator open until ctx ends.
 func (a *permitClient) run(ctx context.Context) error {
 	defer a.closeStream(nil)
 	at := ""
@@ -74,7 +74,8 @@
 	return ctx.Err()
 }
 
-// waitNext waits for the next look at a stream to an address; it says no when ctx ends.
+// waitNext waits until the stream to an address is to be checked again. It returns
+// false when ctx has ended.
 func (a *permitClient) waitNext(ctx context.Context, at string) bool {
 	moved := a.link.linkChanged.Next()
 	a.mu.Lock()
@@ -86,7 +87,7 @@
 	return pace.Sleep(ctx, pollInterval)
 }
 
-// open starts a stream.
+// open opens a stream to the coordinator at an address.
 func (a *permitClient) open(ctx context.Context, address string) error {
 	if address == a.link.cfg.Address {
 		a.openLocal()
@@ -123,17 +124,17 @@
 	return nil
 }
 
-// peerStream leads to another host. What is sent waits in a queue: a handler
-// must not wait for a host that reads nothing, and its answer with it.
+// peerStream leads to another host. Events to be sent wait in a queue: a handler must
+// not block on a host that reads nothing, and its answer with it.
 type peerStream struct {
 	out    chan *coordpb.TurnEvent
-	cancel context.CancelFunc // ends the stream, its sending too
+	cancel context.CancelFunc // ends the stream and the goroutine that sends
 }
 
-// errTurnsFull: the host that gives turns reads more slowly than this one asks.
-var errPermitQueueFull = errors.New("the stream of questions is full")
+// errPermitQueueFull means that the coordinator reads more slowly than this host sends.
+var errPermitQueueFull = errors.New("the queue of permit requests is full")
 
-// Send implements askStream.
+// Send implements permitSender.
 func (p *peerStream) Send(e *coordpb.TurnEvent) error {
 	select {
 	case p.out <- e:
@@ -143,13 +144,13 @@
 	}
 }
 
-// Close implements askStream.
+// Close implements permitSender.
 func (p *peerStream) Close() error {
 	p.cancel()
 	return nil
 }
 
-// send writes what waits until ctx ends.
+// send writes the queued events until ctx ends.
 func (p *peerStream) send(ctx context.Context, st coordpb.DRPCCoordinator_TurnsClient) {
 	for {
 		select {
@@ -171,7 +172,7 @@
 	stop context.CancelFunc
 }
 
-// Send implements askStream.
+// Send implements permitSender.
 func (o *localStream) Send(e *coordpb.TurnEvent) error {
 	if needsActingHost(e) && !o.c.Acting() {
 		return errNoLease
@@ -180,7 +181,7 @@
 	return nil
 }
 
-// Close implements askStream.
+// Close implements permitSender.
 func (o *localStream) Close() error {
 	o.stop()
 	o.c.permits.removeStream(o.to)
@@ -207,8 +208,8 @@
 	}()
 }
 
-// closeStream ends the stream, if it is still st (nil: whichever it is), and has those
-// who wait on it decide by themselves.
+// closeStream closes the stream if it is still st (nil: whichever is open). Requests
+// that wait for an answer on it then decide by themselves.
 func (a *permitClient) closeStream(st permitSender) {
 	a.mu.Lock()
 	old := a.stream
@@ -236,12 +237,12 @@
 	if ch := a.pending[answer.Id]; ch != nil {
 		select {
 		case ch <- answer:
-		default: // two answers at most; a third would be a fault of the other side
+		default: // there are two answers at most; a third would be a fault of the coordinator
 		}
 	}
 }
 
-// send sends an event; a stream that fails is given up.
+// send sends an event. A stream on which that fails is closed.
 func (a *permitClient) send(st permitSender, e *coordpb.TurnEvent) error {
 	err := st.Send(e)
 	if err != nil {
@@ -250,7 +251,7 @@
 	return err
 }
 
-// start sends a question; its answers come on the channel until done is called.
+// start sends a request. Its answers arrive on the channel until done is called.
 func (a *permitClient) start(e *coordpb.TurnEvent) (st permitSender, answers <-chan *coordpb.TurnAnswer, done func(), err error) {
 	a.mu.Lock()
 	st = a.stream
@@ -275,7 +276,8 @@
 	return st, ch, done, nil
 }
 
-// call asks what is answered at once, and waits until ctx ends at most.
+// call sends a request that is answered at once, and waits for the answer until ctx
+// ends at the latest.
 func (a *permitClient) call(ctx context.Context, e *coordpb.TurnEvent) (*coordpb.TurnAnswer, error) {
 	_, answers, done, err := a.start(e)
 	if err != nil {
@@ -293,7 +295,8 @@
 	}
 }
 
-// request asks where a request may go and waits until ctx ends at most.
+// request asks where a request may be dispatched, and waits until ctx ends at the
+// latest.
 func (a *permitClient) request(ctx context.Context, e *coordpb.TurnEvent) (*gate.Permit, error) {
 	st, answers, done, err := a.start(e)
 	if err != nil {
@@ -319,7 +322,8 @@
 		Release:      func() { _ = a.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_END}) }}, nil
 }
 
-// awaitAnswer waits for the first word within askBound, and for the last until ctx ends.
+// awaitAnswer waits for the first answer for firstAnswerTimeout, and for the final one
+// until ctx ends.
 func (a *permitClient) awaitAnswer(ctx context.Context, ch <-chan *coordpb.TurnAnswer) (*coordpb.TurnAnswer, error) {
 	first := time.NewTimer(firstAnswerTimeout)
 	defer first.Stop()
@@ -334,7 +338,7 @@
 			}
 			first.Stop()
 		case <-first.C:
-			a.link.ReportSoon() // which finds out whether the other is lost
+			a.link.ReportSoon() // the report shows whether the coordinator is lost
 			a.mu.Lock()
 			a.pausedUntil = time.Now().Add(localDecisionTime)
 			a.mu.Unlock()
@@ -345,7 +349,7 @@
 	}
 }
 
-// RequestPermit implements gate.Models.
+// Turn implements gate.Models.
 func (l *Link) RequestPermit(ctx context.Context, q *gate.PermitRequest) (*gate.Permit, error) {
 	e := &coordpb.TurnEvent{Kind: coordpb.TurnEvent_ASK, Service: q.Service, Model: q.Request.Model, Adapter: q.Request.Adapter,
 		Prompt: uint32(q.Cost.PromptTokens), Output: uint32(q.Cost.OutputTokens), Priority: int32(q.Priority), Reading: uint32(q.MaxPendingPromptTokens), Tried: q.Excluded,
--- a/node/coordinator/permitclient_test.go
+++ b/node/coordinator/permitclient_test.go
@@ -17,7 +17,7 @@
 	"peridotpier.example/node/gate"
 )
 
-// stalledHost is a host that gives one turn and then reads nothing more.
+// stalledHost grants one permit and then reads nothing more.
 type stalledHost struct {
 	coordpb.DRPCCoordinatorUnimplementedServer
 }
@@ -34,18 +34,17 @@
 	return nil
 }
 
-// Symptom: requests end with the host's process, without an answer.
-// Sequence: the host that gives turns stops reading, as one that is frozen or
-// cut off does; the way there is full.
-// Cause: a handler tells of its request's progress by writing to that host
-// itself, and one that writes holds up all others; neither a deadline nor the
-// end of the grace ends that.
+// Guards against requests that end without an answer, with the host's process: the
+// coordinator stops reading, as a host does that is frozen or disconnected, until the
+// stream's buffers are full. A handler that reports its request's progress by writing
+// to the stream itself then blocks all others, and neither a deadline nor the end of
+// the grace period ends that.
 func TestNoRequestWaitsForAHostThatReadsNothing(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	mux := drpcmux.New()
 	assert.NilError(t, coordpb.DRPCRegisterCoordinator(mux, &stalledHost{}))
-	near, far := net.Pipe() // it holds no bytes: a write waits for its reader
+	near, far := net.Pipe() // unbuffered: a write waits for its reader
 	go func() { _ = drpcserver.New(mux).ServeOne(ctx, far) }()
 	link := NewLink(LinkConfig{Host: "h", Address: "own"}, nil, func(context.Context, string, string) (net.Conn, error) { return near, nil }, event.NewLog(nil))
 	assert.NilError(t, link.permitClient.open(ctx, "other"))
@@ -75,14 +74,13 @@
 	select {
 	case <-done:
 	case <-time.After(2 * time.Second):
-		t.Fatal("it waits")
+		t.Fatal("the call blocks")
 	}
 }
 
-// Symptom: a host that acts for all decides each of its own requests only after
-// a wait in vain, for ever.
-// Sequence: more answers to its own requests wait than its queue holds.
-// Cause: the end of its stream to itself is not noticed, so that no other is opened.
+// Guards against an acting host that waits for an unanswered permit request before each
+// of its own requests, forever: more answers to its own requests wait than its queue
+// holds, its local stream ends, and no other is opened because nobody notices.
 func TestAnEndedLocalStreamIsClosed(t *testing.T) {
 	log := event.NewLog(nil)
 	own := New(Config{}, Deps{Fleet: fleet.New(fleet.Config{}, fleet.Deps{}), Log: log})
