--- a/node/coordinator/permits.go
+++ b/node/coordinator/permits.go
@@ -14,73 +14,73 @@
 	"peridotpier.example/node/fleet"
 )
 
-// permits decides for all hosts where each request for a model goes, and when.
+// permits decides for all hosts where and when each request for a model is dispatched.
 //
-// Hosts that decide by themselves see what the others have sent a fraction of
-// a second late, and send to the same upstream at once; its streams then pause
-// while it reads all those prompts. One place that knows every send can let
-// each request wait until an upstream has read what it was given, and let it
-// go to the first that is done, the most urgent first.
+// Hosts that decide on their own see what the others have sent a fraction of a second
+// late, and send to the same upstream at once; its streams then stall while it reads
+// all those prompts. A single place that knows every dispatch can queue each request
+// until an upstream has read the prompts that it was given, and grant it at the first
+// upstream that is done, in order of urgency.
 type permits struct {
 	c *Coordinator
 
 	mu          sync.Mutex
 	streams     map[*permitStream]struct{}
 	granted     map[permitKey]*permitRequest
-	grants      map[string]*upstreamGrants // by upstream
-	waiting     []*permitRequest           // the most urgent first, then the oldest
-	suspects    map[string]bool            // upstreams that several hosts leave alone, as of the last question or sweep
-	unreachable map[string]time.Time       // upstreams at whose address nothing listened, and when
+	grants      map[string]*upstreamGrants // by upstream ID
+	waiting     []*permitRequest           // ordered by priority, then by age
+	suspects    map[string]bool            // upstreams that several hosts exclude, as of the last request or maintenance
+	unreachable map[string]time.Time       // upstreams at whose address nothing listened, and when that was found
 	limits      upstreamLimits
 	backoffs    backoffs
-	wakeAt      map[*fleet.Entry]time.Time // when what waits for an upstream is looked at next
+	wakeAt      map[*fleet.Entry]time.Time // when the requests that wait for an upstream are tried again
 
-	endpoints []balance.Endpoint // of one pick; kept, since each names hundreds
+	endpoints []balance.Endpoint // buffer of one pick; reused, since a pick may cover hundreds
 }
 
-// upstreamGrants is what was granted at one upstream.
+// upstreamGrants is the load that was granted at one upstream.
 type upstreamGrants struct {
 	load          fleet.Load
 	cache         fleet.PromptCache
-	newestReading *permitRequest // of those whose prompts are being read there; nil: none
+	newestReading *permitRequest // the newest request whose prompt is being read there; nil: none
 }
 
-// permitKey names a request: the stream that it came on and the host's number.
+// permitKey identifies a request by its stream and the number that its host gave it.
 type permitKey struct {
 	from *permitStream
 	id   uint64
 }
 
-// permitRequest is one request.
+// permitRequest is a request for a permit, granted or waiting.
 type permitRequest struct {
 	key           permitKey
 	event         *coordpb.TurnEvent
 	ask           fleet.Request
 	tried         map[string]bool
 	warm          map[string]bool
-	hostBackoffs  map[string]time.Time // until when upstreams want nothing from the host; nil: none does
+	hostBackoffs  map[string]time.Time // until when upstreams asked the request's host to back off; nil: none did
 	askedAt       time.Time
-	upstream      string // where it was sent; "": it waits
-	readingPrompt bool   // its first event has not come
-	solePrompt    bool   // its upstream had no other prompt to read beside it
+	upstream      string // where the request was granted; "": it waits
+	readingPrompt bool   // whether the first event of its answer is still to come
+	solePrompt    bool   // whether the upstream read no other prompt at the same time
 	grantedAt     time.Time
-	firstAt       time.Time // when its first event came
+	firstAt       time.Time // when the first event of its answer arrived
 	waitReason    balance.Reason
-	isTrial       bool // its upstream had asked a host for rest
+	isTrial       bool // whether its upstream had asked a host to back off
 }
 
 func newPermits(c *Coordinator) *permits {
 	return &permits{c: c, streams: map[*permitStream]struct{}{}, granted: map[permitKey]*permitRequest{}, grants: map[string]*upstreamGrants{}, unreachable: map[string]time.Time{}, limits: newUpstreamLimits(c), backoffs: backoffs{}, wakeAt: map[*fleet.Entry]time.Time{}}
 }
 
-// reset starts a term. What an earlier one counted does not hold any more.
+// reset begins a term: counts of an earlier one are outdated.
 func (t *permits) reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.limits.reset()
 }
 
-// handle enters one event of a host and sends what follows from it.
+// handle processes one event of a host and sends the answers that result.
 func (t *permits) handle(from *permitStream, e *coordpb.TurnEvent) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// removeStream forgets all requests of a host whose stream has ended.
+// removeStream drops all requests of a host whose stream has ended.
 func (t *permits) removeStream(from *permitStream) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,8 +120,8 @@
 	t.waiting = kept
 }
 
-// chargeTeam charges a request to its team's limit. It answers the host when that
-// does not allow it.
+// chargeTeam charges a request to its team's limit and reports whether the limit allows
+// it. If not, the host is answered.
 func (t *permits) chargeTeam(k permitKey, e *coordpb.TurnEvent, now time.Time) bool {
 	if e.Team == "" {
 		return true
@@ -155,14 +155,14 @@
 	k.from.send(&coordpb.TurnAnswer{Id: k.id, Kind: coordpb.TurnAnswer_QUEUED, Reason: uint32(w.waitReason)})
 }
 
-// mayQueue says whether a request that was not granted for a reason waits here
-// until that has passed.
+// mayQueue reports whether a request that was not granted for this reason waits here
+// until the reason has passed.
 func mayQueue(r balance.Reason) bool {
 	return r == balance.AllPrefilling || r == balance.AllFull || r == balance.AllBackoff
 }
 
-// tryAll looks for an upstream among all of the request's service. It answers the
-// host unless the request waits.
+// tryAll tries to grant a request at any upstream of its service. It answers the host
+// unless the request has to wait.
 func (t *permits) tryAll(w *permitRequest, now time.Time) balance.Reason {
 	entries := t.c.deps.Fleet.EntriesWithModel(w.event.Service, w.ask.Model)
 	d := t.pick(w, entries, now)
@@ -179,7 +179,7 @@
 	return d.Reason
 }
 
-// pick grants the request the best of some upstreams, if one can take it now.
+// pick grants a request at the best of the given upstreams, if one can take it now.
 func (t *permits) pick(w *permitRequest, entries []*fleet.Entry, now time.Time) balance.Decision {
 	endpoints := t.endpoints[:0]
 	for _, e := range entries {
@@ -197,8 +197,8 @@
 	return d
 }
 
-// endpoint is the upstream with what was granted there, in place of what hosts
-// report. A host that has no stream here counts by its report.
+// endpoint describes an upstream by what was granted there, in place of what hosts
+// report. The load of a host that has no stream here counts as reported.
 func (t *permits) endpoint(e *fleet.Entry, w *permitRequest, now time.Time) balance.Endpoint {
 	out := e.Endpoint(&w.ask, now)
 	out.SameDataCentre, out.Tried, out.HasIdleConn = e.DataCentre() == w.event.DataCentre, w.tried[e.ID()], w.warm[e.ID()]
@@ -216,8 +216,8 @@
 	return out
 }
 
-// isExcluded says whether an upstream is passed over for what hosts found there, or
-// for having had an attempt of the request.
+// isExcluded reports whether an upstream is passed over because of what hosts observed
+// there, or because it had an attempt of this request.
 func (t *permits) isExcluded(e *fleet.Entry, w *permitRequest, now time.Time) bool {
 	return w.tried[e.ID()] || t.suspects[e.ID()] || now.Sub(t.unreachable[e.ID()]) < unreachableFor
 }
@@ -225,7 +225,7 @@
 func (t *permits) grant(w *permitRequest, e *fleet.Entry, at *balance.Endpoint, d balance.Decision, now time.Time) {
 	w.upstream, w.readingPrompt = e.ID(), true
 	prompt := w.event.Prompt
-	w.event.Prompt -= min(w.event.Prompt, uint32(at.CachedTokens)) // the rest is what there is to read
+	w.event.Prompt -= min(w.event.Prompt, uint32(at.CachedTokens)) // what is not cached is left to be read
 	if w.event.Model != "" {
 		t.c.speeds.with(w.model(), func(m speed.Estimator) { m.AddPrompt(int(prompt), int(w.event.Prompt)) })
 	}
@@ -250,7 +250,7 @@
 		PredictedMs: uint32(d.PredictedWait.Milliseconds()), Load: uint32(at.InFlight), Waiting: uint32(at.PendingPromptTokens), Cached: uint32(at.CachedTokens), WithinLimit: within, Trial: trial})
 }
 
-// promptRead notes that an upstream has read a request's prompt.
+// promptRead records that an upstream has read a request's prompt.
 func (t *permits) promptRead(k permitKey) {
 	if g := t.granted[k]; g != nil && g.readingPrompt {
 		g.firstAt = t.c.now()
@@ -263,7 +263,7 @@
 	}
 }
 
-// slotCount is how many requests an upstream runs at a time; 0: not known.
+// slotCount returns how many requests an upstream runs at a time; 0: unknown.
 func (t *permits) slotCount(upstream string) int {
 	e, ok := t.c.deps.Fleet.Entry(upstream)
 	if !ok {
@@ -273,7 +273,7 @@
 	return described.Slots
 }
 
-// finishPrompt takes a request's prompt out of what its upstream has to read.
+// finishPrompt subtracts a request's prompt from what its upstream has to read.
 func (t *permits) finishPrompt(g *permitRequest) {
 	if p := t.grants[g.upstream]; p != nil && g.readingPrompt {
 		p.load.PendingPromptTokens -= int(g.event.Prompt)
@@ -284,7 +284,7 @@
 	g.readingPrompt = false
 }
 
-// release takes a request out of its upstream's load.
+// release subtracts a request from its upstream's load.
 func (t *permits) release(g *permitRequest) {
 	t.finishPrompt(g)
 	t.backoffs.recordEnd(g)
@@ -313,14 +313,14 @@
 	}
 }
 
-// unreachableFor is how long an upstream gets no turns after one host found nothing
-// listening at its address. By then that host and others tell in their reports
-// that they leave it alone. A refused connection is the word of the upstream's
-// own machine: unlike silence, it does not depend on the way there.
+// unreachableFor is how long an upstream gets no permits after one host found nothing
+// listening at its address. By then that host and others report that they exclude it. A
+// refused connection is an answer of the upstream's own machine: unlike a timeout, it
+// does not depend on the network path of the host.
 const unreachableFor = 600 * time.Millisecond
 
-// upstreamUnreachable ends a request whose upstream is not there. Without it each of the
-// hosts would be sent there until it has found out by itself.
+// upstreamUnreachable ends a request at whose upstream nothing listens. If the upstream
+// were not recorded, each of the hosts would be sent there until it finds out itself.
 func (t *permits) upstreamUnreachable(k permitKey) {
 	if g := t.granted[k]; g != nil {
 		t.unreachable[g.upstream] = t.c.now()
@@ -328,11 +328,11 @@
 	}
 }
 
-// maxWaitingScan bounds how many waiting requests are looked at for one event.
+// maxWaitingScan bounds how many waiting requests are tried for one event.
 const maxWaitingScan = 48
 
-// grantWaitingAt lets go what can go to one upstream, where something has ended. The
-// others are as they were when what waits was tried there.
+// grantWaitingAt grants waiting requests at one upstream, where a request has ended.
+// The other upstreams have not changed since the requests were tried there.
 func (t *permits) grantWaitingAt(upstream string) {
 	e, ok := t.c.deps.Fleet.Entry(upstream)
 	if !ok {
@@ -347,8 +347,8 @@
 	}
 }
 
-// grantWaiting lets go what goes by the word of try. Requests whose answers would come
-// late in any case let those pass that can still be in time.
+// grantWaiting removes those waiting requests for which try returns true. Overdue
+// requests are tried after those that can still be answered in time.
 func (t *permits) grantWaiting(now time.Time, try func(*permitRequest) (gone bool)) {
 	tried := 0
 	for _, overdue := range []bool{false, true} {
@@ -367,7 +367,7 @@
 
 func (w *permitRequest) model() modelKey { return modelKey{w.event.Service, w.event.Model} }
 
-// isOverdue says that an answer to the request would not begin in time any more.
+// isOverdue reports whether an answer to the request could no longer begin in time.
 func (w *permitRequest) isOverdue(now time.Time) bool {
 	inTime := milliseconds(w.event.InTimeMs)
 	if w.event.Model == "" {
@@ -376,16 +376,16 @@
 	return now.Sub(w.askedAt) > inTime-promptReadTime
 }
 
-// promptReadTime is about how long a prompt takes to be read on an upstream that
-// reads nothing else.
+// promptReadTime is about how long an upstream that reads no other prompt takes to read
+// one.
 const promptReadTime = 120 * time.Millisecond
 
-// plainCallShare is the part of its objective for which a call of a plain service may
-// wait and be answered in time: the rest is for the call and its way.
+// plainCallShare is the share of its objective that a call of a plain service may wait
+// and still be answered in time: the remainder is for the call and its transfer.
 const plainCallShare = 0.6
 
-// maintain tries what waits again: upstreams come, recover, and gain models
-// without a word here. It forgets upstreams that are gone.
+// maintain tries all waiting requests again, since upstreams appear, recover and gain
+// models without an event here, and drops the records of upstreams that were removed.
 func (t *permits) maintain() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/coordinator/permits_test.go
+++ b/node/coordinator/permits_test.go
@@ -13,7 +13,8 @@
 	"peridotpier.example/node/follow"
 )
 
-// newTestPermits is a coordinator over upstreams that hold the model m.
+// newTestPermits returns the permits of a coordinator over upstreams that have the
+// model m resident.
 func newTestPermits(upstreams ...string) (*permits, *fleet.Fleet) {
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
 	var all []deploy.Upstream
@@ -33,7 +34,8 @@
 	return &coordpb.TurnEvent{Id: id, Kind: coordpb.TurnEvent_ASK, Service: "s", Model: "m", Prompt: 2000, Output: 20, Priority: priority, Reading: 3000, InTimeMs: 60_000}
 }
 
-// drainAnswers takes what was answered so far: the kind of each by id, the last one counts.
+// drainAnswers receives the answers sent so far and returns the last one of each
+// request by ID.
 func drainAnswers(s *permitStream) map[uint64]*coordpb.TurnAnswer {
 	out := map[uint64]*coordpb.TurnAnswer{}
 	for {
@@ -46,9 +48,9 @@
 	}
 }
 
-// Symptom: streams pause while an engine reads the prompts of several hosts.
-// Sequence: two hosts ask at once; the upstream has read neither prompt.
-// Cause: each host counts its own sends.
+// Guards against streams that stall while an engine reads the prompts of several hosts:
+// two hosts send at the same time because each counts only its own requests, and the
+// upstream has read neither prompt.
 func TestAPromptWaitsUntilTheOneBeforeItIsRead(t *testing.T) {
 	ts, _ := newTestPermits("u")
 	a, b := newTestStream(), newTestStream()
@@ -67,9 +69,8 @@
 	assert.Equal(t, drainAnswers(b)[1].Kind, coordpb.TurnAnswer_GRANTED)
 }
 
-// Symptom: an upstream counts as full for ever.
-// Sequence: a host is killed with requests granted and waiting.
-// Cause: what it had is never given back.
+// Guards against an upstream that counts as full forever: a host is killed with
+// requests granted and waiting, and its load is never released.
 func TestTheLoadOfADisconnectedHostIsReleased(t *testing.T) {
 	ts, _ := newTestPermits("u")
 	a, b := newTestStream(), newTestStream()
@@ -85,9 +86,9 @@
 	assert.Equal(t, ts.grants["u"].load, fleet.Load{})
 }
 
-// Symptom: requests are sent to an upstream that other hosts have found dark.
-// Sequence: two hosts leave it alone; a third asks.
-// Cause: the holder goes by its own traffic only.
+// Guards against requests that are granted at an upstream that other hosts found
+// unresponsive: two hosts exclude it, a third asks, and the coordinator uses only what
+// it granted itself.
 func TestAnUpstreamThatTwoHostsExcludeGetsNoPermits(t *testing.T) {
 	ts, _ := newTestPermits("dark", "sound")
 	for _, host := range []string{"h1", "h2"} {
@@ -103,8 +104,8 @@
 	}
 }
 
-// Property: whatever comes in whatever order, what is granted at an upstream is
-// what was not given back, and all of it is given back in the end.
+// Property: whatever events arrive in whatever order, the load granted at an upstream
+// is what was not released, and all of it is released in the end.
 func TestGrantedLoadsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ts, _ := newTestPermits("u1", "u2")
@@ -139,10 +140,9 @@
 	})
 }
 
-// Symptom: the host that decides for all takes a whole core while requests wait.
-// Sequence: dozens wait; each event of any host has all of them weighed against
-// all upstreams.
-// Cause: what an event cannot have changed is looked at again.
+// Guards against a coordinator that takes a complete core while requests wait: dozens
+// wait, and each event of any host has all of them weighed against all upstreams,
+// though it can have changed only one.
 func TestOnlyTheUpstreamWhereARequestEndedIsTried(t *testing.T) {
 	ts, f := newTestPermits("a", "b")
 	s := newTestStream()
@@ -152,21 +152,21 @@
 	ts.handle(s, newRequestEvent(2, 1))
 	got := drainAnswers(s)
 	assert.Equal(t, got[2].Kind, coordpb.TurnAnswer_QUEUED)
-	// "b" takes more than was known when the request was queued: an event at "a" does not show it.
+	// "b" accepts more than was known when the request was queued: an event at "a" does
+	// not show it.
 	ended, other := got[0].Upstream, got[1].Upstream
 	ts.grants[other].load = fleet.Load{}
 	e, _ := f.Entry(ended)
 	e.MarkNotResident("m", "")
 	ts.handle(s, &coordpb.TurnEvent{Id: 0, Kind: coordpb.TurnEvent_END})
-	assert.Assert(t, drainAnswers(s)[2] == nil, "it was not tried elsewhere, and not sent away for what one upstream lacks")
+	assert.Assert(t, drainAnswers(s)[2] == nil, "it was not tried elsewhere, and not refused for what one upstream lacks")
 	ts.maintain()
 	assert.Equal(t, drainAnswers(s)[2].Upstream, other)
 }
 
-// Symptom: all hosts send to an upstream that has crashed, each until it has
-// noticed by itself.
-// Sequence: one host finds nothing listening there.
-// Cause: the host that decides for all learns of it from reports only.
+// Guards against all hosts sending to an upstream that has crashed, each until it has
+// noticed by itself: one host finds nothing listening there, and the coordinator gets
+// to know it only by reports.
 func TestAnUpstreamThatIsNotListeningGetsNoPermits(t *testing.T) {
 	ts, _ := newTestPermits("u", "v")
 	a := newTestStream()
--- a/node/coordinator/permitstream.go
+++ b/node/coordinator/permitstream.go
@@ -8,17 +8,17 @@
 	"peridotpier.example/node/metrics"
 )
 
-// permitQueueLen is how many answers may wait to be sent to one host. A host that
-// is that slow decides by itself anyway.
+// permitQueueLen is how many answers may wait to be sent to one host. A host that reads
+// so slowly decides by itself anyway.
 const permitQueueLen = 512
 
-// permitStream is one host's stream of questions.
+// permitStream is one host's stream of permit requests.
 type permitStream struct {
 	out    chan *coordpb.TurnAnswer
 	cancel context.CancelFunc
 }
 
-// send queues an answer; a host that does not read loses its stream.
+// send queues an answer. A host that does not read its answers loses its stream.
 func (s *permitStream) send(a *coordpb.TurnAnswer) {
 	select {
 	case s.out <- a:
@@ -39,7 +39,7 @@
 		for {
 			select {
 			case <-ctx.Done():
-				_ = st.Close() // ends the reading below
+				_ = st.Close() // ends the Recv below
 				return
 			case a := <-stream.out:
 				if st.Send(a) != nil {
@@ -61,10 +61,12 @@
 	}
 }
 
-// needsActingHost says whether an event is a question, which only the host answers that acts for all.
+// needsActingHost reports whether an event is a request that only the acting
+// coordinator answers.
 func needsActingHost(e *coordpb.TurnEvent) bool {
 	return e.Kind == coordpb.TurnEvent_ASK || e.Kind == coordpb.TurnEvent_CHARGE
 }
 
-// errNoTurns: no host decides for all; this one decides by itself.
-var errNoCoordinator = errors.New("no host decides for all")
+// errNoCoordinator means that no acting coordinator answers, so that this host decides
+// by itself.
+var errNoCoordinator = errors.New("no acting coordinator answers")
--- a/node/coordinator/plaincalls_test.go
+++ b/node/coordinator/plaincalls_test.go
@@ -9,8 +9,8 @@
 	"peridotpier.example/node/coordinator/coordpb"
 )
 
-// Calls of a plain service fill its upstreams evenly, up to a queue that is
-// answered in time; the rest waits here, the most urgent first.
+// Calls of a plain service fill its upstreams evenly, up to a queue that is answered in
+// time; the remaining calls wait at the coordinator, ordered by priority.
 func TestPlainCallsQueueForASlotAndAreSpreadEvenly(t *testing.T) {
 	ts, f := newTestPermits()
 	f.Apply([]deploy.Upstream{{ID: "a", Service: "p", Address: "a", Slots: 2}, {ID: "b", Service: "p", Address: "b", Slots: 2}}, nil, 0)
--- a/node/coordinator/plan.go
+++ b/node/coordinator/plan.go
@@ -10,20 +10,20 @@
 	"peridotpier.example/core/replica"
 )
 
-// maxMovingShare is the part of a service's upstreams that may change models at
+// maxMovingShare is the maximum share of a service's upstreams that change models at
 // once: the others carry the traffic meanwhile.
 const maxMovingShare = 0.5
 
-// planMoves starts the moves that are worth it now.
+// planMoves starts the moves that are worthwhile now.
 func (c *Coordinator) planMoves(ctx context.Context) {
 	table := c.deps.Config.Current()
 	if table == nil || c.cfg.NoModelMoves {
 		return
 	}
 	now := c.now()
-	// What a former holder placed followed a demand that this one has not seen
-	// yet; to go by the little that it has would undo it. Until it has seen more
-	// it only helps those who wait for a model.
+	// The former holder placed models by a demand that this host has not observed yet;
+	// planning by the little that it has observed would undo those placements. Until it
+	// has observed enough it only serves callers that wait for a model.
 	unservedOnly := c.epoch() > 1 && !c.demand.allKnown(now)
 	upstreams := c.allUpstreams()
 	for _, u := range upstreams {
@@ -36,7 +36,7 @@
 		}
 		in := c.planInput(table.Config, s, upstreams, now)
 		if len(in.Demand) == 0 {
-			in.MaxMoves = len(in.Upstreams) // nobody is disturbed
+			in.MaxMoves = len(in.Upstreams) // no caller is disturbed
 			if now.Sub(c.newestUpstream()) < listQuietTime {
 				continue
 			}
@@ -50,7 +50,7 @@
 	}
 }
 
-// planInput is the snapshot of one service that a plan goes by.
+// planInput returns the snapshot of one service that a plan is based on.
 func (c *Coordinator) planInput(cfg *deploy.Config, s *deploy.Service, upstreams []*managedUpstream, now time.Time) replica.Input {
 	in := replica.Input{Engine: s.Engine, Demand: c.demand.service(s.Name, s.Engine, now),
 		StoreLoadsLeft: min(c.storeLoads.remaining(s.Engine.LoadsPerSecond, now), c.freeStoreSlots(s.Engine, upstreams, now))}
@@ -73,13 +73,13 @@
 	return in
 }
 
-// maxLackingShare is the part of an engine's time that an upstream with a limit may
-// not give for models to be moved there. A load would hardly pay, and its orders
-// are calls, too.
+// maxLackingShare is the share of an engine's time that a limit may withhold before
+// models are no longer moved to the upstream. A load there would hardly pay, and its
+// orders count against the limit, too.
 const maxLackingShare = 0.5
 
-// lackingShare is the part of its engine's time that an upstream does not give when it
-// names a limit; each is what a request takes of that.
+// lackingShare returns the share of its engine's time that an upstream withholds by a
+// limit; timePerRequest is the engine time of one request.
 func lackingShare(l backpressure.Limit, timePerRequest time.Duration) float64 {
 	if !l.Stated || timePerRequest == 0 {
 		return 0
@@ -87,7 +87,7 @@
 	return max(1-l.PerSecond*timePerRequest.Seconds(), 0)
 }
 
-// meanEngineTime is the engine's time that a request of any model takes; 0: not known.
+// meanEngineTime returns the mean engine time of a request for any model; 0: unknown.
 func meanEngineTime(demand map[string]replica.Demand) time.Duration {
 	load, perSecond := 0.0, 0.0
 	for _, d := range demand {
@@ -101,21 +101,21 @@
 	return time.Duration(load / perSecond * float64(time.Second))
 }
 
-// minStoreSlots lets a load begin beside one that ends.
+// minStoreSlots lets a load begin beside one that is about to end.
 const minStoreSlots = 2
 
-// storeSlots is how many loads from the weight store may run at once: as many
-// as its rate keeps under way when each takes the time of one by itself. More
-// would only slow each other down, so that the first model, which most callers
-// wait for, comes as late as the last. Eight begun together where two run at
-// full speed took 4 to 7 s in place of 2.4 s, all of them.
+// storeSlots returns how many loads from the weight store may run at once: as many as
+// its rate keeps under way when each takes as long as it would alone. More would only
+// slow each other down, so that the first model, which most callers wait for, is ready
+// as late as the last. Eight loads begun together where two run at full speed took 4 to
+// 7 s each, instead of 2.4 s.
 func storeSlots(e *deploy.Engine) int {
 	return max(int(math.Ceil(e.LoadsPerSecond*longestStoreLoad(e).Seconds())), minStoreSlots)
 }
 
-// storeLoadsUnderWay is how many loads from the weight store are under way, or
-// may be. Those of a former holder show as orders of unknown source once the
-// upstream's report was seen, and by the former holder's word before.
+// storeLoadsUnderWay returns how many loads from the weight store are under way, or may
+// be. Loads of a former holder appear as orders of unknown source once the upstream's
+// report arrived, and are inherited from its handover before that.
 func storeLoadsUnderWay(upstreams []*managedUpstream, inherited int) int {
 	own, foreign := 0, 0
 	for _, u := range upstreams {
@@ -129,13 +129,14 @@
 	return own + max(foreign, inherited)
 }
 
-// storeLoadOrigin says whether an upstream loads from the weight store.
+// storeLoadOrigin tells whether an upstream loads from the weight store, and by whose
+// order.
 type storeLoadOrigin uint8
 
 const (
 	noStoreLoad      storeLoadOrigin = iota
 	ownStoreLoad                     // by an order of this host
-	foreignStoreLoad                 // perhaps, by an order of a former holder
+	foreignStoreLoad                 // possibly, by an order of a former holder
 )
 
 func (u *managedUpstream) storeLoadOrigin() storeLoadOrigin {
@@ -150,13 +151,13 @@
 	return noStoreLoad
 }
 
-// freeStoreSlots is how many more loads from the weight store may begin beside those
-// under way.
+// freeStoreSlots returns how many more loads from the weight store may begin beside
+// those under way.
 func (c *Coordinator) freeStoreSlots(e *deploy.Engine, upstreams []*managedUpstream, now time.Time) int {
 	return storeSlots(e) - storeLoadsUnderWay(upstreams, c.storeLoads.inheritedWithin(longestStoreLoad(e), now))
 }
 
-// longestStoreLoad is how long the slowest load from the weight store takes by itself.
+// longestStoreLoad returns how long the slowest load from the weight store takes alone.
 func longestStoreLoad(e *deploy.Engine) time.Duration {
 	longest := time.Duration(0)
 	for i := range e.Models {
@@ -165,12 +166,12 @@
 	return longest
 }
 
-// listQuietTime is how long no new upstream must have come before models are
-// moved though nobody asks for any: while a deployment starts, its upstreams
-// come into view one by one, and what the rest hold is not known.
+// listQuietTime is how long no new upstream must have appeared before models are moved
+// without any demand: while a deployment starts, its upstreams appear one by one, and
+// what the remaining ones have resident is unknown.
 const listQuietTime = time.Second
 
-// snapshot is the upstream as the plan sees it.
+// snapshot returns the upstream as the plan uses it.
 func (u *managedUpstream) snapshot(now time.Time) replica.Upstream {
 	d, _ := u.entry.Description()
 	quiet := u.c.inQuietPeriod(u.entry.ID(), now)
--- a/node/coordinator/plan_test.go
+++ b/node/coordinator/plan_test.go
@@ -11,17 +11,16 @@
 	"peridotpier.example/core/residency"
 )
 
-// Symptom: a hot model is nowhere for ten seconds after its upstreams were
-// replaced, though its load takes 2.4 s.
-// Sequence: eight loads begin together, as many as the weight store's rate
-// allows in a window; two run at full speed, so that all eight end late.
-// Cause: how many loads run at once is not bounded.
+// Guards against a hot model that is not resident anywhere for ten seconds after its
+// upstreams were replaced, though its load takes 2.4 s: eight loads begin together, as
+// many as the weight store's rate allows in a window; two run at full speed, so that
+// all eight end late. The number of loads under way must be bounded, too.
 func TestLoadsFromTheStoreWaitForThoseUnderWay(t *testing.T) {
 	e := &deploy.Engine{LoadsPerSecond: 1.1, Models: []deploy.Model{{Name: "a", StoreLoad: 2400 * time.Millisecond}, {Name: "b", StoreLoad: 2200 * time.Millisecond}}}
 	assert.Equal(t, storeSlots(e), 3)
 	slow := &deploy.Engine{LoadsPerSecond: 1.4, Models: []deploy.Model{{Name: "a", StoreLoad: 9 * time.Second}}}
 	assert.Equal(t, storeSlots(slow), 13)
-	assert.Equal(t, storeSlots(&deploy.Engine{}), minStoreSlots, "one that tells nothing")
+	assert.Equal(t, storeSlots(&deploy.Engine{}), minStoreSlots, "an engine without load times")
 
 	now := time.Now()
 	unitWith := func(v *activeMove, r residency.Report) *managedUpstream {
@@ -41,6 +40,6 @@
 		unitWith(&activeMove{Move: replica.Move{Load: "a", Unload: "b", From: replica.FromStore}, ordered: true}, idle),
 		unitWith(nil, residency.Report{Sequence: 4, Busy: true})) // a former holder's order
 	assert.Equal(t, storeLoadsUnderWay(units, 0), 3)
-	assert.Equal(t, storeLoadsUnderWay(units, 1), 3, "the one that was told is the one that shows")
+	assert.Equal(t, storeLoadsUnderWay(units, 1), 3, "the inherited load is the one that the report shows")
 	assert.Equal(t, storeLoadsUnderWay(units, 2), 4)
 }
--- a/node/coordinator/published.go
+++ b/node/coordinator/published.go
@@ -13,20 +13,20 @@
 	"peridotpier.example/node/fleet"
 )
 
-// published keeps the changes of the list that many hosts are told, encoded once for
-// all of them. When thousands of upstreams come at once, each as text to each of a
-// thousand hosts would be more than any link carries.
+// published keeps the changes of the list that are sent to many hosts, encoded once for
+// all of them. When thousands of upstreams appear at the same time, sending each one as
+// text to each of a thousand hosts would exceed any link.
 type published struct {
 	mu           sync.Mutex
 	segments     []segment // the oldest first
-	completeFrom uint64    // state from which on they are complete
-	state        uint64    // state up to which all is published
-	storeVersion uint64    // the store's version that it is of
-	publishedAt  time.Time // when that was
+	completeFrom uint64    // state from which on the segments are complete
+	state        uint64    // state up to which all changes are published
+	storeVersion uint64    // the store's version of that state
+	publishedAt  time.Time // when that state was published
 	fullList     packedList
 }
 
-// segment is what changed since the one before, up to a state of the list.
+// segment contains the changes since the segment before, up to a state of the list.
 type segment struct {
 	state    uint64
 	data     []byte
@@ -34,21 +34,23 @@
 }
 
 const (
-	// publishInterval is the least time between two segments: what comes together is
-	// packed together. A fraction of the time in which a change is to be known.
+	// publishInterval is the minimum time between two segments, so that simultaneous
+	// changes are packed together. It is a fraction of the time in which hosts must
+	// know a change.
 	publishInterval = 100 * time.Millisecond
-	// segmentLifetime is how long segments are kept: several reports of any host.
+	// segmentLifetime is how long segments are kept: several report periods of any
+	// host.
 	segmentLifetime = 10 * time.Second
 )
 
-// listChange is a segment's content.
+// listChange is the content of a segment.
 type listChange struct {
 	Put  []deploy.Upstream `json:"put,omitempty"`
 	Gone []string          `json:"gone,omitempty"`
 }
 
-// publish adds what has changed since it was called last. at is the store's version
-// that the list is of, at least.
+// publish adds a segment with the changes since its last call. storeVersion is the
+// store's version of the list, which may be newer than that.
 func (p *published) publish(f *fleet.Fleet, storeVersion uint64, now time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,8 +79,8 @@
 	}
 }
 
-// since returns the segments that bring a host from a state to the newest one; false:
-// it needs the whole list.
+// since returns the segments that bring a host from a state to the newest one. ok is
+// false if the host needs the complete list.
 func (p *published) since(from uint64) (packed [][]byte, to, at uint64, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +94,8 @@
 	return packed, p.state, p.storeVersion, true
 }
 
-// packedFullList returns the list as of what is published, at most wholeFor older.
+// packedFullList returns the list as of the published state, or an earlier one that is
+// at most packedListMaxAge old.
 func (p *published) packedFullList(f *fleet.Fleet, now time.Time) (packedList, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,15 +106,15 @@
 	if err != nil {
 		return packedList{}, err
 	}
-	next.state, next.storeVersion = p.state, p.storeVersion // what is newer comes with the next segments
+	next.state, next.storeVersion = p.state, p.storeVersion // newer changes come with the next segments
 	p.fullList = next
 	return next, nil
 }
 
-// mergeChanges reads segments that follow a list, or what is known of it: of an
-// upstream that changed several times, the last.
+// mergeChanges decodes segments that follow a list, or the state that a host has. Of an
+// upstream that changed several times it returns the last change.
 func mergeChanges(list []deploy.Upstream, segments [][]byte) (put []deploy.Upstream, gone []string, err error) {
-	newest := map[string]*deploy.Upstream{} // nil: gone
+	newest := map[string]*deploy.Upstream{} // nil: removed
 	for i := range list {
 		newest[list[i].ID] = &list[i]
 	}
--- a/node/coordinator/quarantine.go
+++ b/node/coordinator/quarantine.go
@@ -13,17 +13,17 @@
 	"peridotpier.example/node/event"
 )
 
-// maxQuarantineEntries is how many entries one answer brings; the rest follows with the
-// next ones. With it an answer grows by 10 kB at most.
+// maxQuarantineEntries is how many entries one answer contains; the remainder follows
+// with the next ones. It bounds an answer's growth to 10 kB.
 const maxQuarantineEntries = 256
 
-// quarantine finds out for all hosts which requests end upstreams, while this host
-// acts for all.
+// quarantine finds out for all hosts which requests crash upstreams, while this host is
+// acting.
 type quarantine struct {
 	c *Coordinator
 
 	mu     sync.Mutex
-	id     uint64 // names the ledger; never 0
+	id     uint64 // identifies the ledger; never 0
 	ledger *poison.Ledger
 	rows   quarantineRows
 }
@@ -34,7 +34,7 @@
 	return q
 }
 
-// reset forgets what an earlier term left. All hosts tell what they know.
+// reset drops what an earlier term left. All hosts report what they know.
 func (q *quarantine) reset() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -45,7 +45,7 @@
 	q.id, q.ledger, q.rows = rand.Uint64()|1, poison.NewLedger(poison.DefaultPolicy), quarantineRows{}
 }
 
-// receive enters what a host reports.
+// receive enters a host's report.
 func (q *quarantine) receive(r *coordpb.HostReport, now time.Time) {
 	if len(r.Crashes)+len(r.Completed)+len(r.Released)+len(r.Barred) == 0 {
 		return
@@ -99,7 +99,7 @@
 	}
 }
 
-// addTo adds to an answer what the host does not have yet.
+// addTo adds the entries that the host does not have yet to an answer.
 func (q *quarantine) addTo(r *coordpb.HostReport, out *coordpb.SiteState, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -115,7 +115,7 @@
 	q.logDecisionsLocked("", now)
 }
 
-// RunQuarantine keeps in the platform's store what is barred, while this host holds
+// RunQuarantine keeps the barred requests in the platform's store while this host holds
 // the lease, until ctx ends.
 func (c *Coordinator) RunQuarantine(ctx context.Context) error { return c.quarantine.run(ctx) }
 
@@ -128,7 +128,7 @@
 	return &coordpb.RequestMark{Digest: m.Digest[:], Shape: uint64(m.Shape)}
 }
 
-// decodeEntry reads an entry; the time that is left is counted from now.
+// decodeEntry decodes an entry, whose remaining time is counted from now.
 func decodeEntry(x *coordpb.QuarantineEntry, now time.Time) (poison.Entry, error) {
 	m, err := decodeMark(x.Mark)
 	return poison.Entry{Fingerprint: m, State: poison.State(min(x.State, uint32(poison.Barred))), CrashCount: int(x.Crashes),
--- a/node/coordinator/quarantinerows.go
+++ b/node/coordinator/quarantinerows.go
@@ -16,37 +16,37 @@
 )
 
 const (
-	// quarantineTable holds a row for each request that is barred. Hosts keep nothing
-	// of their own: after a loss of all of them a barred request would end three
-	// more upstreams.
+	// quarantineTable has a row for each request that is barred. Hosts store nothing
+	// themselves: after a loss of all of them a barred request would crash three more
+	// upstreams.
 	quarantineTable = "quarantine/"
 	// maxQuarantineWrites bounds the rows that are written at once, and
-	// quarantineRowsRead those of one read.
+	// quarantinePageSize those of one read.
 	maxQuarantineWrites = 100
 	quarantinePageSize  = 500
-	// quarantineInterval is how often it is looked whether something must be written.
+	// quarantineInterval is how often changes are checked for that must be written.
 	quarantineInterval = 200 * time.Millisecond
-	// quarantineRetry lies between tries while the store does not answer.
+	// quarantineRetry is the time between attempts while the store does not answer.
 	quarantineRetry = time.Second
-	// quarantineTimeout bounds one call.
+	// quarantineTimeout bounds one synchronization with the store.
 	quarantineTimeout = time.Second
 )
 
-// quarantineRows is what a term knows of the rows.
+// quarantineRows is what is known of the rows in the present term.
 type quarantineRows struct {
 	read     bool
-	written  map[poison.Digest]time.Time // end of the bar that the row tells
+	written  map[poison.Digest]time.Time // end of the bar in each row
 	failedAt time.Time
 }
 
-// quarantineRow is a row's value.
+// quarantineRow is the value of a row.
 type quarantineRow struct {
 	Shape   uint64 `json:"shape"`
 	UntilMs int64  `json:"until_unix_ms"`
 	Bars    int    `json:"bars"`
 }
 
-// waitNext waits for the next look; it says no when ctx ends.
+// waitNext waits until the next check is due. It returns false when ctx has ended.
 func (q *quarantine) waitNext(ctx context.Context) bool {
 	taken := q.c.deps.Lease.Acquired()
 	if q.c.HoldsLease() {
@@ -71,7 +71,8 @@
 	return ctx.Err()
 }
 
-// needsSync says whether the rows were not read yet, or do not tell what is barred now.
+// needsSync reports whether the rows have not been read yet, or differ from what is
+// barred now.
 func (q *quarantine) needsSync() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -93,7 +94,7 @@
 	if !read {
 		rows, err := q.readRows(ctx)
 		if err != nil {
-			return eris.Wrap(err, "read what is barred")
+			return eris.Wrap(err, "read barred requests")
 		}
 		q.adoptRows(id, rows)
 		return nil
@@ -107,7 +108,7 @@
 		txn.Writes = append(txn.Writes, w)
 	}
 	if _, err := store.CommitResolved(ctx, q.c.deps.Table, txn); err != nil {
-		return eris.Wrap(err, "write what is barred")
+		return eris.Wrap(err, "write barred requests")
 	}
 	q.recordWritten(id, changes)
 	return nil
@@ -126,7 +127,8 @@
 	}
 }
 
-// rowWrite makes the row of an entry, or removes that of one that is not barred.
+// rowWrite returns the write of an entry's row, or the deletion of the row if the entry
+// is nil, which means not barred.
 func rowWrite(d poison.Digest, e *poison.Entry) (store.Write, error) {
 	w := store.Write{Key: quarantineTable + d.String()}
 	if e == nil {
@@ -135,10 +137,10 @@
 	}
 	var err error
 	w.Value, err = json.Marshal(quarantineRow{Shape: uint64(e.Shape), UntilMs: e.BarredUntil.UnixMilli(), Bars: e.BarCount})
-	return w, eris.Wrap(err, "encode what is barred")
+	return w, eris.Wrap(err, "encode barred request")
 }
 
-// adoptRows takes the rows over.
+// adoptRows enters the rows in the ledger.
 func (q *quarantine) adoptRows(id uint64, rows []store.Row) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -151,20 +153,20 @@
 		var v quarantineRow
 		d, err := poison.ParseDigest(row.Key[len(quarantineTable):])
 		if err != nil || json.Unmarshal(row.Value, &v) != nil {
-			continue // nobody else writes here; a row that cannot be read bars nothing
+			continue // nobody else writes here; an unreadable row bars nothing
 		}
 		until := time.UnixMilli(v.UntilMs)
 		q.rows.written[d] = until
-		left := min(until.Sub(now), poison.DefaultPolicy.MaxBar) // clocks may be apart, or have been set
+		left := min(until.Sub(now), poison.DefaultPolicy.MaxBar) // clocks may differ, or have been set
 		q.ledger.Adopt(poison.Entry{Fingerprint: poison.Fingerprint{Digest: d, Shape: poison.Shape(v.Shape)}, State: poison.Barred, BarredUntil: now.Add(left), BarCount: v.Bars}, now)
 	}
 	q.logDecisionsLocked("", now)
 }
 
-// maxRowDrift is by how much the end of a bar may differ from what its row tells.
+// maxRowDrift is by how much the end of a bar may differ from the one in its row.
 const maxRowDrift = time.Second
 
-// changesLocked are the rows to be written; nil: to be removed.
+// changesLocked returns the rows to be written; nil: to be deleted.
 func (q *quarantine) changesLocked(now time.Time) map[poison.Digest]*poison.Entry {
 	if !q.rows.read {
 		return nil
--- a/node/coordinator/relay.go
+++ b/node/coordinator/relay.go
@@ -12,7 +12,8 @@
 	"peridotpier.example/node/coordinator/coordpb"
 )
 
-// relay adds what the store told this host and the other does not have yet.
+// relay adds the store's state that this host has and the other does not have yet to an
+// answer.
 func (c *Coordinator) relay(r *coordpb.HostReport, out *coordpb.SiteState) error {
 	out.StoreAgeMs = uint32(min(c.deps.Feed.StoreAge(), time.Hour).Milliseconds())
 	if err := c.relayConfig(r, out); err != nil {
@@ -21,9 +22,9 @@
 	if r.BriefList && milliseconds(out.PeriodMs) > minReportPeriod {
 		return c.relayCompactList(r, out)
 	}
-	at := c.deps.Feed.UpstreamsVersion() // before the list: it may be newer than what is said of it
+	at := c.deps.Feed.UpstreamsVersion() // read before the list, which may thus be newer than this version
 	from := c.listState(r)
-	if from == 0 && r.PackedList { // without a copy of the list for each that asks
+	if from == 0 && r.PackedList { // avoids a copy of the list for each host that asks
 		return c.relayFullList(r, at, out)
 	}
 	change := c.deps.Fleet.ChangesSince(from, false)
@@ -35,7 +36,7 @@
 	return err
 }
 
-// listState is up to which state of the list a host knows it; 0: not at all.
+// listState returns the state of the list up to which a host has it; 0: it has none.
 func (c *Coordinator) listState(r *coordpb.HostReport) uint64 {
 	if r.List != 0 {
 		return r.List
@@ -43,7 +44,7 @@
 	return c.deps.Fleet.RevisionAt(r.ListAt)
 }
 
-// relayFullList adds the whole list, packed.
+// relayFullList adds the complete list, packed.
 func (c *Coordinator) relayFullList(r *coordpb.HostReport, at uint64, out *coordpb.SiteState) error {
 	w, err := c.encodings.packedList(c.now(), at, false, c.deps.Fleet)
 	if err != nil {
@@ -53,16 +54,16 @@
 	return nil
 }
 
-// addFullList adds a whole list, unless this host's link is busy with those for others: a
-// host that is told nothing of the list asks one that would act next, or again with its
-// next report. Those that would act next hand it on, and so come first.
+// addFullList adds a complete list, unless this host's link is busy with those for
+// others: a host that gets no list asks a deputy, or asks again with its next report.
+// Deputies always get it, since they forward it.
 func (c *Coordinator) addFullList(w packedList, r *coordpb.HostReport, out *coordpb.SiteState) {
 	if slices.Contains(out.Deputies, r.Address) || c.listBudget.reserve(len(w.data), c.cfg.LinkMbps, c.now()) {
 		out.List, out.ListAt, out.ListFull, out.PackedList = w.state, w.storeVersion, true, w.data
 	}
 }
 
-// relayCompactList adds what every host needs of the list, as published.
+// relayCompactList adds the part of the list that every host needs, as published.
 func (c *Coordinator) relayCompactList(r *coordpb.HostReport, out *coordpb.SiteState) error {
 	out.ListBrief = true
 	p := &c.published
@@ -79,13 +80,13 @@
 		return err
 	}
 	c.addFullList(w, r, out)
-	if changes, to, at, ok := p.since(w.state); ok && out.ListFull { // the list may be of a moment ago
+	if changes, to, at, ok := p.since(w.state); ok && out.ListFull { // the cached list may be older
 		out.List, out.ListAt, out.PackedChanges = to, at, changes
 	}
 	return nil
 }
 
-// relayConfig adds the configuration if it is newer than the other's.
+// relayConfig adds the configuration if it is newer than the other host's.
 func (c *Coordinator) relayConfig(r *coordpb.HostReport, out *coordpb.SiteState) (err error) {
 	t := c.deps.Config.Current()
 	if t == nil || t.Config.Version <= r.Config {
@@ -100,7 +101,7 @@
 	return err
 }
 
-// decodeConfig reads the configuration of an answer; nil: it brings none.
+// decodeConfig decodes the configuration of an answer; nil: there is none.
 func decodeConfig(s *coordpb.SiteState) (*deploy.Config, error) {
 	data := s.Config
 	if len(s.PackedConfig) > 0 {
@@ -119,7 +120,7 @@
 	return cfg, nil
 }
 
-// decodeList reads the list of an answer, or its changes.
+// decodeList decodes the list of an answer, or its changes.
 func decodeList(s *coordpb.SiteState) (put []deploy.Upstream, gone []string, err error) {
 	if put, err = decodeUpstreams(s); err != nil || len(s.PackedChanges) == 0 {
 		return put, s.Gone, err
@@ -127,7 +128,7 @@
 	return mergeChanges(put, s.PackedChanges)
 }
 
-// decodeUpstreams reads the upstreams of an answer.
+// decodeUpstreams decodes the upstreams of an answer.
 func decodeUpstreams(s *coordpb.SiteState) ([]deploy.Upstream, error) {
 	if len(s.PackedList) == 0 {
 		return decodeEach(s.Put)
@@ -135,7 +136,7 @@
 	return unpackList(s.PackedList)
 }
 
-// unpackList reads a list that packList packed.
+// unpackList decodes a list that packList packed.
 func unpackList(packed []byte) ([]deploy.Upstream, error) {
 	data, err := revision.Decompress(packed)
 	if err != nil {
@@ -145,7 +146,7 @@
 	return out, eris.Wrap(json.Unmarshal(data, &out), "decode list")
 }
 
-// decodeEach reads upstreams that another host encoded.
+// decodeEach decodes upstreams that another host encoded one by one.
 func decodeEach(all [][]byte) ([]deploy.Upstream, error) {
 	out := make([]deploy.Upstream, len(all))
 	for i, data := range all {
--- a/node/coordinator/relay_test.go
+++ b/node/coordinator/relay_test.go
@@ -14,12 +14,10 @@
 	"peridotpier.example/node/fleet"
 )
 
-// Symptom: after each new version of the configuration, hosts get no turns for
-// half a second and decide by themselves.
-// Sequence: 195 hosts ask the holder for a version with 340 models within one
-// period of their reports.
-// Cause: the version is sent as it is, 44 kB to each of them, over the link that
-// turns go over.
+// Guards against hosts that get no permits for half a second after each new version of
+// the configuration and decide by themselves: 195 hosts ask for a version with 340
+// models within one period of their reports, and it is sent uncompressed, 44 kB to each
+// of them, over the link that permits use.
 func TestAConfigurationIsSentPacked(t *testing.T) {
 	c := holderSize{7, 12, 340}.holder()
 	table := c.deps.Config.Current()
@@ -40,17 +38,16 @@
 	assert.Assert(t, err != nil)
 }
 
-// Symptom: a holder tells 30,000 holdings a second, most of them for nothing.
-// Sequence: models are moved at half of 156 upstreams; each is asked for its
-// report several times until a load is there.
-// Cause: every report of an upstream counts as a change of what it holds.
+// Guards against 30,000 holdings a second, most of them unchanged: models are moved at
+// half of 156 upstreams, each is asked for its report several times until a load is
+// done, and every report counts as a change.
 func TestOnlyNewHoldingsArePublished(t *testing.T) {
 	c := holderSize{7, 12, 26}.holder()
 	u, _ := c.upstream(upstreamName(0))
 	at := c.revision
 	u.record.Reconcile(residency.Report{Residents: []deploy.Resident{{Model: modelName(0)}, {Model: modelName(1)}, {Model: modelName(2)}}}, c.now())
 	c.publishChange(u)
-	assert.Equal(t, c.revision, at, "it shows what is known")
+	assert.Equal(t, c.revision, at, "the report shows nothing new")
 	u.record.Reconcile(residency.Report{Residents: []deploy.Resident{{Model: modelName(0)}}}, c.now())
 	c.publishChange(u)
 	assert.Equal(t, c.revision, at+1)
@@ -59,9 +56,9 @@
 	assert.Equal(t, len(out.Holdings[0].Residents), 1)
 }
 
-// Symptom: a holder tells 195 hosts some 3.6 MB of loads a second, of upstreams
-// that they look at only when there is no holder.
-// Cause: all loads go with every answer to a report.
+// Guards against some 3.6 MB of loads a second to 195 hosts, of upstreams whose loads
+// they need only when there is no coordinator: all loads were sent with every answer to
+// a report.
 func TestLoadsOfModelsAreSentOnRequest(t *testing.T) {
 	c := holderSize{7, 12, 26}.holder()
 	all := c.answerLoads(&coordpb.HostReport{Host: "h"}, c.now())
@@ -76,10 +73,10 @@
 	loaded := e.Endpoint(&fleet.Request{}, own.now()).InFlight
 	assert.Assert(t, loaded > 0)
 	l.applyAnswer(later)
-	assert.Equal(t, e.Endpoint(&fleet.Request{}, own.now()).InFlight, loaded, "what was told before goes on")
+	assert.Equal(t, e.Endpoint(&fleet.Request{}, own.now()).InFlight, loaded, "the loads received before still count")
 }
 
-// An encoding is of one upstream at one state of the list.
+// An encoding belongs to one upstream at one state of the list.
 func TestAnUpstreamIsEncodedAnewWhenItHasChanged(t *testing.T) {
 	var e encodings
 	say := func(slots int, since uint64) string {
--- a/node/coordinator/reportpace.go
+++ b/node/coordinator/reportpace.go
@@ -9,20 +9,20 @@
 	"peridotpier.example/node/pace"
 )
 
-// reportPace says when the next report is due.
+// reportPace schedules the reports.
 type reportPace struct {
 	mu          sync.Mutex
-	lastAt      time.Time // the last report
+	lastAt      time.Time // time of the last report
 	due         time.Time
 	period      time.Duration
-	rescheduled chan struct{} // has a token when due was brought forward
+	rescheduled chan struct{} // holds a token when due was brought forward
 }
 
 func newReportPace() *reportPace {
 	return &reportPace{period: minReportPeriod, rescheduled: make(chan struct{}, 1)}
 }
 
-// wait returns when the next report is due; it says no when ctx ends before.
+// wait waits until the next report is due. It returns false if ctx ends before.
 func (p *reportPace) wait(ctx context.Context) bool {
 	for {
 		left := p.remaining(time.Now())
@@ -41,7 +41,8 @@
 	}
 }
 
-// remaining is the time until the next report; when it is due, that after it is set.
+// remaining returns the time until the next report. When that is due, it schedules the
+// one after it.
 func (p *reportPace) remaining(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,7 +53,7 @@
 	return 0
 }
 
-// setPeriod is how often reports are due from now on that bring nothing new.
+// setPeriod sets the period of reports without urgent content.
 func (p *reportPace) setPeriod(period time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,8 +67,8 @@
 	return p.period
 }
 
-// hasten has the next report made within a time, drawn, but not sooner than
-// reportPeriod after the last.
+// hasten schedules the next report at a random time within the given one, but not
+// sooner than minReportPeriod after the last.
 func (p *reportPace) hasten(within time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,6 +83,6 @@
 	p.due = at
 	select {
 	case p.rescheduled <- struct{}{}:
-	default: // it looks anyway
+	default: // wait has not seen the last token yet
 	}
 }
--- a/node/coordinator/serve.go
+++ b/node/coordinator/serve.go
@@ -25,7 +25,7 @@
 	return drpcserver.New(mux).Serve(ctx, ln)
 }
 
-// service is what this host offers to the others.
+// service is the service that this host offers to the others.
 type service struct{ c *Coordinator }
 
 // Report implements coordpb.DRPCCoordinatorServer, as the methods below do.
@@ -71,7 +71,7 @@
 	return out, err
 }
 
-// report takes one host's report and answers what it needs of the others.
+// report applies one host's report and returns the answer.
 func (c *Coordinator) report(r *coordpb.HostReport) *coordpb.SiteState {
 	now := c.now()
 	c.applyReport(r, now)
@@ -83,7 +83,7 @@
 	return out
 }
 
-// applyReport notes what a host has sent and what callers asked of it.
+// applyReport records the loads of a host and the demand of its callers.
 func (c *Coordinator) applyReport(r *coordpb.HostReport, now time.Time) {
 	c.aggregate.record(r, now)
 	c.deps.Fleet.ApplySignals(decodeSignals(r.Signals, now), fromHost+r.Host)
@@ -101,7 +101,7 @@
 	}
 }
 
-// managedUpstreams are the accounts of some upstreams.
+// managedUpstreams returns the records of some upstreams.
 func (c *Coordinator) managedUpstreams(entries []*fleet.Entry) []*managedUpstream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,7 +114,8 @@
 	return out
 }
 
-// answerLoads says what the others have sent and what changed at the upstreams.
+// answerLoads begins the answer with the other hosts' loads and the changes of
+// holdings.
 func (c *Coordinator) answerLoads(r *coordpb.HostReport, now time.Time) *coordpb.SiteState {
 	out := &coordpb.SiteState{Deputies: c.aggregate.deputies(now), ModelsLater: r.ModelsLater}
 	others, hosts := c.aggregate.others(r.Host, now, func(upstream string) bool {
@@ -127,28 +128,29 @@
 }
 
 const (
-	// maxHoldings is how many upstreams' holdings one answer tells; the rest follow
-	// with the next ones, the oldest changes first. 299 hosts that link at once would
-	// get 3,000 each, some 300 kB: more than the holder's memory and link carry before
-	// their reports count as lost and they begin anew.
+	// maxHoldings is how many upstreams' holdings one answer contains; the remainder
+	// follows with the next ones, the oldest changes first. Without it 299 hosts that
+	// link at the same time would get 3,000 each, some 300 kB: more than the memory and
+	// the link of the coordinator carry before their reports count as failed and they
+	// begin anew.
 	maxHoldings = 250
-	// holdingsRate is how many are told a second to all hosts together, some 8 MB.
-	// A host needs them to go on by itself; while it has turns it needs those alone
-	// that its callers wait for.
+	// holdingsRate is how many holdings are sent per second to all hosts together, some
+	// 8 MB. A host needs them to decide by itself; while it gets permits it needs only
+	// those that its callers wait for.
 	holdingsRate = 100_000
-	// minHoldings is how many an answer tells in any case.
+	// minHoldings is how many holdings an answer contains in any case.
 	minHoldings = 16
 )
 
-// holdingsLimit is how many upstreams' holdings an answer to one of some hosts tells
-// that reports once in a period.
+// holdingsLimit returns how many upstreams' holdings an answer to one of so many hosts
+// contains, if each reports once in a period.
 func holdingsLimit(hosts int, period time.Duration) int {
 	limit := int(holdingsRate * period.Seconds() / float64(max(hosts, 1)))
 	return min(max(limit, minHoldings), maxHoldings)
 }
 
-// addHoldings adds what changed of what upstreams hold, and what holds or loads the
-// models that the host's callers wait for.
+// addHoldings adds the holdings that changed, and those of upstreams that have the
+// models resident, or are loading them, that the host's callers wait for.
 func (c *Coordinator) addHoldings(r *coordpb.HostReport, out *coordpb.SiteState, now time.Time) {
 	awaited := map[*managedUpstream]bool{}
 	for _, d := range r.Demand {
@@ -177,8 +179,8 @@
 	}
 }
 
-// engine is what each upstream of a service can hold; nil: a plain service, or
-// one that is not known.
+// engine returns the engine of a service's upstreams; nil: a plain service, or an
+// unknown one.
 func (c *Coordinator) engine(service string) *deploy.Engine {
 	table := c.deps.Config.Current()
 	if table == nil {
@@ -191,7 +193,7 @@
 	return s.Engine
 }
 
-// runsModels says whether a service's upstreams run models.
+// runsModels reports whether a service's upstreams run models.
 func (c *Coordinator) runsModels(service string) bool { return c.engine(service) != nil }
 
 func (c *Coordinator) runsModelsAt(upstream string) bool {
@@ -199,8 +201,8 @@
 	return ok && c.runsModels(e.Service())
 }
 
-// addLease says whether this host holds the lease, and what its successor
-// needs to know when it does not any more.
+// addLease adds whether this host holds the lease, and if it does not, what its
+// successor needs to know.
 func (c *Coordinator) addLease(out *coordpb.SiteState, now time.Time) {
 	if rows, record, held := c.deps.Lease.HeldRecord(); held {
 		out.Holding, out.Epoch, out.GrantRow, out.BeatRow, out.Grant = true, record.Epoch, rows.Grant, rows.Heartbeat, record.Encode()
@@ -225,7 +227,7 @@
 	out.LastOrderMs = uint32(min(age, time.Hour).Milliseconds())
 }
 
-// holding is what the upstream can answer now or will soon, for the other hosts.
+// holding returns what the upstream can serve now or soon, for the other hosts.
 func (u *managedUpstream) holding(now time.Time) *coordpb.Holding {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -239,8 +241,8 @@
 	return out
 }
 
-// readyAtLocked is when the model of a move can be expected to answer, at the
-// earliest: what makes way for it may have to end its streams first.
+// readyAtLocked returns when the model of a move can be expected to serve, at the
+// earliest: the model that is evicted for it may have to finish its streams first.
 func (u *managedUpstream) readyAtLocked(v *activeMove, now time.Time) time.Time {
 	took := replica.LoadTime(u.engine, v.Load, v.From)
 	if v.loadingSince.IsZero() {
--- a/node/coordinator/serve_test.go
+++ b/node/coordinator/serve_test.go
@@ -16,10 +16,9 @@
 	"peridotpier.example/node/store"
 )
 
-// Symptom: bytes between data centres grow with hosts times upstreams times orders.
-// Sequence: an adapter is loaded at one upstream; each of 80 hosts is told what
-// all 60 upstreams hold.
-// Cause: holdings are told as a whole.
+// Guards against traffic between data centres that grows with hosts times upstreams
+// times orders: an adapter is loaded at one upstream, and each of 80 hosts is sent the
+// holdings of all 60 upstreams.
 func TestAReportIsAnsweredWithChangesOnly(t *testing.T) {
 	log := event.NewLog(nil)
 	config := follow.NewActiveConfig(log)
@@ -46,11 +45,9 @@
 // noTable is a store that no test here reaches.
 type noTable struct{ store.Table }
 
-// Symptom: a host sends requests by a description that lags, for as long as
-// nothing changes at an upstream.
-// Sequence: the holder tells what a new upstream holds before this host's list
-// names it; the list follows.
-// Cause: what was told of an unknown upstream is dropped, and is not told again.
+// Guards against a host that dispatches by an outdated description for as long as
+// nothing changes at an upstream: the coordinator sends the holdings of a new upstream
+// before this host's list contains it. If they are dropped, they are not sent again.
 func TestHoldingsOfAnUnlistedUpstreamAreKept(t *testing.T) {
 	log := event.NewLog(nil)
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
@@ -67,13 +64,13 @@
 	link.applyAnswer(&coordpb.SiteState{Revision: 2, Holdings: []*coordpb.Holding{{Upstream: "v", Residents: []*coordpb.Resident{{Model: "m"}}}}})
 	f.Apply(nil, []string{"v"}, 2)
 	f.Apply([]deploy.Upstream{{ID: "v", Service: "s"}}, nil, 3)
-	assert.Assert(t, !holds("v"), "what was told of one that is gone is not kept")
+	assert.Assert(t, !holds("v"), "holdings of a removed upstream are not kept")
 }
 
-// Symptom: requests are sent for models that an upstream does not hold.
-// Sequence: its process starts again under its id, empty; this host learns so
-// before the holder tells what the new process holds.
-// Cause: what the holder told of the former process is taken for the new one's.
+// Guards against requests for models that an upstream does not have resident: its
+// process restarts empty under the same ID, this host learns that from the list before
+// the coordinator sends the new process's holdings, and uses those of the former
+// process.
 func TestHoldingsOfAFormerProcessAreNotUsedForItsSuccessor(t *testing.T) {
 	log := event.NewLog(nil)
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
--- a/node/coordinator/signals.go
+++ b/node/coordinator/signals.go
@@ -8,14 +8,14 @@
 	"peridotpier.example/node/fleet"
 )
 
-// Sources of what upstreams ask for, in logs.
+// Sources of signals, in logs.
 const (
 	fromHost   = "host "
 	fromHolder = "holder"
 )
 
-// addSignals adds to the answer to a report what upstreams asked for that the
-// host has not been told.
+// addSignals adds the signals of upstreams that the host has not received yet to an
+// answer.
 func (c *Coordinator) addSignals(r *coordpb.HostReport, out *coordpb.SiteState, now time.Time) {
 	since := r.SignalsRevision
 	if r.SignalsId != c.id {
@@ -26,24 +26,24 @@
 	out.Place = uint32(c.aggregate.hostIndex(r.Host))
 }
 
-// signals is what a host and the one that acts for all have told each other of
-// what upstreams ask for.
+// signals tracks which signals of upstreams a host and the acting coordinator have sent
+// each other.
 type signals struct {
-	process          uint64 // process that acts for all
-	receivedRevision uint64 // revision of its up to which this host has been told
-	sentRevision     uint64 // revision of this host's up to which it was told
+	process          uint64 // process that is the acting coordinator
+	receivedRevision uint64 // the coordinator's revision up to which this host received its signals
+	sentRevision     uint64 // this host's revision up to which the coordinator received its signals
 }
 
-// addTo adds to a report what the one that acts for all has not been told, and
-// returns the revision of this host's that it brings that one to.
+// addTo adds the signals that the coordinator has not received to a report, and returns
+// this host's revision up to which it then has them.
 func (s *signals) addTo(r *coordpb.HostReport, f *fleet.Fleet, now time.Time) (revision uint64) {
 	all, revision := f.SignalsSince(s.sentRevision)
 	r.SignalsId, r.SignalsRevision, r.Signals = s.process, s.receivedRevision, encodeSignals(all, now)
 	return revision
 }
 
-// apply enters the answer to a report that brought its receiver to a revision. A
-// process that answers for the first time has still to be told all.
+// apply applies the answer to a report that sent signals up to sentRevision. A process
+// that answers for the first time must still be sent all signals.
 func (s *signals) apply(a *coordpb.SiteState, sentRevision uint64) {
 	if a.SignalsId != s.process && s.process != 0 {
 		sentRevision = 0
@@ -64,7 +64,7 @@
 	return out
 }
 
-// ageMs is how long ago something was, bounded for the wire.
+// ageMs returns how long ago something happened, in milliseconds, limited to an hour.
 func ageMs(at, now time.Time) uint32 {
 	return uint32(min(max(now.Sub(at), 0), time.Hour).Milliseconds())
 }
--- a/node/coordinator/signals_test.go
+++ b/node/coordinator/signals_test.go
@@ -13,7 +13,8 @@
 	"peridotpier.example/node/fleet"
 )
 
-// Guards against hosts alone that all take the same turn at an upstream.
+// Guards against hosts without a coordinator that all take the same slot of an
+// upstream's limit.
 func TestEachHostHasAPlaceOfItsOwn(t *testing.T) {
 	c := New(Config{}, Deps{Fleet: fleet.New(fleet.Config{}, fleet.Deps{})})
 	now := c.now()
@@ -34,7 +35,8 @@
 	assert.Equal(t, len(seen), 5)
 }
 
-// Guards against a successor that is told nothing of what its predecessor knew.
+// Guards against a successor that does not receive the signals that its predecessor
+// had.
 func TestANewHolderReceivesAllSignals(t *testing.T) {
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
 	f.Replace([]deploy.Upstream{{ID: "u", Service: "s"}}, 1)
@@ -49,8 +51,8 @@
 		return len(r.Signals)
 	}
 	assert.Equal(t, tell(1), 1)
-	assert.Equal(t, tell(1), 0, "once")
-	assert.Equal(t, tell(2), 0, "it is met")
+	assert.Equal(t, tell(1), 0, "the signal is sent once")
+	assert.Equal(t, tell(2), 0, "the first answer of the new holder")
 	assert.Equal(t, tell(2), 1)
 	assert.Equal(t, tell(2), 0)
 }
--- a/node/coordinator/speeds.go
+++ b/node/coordinator/speeds.go
@@ -7,9 +7,9 @@
 	"peridotpier.example/core/speed"
 )
 
-// speeds follows how fast the engines of each service run each model, by the
-// turns that this host gives. A new holder of the lease learns it anew: busy
-// models have a few dozen turns a second.
+// speeds measures how fast the engines of each service run each model, by the permits
+// that this host grants. A new lease holder measures anew: busy models get a few dozen
+// permits a second.
 type speeds struct {
 	mu       sync.Mutex
 	models   map[modelKey]*speed.Observations
@@ -20,7 +20,7 @@
 	return &speeds{models: map[modelKey]*speed.Observations{}, services: map[string]*speed.Observations{}}
 }
 
-// with calls f with what is known of a model, under the lock.
+// with calls f with the speed of a model, under the lock.
 func (s *speeds) with(k modelKey, f func(speed.Estimator)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,7 +33,7 @@
 	f(speed.Estimator{Own: s.models[k], Service: s.services[k.service]})
 }
 
-// engineTime is what requests of a model take of an engine's time.
+// engineTime returns the engine time that requests for a model take.
 func (c *Coordinator) engineTime(k modelKey, prompt, output int) (took time.Duration) {
 	slots := 0
 	if e := c.engine(k.service); e != nil {
--- a/node/coordinator/traffic.go
+++ b/node/coordinator/traffic.go
@@ -7,7 +7,7 @@
 	"peridotpier.example/node/metrics"
 )
 
-// Kinds of calls that hosts make of the one that acts for all.
+// Kinds of calls that hosts make to a coordinator.
 const (
 	callReport  = "report"
 	callState   = "state"
@@ -16,7 +16,7 @@
 	callList    = "list"
 )
 
-// Kinds of bytes between hosts: what a report is, and the fields of its answer.
+// Kinds of bytes between hosts: a report, and the fields of its answer.
 const (
 	bytesReport        = "report"
 	bytesOthers        = "answer_others"
@@ -28,10 +28,10 @@
 	bytesQuarantine    = "answer_quarantine"
 	bytesSignals       = "answer_signals"
 	bytesRemainder     = "answer_rest" // the lease, deputies and versions
-	bytesForwardedList = "list"        // to a host that the one that acts for all has not told yet
+	bytesForwardedList = "list"        // to a host that the acting coordinator has not sent it to yet
 )
 
-// countReport counts a report and its answer by what they bring.
+// countReport counts a report and its answer by their content.
 func (c *Coordinator) countReport(r *coordpb.HostReport, out *coordpb.SiteState) {
 	c.deps.Metrics.CountKind(metrics.PeerCalls, callReport, 1)
 	c.countBytes(bytesReport, proto.Size(r))
@@ -49,7 +49,7 @@
 	}
 }
 
-// answerBytes is what the fields of an answer take that may be large.
+// answerBytes returns the sizes of the fields of an answer that may be large.
 func answerBytes(out *coordpb.SiteState) map[string]int {
 	all := map[string]int{}
 	add := func(kind string, n int) {
@@ -79,7 +79,7 @@
 	return all
 }
 
-// fieldBytes is what the tag and the length of a short field take.
+// fieldBytes is the size of the tag and the length of a short field.
 const fieldBytes = 2
 
 func sizeOf[M proto.Message](all []M) int {
--- a/node/coordinator/traffic_test.go
+++ b/node/coordinator/traffic_test.go
@@ -9,8 +9,8 @@
 	"peridotpier.example/node/coordinator/coordpb"
 )
 
-// Guards against fields of an answer that no operator sees grow: all its bytes are
-// counted, by what they bring.
+// Guards against fields of an answer that grow unnoticed by operators: all its bytes
+// are counted by kind.
 func TestAllBytesOfAnAnswerAreCounted(t *testing.T) {
 	c := holderSize{7, 12, 26}.holder()
 	out := c.report(&coordpb.HostReport{Host: "h", Address: "10.0.0.1:1"})
@@ -22,5 +22,5 @@
 	assert.Assert(t, kinds[bytesOthers] > 0 && kinds[bytesHoldings] > 0 && kinds[bytesList] > 0)
 	assert.Assert(t, sum <= proto.Size(out))
 	out.Others, out.Holdings, out.Put, out.Gone, out.PackedConfig, out.Deputies = nil, nil, nil, nil, nil, nil
-	assert.Assert(t, proto.Size(out) <= 200, "%d bytes that no kind names", proto.Size(out))
+	assert.Assert(t, proto.Size(out) <= 200, "%d bytes of no counted kind", proto.Size(out))
 }
--- a/node/coordinator/waitestimate.go
+++ b/node/coordinator/waitestimate.go
@@ -8,8 +8,9 @@
 	"peridotpier.example/node/fleet"
 )
 
-// refuseUnservable answers a request that no upstream takes while it waits: it is told when
-// to come back. Else it has the queue looked at when one of them does.
+// refuseUnservable answers a request that no upstream will take within its maximum
+// wait; the answer says when to come back. Otherwise it returns false, and the queue is
+// checked again when one of the upstreams may take a request.
 func (t *permits) refuseUnservable(w *permitRequest, now time.Time) bool {
 	o := t.estimateWait(w, now)
 	patience := milliseconds(w.event.PatienceMs)
@@ -21,10 +22,11 @@
 	return true
 }
 
-// waitEstimate is when a request can go whose upstreams all take nothing for now.
+// waitEstimate estimates when a request can be dispatched whose upstreams all take
+// nothing for now.
 type waitEstimate struct {
-	dispatchIn time.Duration // from its host
-	retryIn    time.Duration // when its caller should come back, if that is too late
+	dispatchIn time.Duration // until its host may dispatch it
+	retryIn    time.Duration // until its caller should come back, if that is too late
 }
 
 func (t *permits) estimateWait(w *permitRequest, now time.Time) waitEstimate {
@@ -52,12 +54,13 @@
 	return o
 }
 
-// otherHostRetry is when a caller should come back whom other hosts can serve now: by
-// chance it comes to one of them.
+// otherHostRetry is after how long a caller should come back that other hosts can serve
+// now: its next attempt may reach one of them.
 const otherHostRetry = 100 * time.Millisecond
 
-// retryAfter is when a caller should come back for an upstream that takes nothing of
-// its host for a time: an upstream that asked one host for rest may serve the others.
+// retryAfter returns after how long a caller should come back for an upstream that
+// takes nothing from its host for the time of backoff: an upstream that asked one host
+// to back off may serve the others.
 func (t *permits) retryAfter(e *fleet.Entry, backoff time.Duration, now time.Time) time.Duration {
 	if t.limits.wait(e, now) == 0 && t.backoffs.serves(e.ID()) {
 		return otherHostRetry
@@ -65,7 +68,8 @@
 	return backoff
 }
 
-// queuedAhead is how many of those that wait for the same upstreams go before a request.
+// queuedAhead returns how many of the requests that wait for the same upstreams come
+// before a request.
 func (t *permits) queuedAhead(w *permitRequest) int {
 	n := 0
 	for _, o := range t.waiting {
@@ -76,7 +80,8 @@
 	return n
 }
 
-// wakeAfter has what waits looked at after a time when an upstream may take one more.
+// wakeAfter tries the waiting requests again after wait, when an upstream may take one
+// more.
 func (t *permits) wakeAfter(e *fleet.Entry, now time.Time, wait time.Duration) {
 	if wait <= 0 {
 		return
