--- a/node/coordinator/accounts.go
+++ b/node/coordinator/accounts.go
@@ -89,9 +89,9 @@
 	if !a.refreshLocked(now) {
 		return
 	}
-	for _, w := range states {
-		a.ledger.Correct(w.Standing.GetTeam(), quota.KnownState{Constrained: true, Age: milliseconds(w.AgeMs),
-			AccountState: quota.AccountState{Level: float64(w.Standing.GetLevel()), Demand: float64(w.Standing.GetAsked())}}, now)
+	for _, s := range states {
+		a.ledger.Correct(s.Standing.GetTeam(), quota.KnownState{Constrained: true, Age: milliseconds(s.AgeMs),
+			AccountState: quota.AccountState{Level: float64(s.Standing.GetLevel()), Demand: float64(s.Standing.GetAsked())}}, now)
 	}
 }
 
--- a/node/coordinator/accounts_test.go
+++ b/node/coordinator/accounts_test.go
@@ -94,7 +94,7 @@
 	s := newTestStream()
 	ts.handle(s, chargedRequest(1, 200))
 	var shares teamShares
-	shares.with(team, now, func(s *quota.Share) { s.Refund(200, now) })
+	shares.withShare(team, now, func(s *quota.Share) { s.Refund(200, now) })
 	for range 2 { // the first report is lost
 		r := &coordpb.HostReport{Host: "h"}
 		shares.addUse(r, now)
--- a/node/coordinator/aggregate.go
+++ b/node/coordinator/aggregate.go
@@ -80,62 +80,62 @@
 }
 
 // record replaces one host's report.
-func (s *aggregate) record(r *coordpb.HostReport, now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	former := s.hosts[r.Host]
-	h := &lastReport{at: now, period: s.periodForLocked(r, now), report: r, inTotals: true}
+func (a *aggregate) record(r *coordpb.HostReport, now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	former := a.hosts[r.Host]
+	h := &lastReport{at: now, period: a.periodForLocked(r, now), report: r, inTotals: true}
 	if former == nil {
-		s.indexes = nil
+		a.indexes = nil
 	}
 	if former == nil || !slices.Equal(former.report.Silent, r.Silent) {
-		s.suspectsAt = time.Time{}
+		a.suspectsAt = time.Time{}
 	}
-	s.subtractLocked(former)
+	a.subtractLocked(former)
 	for _, l := range r.Loads {
-		s.addLocked(l.Upstream, loadOf(l))
+		a.addLocked(l.Upstream, loadOf(l))
 	}
-	s.hosts[r.Host] = h
+	a.hosts[r.Host] = h
 }
 
 func loadOf(l *coordpb.Load) fleet.Load {
 	return fleet.Load{Requests: int(l.Requests), PendingPromptTokens: int(l.Waiting), Tokens: int(l.Tokens)}
 }
 
-func (s *aggregate) addLocked(upstream string, l fleet.Load) {
-	sum := s.totals[upstream].Plus(l)
+func (a *aggregate) addLocked(upstream string, l fleet.Load) {
+	sum := a.totals[upstream].Plus(l)
 	if sum == (fleet.Load{}) {
-		delete(s.totals, upstream)
+		delete(a.totals, upstream)
 		return
 	}
-	s.totals[upstream] = sum
+	a.totals[upstream] = sum
 }
 
 // subtractLocked removes a report from the totals, if it is included.
-func (s *aggregate) subtractLocked(h *lastReport) {
+func (a *aggregate) subtractLocked(h *lastReport) {
 	if h == nil || !h.inTotals {
 		return
 	}
 	h.inTotals = false
 	for _, l := range h.report.Loads {
-		s.addLocked(l.Upstream, loadOf(l).Negated())
+		a.addLocked(l.Upstream, loadOf(l).Negated())
 	}
 }
 
 // expireLocked removes reports that are too old.
-func (s *aggregate) expireLocked(now time.Time) {
-	if now.Sub(s.expiredAt) < expiryInterval {
+func (a *aggregate) expireLocked(now time.Time) {
+	if now.Sub(a.expiredAt) < expiryInterval {
 		return
 	}
-	s.expiredAt = now
-	for name, h := range s.hosts {
+	a.expiredAt = now
+	for name, h := range a.hosts {
 		age := now.Sub(h.at)
 		if !h.fresh(now) {
-			s.subtractLocked(h)
+			a.subtractLocked(h)
 		}
 		if age > hostCountedFor {
-			delete(s.hosts, name)
-			s.indexes = nil
+			delete(a.hosts, name)
+			a.indexes = nil
 		}
 	}
 }
@@ -146,20 +146,20 @@
 
 // others adds up the loads of all hosts except one, at those of the wanted upstreams
 // where they are highest. It also returns the number of hosts.
-func (s *aggregate) others(host string, now time.Time, wanted func(upstream string) bool) (all []*coordpb.Load, hosts int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.expireLocked(now)
+func (a *aggregate) others(host string, now time.Time, wanted func(upstream string) bool) (all []*coordpb.Load, hosts int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.expireLocked(now)
 	ownLoads := map[string]fleet.Load{}
-	if h := s.hosts[host]; h != nil && h.inTotals {
+	if h := a.hosts[host]; h != nil && h.inTotals {
 		for _, l := range h.report.Loads {
 			ownLoads[l.Upstream] = ownLoads[l.Upstream].Plus(loadOf(l))
 		}
 	}
-	busiest := s.busiestLocked(now)
+	busiest := a.busiestLocked(now)
 	buf := make([]coordpb.Load, 0, len(busiest))
 	for _, id := range busiest {
-		sum := s.totals[id].Plus(ownLoads[id].Negated())
+		sum := a.totals[id].Plus(ownLoads[id].Negated())
 		if sum.Requests <= 0 || !wanted(id) {
 			continue
 		}
@@ -168,24 +168,24 @@
 		l.Upstream, l.Requests, l.Waiting, l.Tokens = id, uint32(sum.Requests), uint32(max(sum.PendingPromptTokens, 0)), uint32(max(sum.Tokens, 0))
 		all = append(all, l)
 	}
-	return all, len(s.hosts)
+	return all, len(a.hosts)
 }
 
 // busiestLocked returns the upstreams with the most requests: up to maxOthers that run
 // models and up to maxOthers that don't, updated once per expiryInterval. If there are
 // only a few upstreams in all, it returns all of them.
-func (s *aggregate) busiestLocked(now time.Time) []string {
-	if len(s.totals) <= maxOthers {
-		return slices.Collect(maps.Keys(s.totals))
+func (a *aggregate) busiestLocked(now time.Time) []string {
+	if len(a.totals) <= maxOthers {
+		return slices.Collect(maps.Keys(a.totals))
 	}
-	if now.Sub(s.busiestAt) < expiryInterval {
-		return s.busiest
+	if now.Sub(a.busiestAt) < expiryInterval {
+		return a.busiest
 	}
-	s.busiestAt = now
-	byRequests := func(a, b string) int { return cmp.Compare(s.totals[b].Requests, s.totals[a].Requests) }
+	a.busiestAt = now
+	byRequests := func(x, y string) int { return cmp.Compare(a.totals[y].Requests, a.totals[x].Requests) }
 	var models, plain []string
-	for id := range s.totals {
-		if s.runsModels(id) {
+	for id := range a.totals {
+		if a.runsModels(id) {
 			models = append(models, id)
 		} else {
 			plain = append(plain, id)
@@ -193,8 +193,8 @@
 	}
 	slices.SortFunc(models, byRequests)
 	slices.SortFunc(plain, byRequests)
-	s.busiest = append(models[:min(len(models), maxOthers)], plain[:min(len(plain), maxOthers)]...)
-	return s.busiest
+	a.busiest = append(models[:min(len(models), maxOthers)], plain[:min(len(plain), maxOthers)]...)
+	return a.busiest
 }
 
 // maxReportRate is how many reports a second are asked of all hosts together. Each
@@ -203,79 +203,79 @@
 const maxReportRate = 1000
 
 // period returns how often each host reports that has nothing urgent to report.
-func (s *aggregate) period(now time.Time) time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.periodLocked(now)
+func (a *aggregate) period(now time.Time) time.Duration {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.periodLocked(now)
 }
 
-func (s *aggregate) periodLocked(now time.Time) time.Duration {
-	period := time.Second * time.Duration(s.hostCountLocked(now)) / time.Duration(s.maxRate)
-	if s.maxPeriod > 0 {
-		period = min(period, s.maxPeriod)
+func (a *aggregate) periodLocked(now time.Time) time.Duration {
+	period := time.Second * time.Duration(a.hostCountLocked(now)) / time.Duration(a.maxRate)
+	if a.maxPeriod > 0 {
+		period = min(period, a.maxPeriod)
 	}
 	return max(minReportPeriod, period)
 }
 
 // periodForLocked returns the period of one host. The deputies get the shortest one, so
 // that they notice first that there is no acting coordinator.
-func (s *aggregate) periodForLocked(r *coordpb.HostReport, now time.Time) time.Duration {
-	if r.Address == s.ownAddress || slices.Contains(s.cachedDeputies, r.Address) {
+func (a *aggregate) periodForLocked(r *coordpb.HostReport, now time.Time) time.Duration {
+	if r.Address == a.ownAddress || slices.Contains(a.cachedDeputies, r.Address) {
 		return minReportPeriod
 	}
-	return s.periodLocked(now)
+	return a.periodLocked(now)
 }
 
 // periodFor returns the period of a host that has reported.
-func (s *aggregate) periodFor(host string) time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if h := s.hosts[host]; h != nil {
+func (a *aggregate) periodFor(host string) time.Duration {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if h := a.hosts[host]; h != nil {
 		return h.period
 	}
 	return minReportPeriod
 }
 
 // hostCountLocked returns the number of hosts, as far as it is known.
-func (s *aggregate) hostCountLocked(now time.Time) int {
-	if now.Before(s.expectedUntil) {
-		return max(len(s.hosts), s.expectedHosts)
+func (a *aggregate) hostCountLocked(now time.Time) int {
+	if now.Before(a.expectedUntil) {
+		return max(len(a.hosts), a.expectedHosts)
 	}
-	return len(s.hosts)
+	return len(a.hosts)
 }
 
 // hostIndex returns the position of a host among all hosts, in the order of names.
-func (s *aggregate) hostIndex(host string) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.indexes == nil {
-		s.indexes = make(map[string]int, len(s.hosts))
-		for i, name := range slices.Sorted(maps.Keys(s.hosts)) {
-			s.indexes[name] = i
+func (a *aggregate) hostIndex(host string) int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.indexes == nil {
+		a.indexes = make(map[string]int, len(a.hosts))
+		for i, name := range slices.Sorted(maps.Keys(a.hosts)) {
+			a.indexes[name] = i
 		}
 	}
-	return s.indexes[host]
+	return a.indexes[host]
 }
 
 // expectHosts records how many hosts the previous acting coordinator had. Those that do
 // not report here may be disconnected, and go on using their shares of the limits.
-func (s *aggregate) expectHosts(hosts int, now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.expectedHosts, s.expectedUntil = hosts, now.Add(hostCountedFor)
+func (a *aggregate) expectHosts(hosts int, now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.expectedHosts, a.expectedUntil = hosts, now.Add(hostCountedFor)
 }
 
 // reportingShare returns the share of the hosts that have reported recently, among all
 // that share the limits.
-func (s *aggregate) reportingShare(now time.Time) float64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	all := s.hostCountLocked(now)
+func (a *aggregate) reportingShare(now time.Time) float64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	all := a.hostCountLocked(now)
 	if all == 0 {
 		return 1
 	}
 	fresh := 0
-	for _, h := range s.hosts {
+	for _, h := range a.hosts {
 		if h.fresh(now) {
 			fresh++
 		}
@@ -291,15 +291,15 @@
 // that at least minSuspectHosts do. A host that finds an upstream unresponsive reports
 // it within a report's period, which spares the other hosts the requests that they
 // would send there until they notice it themselves.
-func (s *aggregate) suspects(now time.Time) map[string]bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.suspectsAt.IsZero() && now.Sub(s.suspectsAt) < expiryInterval {
-		return s.cachedSuspects
+func (a *aggregate) suspects(now time.Time) map[string]bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if !a.suspectsAt.IsZero() && now.Sub(a.suspectsAt) < expiryInterval {
+		return a.cachedSuspects
 	}
 	counts := map[string]int{}
 	out := map[string]bool{}
-	for _, h := range s.hosts {
+	for _, h := range a.hosts {
 		if !h.suspectsCount(now) {
 			continue
 		}
@@ -308,17 +308,17 @@
 			out[id] = counts[id] >= minSuspectHosts
 		}
 	}
-	s.cachedSuspects, s.suspectsAt = out, now
+	a.cachedSuspects, a.suspectsAt = out, now
 	return out
 }
 
 // anyOtherWithSpareCapacity reports whether another host that reports here has enough
 // spare capacity to coordinate.
-func (s *aggregate) anyOtherWithSpareCapacity(now time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, h := range s.hosts {
-		if h.report.Ample && h.report.Address != s.ownAddress && h.fresh(now) {
+func (a *aggregate) anyOtherWithSpareCapacity(now time.Time) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, h := range a.hosts {
+		if h.report.Ample && h.report.Address != a.ownAddress && h.fresh(now) {
 			return true
 		}
 	}
@@ -336,14 +336,14 @@
 
 // deputies returns the addresses of the hosts that should take the lease next: those
 // with spare capacity first, in the same order for all that ask.
-func (s *aggregate) deputies(now time.Time) []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if now.Sub(s.deputiesAt) < deputyInterval && len(s.cachedDeputies) == min(len(s.hosts), maxDeputies) {
-		return s.cachedDeputies
+func (a *aggregate) deputies(now time.Time) []string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if now.Sub(a.deputiesAt) < deputyInterval && len(a.cachedDeputies) == min(len(a.hosts), maxDeputies) {
+		return a.cachedDeputies
 	}
 	var spare, other []string
-	for _, h := range s.hosts {
+	for _, h := range a.hosts {
 		if !h.fresh(now) || h.report.Address == "" {
 			continue
 		}
@@ -356,6 +356,6 @@
 	sort.Slice(spare, func(i, j int) bool { return xxhash.Sum64String(spare[i]) < xxhash.Sum64String(spare[j]) })
 	sort.Strings(other)
 	all := append(spare, other...)
-	s.cachedDeputies, s.deputiesAt = all[:min(len(all), maxDeputies)], now
-	return s.cachedDeputies
+	a.cachedDeputies, a.deputiesAt = all[:min(len(all), maxDeputies)], now
+	return a.cachedDeputies
 }
--- a/node/coordinator/announcements.go
+++ b/node/coordinator/announcements.go
@@ -52,13 +52,13 @@
 }
 
 // announce notifies all hosts that have a stream.
-func (t *permits) announce() {
-	t.mu.Lock()
-	streams := make([]*permitStream, 0, len(t.streams))
-	for s := range t.streams {
+func (p *permits) announce() {
+	p.mu.Lock()
+	streams := make([]*permitStream, 0, len(p.streams))
+	for s := range p.streams {
 		streams = append(streams, s)
 	}
-	t.mu.Unlock()
+	p.mu.Unlock()
 	within := time.Second * time.Duration(len(streams)) / announceRate
 	for _, s := range streams {
 		s.send(&coordpb.TurnAnswer{Kind: coordpb.TurnAnswer_NEWS, WaitMs: uint32(within.Milliseconds())})
@@ -66,8 +66,8 @@
 }
 
 // addStream registers a stream until removeStream.
-func (t *permits) addStream(s *permitStream) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.streams[s] = struct{}{}
+func (p *permits) addStream(s *permitStream) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.streams[s] = struct{}{}
 }
--- a/node/coordinator/backoffs.go
+++ b/node/coordinator/backoffs.go
@@ -30,7 +30,7 @@
 )
 
 // record records what upstreams asked of a request's host.
-func (r backoffs) record(w *permitRequest, now time.Time) {
+func (b backoffs) record(w *permitRequest, now time.Time) {
 	if len(w.event.Rests) == 0 {
 		return
 	}
@@ -38,10 +38,10 @@
 	for _, asked := range w.event.Rests {
 		until := now.Add(milliseconds(asked.ForMs))
 		w.hostBackoffs[asked.Upstream] = until
-		u := r[asked.Upstream]
+		u := b[asked.Upstream]
 		if u == nil {
 			u = &upstreamBackoff{}
-			r[asked.Upstream] = u
+			b[asked.Upstream] = u
 		}
 		if until.Sub(u.until) > backoffTolerance {
 			u.until = until
@@ -51,8 +51,8 @@
 }
 
 // wait returns the time until an upstream may get one more request.
-func (r backoffs) wait(upstream string) time.Duration {
-	if u := r[upstream]; u != nil && u.slowStart.AtLimit() {
+func (b backoffs) wait(upstream string) time.Duration {
+	if u := b[upstream]; u != nil && u.slowStart.AtLimit() {
 		return fleet.SlowStartWait
 	}
 	return 0
@@ -60,35 +60,35 @@
 
 // serves reports whether an upstream has asked some host to back off, but answers other
 // hosts.
-func (r backoffs) serves(upstream string) bool {
-	u := r[upstream]
+func (b backoffs) serves(upstream string) bool {
+	u := b[upstream]
 	return u != nil && !u.slowStart.Active()
 }
 
 // recordGrant records a request that is granted, and reports whether its answer is
 // awaited.
-func (r backoffs) recordGrant(w *permitRequest) bool {
-	u := r[w.upstream]
+func (b backoffs) recordGrant(w *permitRequest) bool {
+	u := b[w.upstream]
 	w.isTrial = u != nil && u.slowStart.Sent()
 	return w.isTrial
 }
 
 // recordAnswer records that a request's answer began.
-func (r backoffs) recordAnswer(w *permitRequest, slots int) {
-	if u := r[w.upstream]; u != nil && w.isTrial {
+func (b backoffs) recordAnswer(w *permitRequest, slots int) {
+	if u := b[w.upstream]; u != nil && w.isTrial {
 		u.slowStart.Answered(slots)
 	}
 }
 
 // recordEnd records the end of a request.
-func (r backoffs) recordEnd(w *permitRequest) {
-	if u := r[w.upstream]; u != nil && w.isTrial {
+func (b backoffs) recordEnd(w *permitRequest) {
+	if u := b[w.upstream]; u != nil && w.isTrial {
 		u.slowStart.Ended()
 	}
 	w.isTrial = false
 }
 
 // expire drops backoffs that ended long ago.
-func (r backoffs) expire(now time.Time) {
-	maps.DeleteFunc(r, func(_ string, x *upstreamBackoff) bool { return now.Sub(x.until) > backoffMemory })
+func (b backoffs) expire(now time.Time) {
+	maps.DeleteFunc(b, func(_ string, x *upstreamBackoff) bool { return now.Sub(x.until) > backoffMemory })
 }
--- a/node/coordinator/coordinator.go
+++ b/node/coordinator/coordinator.go
@@ -114,12 +114,12 @@
 	actingWithoutLease atomic.Bool // this host is acting without ever having held the lease
 	actingStarted      pace.Signal // given when actingWithoutLease is set
 
-	// LinkedAddress returns the address that this host sends its reports to. It must be
-	// set before Run.
+	// LinkedAddress returns the address that this host sends its reports to. It is
+	// optional and set before Run.
 	LinkedAddress func() string
 
-	// FormerHostCount returns how many hosts the previous acting coordinator had. It
-	// must be set before Run.
+	// FormerHostCount returns how many hosts the previous acting coordinator had. It is
+	// optional and set before Run.
 	FormerHostCount func() int
 
 	encodings       encodings
@@ -239,7 +239,7 @@
 }
 
 // Acting reports whether this host is the acting coordinator: whether it aggregates
-// loads and grants permits. It does while it holds the lease, and also after its lease
+// loads and grants permits. It is while it holds the lease, and also after its lease
 // expired, as happens while the store is unavailable, for as long as no other holder is
 // known. Aggregation and permits need no authority beyond that hosts ask for them;
 // without an acting coordinator all hosts would decide on their own and query the store
--- a/node/coordinator/demand.go
+++ b/node/coordinator/demand.go
@@ -50,17 +50,17 @@
 		d.reportedSince = now
 	}
 	d.lastReportAt = now
-	for _, w := range all {
-		k := modelKey{w.Service, w.Model}
+	for _, reported := range all {
+		k := modelKey{reported.Service, reported.Model}
 		m := d.modelLocked(k, now)
 		m.decay(now)
-		m.engineSeconds += engineTime(k, int(w.Prompt), int(w.Output)).Seconds()
-		m.requests += float64(w.Requests)
+		m.engineSeconds += engineTime(k, int(reported.Prompt), int(reported.Output)).Seconds()
+		m.requests += float64(reported.Requests)
 		m.lastAt = now
-		if w.PatienceMs > 0 {
-			m.minObjective = min(m.minObjective, milliseconds(w.PatienceMs))
+		if reported.PatienceMs > 0 {
+			m.minObjective = min(m.minObjective, milliseconds(reported.PatienceMs))
 		}
-		if w.Unserved > 0 {
+		if reported.Unserved > 0 {
 			m.unservedAt = now
 		}
 	}
@@ -75,11 +75,11 @@
 	return m
 }
 
-func (w *modelDemand) decay(now time.Time) {
-	share := math.Exp(-now.Sub(w.decayedAt).Seconds() / demandDecay.Seconds())
-	w.engineSeconds *= share
-	w.requests *= share
-	w.decayedAt = now
+func (m *modelDemand) decay(now time.Time) {
+	share := math.Exp(-now.Sub(m.decayedAt).Seconds() / demandDecay.Seconds())
+	m.engineSeconds *= share
+	m.requests *= share
+	m.decayedAt = now
 }
 
 const (
@@ -99,16 +99,16 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := map[string]replica.Demand{}
-	for k, w := range d.models {
+	for k, m := range d.models {
 		if k.service != name {
 			continue
 		}
-		w.decay(now)
-		load := w.engineSeconds / demandDecay.Seconds()
-		if load < minLoad || now.Sub(w.lastAt) > demandExpiry {
+		m.decay(now)
+		load := m.engineSeconds / demandDecay.Seconds()
+		if load < minLoad || now.Sub(m.lastAt) > demandExpiry {
 			load = 0
 		}
-		out[k.model] = replica.Demand{EngineLoad: load, Unserved: now.Sub(w.unservedAt) < unservedFor, WaitsForLoad: isPatient(e, k.model, w.minObjective), TimePerRequest: w.engineTimePerRequest()}
+		out[k.model] = replica.Demand{EngineLoad: load, Unserved: now.Sub(m.unservedAt) < unservedFor, WaitsForLoad: isPatient(e, k.model, m.minObjective), TimePerRequest: m.engineTimePerRequest()}
 	}
 	return out
 }
@@ -117,11 +117,11 @@
 const minCounted = 0.5
 
 // engineTimePerRequest returns the engine time of one request; 0: unknown.
-func (w *modelDemand) engineTimePerRequest() time.Duration {
-	if w.requests < minCounted {
+func (m *modelDemand) engineTimePerRequest() time.Duration {
+	if m.requests < minCounted {
 		return 0
 	}
-	return time.Duration(w.engineSeconds / w.requests * float64(time.Second))
+	return time.Duration(m.engineSeconds / m.requests * float64(time.Second))
 }
 
 // demandKnownAfter is how long after its first request a model's demand is known well
@@ -132,8 +132,8 @@
 func (d *demand) isKnown(service, model string, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	w := d.models[modelKey{service, model}]
-	return w != nil && now.Sub(w.firstAt) >= demandKnownAfter
+	m := d.models[modelKey{service, model}]
+	return m != nil && now.Sub(m.firstAt) >= demandKnownAfter
 }
 
 // allKnown reports whether hosts have reported for long enough for the demand for all
--- a/node/coordinator/demandhandover.go
+++ b/node/coordinator/demandhandover.go
@@ -12,16 +12,16 @@
 func (d *demand) snapshot(now time.Time) (all []*coordpb.HeldDemand, period time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for k, w := range d.models {
-		if now.Sub(w.lastAt) > demandExpiry {
+	for k, m := range d.models {
+		if now.Sub(m.lastAt) > demandExpiry {
 			continue
 		}
-		w.decay(now)
-		h := &coordpb.HeldDemand{Service: k.service, Model: k.model, EngineMs: uint32(w.engineSeconds * 1000),
-			FirstMs: uint32(min(now.Sub(w.firstAt), time.Hour).Milliseconds()), LastMs: uint32(now.Sub(w.lastAt).Milliseconds()),
-			PatienceMs: uint32(w.minObjective.Milliseconds())}
-		if now.Sub(w.unservedAt) < unservedFor {
-			h.UnservedMs = uint32(now.Sub(w.unservedAt).Milliseconds()) + 1
+		m.decay(now)
+		h := &coordpb.HeldDemand{Service: k.service, Model: k.model, EngineMs: uint32(m.engineSeconds * 1000),
+			FirstMs: uint32(min(now.Sub(m.firstAt), time.Hour).Milliseconds()), LastMs: uint32(now.Sub(m.lastAt).Milliseconds()),
+			PatienceMs: uint32(m.minObjective.Milliseconds())}
+		if now.Sub(m.unservedAt) < unservedFor {
+			h.UnservedMs = uint32(now.Sub(m.unservedAt).Milliseconds()) + 1
 		}
 		all = append(all, h)
 	}
--- a/node/coordinator/find.go
+++ b/node/coordinator/find.go
@@ -48,8 +48,9 @@
 	return false
 }
 
-// FindCoordinator asks another host who holds the lease, and links this host to the
-// holder. This is how a host finds it while the store refuses the host's calls.
+// FindCoordinator asks another host for the coordinator that it uses, and links this
+// host to that one. This is how a host finds the lease holder while the store refuses
+// the host's calls.
 func (l *Link) FindCoordinator(ctx context.Context) bool {
 	peers := l.peers()
 	if len(peers) == 0 {
--- a/node/coordinator/handover.go
+++ b/node/coordinator/handover.go
@@ -35,8 +35,8 @@
 	receivedAt       time.Time     // when the handover was received
 }
 
-// RecordHandover records what a host reported that held the lease in an epoch and gave
-// it up.
+// RecordHandover records the handover of a host that held the lease in an epoch and
+// gave it up. sinceOrder is the time since the last order that the host knows of.
 func (c *Coordinator) RecordHandover(epoch uint64, sinceOrder time.Duration, msg *coordpb.Handover) {
 	now := c.now()
 	h := handover{epoch: epoch, lastOrderAt: now.Add(-sinceOrder), complete: msg.GetWhole(), orderedAt: map[string]time.Time{},
--- a/node/coordinator/link.go
+++ b/node/coordinator/link.go
@@ -53,8 +53,8 @@
 	own   *Coordinator
 	conns *conns
 	log   *event.Log
-	// Quarantine is this host's part in finding requests that crash upstreams. It may
-	// be set before Run.
+	// Quarantine is this host's part in finding requests that crash upstreams. NewLink
+	// sets one that does nothing; another one is set before Run.
 	Quarantine   Quarantine
 	permitClient *permitClient
 	teams        teamShares
--- a/node/coordinator/linkanswers.go
+++ b/node/coordinator/linkanswers.go
@@ -16,8 +16,7 @@
 // This file contains what a host applies from the answer to its report.
 
 // storeReachableFor is the maximum age of the store's last answer at which the store
-// counts as reachable: a long poll for changes, at a host that gets no relay, lasts 2
-// s.
+// counts as reachable. A long poll for changes lasts 2 s, at a host that gets no relay.
 const storeReachableFor = 2500 * time.Millisecond
 
 // StoreReachable reports whether the store itself answered this host recently.
--- a/node/coordinator/linkmodels.go
+++ b/node/coordinator/linkmodels.go
@@ -12,7 +12,7 @@
 // errNotLinked means that no acting coordinator is known.
 var errNotLinked = errors.New("not linked to a host that gives orders")
 
-// LoadAdapter implements gate.Models.
+// LoadAdapter implements gate.Coordinator.
 func (l *Link) LoadAdapter(ctx context.Context, upstream, model, adapter string) error {
 	address := l.coordinatorAddress()
 	if address == "" {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// RecordDemand implements gate.Models.
+// RecordDemand implements gate.Coordinator.
 func (l *Link) RecordDemand(service string, f *gate.RequestInfo, output int, objective time.Duration, unserved bool) {
 	k := demandKey{service, f.Model, f.Adapter}
 	l.mu.Lock()
--- a/node/coordinator/linkquarantine.go
+++ b/node/coordinator/linkquarantine.go
@@ -36,7 +36,7 @@
 func encodeCrash(x *local.Crash, now time.Time) *coordpb.UpstreamCrash {
 	out := &coordpb.UpstreamCrash{Upstream: x.Upstream, AgeMs: uint32(max(now.Sub(x.At), 0).Milliseconds())}
 	for _, m := range x.Running {
-		out.Running = append(out.Running, encodeMark(m))
+		out.Running = append(out.Running, encodeFingerprint(m))
 	}
 	return out
 }
--- a/node/coordinator/linkteams.go
+++ b/node/coordinator/linkteams.go
@@ -36,8 +36,8 @@
 	return s
 }
 
-// with calls f on a team's share.
-func (t *teamShares) with(team *deploy.Team, now time.Time, f func(*quota.Share)) {
+// withShare calls f on a team's share, under the lock.
+func (t *teamShares) withShare(team *deploy.Team, now time.Time, f func(*quota.Share)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(t.shareLocked(team, now))
@@ -70,12 +70,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, s := range t.byName {
-		w, ok := s.KnownState(now)
-		if !ok || !w.Constrained || w.Age > maxStateAge {
+		state, ok := s.KnownState(now)
+		if !ok || !state.Constrained || state.Age > maxStateAge {
 			continue
 		}
-		r.TeamWords = append(r.TeamWords, &coordpb.TeamWord{AgeMs: uint32(w.Age.Milliseconds()),
-			Standing: &coordpb.TeamStanding{Team: name, Level: int64(w.Level), Asked: uint64(w.Demand)}})
+		r.TeamWords = append(r.TeamWords, &coordpb.TeamWord{AgeMs: uint32(state.Age.Milliseconds()),
+			Standing: &coordpb.TeamStanding{Team: name, Level: int64(state.Level), Asked: uint64(state.Demand)}})
 	}
 }
 
@@ -97,14 +97,14 @@
 	if !s.CountsTeams {
 		return
 	}
-	scarce := make(map[string]*coordpb.TeamStanding, len(s.Teams))
+	constrained := make(map[string]*coordpb.TeamStanding, len(s.Teams))
 	for _, u := range s.Teams {
-		scarce[u.Team] = u
+		constrained[u.Team] = u
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, share := range t.byName {
-		u := scarce[name]
+		u := constrained[name]
 		share.SetState(quota.AccountState{Level: float64(u.GetLevel()), Demand: float64(u.GetAsked())}, u != nil, now, until)
 	}
 }
@@ -131,34 +131,34 @@
 	}
 }
 
-// Charge implements gate.Limits.
+// Charge implements gate.TeamLimits.
 func (l *Link) Charge(ctx context.Context, team *deploy.Team, cost float64) (time.Duration, bool) {
 	now := l.own.now()
 	verdict := quota.ConsultLedger
-	l.teams.with(team, now, func(s *quota.Share) { verdict = s.Decide(cost, now) })
+	l.teams.withShare(team, now, func(s *quota.Share) { verdict = s.Decide(cost, now) })
 	if verdict == quota.ConsultLedger {
 		wait, ok, err := l.permitClient.charge(ctx, team.Name, cost)
 		if err == nil {
 			return wait, ok
 		}
-		l.teams.with(team, now, func(s *quota.Share) { verdict = s.DecideWithoutLedger(cost, now, rand.Float64()) })
+		l.teams.withShare(team, now, func(s *quota.Share) { verdict = s.DecideWithoutLedger(cost, now, rand.Float64()) })
 	}
 	return uncoordinatedRetry, verdict == quota.Admit
 }
 
-// Refund implements gate.Limits.
+// Refund implements gate.TeamLimits.
 func (l *Link) Refund(team *deploy.Team, cost float64) {
 	now := l.own.now()
-	l.teams.with(team, now, func(s *quota.Share) { s.Refund(cost, now) })
+	l.teams.withShare(team, now, func(s *quota.Share) { s.Refund(cost, now) })
 }
 
 var _ gate.TeamLimits = (*Link)(nil)
 
 // charge asks the acting coordinator whether a team's limit allows a request.
-func (a *permitClient) charge(ctx context.Context, team string, cost float64) (wait time.Duration, ok bool, err error) {
+func (c *permitClient) charge(ctx context.Context, team string, cost float64) (wait time.Duration, ok bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, firstAnswerTimeout)
 	defer cancel()
-	answer, err := a.call(ctx, &coordpb.TurnEvent{Kind: coordpb.TurnEvent_CHARGE, Team: team, Charge: uint32(cost)})
+	answer, err := c.call(ctx, &coordpb.TurnEvent{Kind: coordpb.TurnEvent_CHARGE, Team: team, Charge: uint32(cost)})
 	if err != nil {
 		return 0, false, err
 	}
--- a/node/coordinator/listcall.go
+++ b/node/coordinator/listcall.go
@@ -21,16 +21,16 @@
 func (s service) List(context.Context, *coordpb.ListCall) (*coordpb.ListAnswer, error) {
 	c := s.c
 	c.deps.Metrics.CountKind(metrics.PeerCalls, callList, 1)
-	at := c.deps.Feed.UpstreamsVersion() // read before the list, which may thus be newer than this version
-	if at == 0 {
+	storeVersion := c.deps.Feed.UpstreamsVersion() // read before the list, which may thus be newer than this version
+	if storeVersion == 0 {
 		return &coordpb.ListAnswer{}, nil
 	}
-	w, err := c.encodings.packedList(c.now(), at, true, c.deps.Fleet)
-	if err != nil || !c.listBudget.reserve(len(w.data), c.cfg.LinkMbps, c.now()) {
+	list, err := c.encodings.packedList(c.now(), storeVersion, true, c.deps.Fleet)
+	if err != nil || !c.listBudget.reserve(len(list.data), c.cfg.LinkMbps, c.now()) {
 		return &coordpb.ListAnswer{}, err
 	}
-	c.countBytes(bytesForwardedList, len(w.data))
-	return &coordpb.ListAnswer{Packed: w.data, At: w.storeVersion}, nil
+	c.countBytes(bytesForwardedList, len(list.data))
+	return &coordpb.ListAnswer{Packed: list.data, At: list.storeVersion}, nil
 }
 
 // listRetry is how long a host without a list waits before it asks again: by then the
--- a/node/coordinator/managedupstream.go
+++ b/node/coordinator/managedupstream.go
@@ -65,8 +65,8 @@
 	loadingSince time.Time // since when it is being loaded
 }
 
-func (t publishedHolding) equal(o publishedHolding) bool {
-	return t.loading == o.loading && t.loadingSince.Equal(o.loadingSince) && slices.EqualFunc(t.residents, o.residents, deploy.Resident.Equal)
+func (p publishedHolding) equal(o publishedHolding) bool {
+	return p.loading == o.loading && p.loadingSince.Equal(o.loadingSince) && slices.EqualFunc(p.residents, o.residents, deploy.Resident.Equal)
 }
 
 // updatePublished updates what is published to the hosts and reports whether it
--- a/node/coordinator/move.go
+++ b/node/coordinator/move.go
@@ -208,7 +208,8 @@
 	return errNoUpstream
 }
 
-// awaitReport asks the upstream for its report until done returns true.
+// awaitReport asks the upstream for its report until done returns true, for bound at
+// most.
 func (u *managedUpstream) awaitReport(ctx context.Context, bound time.Duration, done func(*residency.Record) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
--- a/node/coordinator/permitclient.go
+++ b/node/coordinator/permitclient.go
@@ -49,25 +49,25 @@
 }
 
 // run keeps a stream to the acting coordinator open until ctx ends.
-func (a *permitClient) run(ctx context.Context) error {
-	defer a.closeStream(nil)
+func (c *permitClient) run(ctx context.Context) error {
+	defer c.closeStream(nil)
 	at := ""
-	for a.waitNext(ctx, at) {
-		address := a.link.coordinatorAddress()
-		a.mu.Lock()
-		open := a.stream != nil
-		a.mu.Unlock()
+	for c.waitNext(ctx, at) {
+		address := c.link.coordinatorAddress()
+		c.mu.Lock()
+		open := c.stream != nil
+		c.mu.Unlock()
 		if open && address == at {
 			continue
 		}
 		if open {
-			a.closeStream(nil)
+			c.closeStream(nil)
 		}
-		if address == "" || time.Since(a.openedAt) < minOpenInterval {
+		if address == "" || time.Since(c.openedAt) < minOpenInterval {
 			continue
 		}
-		a.openedAt = time.Now()
-		if a.open(ctx, address) == nil {
+		c.openedAt = time.Now()
+		if c.open(ctx, address) == nil {
 			at = address
 		}
 	}
@@ -76,24 +76,24 @@
 
 // waitNext waits until the stream to an address is to be checked again. It returns
 // false when ctx has ended.
-func (a *permitClient) waitNext(ctx context.Context, at string) bool {
-	moved := a.link.linkChanged.Next()
-	a.mu.Lock()
-	open := a.stream != nil
-	a.mu.Unlock()
-	if open && a.link.coordinatorAddress() == at {
-		return pace.SleepOrWake(ctx, idleInterval, moved)
+func (c *permitClient) waitNext(ctx context.Context, at string) bool {
+	changed := c.link.linkChanged.Next()
+	c.mu.Lock()
+	open := c.stream != nil
+	c.mu.Unlock()
+	if open && c.link.coordinatorAddress() == at {
+		return pace.SleepOrWake(ctx, idleInterval, changed)
 	}
 	return pace.Sleep(ctx, pollInterval)
 }
 
 // open opens a stream to the coordinator at an address.
-func (a *permitClient) open(ctx context.Context, address string) error {
-	if address == a.link.cfg.Address {
-		a.openLocal()
+func (c *permitClient) open(ctx context.Context, address string) error {
+	if address == c.link.cfg.Address {
+		c.openLocal()
 		return nil
 	}
-	conn, err := a.link.conns.get(ctx, address)
+	conn, err := c.link.conns.get(ctx, address)
 	if err != nil {
 		return err
 	}
@@ -105,9 +105,9 @@
 		return err
 	}
 	s := &peerStream{out: make(chan *coordpb.TurnEvent, permitQueueLen), cancel: cancel}
-	a.mu.Lock()
-	a.stream = s
-	a.mu.Unlock()
+	c.mu.Lock()
+	c.stream = s
+	c.mu.Unlock()
 	go s.send(ctx, st)
 	go func() {
 		defer cancel()
@@ -115,10 +115,10 @@
 		for {
 			answer, err := st.Recv()
 			if err != nil {
-				a.closeStream(s)
+				c.closeStream(s)
 				return
 			}
-			a.deliver(answer)
+			c.deliver(answer)
 		}
 	}()
 	return nil
@@ -188,21 +188,21 @@
 	return nil
 }
 
-func (a *permitClient) openLocal() {
+func (c *permitClient) openLocal() {
 	ctx, cancel := context.WithCancel(context.Background())
 	to := &permitStream{out: make(chan *coordpb.TurnAnswer, permitQueueLen), cancel: cancel}
-	s := &localStream{c: a.link.own, to: to, stop: cancel}
-	a.mu.Lock()
-	a.stream = s
-	a.mu.Unlock()
+	s := &localStream{c: c.link.own, to: to, stop: cancel}
+	c.mu.Lock()
+	c.stream = s
+	c.mu.Unlock()
 	go func() {
 		for {
 			select {
 			case <-ctx.Done():
-				a.closeStream(s) // so that another is opened
+				c.closeStream(s) // so that another is opened
 				return
 			case answer := <-to.out:
-				a.deliver(answer)
+				c.deliver(answer)
 			}
 		}
 	}()
@@ -210,31 +210,31 @@
 
 // closeStream closes the stream if it is still st (nil: whichever is open). Requests
 // that wait for an answer on it then decide by themselves.
-func (a *permitClient) closeStream(st permitSender) {
-	a.mu.Lock()
-	old := a.stream
+func (c *permitClient) closeStream(st permitSender) {
+	c.mu.Lock()
+	old := c.stream
 	if old == nil || st != nil && old != st {
-		a.mu.Unlock()
+		c.mu.Unlock()
 		return
 	}
-	a.stream = nil
-	for id, ch := range a.pending {
+	c.stream = nil
+	for id, ch := range c.pending {
 		close(ch)
-		delete(a.pending, id)
+		delete(c.pending, id)
 	}
-	a.mu.Unlock()
-	a.link.linkChanged.Notify()
+	c.mu.Unlock()
+	c.link.linkChanged.Notify()
 	_ = old.Close()
 }
 
-func (a *permitClient) deliver(answer *coordpb.TurnAnswer) {
+func (c *permitClient) deliver(answer *coordpb.TurnAnswer) {
 	if answer.Kind == coordpb.TurnAnswer_NEWS {
-		a.link.pace.hasten(milliseconds(answer.WaitMs))
+		c.link.pace.hasten(milliseconds(answer.WaitMs))
 		return
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if ch := a.pending[answer.Id]; ch != nil {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if ch := c.pending[answer.Id]; ch != nil {
 		select {
 		case ch <- answer:
 		default: // there are two answers at most; a third would be a fault of the coordinator
@@ -243,33 +243,33 @@
 }
 
 // send sends an event. A stream on which that fails is closed.
-func (a *permitClient) send(st permitSender, e *coordpb.TurnEvent) error {
+func (c *permitClient) send(st permitSender, e *coordpb.TurnEvent) error {
 	err := st.Send(e)
 	if err != nil {
-		a.closeStream(st)
+		c.closeStream(st)
 	}
 	return err
 }
 
 // start sends a request. Its answers arrive on the channel until done is called.
-func (a *permitClient) start(e *coordpb.TurnEvent) (st permitSender, answers <-chan *coordpb.TurnAnswer, done func(), err error) {
-	a.mu.Lock()
-	st = a.stream
-	if st == nil || time.Now().Before(a.pausedUntil) {
-		a.mu.Unlock()
+func (c *permitClient) start(e *coordpb.TurnEvent) (st permitSender, answers <-chan *coordpb.TurnAnswer, done func(), err error) {
+	c.mu.Lock()
+	st = c.stream
+	if st == nil || time.Now().Before(c.pausedUntil) {
+		c.mu.Unlock()
 		return nil, nil, nil, errNoCoordinator
 	}
-	a.lastID++
-	e.Id = a.lastID
+	c.lastID++
+	e.Id = c.lastID
 	ch := make(chan *coordpb.TurnAnswer, 2)
-	a.pending[e.Id] = ch
-	a.mu.Unlock()
+	c.pending[e.Id] = ch
+	c.mu.Unlock()
 	done = func() {
-		a.mu.Lock()
-		delete(a.pending, e.Id)
-		a.mu.Unlock()
+		c.mu.Lock()
+		delete(c.pending, e.Id)
+		c.mu.Unlock()
 	}
-	if err := a.send(st, e); err != nil {
+	if err := c.send(st, e); err != nil {
 		done()
 		return nil, nil, nil, err
 	}
@@ -278,8 +278,8 @@
 
 // call sends a request that is answered at once, and waits for the answer until ctx
 // ends at the latest.
-func (a *permitClient) call(ctx context.Context, e *coordpb.TurnEvent) (*coordpb.TurnAnswer, error) {
-	_, answers, done, err := a.start(e)
+func (c *permitClient) call(ctx context.Context, e *coordpb.TurnEvent) (*coordpb.TurnAnswer, error) {
+	_, answers, done, err := c.start(e)
 	if err != nil {
 		return nil, err
 	}
@@ -297,15 +297,15 @@
 
 // request asks where a request may be dispatched, and waits until ctx ends at the
 // latest.
-func (a *permitClient) request(ctx context.Context, e *coordpb.TurnEvent) (*gate.Permit, error) {
-	st, answers, done, err := a.start(e)
+func (c *permitClient) request(ctx context.Context, e *coordpb.TurnEvent) (*gate.Permit, error) {
+	st, answers, done, err := c.start(e)
 	if err != nil {
 		return nil, err
 	}
 	defer done()
-	answer, err := a.awaitAnswer(ctx, answers)
+	answer, err := c.awaitAnswer(ctx, answers)
 	if err != nil {
-		_ = a.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_END})
+		_ = c.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_END})
 		return nil, err
 	}
 	switch answer.Kind {
@@ -317,14 +317,14 @@
 	}
 	return &gate.Permit{Upstream: answer.Upstream, Predicted: milliseconds(answer.PredictedMs),
 		InFlight: int(answer.Load), PendingPromptTokens: int(answer.Waiting), CachedTokens: int(answer.Cached), WithinLimit: answer.WithinLimit, IsProbe: answer.Trial,
-		Began:        func() { _ = a.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_FIRST}) },
-		NotListening: func() { _ = a.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_ABSENT}) },
-		Release:      func() { _ = a.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_END}) }}, nil
+		Began:        func() { _ = c.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_FIRST}) },
+		NotListening: func() { _ = c.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_ABSENT}) },
+		Release:      func() { _ = c.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_END}) }}, nil
 }
 
 // awaitAnswer waits for the first answer for firstAnswerTimeout, and for the final one
 // until ctx ends.
-func (a *permitClient) awaitAnswer(ctx context.Context, ch <-chan *coordpb.TurnAnswer) (*coordpb.TurnAnswer, error) {
+func (c *permitClient) awaitAnswer(ctx context.Context, ch <-chan *coordpb.TurnAnswer) (*coordpb.TurnAnswer, error) {
 	first := time.NewTimer(firstAnswerTimeout)
 	defer first.Stop()
 	for {
@@ -338,10 +338,10 @@
 			}
 			first.Stop()
 		case <-first.C:
-			a.link.ReportSoon() // the report shows whether the coordinator is lost
-			a.mu.Lock()
-			a.pausedUntil = time.Now().Add(localDecisionTime)
-			a.mu.Unlock()
+			c.link.ReportSoon() // the report shows whether the coordinator is lost
+			c.mu.Lock()
+			c.pausedUntil = time.Now().Add(localDecisionTime)
+			c.mu.Unlock()
 			return nil, errNoCoordinator
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -349,14 +349,14 @@
 	}
 }
 
-// Turn implements gate.Models.
+// RequestPermit implements gate.Coordinator.
 func (l *Link) RequestPermit(ctx context.Context, q *gate.PermitRequest) (*gate.Permit, error) {
 	e := &coordpb.TurnEvent{Kind: coordpb.TurnEvent_ASK, Service: q.Service, Model: q.Request.Model, Adapter: q.Request.Adapter,
 		Prompt: uint32(q.Cost.PromptTokens), Output: uint32(q.Cost.OutputTokens), Priority: int32(q.Priority), Reading: uint32(q.MaxPendingPromptTokens), Tried: q.Excluded,
 		Warm: q.WithIdleConn, DataCentre: l.cfg.DataCentre, InTimeMs: uint32(max(q.ObjectiveLeft.Milliseconds(), 0)), PatienceMs: uint32(max(q.MaxWait.Milliseconds(), 0))}
 	if q.Team != nil {
 		now := l.own.now()
-		l.teams.with(q.Team, now, func(s *quota.Share) { s.AddDemand(q.Charge, now) })
+		l.teams.withShare(q.Team, now, func(s *quota.Share) { s.AddDemand(q.Charge, now) })
 		e.Team, e.Charge = q.Team.Name, uint32(q.Charge)
 	}
 	for id, left := range q.Backoffs {
--- a/node/coordinator/permits.go
+++ b/node/coordinator/permits.go
@@ -66,7 +66,7 @@
 	grantedAt     time.Time
 	firstAt       time.Time // when the first event of its answer arrived
 	waitReason    balance.Reason
-	isTrial       bool // whether its upstream had asked a host to back off
+	isTrial       bool // whether it was granted in the slow start after a backoff
 }
 
 func newPermits(c *Coordinator) *permits {
@@ -74,84 +74,84 @@
 }
 
 // reset begins a term: counts of an earlier one are outdated.
-func (t *permits) reset() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.limits.reset()
+func (p *permits) reset() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.limits.reset()
 }
 
 // handle processes one event of a host and sends the answers that result.
-func (t *permits) handle(from *permitStream, e *coordpb.TurnEvent) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (p *permits) handle(from *permitStream, e *coordpb.TurnEvent) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	k := permitKey{from, e.Id}
 	switch e.Kind {
 	case coordpb.TurnEvent_ASK:
-		t.request(k, e)
+		p.request(k, e)
 	case coordpb.TurnEvent_FIRST:
-		t.promptRead(k)
+		p.promptRead(k)
 	case coordpb.TurnEvent_END:
-		t.end(k)
+		p.end(k)
 	case coordpb.TurnEvent_ABSENT:
-		t.upstreamUnreachable(k)
+		p.upstreamUnreachable(k)
 	case coordpb.TurnEvent_CHARGE:
-		if t.chargeTeam(k, e, t.c.now()) {
+		if p.chargeTeam(k, e, p.c.now()) {
 			from.send(&coordpb.TurnAnswer{Id: k.id, Kind: coordpb.TurnAnswer_GRANTED})
 		}
 	}
 }
 
 // removeStream drops all requests of a host whose stream has ended.
-func (t *permits) removeStream(from *permitStream) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	delete(t.streams, from)
-	for k, g := range t.granted {
+func (p *permits) removeStream(from *permitStream) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.streams, from)
+	for k, g := range p.granted {
 		if k.from == from {
-			t.release(g)
+			p.release(g)
 		}
 	}
-	kept := t.waiting[:0]
-	for _, w := range t.waiting {
+	kept := p.waiting[:0]
+	for _, w := range p.waiting {
 		if w.key.from != from {
 			kept = append(kept, w)
 		}
 	}
-	t.waiting = kept
+	p.waiting = kept
 }
 
 // chargeTeam charges a request to its team's limit and reports whether the limit allows
 // it. If not, the host is answered.
-func (t *permits) chargeTeam(k permitKey, e *coordpb.TurnEvent, now time.Time) bool {
+func (p *permits) chargeTeam(k permitKey, e *coordpb.TurnEvent, now time.Time) bool {
 	if e.Team == "" {
 		return true
 	}
-	wait, ok := t.c.accounts.charge(e.Team, float64(e.Charge), now)
+	wait, ok := p.c.accounts.charge(e.Team, float64(e.Charge), now)
 	if !ok {
 		k.from.send(&coordpb.TurnAnswer{Id: k.id, Kind: coordpb.TurnAnswer_OVER, WaitMs: uint32(wait.Milliseconds()) + 1})
 	}
 	return ok
 }
 
-func (t *permits) request(k permitKey, e *coordpb.TurnEvent) {
-	now := t.c.now()
-	if !t.chargeTeam(k, e, now) {
+func (p *permits) request(k permitKey, e *coordpb.TurnEvent) {
+	now := p.c.now()
+	if !p.chargeTeam(k, e, now) {
 		return
 	}
-	t.suspects = t.c.aggregate.suspects(now)
+	p.suspects = p.c.aggregate.suspects(now)
 	w := &permitRequest{key: k, event: e, ask: fleet.Request{Model: e.Model, Adapter: e.Adapter}, askedAt: now, tried: setOf(e.Tried), warm: setOf(e.Warm)}
-	t.backoffs.record(w, now)
-	for _, p := range e.Parts {
-		w.ask.PromptParts = append(w.ask.PromptParts, fleet.PromptPart{ID: p.Id, Tokens: int(p.Tokens)})
+	p.backoffs.record(w, now)
+	for _, part := range e.Parts {
+		w.ask.PromptParts = append(w.ask.PromptParts, fleet.PromptPart{ID: part.Id, Tokens: int(part.Tokens)})
 	}
-	w.waitReason = t.tryAll(w, now)
-	if !mayQueue(w.waitReason) || w.waitReason == balance.AllBackoff && t.refuseUnservable(w, now) {
+	w.waitReason = p.tryAll(w, now)
+	if !mayQueue(w.waitReason) || w.waitReason == balance.AllBackoff && p.refuseUnservable(w, now) {
 		return
 	}
-	at := sort.Search(len(t.waiting), func(i int) bool { return t.waiting[i].event.Priority > e.Priority })
-	t.waiting = append(t.waiting, nil)
-	copy(t.waiting[at+1:], t.waiting[at:])
-	t.waiting[at] = w
+	at := sort.Search(len(p.waiting), func(i int) bool { return p.waiting[i].event.Priority > e.Priority })
+	p.waiting = append(p.waiting, nil)
+	copy(p.waiting[at+1:], p.waiting[at:])
+	p.waiting[at] = w
 	k.from.send(&coordpb.TurnAnswer{Id: k.id, Kind: coordpb.TurnAnswer_QUEUED, Reason: uint32(w.waitReason)})
 }
 
@@ -163,10 +163,10 @@
 
 // tryAll tries to grant a request at any upstream of its service. It answers the host
 // unless the request has to wait.
-func (t *permits) tryAll(w *permitRequest, now time.Time) balance.Reason {
-	entries := t.c.deps.Fleet.EntriesWithModel(w.event.Service, w.ask.Model)
-	d := t.pick(w, entries, now)
-	if d.Reason == balance.NoUpstream && t.c.deps.Fleet.HasUsableWithoutModel(w.event.Service, w.ask.Model, func(e *fleet.Entry) bool { return t.isExcluded(e, w, now) }) {
+func (p *permits) tryAll(w *permitRequest, now time.Time) balance.Reason {
+	entries := p.c.deps.Fleet.EntriesWithModel(w.event.Service, w.ask.Model)
+	d := p.pick(w, entries, now)
+	if d.Reason == balance.NoUpstream && p.c.deps.Fleet.HasUsableWithoutModel(w.event.Service, w.ask.Model, func(e *fleet.Entry) bool { return p.isExcluded(e, w, now) }) {
 		d.Reason = balance.NoModel
 	}
 	if d.Index < 0 && !mayQueue(d.Reason) {
@@ -180,92 +180,92 @@
 }
 
 // pick grants a request at the best of the given upstreams, if one can take it now.
-func (t *permits) pick(w *permitRequest, entries []*fleet.Entry, now time.Time) balance.Decision {
-	endpoints := t.endpoints[:0]
+func (p *permits) pick(w *permitRequest, entries []*fleet.Entry, now time.Time) balance.Decision {
+	endpoints := p.endpoints[:0]
 	for _, e := range entries {
-		endpoints = append(endpoints, t.endpoint(e, w, now))
+		endpoints = append(endpoints, p.endpoint(e, w, now))
 	}
-	t.endpoints = endpoints
+	p.endpoints = endpoints
 	r := balance.Request{Model: w.ask.Model, Adapter: w.ask.Adapter, PromptTokens: int(w.event.Prompt), OutputTokens: int(w.event.Output), MaxPendingPromptTokens: int(w.event.Reading)}
-	if e := t.c.engine(w.event.Service); e != nil {
+	if e := p.c.engine(w.event.Service); e != nil {
 		r.CacheTokens = e.CacheTokens
 	}
 	d := balance.Pick(endpoints, &r, rand.Float64)
 	if d.Index >= 0 {
-		t.grant(w, entries[d.Index], &endpoints[d.Index], d, now)
+		p.grant(w, entries[d.Index], &endpoints[d.Index], d, now)
 	}
 	return d
 }
 
 // endpoint describes an upstream by what was granted there, in place of what hosts
 // report. The load of a host that has no stream here counts as reported.
-func (t *permits) endpoint(e *fleet.Entry, w *permitRequest, now time.Time) balance.Endpoint {
+func (p *permits) endpoint(e *fleet.Entry, w *permitRequest, now time.Time) balance.Endpoint {
 	out := e.Endpoint(&w.ask, now)
 	out.SameDataCentre, out.Tried, out.HasIdleConn = e.DataCentre() == w.event.DataCentre, w.tried[e.ID()], w.warm[e.ID()]
-	out.Down = out.Down || t.isExcluded(e, w, now)
-	out.Backoff = max(t.limits.wait(e, now), t.backoffs.wait(e.ID()), w.hostBackoffs[e.ID()].Sub(now))
-	p := t.grants[e.ID()]
-	if p == nil {
+	out.Down = out.Down || p.isExcluded(e, w, now)
+	out.Backoff = max(p.limits.wait(e, now), p.backoffs.wait(e.ID()), w.hostBackoffs[e.ID()].Sub(now))
+	u := p.grants[e.ID()]
+	if u == nil {
 		out.PendingPromptTokens = 0
 		return out
 	}
-	out.InFlight, out.InFlightTokens, out.PendingPromptTokens = max(p.load.Requests, out.InFlight), max(p.load.Tokens, out.InFlightTokens), p.load.PendingPromptTokens
+	out.InFlight, out.InFlightTokens, out.PendingPromptTokens = max(u.load.Requests, out.InFlight), max(u.load.Tokens, out.InFlightTokens), u.load.PendingPromptTokens
 	if out.ModelResident {
-		out.CachedTokens = max(out.CachedTokens, p.cache.CachedTokens(&w.ask, now))
+		out.CachedTokens = max(out.CachedTokens, u.cache.CachedTokens(&w.ask, now))
 	}
 	return out
 }
 
 // isExcluded reports whether an upstream is passed over because of what hosts observed
 // there, or because it had an attempt of this request.
-func (t *permits) isExcluded(e *fleet.Entry, w *permitRequest, now time.Time) bool {
-	return w.tried[e.ID()] || t.suspects[e.ID()] || now.Sub(t.unreachable[e.ID()]) < unreachableFor
+func (p *permits) isExcluded(e *fleet.Entry, w *permitRequest, now time.Time) bool {
+	return w.tried[e.ID()] || p.suspects[e.ID()] || now.Sub(p.unreachable[e.ID()]) < unreachableFor
 }
 
-func (t *permits) grant(w *permitRequest, e *fleet.Entry, at *balance.Endpoint, d balance.Decision, now time.Time) {
+func (p *permits) grant(w *permitRequest, e *fleet.Entry, at *balance.Endpoint, d balance.Decision, now time.Time) {
 	w.upstream, w.readingPrompt = e.ID(), true
 	prompt := w.event.Prompt
 	w.event.Prompt -= min(w.event.Prompt, uint32(at.CachedTokens)) // what is not cached is left to be read
 	if w.event.Model != "" {
-		t.c.speeds.with(w.model(), func(m speed.Estimator) { m.AddPrompt(int(prompt), int(w.event.Prompt)) })
+		p.c.speeds.withModel(w.model(), func(m speed.Estimator) { m.AddPrompt(int(prompt), int(w.event.Prompt)) })
 	}
 	w.grantedAt, w.solePrompt = now, at.PendingPromptTokens == 0
-	t.granted[w.key] = w
-	p := t.grants[w.upstream]
-	if p == nil {
-		p = &upstreamGrants{}
-		t.grants[w.upstream] = p
+	p.granted[w.key] = w
+	u := p.grants[w.upstream]
+	if u == nil {
+		u = &upstreamGrants{}
+		p.grants[w.upstream] = u
 	}
-	if p.newestReading != nil {
-		p.newestReading.solePrompt = false
+	if u.newestReading != nil {
+		u.newestReading.solePrompt = false
 	}
-	p.newestReading = w
-	within := t.limits.take(e, now)
-	trial := t.backoffs.recordGrant(w)
-	p.cache.Record(&w.ask, now)
-	p.load.Requests++
-	p.load.Tokens += int(w.event.Prompt + w.event.Output)
-	p.load.PendingPromptTokens += int(w.event.Prompt)
+	u.newestReading = w
+	within := p.limits.count(e, now)
+	trial := p.backoffs.recordGrant(w)
+	u.cache.Record(&w.ask, now)
+	u.load.Requests++
+	u.load.Tokens += int(w.event.Prompt + w.event.Output)
+	u.load.PendingPromptTokens += int(w.event.Prompt)
 	w.key.from.send(&coordpb.TurnAnswer{Id: w.key.id, Kind: coordpb.TurnAnswer_GRANTED, Upstream: w.upstream,
 		PredictedMs: uint32(d.PredictedWait.Milliseconds()), Load: uint32(at.InFlight), Waiting: uint32(at.PendingPromptTokens), Cached: uint32(at.CachedTokens), WithinLimit: within, Trial: trial})
 }
 
 // promptRead records that an upstream has read a request's prompt.
-func (t *permits) promptRead(k permitKey) {
-	if g := t.granted[k]; g != nil && g.readingPrompt {
-		g.firstAt = t.c.now()
-		t.backoffs.recordAnswer(g, t.slotCount(g.upstream))
+func (p *permits) promptRead(k permitKey) {
+	if g := p.granted[k]; g != nil && g.readingPrompt {
+		g.firstAt = p.c.now()
+		p.backoffs.recordAnswer(g, p.slotCount(g.upstream))
 		if g.solePrompt && g.event.Model != "" {
-			t.c.speeds.with(g.model(), func(m speed.Estimator) { m.Read(int(g.event.Prompt), g.firstAt.Sub(g.grantedAt)) })
+			p.c.speeds.withModel(g.model(), func(m speed.Estimator) { m.Read(int(g.event.Prompt), g.firstAt.Sub(g.grantedAt)) })
 		}
-		t.finishPrompt(g)
-		t.grantWaitingAt(g.upstream)
+		p.finishPrompt(g)
+		p.grantWaitingAt(g.upstream)
 	}
 }
 
 // slotCount returns how many requests an upstream runs at a time; 0: unknown.
-func (t *permits) slotCount(upstream string) int {
-	e, ok := t.c.deps.Fleet.Entry(upstream)
+func (p *permits) slotCount(upstream string) int {
+	e, ok := p.c.deps.Fleet.Entry(upstream)
 	if !ok {
 		return 0
 	}
@@ -274,40 +274,40 @@
 }
 
 // finishPrompt subtracts a request's prompt from what its upstream has to read.
-func (t *permits) finishPrompt(g *permitRequest) {
-	if p := t.grants[g.upstream]; p != nil && g.readingPrompt {
-		p.load.PendingPromptTokens -= int(g.event.Prompt)
-		if p.newestReading == g {
-			p.newestReading = nil
+func (p *permits) finishPrompt(g *permitRequest) {
+	if u := p.grants[g.upstream]; u != nil && g.readingPrompt {
+		u.load.PendingPromptTokens -= int(g.event.Prompt)
+		if u.newestReading == g {
+			u.newestReading = nil
 		}
 	}
 	g.readingPrompt = false
 }
 
 // release subtracts a request from its upstream's load.
-func (t *permits) release(g *permitRequest) {
-	t.finishPrompt(g)
-	t.backoffs.recordEnd(g)
-	if p := t.grants[g.upstream]; p != nil {
-		p.load.Requests--
-		p.load.Tokens -= int(g.event.Prompt + g.event.Output)
+func (p *permits) release(g *permitRequest) {
+	p.finishPrompt(g)
+	p.backoffs.recordEnd(g)
+	if u := p.grants[g.upstream]; u != nil {
+		u.load.Requests--
+		u.load.Tokens -= int(g.event.Prompt + g.event.Output)
 	}
-	delete(t.granted, g.key)
+	delete(p.granted, g.key)
 }
 
-func (t *permits) end(k permitKey) {
-	if g := t.granted[k]; g != nil {
+func (p *permits) end(k permitKey) {
+	if g := p.granted[k]; g != nil {
 		if !g.firstAt.IsZero() && g.event.Output > 0 {
-			took := t.c.now().Sub(g.firstAt)
-			t.c.speeds.with(g.model(), func(m speed.Estimator) { m.AddGeneration(int(g.event.Output), took) })
+			took := p.c.now().Sub(g.firstAt)
+			p.c.speeds.withModel(g.model(), func(m speed.Estimator) { m.AddGeneration(int(g.event.Output), took) })
 		}
-		t.release(g)
-		t.grantWaitingAt(g.upstream)
+		p.release(g)
+		p.grantWaitingAt(g.upstream)
 		return
 	}
-	for i, w := range t.waiting {
+	for i, w := range p.waiting {
 		if w.key == k {
-			t.waiting = append(t.waiting[:i], t.waiting[i+1:]...)
+			p.waiting = append(p.waiting[:i], p.waiting[i+1:]...)
 			return
 		}
 	}
@@ -321,48 +321,48 @@
 
 // upstreamUnreachable ends a request at whose upstream nothing listens. If the upstream
 // were not recorded, each of the hosts would be sent there until it finds out itself.
-func (t *permits) upstreamUnreachable(k permitKey) {
-	if g := t.granted[k]; g != nil {
-		t.unreachable[g.upstream] = t.c.now()
-		t.release(g)
+func (p *permits) upstreamUnreachable(k permitKey) {
+	if g := p.granted[k]; g != nil {
+		p.unreachable[g.upstream] = p.c.now()
+		p.release(g)
 	}
 }
 
 // maxWaitingScan bounds how many waiting requests are tried for one event.
 const maxWaitingScan = 48
 
-// grantWaitingAt grants waiting requests at one upstream, where a request has ended.
-// The other upstreams have not changed since the requests were tried there.
-func (t *permits) grantWaitingAt(upstream string) {
-	e, ok := t.c.deps.Fleet.Entry(upstream)
+// grantWaitingAt grants waiting requests at one upstream, whose state has changed. The
+// other upstreams are as they were when the requests were tried there.
+func (p *permits) grantWaitingAt(upstream string) {
+	e, ok := p.c.deps.Fleet.Entry(upstream)
 	if !ok {
 		return
 	}
-	now := t.c.now()
-	t.grantWaiting(now, func(w *permitRequest) bool {
-		return w.event.Service == e.Service() && t.pick(w, []*fleet.Entry{e}, now).Index >= 0
+	now := p.c.now()
+	p.grantWaiting(now, func(w *permitRequest) bool {
+		return w.event.Service == e.Service() && p.pick(w, []*fleet.Entry{e}, now).Index >= 0
 	})
-	if len(t.waiting) > 0 {
-		t.wakeAfter(e, now, t.limits.wait(e, now))
+	if len(p.waiting) > 0 {
+		p.wakeAfter(e, now, p.limits.wait(e, now))
 	}
 }
 
 // grantWaiting removes those waiting requests for which try returns true. Overdue
 // requests are tried after those that can still be answered in time.
-func (t *permits) grantWaiting(now time.Time, try func(*permitRequest) (gone bool)) {
+func (p *permits) grantWaiting(now time.Time, try func(*permitRequest) (gone bool)) {
 	tried := 0
 	for _, overdue := range []bool{false, true} {
-		for i, w := range t.waiting {
+		for i, w := range p.waiting {
 			if tried >= maxWaitingScan || w == nil || w.isOverdue(now) != overdue {
 				continue
 			}
 			tried++
 			if try(w) {
-				t.waiting[i] = nil
+				p.waiting[i] = nil
 			}
 		}
 	}
-	t.waiting = slices.DeleteFunc(t.waiting, func(w *permitRequest) bool { return w == nil })
+	p.waiting = slices.DeleteFunc(p.waiting, func(w *permitRequest) bool { return w == nil })
 }
 
 func (w *permitRequest) model() modelKey { return modelKey{w.event.Service, w.event.Model} }
@@ -386,21 +386,21 @@
 
 // maintain tries all waiting requests again, since upstreams appear, recover and gain
 // models without an event here, and drops the records of upstreams that were removed.
-func (t *permits) maintain() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	now := t.c.now()
-	t.suspects = t.c.aggregate.suspects(now)
-	t.grantWaiting(now, func(w *permitRequest) bool {
-		w.waitReason = t.tryAll(w, now)
+func (p *permits) maintain() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.c.now()
+	p.suspects = p.c.aggregate.suspects(now)
+	p.grantWaiting(now, func(w *permitRequest) bool {
+		w.waitReason = p.tryAll(w, now)
 		return !mayQueue(w.waitReason)
 	})
-	t.limits.expire()
-	t.backoffs.expire(now)
-	for id := range t.grants {
-		if _, ok := t.c.deps.Fleet.Entry(id); !ok {
-			delete(t.grants, id)
+	p.limits.expire()
+	p.backoffs.expire(now)
+	for id := range p.grants {
+		if _, ok := p.c.deps.Fleet.Entry(id); !ok {
+			delete(p.grants, id)
 		}
 	}
-	maps.DeleteFunc(t.unreachable, func(_ string, at time.Time) bool { return now.Sub(at) >= unreachableFor })
+	maps.DeleteFunc(p.unreachable, func(_ string, at time.Time) bool { return now.Sub(at) >= unreachableFor })
 }
--- a/node/coordinator/plan.go
+++ b/node/coordinator/plan.go
@@ -21,7 +21,7 @@
 		return
 	}
 	now := c.now()
-	// The former holder placed models by a demand that this host has not observed yet;
+	// The former holder placed models for a demand that this host has not observed yet;
 	// planning by the little that it has observed would undo those placements. Until it
 	// has observed enough it only serves callers that wait for a model.
 	unservedOnly := c.epoch() > 1 && !c.demand.allKnown(now)
@@ -60,10 +60,10 @@
 		if u.entry.Service() != s.Name {
 			continue
 		}
-		at := u.snapshot(now)
-		at.UnavailableShare = lackingShare(u.entry.Limit(), timePerRequest)
-		at.Movable = at.Movable && at.UnavailableShare < maxLackingShare
-		in.Upstreams = append(in.Upstreams, at)
+		snapshot := u.snapshot(now)
+		snapshot.UnavailableShare = lackingShare(u.entry.Limit(), timePerRequest)
+		snapshot.Movable = snapshot.Movable && snapshot.UnavailableShare < maxLackingShare
+		in.Upstreams = append(in.Upstreams, snapshot)
 		if u.isMoving() {
 			moving++
 		}
--- a/node/coordinator/published.go
+++ b/node/coordinator/published.go
@@ -50,7 +50,7 @@
 }
 
 // publish adds a segment with the changes since its last call. storeVersion is the
-// store's version of the list, which may be newer than that.
+// store's version of the list; the list may be newer.
 func (p *published) publish(f *fleet.Fleet, storeVersion uint64, now time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/coordinator/quarantine.go
+++ b/node/coordinator/quarantine.go
@@ -77,8 +77,8 @@
 	ran := make([]poison.Fingerprint, 0, len(x.Running))
 	digests := make([]poison.Digest, 0, len(x.Running))
 	for _, m := range x.Running {
-		if mark, err := decodeMark(m); err == nil {
-			ran, digests = append(ran, mark), append(digests, mark.Digest)
+		if fp, err := decodeFingerprint(m); err == nil {
+			ran, digests = append(ran, fp), append(digests, fp.Digest)
 		}
 	}
 	q.ledger.RecordCrash(x.Upstream, ran, now.Add(-milliseconds(x.AgeMs)), now)
@@ -119,23 +119,23 @@
 // the lease, until ctx ends.
 func (c *Coordinator) RunQuarantine(ctx context.Context) error { return c.quarantine.run(ctx) }
 
-func decodeMark(m *coordpb.RequestMark) (poison.Fingerprint, error) {
+func decodeFingerprint(m *coordpb.RequestMark) (poison.Fingerprint, error) {
 	d, err := poison.DigestFromBytes(m.GetDigest())
 	return poison.Fingerprint{Digest: d, Shape: poison.Shape(m.GetShape())}, err
 }
 
-func encodeMark(m poison.Fingerprint) *coordpb.RequestMark {
-	return &coordpb.RequestMark{Digest: m.Digest[:], Shape: uint64(m.Shape)}
+func encodeFingerprint(fp poison.Fingerprint) *coordpb.RequestMark {
+	return &coordpb.RequestMark{Digest: fp.Digest[:], Shape: uint64(fp.Shape)}
 }
 
 // decodeEntry decodes an entry, whose remaining time is counted from now.
 func decodeEntry(x *coordpb.QuarantineEntry, now time.Time) (poison.Entry, error) {
-	m, err := decodeMark(x.Mark)
-	return poison.Entry{Fingerprint: m, State: poison.State(min(x.State, uint32(poison.Barred))), CrashCount: int(x.Crashes),
+	fp, err := decodeFingerprint(x.Mark)
+	return poison.Entry{Fingerprint: fp, State: poison.State(min(x.State, uint32(poison.Barred))), CrashCount: int(x.Crashes),
 		BarCount: int(x.Bars), BarredUntil: now.Add(milliseconds(x.ForMs))}, err
 }
 
 func encodeEntry(e *poison.Entry, now time.Time) *coordpb.QuarantineEntry {
-	return &coordpb.QuarantineEntry{Mark: encodeMark(e.Fingerprint), State: uint32(e.State), Crashes: uint32(e.CrashCount), Bars: uint32(e.BarCount),
+	return &coordpb.QuarantineEntry{Mark: encodeFingerprint(e.Fingerprint), State: uint32(e.State), Crashes: uint32(e.CrashCount), Bars: uint32(e.BarCount),
 		ForMs: uint32(max(e.BarredUntil.Sub(now), 0).Milliseconds())}
 }
--- a/node/coordinator/quarantinerows.go
+++ b/node/coordinator/quarantinerows.go
@@ -28,7 +28,7 @@
 	quarantineInterval = 200 * time.Millisecond
 	// quarantineRetry is the time between attempts while the store does not answer.
 	quarantineRetry = time.Second
-	// quarantineTimeout bounds one synchronization with the store.
+	// quarantineTimeout bounds one exchange with the store.
 	quarantineTimeout = time.Second
 )
 
@@ -166,7 +166,8 @@
 // maxRowDrift is by how much the end of a bar may differ from the one in its row.
 const maxRowDrift = time.Second
 
-// changesLocked returns the rows to be written; nil: to be deleted.
+// changesLocked returns the entries whose rows are to be written; a nil entry is a row
+// to be deleted.
 func (q *quarantine) changesLocked(now time.Time) map[poison.Digest]*poison.Entry {
 	if !q.rows.read {
 		return nil
--- a/node/coordinator/relay.go
+++ b/node/coordinator/relay.go
@@ -45,21 +45,21 @@
 }
 
 // relayFullList adds the complete list, packed.
-func (c *Coordinator) relayFullList(r *coordpb.HostReport, at uint64, out *coordpb.SiteState) error {
-	w, err := c.encodings.packedList(c.now(), at, false, c.deps.Fleet)
+func (c *Coordinator) relayFullList(r *coordpb.HostReport, storeVersion uint64, out *coordpb.SiteState) error {
+	list, err := c.encodings.packedList(c.now(), storeVersion, false, c.deps.Fleet)
 	if err != nil {
 		return err
 	}
-	c.addFullList(w, r, out)
+	c.addFullList(list, r, out)
 	return nil
 }
 
 // addFullList adds a complete list, unless this host's link is busy with those for
 // others: a host that gets no list asks a deputy, or asks again with its next report.
 // Deputies always get it, since they forward it.
-func (c *Coordinator) addFullList(w packedList, r *coordpb.HostReport, out *coordpb.SiteState) {
-	if slices.Contains(out.Deputies, r.Address) || c.listBudget.reserve(len(w.data), c.cfg.LinkMbps, c.now()) {
-		out.List, out.ListAt, out.ListFull, out.PackedList = w.state, w.storeVersion, true, w.data
+func (c *Coordinator) addFullList(list packedList, r *coordpb.HostReport, out *coordpb.SiteState) {
+	if slices.Contains(out.Deputies, r.Address) || c.listBudget.reserve(len(list.data), c.cfg.LinkMbps, c.now()) {
+		out.List, out.ListAt, out.ListFull, out.PackedList = list.state, list.storeVersion, true, list.data
 	}
 }
 
@@ -75,12 +75,12 @@
 		out.List, out.ListAt, out.PackedChanges = to, at, changes
 		return nil
 	}
-	w, err := p.packedFullList(c.deps.Fleet, c.now())
+	list, err := p.packedFullList(c.deps.Fleet, c.now())
 	if err != nil {
 		return err
 	}
-	c.addFullList(w, r, out)
-	if changes, to, at, ok := p.since(w.state); ok && out.ListFull { // the cached list may be older
+	c.addFullList(list, r, out)
+	if changes, to, at, ok := p.since(list.state); ok && out.ListFull { // the cached list may be older
 		out.List, out.ListAt, out.PackedChanges = to, at, changes
 	}
 	return nil
--- a/node/coordinator/speeds.go
+++ b/node/coordinator/speeds.go
@@ -20,8 +20,8 @@
 	return &speeds{models: map[modelKey]*speed.Observations{}, services: map[string]*speed.Observations{}}
 }
 
-// with calls f with the speed of a model, under the lock.
-func (s *speeds) with(k modelKey, f func(speed.Estimator)) {
+// withModel calls f with the estimator of a model, under the lock.
+func (s *speeds) withModel(k modelKey, f func(speed.Estimator)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.models[k] == nil {
@@ -39,6 +39,6 @@
 	if e := c.engine(k.service); e != nil {
 		slots = e.Slots
 	}
-	c.speeds.with(k, func(m speed.Estimator) { took = m.EngineTime(prompt, output, slots) })
+	c.speeds.withModel(k, func(m speed.Estimator) { took = m.EngineTime(prompt, output, slots) })
 	return took
 }
--- a/node/coordinator/upstreamlimits.go
+++ b/node/coordinator/upstreamlimits.go
@@ -47,9 +47,9 @@
 	return p.Wait(l.rate(limit, now), backpressure.FullShare, now)
 }
 
-// take counts one request that is granted. It returns false if the upstream names no
+// count counts one request that is granted. It returns false if the upstream names no
 // limit.
-func (l *upstreamLimits) take(e *fleet.Entry, now time.Time) bool {
+func (l *upstreamLimits) count(e *fleet.Entry, now time.Time) bool {
 	limit, p := e.Limit(), l.pacers[e]
 	return limit.Stated && p != nil && p.Take(l.rate(limit, now), backpressure.FullShare, now)
 }
--- a/node/coordinator/waitestimate.go
+++ b/node/coordinator/waitestimate.go
@@ -11,10 +11,10 @@
 // refuseUnservable answers a request that no upstream will take within its maximum
 // wait; the answer says when to come back. Otherwise it returns false, and the queue is
 // checked again when one of the upstreams may take a request.
-func (t *permits) refuseUnservable(w *permitRequest, now time.Time) bool {
-	o := t.estimateWait(w, now)
-	patience := milliseconds(w.event.PatienceMs)
-	if patience == 0 || o.dispatchIn <= patience {
+func (p *permits) refuseUnservable(w *permitRequest, now time.Time) bool {
+	o := p.estimateWait(w, now)
+	maxWait := milliseconds(w.event.PatienceMs)
+	if maxWait == 0 || o.dispatchIn <= maxWait {
 		return false
 	}
 	w.key.from.send(&coordpb.TurnAnswer{Id: w.key.id, Kind: coordpb.TurnAnswer_NONE, Reason: uint32(balance.AllBackoff),
@@ -29,16 +29,16 @@
 	retryIn    time.Duration // until its caller should come back, if that is too late
 }
 
-func (t *permits) estimateWait(w *permitRequest, now time.Time) waitEstimate {
+func (p *permits) estimateWait(w *permitRequest, now time.Time) waitEstimate {
 	var o waitEstimate
 	first, perSecond := true, 0.0
-	for _, e := range t.c.deps.Fleet.EntriesWithModel(w.event.Service, w.ask.Model) {
-		at := t.endpoint(e, w, now)
+	for _, e := range p.c.deps.Fleet.EntriesWithModel(w.event.Service, w.ask.Model) {
+		at := p.endpoint(e, w, now)
 		if balance.Check(&at, &balance.Request{Model: w.ask.Model}) != balance.AllBackoff {
 			continue
 		}
-		t.wakeAfter(e, now, at.Backoff)
-		estimate := waitEstimate{dispatchIn: at.Backoff, retryIn: t.retryAfter(e, at.Backoff, now)}
+		p.wakeAfter(e, now, at.Backoff)
+		estimate := waitEstimate{dispatchIn: at.Backoff, retryIn: p.retryAfter(e, at.Backoff, now)}
 		if first {
 			o, first = estimate, false
 		}
@@ -48,7 +48,7 @@
 		}
 	}
 	if perSecond > 0 {
-		queued := time.Duration(float64(t.queuedAhead(w)) / perSecond * float64(time.Second))
+		queued := time.Duration(float64(p.queuedAhead(w)) / perSecond * float64(time.Second))
 		o.dispatchIn, o.retryIn = o.dispatchIn+queued, o.retryIn+queued
 	}
 	return o
@@ -61,8 +61,8 @@
 // retryAfter returns after how long a caller should come back for an upstream that
 // takes nothing from its host for the time of backoff: an upstream that asked one host
 // to back off may serve the others.
-func (t *permits) retryAfter(e *fleet.Entry, backoff time.Duration, now time.Time) time.Duration {
-	if t.limits.wait(e, now) == 0 && t.backoffs.serves(e.ID()) {
+func (p *permits) retryAfter(e *fleet.Entry, backoff time.Duration, now time.Time) time.Duration {
+	if p.limits.wait(e, now) == 0 && p.backoffs.serves(e.ID()) {
 		return otherHostRetry
 	}
 	return backoff
@@ -70,9 +70,9 @@
 
 // queuedAhead returns how many of the requests that wait for the same upstreams come
 // before a request.
-func (t *permits) queuedAhead(w *permitRequest) int {
+func (p *permits) queuedAhead(w *permitRequest) int {
 	n := 0
-	for _, o := range t.waiting {
+	for _, o := range p.waiting {
 		if o.waitReason == balance.AllBackoff && o.event.Priority <= w.event.Priority && o.event.Service == w.event.Service && o.ask.Model == w.ask.Model {
 			n++
 		}
@@ -82,19 +82,19 @@
 
 // wakeAfter tries the waiting requests again after wait, when an upstream may take one
 // more.
-func (t *permits) wakeAfter(e *fleet.Entry, now time.Time, wait time.Duration) {
+func (p *permits) wakeAfter(e *fleet.Entry, now time.Time, wait time.Duration) {
 	if wait <= 0 {
 		return
 	}
 	at := now.Add(wait)
-	if due, ok := t.wakeAt[e]; ok && !at.Before(due) {
+	if due, ok := p.wakeAt[e]; ok && !at.Before(due) {
 		return
 	}
-	t.wakeAt[e] = at
+	p.wakeAt[e] = at
 	time.AfterFunc(wait, func() {
-		t.mu.Lock()
-		defer t.mu.Unlock()
-		delete(t.wakeAt, e)
-		t.grantWaitingAt(e.ID())
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		delete(p.wakeAt, e)
+		p.grantWaitingAt(e.ID())
 	})
 }
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -183,7 +183,7 @@
 try "one key in two teams" core/deploy/team.go \
   'if other, ok := owners[k]; ok && other != team {' 'if other := 0; false {' ./core/deploy
 try "a limit is charged with the turn" node/coordinator/permits.go \
-  '	if !t.chargeTeam(k, e, now) {
+  '	if !p.chargeTeam(k, e, now) {
 		return
 	}
 ' '' ./node/coordinator ./platform -run 'Limit'
@@ -229,7 +229,7 @@
 try "a pick heeds what an upstream takes" node/fleet/entry.go \
   'out.Backoff = e.backoffLocked(now)' '' ./node/fleet ./platform -run 'ItsShare|LimitOfAnUpstream|InTheRest'
 try "a turn heeds what an upstream takes" node/coordinator/permits.go \
-  'out.Backoff = max(t.limits.wait(e, now), t.backoffs.wait(e.ID()), w.hostBackoffs[e.ID()].Sub(now))' 'out.Backoff = 0' ./platform -run 'UpstreamWithALimit|SoonestTime'
+  'out.Backoff = max(p.limits.wait(e, now), p.backoffs.wait(e.ID()), w.hostBackoffs[e.ID()].Sub(now))' 'out.Backoff = 0' ./platform -run 'UpstreamWithALimit|SoonestTime'
 try "calls of a service with a limited upstream go by turns" node/gate/pick.go \
   'if q.g.deps.Fleet.Limited(q.service.Name) {' 'if false {' ./platform -run 'UpstreamWithALimit'
 try "hosts alone have a turn each" node/coordinator/signals.go \
