--- a/node/coordinator/aggregate_test.go
+++ b/node/coordinator/aggregate_test.go
@@ -70,13 +70,13 @@
 	table := c.deps.Config.Current()
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	least := time.Hour
+	fastest := time.Hour
 	for range 5 { // the minimum, since the first ones warm caches
 		began := processorTime(t)
 		c.cfg.Policy.Plan(c.planInput(table.Config, &table.Config.Services[0], c.allUpstreams(), c.now()))
-		least = min(least, processorTime(t)-began)
+		fastest = min(fastest, processorTime(t)-began)
 	}
-	assert.Assert(t, least < runInterval/4, "took %v", least)
+	assert.Assert(t, fastest < runInterval/4, "took %v", fastest)
 }
 
 // processorTime returns the processor time that this thread has used. Unlike elapsed
--- a/node/coordinator/answersize_test.go
+++ b/node/coordinator/answersize_test.go
@@ -19,19 +19,19 @@
 // its link carries in the time of a report; the hosts then begin anew.
 func TestHoldingsOfManyUpstreamsAreSentInParts(t *testing.T) {
 	c := holderSize{7, 900, 720}.holder()
-	told := map[string]bool{}
+	received := map[string]bool{}
 	revision, answers := uint64(0), 0
 	for revision < c.revision {
 		out := c.answerLoads(&coordpb.HostReport{Host: "h", Revision: revision, ModelsLater: true}, c.now())
 		assert.Assert(t, len(out.Holdings) <= maxHoldings)
 		assert.Assert(t, out.Revision > revision, "each answer must advance the host's revision")
 		for _, h := range out.Holdings {
-			told[h.Upstream] = true
+			received[h.Upstream] = true
 		}
 		revision = out.Revision
 		answers++
 	}
-	assert.Equal(t, len(told), 900)
+	assert.Equal(t, len(received), 900)
 	assert.Assert(t, answers <= 4)
 }
 
@@ -63,9 +63,9 @@
 	assert.NilError(t, c.relay(&coordpb.HostReport{PackedList: true}, packed))
 	assert.NilError(t, c.relay(&coordpb.HostReport{PackedList: true}, again))
 	const slowLink = 10_000_000 / 8 // bytes a second
-	most := int(reportTimeout.Seconds() * slowLink * 900 / 3000)
-	assert.Assert(t, proto.Size(packed) < most, "%d bytes: a list of 3,000 must arrive in the time of a report", proto.Size(packed))
-	assert.Assert(t, proto.Size(plain) > most)
+	maxBytes := int(reportTimeout.Seconds() * slowLink * 900 / 3000)
+	assert.Assert(t, proto.Size(packed) < maxBytes, "%d bytes: a list of 3,000 must arrive in the time of a report", proto.Size(packed))
+	assert.Assert(t, proto.Size(plain) > maxBytes)
 	assert.Assert(t, &packed.PackedList[0] == &again.PackedList[0], "it is packed once for all hosts that ask at the same time")
 	assert.Assert(t, packed.ListFull && packed.List > 0)
 	of := func(s *coordpb.SiteState) map[string]string {
@@ -101,16 +101,16 @@
 	}
 	r := &coordpb.HostReport{Host: "h"}
 	reportQuarantine(r, local.Report{Events: []local.Event{{Crash: &local.Crash{Upstream: "i-0123456789", At: c.now(), Running: ran}}}}, c.now())
-	asked := proto.Size(r)
+	reportBytes := proto.Size(r)
 	out := c.report(r)
 	out.Holdings, out.Others, out.Deputies = nil, nil, nil
-	told := proto.Size(out)
+	sentBytes := proto.Size(out)
 	assert.Equal(t, len(out.Quarantine), requestsUnderWay)
 	for _, m := range ran {
 		c.quarantine.ledger.Clear(m.Digest, c.now())
 	}
 	cleared := &coordpb.SiteState{}
 	c.quarantine.addTo(&coordpb.HostReport{QuarantineId: out.QuarantineId, QuarantineRevision: out.QuarantineRevision}, cleared, c.now())
-	t.Logf("to the coordinator %d bytes, to each host %d, after these requests have completed %d", asked, told, proto.Size(cleared))
-	assert.Assert(t, asked+told <= maxCrashBytes && proto.Size(cleared) <= maxCrashBytes)
+	t.Logf("to the coordinator %d bytes, to each host %d, after these requests have completed %d", reportBytes, sentBytes, proto.Size(cleared))
+	assert.Assert(t, reportBytes+sentBytes <= maxCrashBytes && proto.Size(cleared) <= maxCrashBytes)
 }
--- a/node/coordinator/elector_test.go
+++ b/node/coordinator/elector_test.go
@@ -48,12 +48,12 @@
 	unreachable := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	link := NewLink(LinkConfig{Host: "poor", Address: "me", Seeds: []string{"seed-1", "seed-2"}}, own, unreachable, log)
 	var answers atomic.Bool
-	lead := &Elector{Lease: l, Link: link, StoreReachable: answers.Load}
+	elector := &Elector{Lease: l, Link: link, StoreReachable: answers.Load}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = lead.Run(ctx)
+		_ = elector.Run(ctx)
 	}()
 	time.Sleep(maxSearchTime + time.Second)
 	assert.Equal(t, table.asked.Load(), int32(0), "the store is unavailable")
@@ -72,27 +72,27 @@
 }
 
 // newTestElector returns a host that campaigns beside others that are unreachable.
-func newTestElector(ample bool, table store.Table) (*Elector, *Coordinator) {
+func newTestElector(spare bool, table store.Table) (*Elector, *Coordinator) {
 	log := event.NewLog(nil)
 	l := lease.New(lease.Config{Name: "l", Policy: leasing.Policy{TTL: 1500 * time.Millisecond, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}}, lease.Deps{Table: table})
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
 	own := New(Config{Address: "me"}, Deps{Fleet: f, Config: follow.NewActiveConfig(log), Lease: l, Feed: follow.New(follow.Deps{Log: log}), Log: log})
 	unreachable := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
-	link := NewLink(LinkConfig{Host: "h", Address: "me", Seeds: []string{"seed-1"}, HasSpareCapacity: func(int) bool { return ample }}, own, unreachable, log)
+	link := NewLink(LinkConfig{Host: "h", Address: "me", Seeds: []string{"seed-1"}, HasSpareCapacity: func(int) bool { return spare }}, own, unreachable, log)
 	return &Elector{Lease: l, Link: link, StoreReachable: func() bool { return true }}, own
 }
 
 // Guards against a large fleet whose coordinator is whichever host is a seed of the
 // others, however little spare capacity it has.
 func TestAHostWithSpareCapacityDoesNotWaitForTheSeeds(t *testing.T) {
-	for _, ample := range []bool{true, false} {
+	for _, spare := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			lead, own := newTestElector(ample, standin.NewTable())
+			elector, own := newTestElector(spare, standin.NewTable())
 			ctx, cancel := context.WithCancel(t.Context())
 			var wg sync.WaitGroup
-			wg.Go(func() { _ = lead.Run(ctx) })
+			wg.Go(func() { _ = elector.Run(ctx) })
 			time.Sleep(2 * maxSearchTimeSpare)
-			assert.Equal(t, own.HoldsLease(), ample)
+			assert.Equal(t, own.HoldsLease(), spare)
 			time.Sleep(2 * maxSearchTime)
 			assert.Assert(t, own.HoldsLease(), "there may be no other host")
 			cancel()
@@ -106,10 +106,10 @@
 // store refuses the other one.
 func TestAHolderWithoutSpareCapacityYieldsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		lead, own := newTestElector(false, standin.NewTable())
+		elector, own := newTestElector(false, standin.NewTable())
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
-		wg.Go(func() { _ = lead.Run(ctx) })
+		wg.Go(func() { _ = elector.Run(ctx) })
 		time.Sleep(2 * maxSearchTime)
 		assert.Assert(t, own.HoldsLease())
 		lost := 0
@@ -141,10 +141,10 @@
 		var wg sync.WaitGroup
 		wg.Go(func() { _ = other.Run(ctx) })
 		time.Sleep(100 * time.Millisecond)
-		lead, own := newTestElector(false, table)
-		lead.Link.cfg.Seeds = []string{"me"}
-		lead.CampaignDelay = func() time.Duration { return 10 * time.Second }
-		wg.Go(func() { _ = lead.Run(ctx) })
+		elector, own := newTestElector(false, table)
+		elector.Link.cfg.Seeds = []string{"me"}
+		elector.CampaignDelay = func() time.Duration { return 10 * time.Second }
+		wg.Go(func() { _ = elector.Run(ctx) })
 		time.Sleep(100 * time.Millisecond)
 		assert.Equal(t, addressOf(own.deps.Lease.LastObserved().Holder), "large:1")
 		cancel()
--- a/node/coordinator/fleetsim_test.go
+++ b/node/coordinator/fleetsim_test.go
@@ -186,9 +186,9 @@
 		h.coord.aggregate.maxRate = fleetReports
 		h.coord.LinkedAddress = func() string { return h.link.CoordinatorAddress() }
 		h.link = NewLink(LinkConfig{Host: address, Address: address, Seeds: []string{"h000", "h001", "h002"}, HasSpareCapacity: func(int) bool { return i < o.spareHosts }}, h.coord, n.dial, log)
-		lead := &Elector{Lease: l, Link: h.link, StoreReachable: h.link.StoreReachable, CampaignDelay: func() time.Duration { return 40 * time.Millisecond }}
+		elector := &Elector{Lease: l, Link: h.link, StoreReachable: h.link.StoreReachable, CampaignDelay: func() time.Duration { return 40 * time.Millisecond }}
 		ln := n.listen(ctx, address)
-		for _, run := range []func(context.Context) error{feed.RunConfig, feed.RunUpstreams, h.coord.Run, h.link.Run, h.link.RunPermits, h.coord.RunAnnouncements, lead.Run,
+		for _, run := range []func(context.Context) error{feed.RunConfig, feed.RunUpstreams, h.coord.Run, h.link.Run, h.link.RunPermits, h.coord.RunAnnouncements, elector.Run,
 			func(ctx context.Context) error { return h.coord.Serve(ctx, ln) }} {
 			wg.Go(func() { _ = run(ctx) })
 		}
@@ -217,22 +217,22 @@
 		}
 		assert.Assert(t, holder != nil)
 		holder.store.unavailable.Store(true)
-		named := map[*fleetHost]bool{holder: true} // hosts that are acting, or were named as deputies
+		actingOrDeputy := map[*fleetHost]bool{holder: true} // hosts that are acting, or were named as deputies
 		for range 1000 {
 			time.Sleep(10 * time.Millisecond)
 			for _, h := range hosts {
-				named[h] = named[h] || h.link.Candidate()
+				actingOrDeputy[h] = actingOrDeputy[h] || h.link.Candidate()
 			}
 		}
 		asked := 0
 		for i, h := range hosts {
-			if h.store.calls.Load() > before[i] && !named[h] {
+			if h.store.calls.Load() > before[i] && !actingOrDeputy[h] {
 				asked++
 			}
 			assert.Assert(t, h == holder || h.link.Linked())
 		}
 		assert.Equal(t, asked, 0, "hosts that are neither acting nor deputies queried the store")
-		assert.Assert(t, countTrue(named) <= 3*maxDeputies, "%d hosts were named as deputies", countTrue(named))
+		assert.Assert(t, countTrue(actingOrDeputy) <= 3*maxDeputies, "%d hosts were named as deputies", countTrue(actingOrDeputy))
 	})
 }
 
--- a/node/coordinator/fleetsize_test.go
+++ b/node/coordinator/fleetsize_test.go
@@ -102,13 +102,13 @@
 	r := c.infrequentReporter(t, fleetSize)
 	model := modelName(697)
 	r.Demand = []*coordpb.Demand{{Service: "s", Model: model, Unserved: 1}}
-	told := map[string]bool{}
+	received := map[string]bool{}
 	for _, h := range c.report(r).Holdings {
 		for _, held := range h.Residents {
-			told[held.Model] = told[held.Model] || held.Model == model
+			received[held.Model] = received[held.Model] || held.Model == model
 		}
 	}
-	assert.Assert(t, told[model])
+	assert.Assert(t, received[model])
 }
 
 // Guards against hosts that all report as often as in a small deployment, and against
@@ -296,22 +296,22 @@
 	c.deps.Feed.ApplyRelay(follow.Relay{UpstreamsVersion: 1})
 	k := &clock{c.now()}
 	c.now = func() time.Time { return k.now }
-	told := func(from uint64) *coordpb.SiteState {
+	answer := func(from uint64) *coordpb.SiteState {
 		out := &coordpb.SiteState{PeriodMs: 1000}
 		assert.NilError(t, c.relay(&coordpb.HostReport{List: from, BriefList: true, PackedList: true}, out))
 		return out
 	}
 	all := c.deps.Fleet.ChangesSince(0, false).Put
-	from := told(0).List
+	from := answer(0).List
 	for i := range all {
 		all[i].ID, all[i].Address = "new-"+all[i].ID, "new-"+all[i].Address
 	}
 	for part := range 8 {
 		k.now = k.now.Add(publishInterval)
 		c.deps.Fleet.Apply(listedUpstreams(all[part*500:(part+1)*500], false), nil, uint64(part+2))
-		told(from)
+		answer(from)
 	}
-	a, b := told(from), told(from)
+	a, b := answer(from), answer(from)
 	assert.Assert(t, !a.ListFull && len(a.PackedChanges) == 8)
 	assert.Assert(t, &a.PackedChanges[0][0] == &b.PackedChanges[0][0], "the changes are packed once for all hosts")
 	const within, listBytes = 5, listShare * 1e9 / 8 // seconds; bytes per second of a link of one gigabit
--- a/node/coordinator/handover_test.go
+++ b/node/coordinator/handover_test.go
@@ -192,7 +192,7 @@
 		var loads []time.Time
 		holder, epoch := hosts[0], uint64(1)
 		holder.takeLease(epoch)
-		most := holder.storeLoads.remaining(1, k.now)
+		maxLoads := holder.storeLoads.remaining(1, k.now)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			k.now = k.now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			if rapid.IntRange(0, 3).Draw(t, "change") == 0 {
@@ -219,7 +219,7 @@
 			if holder.storeLoads.remaining(1, k.now) > 0 {
 				holder.storeLoads.add(k.now)
 				loads = append(recent(loads, k.now, testWindow), k.now)
-				assert.Assert(t, len(loads) <= most, "%d loads in a window", len(loads))
+				assert.Assert(t, len(loads) <= maxLoads, "%d loads in a window", len(loads))
 			}
 		}
 	})
@@ -234,8 +234,8 @@
 	a.takeLease(1)
 	a.recordOrder("u")
 	a.demand.add([]*coordpb.Demand{{Service: "s", Model: "m", Requests: 1}}, func(modelKey, int, int) time.Duration { return time.Second }, k.now)
-	told := a.currentHandover(true, k.now)
-	assert.Equal(t, len(told.Demand), 0)
-	assert.Equal(t, len(told.Orders), 1, "what its successor must wait for")
+	msg := a.currentHandover(true, k.now)
+	assert.Equal(t, len(msg.Demand), 0)
+	assert.Equal(t, len(msg.Orders), 1, "what its successor must wait for")
 	assert.Equal(t, len(a.currentHandover(false, k.now).Demand), 1)
 }
--- a/node/coordinator/loadingmodels_test.go
+++ b/node/coordinator/loadingmodels_test.go
@@ -17,29 +17,29 @@
 func TestHostsReceiveTheReadyTimeOfALoadingModel(t *testing.T) {
 	holder, host := holderSize{7, 12, 340}.holder(), holderSize{7, 12, 340}.holder()
 	l := NewLink(LinkConfig{Host: "h"}, host, nil, host.deps.Log)
-	tell := func() {
+	report := func() {
 		l.applyAnswer(holder.answerLoads(&coordpb.HostReport{Host: "h", Revision: l.revision}, holder.now()))
 	}
-	tell()
-	_, coming := host.deps.Fleet.ExpectedReady("s", modelName(200))
-	assert.Assert(t, !coming)
+	report()
+	_, loading := host.deps.Fleet.ExpectedReady("s", modelName(200))
+	assert.Assert(t, !loading)
 
 	u, _ := holder.upstream(upstreamName(0))
 	u.activeMove = &activeMove{Move: replica.Move{Upstream: upstreamName(0), Unload: modelName(0), Load: modelName(200), From: replica.FromStore}}
 	holder.publishChange(u)
-	tell()
-	at, coming := host.deps.Fleet.ExpectedReady("s", modelName(200))
-	assert.Assert(t, coming && at.Sub(host.now()) == 9*time.Second, "at the earliest")
+	report()
+	at, loading := host.deps.Fleet.ExpectedReady("s", modelName(200))
+	assert.Assert(t, loading && at.Sub(host.now()) == 9*time.Second, "at the earliest")
 
 	u.activeMove.loadingSince = holder.now().Add(-4 * time.Second)
 	holder.publishChange(u)
-	tell()
-	at, coming = host.deps.Fleet.ExpectedReady("s", modelName(200))
-	assert.Assert(t, coming && at.Sub(host.now()) == 5*time.Second)
+	report()
+	at, loading = host.deps.Fleet.ExpectedReady("s", modelName(200))
+	assert.Assert(t, loading && at.Sub(host.now()) == 5*time.Second)
 
 	u.activeMove = nil
 	holder.publishChange(u)
-	tell()
-	_, coming = host.deps.Fleet.ExpectedReady("s", modelName(200))
-	assert.Assert(t, !coming, "the move failed")
+	report()
+	_, loading = host.deps.Fleet.ExpectedReady("s", modelName(200))
+	assert.Assert(t, !loading, "the move failed")
 }
--- a/node/coordinator/permitclient_test.go
+++ b/node/coordinator/permitclient_test.go
@@ -49,14 +49,14 @@
 	link := NewLink(LinkConfig{Host: "h", Address: "own"}, nil, func(context.Context, string, string) (net.Conn, error) { return near, nil }, event.NewLog(nil))
 	assert.NilError(t, link.permitClient.open(ctx, "other"))
 	q := &gate.PermitRequest{Service: "s", Request: &fleet.Request{Model: "m"}}
-	turn, err := link.RequestPermit(ctx, q)
+	permit, err := link.RequestPermit(ctx, q)
 	assert.NilError(t, err)
-	assert.Equal(t, turn.Upstream, "u")
+	assert.Equal(t, permit.Upstream, "u")
 	finishesSoon(t, func() {
 		for range 4 * permitQueueLen {
-			turn.Began()
+			permit.Began()
 		}
-		turn.Release()
+		permit.Release()
 	})
 	finishesSoon(t, func() {
 		_, err := link.RequestPermit(ctx, q)
--- a/node/coordinator/permits_test.go
+++ b/node/coordinator/permits_test.go
@@ -52,52 +52,52 @@
 // two hosts send at the same time because each counts only its own requests, and the
 // upstream has read neither prompt.
 func TestAPromptWaitsUntilTheOneBeforeItIsRead(t *testing.T) {
-	ts, _ := newTestPermits("u")
+	perms, _ := newTestPermits("u")
 	a, b := newTestStream(), newTestStream()
-	ts.handle(a, newRequestEvent(1, 1))
-	ts.handle(b, newRequestEvent(1, 2))
-	ts.handle(b, newRequestEvent(2, 0))
+	perms.handle(a, newRequestEvent(1, 1))
+	perms.handle(b, newRequestEvent(1, 2))
+	perms.handle(b, newRequestEvent(2, 0))
 	assert.Equal(t, drainAnswers(a)[1].Kind, coordpb.TurnAnswer_GRANTED)
 	got := drainAnswers(b)
 	assert.Equal(t, got[1].Kind, coordpb.TurnAnswer_QUEUED)
 	assert.Equal(t, got[2].Kind, coordpb.TurnAnswer_QUEUED)
-	ts.handle(a, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_FIRST})
+	perms.handle(a, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_FIRST})
 	got = drainAnswers(b)
 	assert.Equal(t, got[2].Kind, coordpb.TurnAnswer_GRANTED, "the more urgent one first, though it came later")
 	assert.Assert(t, got[1] == nil)
-	ts.handle(b, &coordpb.TurnEvent{Id: 2, Kind: coordpb.TurnEvent_END})
+	perms.handle(b, &coordpb.TurnEvent{Id: 2, Kind: coordpb.TurnEvent_END})
 	assert.Equal(t, drainAnswers(b)[1].Kind, coordpb.TurnAnswer_GRANTED)
 }
 
 // Guards against an upstream that counts as full forever: a host is killed with
 // requests granted and waiting, and its load is never released.
 func TestTheLoadOfADisconnectedHostIsReleased(t *testing.T) {
-	ts, _ := newTestPermits("u")
+	perms, _ := newTestPermits("u")
 	a, b := newTestStream(), newTestStream()
 	for i := range uint64(3) {
-		ts.handle(a, newRequestEvent(i, 1))
+		perms.handle(a, newRequestEvent(i, 1))
 	}
-	ts.handle(b, newRequestEvent(9, 1))
+	perms.handle(b, newRequestEvent(9, 1))
 	assert.Equal(t, drainAnswers(b)[9].Kind, coordpb.TurnAnswer_QUEUED)
-	ts.removeStream(a)
-	ts.maintain()
+	perms.removeStream(a)
+	perms.maintain()
 	assert.Equal(t, drainAnswers(b)[9].Kind, coordpb.TurnAnswer_GRANTED)
-	ts.removeStream(b)
-	assert.Equal(t, ts.grants["u"].load, fleet.Load{})
+	perms.removeStream(b)
+	assert.Equal(t, perms.grants["u"].load, fleet.Load{})
 }
 
 // Guards against requests that are granted at an upstream that other hosts found
 // unresponsive: two hosts exclude it, a third asks, and the coordinator uses only what
 // it granted itself.
 func TestAnUpstreamThatTwoHostsExcludeGetsNoPermits(t *testing.T) {
-	ts, _ := newTestPermits("dark", "sound")
+	perms, _ := newTestPermits("dark", "sound")
 	for _, host := range []string{"h1", "h2"} {
-		ts.c.aggregate.record(&coordpb.HostReport{Host: host, Silent: []string{"dark"}}, ts.c.now())
+		perms.c.aggregate.record(&coordpb.HostReport{Host: host, Silent: []string{"dark"}}, perms.c.now())
 	}
 	a := newTestStream()
 	for i := range uint64(3) {
-		ts.handle(a, newRequestEvent(i, 1))
-		ts.handle(a, &coordpb.TurnEvent{Id: i, Kind: coordpb.TurnEvent_FIRST})
+		perms.handle(a, newRequestEvent(i, 1))
+		perms.handle(a, &coordpb.TurnEvent{Id: i, Kind: coordpb.TurnEvent_FIRST})
 	}
 	for id, got := range drainAnswers(a) {
 		assert.Equal(t, got.Upstream, "sound", "%d", id)
@@ -108,35 +108,35 @@
 // is what was not released, and all of it is released in the end.
 func TestGrantedLoadsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ts, _ := newTestPermits("u1", "u2")
+		perms, _ := newTestPermits("u1", "u2")
 		streams := []*permitStream{newTestStream(), newTestStream()}
 		for i := range rapid.IntRange(1, 80).Draw(t, "events") {
 			s := streams[rapid.IntRange(0, 1).Draw(t, "stream")]
 			id := uint64(rapid.IntRange(0, 12).Draw(t, "id"))
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
-				ts.handle(s, newRequestEvent(uint64(100+i), int32(i%3)))
+				perms.handle(s, newRequestEvent(uint64(100+i), int32(i%3)))
 			case 1:
-				ts.handle(s, &coordpb.TurnEvent{Id: 100 + id, Kind: coordpb.TurnEvent_FIRST})
+				perms.handle(s, &coordpb.TurnEvent{Id: 100 + id, Kind: coordpb.TurnEvent_FIRST})
 			case 2:
-				ts.handle(s, &coordpb.TurnEvent{Id: 100 + id, Kind: coordpb.TurnEvent_END})
+				perms.handle(s, &coordpb.TurnEvent{Id: 100 + id, Kind: coordpb.TurnEvent_END})
 			default:
-				ts.maintain()
+				perms.maintain()
 			}
 			requests := 0
-			for _, p := range ts.grants {
+			for _, p := range perms.grants {
 				requests += p.load.Requests
 				assert.Assert(t, p.load.PendingPromptTokens >= 0 && p.load.PendingPromptTokens <= p.load.Tokens)
 			}
-			assert.Equal(t, requests, len(ts.granted))
+			assert.Equal(t, requests, len(perms.granted))
 		}
 		for _, s := range streams {
-			ts.removeStream(s)
+			perms.removeStream(s)
 		}
-		for id, p := range ts.grants {
+		for id, p := range perms.grants {
 			assert.Equal(t, p.load, fleet.Load{}, id)
 		}
-		assert.Equal(t, len(ts.waiting), 0)
+		assert.Equal(t, len(perms.waiting), 0)
 	})
 }
 
@@ -144,23 +144,23 @@
 // wait, and each event of any host has all of them weighed against all upstreams,
 // though it can have changed only one.
 func TestOnlyTheUpstreamWhereARequestEndedIsTried(t *testing.T) {
-	ts, f := newTestPermits("a", "b")
+	perms, f := newTestPermits("a", "b")
 	s := newTestStream()
 	for i := range uint64(2) {
-		ts.handle(s, newRequestEvent(i, 1))
+		perms.handle(s, newRequestEvent(i, 1))
 	}
-	ts.handle(s, newRequestEvent(2, 1))
+	perms.handle(s, newRequestEvent(2, 1))
 	got := drainAnswers(s)
 	assert.Equal(t, got[2].Kind, coordpb.TurnAnswer_QUEUED)
 	// "b" accepts more than was known when the request was queued: an event at "a" does
 	// not show it.
 	ended, other := got[0].Upstream, got[1].Upstream
-	ts.grants[other].load = fleet.Load{}
+	perms.grants[other].load = fleet.Load{}
 	e, _ := f.Entry(ended)
 	e.MarkNotResident("m", "")
-	ts.handle(s, &coordpb.TurnEvent{Id: 0, Kind: coordpb.TurnEvent_END})
+	perms.handle(s, &coordpb.TurnEvent{Id: 0, Kind: coordpb.TurnEvent_END})
 	assert.Assert(t, drainAnswers(s)[2] == nil, "it was not tried elsewhere, and not refused for what one upstream lacks")
-	ts.maintain()
+	perms.maintain()
 	assert.Equal(t, drainAnswers(s)[2].Upstream, other)
 }
 
@@ -168,17 +168,17 @@
 // noticed by itself: one host finds nothing listening there, and the coordinator gets
 // to know it only by reports.
 func TestAnUpstreamThatIsNotListeningGetsNoPermits(t *testing.T) {
-	ts, _ := newTestPermits("u", "v")
+	perms, _ := newTestPermits("u", "v")
 	a := newTestStream()
-	ts.handle(a, newRequestEvent(1, 1))
+	perms.handle(a, newRequestEvent(1, 1))
 	first := drainAnswers(a)[1].Upstream
-	ts.handle(a, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_ABSENT})
+	perms.handle(a, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_ABSENT})
 	for i := uint64(2); i < 6; i++ {
-		ts.handle(a, newRequestEvent(i, 1))
+		perms.handle(a, newRequestEvent(i, 1))
 		next := drainAnswers(a)[i]
 		assert.Assert(t, next.Upstream != "" && next.Upstream != first)
-		ts.handle(a, &coordpb.TurnEvent{Id: i, Kind: coordpb.TurnEvent_FIRST})
-		ts.handle(a, &coordpb.TurnEvent{Id: i, Kind: coordpb.TurnEvent_END})
+		perms.handle(a, &coordpb.TurnEvent{Id: i, Kind: coordpb.TurnEvent_FIRST})
+		perms.handle(a, &coordpb.TurnEvent{Id: i, Kind: coordpb.TurnEvent_END})
 	}
-	assert.Equal(t, ts.grants[first].load, fleet.Load{})
+	assert.Equal(t, perms.grants[first].load, fleet.Load{})
 }
--- a/node/coordinator/relay_test.go
+++ b/node/coordinator/relay_test.go
@@ -79,14 +79,14 @@
 // An encoding belongs to one upstream at one state of the list.
 func TestAnUpstreamIsEncodedAnewWhenItHasChanged(t *testing.T) {
 	var e encodings
-	say := func(slots int, since uint64) string {
+	encode := func(slots int, since uint64) string {
 		out, err := e.upstreams([]fleet.Listed{{Upstream: deploy.Upstream{ID: "u", Slots: slots}, Revision: since}})
 		assert.NilError(t, err)
 		back, err := decodeEach(out)
 		assert.NilError(t, err)
 		return fmt.Sprint(back[0].Slots)
 	}
-	assert.Equal(t, say(4, 1), "4")
-	assert.Equal(t, say(8, 2), "8")
-	assert.Equal(t, say(8, 2), "8")
+	assert.Equal(t, encode(4, 1), "4")
+	assert.Equal(t, encode(8, 2), "8")
+	assert.Equal(t, encode(8, 2), "8")
 }
--- a/node/coordinator/signals_test.go
+++ b/node/coordinator/signals_test.go
@@ -44,15 +44,15 @@
 	now := time.Now()
 	e.ApplySignal(backpressure.Signal{Limit: backpressure.Limit{Stated: true, PerSecond: 1}, SentAt: now, ReceivedAt: now}, "answer")
 	var s signals
-	tell := func(holder uint64) int {
+	report := func(holder uint64) int {
 		r := &coordpb.HostReport{}
 		revision := s.addTo(r, f, now)
 		s.apply(&coordpb.SiteState{SignalsId: holder}, revision)
 		return len(r.Signals)
 	}
-	assert.Equal(t, tell(1), 1)
-	assert.Equal(t, tell(1), 0, "the signal is sent once")
-	assert.Equal(t, tell(2), 0, "the first answer of the new holder")
-	assert.Equal(t, tell(2), 1)
-	assert.Equal(t, tell(2), 0)
+	assert.Equal(t, report(1), 1)
+	assert.Equal(t, report(1), 0, "the signal is sent once")
+	assert.Equal(t, report(2), 0, "the first answer of the new holder")
+	assert.Equal(t, report(2), 1)
+	assert.Equal(t, report(2), 0)
 }
