--- a/node/coordinator/adapters.go
+++ b/node/coordinator/adapters.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	// maxAdapterOrders is how many orders one adapter may take: an unload for another
+	// maxOrderAttempts is how many orders one adapter may take: an unload for another
 	// adapter, its load, and more when the upstream's sequence number has changed
-	// meanwhile.
-	maxAdapterOrders = 5
+	// meanwhile. It also bounds the attempts to give an order for a model.
+	maxOrderAttempts = 5
 	// adapterOrderTimeout is how long an order for an adapter may take to be answered
 	// before another upstream is asked. A caller waits for it, and upstreams answer
 	// within a few milliseconds or not at all.
@@ -79,7 +79,7 @@
 // loadAdapter gives the orders to load the adapter at the upstream, and waits until it
 // is loaded.
 func (u *managedUpstream) loadAdapter(ctx context.Context, model, adapter string) error {
-	for range maxAdapterOrders {
+	for range maxOrderAttempts {
 		done, err := u.adapterOrder(ctx, model, adapter)
 		if done {
 			return u.awaitAdapter(ctx, model, adapter)
--- a/node/coordinator/move.go
+++ b/node/coordinator/move.go
@@ -176,7 +176,7 @@
 
 // orderModel sends one order for a model.
 func (u *managedUpstream) orderModel(ctx context.Context, nextOrder func(*residency.Record) (residency.Order, bool), why string) error {
-	for range maxAdapterOrders {
+	for range maxOrderAttempts {
 		if !u.lockOrders(ctx) {
 			return ctx.Err()
 		}
--- a/node/coordinator/signals_test.go
+++ b/node/coordinator/signals_test.go
@@ -51,7 +51,7 @@
 		return len(r.Signals)
 	}
 	assert.Equal(t, report(1), 1)
-	assert.Equal(t, report(1), 0, "the signal is sent once")
+	assert.Equal(t, report(1), 0, "once")
 	assert.Equal(t, report(2), 0, "the first answer of the new holder")
 	assert.Equal(t, report(2), 1)
 	assert.Equal(t, report(2), 0)
