--- a/cmd/peridotpier/host.go
+++ b/cmd/peridotpier/host.go
@@ -76,7 +76,7 @@
 	log := event.NewJSON(sink, level)
 	defer log.Sync()
 	h, err := host.New(host.Deps{Settings: set, Platform: onPlatform(set), Log: log, Metrics: metrics.New(),
-		Client: conn.New(conn.Config{Dialer: conn.NewDialer()}), Dropped: sink.Dropped, Reread: c.read, Hangup: hangups(ctx, hangup)})
+		Client: conn.New(conn.Config{Dialer: conn.NewDialer()}), DroppedLines: sink.Dropped, ReloadSettings: c.read, ReloadSignal: hangups(ctx, hangup)})
 	if err != nil {
 		return err
 	}
--- a/cmd/pierctl/quarantine.go
+++ b/cmd/pierctl/quarantine.go
@@ -44,7 +44,7 @@
 		_, err := callPage(ctx, http.MethodDelete, c.address, host.QuarantinePath+"/"+c.release)
 		return err
 	}
-	return listPage(ctx, &c.hostPage, host.QuarantinePath, func(h *host.HeldRequest) string {
+	return listPage(ctx, &c.hostPage, host.QuarantinePath, func(h *host.QuarantinedRequest) string {
 		return fmt.Sprintf("%s  %-9s  crashes %d  bars %d  for %s", h.Content, h.State, h.Crashes, h.Bars, time.Duration(h.ForMs)*time.Millisecond)
 	})
 }
--- a/cmd/pierctl/upstreams.go
+++ b/cmd/pierctl/upstreams.go
@@ -31,24 +31,24 @@
 }
 
 func (c *upstreamsCommand) run(ctx context.Context) error {
-	return listPage(ctx, &c.hostPage, host.UpstreamsPath, func(u *host.AskingUpstream) string {
+	return listPage(ctx, &c.hostPage, host.UpstreamsPath, func(u *host.RestrictedUpstream) string {
 		return fmt.Sprintf("%s  %s  %s", u.Upstream, u.Service, asked(u))
 	})
 }
 
 // asked says what one upstream asks for.
-func asked(u *host.AskingUpstream) string {
+func asked(u *host.RestrictedUpstream) string {
 	out := ""
-	if u.Leaving {
+	if u.Draining {
 		out += "leaves  "
 	}
 	if u.Limit != nil {
 		out += fmt.Sprintf("takes %g/s of all hosts  ", *u.Limit)
 	}
-	if u.RestMs > 0 {
-		out += fmt.Sprintf("rests for %v  ", time.Duration(u.RestMs)*time.Millisecond)
+	if u.BackoffMs > 0 {
+		out += fmt.Sprintf("rests for %v  ", time.Duration(u.BackoffMs)*time.Millisecond)
 	}
-	if u.Starting {
+	if u.InSlowStart {
 		out += "slow start  "
 	}
 	if u.SinceMs > 0 {
--- a/node/dispatch/attempt.go
+++ b/node/dispatch/attempt.go
@@ -109,7 +109,7 @@
 		h.Set(engineapi.HeaderPrefix, strconv.FormatUint(a.w.Prefix, 16))
 	}
 	r := &conn.Request{Address: a.ep.Address, Method: a.w.Method, Path: a.w.Path, Query: a.w.Query, Header: h,
-		Body: a.w.Body, Fresh: !a.w.Repeatable}
+		Body: a.w.Body, NewConnection: !a.w.Repeatable}
 	if a.w.BodyStream != nil {
 		r.Stream, r.StreamLength = a.w.BodyStream, a.w.BodyLength
 		a.bodyUsed = true
@@ -170,11 +170,11 @@
 	}
 	a.d.deps.Metrics.Add(metrics.Refused, a.ep.DataCentre, a.ep.Upstream, 1)
 	switch why {
-	case engineapi.RefusedLeaving:
+	case engineapi.RefusedDraining:
 		if a.d.deps.View.MarkDraining(a.ep.Upstream, a.sent.get()) {
 			a.d.deps.Log.Emit(event.UpstreamLeaving, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("incarnation", a.sent.get()), zap.String("source", "refusal"))
 		}
-	case engineapi.RefusedSettled:
+	case engineapi.RefusedAttemptClosed:
 		// The watchdog asked for the fate before the attempt arrived.
 		return fault.Unknown(fault.StepDispatch, a.ep.Upstream, fault.CodeUpstreamFailed, "refused: %s", why)
 	case engineapi.RefusedNotLoaded:
--- a/node/dispatch/fate.go
+++ b/node/dispatch/fate.go
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	resp, err := u.client.Do(ctx, &conn.Request{Address: address, Method: http.MethodGet,
-		Path: attemptPath(engineapi.PathAttempt, attempt), Header: http.Header{}, Fresh: true})
+		Path: attemptPath(engineapi.PathAttempt, attempt), Header: http.Header{}, NewConnection: true})
 	if err != nil {
 		return a, err
 	}
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	resp, err := u.client.Do(ctx, &conn.Request{Address: address, Method: http.MethodGet, Path: engineapi.PathReport,
-		Header: http.Header{}, Fresh: true})
+		Header: http.Header{}, NewConnection: true})
 	if err != nil {
 		return r, err
 	}
@@ -88,7 +88,7 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	resp, err := u.client.Do(ctx, &conn.Request{Address: address, Method: http.MethodDelete,
-		Path: attemptPath(engineapi.PathAttempt, attempt), Header: http.Header{}, Fresh: true})
+		Path: attemptPath(engineapi.PathAttempt, attempt), Header: http.Header{}, NewConnection: true})
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 // Resume opens an attempt's stream again after a position, on a new connection.
 func (u *UpstreamClient) Resume(ctx context.Context, address, attempt string, after int) (*conn.Response, error) {
 	resp, err := u.client.Do(ctx, &conn.Request{Address: address, Method: http.MethodGet,
-		Path: attemptPath(engineapi.PathResume, attempt), Query: "after=" + strconv.Itoa(after), Header: http.Header{}, Fresh: true})
+		Path: attemptPath(engineapi.PathResume, attempt), Query: "after=" + strconv.Itoa(after), Header: http.Header{}, NewConnection: true})
 	if err != nil {
 		return nil, err
 	}
--- a/node/dispatch/relay.go
+++ b/node/dispatch/relay.go
@@ -127,7 +127,7 @@
 			// Most streams are between two tokens at any moment: buffers held
 			// meanwhile would be the largest part of their memory.
 			bufferPool.Put(b)
-			resp.Wait()
+			resp.WaitReadable()
 			b = bufferPool.Get().(*buffers)
 		}
 		if have == len(b.in) {
--- a/node/gate/attempt.go
+++ b/node/gate/attempt.go
@@ -90,7 +90,7 @@
 		s.HasUrgency = true
 	}
 	q.g.deps.Codec.SetAttempt(h, s)
-	return &conn.Request{Address: e.Address(), Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host, Header: h, Body: q.body, Wanted: e.AcceptsRequests}
+	return &conn.Request{Address: e.Address(), Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host, Header: h, Body: q.body, StillWanted: e.AcceptsRequests}
 }
 
 // unanswered ends an attempt that brought no head of an answer.
@@ -112,7 +112,7 @@
 		q.sends--
 		x.NotListening()
 		return result{notRun: true, why: "absent", absent: true}
-	case errors.Is(err, conn.ErrUnwanted):
+	case errors.Is(err, conn.ErrNoLongerWanted):
 		x.Cancelled()
 		return result{notRun: true, why: "asked_meanwhile", allowed: true}
 	case notRun:
--- a/node/gate/pick.go
+++ b/node/gate/pick.go
@@ -102,7 +102,7 @@
 	for i, e := range entries {
 		endpoints[i] = e.Endpoint(&q.ask, now)
 		endpoints[i].Tried = q.tried[endpoints[i].ID]
-		endpoints[i].HasIdleConn = d.Client.Warm(e.Address())
+		endpoints[i].HasIdleConn = d.Client.HasIdleConnection(e.Address())
 	}
 	r := balance.Request{Model: q.ask.Model, Adapter: q.ask.Adapter, PromptTokens: q.cost.PromptTokens, OutputTokens: q.cost.OutputTokens}
 	if q.service.Engine != nil {
--- a/node/gate/turn.go
+++ b/node/gate/turn.go
@@ -129,7 +129,7 @@
 func (q *request) warm() []string {
 	var out []string
 	for _, e := range q.g.deps.Fleet.EntriesWithModel(q.service.Name, q.ask.Model) {
-		if q.g.deps.Client.Warm(e.Address()) {
+		if q.g.deps.Client.HasIdleConnection(e.Address()) {
 			out = append(out, e.ID())
 		}
 	}
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -39,14 +39,14 @@
 
 // Deps are what a Host is made of.
 type Deps struct {
-	Settings *Settings
-	Platform Platform
-	Client   *conn.Client // towards upstreams
-	Log      *event.Log
-	Metrics  *metrics.Set
-	Dropped  func() int64              // lines that the log had no room for; nil: none
-	Reread   func() (*Settings, error) // the settings file, on SIGHUP
-	Hangup   <-chan struct{}
+	Settings       *Settings
+	Platform       Platform
+	Client         *conn.Client // towards upstreams
+	Log            *event.Log
+	Metrics        *metrics.Set
+	DroppedLines   func() int64              // lines that the log had no room for; nil: none
+	ReloadSettings func() (*Settings, error) // the settings file, on SIGHUP
+	ReloadSignal   <-chan struct{}
 }
 
 // Host is one entry host.
@@ -91,7 +91,7 @@
 	h.leave = leave
 	h.guard = quarantine.NewGuard(quarantine.GuardDeps{Connected: h.link.Linked, Log: d.Log, Metrics: d.Metrics})
 	h.link.Quarantine = h.guard
-	h.crashes = quarantine.NewCrashDetector(quarantine.CrashDetectorDeps{NotListening: d.Client.Refuses, OnCrash: h.crashed, Log: d.Log, Metrics: d.Metrics})
+	h.crashes = quarantine.NewCrashDetector(quarantine.CrashDetectorDeps{NotListening: d.Client.NotListening, OnCrash: h.crashed, Log: d.Log, Metrics: d.Metrics})
 	h.gate = gate.New(gate.Deps{HoldsLimited: leaving, Stopping: ending, Config: h.config, Fleet: h.fleet, Client: d.Client, Codec: d.Platform.Codec, Coordinator: h.link, TeamLimits: h.link, CrashRecorder: h.crashes, PoisonGuard: h.guard,
 		RetryBudget: gate.NewRetryBudget(policy, h.link.Hosts), Log: d.Log, Metrics: d.Metrics, Draining: h.draining.Load, RejectsNew: h.closing.Load, DisconnectReason: connGone})
 	h.limitMemory()
@@ -359,10 +359,10 @@
 
 // tellDropped logs that lines were dropped since it was called last.
 func (h *Host) tellDropped(before int64) int64 {
-	if h.deps.Dropped == nil {
+	if h.deps.DroppedLines == nil {
 		return 0
 	}
-	now := h.deps.Dropped()
+	now := h.deps.DroppedLines()
 	if now > before {
 		h.log.Emit(event.LogDropped, zap.Int64("count", now-before))
 	}
--- a/node/host/quarantine.go
+++ b/node/host/quarantine.go
@@ -13,9 +13,9 @@
 // which a bar is ended by DELETE and the digest.
 const QuarantinePath = "/quarantine"
 
-// HeldRequest is one request that is suspected of ending upstreams, or barred for
+// QuarantinedRequest is one request that is suspected of ending upstreams, or barred for
 // it, as the page has it.
-type HeldRequest struct {
+type QuarantinedRequest struct {
 	Content string `json:"content"` // digest, as logs have it
 	State   string `json:"state"`   // suspected or barred
 	ForMs   int64  `json:"for_ms"`  // until the bar ends
@@ -26,10 +26,10 @@
 // quarantine adds the page to e.
 func (h *Host) quarantine(e *echo.Echo) {
 	e.GET(QuarantinePath, func(c *echo.Context) error {
-		out := []HeldRequest{}
+		out := []QuarantinedRequest{}
 		now := time.Now()
 		for _, x := range h.guard.Entries() {
-			out = append(out, HeldRequest{Content: x.Digest.String(), State: x.State.String(), ForMs: max(x.BarredUntil.Sub(now), 0).Milliseconds(),
+			out = append(out, QuarantinedRequest{Content: x.Digest.String(), State: x.State.String(), ForMs: max(x.BarredUntil.Sub(now), 0).Milliseconds(),
 				Crashes: x.CrashCount, Bars: x.BarCount})
 		}
 		return c.JSON(http.StatusOK, out)
--- a/node/host/status.go
+++ b/node/host/status.go
@@ -18,8 +18,8 @@
 	DataCentre    string           `json:"data_centre"`
 	Ready         bool             `json:"ready"`
 	Coordinator   string           `json:"coordinator"` // address of the host that acts for all; empty: none is known
-	Holds         bool             `json:"holds"`       // this host holds the lease
-	Acts          bool             `json:"acts"`        // this host acts for all
+	HoldsLease    bool             `json:"holds"`       // this host holds the lease
+	Acting        bool             `json:"acts"`        // this host acts for all
 	Hosts         int              `json:"hosts"`       // that share the allowance of repeats
 	ReportMs      int64            `json:"report_ms"`   // between two reports of this host that bring nothing new
 	Upstreams     int              `json:"upstreams"`
@@ -34,7 +34,7 @@
 func (h *Host) status(e *echo.Echo) {
 	e.GET(StatusPath, func(c *echo.Context) error {
 		s := Status{Host: h.set.Host, DataCentre: h.set.DataCentre, Ready: h.isReady(), Coordinator: h.link.CoordinatorAddress(),
-			Holds: h.coord.HoldsLease(), Acts: h.coord.Acting(), Hosts: h.link.Hosts(), ReportMs: h.link.ReportPeriod().Milliseconds(),
+			HoldsLease: h.coord.HoldsLease(), Acting: h.coord.Acting(), Hosts: h.link.Hosts(), ReportMs: h.link.ReportPeriod().Milliseconds(),
 			Upstreams: len(h.fleet.All()), ListVersion: h.feed.UpstreamsVersion(), PeerCalls: h.deps.Metrics.CountsByKind(metrics.PeerCalls),
 			PeerBytes: h.deps.Metrics.CountsByKind(metrics.PeerBytes), StoreCalls: h.deps.Metrics.CountsByKind(metrics.StoreCalls)}
 		if t := h.config.Current(); t != nil {
--- a/node/host/stop.go
+++ b/node/host/stop.go
@@ -70,8 +70,8 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-h.deps.Hangup:
-			next, err := h.deps.Reread()
+		case <-h.deps.ReloadSignal:
+			next, err := h.deps.ReloadSettings()
 			if err != nil {
 				h.log.Emit(event.SettingsBad, zap.Error(err))
 				continue
--- a/node/planner/observe.go
+++ b/node/planner/observe.go
@@ -81,7 +81,7 @@
 		s.sequence = o.Report.Sequence
 		s.reports++
 	}
-	s.leaving = s.leaving || o.Report.Leaving // never undone within an incarnation
+	s.leaving = s.leaving || o.Report.Draining // never undone within an incarnation
 	s.down = o.Down
 	p.seen[o.Report.Upstream] = s
 }
--- a/node/planner/world_test.go
+++ b/node/planner/world_test.go
@@ -63,7 +63,7 @@
 
 func (e *testEngine) report() engineapi.Report {
 	e.sequence++
-	r := engineapi.Report{Upstream: e.name, Incarnation: e.id(), Sequence: e.sequence, Epoch: e.epoch, UsedMB: e.used(), Leaving: e.leaving}
+	r := engineapi.Report{Upstream: e.name, Incarnation: e.id(), Sequence: e.sequence, Epoch: e.epoch, UsedMB: e.used(), Draining: e.leaving}
 	for t, mb := range e.held {
 		r.Residents = append(r.Residents, engineapi.Resident{Model: t.Model, Adapter: t.Adapter, Version: t.Version, State: engineapi.StateReady, MemoryMB: mb})
 	}
--- a/node/server/configure.go
+++ b/node/server/configure.go
@@ -29,7 +29,7 @@
 		}
 		s.configure(st)
 		if s.phase.Load() == phaseStarting {
-			s.poller.AskAll(ctx)
+			s.poller.PollAll(ctx)
 			if s.phase.CompareAndSwap(phaseStarting, phaseReady) {
 				s.reconcileSoon()
 				s.log.Emit(event.ProcessReady, zap.String("host", s.cfg.Settings.Host), zap.String("callers", s.CallerAddress()),
--- a/node/server/mesh.go
+++ b/node/server/mesh.go
@@ -59,7 +59,7 @@
 		model, adapter, _ := strings.Cut(r, "/")
 		ready[route.ModelKey{Model: model, Adapter: adapter}] = true
 	}
-	s.view.Heard(u.Name, u.Incarnation, u.Draining, ready)
+	s.view.ApplyPeerReport(u.Name, u.Incarnation, u.Draining, ready)
 }
 
 // tellReport passes on what a report changed.
@@ -69,7 +69,7 @@
 		seen = cur.FirstSeenMs
 	}
 	s.mesh.ReportUpstream(member.Upstream{Name: r.Upstream, Incarnation: r.Incarnation, FirstSeenMs: seen, Sequence: r.Sequence,
-		Draining: r.Leaving, Residents: readyNames(r.Residents)})
+		Draining: r.Draining, Residents: readyNames(r.Residents)})
 }
 
 // readyNames lists what a report shows as ready, in a fixed order.
--- a/node/server/planning.go
+++ b/node/server/planning.go
@@ -40,7 +40,7 @@
 func (p plannerSite) Reports() []planner.ObservedReport {
 	var out []planner.ObservedReport
 	for _, r := range p.s.view.Reports(p.pool) {
-		out = append(out, planner.ObservedReport{Report: r.Report, Read: r.Read, Down: r.Down})
+		out = append(out, planner.ObservedReport{Report: r.Report, Read: r.Read, Down: r.Disconnected})
 	}
 	return out
 }
@@ -143,7 +143,7 @@
 	var out []poll.Target
 	if len(c.Upstreams) <= directMost || s.cfg.Policy.Direct {
 		for _, u := range c.Upstreams {
-			out = append(out, poll.Target{Upstream: u, Every: every, Events: true})
+			out = append(out, poll.Target{Upstream: u, Interval: every, CacheEvents: true})
 		}
 		s.poller.Assign(out)
 		return
@@ -156,7 +156,7 @@
 			watched++
 			out = append(out, poll.Target{Upstream: u})
 		case planned[u.Pool] != nil:
-			out = append(out, poll.Target{Upstream: u, Every: plannedEvery})
+			out = append(out, poll.Target{Upstream: u, Interval: plannedEvery})
 		}
 	}
 	pace := max(every, time.Duration(watched)*time.Second/watchedPerSecond)
@@ -164,8 +164,8 @@
 		pace = min(pace, watchedMost)
 	}
 	for i := range out {
-		if out[i].Every == 0 {
-			out[i].Every = pace
+		if out[i].Interval == 0 {
+			out[i].Interval = pace
 		}
 	}
 	s.poller.Assign(out)
--- a/node/server/server.go
+++ b/node/server/server.go
@@ -128,7 +128,7 @@
 func New(cfg Config) (*Server, error) {
 	s := &Server{cfg: cfg, incarnation: uuid.NewString(), started: time.Now(), log: event.NewLog(cfg.Log),
 		metrics: metrics.New(), requests: inflight.New(), client: conn.New(conn.Config{Dialer: cfg.Dialer}),
-		sparse: conn.New(conn.Config{Dialer: cfg.Dialer, IdleMost: sparseIdle}),
+		sparse: conn.New(conn.Config{Dialer: cfg.Dialer, MaxIdleTime: sparseIdle}),
 		killed: make(chan struct{}), reconcile: make(chan struct{}, 1), roles: roles{byID: map[string]*role{}}}
 	s.siteHosts.Store(1)
 	s.dataPath()
@@ -150,9 +150,9 @@
 	if picker == nil {
 		picker = route.New(route.Config{})
 	}
-	s.dispatch = dispatch.New(dispatch.Config{IdleBeforeProbe: set.Bounds.Silence(), RetryShare: set.Bounds.RetryShare},
+	s.dispatch = dispatch.New(dispatch.Config{IdleBeforeProbe: set.Bounds.IdleBeforeProbe(), RetryShare: set.Bounds.RetryShare},
 		dispatch.Deps{View: s.view, Picker: picker, Client: s.client, Log: s.log, Metrics: s.metrics, NotifyDemand: s.cfg.Policy.Demand})
-	s.poller.Fresh = s.tellReport
+	s.poller.OnReport = s.tellReport
 	s.demand = demand.New(s.cfg.Demand)
 	s.admit = admission.New(admission.Config{Hosts: 1})
 	s.claims = newClaims(s)
--- a/node/settings/settings.go
+++ b/node/settings/settings.go
@@ -107,8 +107,8 @@
 	return time.Duration(b.BalancerWaitSeconds) * time.Second
 }
 
-// Silence returns after how long without a byte an exchange is looked into.
-func (b Bounds) Silence() time.Duration { return time.Duration(b.SilenceMs) * time.Millisecond }
+// IdleBeforeProbe returns after how long without a byte an exchange is looked into.
+func (b Bounds) IdleBeforeProbe() time.Duration { return time.Duration(b.SilenceMs) * time.Millisecond }
 
 // ReportEvery returns the time between two questions for a report.
 func (b Bounds) ReportEvery() time.Duration { return time.Duration(b.ReportEveryMs) * time.Millisecond }
--- a/node/upstream/conn/client.go
+++ b/node/upstream/conn/client.go
@@ -27,10 +27,10 @@
 
 // Config bounds a Client; zero values take the defaults.
 type Config struct {
-	DialTimeout time.Duration
-	IdleMost    time.Duration
-	IdleCount   int
-	Dialer      Dialer
+	DialTimeout  time.Duration
+	MaxIdleTime  time.Duration
+	MaxIdleConns int
+	Dialer       Dialer
 }
 
 // Client sends exchanges to upstreams and pools their connections.
@@ -45,11 +45,11 @@
 	if cfg.DialTimeout == 0 {
 		cfg.DialTimeout = defaultDialTimeout
 	}
-	if cfg.IdleMost == 0 {
-		cfg.IdleMost = defaultIdleMost
+	if cfg.MaxIdleTime == 0 {
+		cfg.MaxIdleTime = defaultIdleMost
 	}
-	if cfg.IdleCount == 0 {
-		cfg.IdleCount = defaultIdleCount
+	if cfg.MaxIdleConns == 0 {
+		cfg.MaxIdleConns = defaultIdleCount
 	}
 	if cfg.Dialer == nil {
 		cfg.Dialer = &net.Dialer{}
@@ -60,25 +60,25 @@
 // Request is one exchange. Body is sent with its length; Stream, when not
 // nil, is sent instead, in chunks when StreamLength is negative.
 type Request struct {
-	Address      string
-	Method       string
-	Path         string
-	Query        string
-	Target       string // as it stands in the request line, in place of Path and Query; "": those
-	Host         string // of the Host header; "": Address
-	Header       http.Header
-	Body         []byte
-	Stream       io.Reader
-	StreamLength int64
-	Fresh        bool // use a new connection
+	Address       string
+	Method        string
+	Path          string
+	Query         string
+	Target        string // as it stands in the request line, in place of Path and Query; "": those
+	Host          string // of the Host header; "": Address
+	Header        http.Header
+	Body          []byte
+	Stream        io.Reader
+	StreamLength  int64
+	NewConnection bool // use a new connection
 	// Wanted is asked when the connection stands: to open one may take seconds. nil: it is.
-	Wanted func() bool
+	StillWanted func() bool
 
 	source *source // of Stream
 }
 
 // ErrUnwanted: the exchange was not wanted any more when its connection stood.
-var ErrUnwanted = errors.New("not wanted any more")
+var ErrNoLongerWanted = errors.New("not wanted any more")
 
 // Response is the answer to an exchange. Exactly one of Finish and Abort ends it.
 type Response struct {
@@ -104,16 +104,16 @@
 	if err != nil {
 		return nil, fault.NotRun(fault.StepDispatch, r.Address, fault.CodeUpstreamFailed, "connect: %w", err)
 	}
-	if r.Wanted != nil && !r.Wanted() {
+	if r.StillWanted != nil && !r.StillWanted() {
 		l.reset()
-		return nil, fault.NotRun(fault.StepDispatch, r.Address, fault.CodeUpstreamFailed, "not sent: %w", ErrUnwanted)
+		return nil, fault.NotRun(fault.StepDispatch, r.Address, fault.CodeUpstreamFailed, "not sent: %w", ErrNoLongerWanted)
 	}
 	stop := context.AfterFunc(ctx, l.reset)
 	req := r.httpRequest()
 	resp, err := c.exchange(l, r, req)
 	if err != nil {
 		if l.reused && l.read == 0 {
-			l.pool.shorten(l.rested, c.cfg.IdleMost)
+			l.pool.shorten(l.rested, c.cfg.MaxIdleTime)
 		}
 		stop()
 		l.reset()
@@ -228,8 +228,8 @@
 
 func (c *Client) connect(ctx context.Context, r *Request) (*link, error) {
 	p := c.pool(r.Address)
-	if !r.Fresh {
-		if l := p.take(time.Now(), c.cfg.IdleMost); l != nil {
+	if !r.NewConnection {
+		if l := p.take(time.Now(), c.cfg.MaxIdleTime); l != nil {
 			l.written, l.read, l.reused = 0, 0, true
 			return l, nil
 		}
@@ -258,12 +258,12 @@
 // sent on them without an error; new connections are not concerned.
 func (c *Client) Retire(address string) { c.pool(address).retire() }
 
-// Warm says whether an exchange with address would need no new connection.
-func (c *Client) Warm(address string) bool {
+// HasIdleConnection says whether an exchange with address would need no new connection.
+func (c *Client) HasIdleConnection(address string) bool {
 	c.mu.RLock()
 	p := c.pools[address]
 	c.mu.RUnlock()
-	return p != nil && p.warm(time.Now(), c.cfg.IdleMost)
+	return p != nil && p.warm(time.Now(), c.cfg.MaxIdleTime)
 }
 
 // Forget retires the connections to an address that nothing is sent to any more.
@@ -286,10 +286,10 @@
 	}
 }
 
-// Wait returns when something of the answer can be read or the connection has
+// WaitReadable returns when something of the answer can be read or the connection has
 // ended, which the next read of Body then tells. A stream between two tokens
 // so needs no buffer of its reader's. Only for an answer not yet at its end.
-func (r *Response) Wait() {
+func (r *Response) WaitReadable() {
 	_, _ = r.link.br.Peek(1)
 }
 
--- a/node/upstream/conn/conn_test.go
+++ b/node/upstream/conn/conn_test.go
@@ -103,7 +103,7 @@
 func TestIdleConnectionsAreClosedAfterABurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &pipes{serve: answers(ok)}
-		c := conn.New(conn.Config{Dialer: p, IdleMost: time.Second})
+		c := conn.New(conn.Config{Dialer: p, MaxIdleTime: time.Second})
 		var burst []*conn.Response
 		for range 8 {
 			r, err := post(c)
@@ -206,8 +206,8 @@
 	defer up.Close()
 	c := conn.New(conn.Config{})
 	_, err := c.Do(t.Context(), &conn.Request{Address: up.Listener.Addr().String(), Method: http.MethodGet, Path: "/", Header: http.Header{},
-		Wanted: func() bool { return false }})
-	assert.Assert(t, errors.Is(err, conn.ErrUnwanted), "%v", err)
+		StillWanted: func() bool { return false }})
+	assert.Assert(t, errors.Is(err, conn.ErrNoLongerWanted), "%v", err)
 	assert.Equal(t, fault.From(fault.StepDispatch, err).Outcome, outcome.NotRun)
 	assert.Assert(t, !reached)
 }
--- a/node/upstream/conn/pool.go
+++ b/node/upstream/conn/pool.go
@@ -67,13 +67,13 @@
 func (p *pool) put(l *link, now time.Time, cfg Config, stated time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if l.gen != p.gen || len(p.idle) >= cfg.IdleCount {
+	if l.gen != p.gen || len(p.idle) >= cfg.MaxIdleConns {
 		_ = l.nc.Close()
 		return
 	}
 	l.idleSince, l.idleMost = now, stated
 	p.idle = append(p.idle, l)
-	p.sweepLocked(cfg.IdleMost)
+	p.sweepLocked(cfg.MaxIdleTime)
 }
 
 // sweepLocked closes the connections that are idle for too long, when it is
--- a/node/upstream/conn/refuses.go
+++ b/node/upstream/conn/refuses.go
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// Refuses says whether nothing listens at address: the process there has ended.
+// NotListening says whether nothing listens at address: the process there has ended.
 // One that is silent, or that cannot be reached, does not refuse.
-func (c *Client) Refuses(ctx context.Context, address string) bool {
+func (c *Client) NotListening(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.DialTimeout)
 	defer cancel()
 	nc, err := c.cfg.Dialer.DialContext(ctx, "tcp", address)
--- a/node/upstream/conn/refuses_test.go
+++ b/node/upstream/conn/refuses_test.go
@@ -14,10 +14,10 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	c := conn.New(conn.Config{})
-	assert.Assert(t, !c.Refuses(t.Context(), ln.Addr().String()))
+	assert.Assert(t, !c.NotListening(t.Context(), ln.Addr().String()))
 	assert.NilError(t, ln.Close())
-	assert.Assert(t, c.Refuses(t.Context(), ln.Addr().String()))
+	assert.Assert(t, c.NotListening(t.Context(), ln.Addr().String()))
 	over, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.Assert(t, !c.Refuses(over, ln.Addr().String()), "an unanswered question says nothing")
+	assert.Assert(t, !c.NotListening(over, ln.Addr().String()), "an unanswered question says nothing")
 }
--- a/node/upstream/engineapi/engineapi.go
+++ b/node/upstream/engineapi/engineapi.go
@@ -37,11 +37,11 @@
 
 // Values of HeaderRefused.
 const (
-	RefusedLeaving   = "leaving"    // the upstream is going away: no new work, ever, in this incarnation
-	RefusedNotLoaded = "not_loaded" // the model or adapter is not resident
-	RefusedFull      = "full"       // the queue is full
-	RefusedSettled   = "settled"    // this attempt id was reported unseen, cancelled or refused before
-	RefusedRestarted = "restarted"  // the attempt was meant for a former process
+	RefusedDraining      = "leaving"    // the upstream is going away: no new work, ever, in this incarnation
+	RefusedNotLoaded     = "not_loaded" // the model or adapter is not resident
+	RefusedQueueFull     = "full"       // the queue is full
+	RefusedAttemptClosed = "settled"    // this attempt id was reported unseen, cancelled or refused before
+	RefusedRestarted     = "restarted"  // the attempt was meant for a former process
 )
 
 // Paths. {id} is an attempt id.
@@ -93,7 +93,7 @@
 	Incarnation string     `json:"incarnation"` // new at every process start
 	Sequence    uint64     `json:"sequence"`    // rises by one a report within an incarnation
 	TakenMs     int64      `json:"taken_ms"`
-	Leaving     bool       `json:"leaving"`
+	Draining    bool       `json:"leaving"`
 	Role        string     `json:"role"` // "serve" or "prefill" or "decode"
 	Running     int        `json:"running"`
 	Waiting     int        `json:"waiting"`
@@ -113,16 +113,16 @@
 // the residents that it knows.
 const ParamResidents = "residents"
 
-// Brief is the report for a reader that knows the residents of a digest.
-func (r Report) Brief(known string) Report {
+// Compact is the report for a reader that knows the residents of a digest.
+func (r Report) Compact(known string) Report {
 	if known != "" && known == r.Digest {
 		r.Residents = nil
 	}
 	return r
 }
 
-// DigestOf names a list of residents.
-func DigestOf(residents []Resident) string {
+// ResidentsDigest names a list of residents.
+func ResidentsDigest(residents []Resident) string {
 	d := xxhash.New()
 	for _, r := range residents {
 		_, _ = fmt.Fprintf(d, "%q %q %q %q %q %d\n", r.Model, r.Adapter, r.Version, r.State, r.Op, r.MemoryMB) // a Digest's writes never fail
--- a/node/upstream/poll/poll.go
+++ b/node/upstream/poll/poll.go
@@ -37,16 +37,16 @@
 
 // Sink takes what upstreams tell; node/upstream/view implements it.
 type Sink interface {
-	Report(r engineapi.Report, at time.Time) bool
-	Prefix(upstream string, e engineapi.CacheEvent)
+	ApplyReport(r engineapi.Report, at time.Time) bool
+	ObserveCacheEvent(upstream string, e engineapi.CacheEvent)
 	MarkDown(upstream string)
 }
 
 // Target is one upstream to ask, and how often.
 type Target struct {
 	config.Upstream
-	Every  time.Duration
-	Events bool // ask for cache events too
+	Interval    time.Duration
+	CacheEvents bool // ask for cache events too
 }
 
 // Poller asks each upstream that it is assigned.
@@ -56,7 +56,7 @@
 	sink   Sink
 	log    *event.Log
 	// Fresh, when set before Run, is told of every report that was news.
-	Fresh func(r engineapi.Report, at time.Time)
+	OnReport func(r engineapi.Report, at time.Time)
 
 	mu      sync.Mutex
 	asked   map[string]*target // by upstream
@@ -153,7 +153,7 @@
 func (p *Poller) follow(ctx context.Context, t *target) {
 	// The first question comes at a random moment of the interval: hosts that
 	// start together must not go on asking together.
-	timer := time.NewTimer(time.Duration(rand.Float64() * float64(t.current().Every)))
+	timer := time.NewTimer(time.Duration(rand.Float64() * float64(t.current().Interval)))
 	defer timer.Stop()
 	for {
 		select {
@@ -164,7 +164,7 @@
 		now := t.current()
 		p.ask(ctx, t, now)
 		spread := 1 - jitter/2 + jitter*rand.Float64()
-		timer.Reset(time.Duration(float64(now.Every) * spread))
+		timer.Reset(time.Duration(float64(now.Interval) * spread))
 	}
 }
 
@@ -192,10 +192,10 @@
 	}
 	t.residents, t.digest = r.Residents, r.Digest
 	at := time.Now()
-	if p.sink.Report(r, at) && p.Fresh != nil {
-		p.Fresh(r, at)
+	if p.sink.ApplyReport(r, at) && p.OnReport != nil {
+		p.OnReport(r, at)
 	}
-	if u.Events {
+	if u.CacheEvents {
 		p.events(ctx, t, u)
 	}
 }
@@ -223,14 +223,14 @@
 	}
 	for _, e := range list {
 		t.after = max(t.after, e.Sequence)
-		p.sink.Prefix(u.Name, e)
+		p.sink.ObserveCacheEvent(u.Name, e)
 	}
 }
 
 func (p *Poller) get(ctx context.Context, u Target, path, query string, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	resp, err := p.clientFor(u.Every).Do(ctx, &conn.Request{Address: u.Address, Method: http.MethodGet, Path: path, Query: query, Header: http.Header{}})
+	resp, err := p.clientFor(u.Interval).Do(ctx, &conn.Request{Address: u.Address, Method: http.MethodGet, Path: path, Query: query, Header: http.Header{}})
 	if err != nil {
 		return err
 	}
@@ -250,9 +250,9 @@
 	return json.Unmarshal(data, out)
 }
 
-// AskAll asks every assigned upstream once, so that a host that has just
+// PollAll asks every assigned upstream once, so that a host that has just
 // started does not refuse what it could serve.
-func (p *Poller) AskAll(ctx context.Context) {
+func (p *Poller) PollAll(ctx context.Context) {
 	p.mu.Lock()
 	targets := make([]Target, 0, len(p.asked))
 	for _, t := range p.asked {
--- a/node/upstream/view/reports.go
+++ b/node/upstream/view/reports.go
@@ -15,32 +15,32 @@
 // peers say of the same process.
 const ownFor = 5 * time.Second
 
-// Seen is the newest report of an upstream that this host read itself.
-type Seen struct {
-	Report engineapi.Report
-	Read   time.Time
-	Down   bool // not heard of for lostAfter
+// ReceivedReport is the newest report of an upstream that this host read itself.
+type ReceivedReport struct {
+	Report       engineapi.Report
+	Read         time.Time
+	Disconnected bool // not heard of for lostAfter
 }
 
 // Reports returns the newest reports of a pool's upstreams.
-func (v *View) Reports(pool string) []Seen {
+func (v *View) Reports(pool string) []ReceivedReport {
 	now := v.now()
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	var out []Seen
+	var out []ReceivedReport
 	for _, name := range v.order {
 		s := v.state[name]
 		s.mu.Lock()
 		if s.cfg.Pool == pool && !s.readAt.IsZero() {
-			out = append(out, Seen{Report: s.report, Read: s.readAt, Down: now.Sub(s.heardAt) > lostAfter})
+			out = append(out, ReceivedReport{Report: s.report, Read: s.readAt, Disconnected: now.Sub(s.heardAt) > lostAfter})
 		}
 		s.mu.Unlock()
 	}
 	return out
 }
 
-// Heard takes what peers say of an upstream's newest process.
-func (v *View) Heard(upstream, incarnation string, leaving bool, ready map[route.ModelKey]bool) {
+// ApplyPeerReport takes what peers say of an upstream's newest process.
+func (v *View) ApplyPeerReport(upstream, incarnation string, leaving bool, ready map[route.ModelKey]bool) {
 	s := v.of(upstream)
 	if s == nil {
 		return
--- a/node/upstream/view/view.go
+++ b/node/upstream/view/view.go
@@ -119,9 +119,9 @@
 	return s
 }
 
-// Report takes an upstream's own report, received at time at. Reports of an
+// ApplyReport takes an upstream's own report, received at time at. Reports of an
 // older incarnation's sequence or out of order are dropped.
-func (v *View) Report(r engineapi.Report, at time.Time) bool {
+func (v *View) ApplyReport(r engineapi.Report, at time.Time) bool {
 	s := v.of(r.Upstream)
 	if s == nil {
 		return false
@@ -140,9 +140,9 @@
 	if s.offsetSet {
 		taken = time.UnixMilli(r.TakenMs).Add(s.offset)
 	}
-	changed := !same || s.ready == nil || !sameResidents(s.report.Residents, r.Residents) || r.Leaving != s.report.Leaving
+	changed := !same || s.ready == nil || !sameResidents(s.report.Residents, r.Residents) || r.Draining != s.report.Draining
 	s.report, s.takenAt = r, taken
-	if r.Leaving {
+	if r.Draining {
 		s.leaving[r.Incarnation] = true
 	}
 	if taken.After(s.loadAt) {
@@ -281,8 +281,8 @@
 	}
 }
 
-// Prefix takes a cache event as a hint.
-func (v *View) Prefix(upstream string, e engineapi.CacheEvent) {
+// ObserveCacheEvent takes a cache event as a hint.
+func (v *View) ObserveCacheEvent(upstream string, e engineapi.CacheEvent) {
 	if s := v.of(upstream); s != nil {
 		next := make(map[uint64]bool, len(s.prefixes)+1)
 		if len(s.prefixes) < prefixesMost {
@@ -297,9 +297,9 @@
 	}
 }
 
-// PeersSince takes how many attempts the peers together have in flight at an
+// SetPeerDispatched takes how many attempts the peers together have in flight at an
 // upstream beyond what its report shows.
-func (v *View) PeersSince(upstream string, attempts int) {
+func (v *View) SetPeerDispatched(upstream string, attempts int) {
 	if s := v.of(upstream); s != nil {
 		s.peersSince = attempts
 		s.mu.Unlock()
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -131,7 +131,7 @@
 	assert.Equal(t, fate.State, engineapi.AttemptUnseen)
 	late := chat(t, e, "a1", "p", 4, false)
 	assert.Equal(t, late.StatusCode, http.StatusServiceUnavailable)
-	assert.Equal(t, late.Header.Get(engineapi.HeaderRefused), engineapi.RefusedSettled)
+	assert.Equal(t, late.Header.Get(engineapi.HeaderRefused), engineapi.RefusedAttemptClosed)
 	assert.Equal(t, len(e.Records().Executions), 0)
 }
 
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -129,7 +129,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if known, _ := e.attempts.Find(a.id); known != nil && known.done == nil {
-		return nil, &refusal{http.StatusServiceUnavailable, engineapi.RefusedSettled, "attempt id is settled as not run"}
+		return nil, &refusal{http.StatusServiceUnavailable, engineapi.RefusedAttemptClosed, "attempt id is settled as not run"}
 	} else if known != nil || e.attempts.Dropped(a.id) {
 		// No promise here: the first request under this id may be running.
 		return nil, &refusal{status: http.StatusConflict, text: "attempt id was used before"}
@@ -150,11 +150,11 @@
 	case a.process != "" && a.process != e.incarnation:
 		return &refusal{http.StatusServiceUnavailable, engineapi.RefusedRestarted, "attempt is meant for a former process"}
 	case e.leaving:
-		return &refusal{http.StatusServiceUnavailable, engineapi.RefusedLeaving, "engine is leaving"}
+		return &refusal{http.StatusServiceUnavailable, engineapi.RefusedDraining, "engine is leaving"}
 	case res == nil:
 		return &refusal{http.StatusServiceUnavailable, engineapi.RefusedNotLoaded, "model is not loaded"}
 	case e.batch.waitingCount() >= e.cfg.QueueMax:
-		return &refusal{http.StatusTooManyRequests, engineapi.RefusedFull, "queue is full"}
+		return &refusal{http.StatusTooManyRequests, engineapi.RefusedQueueFull, "queue is full"}
 	}
 	a.key, a.on = res.key, res
 	res.users++
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -46,13 +46,13 @@
 func (e *Engine) describe(sequence uint64) engineapi.Report {
 	r := engineapi.Report{
 		Upstream: e.cfg.Name, Incarnation: e.incarnation, Sequence: sequence, TakenMs: time.Since(e.born).Milliseconds(),
-		Leaving: e.leaving, Role: e.role, Running: len(e.batch.running), Waiting: e.batch.waitingCount(),
+		Draining: e.leaving, Role: e.role, Running: len(e.batch.running), Waiting: e.batch.waitingCount(),
 		MaxBatch: e.cfg.MaxBatch, MemoryMB: e.cfg.MemoryMB, UsedMB: e.usedMB(), Epoch: e.epoch, LastOps: slices.Clone(e.lastOps),
 	}
 	for _, res := range e.residents {
 		r.Residents = append(r.Residents, res.describe())
 	}
-	r.Digest = engineapi.DigestOf(r.Residents)
+	r.Digest = engineapi.ResidentsDigest(r.Residents)
 	return r
 }
 
@@ -83,5 +83,5 @@
 func (e *Engine) serveReport(w http.ResponseWriter, r *http.Request) {
 	report := e.Report()
 	e.stamp(w.Header())
-	writeJSON(w, http.StatusOK, report.Brief(r.URL.Query().Get(engineapi.ParamResidents)))
+	writeJSON(w, http.StatusOK, report.Compact(r.URL.Query().Get(engineapi.ParamResidents)))
 }
--- a/standin/local/sources.go
+++ b/standin/local/sources.go
@@ -48,7 +48,7 @@
 			src.report.UsedMB += r.MemoryMB
 		}
 		mux := http.NewServeMux()
-		src.report.Digest = engineapi.DigestOf(src.report.Residents)
+		src.report.Digest = engineapi.ResidentsDigest(src.report.Residents)
 		mux.HandleFunc("GET "+engineapi.PathReport, func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, src) })
 		mux.HandleFunc("GET "+engineapi.PathEvents, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("[]")) })
 		src.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute}
@@ -64,8 +64,8 @@
 	src.mu.Lock()
 	src.report.Sequence++
 	src.report.TakenMs = time.Since(s.began).Milliseconds()
-	src.report.Leaving = src.leaving.Load()
-	data, err := json.Marshal(src.report.Brief(r.URL.Query().Get(engineapi.ParamResidents)))
+	src.report.Draining = src.leaving.Load()
+	data, err := json.Marshal(src.report.Compact(r.URL.Query().Get(engineapi.ParamResidents)))
 	src.mu.Unlock()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/standin/service/call.go
+++ b/standin/service/call.go
@@ -74,15 +74,15 @@
 	known, found := s.attempts.Find(c.id)
 	switch {
 	case found && (known.state == engineapi.AttemptUnseen || known.state == engineapi.AttemptRefused):
-		return nil, http.StatusServiceUnavailable, engineapi.RefusedSettled
+		return nil, http.StatusServiceUnavailable, engineapi.RefusedAttemptClosed
 	case found || s.attempts.Dropped(c.id):
 		return nil, http.StatusConflict, "" // the first call under this id may be running
 	case c.meant != "" && c.meant != s.incarnation:
 		status, header = http.StatusServiceUnavailable, engineapi.RefusedRestarted
 	case s.leaving:
-		status, header = http.StatusServiceUnavailable, engineapi.RefusedLeaving
+		status, header = http.StatusServiceUnavailable, engineapi.RefusedDraining
 	case s.waiting >= s.cfg.QueueMax:
-		status, header = http.StatusTooManyRequests, engineapi.RefusedFull
+		status, header = http.StatusTooManyRequests, engineapi.RefusedQueueFull
 	}
 	s.attempts.Add(c.id, c)
 	if status != 0 {
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -70,7 +70,7 @@
 	assert.Equal(t, fate(t, s, "a1").State, engineapi.AttemptUnseen)
 	resp, err := post(t, s, "a1", "x")
 	assert.NilError(t, err)
-	assert.Equal(t, resp.Header.Get(engineapi.HeaderRefused), engineapi.RefusedSettled)
+	assert.Equal(t, resp.Header.Get(engineapi.HeaderRefused), engineapi.RefusedAttemptClosed)
 	assert.Equal(t, len(s.Executions()), 0)
 }
 
--- a/standin/service/state.go
+++ b/standin/service/state.go
@@ -116,7 +116,7 @@
 func (s *Service) takeReport() {
 	s.sequence++
 	s.reports = append(s.reports, engineapi.Report{Upstream: s.cfg.Name, Incarnation: s.incarnation, Sequence: s.sequence,
-		TakenMs: time.Since(s.born).Milliseconds(), Leaving: s.leaving, Role: roleService,
+		TakenMs: time.Since(s.born).Milliseconds(), Draining: s.leaving, Role: roleService,
 		Running: s.running, Waiting: s.waiting, MaxBatch: s.cfg.MaxBatch})
 	for len(s.reports) > 1 && s.old(s.reports[1]) {
 		s.reports = s.reports[1:]
--- a/standin/site/direct.go
+++ b/standin/site/direct.go
@@ -69,7 +69,7 @@
 }
 
 func serves(r *engineapi.Report, name string) bool {
-	if r.Leaving {
+	if r.Draining {
 		return false
 	}
 	for _, res := range r.Residents {
--- a/standin/site/monitor.go
+++ b/standin/site/monitor.go
@@ -67,7 +67,7 @@
 	for _, e := range u.Engines {
 		r := e.Truth()
 		for _, res := range r.Residents {
-			if res.Adapter == "" && res.State == engineapi.StateReady && !r.Leaving {
+			if res.Adapter == "" && res.State == engineapi.StateReady && !r.Draining {
 				out[res.Model] = true
 			}
 		}
--- a/standin/site/scenario_test.go
+++ b/standin/site/scenario_test.go
@@ -31,6 +31,6 @@
 	after := u.Engines[0].Truth()
 	assert.Assert(t, after.Incarnation != before)
 	assert.Equal(t, len(after.Residents), 0)
-	assert.Assert(t, !after.Leaving) // "restart" comes after "leave", and a new process doesn't leave
+	assert.Assert(t, !after.Draining) // "restart" comes after "leave", and a new process doesn't leave
 	assert.Assert(t, u.Engines[2].Truth().Incarnation != "")
 }
