--- a/node/coordinator/authority.go
+++ b/node/coordinator/authority.go
@@ -7,32 +7,33 @@
 	"time"
 )
 
-// errQuiet: the lease is new, and the former holder's orders may still arrive.
-var errQuiet = errors.New("the quiet time of a new lease is not over")
+// errQuietPeriod means that the lease is new, and orders of the former holder may still
+// arrive.
+var errQuietPeriod = errors.New("the quiet time of a new lease is not over")
 
-// mayOrder says whether an order that ends within need may be sent now. It is
-// asked right before each send: a process that was paused wakes in the middle
-// of its work, beside its successor.
+// mayOrder returns nil if an order that ends within need may be sent now. It must be
+// called right before each send: a process that was paused may resume in the middle of
+// its work, when its successor already gives orders.
 func (c *Coordinator) mayOrder(need time.Duration) error {
 	c.mu.Lock()
-	epoch, quiet := c.term.Epoch, c.quiet
+	epoch, quiet := c.term.Epoch, c.quietUntil
 	c.mu.Unlock()
 	if err := c.deps.Lease.Check(epoch, need); err != nil {
 		return err
 	}
 	if c.now().Before(quiet) {
-		return errQuiet
+		return errQuietPeriod
 	}
 	return nil
 }
 
-// mayOrderTo says the same of one upstream.
-func (c *Coordinator) mayOrderTo(u *unit, need time.Duration) error {
+// mayOrderTo is mayOrder for one upstream, whose own quiet period is checked as well.
+func (c *Coordinator) mayOrderTo(u *managedUpstream, need time.Duration) error {
 	if err := c.mayOrder(need); err != nil {
 		return err
 	}
-	if c.quietFor(u.entry.ID(), c.now()) {
-		return errQuiet
+	if c.inQuietPeriod(u.entry.ID(), c.now()) {
+		return errQuietPeriod
 	}
 	return nil
 }
@@ -49,104 +50,104 @@
 	return Authority{Holder: c.cfg.Host, Epoch: c.term.Epoch}
 }
 
-// storeLoads counts the loads from the weight store in a sliding window. Past
-// its ceiling the store serves everybody more slowly.
+// storeLoads counts the loads from the weight store in a sliding window. Beyond its
+// rate the store serves everybody more slowly.
 type storeLoads struct {
-	window time.Duration
-	over   float64
-	mu     sync.Mutex
-	begun  []time.Time
-	doubts []time.Time // until when each load whose order went unanswered may still begin
-	told   []time.Time // of those begun, what a former holder told
-	full   time.Time   // until when a former holder's loads are assumed to fill the window
+	window           time.Duration
+	factor           float64
+	mu               sync.Mutex
+	startedAt        []time.Time
+	unconfirmedUntil []time.Time // until when each load whose order is unconfirmed may still begin
+	inheritedAt      []time.Time // the part of startedAt that a former holder handed over
+	assumedFullUntil time.Time   // until when the window is assumed to be full of a former holder's loads
 }
 
-// doubt notes that a load may begin at any time until then, or not at all: its
-// order went unanswered, and orders are carried out up to seconds late. Counted
-// at the time of its order only, it would pass the ceiling unseen when it comes.
-func (s *storeLoads) doubt(until time.Time) {
+// addUnconfirmed records that a load may begin at any time before until, or not at all:
+// its order is unconfirmed, and orders may be carried out seconds late. If it counted
+// only at the time of its order, a late load would exceed the store's rate unnoticed.
+func (s *storeLoads) addUnconfirmed(until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.doubts = append(s.doubts, until)
+	s.unconfirmedUntil = append(s.unconfirmedUntil, until)
 }
 
-// recent keeps the times that count within a window before now.
+// recent removes the times that lie more than window before now. It changes its
+// argument.
 func recent(all []time.Time, now time.Time, window time.Duration) []time.Time {
 	return slices.DeleteFunc(all, func(t time.Time) bool { return now.Sub(t) > window })
 }
 
-// assumeFull notes that another holder may have begun loads that this one does
-// not know of.
+// assumeFull records that another holder may have begun loads that are unknown here.
 func (s *storeLoads) assumeFull(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.full = now.Add(s.window)
+	s.assumedFullUntil = now.Add(s.window)
 }
 
-// inherit takes over the loads that a former holder told, beside those of this
-// host's own earlier terms.
-func (s *storeLoads) inherit(begun, doubts []time.Time) {
+// inherit adds the loads that a former holder handed over to those of this host's
+// earlier terms.
+func (s *storeLoads) inherit(started, unconfirmed []time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.begun, s.doubts = append(s.begun, begun...), append(s.doubts, doubts...)
-	s.told = slices.Clone(begun)
+	s.startedAt, s.unconfirmedUntil = append(s.startedAt, started...), append(s.unconfirmedUntil, unconfirmed...)
+	s.inheritedAt = slices.Clone(started)
 }
 
-// inheritedWithin is how many loads that a former holder told began within a
-// time, so that they may still be under way.
-func (s *storeLoads) inheritedWithin(longest time.Duration, now time.Time) int {
+// inheritedWithin returns how many inherited loads began within maxAge before now, so
+// that they may still be under way.
+func (s *storeLoads) inheritedWithin(maxAge time.Duration, now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told = recent(s.told, now, longest)
-	return len(s.told)
+	s.inheritedAt = recent(s.inheritedAt, now, maxAge)
+	return len(s.inheritedAt)
 }
 
-// tell returns the loads that count now; known: there are no others.
-func (s *storeLoads) tell(now time.Time) (begun, doubts []time.Time, known bool) {
+// counted returns the loads that count now. known reports whether there are no others.
+func (s *storeLoads) counted(now time.Time) (started, unconfirmed []time.Time, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.begun, s.doubts = recent(s.begun, now, s.window), recent(s.doubts, now, s.window)
-	return slices.Clone(s.begun), slices.Clone(s.doubts), !now.Before(s.full)
+	s.startedAt, s.unconfirmedUntil = recent(s.startedAt, now, s.window), recent(s.unconfirmedUntil, now, s.window)
+	return slices.Clone(s.startedAt), slices.Clone(s.unconfirmedUntil), !now.Before(s.assumedFullUntil)
 }
 
-// left is how many loads may begin now, at a rate a second.
-func (s *storeLoads) left(rate float64, now time.Time) int {
+// remaining returns how many loads may begin now; rate is in loads per second.
+func (s *storeLoads) remaining(rate float64, now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Before(s.full) {
+	if now.Before(s.assumedFullUntil) {
 		return 0
 	}
-	s.begun, s.doubts = recent(s.begun, now, s.window), recent(s.doubts, now, s.window)
-	return int(rate*s.window.Seconds()*s.over) + storeBurst - len(s.begun) - len(s.doubts)
+	s.startedAt, s.unconfirmedUntil = recent(s.startedAt, now, s.window), recent(s.unconfirmedUntil, now, s.window)
+	return int(rate*s.window.Seconds()*s.factor) + storeBurst - len(s.startedAt) - len(s.unconfirmedUntil)
 }
 
-// storeBurst is how many loads beyond its rate the weight store takes in one
-// window, less one that a former holder may have begun at its end.
+// storeBurst is how many loads beyond its rate the weight store takes in one window,
+// less one that a former holder may have begun at its end.
 const storeBurst = 2
 
-func (s *storeLoads) begin(now time.Time) {
+func (s *storeLoads) add(now time.Time) {
 	s.mu.Lock()
-	s.begun = append(s.begun, now)
+	s.startedAt = append(s.startedAt, now)
 	s.mu.Unlock()
 }
 
-// undo takes back a load that began at a time and was not ordered.
-func (s *storeLoads) undo(at time.Time) {
+// remove drops a load that was counted at a time and was not ordered.
+func (s *storeLoads) remove(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := slices.IndexFunc(s.begun, at.Equal); i >= 0 {
-		s.begun = slices.Delete(s.begun, i, i+1)
+	if i := slices.IndexFunc(s.startedAt, at.Equal); i >= 0 {
+		s.startedAt = slices.Delete(s.startedAt, i, i+1)
 	}
 }
 
-// postpone counts a load that began at one time as one that begins now, or
-// says no when there is no room for that now.
-func (s *storeLoads) postpone(at time.Time, rate float64, now time.Time) bool {
-	s.undo(at)
-	if s.left(rate, now) <= 0 {
-		s.begin(at)
+// recount counts a load that was counted at one time as beginning now. It returns false
+// if there is no room for that now.
+func (s *storeLoads) recount(at time.Time, rate float64, now time.Time) bool {
+	s.remove(at)
+	if s.remaining(rate, now) <= 0 {
+		s.add(at)
 		return false
 	}
-	s.begin(now)
+	s.add(now)
 	return true
 }
--- a/node/coordinator/lead_test.go
+++ b/node/coordinator/elector_test.go
@@ -22,7 +22,7 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// countedTable is a store that is away and counts how often it is asked.
+// countedTable is a store that is unavailable and counts the calls to it.
 type countedTable struct {
 	store.Table
 	asked atomic.Int32
@@ -33,12 +33,12 @@
 	return nil, store.ErrUnavailable
 }
 
-// Symptom: the lease is lost again and again after the store's return.
-// Sequence: the store is away for seconds; all hosts run for the lease, and the
-// first to write at its return takes it: one that has too little to keep it.
-// Cause: the time in which nobody can take the lease counts as time in which
-// those with more to spare did not.
-func TestAHostThatShouldNotLeadStandsByWhileTheStoreIsAway(t *testing.T) {
+// Guards against a lease that is lost again and again after the store's return: the
+// store is unavailable for seconds, all hosts campaign, and the first to write at its
+// return takes the lease, although it has too little spare capacity to keep it. This
+// happens if the time in which nobody can take the lease counts as time in which hosts
+// with more spare capacity did not.
+func TestANonCandidateStandsByWhileTheStoreIsUnavailable(t *testing.T) {
 	t.Parallel()
 	log := event.NewLog(nil)
 	table := &countedTable{}
@@ -48,73 +48,74 @@
 	unreachable := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	link := NewLink(LinkConfig{Host: "poor", Address: "me", Seeds: []string{"seed-1", "seed-2"}}, own, unreachable, log)
 	var answers atomic.Bool
-	lead := &Elector{Lease: l, Link: link, StoreReachable: answers.Load}
+	elector := &Elector{Lease: l, Link: link, StoreReachable: answers.Load}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = lead.Run(ctx)
+		_ = elector.Run(ctx)
 	}()
-	time.Sleep(findFor + time.Second)
-	assert.Equal(t, table.asked.Load(), int32(0), "the store is away")
+	time.Sleep(maxSearchTime + time.Second)
+	assert.Equal(t, table.asked.Load(), int32(0), "the store is unavailable")
 	answers.Store(true)
-	time.Sleep(findFor / 2)
-	assert.Equal(t, table.asked.Load(), int32(0), "those with more to spare come first")
-	time.Sleep(findFor)
-	assert.Assert(t, table.asked.Load() > 0, "they may all be gone")
+	time.Sleep(maxSearchTime / 2)
+	assert.Equal(t, table.asked.Load(), int32(0), "hosts with more spare capacity come first")
+	time.Sleep(maxSearchTime)
+	assert.Assert(t, table.asked.Load() > 0, "the candidates may all be down")
 	answers.Store(false)
 	time.Sleep(time.Second)
 	before := table.asked.Load()
 	time.Sleep(time.Second)
-	assert.Equal(t, table.asked.Load(), before, "it is away again")
+	assert.Equal(t, table.asked.Load(), before, "the store is unavailable again")
 	cancel()
 	<-done
 }
 
-// leading is a host that runs for the lease beside others that cannot be reached.
-func leading(ample bool, table store.Table) (*Elector, *Coordinator) {
+// newTestElector returns a host that campaigns beside others that are unreachable.
+func newTestElector(spare bool, table store.Table) (*Elector, *Coordinator) {
 	log := event.NewLog(nil)
 	l := lease.New(lease.Config{Name: "l", Policy: leasing.Policy{TTL: 1500 * time.Millisecond, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}}, lease.Deps{Table: table})
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
 	own := New(Config{Address: "me"}, Deps{Fleet: f, Config: follow.NewActiveConfig(log), Lease: l, Feed: follow.New(follow.Deps{Log: log}), Log: log})
 	unreachable := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
-	link := NewLink(LinkConfig{Host: "h", Address: "me", Seeds: []string{"seed-1"}, HasSpareCapacity: func(int) bool { return ample }}, own, unreachable, log)
+	link := NewLink(LinkConfig{Host: "h", Address: "me", Seeds: []string{"seed-1"}, HasSpareCapacity: func(int) bool { return spare }}, own, unreachable, log)
 	return &Elector{Lease: l, Link: link, StoreReachable: func() bool { return true }}, own
 }
 
-// Guards against a large fleet led by whichever host the others are told at their
-// start, however little it has to spare.
-func TestAHostWithMuchToSpareDoesNotWaitForThoseThatAllKnow(t *testing.T) {
-	for _, ample := range []bool{true, false} {
+// Guards against a large fleet whose coordinator is whichever host is a seed of the
+// others, however little spare capacity it has.
+func TestAHostWithSpareCapacityDoesNotWaitForTheSeeds(t *testing.T) {
+	for _, spare := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			lead, own := leading(ample, standin.NewTable())
+			elector, own := newTestElector(spare, standin.NewTable())
 			ctx, cancel := context.WithCancel(t.Context())
 			var wg sync.WaitGroup
-			wg.Go(func() { _ = lead.Run(ctx) })
-			time.Sleep(2 * findAmple)
-			assert.Equal(t, own.HoldsLease(), ample)
-			time.Sleep(2 * findFor)
-			assert.Assert(t, own.HoldsLease(), "there may be no other")
+			wg.Go(func() { _ = elector.Run(ctx) })
+			time.Sleep(2 * maxSearchTimeSpare)
+			assert.Equal(t, own.HoldsLease(), spare)
+			time.Sleep(2 * maxSearchTime)
+			assert.Assert(t, own.HoldsLease(), "there may be no other host")
 			cancel()
 			wg.Wait()
 		})
 	}
 }
 
-// Guards against a fleet that stays with a host that cannot bear it once one that can
-// is there; and against the lease going to and fro where the store turns that one away.
-func TestAHolderWithLittleToSpareYieldsOnceToOneWithMuch(t *testing.T) {
+// Guards against a fleet that stays with a host that lacks the capacity to coordinate
+// once another one has it; and against a lease that moves back and forth where the
+// store refuses the other one.
+func TestAHolderWithoutSpareCapacityYieldsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		lead, own := leading(false, standin.NewTable())
+		elector, own := newTestElector(false, standin.NewTable())
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
-		wg.Go(func() { _ = lead.Run(ctx) })
-		time.Sleep(2 * findFor)
+		wg.Go(func() { _ = elector.Run(ctx) })
+		time.Sleep(2 * maxSearchTime)
 		assert.Assert(t, own.HoldsLease())
 		lost := 0
 		held := true
 		for range 300 {
-			own.sums.take(&coordpb.HostReport{Host: "large", Address: "large", Ample: true}, time.Now())
+			own.aggregate.record(&coordpb.HostReport{Host: "large", Address: "large", Ample: true}, time.Now())
 			time.Sleep(100 * time.Millisecond)
 			if now := own.HoldsLease(); now != held {
 				held = now
@@ -124,15 +125,15 @@
 			}
 		}
 		assert.Equal(t, lost, 1)
-		assert.Assert(t, held, "nobody else took it")
+		assert.Assert(t, held, "no other host took it")
 		cancel()
 		wg.Wait()
 	})
 }
 
-// Guards against a fleet that finds its holder only once the hosts that all others ask
-// have run for the lease themselves, last of all since they have little to spare.
-func TestAHostThatWaitsToRunLooksWhoHasTheLease(t *testing.T) {
+// Guards against a fleet that finds its coordinator only after the seeds have
+// campaigned themselves, which they do last because they have little spare capacity.
+func TestAHostThatWaitsToCampaignChecksTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := standin.NewTable()
 		other := lease.New(lease.Config{Name: "l", Holder: HolderName("large", "large:1", "p")}, lease.Deps{Table: table})
@@ -140,10 +141,10 @@
 		var wg sync.WaitGroup
 		wg.Go(func() { _ = other.Run(ctx) })
 		time.Sleep(100 * time.Millisecond)
-		lead, own := leading(false, table)
-		lead.Link.cfg.Seeds = []string{"me"}
-		lead.CampaignDelay = func() time.Duration { return 10 * time.Second }
-		wg.Go(func() { _ = lead.Run(ctx) })
+		elector, own := newTestElector(false, table)
+		elector.Link.cfg.Seeds = []string{"me"}
+		elector.CampaignDelay = func() time.Duration { return 10 * time.Second }
+		wg.Go(func() { _ = elector.Run(ctx) })
 		time.Sleep(100 * time.Millisecond)
 		assert.Equal(t, addressOf(own.deps.Lease.LastObserved().Holder), "large:1")
 		cancel()
--- a/node/coordinator/encodings.go
+++ b/node/coordinator/encodings.go
@@ -12,75 +12,77 @@
 	"peridotpier.example/node/fleet"
 )
 
-// encodings keeps what is told to all hosts in the form in which it is sent.
-// Each version of a configuration, and each change of an upstream, goes to every
-// host within a fraction of a second: while models were moved, up to 14,000
-// upstreams a second were encoded for 195 hosts.
+// encodings caches what is sent to all hosts in its encoded form. Each version of a
+// configuration, and each change of an upstream, goes to every host within a fraction
+// of a second: while models were moved, up to 14,000 upstreams a second were encoded
+// for 195 hosts.
 type encodings struct {
-	mu     sync.Mutex
-	of     *deploy.Config // that plain and packed are of
-	plain  []byte
-	packed []byte
-	listed map[string]encodedUpstream // by upstream
-	all    wholeList
-	brief  wholeList // without copies
+	mu           sync.Mutex
+	configOf     *deploy.Config // configuration that is encoded in configJSON and configPacked
+	configJSON   []byte
+	configPacked []byte
+	upstreamJSON map[string]encodedUpstream // by upstream ID
+	fullList     packedList
+	compactList  packedList // without local copies
 }
 
-// wholeList is the list at one state, packed.
-type wholeList struct {
-	to     uint64 // state
-	at     uint64 // the store's version that it is of
-	packed []byte
-	made   time.Time
+// packedList is the complete list at one state, compressed.
+type packedList struct {
+	state        uint64 // state of the fleet's list
+	storeVersion uint64 // the store's version of the list
+	data         []byte
+	packedAt     time.Time
 }
 
-// wholeFor is how long a packed list is handed out. All hosts that start together
-// ask for it within this time, while it changes many times; what is newer goes to
-// each with its next report. With 3,000 upstreams the list takes 1.2 MB of text for
-// each of 299 hosts.
-const wholeFor = 500 * time.Millisecond
+// packedListMaxAge is how long a packed list is sent. All hosts that start together ask
+// for it within this time, while it changes many times; newer changes reach each host
+// with the answer to its next report. With 3,000 upstreams the list takes 1.2 MB of
+// text for each of 299 hosts.
+const packedListMaxAge = 500 * time.Millisecond
 
-// whole returns the list, packed, brief or not; it is read anew when that is too old.
-// at is the store's version that it is of then, at least.
-func (e *encodings) whole(now time.Time, at uint64, brief bool, f *fleet.Fleet) (wholeList, error) {
+// packedList returns the complete list, packed, compact or not. It is built anew if the
+// cached one is too old, and is then of the store's version storeVersion or a newer
+// one.
+func (e *encodings) packedList(now time.Time, storeVersion uint64, compact bool, f *fleet.Fleet) (packedList, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	kept := &e.all
-	if brief {
-		kept = &e.brief
+	cached := &e.fullList
+	if compact {
+		cached = &e.compactList
 	}
-	if kept.at > 0 && now.Sub(kept.made) < wholeFor {
-		return *kept, nil
+	if cached.storeVersion > 0 && now.Sub(cached.packedAt) < packedListMaxAge {
+		return *cached, nil
 	}
-	next, err := packWhole(f, brief, now)
+	next, err := packFullList(f, compact, now)
 	if err != nil {
-		return wholeList{}, err
+		return packedList{}, err
 	}
-	next.at = at
-	*kept = next
+	next.storeVersion = storeVersion
+	*cached = next
 	return next, nil
 }
 
-// packWhole packs the list as it is now; the store's version is for its caller to say.
-func packWhole(f *fleet.Fleet, brief bool, now time.Time) (wholeList, error) {
-	all := f.ChangesSince(0, brief)
-	packed, err := packList(plainOf(all.Put, brief))
-	return wholeList{to: all.Revision, packed: packed, made: now}, err
+// packFullList packs the present list. The caller sets the store's version.
+func packFullList(f *fleet.Fleet, compact bool, now time.Time) (packedList, error) {
+	all := f.ChangesSince(0, compact)
+	packed, err := packList(listedUpstreams(all.Put, compact))
+	return packedList{state: all.Revision, data: packed, packedAt: now}, err
 }
 
-// plainOf are upstreams as they are told; brief leaves out which copies they have.
-func plainOf(put []fleet.Listed, brief bool) []deploy.Upstream {
+// listedUpstreams returns the upstreams as they are sent; compact leaves out their
+// local copies.
+func listedUpstreams(put []fleet.Listed, compact bool) []deploy.Upstream {
 	out := make([]deploy.Upstream, len(put))
 	for i := range put {
 		out[i] = put[i].Upstream
-		if brief {
+		if compact {
 			out[i].InMemory, out[i].OnDisk = nil, nil
 		}
 	}
 	return out
 }
 
-// packList packs a list, or changes of it.
+// packList encodes and compresses a list, or changes of it.
 func packList(v any) ([]byte, error) {
 	plain, err := json.Marshal(v)
 	if err != nil {
@@ -91,18 +93,18 @@
 }
 
 type encodedUpstream struct {
-	since uint64 // state of the list
+	state uint64 // state of the list
 	data  []byte
 }
 
-// config returns a configuration as JSON, and that packed. A configuration of
-// 340 models is 44 kB and more: to tell 195 hosts of a new version took a link
-// of 200 Mbit/s for a third of a second, in which no turns were given.
+// config returns a configuration as JSON, and that JSON compressed. A configuration of
+// 340 models is 44 kB and more: sending a new version to 195 hosts took a link of 200
+// Mbit/s for a third of a second, in which no permits were granted.
 func (e *encodings) config(cfg *deploy.Config) (plain, packed []byte, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.of == cfg {
-		return e.plain, e.packed, nil
+	if e.configOf == cfg {
+		return e.configJSON, e.configPacked, nil
 	}
 	if plain, err = json.Marshal(cfg); err != nil {
 		return nil, nil, eris.Wrap(err, "encode configuration")
@@ -110,7 +112,7 @@
 	if packed, err = revision.Compress(plain); err != nil {
 		return nil, nil, eris.Wrap(err, "pack configuration")
 	}
-	e.of, e.plain, e.packed = cfg, plain, packed
+	e.configOf, e.configJSON, e.configPacked = cfg, plain, packed
 	return plain, packed, nil
 }
 
@@ -121,27 +123,27 @@
 	out := make([][]byte, len(all))
 	for i := range all {
 		l := &all[i]
-		known, ok := e.listed[l.ID]
-		if !ok || known.since != l.Revision {
+		cached, ok := e.upstreamJSON[l.ID]
+		if !ok || cached.state != l.Revision {
 			data, err := json.Marshal(l.Upstream)
 			if err != nil {
 				return nil, eris.Wrapf(err, "encode upstream %s", l.ID)
 			}
-			known = encodedUpstream{l.Revision, data}
-			e.keep(l.ID, known)
+			cached = encodedUpstream{l.Revision, data}
+			e.store(l.ID, cached)
 		}
-		out[i] = known.data
+		out[i] = cached.data
 	}
 	return out, nil
 }
 
-// encodedMost is how many encodings are kept: more than upstreams are listed at
-// a time. Beyond it those of upstreams that are gone are dropped with the rest.
-const encodedMost = 4096
+// maxEncoded is how many encodings are cached: more than upstreams are listed at a
+// time. When it is reached all are dropped, those of removed upstreams among them.
+const maxEncoded = 4096
 
-func (e *encodings) keep(upstream string, u encodedUpstream) {
-	if e.listed == nil || len(e.listed) >= encodedMost {
-		e.listed = map[string]encodedUpstream{}
+func (e *encodings) store(upstream string, u encodedUpstream) {
+	if e.upstreamJSON == nil || len(e.upstreamJSON) >= maxEncoded {
+		e.upstreamJSON = map[string]encodedUpstream{}
 	}
-	e.listed[upstream] = u
+	e.upstreamJSON[upstream] = u
 }
--- a/node/coordinator/holder_bench_test.go
+++ b/node/coordinator/holder_bench_test.go
@@ -14,10 +14,10 @@
 	"peridotpier.example/node/follow"
 )
 
-// holderSize is a deployment that one holder of the lease acts for.
+// holderSize is the size of a deployment with one coordinator.
 type holderSize struct{ hosts, upstreams, models int }
 
-// holderSizes are those of a small deployment, of ones with more hosts, of the
+// holderSizes are the sizes of a small deployment, of ones with more hosts, of the
 // design size, of the largest deployment that is served, and of twice that.
 var holderSizes = []holderSize{{7, 12, 26}, {81, 60, 131}, {195, 156, 340}, {420, 2500, 720}, {986, 4000, 698}, {2000, 8000, 698}}
 
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%d hosts, %d upstreams, %d models", s.hosts, s.upstreams, s.models)
 }
 
-// holder is a coordinator over upstreams that hold three models each.
+// holder returns a coordinator over upstreams that have three models each resident.
 func (s holderSize) holder() *Coordinator {
 	k := &clock{time.Unix(1_700_000_000, 0)}
 	c := newHolder(k, "a")
@@ -46,8 +46,8 @@
 		}
 	}
 	c.deps.Fleet.Apply(all, nil, 1)
-	c.standingIn.Store(true)
-	c.follow()
+	c.actingWithoutLease.Store(true)
+	c.refresh()
 	k.now = k.now.Add(time.Minute)
 	for i := range s.hosts {
 		c.report(s.report(i))
@@ -58,7 +58,7 @@
 func modelName(i int) string    { return fmt.Sprintf("model-%04d", i) }
 func upstreamName(i int) string { return fmt.Sprintf("i-%010d", i) }
 
-// report is what a host tells that has sent to eight upstreams.
+// report returns the report of a host that has sent requests to eight upstreams.
 func (s holderSize) report(host int) *coordpb.HostReport {
 	r := &coordpb.HostReport{Host: fmt.Sprint("h", host), Address: fmt.Sprintf("10.1.%d.%d:90", host/256, host%256), Ample: host%3 == 0, Config: 1, List: 1}
 	for j := range 8 {
@@ -68,7 +68,7 @@
 	return r
 }
 
-// BenchmarkHolderReport is one host's report and its answer.
+// BenchmarkHolderReport measures one host's report and its answer.
 func BenchmarkHolderReport(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
@@ -77,31 +77,31 @@
 			r.Revision = c.revision
 			b.ReportAllocs()
 			for b.Loop() {
-				c.enter(r, c.now())
-				c.tellSums(r, c.now())
+				c.applyReport(r, c.now())
+				c.answerLoads(r, c.now())
 			}
 		})
 	}
 }
 
-// BenchmarkHolderTurn is one request's turn, from its question to its end.
-func BenchmarkHolderTurn(b *testing.B) {
+// BenchmarkHolderPermit measures the permit of one request, from its event to its end.
+func BenchmarkHolderPermit(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
-			c, from := s.holder(), stream()
+			c, from := s.holder(), newTestStream()
 			from.out = make(chan *coordpb.TurnAnswer, 8)
 			b.ReportAllocs()
 			for b.Loop() {
-				c.turns.take(from, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_ASK, Service: "s", Model: modelName(1), Prompt: 2000, Output: 20, Reading: 6000, InTimeMs: 1000})
+				c.permits.handle(from, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_ASK, Service: "s", Model: modelName(1), Prompt: 2000, Output: 20, Reading: 6000, InTimeMs: 1000})
 				<-from.out
-				c.turns.take(from, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_FIRST})
-				c.turns.take(from, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_END})
+				c.permits.handle(from, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_FIRST})
+				c.permits.handle(from, &coordpb.TurnEvent{Id: 1, Kind: coordpb.TurnEvent_END})
 			}
 		})
 	}
 }
 
-// BenchmarkHolderPlan is one look at where models should be.
+// BenchmarkHolderPlan measures one plan of where models should be.
 func BenchmarkHolderPlan(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
@@ -110,29 +110,29 @@
 			for b.Loop() {
 				now := c.now()
 				table := c.deps.Config.Current()
-				in := c.planInput(table.Config, &table.Config.Services[0], c.allUnits(), now)
+				in := c.planInput(table.Config, &table.Config.Services[0], c.allUpstreams(), now)
 				replica.DefaultPolicy.Plan(in)
 			}
 		})
 	}
 }
 
-// BenchmarkFollow is what every host does several times a second to keep its
-// accounts of the upstreams, holder or not.
-func BenchmarkFollow(b *testing.B) {
+// BenchmarkRefresh measures what every host does several times a second to update its
+// records of the upstreams, holder or not.
+func BenchmarkRefresh(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
 			c := s.holder()
 			b.ReportAllocs()
 			for b.Loop() {
-				c.follow()
+				c.refresh()
 			}
 		})
 	}
 }
 
-// BenchmarkHolderBytes measures what one answer brings a host that knows all but
-// the others' loads, and what a new holder tells a host that it meets.
+// BenchmarkHolderBytes measures the answer to a host that is up to date except for the
+// others' loads, and what a new holder sends to a host that links to it.
 func BenchmarkHolderBytes(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
@@ -150,10 +150,9 @@
 	}
 }
 
-// BenchmarkHostLook is what each host does by itself between two reports, which it
-// makes of three upstreams that it uses: two sweeps, the report, and the entry of its
-// answer.
-func BenchmarkHostLook(b *testing.B) {
+// BenchmarkHostReportCycle measures the work of each host between two reports, with
+// three upstreams in use: two sweeps, the report, and the application of its answer.
+func BenchmarkHostReportCycle(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
 			c := s.holder()
@@ -170,8 +169,8 @@
 			for b.Loop() {
 				c.deps.Fleet.RunChecks()
 				c.deps.Fleet.RunChecks()
-				l.report()
-				l.take(answer)
+				l.buildReport()
+				l.applyAnswer(answer)
 			}
 		})
 	}
--- a/node/coordinator/listcall.go
+++ b/node/coordinator/listcall.go
@@ -13,47 +13,47 @@
 	"peridotpier.example/node/metrics"
 )
 
-// Where all hosts start at once, the one that acts for all cannot tell the list to each
-// of them within seconds: its size grows with the upstreams, and the number of times
-// that it is told with the hosts. Those that would act next hand it on.
+// When all hosts start at the same time, the acting coordinator cannot send the list to
+// each of them within seconds: its size grows with the upstreams, and the number of
+// times that it is sent with the hosts. The deputies forward it.
 
 // List implements coordpb.DRPCCoordinatorServer.
 func (s service) List(context.Context, *coordpb.ListCall) (*coordpb.ListAnswer, error) {
 	c := s.c
 	c.deps.Metrics.CountKind(metrics.PeerCalls, callList, 1)
-	at := c.deps.Feed.UpstreamsVersion() // before the list: it may be newer than what is said of it
-	if at == 0 {
+	storeVersion := c.deps.Feed.UpstreamsVersion() // read before the list, which may thus be newer than this version
+	if storeVersion == 0 {
 		return &coordpb.ListAnswer{}, nil
 	}
-	w, err := c.encodings.whole(c.now(), at, true, c.deps.Fleet)
-	if err != nil || !c.lists.take(len(w.packed), c.cfg.LinkMbps, c.now()) {
+	list, err := c.encodings.packedList(c.now(), storeVersion, true, c.deps.Fleet)
+	if err != nil || !c.listBudget.reserve(len(list.data), c.cfg.LinkMbps, c.now()) {
 		return &coordpb.ListAnswer{}, err
 	}
-	c.countBytes(bytesHandedOn, len(w.packed))
-	return &coordpb.ListAnswer{Packed: w.packed, At: w.at}, nil
+	c.countBytes(bytesForwardedList, len(list.data))
+	return &coordpb.ListAnswer{Packed: list.data, At: list.storeVersion}, nil
 }
 
-// listRetry is how long a host without a list waits before it asks again: those that
-// would act next have it by then.
-const listRetry = 2 * reportPeriod
+// listRetry is how long a host without a list waits before it asks again: by then the
+// deputies have it.
+const listRetry = 2 * minReportPeriod
 
-// fetchList asks the hosts that would act next for the list, until one hands it over.
+// fetchList asks the deputies for the list, until one of them sends it.
 func (l *Link) fetchList(ctx context.Context) {
-	l.pace.set(listRetry)
+	l.pace.setPeriod(listRetry)
 	peers := l.peers()
 	for _, i := range rand.Perm(len(peers)) {
-		if peers[i] == l.cfg.Address || peers[i] == l.where() {
+		if peers[i] == l.cfg.Address || peers[i] == l.coordinatorAddress() {
 			continue
 		}
-		if a, err := l.conns.list(ctx, peers[i]); err == nil && a.At > 0 && l.takeList(a) {
+		if a, err := l.conns.list(ctx, peers[i]); err == nil && a.At > 0 && l.applyList(a) {
 			return
 		}
 	}
 }
 
-// takeList enters a list that another handed on. Its age is not known: what changed
-// since comes with the answer to the next report.
-func (l *Link) takeList(a *coordpb.ListAnswer) bool {
+// applyList applies a list that another host forwarded. Its age is unknown; later
+// changes come with the answer to the next report.
+func (l *Link) applyList(a *coordpb.ListAnswer) bool {
 	put, err := unpackList(a.Packed)
 	if err != nil {
 		l.log.Emit(event.RoutesUnusable, zap.Error(err))
--- /dev/null
+++ b/node/coordinator/permitclient.go
@@ -0,0 +1,369 @@
+package coordinator
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"time"
+
+	"peridotpier.example/core/balance"
+	"peridotpier.example/core/quota"
+	"peridotpier.example/node/coordinator/coordpb"
+	"peridotpier.example/node/gate"
+	"peridotpier.example/node/pace"
+)
+
+const (
+	// firstAnswerTimeout is how long the first answer to a permit request may take:
+	// several round trips between data centres and the delay of a busy host. A host
+	// waits this long at most for a coordinator that has stopped without notice.
+	firstAnswerTimeout = 40 * time.Millisecond
+	// localDecisionTime is how long a host decides by itself after a permit request
+	// went unanswered.
+	localDecisionTime = 600 * time.Millisecond
+	// minOpenInterval is the minimum time between two attempts to open a stream.
+	minOpenInterval = 300 * time.Millisecond
+)
+
+// permitClient is a host's stream of permit requests to the acting coordinator.
+type permitClient struct {
+	link *Link
+
+	mu          sync.Mutex
+	stream      permitSender // nil: none is open
+	pending     map[uint64]chan *coordpb.TurnAnswer
+	lastID      uint64
+	pausedUntil time.Time // until when this host decides by itself
+	openedAt    time.Time // the last attempt to open a stream
+}
+
+// permitSender is the sending side of a stream, over the network or to this host's own
+// coordinator. Neither of its methods blocks on the other side.
+type permitSender interface {
+	Send(*coordpb.TurnEvent) error
+	Close() error
+}
+
+func newPermitClient(l *Link) *permitClient {
+	return &permitClient{link: l, pending: map[uint64]chan *coordpb.TurnAnswer{}}
+}
+
+// run keeps a stream to the acting coordinator open until ctx ends.
+func (c *permitClient) run(ctx context.Context) error {
+	defer c.closeStream(nil)
+	at := ""
+	for c.waitNext(ctx, at) {
+		address := c.link.coordinatorAddress()
+		c.mu.Lock()
+		open := c.stream != nil
+		c.mu.Unlock()
+		if open && address == at {
+			continue
+		}
+		if open {
+			c.closeStream(nil)
+		}
+		if address == "" || time.Since(c.openedAt) < minOpenInterval {
+			continue
+		}
+		c.openedAt = time.Now()
+		if c.open(ctx, address) == nil {
+			at = address
+		}
+	}
+	return ctx.Err()
+}
+
+// waitNext waits until the stream to an address is to be checked again. It returns
+// false when ctx has ended.
+func (c *permitClient) waitNext(ctx context.Context, at string) bool {
+	changed := c.link.linkChanged.Next()
+	c.mu.Lock()
+	open := c.stream != nil
+	c.mu.Unlock()
+	if open && c.link.coordinatorAddress() == at {
+		return pace.SleepOrWake(ctx, idleInterval, changed)
+	}
+	return pace.Sleep(ctx, pollInterval)
+}
+
+// open opens a stream to the coordinator at an address.
+func (c *permitClient) open(ctx context.Context, address string) error {
+	if address == c.link.cfg.Address {
+		c.openLocal()
+		return nil
+	}
+	conn, err := c.link.conns.get(ctx, address)
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	st, err := coordpb.NewDRPCCoordinatorClient(conn).Turns(ctx)
+	if err != nil {
+		cancel()
+		_ = conn.Close()
+		return err
+	}
+	s := &peerStream{out: make(chan *coordpb.TurnEvent, permitQueueLen), cancel: cancel}
+	c.mu.Lock()
+	c.stream = s
+	c.mu.Unlock()
+	go s.send(ctx, st)
+	go func() {
+		defer cancel()
+		defer func() { _ = conn.Close() }()
+		for {
+			answer, err := st.Recv()
+			if err != nil {
+				c.closeStream(s)
+				return
+			}
+			c.deliver(answer)
+		}
+	}()
+	return nil
+}
+
+// peerStream leads to another host. Events to be sent wait in a queue: a handler must
+// not block on a host that reads nothing, and its answer with it.
+type peerStream struct {
+	out    chan *coordpb.TurnEvent
+	cancel context.CancelFunc // ends the stream and the goroutine that sends
+}
+
+// errPermitQueueFull means that the coordinator reads more slowly than this host sends.
+var errPermitQueueFull = errors.New("the queue of permit requests is full")
+
+// Send implements permitSender.
+func (p *peerStream) Send(e *coordpb.TurnEvent) error {
+	select {
+	case p.out <- e:
+		return nil
+	default:
+		return errPermitQueueFull
+	}
+}
+
+// Close implements permitSender.
+func (p *peerStream) Close() error {
+	p.cancel()
+	return nil
+}
+
+// send writes the queued events until ctx ends.
+func (p *peerStream) send(ctx context.Context, st coordpb.DRPCCoordinator_TurnsClient) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case e := <-p.out:
+			if st.Send(e) != nil {
+				p.cancel()
+				return
+			}
+		}
+	}
+}
+
+// localStream leads to the coordinator in this process.
+type localStream struct {
+	c    *Coordinator
+	to   *permitStream
+	stop context.CancelFunc
+}
+
+// Send implements permitSender.
+func (o *localStream) Send(e *coordpb.TurnEvent) error {
+	if needsActingHost(e) && !o.c.Acting() {
+		return errNoLease
+	}
+	o.c.permits.handle(o.to, e)
+	return nil
+}
+
+// Close implements permitSender.
+func (o *localStream) Close() error {
+	o.stop()
+	o.c.permits.removeStream(o.to)
+	return nil
+}
+
+func (c *permitClient) openLocal() {
+	ctx, cancel := context.WithCancel(context.Background())
+	to := &permitStream{out: make(chan *coordpb.TurnAnswer, permitQueueLen), cancel: cancel}
+	s := &localStream{c: c.link.own, to: to, stop: cancel}
+	c.mu.Lock()
+	c.stream = s
+	c.mu.Unlock()
+	go func() {
+		for {
+			select {
+			case <-ctx.Done():
+				c.closeStream(s) // so that another is opened
+				return
+			case answer := <-to.out:
+				c.deliver(answer)
+			}
+		}
+	}()
+}
+
+// closeStream closes the stream if it is still st (nil: whichever is open). Requests
+// that wait for an answer on it then decide by themselves.
+func (c *permitClient) closeStream(st permitSender) {
+	c.mu.Lock()
+	old := c.stream
+	if old == nil || st != nil && old != st {
+		c.mu.Unlock()
+		return
+	}
+	c.stream = nil
+	for id, ch := range c.pending {
+		close(ch)
+		delete(c.pending, id)
+	}
+	c.mu.Unlock()
+	c.link.linkChanged.Notify()
+	_ = old.Close()
+}
+
+func (c *permitClient) deliver(answer *coordpb.TurnAnswer) {
+	if answer.Kind == coordpb.TurnAnswer_NEWS {
+		c.link.pace.hasten(milliseconds(answer.WaitMs))
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if ch := c.pending[answer.Id]; ch != nil {
+		select {
+		case ch <- answer:
+		default: // there are two answers at most; a third would be a fault of the coordinator
+		}
+	}
+}
+
+// send sends an event. A stream on which that fails is closed.
+func (c *permitClient) send(st permitSender, e *coordpb.TurnEvent) error {
+	err := st.Send(e)
+	if err != nil {
+		c.closeStream(st)
+	}
+	return err
+}
+
+// start sends a request. Its answers arrive on the channel until done is called.
+func (c *permitClient) start(e *coordpb.TurnEvent) (st permitSender, answers <-chan *coordpb.TurnAnswer, done func(), err error) {
+	c.mu.Lock()
+	st = c.stream
+	if st == nil || time.Now().Before(c.pausedUntil) {
+		c.mu.Unlock()
+		return nil, nil, nil, errNoCoordinator
+	}
+	c.lastID++
+	e.Id = c.lastID
+	ch := make(chan *coordpb.TurnAnswer, 2)
+	c.pending[e.Id] = ch
+	c.mu.Unlock()
+	done = func() {
+		c.mu.Lock()
+		delete(c.pending, e.Id)
+		c.mu.Unlock()
+	}
+	if err := c.send(st, e); err != nil {
+		done()
+		return nil, nil, nil, err
+	}
+	return st, ch, done, nil
+}
+
+// call sends a request that is answered at once, and waits for the answer until ctx
+// ends at the latest.
+func (c *permitClient) call(ctx context.Context, e *coordpb.TurnEvent) (*coordpb.TurnAnswer, error) {
+	_, answers, done, err := c.start(e)
+	if err != nil {
+		return nil, err
+	}
+	defer done()
+	select {
+	case answer, ok := <-answers:
+		if !ok {
+			return nil, errNoCoordinator
+		}
+		return answer, nil
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+}
+
+// request asks where a request may be dispatched, and waits until ctx ends at the
+// latest.
+func (c *permitClient) request(ctx context.Context, e *coordpb.TurnEvent) (*gate.Permit, error) {
+	st, answers, done, err := c.start(e)
+	if err != nil {
+		return nil, err
+	}
+	defer done()
+	answer, err := c.awaitAnswer(ctx, answers)
+	if err != nil {
+		_ = c.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_END})
+		return nil, err
+	}
+	switch answer.Kind {
+	case coordpb.TurnAnswer_GRANTED:
+	case coordpb.TurnAnswer_OVER:
+		return &gate.Permit{OverLimit: true, RetryAfter: milliseconds(answer.WaitMs)}, nil
+	default:
+		return &gate.Permit{Reason: balance.ReasonFromCode(answer.Reason), AdapterUpstream: answer.Home, RetryAfter: milliseconds(answer.WaitMs)}, nil
+	}
+	return &gate.Permit{Upstream: answer.Upstream, Predicted: milliseconds(answer.PredictedMs),
+		InFlight: int(answer.Load), PendingPromptTokens: int(answer.Waiting), CachedTokens: int(answer.Cached), WithinLimit: answer.WithinLimit, IsProbe: answer.Trial,
+		Began:        func() { _ = c.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_FIRST}) },
+		NotListening: func() { _ = c.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_ABSENT}) },
+		Release:      func() { _ = c.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_END}) }}, nil
+}
+
+// awaitAnswer waits for the first answer for firstAnswerTimeout, and for the final one
+// until ctx ends.
+func (c *permitClient) awaitAnswer(ctx context.Context, ch <-chan *coordpb.TurnAnswer) (*coordpb.TurnAnswer, error) {
+	first := time.NewTimer(firstAnswerTimeout)
+	defer first.Stop()
+	for {
+		select {
+		case answer, ok := <-ch:
+			if !ok {
+				return nil, errNoCoordinator
+			}
+			if answer.Kind != coordpb.TurnAnswer_QUEUED {
+				return answer, nil
+			}
+			first.Stop()
+		case <-first.C:
+			c.link.ReportSoon() // the report shows whether the coordinator is lost
+			c.mu.Lock()
+			c.pausedUntil = time.Now().Add(localDecisionTime)
+			c.mu.Unlock()
+			return nil, errNoCoordinator
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		}
+	}
+}
+
+// RequestPermit implements gate.Coordinator.
+func (l *Link) RequestPermit(ctx context.Context, q *gate.PermitRequest) (*gate.Permit, error) {
+	e := &coordpb.TurnEvent{Kind: coordpb.TurnEvent_ASK, Service: q.Service, Model: q.Request.Model, Adapter: q.Request.Adapter,
+		Prompt: uint32(q.Cost.PromptTokens), Output: uint32(q.Cost.OutputTokens), Priority: int32(q.Priority), Reading: uint32(q.MaxPendingPromptTokens), Tried: q.Excluded,
+		Warm: q.WithIdleConn, DataCentre: l.cfg.DataCentre, InTimeMs: uint32(max(q.ObjectiveLeft.Milliseconds(), 0)), PatienceMs: uint32(max(q.MaxWait.Milliseconds(), 0))}
+	if q.Team != nil {
+		now := l.own.now()
+		l.teams.withShare(q.Team, now, func(s *quota.Share) { s.AddDemand(q.Charge, now) })
+		e.Team, e.Charge = q.Team.Name, uint32(q.Charge)
+	}
+	for id, left := range q.Backoffs {
+		e.Rests = append(e.Rests, &coordpb.UpstreamRest{Upstream: id, ForMs: uint32(left.Milliseconds()) + 1})
+	}
+	for _, p := range q.Request.PromptParts {
+		e.Parts = append(e.Parts, &coordpb.Part{Id: p.ID, Tokens: uint32(p.Tokens)})
+	}
+	return l.permitClient.request(ctx, e)
+}
--- a/node/coordinator/quarantine.go
+++ b/node/coordinator/quarantine.go
@@ -13,39 +13,39 @@
 	"peridotpier.example/node/event"
 )
 
-// quarantineMost is how many entries one answer brings; the rest follows with the
-// next ones. With it an answer grows by 10 kB at most.
-const quarantineMost = 256
+// maxQuarantineEntries is how many entries one answer contains; the remainder follows
+// with the next ones. It bounds an answer's growth to 10 kB.
+const maxQuarantineEntries = 256
 
-// quarantine finds out for all hosts which requests end upstreams, while this host
-// acts for all.
+// quarantine finds out for all hosts which requests crash upstreams, while this host is
+// acting.
 type quarantine struct {
 	c *Coordinator
 
 	mu     sync.Mutex
-	id     uint64 // names the ledger; never 0
+	id     uint64 // identifies the ledger; never 0
 	ledger *poison.Ledger
 	rows   quarantineRows
 }
 
 func newQuarantine(c *Coordinator) *quarantine {
 	q := &quarantine{c: c}
-	q.beginLocked()
+	q.resetLocked()
 	return q
 }
 
-// begin forgets what an earlier term left. All hosts tell what they know.
-func (q *quarantine) begin() {
+// reset drops what an earlier term left. All hosts report what they know.
+func (q *quarantine) reset() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.beginLocked()
+	q.resetLocked()
 }
 
-func (q *quarantine) beginLocked() {
+func (q *quarantine) resetLocked() {
 	q.id, q.ledger, q.rows = rand.Uint64()|1, poison.NewLedger(poison.DefaultPolicy), quarantineRows{}
 }
 
-// receive enters what a host reports.
+// receive enters a host's report.
 func (q *quarantine) receive(r *coordpb.HostReport, now time.Time) {
 	if len(r.Crashes)+len(r.Completed)+len(r.Released)+len(r.Barred) == 0 {
 		return
@@ -53,7 +53,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, x := range r.Barred {
-		if e, err := entryOf(x, now); err == nil {
+		if e, err := decodeEntry(x, now); err == nil {
 			q.ledger.Adopt(e, now)
 		}
 	}
@@ -77,8 +77,8 @@
 	ran := make([]poison.Fingerprint, 0, len(x.Running))
 	digests := make([]poison.Digest, 0, len(x.Running))
 	for _, m := range x.Running {
-		if mark, err := markOf(m); err == nil {
-			ran, digests = append(ran, mark), append(digests, mark.Digest)
+		if fp, err := decodeFingerprint(m); err == nil {
+			ran, digests = append(ran, fp), append(digests, fp.Digest)
 		}
 	}
 	q.ledger.RecordCrash(x.Upstream, ran, now.Add(-milliseconds(x.AgeMs)), now)
@@ -99,43 +99,43 @@
 	}
 }
 
-// update adds to an answer what the host does not have yet.
-func (q *quarantine) update(r *coordpb.HostReport, out *coordpb.SiteState, now time.Time) {
+// addTo adds the entries that the host does not have yet to an answer.
+func (q *quarantine) addTo(r *coordpb.HostReport, out *coordpb.SiteState, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	from := r.QuarantineRevision
 	if r.QuarantineId != q.id {
 		from = 0
 	}
-	changed, to := q.ledger.ChangedSince(from, quarantineMost, now)
+	changed, to := q.ledger.ChangedSince(from, maxQuarantineEntries, now)
 	out.QuarantineId, out.QuarantineRevision = q.id, to
 	for i := range changed {
-		out.Quarantine = append(out.Quarantine, entryTo(&changed[i], now))
+		out.Quarantine = append(out.Quarantine, encodeEntry(&changed[i], now))
 	}
 	q.logDecisionsLocked("", now)
 }
 
-// RunQuarantine keeps in the platform's store what is barred, while this host holds
+// RunQuarantine keeps the barred requests in the platform's store while this host holds
 // the lease, until ctx ends.
 func (c *Coordinator) RunQuarantine(ctx context.Context) error { return c.quarantine.run(ctx) }
 
-func markOf(m *coordpb.RequestMark) (poison.Fingerprint, error) {
+func decodeFingerprint(m *coordpb.RequestMark) (poison.Fingerprint, error) {
 	d, err := poison.DigestFromBytes(m.GetDigest())
 	return poison.Fingerprint{Digest: d, Shape: poison.Shape(m.GetShape())}, err
 }
 
-func markTo(m poison.Fingerprint) *coordpb.RequestMark {
-	return &coordpb.RequestMark{Digest: m.Digest[:], Shape: uint64(m.Shape)}
+func encodeFingerprint(fp poison.Fingerprint) *coordpb.RequestMark {
+	return &coordpb.RequestMark{Digest: fp.Digest[:], Shape: uint64(fp.Shape)}
 }
 
-// entryOf reads an entry; the time that is left is counted from now.
-func entryOf(x *coordpb.QuarantineEntry, now time.Time) (poison.Entry, error) {
-	m, err := markOf(x.Mark)
-	return poison.Entry{Fingerprint: m, State: poison.State(min(x.State, uint32(poison.Barred))), CrashCount: int(x.Crashes),
+// decodeEntry decodes an entry, whose remaining time is counted from now.
+func decodeEntry(x *coordpb.QuarantineEntry, now time.Time) (poison.Entry, error) {
+	fp, err := decodeFingerprint(x.Mark)
+	return poison.Entry{Fingerprint: fp, State: poison.State(min(x.State, uint32(poison.Barred))), CrashCount: int(x.Crashes),
 		BarCount: int(x.Bars), BarredUntil: now.Add(milliseconds(x.ForMs))}, err
 }
 
-func entryTo(e *poison.Entry, now time.Time) *coordpb.QuarantineEntry {
-	return &coordpb.QuarantineEntry{Mark: markTo(e.Fingerprint), State: uint32(e.State), Crashes: uint32(e.CrashCount), Bars: uint32(e.BarCount),
+func encodeEntry(e *poison.Entry, now time.Time) *coordpb.QuarantineEntry {
+	return &coordpb.QuarantineEntry{Mark: encodeFingerprint(e.Fingerprint), State: uint32(e.State), Crashes: uint32(e.CrashCount), Bars: uint32(e.BarCount),
 		ForMs: uint32(max(e.BarredUntil.Sub(now), 0).Milliseconds())}
 }
--- a/node/coordinator/signals_test.go
+++ b/node/coordinator/signals_test.go
@@ -13,7 +13,8 @@
 	"peridotpier.example/node/fleet"
 )
 
-// Guards against hosts alone that all take the same turn at an upstream.
+// Guards against hosts without a coordinator that all take the same slot of an
+// upstream's limit.
 func TestEachHostHasAPlaceOfItsOwn(t *testing.T) {
 	c := New(Config{}, Deps{Fleet: fleet.New(fleet.Config{}, fleet.Deps{})})
 	now := c.now()
@@ -21,12 +22,12 @@
 	for _, round := range []int{0, 1} {
 		for i := range 5 {
 			r := &coordpb.HostReport{Host: fmt.Sprint("h", i)}
-			c.sums.take(r, now)
+			c.aggregate.record(r, now)
 			if round == 0 {
 				continue
 			}
 			out := &coordpb.SiteState{}
-			c.tellSignals(r, out, now)
+			c.addSignals(r, out, now)
 			seen[out.Place] = true
 			assert.Assert(t, out.Place < 5)
 		}
@@ -34,23 +35,24 @@
 	assert.Equal(t, len(seen), 5)
 }
 
-// Guards against a successor that is told nothing of what its predecessor knew.
-func TestAHolderThatAnswersForTheFirstTimeIsToldAll(t *testing.T) {
+// Guards against a successor that does not receive the signals that its predecessor
+// had.
+func TestANewHolderReceivesAllSignals(t *testing.T) {
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
 	f.Replace([]deploy.Upstream{{ID: "u", Service: "s"}}, 1)
 	e, _ := f.Entry("u")
 	now := time.Now()
 	e.ApplySignal(backpressure.Signal{Limit: backpressure.Limit{Stated: true, PerSecond: 1}, SentAt: now, ReceivedAt: now}, "answer")
 	var s signals
-	tell := func(holder uint64) int {
+	report := func(holder uint64) int {
 		r := &coordpb.HostReport{}
-		revision := s.report(r, f, now)
-		s.take(&coordpb.SiteState{SignalsId: holder}, revision)
+		revision := s.addTo(r, f, now)
+		s.apply(&coordpb.SiteState{SignalsId: holder}, revision)
 		return len(r.Signals)
 	}
-	assert.Equal(t, tell(1), 1)
-	assert.Equal(t, tell(1), 0, "once")
-	assert.Equal(t, tell(2), 0, "it is met")
-	assert.Equal(t, tell(2), 1)
-	assert.Equal(t, tell(2), 0)
+	assert.Equal(t, report(1), 1)
+	assert.Equal(t, report(1), 0, "once")
+	assert.Equal(t, report(2), 0, "the first answer of the new holder")
+	assert.Equal(t, report(2), 1)
+	assert.Equal(t, report(2), 0)
 }
