--- a/node/demand/demand.go
+++ b/node/demand/demand.go
@@ -14,13 +14,13 @@
 	"peridotpier.example/core/place"
 )
 
-// sampleEach is the time between two samples of the requests at once.
-const sampleEach = time.Second
+// sampleInterval is the time between two samples of the requests at once.
+const sampleInterval = time.Second
 
 // negligible is the demand below which a key is forgotten.
 const negligible = 0.001
 
-const shards = 16
+const shardCount = 16
 
 // Config sets the two means' time constants.
 type Config struct {
@@ -34,8 +34,8 @@
 
 // Tracker counts requests by key, in shards, each under its own lock.
 type Tracker struct {
-	cfg   Config
-	parts [shards]shard
+	cfg    Config
+	shards [shardCount]shard
 }
 
 type shard struct {
@@ -44,9 +44,9 @@
 }
 
 type count struct {
-	live    int
-	refused int // since the last sample
-	mean    place.Demand
+	inProgress int
+	refused    int // since the last sample
+	mean       place.Demand
 }
 
 // New makes a Tracker; Run samples.
@@ -55,15 +55,15 @@
 		cfg = DefaultConfig()
 	}
 	t := &Tracker{cfg: cfg}
-	for i := range t.parts {
-		t.parts[i].keys = map[place.Key]*count{}
+	for i := range t.shards {
+		t.shards[i].keys = map[place.Key]*count{}
 	}
 	return t
 }
 
-// of returns a key's count with its shard locked.
-func (t *Tracker) of(k place.Key) (*shard, *count) {
-	s := &t.parts[(xxhash.Sum64String(k.Model)^xxhash.Sum64String(k.Adapter))%shards]
+// lockedCount returns a key's count with its shard locked.
+func (t *Tracker) lockedCount(k place.Key) (*shard, *count) {
+	s := &t.shards[(xxhash.Sum64String(k.Model)^xxhash.Sum64String(k.Adapter))%shardCount]
 	s.mu.Lock()
 	c := s.keys[k]
 	if c == nil {
@@ -75,16 +75,16 @@
 
 // Begin counts a request from its arrival; End must follow.
 func (t *Tracker) Begin(k place.Key) {
-	s, c := t.of(k)
-	c.live++
+	s, c := t.lockedCount(k)
+	c.inProgress++
 	s.mu.Unlock()
 }
 
 // End counts a request's end. One that was refused for want of room still
 // shows as demand: it would have been in progress, had it been let in.
 func (t *Tracker) End(k place.Key, refused bool) {
-	s, c := t.of(k)
-	c.live--
+	s, c := t.lockedCount(k)
+	c.inProgress--
 	if refused {
 		c.refused++
 	}
@@ -93,30 +93,30 @@
 
 // Run samples until ctx ends.
 func (t *Tracker) Run(ctx context.Context) error {
-	tick := time.NewTicker(sampleEach)
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			t.Sample(sampleEach)
+			t.Sample(sampleInterval)
 		}
 	}
 }
 
 // Sample moves the means on by the time since the last sample.
-func (t *Tracker) Sample(passed time.Duration) {
-	short, long := weight(passed, t.cfg.Short), weight(passed, t.cfg.Long)
-	for i := range t.parts {
-		s := &t.parts[i]
+func (t *Tracker) Sample(elapsed time.Duration) {
+	short, long := weight(elapsed, t.cfg.Short), weight(elapsed, t.cfg.Long)
+	for i := range t.shards {
+		s := &t.shards[i]
 		s.mu.Lock()
 		for k, c := range s.keys {
-			now := float64(c.live) + float64(c.refused)
+			now := float64(c.inProgress) + float64(c.refused)
 			c.refused = 0
 			c.mean.Short += short * (now - c.mean.Short)
 			c.mean.Long += long * (now - c.mean.Long)
-			if c.live == 0 && c.mean.Short < negligible && c.mean.Long < negligible {
+			if c.inProgress == 0 && c.mean.Short < negligible && c.mean.Long < negligible {
 				delete(s.keys, k)
 			}
 		}
@@ -125,15 +125,15 @@
 }
 
 // weight is the part of a mean that passes to the present in a given time.
-func weight(passed, constant time.Duration) float64 {
-	return 1 - math.Exp(-passed.Seconds()/constant.Seconds())
+func weight(elapsed, timeConstant time.Duration) float64 {
+	return 1 - math.Exp(-elapsed.Seconds()/timeConstant.Seconds())
 }
 
 // Means returns the demand on this host by key.
 func (t *Tracker) Means() map[place.Key]place.Demand {
 	out := map[place.Key]place.Demand{}
-	for i := range t.parts {
-		s := &t.parts[i]
+	for i := range t.shards {
+		s := &t.shards[i]
 		s.mu.Lock()
 		for k, c := range s.keys {
 			out[k] = c.mean
--- a/node/demand/demand_test.go
+++ b/node/demand/demand_test.go
@@ -13,7 +13,7 @@
 // Symptom: a burst of seconds moves models about.
 // Sequence: a quiet model gets forty requests at once for three seconds.
 // Cause: the demand that a move is decided on forgets too fast.
-func TestABurstOfSecondsHardlyShowsInTheLongMean(t *testing.T) {
+func TestABurstOfSecondsHardlyShowsInTheLongAverage(t *testing.T) {
 	tr := demand.New(demand.DefaultConfig())
 	k := place.Key{Model: "m"}
 	for range 40 {
--- a/node/gate/again_test.go
+++ b/node/gate/again_test.go
@@ -14,9 +14,9 @@
 	"peridotpier.example/core/deploy"
 )
 
-// breaking listens, takes whatever comes and closes without an answer. It
+// startBreakingUpstream listens, takes whatever comes and closes without an answer. It
 // counts what it took.
-func breaking(t *testing.T) (address string, taken *atomic.Int32) {
+func startBreakingUpstream(t *testing.T) (address string, taken *atomic.Int32) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -51,8 +51,8 @@
 		{"may run twice", deploy.Idempotent, 2, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			address, taken := breaking(t)
-			g, f := waiting(&modelless{}, address)
+			address, taken := startBreakingUpstream(t)
+			g, f := newGate(&noModelCoordinator{}, address)
 			var all []deploy.Upstream
 			for _, id := range []string{"u", "v", "w", "x"} {
 				all = append(all, deploy.Upstream{ID: id, Service: "s", Address: address, Slots: 4})
@@ -73,7 +73,7 @@
 // Symptom: engines work for callers who have left.
 // Sequence: an upstream takes a request and has not answered when the caller leaves.
 // Cause: only a write to the caller shows that it is gone.
-func TestAnAttemptWithoutAnAnswerEndsWithItsCaller(t *testing.T) {
+func TestAnAttemptWithoutAResponseEndsWithItsCaller(t *testing.T) {
 	ended := make(chan struct{})
 	taken := make(chan struct{})
 	up := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -82,7 +82,7 @@
 		close(ended)
 	}))
 	defer up.Close()
-	g, f := waiting(&modelless{}, up.Listener.Addr().String())
+	g, f := newGate(&noModelCoordinator{}, up.Listener.Addr().String())
 	f.Apply([]deploy.Upstream{{ID: "u", Service: "s", Address: up.Listener.Addr().String(), Slots: 4}}, nil, 0)
 	host := httptest.NewServer(g)
 	defer host.Close()
--- a/node/gate/answer_test.go
+++ b/node/gate/answer_test.go
@@ -23,7 +23,7 @@
 func TestARequestForAModelAtAPlainServiceIsAnswered(t *testing.T) {
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("whole")) }))
 	defer up.Close()
-	g, _ := waiting(&modelless{}, up.Listener.Addr().String())
+	g, _ := newGate(&noModelCoordinator{}, up.Listener.Addr().String())
 	table := *g.deps.Config.Current().Config
 	table.Version++
 	table.Services = []deploy.Service{{Name: "s"}}
@@ -40,8 +40,8 @@
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 }
 
-// served is a server of the gate.
-func served(t *testing.T, g *Gate) *httptest.Server {
+// startHost is a server of the gate.
+func startHost(t *testing.T, g *Gate) *httptest.Server {
 	t.Helper()
 	host := httptest.NewServer(g)
 	t.Cleanup(func() { host.CloseClientConnections(); host.Close() })
@@ -71,8 +71,8 @@
 	return resp.StatusCode
 }
 
-// routed changes the one route of a gate.
-func routed(g *Gate, change func(*deploy.Route)) {
+// changeRoute changes the one route of a gate.
+func changeRoute(g *Gate, change func(*deploy.Route)) {
 	table := *g.deps.Config.Current().Config
 	table.Version++
 	table.Routes = []deploy.Route{table.Routes[0]}
@@ -84,10 +84,10 @@
 // request is wrong.
 // Sequence: the rest of a body does not come in time.
 // Cause: a body that is late counts as one that broke off.
-func TestABodyThatIsLateIsNotCalledWrong(t *testing.T) {
-	g, _ := waiting(&modelless{}, "127.0.0.1:1")
-	routed(g, func(r *deploy.Route) { r.Timeout = 50 * time.Millisecond })
-	host := served(t, g)
+func TestALateBodyIsNotReportedAsInvalid(t *testing.T) {
+	g, _ := newGate(&noModelCoordinator{}, "127.0.0.1:1")
+	changeRoute(g, func(r *deploy.Route) { r.Timeout = 50 * time.Millisecond })
+	host := startHost(t, g)
 	assert.Equal(t, status(t, post(t, host, 10, "half")), http.StatusRequestTimeout)
 }
 
@@ -96,14 +96,14 @@
 // just come.
 // Cause: the end of the grace reaches a request only once it was read, and then
 // beside the sending of it.
-func TestTheEndOfTheGraceReachesARequestThatIsBeingRead(t *testing.T) {
+func TestTheHostsStopReachesARequestThatIsBeingRead(t *testing.T) {
 	up := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("it is sent on") }))
 	defer up.Close()
 	for range 20 {
-		g, _ := waiting(&modelless{}, up.Listener.Addr().String())
+		g, _ := newGate(&noModelCoordinator{}, up.Listener.Addr().String())
 		ending, end := context.WithCancel(t.Context())
 		g.deps.Stopping = ending
-		host := served(t, g)
+		host := startHost(t, g)
 		c := post(t, host, 10, "half")
 		time.AfterFunc(20*time.Millisecond, end)
 		assert.Equal(t, status(t, c), http.StatusServiceUnavailable)
@@ -116,12 +116,12 @@
 // Cause: the server reads the rest of a body before it writes an answer, for as
 // long as that takes.
 func TestARefusalDoesNotWaitForABodyThatStalls(t *testing.T) {
-	g, _ := waiting(&modelless{}, "127.0.0.1:1")
-	routed(g, func(r *deploy.Route) { r.Host = "other.example" })
-	host := served(t, g)
+	g, _ := newGate(&noModelCoordinator{}, "127.0.0.1:1")
+	changeRoute(g, func(r *deploy.Route) { r.Host = "other.example" })
+	host := startHost(t, g)
 	began := time.Now()
 	assert.Equal(t, status(t, post(t, host, 10, "half")), http.StatusNotFound)
-	assert.Assert(t, time.Since(began) < 2*restBound, "%v", time.Since(began))
+	assert.Assert(t, time.Since(began) < 2*bodyDrainTimeout, "%v", time.Since(began))
 }
 
 // Symptom: a caller gets the beginning of one answer and the whole of another as
@@ -129,10 +129,10 @@
 // Sequence: a lookup's answer, too large to be taken in first and of no stated
 // length, breaks off after its first megabyte; the lookup may run twice.
 // Cause: the second answer goes on where the first one stopped.
-func TestAnAnswerThatHasBegunIsNotBegunAgain(t *testing.T) {
+func TestAStartedResponseIsNotStartedAgain(t *testing.T) {
 	var runs atomic.Int32
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = w.Write(make([]byte, wholeMost+4096))
+		_, _ = w.Write(make([]byte, maxBufferedBytes+4096))
 		_ = http.NewResponseController(w).Flush()
 		if runs.Add(1) == 1 {
 			panic(http.ErrAbortHandler)
@@ -140,9 +140,9 @@
 	}))
 	defer up.Close()
 	address := up.Listener.Addr().String()
-	g, f := waiting(&modelless{}, address)
+	g, f := newGate(&noModelCoordinator{}, address)
 	f.Apply([]deploy.Upstream{{ID: "v", Service: "s", Address: address, Slots: 4}}, nil, 0)
-	routed(g, func(r *deploy.Route) { r.Kind, r.Attempts = deploy.Idempotent, 2 })
-	_, body, err := ask(t, served(t, g))
+	changeRoute(g, func(r *deploy.Route) { r.Kind, r.Attempts = deploy.Idempotent, 2 })
+	_, body, err := sendOne(t, startHost(t, g))
 	assert.Assert(t, err != nil, "%d bytes look whole", len(body))
 }
--- a/node/gate/caller.go
+++ b/node/gate/caller.go
@@ -25,8 +25,8 @@
 	return c.team.Name
 }
 
-// owes says whether the team's limit has still to be charged.
-func (c *caller) owes() bool { return c.team != nil && c.team.Limit.Limited() && !c.charged }
+// owesCharge says whether the team's limit has still to be charged.
+func (c *caller) owesCharge() bool { return c.team != nil && c.team.Limit.Limited() && !c.charged }
 
 // identify finds the caller's team. It says no when the request needs one and
 // its key names none.
@@ -34,11 +34,11 @@
 	if !q.table.NeedsKey(q.route) {
 		return true
 	}
-	team, ok := q.table.Team(q.facts.Key)
+	team, ok := q.table.Team(q.info.Key)
 	if !ok {
 		return false
 	}
-	q.caller = caller{team: team, cost: team.Limit.Cost(q.facts.PromptTokens+q.facts.MaxOutputTokens, q.facts.DeclaresTokens)}
+	q.caller = caller{team: team, cost: team.Limit.Cost(q.info.PromptTokens+q.info.MaxOutputTokens, q.info.DeclaresTokens)}
 	return true
 }
 
@@ -48,41 +48,41 @@
 	return place
 }
 
-// paid notes that the team's limit was charged, if it was to be.
-func (c *caller) paid() { c.charged = c.charged || c.owes() }
+// markCharged notes that the team's limit was charged, if it was to be.
+func (c *caller) markCharged() { c.charged = c.charged || c.owesCharge() }
 
 // charge charges a request without a turn to its team's limit, once.
-func (q *request) charge() (over picked, ok bool) {
-	if !q.caller.owes() {
-		return picked{}, true
+func (q *request) charge() (over selection, ok bool) {
+	if !q.caller.owesCharge() {
+		return selection{}, true
 	}
 	wait, ok := q.g.deps.TeamLimits.Charge(q.ctx, q.caller.team, q.caller.cost)
 	if !ok {
-		return picked{over: true, after: wait}, false
+		return selection{overLimit: true, retryAfter: wait}, false
 	}
-	q.caller.paid()
-	return picked{}, true
+	q.caller.markCharged()
+	return selection{}, true
 }
 
-// giveBack returns the charge of a request that has not run.
-func (q *request) giveBack() {
-	if c := &q.caller; c.charged && q.maybe == 0 {
+// refundCharge returns the charge of a request that has not run.
+func (q *request) refundCharge() {
+	if c := &q.caller; c.charged && q.possibleRuns == 0 {
 		q.g.deps.TeamLimits.Refund(c.team, c.cost)
 	}
 }
 
-// refuseOver refuses a request that is over its team's limit. It has not run.
-func (q *request) refuseOver(after time.Duration) {
-	if q.kept != nil { // an answer that is there is delivered
-		q.kept()
+// refuseOverLimit refuses a request that is over its team's limit. It has not run.
+func (q *request) refuseOverLimit(after time.Duration) {
+	if q.deliverFailed != nil { // an answer that is there is delivered
+		q.deliverFailed()
 		return
 	}
 	q.refuseWith(http.StatusTooManyRequests, "over_limit", after, zap.Float64("cost", q.caller.cost))
 }
 
-// revoked says whether the caller's key was taken away since the request came.
+// keyRevoked says whether the caller's key was taken away since the request came.
 // A request may wait for seconds before it is sent, or is sent once more.
-func (q *request) revoked() bool {
+func (q *request) keyRevoked() bool {
 	if q.caller.team == nil {
 		return false
 	}
@@ -90,19 +90,19 @@
 	if now == q.table || !now.NeedsKey(q.route) {
 		return false
 	}
-	team, ok := now.Team(q.facts.Key)
+	team, ok := now.Team(q.info.Key)
 	return !ok || team.Name != q.caller.team.Name
 }
 
 // endRevoked ends a request whose key was taken away. What has run stays what it is.
-func (q *request) endRevoked(p picked) {
-	if p.turn != nil {
-		p.turn.Release()
+func (q *request) endRevoked(p selection) {
+	if p.permit != nil {
+		p.permit.Release()
 	}
 	switch {
-	case q.kept != nil:
-		q.kept()
-	case q.maybe > 0:
+	case q.deliverFailed != nil:
+		q.deliverFailed()
+	case q.possibleRuns > 0:
 		q.fail(http.StatusBadGateway, "key_revoked")
 	default:
 		q.decline(http.StatusUnauthorized, "key_revoked")
--- a/node/gate/caller_test.go
+++ b/node/gate/caller_test.go
@@ -31,19 +31,19 @@
 
 // account is the limit of one team, at one host.
 type account struct {
-	alone
+	noCoordinator
 	mu      sync.Mutex
-	level   float64
+	balance float64
 	charges int
 }
 
 func (a *account) Charge(_ context.Context, _ *deploy.Team, cost float64) (time.Duration, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.level < cost {
+	if a.balance < cost {
 		return 3 * time.Second, false
 	}
-	a.level -= cost
+	a.balance -= cost
 	a.charges++
 	return 0, true
 }
@@ -51,13 +51,13 @@
 func (a *account) Refund(_ *deploy.Team, cost float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.level += cost
+	a.balance += cost
 }
 
-// teamed is a gate before an upstream with two teams; "limited" may send what
+// newTeamGate is a gate before an upstream with two teams; "limited" may send what
 // the account allows.
-func teamed(a *account, address string, sent func(AttemptInfo)) *Gate {
-	g, _ := before(deploy.Upstream{Address: address, Slots: 4, Residents: []deploy.Resident{{Model: "m"}}}, a, deploy.Route{Objective: time.Second, Priority: 2})
+func newTeamGate(a *account, address string, sent func(AttemptInfo)) *Gate {
+	g, _ := newGateFor(deploy.Upstream{Address: address, Slots: 4, Residents: []deploy.Resident{{Model: "m"}}}, a, deploy.Route{Objective: time.Second, Priority: 2})
 	g.deps.TeamLimits, g.deps.Codec = a, keyedCodec{sent: sent}
 	table := *g.deps.Config.Current().Config
 	table.Version++
@@ -79,29 +79,29 @@
 // Failure: a team pays for requests that have not run, or twice for one that was sent twice.
 func TestATeamPaysOnceForWhatHasRunOnly(t *testing.T) {
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
-	a := &account{level: 250}
-	g := teamed(a, up.Listener.Addr().String(), func(AttemptInfo) {})
+	a := &account{balance: 250}
+	g := newTeamGate(a, up.Listener.Addr().String(), func(AttemptInfo) {})
 	assert.Equal(t, sendKeyed(g, "l").Code, http.StatusOK)
-	assert.Equal(t, a.level, 140.0, "100 tokens of the prompt, 10 of the answer")
+	assert.Equal(t, a.balance, 140.0, "100 tokens of the prompt, 10 of the answer")
 	up.Close()
 	assert.Equal(t, sendKeyed(g, "l").Code, http.StatusServiceUnavailable)
-	assert.Equal(t, a.level, 140.0, "it has not run")
-	a.level = 100
+	assert.Equal(t, a.balance, 140.0, "it has not run")
+	a.balance = 100
 	w := sendKeyed(g, "l")
 	assert.Equal(t, w.Code, http.StatusTooManyRequests)
 	assert.Equal(t, w.Body.String(), "over_limit\n")
 	assert.Assert(t, w.Header().Get("Retry-After") >= "3", w.Header().Get("Retry-After"))
-	assert.Equal(t, a.level, 100.0)
+	assert.Equal(t, a.balance, 100.0)
 	sendKeyed(g, "f")
 	assert.Equal(t, a.charges, 2, "a team without a limit is not charged")
 }
 
 // A team's urgency goes to upstreams before its route's, and its name with it.
-func TestUpstreamsAreToldTheTeamAndItsUrgency(t *testing.T) {
+func TestUpstreamsReceiveTheTeamAndItsUrgency(t *testing.T) {
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	defer up.Close()
 	var got []AttemptInfo
-	g := teamed(&account{level: 1000}, up.Listener.Addr().String(), func(s AttemptInfo) { got = append(got, s) })
+	g := newTeamGate(&account{balance: 1000}, up.Listener.Addr().String(), func(s AttemptInfo) { got = append(got, s) })
 	assert.Equal(t, sendKeyed(g, "l").Code, http.StatusOK)
 	assert.Equal(t, sendKeyed(g, "f").Code, http.StatusOK)
 	assert.Equal(t, sendKeyed(g, "unknown").Code, http.StatusUnauthorized)
--- a/node/gate/coming_test.go
+++ b/node/gate/coming_test.go
@@ -13,9 +13,9 @@
 	"peridotpier.example/node/fleet"
 )
 
-// tellAsReportsDo tells again and again what an upstream holds and loads, until
+// reportLoading tells again and again what an upstream holds and loads, until
 // the model is there at a time.
-func tellAsReportsDo(f *fleet.Fleet, upstream, model string, at time.Time, done <-chan struct{}) {
+func reportLoading(f *fleet.Fleet, upstream, model string, at time.Time, done <-chan struct{}) {
 	for {
 		now := time.Now()
 		if now.After(at) {
@@ -37,14 +37,14 @@
 // answer, which is worth most within 3 s.
 // Cause: a request waits as long as its answer would be in time, and neither it
 // nor its caller knows when the model comes.
-func TestARequestWaitsForAModelThatIsOnItsWay(t *testing.T) {
+func TestARequestWaitsForAModelThatIsLoading(t *testing.T) {
 	t.Parallel()
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	defer up.Close()
-	g, f := waiting(&modelless{}, up.Listener.Addr().String())
+	g, f := newGate(&noModelCoordinator{}, up.Listener.Addr().String())
 	began, done := time.Now(), make(chan struct{})
 	defer close(done)
-	go tellAsReportsDo(f, "u", "new", began.Add(2300*time.Millisecond), done) // later than 0.6 of 3 s
+	go reportLoading(f, "u", "new", began.Add(2300*time.Millisecond), done) // later than 0.6 of 3 s
 	r := httptest.NewRequest(http.MethodPost, "http://example.com/x", nil)
 	r.Header.Set("Model", "new")
 	w := httptest.NewRecorder()
@@ -56,9 +56,9 @@
 // half a second, refused, and told to come back in a second, again and again.
 // Sequence: a model is nowhere; its load takes longer than the caller has.
 // Cause: the same.
-func TestARequestWhoseModelComesTooLateIsToldAtOnceWhenItComes(t *testing.T) {
+func TestARequestWhoseModelLoadsTooLateIsRefusedAtOnceWithTheTime(t *testing.T) {
 	t.Parallel()
-	g, f := waiting(&modelless{}, "127.0.0.1:1")
+	g, f := newGate(&noModelCoordinator{}, "127.0.0.1:1")
 	began := time.Now()
 	at := began.Add(9 * time.Second) // of the 10 s that the caller has
 	f.ApplyResidency([]fleet.Residency{{Upstream: "u", Residents: []deploy.Resident{{Model: "old"}}, Loading: []fleet.LoadingModel{{Model: "new", ReadyAt: at}}}}, began)
@@ -67,7 +67,7 @@
 	w := httptest.NewRecorder()
 	g.ServeHTTP(w, r)
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
-	assert.Assert(t, time.Since(began) < modelLook, "any wait is in vain")
+	assert.Assert(t, time.Since(began) < modelPollInterval, "any wait is in vain")
 	after, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 	assert.NilError(t, err)
 	assert.Assert(t, after > 8 && after <= 9.5, "it is there after %v s", after)
--- a/node/gate/crowded_test.go
+++ b/node/gate/crowded_test.go
@@ -14,29 +14,29 @@
 	"peridotpier.example/node/fleet"
 )
 
-// giver gives all turns to one upstream, or none in time.
-type giver struct {
-	alone
-	asked, ended atomic.Int32
-	silent       bool
+// fixedCoordinator gives all turns to one upstream, or none in time.
+type fixedCoordinator struct {
+	noCoordinator
+	permitRequests, released atomic.Int32
+	unresponsive             bool
 }
 
-func (g *giver) RequestPermit(ctx context.Context, _ *PermitRequest) (*Permit, error) {
-	g.asked.Add(1)
-	if g.silent {
+func (g *fixedCoordinator) RequestPermit(ctx context.Context, _ *PermitRequest) (*Permit, error) {
+	g.permitRequests.Add(1)
+	if g.unresponsive {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return &Permit{Upstream: "u", Began: func() {}, NotListening: func() {}, Release: func() { g.ended.Add(1) }}, nil
+	return &Permit{Upstream: "u", Began: func() {}, NotListening: func() {}, Release: func() { g.released.Add(1) }}, nil
 }
 
-// plain is a gate before a plain service of one upstream with six slots, at
+// newPlainGate is a gate before a plain service of one upstream with six slots, at
 // which others have so many requests.
-func plain(t *testing.T, models Coordinator, others int) *Gate {
+func newPlainGate(t *testing.T, models Coordinator, others int) *Gate {
 	t.Helper()
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	t.Cleanup(up.Close)
-	g, f := before(deploy.Upstream{Address: up.Listener.Addr().String(), Slots: 6}, models, deploy.Route{Objective: 150 * time.Millisecond})
+	g, f := newGateFor(deploy.Upstream{Address: up.Listener.Addr().String(), Slots: 6}, models, deploy.Route{Objective: 150 * time.Millisecond})
 	table := *g.deps.Config.Current().Config
 	table.Version++
 	table.Services = []deploy.Service{{Name: "s"}}
@@ -44,7 +44,7 @@
 	table.Routes[0].Timeout = 1200 * time.Millisecond
 	g.deps.Config.ApplyIfNewer(&table, "test")
 	e, _ := f.Entry("u")
-	othersSent(g, e, fleet.Load{Requests: others})
+	setOthersLoad(g, e, fleet.Load{Requests: others})
 	return g
 }
 
@@ -60,21 +60,21 @@
 // sends is 200 ms old.
 // Cause: they fill the queue of one upstream and then of the next: what is
 // answered has waited for longer than it is worth.
-func TestCallsOfACrowdedServiceGoByTurns(t *testing.T) {
-	m := &giver{}
-	assert.Equal(t, callPlain(plain(t, m, 3)).Code, http.StatusOK)
-	assert.Equal(t, m.asked.Load(), int32(1))
-	assert.Equal(t, m.ended.Load(), int32(1))
-	quiet := &giver{}
-	assert.Equal(t, callPlain(plain(t, quiet, 2)).Code, http.StatusOK)
-	assert.Equal(t, quiet.asked.Load(), int32(0), "on a calm day its way is not longer")
+func TestCallsOfACrowdedServiceNeedPermits(t *testing.T) {
+	m := &fixedCoordinator{}
+	assert.Equal(t, callPlain(newPlainGate(t, m, 3)).Code, http.StatusOK)
+	assert.Equal(t, m.permitRequests.Load(), int32(1))
+	assert.Equal(t, m.released.Load(), int32(1))
+	quiet := &fixedCoordinator{}
+	assert.Equal(t, callPlain(newPlainGate(t, quiet, 2)).Code, http.StatusOK)
+	assert.Equal(t, quiet.permitRequests.Load(), int32(0), "on a calm day its way is not longer")
 }
 
 // A call that gets no turn in its time is refused then, and not sent to make
 // others late.
-func TestACallWithoutATurnInItsTimeIsRefused(t *testing.T) {
+func TestACallWithoutAPermitInItsTimeIsRefused(t *testing.T) {
 	began := time.Now()
-	w := callPlain(plain(t, &giver{silent: true}, 12))
+	w := callPlain(newPlainGate(t, &fixedCoordinator{unresponsive: true}, 12))
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, w.Body.String(), "all_full\n")
 	assert.Assert(t, w.Header().Get("Retry-After") != "")
@@ -83,6 +83,6 @@
 }
 
 // While nobody decides for all, calls go by what this host knows.
-func TestCallsOfACrowdedServiceGoOnWithoutTurns(t *testing.T) {
-	assert.Equal(t, callPlain(plain(t, alone{}, 12)).Code, http.StatusOK)
+func TestCallsOfACrowdedServiceContinueWithoutACoordinator(t *testing.T) {
+	assert.Equal(t, callPlain(newPlainGate(t, noCoordinator{}, 12)).Code, http.StatusOK)
 }
--- a/node/gate/gate.go
+++ b/node/gate/gate.go
@@ -30,11 +30,11 @@
 	LoadAdapter(ctx context.Context, upstream, model, adapter string) error
 	// Turn asks where and when to send a request. An error says that this host
 	// decides by itself.
-	RequestPermit(ctx context.Context, q *PermitRequest) (*Permit, error)
+	RequestPermit(ctx context.Context, req *PermitRequest) (*Permit, error)
 	// Demand notes a request for a model, with the tokens to expect of its
 	// answer and the time within which that is worth all; unserved says that
 	// no upstream holds the model.
-	RecordDemand(service string, f *RequestInfo, output int, objective time.Duration, unserved bool)
+	RecordDemand(service string, info *RequestInfo, output int, objective time.Duration, unserved bool)
 }
 
 // TeamLimits is how the gate holds teams to what they may ask for over all hosts.
@@ -113,7 +113,7 @@
 // ServeHTTP implements http.Handler.
 func (g *Gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.deps.Metrics.Count(metrics.Requests, 1)
-	q := &request{g: g, w: w, r: r, start: g.deps.Now(), tried: map[string]bool{}, facts: g.deps.Codec.DecodeRequest(r.Header)}
+	q := &request{g: g, w: w, r: r, start: g.deps.Now(), tried: map[string]bool{}, info: g.deps.Codec.DecodeRequest(r.Header)}
 	if g.deps.Draining() {
 		w.Header().Set("Connection", "close")
 	}
@@ -122,7 +122,7 @@
 	}
 	ctx, cancel := context.WithDeadlineCause(r.Context(), q.deadline, errTimeUp)
 	defer cancel()
-	defer q.giveBack()
+	defer q.refundCharge()
 	ctx, giveUp := context.WithCancelCause(ctx)
 	if g.deps.Stopping.Err() != nil {
 		giveUp(errStopping) // at once, so that nothing is sent any more
@@ -146,47 +146,47 @@
 
 // request is one caller's attempt. It belongs to one goroutine.
 type request struct {
-	g        *Gate
-	w        http.ResponseWriter
-	r        *http.Request
-	ctx      context.Context
-	facts    RequestInfo
-	route    *deploy.Route
-	service  *deploy.Service
-	version  uint64 // of the configuration that it is handled under
-	table    *deploy.Table
-	caller   caller
-	body     []byte
-	taken    bool // the body was read whole
-	start    time.Time
-	deadline time.Time
-	ask      fleet.Request
-	cost     fleet.Cost
-
-	tried       map[string]bool // upstreams that had an attempt
-	sends       int             // attempts handed to an upstream
-	sentAt      time.Time       // when the newest one was
-	maybe       int             // those of them that may have run
-	lost        bool            // an upstream that may have run it has lost it; set between attempts
-	absent      int             // tries at upstreams that were not there
-	content     *poison.Request // what is asked, whichever attempt of its caller this is; nil before the body is read
-	ranSince    time.Time       // when the newest attempt's answer began; zero: it has not
-	first       time.Duration   // from the start to the first piece of a stream
-	pause       time.Duration   // longest between two pieces of it
-	pauseAt     time.Duration   // from the start to that pause
-	heard       time.Time       // when the last piece came
-	started     bool            // the head of an answer went to the caller
-	begun       bool            // of one that is no stream: nothing else can go on with it
-	after       string          // last whole event that the caller has
-	last        string          // upstream of the newest attempt
-	adapterAsks int
-	resumePause time.Duration  // the last one before another try to go on with a begun answer
-	waitsFor    balance.Reason // that was logged last
-	kept        func()         // delivers a failed answer that a repeat may better; nil: none
-
-	barred   string // what forbids one more send; "": nothing did
-	relayed  int64  // bytes of an answer that were handed to the caller's connection
-	writeErr error  // of the first write to the caller that failed
+	g             *Gate
+	w             http.ResponseWriter
+	r             *http.Request
+	ctx           context.Context
+	info          RequestInfo
+	route         *deploy.Route
+	service       *deploy.Service
+	configVersion uint64 // of the configuration that it is handled under
+	table         *deploy.Table
+	caller        caller
+	body          []byte
+	bodyRead      bool // the body was read whole
+	start         time.Time
+	deadline      time.Time
+	ask           fleet.Request
+	cost          fleet.Cost
+
+	tried            map[string]bool // upstreams that had an attempt
+	sends            int             // attempts handed to an upstream
+	sentAt           time.Time       // when the newest one was
+	possibleRuns     int             // those of them that may have run
+	lostByUpstream   bool            // an upstream that may have run it has lost it; set between attempts
+	unreachableTries int             // tries at upstreams that were not there
+	content          *poison.Request // what is asked, whichever attempt of its caller this is; nil before the body is read
+	responseSince    time.Time       // when the newest attempt's answer began; zero: it has not
+	timeToFirst      time.Duration   // from the start to the first piece of a stream
+	longestPause     time.Duration   // longest between two pieces of it
+	longestPauseAt   time.Duration   // from the start to that pause
+	lastPieceAt      time.Time       // when the last piece came
+	started          bool            // the head of an answer went to the caller
+	largeStarted     bool            // of one that is no stream: nothing else can go on with it
+	lastEventID      string          // last whole event that the caller has
+	lastUpstream     string          // upstream of the newest attempt
+	adapterRequests  int
+	resumeBackoff    time.Duration  // the last one before another try to go on with a begun answer
+	loggedReason     balance.Reason // that was logged last
+	deliverFailed    func()         // delivers a failed answer that a repeat may better; nil: none
+
+	retryBlockedBy string // what forbids one more send; "": nothing did
+	forwardedBytes int64  // bytes of an answer that were handed to the caller's connection
+	writeErr       error  // of the first write to the caller that failed
 }
 
 // admit reads the request whole; it answers by itself what cannot be routed.
@@ -201,7 +201,7 @@
 		q.refuse("stopping", stopRetry)
 		return false
 	}
-	q.version, q.table = table.Config.Version, table
+	q.configVersion, q.table = table.Config.Version, table
 	q.route = table.Match(q.r.Host, q.r.URL.Path)
 	if q.route == nil {
 		q.decline(http.StatusNotFound, "no_route")
@@ -216,67 +216,67 @@
 		q.refuse("no_service", configRetry)
 		return false
 	}
-	if q.facts.AttemptID == "" {
+	if q.info.AttemptID == "" {
 		q.decline(http.StatusBadRequest, "no_attempt_id")
 		return false
 	}
-	q.bound()
-	if !q.read(table.Config.Limits) {
+	q.setDeadline()
+	if !q.receiveBody(table.Config.Limits) {
 		return false
 	}
-	if q.describe(); q.refuseBarred(picked{}) {
+	if q.setContent(); q.refuseBarred(selection{}) {
 		return false
 	}
 	if q.service.Engine != nil { // a plain service runs no models, whatever its caller names
-		q.ask = fleet.Request{Model: q.facts.Model, Adapter: q.facts.Adapter, PromptParts: q.facts.PromptParts}
+		q.ask = fleet.Request{Model: q.info.Model, Adapter: q.info.Adapter, PromptParts: q.info.PromptParts}
 	}
-	q.cost = fleet.Cost{PromptTokens: q.facts.PromptTokens, OutputTokens: q.output()}
+	q.cost = fleet.Cost{PromptTokens: q.info.PromptTokens, OutputTokens: q.expectedOutput()}
 	if q.ask.Model != "" {
-		d.Coordinator.RecordDemand(q.service.Name, &q.facts, q.cost.OutputTokens, q.route.Objective, false)
+		d.Coordinator.RecordDemand(q.service.Name, &q.info, q.cost.OutputTokens, q.route.Objective, false)
 	}
 	d.RetryBudget.RecordRequest(q.service.Name, q.start)
 	return true
 }
 
-// bound sets the time by which the request must have its answer.
-func (q *request) bound() {
-	left := q.route.Timeout
-	if q.facts.TimeLeft > 0 && (left == 0 || q.facts.TimeLeft < left) {
-		left = q.facts.TimeLeft
+// setDeadline sets the time by which the request must have its answer.
+func (q *request) setDeadline() {
+	timeLeft := q.route.Timeout
+	if q.info.TimeLeft > 0 && (timeLeft == 0 || q.info.TimeLeft < timeLeft) {
+		timeLeft = q.info.TimeLeft
 	}
-	if left == 0 {
-		left = defaultTimeout
+	if timeLeft == 0 {
+		timeLeft = defaultTimeout
 	}
-	q.deadline = q.start.Add(left)
+	q.deadline = q.start.Add(timeLeft)
 }
 
 // defaultTimeout bounds a request when neither its route nor its caller does.
 const defaultTimeout = 30 * time.Second
 
-// output is the length of answer to plan with.
-func (q *request) output() int {
-	if q.facts.OutputHint > 0 && (q.facts.MaxOutputTokens == 0 || q.facts.OutputHint < q.facts.MaxOutputTokens) {
-		return q.facts.OutputHint
+// expectedOutput is the length of answer to plan with.
+func (q *request) expectedOutput() int {
+	if q.info.OutputHint > 0 && (q.info.MaxOutputTokens == 0 || q.info.OutputHint < q.info.MaxOutputTokens) {
+		return q.info.OutputHint
 	}
-	return q.facts.MaxOutputTokens
+	return q.info.MaxOutputTokens
 }
 
-// read takes the body in. Only whole requests are sent on: one that breaks off
+// receiveBody takes the body in. Only whole requests are sent on: one that breaks off
 // in the middle then never reaches an upstream, and any that was not run can
 // be sent to another.
-func (q *request) read(limits deploy.Limits) bool {
-	most := int64(limits.BodyBytes)
-	if most <= 0 {
-		most = defaultBody
+func (q *request) receiveBody(limits deploy.Limits) bool {
+	maxBytes := int64(limits.BodyBytes)
+	if maxBytes <= 0 {
+		maxBytes = defaultBodyBytes
 	}
-	if q.r.ContentLength > most {
+	if q.r.ContentLength > maxBytes {
 		q.decline(http.StatusRequestEntityTooLarge, "body_too_large")
 		return false
 	}
 	if q.r.ContentLength == 0 {
 		return true
 	}
-	body, err := q.readBody(most + 1)
+	body, err := q.readBody(maxBytes + 1)
 	switch {
 	case q.g.deps.Stopping.Err() != nil:
 		q.w.Header().Set("Connection", "close")
@@ -286,38 +286,38 @@
 	case err != nil:
 		q.decline(http.StatusBadRequest, "body_incomplete", zap.Error(err), zap.Int("read_bytes", len(body)),
 			zap.Int64("length", q.r.ContentLength), zap.Int64("held_ms", q.g.deps.Now().Sub(q.start).Milliseconds()))
-	case int64(len(body)) > most:
+	case int64(len(body)) > maxBytes:
 		q.decline(http.StatusRequestEntityTooLarge, "body_too_large")
 	default:
-		q.body, q.taken = body, true
+		q.body, q.bodyRead = body, true
 		return true
 	}
 	return false
 }
 
 // readBody reads until the body's end, the request's time or the end of the grace.
-func (q *request) readBody(most int64) ([]byte, error) {
+func (q *request) readBody(maxBytes int64) ([]byte, error) {
 	rc := http.NewResponseController(q.w)
 	_ = rc.SetReadDeadline(q.deadline)
-	ended := make(chan struct{})
+	deadlineSet := make(chan struct{})
 	stop := context.AfterFunc(q.g.deps.Stopping, func() {
-		defer close(ended)
+		defer close(deadlineSet)
 		_ = rc.SetReadDeadline(time.Unix(1, 0))
 	})
-	body, err := io.ReadAll(io.LimitReader(q.r.Body, most))
+	body, err := io.ReadAll(io.LimitReader(q.r.Body, maxBytes))
 	if !stop() {
-		<-ended
+		<-deadlineSet
 	}
 	_ = rc.SetReadDeadline(time.Time{})
 	return body, err
 }
 
-// restBound is how long what is left of a body that was given up may come in. It
+// bodyDrainTimeout is how long what is left of a body that was given up may come in. It
 // is read so that a reset does not overtake the answer.
-const restBound = 500 * time.Millisecond
+const bodyDrainTimeout = 500 * time.Millisecond
 
-// defaultBody bounds a body, in bytes, when the configuration does not.
-const defaultBody = 4 << 20
+// defaultBodyBytes bounds a body, in bytes, when the configuration does not.
+const defaultBodyBytes = 4 << 20
 
 // run makes attempts until the request has its final answer.
 func (q *request) run() {
@@ -329,7 +329,7 @@
 			}
 			return
 		}
-		if q.revoked() {
+		if q.keyRevoked() {
 			q.endRevoked(d)
 			return
 		}
@@ -337,79 +337,79 @@
 			return
 		}
 		res := q.attempt(e, d)
-		if res.done || !q.again(res) {
+		if res.done || !q.retryOrEnd(res) {
 			return
 		}
 	}
 }
 
-// again decides what follows an attempt that brought no final answer. It
+// retryOrEnd decides what follows an attempt that brought no final answer. It
 // answers the caller when nothing does.
-func (q *request) again(res result) bool {
+func (q *request) retryOrEnd(res result) bool {
 	switch {
 	case q.r.Context().Err() != nil:
-		q.left()
+		q.callerLeft()
 		return false
-	case q.ctx.Err() != nil && q.kept == nil:
+	case q.ctx.Err() != nil && q.deliverFailed == nil:
 		q.timeUp()
 		return false
 	case !res.notRun && !q.mayRunAgain():
 		q.fail(http.StatusBadGateway, res.why)
 		return false
 	}
-	if q.ctx.Err() == nil && q.maybe < max(q.route.Attempts, 1) && (q.mayGoOn(res) || q.resumeLater(res)) {
-		q.g.deps.Log.Emit(event.RequestAgain, q.id(), zap.String("why", res.why), zap.String(event.FieldPeer, q.last),
-			zap.Int("sends", q.sends), zap.Bool("not_run", res.notRun), q.paused())
+	if q.ctx.Err() == nil && q.possibleRuns < max(q.route.Attempts, 1) && (q.mayRetry(res) || q.retryStarted(res)) {
+		q.g.deps.Log.Emit(event.RequestAgain, q.id(), zap.String("why", res.why), zap.String(event.FieldPeer, q.lastUpstream),
+			zap.Int("sends", q.sends), zap.Bool("not_run", res.notRun), q.resumeBackoffField())
 		q.g.deps.Metrics.Count(metrics.Retries, 1)
-		q.lost = q.lost || !res.notRun
+		q.lostByUpstream = q.lostByUpstream || !res.notRun
 		return true
 	}
 	if q.r.Context().Err() != nil { // in a pause
-		q.left()
+		q.callerLeft()
 		return false
 	}
-	if q.kept != nil {
-		q.kept()
+	if q.deliverFailed != nil {
+		q.deliverFailed()
 		return false
 	}
-	q.unserved(http.StatusBadGateway, res.why, max(res.retryAfter, fullRetry))
+	q.endUnserved(http.StatusBadGateway, res.why, max(res.retryAfter, fullRetry))
 	return false
 }
 
-// mayGoOn says whether one more send is within bounds. A try at an upstream that
+// mayRetry says whether one more send is within bounds. A try at an upstream that
 // is not there reached nobody, so that it takes none of what repeats are allowed.
-func (q *request) mayGoOn(res result) bool {
-	if res.absent {
-		q.absent++
-		return q.absent <= absentMost || q.bar("absent")
+func (q *request) mayRetry(res result) bool {
+	if res.notListening {
+		q.unreachableTries++
+		return q.unreachableTries <= maxUnreachableTries || q.blockRetry("absent")
 	}
-	if res.allowed {
+	if res.retryCharged {
 		return true
 	}
-	if q.sends >= q.route.Attempts && !(res.notRun && q.sends < q.route.Attempts+refusedSends) {
-		return q.bar("attempts")
+	if q.sends >= q.route.Attempts && !(res.notRun && q.sends < q.route.Attempts+extraSendsAfterRefusal) {
+		return q.blockRetry("attempts")
 	}
-	return q.g.deps.RetryBudget.Take(q.service.Name, q.g.deps.Now()) || q.bar("repeats")
+	return q.g.deps.RetryBudget.Take(q.service.Name, q.g.deps.Now()) || q.blockRetry("repeats")
 }
 
-// bar notes the bound that forbids one more send; it returns false.
-func (q *request) bar(bound string) bool {
-	q.barred = bound
+// blockRetry notes the bound that forbids one more send; it returns false.
+func (q *request) blockRetry(bound string) bool {
+	q.retryBlockedBy = bound
 	return false
 }
 
-// absentMost is how many upstreams that are not there a request may be sent to:
+// maxUnreachableTries is how many upstreams that are not there a request may be sent to:
 // a fifth of a service's may end at once, and each try takes a few milliseconds.
-const absentMost = 6
+const maxUnreachableTries = 6
 
-// refusedSends is how many sends beyond its route's attempts a request may
+// extraSendsAfterRefusal is how many sends beyond its route's attempts a request may
 // make after upstreams said that they did not run it.
-const refusedSends = 2
+const extraSendsAfterRefusal = 2
 
 // mayRunAgain says whether the request may run once more although it may have
 // run already. Of an answer that has begun only a stream's can be gone on with.
 func (q *request) mayRunAgain() bool {
-	if q.begun {
+	if q.largeStarted {
 		return false
 	}
 	if q.route.Repeatable() {
@@ -418,4 +418,4 @@
 	return q.route.Kind == deploy.Stream && q.route.Resumable
 }
 
-func (q *request) id() zap.Field { return zap.String("request", q.facts.AttemptID) }
+func (q *request) id() zap.Field { return zap.String("request", q.info.AttemptID) }
--- a/node/gate/leaving_test.go
+++ b/node/gate/leaving_test.go
@@ -13,10 +13,10 @@
 	"peridotpier.example/core/deploy"
 )
 
-// queued is a host that decides for all and has no turn for anybody.
-type queued struct{ modelless }
+// blockedCoordinator is a host that decides for all and has no turn for anybody.
+type blockedCoordinator struct{ noModelCoordinator }
 
-func (*queued) RequestPermit(ctx context.Context, _ *PermitRequest) (*Permit, error) {
+func (*blockedCoordinator) RequestPermit(ctx context.Context, _ *PermitRequest) (*Permit, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
@@ -26,22 +26,22 @@
 // Sequence: all upstreams are busy; the host is told to stop before, or while,
 // a request that has much time waits there for a turn, or for its model.
 // Cause: it may wait for most of its time, as at a host that stays.
-func TestARequestIsNotHeldByAHostThatStops(t *testing.T) {
+func TestARequestIsNotHeldByAStoppingHost(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		models  Coordinator
 		stopAt  time.Duration
 		refused time.Duration // at the latest
 	}{
-		{"for a turn, told before", &queued{}, 0, leavingHold + modelHoldThen},
-		{"for a turn, told early", &queued{}, leavingHold / 2, leavingHold + modelHoldThen},
-		{"for a turn, told late", &queued{}, 3 * leavingHold, 3*leavingHold + modelHoldThen},
-		{"for a model", &modelless{}, 3 * leavingHold, 3*leavingHold + modelHoldThen},
+		{"for a turn, told before", &blockedCoordinator{}, 0, drainingMaxHold + modelHoldAfter},
+		{"for a turn, told early", &blockedCoordinator{}, drainingMaxHold / 2, drainingMaxHold + modelHoldAfter},
+		{"for a turn, told late", &blockedCoordinator{}, 3 * drainingMaxHold, 3*drainingMaxHold + modelHoldAfter},
+		{"for a model", &noModelCoordinator{}, 3 * drainingMaxHold, 3*drainingMaxHold + modelHoldAfter},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g, _ := waiting(c.models, "")
-				routed(g, func(r *deploy.Route) { r.Timeout, r.Objective = 20*time.Second, 10*time.Second })
+				g, _ := newGate(c.models, "")
+				changeRoute(g, func(r *deploy.Route) { r.Timeout, r.Objective = 20*time.Second, 10*time.Second })
 				leaving, leave := context.WithCancel(t.Context())
 				g.deps.HoldsLimited = leaving
 				g.deps.Draining = func() bool { return leaving.Err() != nil }
@@ -59,6 +59,6 @@
 	}
 }
 
-// modelHoldThen is how long such a request may wait for its model after that: an
+// modelHoldAfter is how long such a request may wait for its model after that: an
 // eighth of its objective.
-const modelHoldThen = 1250 * time.Millisecond
+const modelHoldAfter = 1250 * time.Millisecond
--- a/node/gate/log_test.go
+++ b/node/gate/log_test.go
@@ -19,11 +19,11 @@
 	"peridotpier.example/node/event"
 )
 
-// logged is a gate with one upstream, and its log.
-func logged(t *testing.T, up http.HandlerFunc) (*Gate, *observer.ObservedLogs, string) {
+// newLoggedGate is a gate with one upstream, and its log.
+func newLoggedGate(t *testing.T, up http.HandlerFunc) (*Gate, *observer.ObservedLogs, string) {
 	upstream := httptest.NewServer(up)
 	t.Cleanup(upstream.Close)
-	g, _ := waiting(&modelless{}, upstream.Listener.Addr().String())
+	g, _ := newGate(&noModelCoordinator{}, upstream.Listener.Addr().String())
 	core, lines := observer.New(zap.DebugLevel)
 	g.deps.Log = event.NewLog(zap.New(core))
 	front := httptest.NewServer(g)
@@ -31,8 +31,8 @@
 	return g, lines, front.Listener.Addr().String()
 }
 
-// last waits for the line that ends a request.
-func last(t *testing.T, lines *observer.ObservedLogs, e event.Event) map[string]any {
+// waitForEvent waits for the line that ends a request.
+func waitForEvent(t *testing.T, lines *observer.ObservedLogs, e event.Event) map[string]any {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if lines.FilterMessage(e.Name).Len() == 0 {
@@ -61,26 +61,26 @@
 // Sequence: the host takes nothing any more; a request comes.
 // Cause: the id is read only from requests that are let in.
 func TestEveryRefusalNamesItsRequest(t *testing.T) {
-	g, lines, address := logged(t, nil)
+	g, lines, address := newLoggedGate(t, nil)
 	g.deps.RejectsNew = func() bool { return true }
 	send(t, address, "GET / HTTP/1.1\r\nHost: example.com\r\n\r\n")
-	assert.Equal(t, last(t, lines, event.RequestRefused)["why"], "stopping")
+	assert.Equal(t, waitForEvent(t, lines, event.RequestRefused)["why"], "stopping")
 }
 
-func TestARequestWithoutARouteIsNamed(t *testing.T) {
-	_, lines, address := logged(t, nil)
+func TestARefusalWithoutARouteNamesItsRequest(t *testing.T) {
+	_, lines, address := newLoggedGate(t, nil)
 	send(t, address, "GET / HTTP/1.1\r\nHost: elsewhere\r\n\r\n")
-	assert.Equal(t, last(t, lines, event.RequestRefused)["why"], "no_route")
+	assert.Equal(t, waitForEvent(t, lines, event.RequestRefused)["why"], "no_route")
 }
 
 // Symptom: a request counts as wrong, and its caller swears that it was not.
 // Sequence: its body stops half-way, as its caller's connection breaks.
 // Cause: the line does not say how the body ended.
-func TestABodyThatEndsEarlySaysHow(t *testing.T) {
-	_, lines, address := logged(t, nil)
+func TestARefusedIncompleteBodyIsLoggedWithItsError(t *testing.T) {
+	_, lines, address := newLoggedGate(t, nil)
 	c := send(t, address, "POST / HTTP/1.1\r\nHost: example.com\r\nContent-Length: 10\r\n\r\nabc")
 	assert.NilError(t, c.(*net.TCPConn).CloseWrite())
-	fields := last(t, lines, event.RequestRefused)
+	fields := waitForEvent(t, lines, event.RequestRefused)
 	assert.Equal(t, fields["why"], "body_incomplete")
 	assert.Equal(t, fields["error"], io.ErrUnexpectedEOF.Error())
 	assert.Equal(t, fmt.Sprint(fields["read_bytes"], " of ", fields["length"]), "3 of 10")
@@ -89,9 +89,9 @@
 // Symptom: a request ended as left by its caller, who waited for it.
 // Sequence: the connection of a request ends; the gate ends the attempt.
 // Cause: the line does not say why the caller counts as gone.
-func TestALeftRequestSaysWhy(t *testing.T) {
+func TestADisconnectIsLoggedWithItsReason(t *testing.T) {
 	reached := make(chan struct{})
-	g, lines, address := logged(t, func(_ http.ResponseWriter, r *http.Request) {
+	g, lines, address := newLoggedGate(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(reached)
 		<-r.Context().Done()
 	})
@@ -99,28 +99,28 @@
 	c := send(t, address, "GET / HTTP/1.1\r\nHost: example.com\r\n\r\n")
 	<-reached
 	assert.NilError(t, c.Close())
-	fields := last(t, lines, event.RequestLeft)
+	fields := waitForEvent(t, lines, event.RequestLeft)
 	assert.Equal(t, fields["why"], "stop")
 	assert.Equal(t, fields["ended"], "connection")
 	assert.Equal(t, fmt.Sprint(fields["sends"]), "1")
 }
 
-func TestAServedRequestSaysHowMuchItsConnectionTook(t *testing.T) {
-	_, lines, address := logged(t, func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(w, strings.Repeat("x", wholeMost+5))
+func TestAServedRequestIsLoggedWithItsForwardedBytes(t *testing.T) {
+	_, lines, address := newLoggedGate(t, func(w http.ResponseWriter, _ *http.Request) {
+		_, _ = io.WriteString(w, strings.Repeat("x", maxBufferedBytes+5))
 	})
 	c := send(t, address, "GET / HTTP/1.1\r\nHost: example.com\r\nConnection: close\r\n\r\n")
 	_, err := io.Copy(io.Discard, c)
 	assert.NilError(t, err)
-	assert.Equal(t, fmt.Sprint(last(t, lines, event.RequestServed)["relayed_bytes"]), fmt.Sprint(wholeMost+5))
+	assert.Equal(t, fmt.Sprint(waitForEvent(t, lines, event.RequestServed)["relayed_bytes"]), fmt.Sprint(maxBufferedBytes+5))
 }
 
 // Symptom: a request ends as broken at its time, which was far.
 // Sequence: the host is about to end; the request's upstream has not answered.
 // Cause: the line does not say what ended it.
-func TestARequestThatTheStopEndsSaysSo(t *testing.T) {
+func TestARequestEndedByTheStopIsLoggedAsSuch(t *testing.T) {
 	reached := make(chan struct{})
-	g, lines, address := logged(t, func(_ http.ResponseWriter, r *http.Request) {
+	g, lines, address := newLoggedGate(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(reached)
 		<-r.Context().Done()
 	})
@@ -129,7 +129,7 @@
 	send(t, address, "GET / HTTP/1.1\r\nHost: example.com\r\n\r\n")
 	<-reached
 	end()
-	fields := last(t, lines, event.RequestBroken)
+	fields := waitForEvent(t, lines, event.RequestBroken)
 	assert.Equal(t, fields["ended"], "stopping")
 	assert.Equal(t, fields["started"], false)
 }
--- a/node/gate/overload_test.go
+++ b/node/gate/overload_test.go
@@ -15,21 +15,21 @@
 	"peridotpier.example/node/fleet"
 )
 
-// alone has no host that decides for all.
-type alone struct{}
+// noCoordinator has no host that decides for all.
+type noCoordinator struct{}
 
-func (alone) LoadAdapter(context.Context, string, string, string) error { return nil }
+func (noCoordinator) LoadAdapter(context.Context, string, string, string) error { return nil }
 
-func (alone) RequestPermit(context.Context, *PermitRequest) (*Permit, error) {
+func (noCoordinator) RequestPermit(context.Context, *PermitRequest) (*Permit, error) {
 	return nil, errors.New("none")
 }
 
-func (alone) RecordDemand(string, *RequestInfo, int, time.Duration, bool) {}
+func (noCoordinator) RecordDemand(string, *RequestInfo, int, time.Duration, bool) {}
 
-// reading is a gate with one upstream at address, which holds the model "m".
+// newEngineGate is a gate with one upstream at address, which holds the model "m".
 // Its route's answers should begin within a second, and pause for 400 ms at most.
-func reading(address string) (*Gate, *fleet.Entry) {
-	g, f := before(deploy.Upstream{Address: address, Slots: 32, Residents: []deploy.Resident{{Model: "m"}}}, alone{},
+func newEngineGate(address string) (*Gate, *fleet.Entry) {
+	g, f := newGateFor(deploy.Upstream{Address: address, Slots: 32, Residents: []deploy.Resident{{Model: "m"}}}, noCoordinator{},
 		deploy.Route{Objective: time.Second, PauseBound: 400 * time.Millisecond})
 	e, _ := f.Entry("u")
 	return g, e
@@ -46,12 +46,12 @@
 	var sent atomic.Int32
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { sent.Add(1) }))
 	defer up.Close()
-	g, e := reading(up.Listener.Addr().String())
+	g, e := newEngineGate(up.Listener.Addr().String())
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
 		for {
-			othersSent(g, e, fleet.Load{Requests: 4, PendingPromptTokens: 9000, Tokens: 9400})
+			setOthersLoad(g, e, fleet.Load{Requests: 4, PendingPromptTokens: 9000, Tokens: 9400})
 			select {
 			case <-done:
 				return
@@ -72,14 +72,14 @@
 }
 
 // A request waits for a place that comes free.
-func TestARequestGoesOnceAPromptWasRead(t *testing.T) {
+func TestARequestIsSentOnceAPromptWasRead(t *testing.T) {
 	t.Parallel()
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	defer up.Close()
-	g, e := reading(up.Listener.Addr().String())
-	othersSent(g, e, fleet.Load{Requests: 4, PendingPromptTokens: 9000, Tokens: 9400})
+	g, e := newEngineGate(up.Listener.Addr().String())
+	setOthersLoad(g, e, fleet.Load{Requests: 4, PendingPromptTokens: 9000, Tokens: 9400})
 	time.AfterFunc(300*time.Millisecond, func() {
-		othersSent(g, e, fleet.Load{Requests: 3, PendingPromptTokens: 100, Tokens: 500})
+		setOthersLoad(g, e, fleet.Load{Requests: 3, PendingPromptTokens: 100, Tokens: 500})
 		g.deps.Fleet.NotifyChanged()
 	})
 	r := httptest.NewRequest(http.MethodPost, "http://example.com/x", nil)
@@ -94,13 +94,13 @@
 // Sequence: an upstream ends with a request that it was sent, when half of its
 // objective is over; the other has prompts to read all the time.
 // Cause: the request waits, behind what is new, until its time is over.
-func TestARequestThatAnUpstreamLostGoesBeforeWhatIsNew(t *testing.T) {
+func TestARequestLostByItsUpstreamPrecedesNewOnes(t *testing.T) {
 	t.Parallel()
 	var sent atomic.Int32
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { sent.Add(1) }))
 	defer up.Close()
-	g, e := reading(up.Listener.Addr().String())
-	othersSent(g, e, fleet.Load{Requests: 4, PendingPromptTokens: 9000, Tokens: 9400})
+	g, e := newEngineGate(up.Listener.Addr().String())
+	setOthersLoad(g, e, fleet.Load{Requests: 4, PendingPromptTokens: 9000, Tokens: 9400})
 	q := &request{g: g, start: time.Now().Add(-600 * time.Millisecond), tried: map[string]bool{}}
 	table := g.deps.Config.Current()
 	q.route = &table.Config.Routes[0]
@@ -109,12 +109,12 @@
 	q.deadline = q.start.Add(q.route.Timeout)
 	found, _ := q.pick()
 	assert.Assert(t, found == nil, "it is new")
-	q.lost = true
+	q.lostByUpstream = true
 	found, _ = q.pick()
 	assert.Assert(t, found == e)
 }
 
-// othersSent has the others' load at an upstream told, alone of its service.
-func othersSent(g *Gate, e *fleet.Entry, l fleet.Load) {
+// setOthersLoad has the others' load at an upstream told, alone of its service.
+func setOthersLoad(g *Gate, e *fleet.Entry, l fleet.Load) {
 	g.deps.Fleet.SetOtherHostsLoad(e.Service(), map[string]fleet.Load{e.ID(): l}, time.Now().Add(1500*time.Millisecond))
 }
--- a/node/gate/poison.go
+++ b/node/gate/poison.go
@@ -14,14 +14,14 @@
 // begins.
 const longRun = time.Second
 
-// describe notes what is asked, now that the request was read whole.
-func (q *request) describe() {
+// setContent notes what is asked, now that the request was read whole.
+func (q *request) setContent() {
 	q.content = poison.NewRequest(poison.Content{Team: q.caller.name(), Method: q.r.Method, Host: q.r.Host, Target: q.r.RequestURI, Body: q.body})
 }
 
 // refuseBarred ends a request that ends upstreams, and says so. p is where it would
 // have gone, if it got that far.
-func (q *request) refuseBarred(p picked) bool {
+func (q *request) refuseBarred(p selection) bool {
 	if q.g.deps.PoisonGuard == nil {
 		return false
 	}
@@ -29,31 +29,31 @@
 	if !ok {
 		return false
 	}
-	if p.turn != nil {
-		p.turn.Release()
+	if p.permit != nil {
+		p.permit.Release()
 	}
 	q.g.deps.Metrics.Count(metrics.RequestsBarred, 1)
-	if q.kept != nil { // an answer that is there is delivered
-		q.kept()
+	if q.deliverFailed != nil { // an answer that is there is delivered
+		q.deliverFailed()
 		return true
 	}
-	q.unserved(http.StatusBadGateway, "poison", until.Sub(q.g.deps.Now()))
+	q.endUnserved(http.StatusBadGateway, "poison", until.Sub(q.g.deps.Now()))
 	return true
 }
 
-// completed notes that the request ran to its end.
-func (q *request) completed() {
+// recordCompleted notes that the request ran to its end.
+func (q *request) recordCompleted() {
 	if q.g.deps.PoisonGuard != nil {
 		q.g.deps.PoisonGuard.RecordCompleted(q.content)
 	}
 }
 
-// broken notes an exchange that broke while the upstream may have been running
+// recordBroken notes an exchange that broke while the upstream may have been running
 // the request: the request may have ended it.
-func (q *request) broken(x *fleet.Attempt, why string) {
+func (q *request) recordBroken(x *fleet.Attempt, why string) {
 	x.Interrupted(why)
-	if !q.ranSince.IsZero() && q.g.deps.Now().Sub(q.ranSince) > longRun {
-		q.completed()
+	if !q.responseSince.IsZero() && q.g.deps.Now().Sub(q.responseSince) > longRun {
+		q.recordCompleted()
 		return
 	}
 	if e := x.Entry(); q.g.deps.CrashRecorder != nil {
--- a/node/gate/poison_test.go
+++ b/node/gate/poison_test.go
@@ -15,46 +15,46 @@
 	"peridotpier.example/core/poison"
 )
 
-// blamed keeps what a gate tells of requests, and bars one target.
-type blamed struct {
-	mu     sync.Mutex
-	broken []poison.Fingerprint
-	ran    []poison.Fingerprint
-	bars   poison.Digest
-	until  time.Time
+// crashRecorder keeps what a gate tells of requests, and bars one target.
+type crashRecorder struct {
+	mu           sync.Mutex
+	broken       []poison.Fingerprint
+	completed    []poison.Fingerprint
+	barredDigest poison.Digest
+	barredUntil  time.Time
 }
 
-func (b *blamed) RecordBroken(_, _ string, m poison.Fingerprint) {
+func (b *crashRecorder) RecordBroken(_, _ string, m poison.Fingerprint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.broken = append(b.broken, m)
 }
 
-func (b *blamed) RecordCompleted(r *poison.Request) {
+func (b *crashRecorder) RecordCompleted(r *poison.Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.ran = append(b.ran, r.Fingerprint())
+	b.completed = append(b.completed, r.Fingerprint())
 }
 
-func (b *blamed) Barred(r *poison.Request) (time.Time, bool) {
+func (b *crashRecorder) Barred(r *poison.Request) (time.Time, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.until, r.Fingerprint().Digest == b.bars
+	return b.barredUntil, r.Fingerprint().Digest == b.barredDigest
 }
 
 // bar bars a target from now on.
-func (b *blamed) bar(target string) {
+func (b *crashRecorder) bar(target string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.bars, b.until = marked(target).Digest, time.Now().Add(time.Minute)
+	b.barredDigest, b.barredUntil = markOf(target).Digest, time.Now().Add(time.Minute)
 }
 
-// blaming is a gate before one upstream whose clock the test moves.
-func blaming(t *testing.T, kind deploy.RequestKind, ahead *atomic.Int64, up http.HandlerFunc) (*Gate, *blamed) {
+// newCrashGate is a gate before one upstream whose clock the test moves.
+func newCrashGate(t *testing.T, kind deploy.RequestKind, ahead *atomic.Int64, up http.HandlerFunc) (*Gate, *crashRecorder) {
 	upstream := httptest.NewServer(up)
 	t.Cleanup(func() { upstream.CloseClientConnections(); upstream.Close() })
-	g, _ := before(deploy.Upstream{Address: upstream.Listener.Addr().String(), Slots: 4}, &modelless{}, deploy.Route{Kind: kind, Objective: 3 * time.Second})
-	b := &blamed{}
+	g, _ := newGateFor(deploy.Upstream{Address: upstream.Listener.Addr().String(), Slots: 4}, &noModelCoordinator{}, deploy.Route{Kind: kind, Objective: 3 * time.Second})
+	b := &crashRecorder{}
 	g.deps.CrashRecorder, g.deps.PoisonGuard = b, b
 	g.deps.Now = func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
 	return g, b
@@ -69,21 +69,21 @@
 	return w
 }
 
-func marked(target string) poison.Fingerprint {
+func markOf(target string) poison.Fingerprint {
 	return (&poison.Content{Method: http.MethodPost, Host: "example.com", Target: "http://example.com" + target}).Fingerprint()
 }
 
-func TestWhatWasUnderWayWhenItsExchangeBrokeIsTold(t *testing.T) {
-	g, b := blaming(t, deploy.NonIdempotent, new(atomic.Int64), func(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) })
+func TestARequestWhoseExchangeBrokeIsRecorded(t *testing.T) {
+	g, b := newCrashGate(t, deploy.NonIdempotent, new(atomic.Int64), func(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) })
 	assert.Equal(t, serve(g, "/a?b=c").Code, http.StatusBadGateway)
-	assert.DeepEqual(t, b.broken, []poison.Fingerprint{marked("/a?b=c")})
-	assert.Equal(t, len(b.ran), 0)
+	assert.DeepEqual(t, b.broken, []poison.Fingerprint{markOf("/a?b=c")})
+	assert.Equal(t, len(b.completed), 0)
 }
 
-func TestWhatRanToItsEndIsTold(t *testing.T) {
-	g, b := blaming(t, deploy.NonIdempotent, new(atomic.Int64), func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "whole") })
+func TestACompletedRequestIsRecorded(t *testing.T) {
+	g, b := newCrashGate(t, deploy.NonIdempotent, new(atomic.Int64), func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "whole") })
 	assert.Equal(t, serve(g, "/a").Code, http.StatusOK)
-	assert.DeepEqual(t, b.ran, []poison.Fingerprint{marked("/a")})
+	assert.DeepEqual(t, b.completed, []poison.Fingerprint{markOf("/a")})
 	assert.Equal(t, len(b.broken), 0)
 }
 
@@ -94,7 +94,7 @@
 		blamed int
 	}{{longRun / 2, 1}, {2 * longRun, 0}} {
 		ahead := new(atomic.Int64)
-		g, b := blaming(t, deploy.Stream, ahead, func(w http.ResponseWriter, _ *http.Request) {
+		g, b := newCrashGate(t, deploy.Stream, ahead, func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = fmt.Fprint(w, "id: 1\ndata: a\n\n")
 			_ = http.NewResponseController(w).Flush()
 			time.Sleep(50 * time.Millisecond) // the gate has read it
@@ -103,27 +103,27 @@
 		})
 		serve(g, "/a")
 		assert.Equal(t, len(b.broken), c.blamed)
-		assert.Equal(t, len(b.ran), 1-c.blamed)
+		assert.Equal(t, len(b.completed), 1-c.blamed)
 	}
 }
 
-func TestWhatIsBarredIsRefusedAndReachesNobody(t *testing.T) {
+func TestABarredRequestIsRefusedAndReachesNoUpstream(t *testing.T) {
 	var reached atomic.Int32
-	g, b := blaming(t, deploy.NonIdempotent, new(atomic.Int64), func(w http.ResponseWriter, _ *http.Request) { reached.Add(1); _, _ = fmt.Fprint(w, "whole") })
+	g, b := newCrashGate(t, deploy.NonIdempotent, new(atomic.Int64), func(w http.ResponseWriter, _ *http.Request) { reached.Add(1); _, _ = fmt.Fprint(w, "whole") })
 	b.bar("/a")
 	w := serve(g, "/a")
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 	after := retryAfter(w.Result().Header)
-	assert.Assert(t, after > 50*time.Second && after <= time.Minute+spreadMost, "%s", after)
+	assert.Assert(t, after > 50*time.Second && after <= time.Minute+maxRetrySpread, "%s", after)
 	assert.Equal(t, reached.Load(), int32(0))
 	assert.Equal(t, serve(g, "/b").Code, http.StatusOK)
 }
 
 // Guards against one more end of an upstream by a request that was found out while it waited, or between two of its sends.
-func TestWhatIsBarredBetweenTwoSendsIsNotSentAgain(t *testing.T) {
+func TestARequestBarredBetweenAttemptsIsNotSentAgain(t *testing.T) {
 	var reached atomic.Int32
 	bar := make(chan func(string), 1)
-	g, b := blaming(t, deploy.Idempotent, new(atomic.Int64), func(http.ResponseWriter, *http.Request) {
+	g, b := newCrashGate(t, deploy.Idempotent, new(atomic.Int64), func(http.ResponseWriter, *http.Request) {
 		reached.Add(1)
 		(<-bar)("/a")
 		panic(http.ErrAbortHandler)
--- a/node/gate/refuse.go
+++ b/node/gate/refuse.go
@@ -31,11 +31,11 @@
 	modelRetry = time.Second
 	// retrySpread spreads returns, as a share, so that those refused together do
 	// not come back together; spreadMost is enough for that, however long the wait.
-	retrySpread = 0.5
-	spreadMost  = 500 * time.Millisecond
+	retrySpread    = 0.5
+	maxRetrySpread = 500 * time.Millisecond
 )
 
-func retryOf(r balance.Reason) time.Duration {
+func retryDelay(r balance.Reason) time.Duration {
 	switch r {
 	case balance.AllFull, balance.NoAdapter, balance.AllBackoff:
 		return fullRetry
@@ -57,78 +57,78 @@
 // refuseWith is refuse with another status that promises the same.
 func (q *request) refuseWith(status int, why string, after time.Duration, more ...zap.Field) {
 	d := &q.g.deps
-	after += time.Duration(min(float64(after)*retrySpread, float64(spreadMost)) * d.Rand())
+	after += time.Duration(min(float64(after)*retrySpread, float64(maxRetrySpread)) * d.Rand())
 	h := q.w.Header()
 	h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	fields := []zap.Field{q.id(), q.routeName(), q.teamName(), zap.String("why", why), zap.Int64("retry_after_ms", after.Milliseconds()),
-		zap.Int64("held_ms", d.Now().Sub(q.start).Milliseconds()), zap.Int("sends", q.sends), zap.Uint64("version", q.version),
-		q.modelName(), q.ended(), q.barredBy()}
+		zap.Int64("held_ms", d.Now().Sub(q.start).Milliseconds()), zap.Int("sends", q.sends), zap.Uint64("version", q.configVersion),
+		q.modelName(), q.endCause(), q.retryBlockedField()}
 	d.Log.Emit(event.RequestRefused, append(fields, more...)...)
 	d.Metrics.Count(metrics.NotRun, 1)
-	q.end(status, why)
+	q.respond(status, why)
 }
 
 // decline answers a request that is wrong in itself.
 func (q *request) decline(status int, why string, more ...zap.Field) {
 	fields := []zap.Field{q.id(), q.routeName(), q.teamName(), zap.String("why", why), zap.Int("status", status),
-		zap.String("host", q.r.Host), zap.Uint64("version", q.version)}
+		zap.String("host", q.r.Host), zap.Uint64("version", q.configVersion)}
 	q.g.deps.Log.Emit(event.RequestRefused, append(fields, more...)...)
 	q.g.deps.Metrics.Count(metrics.NotRun, 1)
 	switch status {
 	case http.StatusRequestEntityTooLarge, http.StatusBadRequest, http.StatusRequestTimeout:
 		q.w.Header().Set("Connection", "close") // what is left of the body is not read
 	}
-	q.end(status, why)
+	q.respond(status, why)
 }
 
 // fail ends a request that may have run and has no whole answer. Nothing is
 // promised: the status is none of those that say "not run".
 func (q *request) fail(status int, why string) {
 	d := &q.g.deps
-	d.Log.Emit(event.RequestBroken, q.id(), q.routeName(), zap.String("why", why), zap.String(event.FieldPeer, q.last),
+	d.Log.Emit(event.RequestBroken, q.id(), q.routeName(), zap.String("why", why), zap.String(event.FieldPeer, q.lastUpstream),
 		zap.Int("sends", q.sends), zap.Int64("took_ms", d.Now().Sub(q.start).Milliseconds()), zap.Bool("started", q.started),
-		zap.Int64("relayed_bytes", q.relayed), zap.NamedError("write_error", q.writeErr), q.ended(), q.barredBy(),
+		zap.Int64("relayed_bytes", q.forwardedBytes), zap.NamedError("write_error", q.writeErr), q.endCause(), q.retryBlockedField(),
 		zap.Stringer("content", q.content.Fingerprint().Digest))
 	d.Metrics.Count(metrics.OutcomeUnknown, 1)
 	if q.started {
 		panic(http.ErrAbortHandler) // an answer that ends early must not look whole
 	}
-	q.end(status, why)
+	q.respond(status, why)
 }
 
 // timeUp ends a request at its route's timeout or its caller's deadline, or
 // when the host is about to end.
 func (q *request) timeUp() {
 	if errors.Is(context.Cause(q.ctx), errStopping) {
-		q.unserved(http.StatusBadGateway, "stopping", stopRetry)
+		q.endUnserved(http.StatusBadGateway, "stopping", stopRetry)
 		return
 	}
-	q.unserved(http.StatusGatewayTimeout, "time_up", fullRetry)
+	q.endUnserved(http.StatusGatewayTimeout, "time_up", fullRetry)
 }
 
-// unserved ends a request without an upstream's answer: with status if it may
+// endUnserved ends a request without an upstream's answer: with status if it may
 // have run, else as not run, to come back after the given time.
-func (q *request) unserved(status int, why string, after time.Duration) {
-	if q.maybe > 0 {
+func (q *request) endUnserved(status int, why string, after time.Duration) {
+	if q.possibleRuns > 0 {
 		q.fail(status, why)
 		return
 	}
 	q.refuse(why, after)
 }
 
-// left notes a caller that went away; nobody is there to be answered.
-func (q *request) left() {
+// callerLeft notes a caller that went away; nobody is there to be answered.
+func (q *request) callerLeft() {
 	now := q.g.deps.Now()
-	q.g.deps.Log.Emit(event.RequestLeft, q.id(), q.routeName(), zap.String(event.FieldPeer, q.last), zap.String("why", q.leftWhy()),
+	q.g.deps.Log.Emit(event.RequestLeft, q.id(), q.routeName(), zap.String(event.FieldPeer, q.lastUpstream), zap.String("why", q.disconnectReason()),
 		zap.Int64("took_ms", now.Sub(q.start).Milliseconds()), zap.Int64("left_ms", q.deadline.Sub(now).Milliseconds()),
-		zap.Int("sends", q.sends), zap.Bool("started", q.started), zap.Int64("relayed_bytes", q.relayed),
-		zap.NamedError("write_error", q.writeErr), q.ended())
+		zap.Int("sends", q.sends), zap.Bool("started", q.started), zap.Int64("relayed_bytes", q.forwardedBytes),
+		zap.NamedError("write_error", q.writeErr), q.endCause())
 	q.g.deps.Metrics.Count(metrics.CallerDisconnects, 1)
 	panic(http.ErrAbortHandler)
 }
 
-// leftWhy says why the caller counts as gone.
-func (q *request) leftWhy() string {
+// disconnectReason says why the caller counts as gone.
+func (q *request) disconnectReason() string {
 	if why := q.g.deps.DisconnectReason(q.r.Context()); why != "" {
 		return why
 	}
@@ -138,8 +138,8 @@
 	return "unknown"
 }
 
-// ended tells what ended the request's context; nothing while it goes on.
-func (q *request) ended() zap.Field {
+// endCause tells what ended the request's context; nothing while it goes on.
+func (q *request) endCause() zap.Field {
 	if q.ctx == nil || q.ctx.Err() == nil {
 		return zap.Skip()
 	}
@@ -153,20 +153,20 @@
 	return zap.String("ended", by)
 }
 
-// barredBy tells which bound forbade one more send; nothing if none did.
-func (q *request) barredBy() zap.Field {
-	if q.barred == "" {
+// retryBlockedField tells which bound forbade one more send; nothing if none did.
+func (q *request) retryBlockedField() zap.Field {
+	if q.retryBlockedBy == "" {
 		return zap.Skip()
 	}
-	return zap.String("barred", q.barred)
+	return zap.String("barred", q.retryBlockedBy)
 }
 
-// end writes a short final answer of this host's own. The server reads what is
+// respond writes a short final answer of this host's own. The server reads what is
 // left of a body before it writes; a body that stalls must not hold the answer.
-func (q *request) end(status int, why string) {
+func (q *request) respond(status int, why string) {
 	h := q.w.Header()
-	if q.r.ContentLength != 0 && !q.taken {
-		_ = http.NewResponseController(q.w).SetReadDeadline(time.Now().Add(restBound))
+	if q.r.ContentLength != 0 && !q.bodyRead {
+		_ = http.NewResponseController(q.w).SetReadDeadline(time.Now().Add(bodyDrainTimeout))
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(why)+1))
--- a/node/gate/resume_test.go
+++ b/node/gate/resume_test.go
@@ -13,25 +13,25 @@
 	"peridotpier.example/core/balance"
 )
 
-// adapterless is a host that loads no adapter.
-type adapterless struct{ modelless }
+// failingCoordinator is a host that loads no adapter.
+type failingCoordinator struct{ noModelCoordinator }
 
-func (*adapterless) LoadAdapter(context.Context, string, string, string) error {
+func (*failingCoordinator) LoadAdapter(context.Context, string, string, string) error {
 	return errors.New("no place")
 }
 
 // Guards against a begun stream that is cut since its adapter is not there at the moment.
 func TestABegunAnswerIsNotCutForWantOfAnAdapter(t *testing.T) {
 	for _, started := range []bool{true, false} {
-		g, f := waiting(&adapterless{}, "127.0.0.1:1")
+		g, f := newGate(&failingCoordinator{}, "127.0.0.1:1")
 		home, _ := f.Entry("u")
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		w := httptest.NewRecorder()
 		q := &request{g: g, w: w, r: httptest.NewRequest(http.MethodPost, "/x", nil), ctx: ctx, started: started, tried: map[string]bool{"u": true}}
-		p := picked{Decision: balance.Decision{Index: -1, Reason: balance.NoAdapter}, home: home}
-		for range adapterTries + 2 {
-			goesOn := q.fetchAdapter(p)
+		p := selection{Decision: balance.Decision{Index: -1, Reason: balance.NoAdapter}, adapterUpstream: home}
+		for range maxAdapterRequests + 2 {
+			goesOn := q.loadAdapter(p)
 			assert.Equal(t, goesOn, started)
 			if !started {
 				break
--- a/node/gate/signals.go
+++ b/node/gate/signals.go
@@ -11,32 +11,32 @@
 	"peridotpier.example/node/metrics"
 )
 
-// ownAnswer is the source of what this host heard itself.
-const ownAnswer = "answer"
+// sourceOwnResponse is the source of what this host heard itself.
+const sourceOwnResponse = "answer"
 
-// heed takes what an upstream asks for on an answer. One that is another's, or
+// applySignals takes what an upstream asks for on an answer. One that is another's, or
 // does not vouch for itself, says nothing of this upstream; a refusal bears no
 // seal, and may leave out what other answers say.
-func (q *request) heed(e *fleet.Entry, status int, a *ResponseInfo) {
-	crossed := a.AttemptID != q.facts.AttemptID && (a.AttemptID != "" || !a.NotRun)
-	refusal := a.NotRun || status == http.StatusServiceUnavailable
-	if crossed || status == http.StatusMisdirectedRequest || !a.Sealed && !refusal {
+func (q *request) applySignals(e *fleet.Entry, status int, info *ResponseInfo) {
+	mismatched := info.AttemptID != q.info.AttemptID && (info.AttemptID != "" || !info.NotRun)
+	refusal := info.NotRun || status == http.StatusServiceUnavailable
+	if mismatched || status == http.StatusMisdirectedRequest || !info.Sealed && !refusal {
 		return
 	}
-	s := backpressure.Signal{Limit: a.Limit, Draining: a.Draining, SentAt: q.sentAt, ReceivedAt: q.g.deps.Now()}
-	if a.LimitUnreadable || !a.Sealed && !a.Limit.Stated {
+	s := backpressure.Signal{Limit: info.Limit, Draining: info.Draining, SentAt: q.sentAt, ReceivedAt: q.g.deps.Now()}
+	if info.LimitUnreadable || !info.Sealed && !info.Limit.Stated {
 		s.Limit = e.Limit()
 	}
-	e.ApplySignal(s, ownAnswer)
-	if a.Backoff > 0 {
-		e.StartBackoff(a.Backoff)
+	e.ApplySignal(s, sourceOwnResponse)
+	if info.Backoff > 0 {
+		e.StartBackoff(info.Backoff)
 		q.g.deps.Metrics.Add(metrics.BackoffsRequested, q.service.Name, e.ID(), 1)
-		q.g.deps.Log.Emit(event.UpstreamAsked, q.id(), zap.String(event.FieldPeer, e.ID()), zap.Int64("for_ms", a.Backoff.Milliseconds()))
+		q.g.deps.Log.Emit(event.UpstreamAsked, q.id(), zap.String(event.FieldPeer, e.ID()), zap.Int64("for_ms", info.Backoff.Milliseconds()))
 	}
 }
 
-// limitOf tells in logs the limit of the upstream that a request goes to.
-func limitOf(e *fleet.Entry) zap.Field {
+// limitField tells in logs the limit of the upstream that a request goes to.
+func limitField(e *fleet.Entry) zap.Field {
 	l := e.Limit()
 	if !l.Stated {
 		return zap.Skip()
--- a/node/gate/signals_test.go
+++ b/node/gate/signals_test.go
@@ -15,20 +15,20 @@
 	"peridotpier.example/node/fleet"
 )
 
-// granting is a host that decides for all and grants the one upstream.
-type granting struct {
-	modelless
-	counted bool
-	ended   atomic.Int32
+// grantingCoordinator is a host that decides for all and grants the one upstream.
+type grantingCoordinator struct {
+	noModelCoordinator
+	counted  bool
+	released atomic.Int32
 }
 
-func (g *granting) RequestPermit(context.Context, *PermitRequest) (*Permit, error) {
-	done := func() { g.ended.Add(1) }
+func (g *grantingCoordinator) RequestPermit(context.Context, *PermitRequest) (*Permit, error) {
+	done := func() { g.released.Add(1) }
 	return &Permit{Upstream: "u", WithinLimit: g.counted, Began: func() {}, NotListening: done, Release: done}, nil
 }
 
-// limit has the upstream of a gate's fleet name a limit.
-func limit(t *testing.T, f *fleet.Fleet) {
+// setLimit has the upstream of a gate's fleet name a limit.
+func setLimit(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 	e, ok := f.Entry("u")
 	assert.Assert(t, ok)
@@ -37,14 +37,14 @@
 }
 
 // Guards against turns of a host that does not know of a limit yet: nobody counts them.
-func TestATurnThatIsNotCountedIsNotUsedWhereALimitIsNamed(t *testing.T) {
+func TestAPermitThatIsNotCountedIsNotUsedForALimitedUpstream(t *testing.T) {
 	for _, counted := range []bool{false, true} {
 		var reached atomic.Int32
 		up := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { reached.Add(1) }))
 		defer up.Close()
-		models := &granting{counted: counted}
-		g, f := waiting(models, up.Listener.Addr().String())
-		limit(t, f)
+		models := &grantingCoordinator{counted: counted}
+		g, f := newGate(models, up.Listener.Addr().String())
+		setLimit(t, f)
 		r := httptest.NewRequest(http.MethodPost, "http://example.com/x", nil)
 		r.Header.Set("Model", "old")
 		w := httptest.NewRecorder()
@@ -57,16 +57,16 @@
 		assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 		assert.Equal(t, w.Body.String(), "all_backoff\n")
 		assert.Equal(t, reached.Load(), int32(0))
-		assert.Assert(t, models.ended.Load() > 0, "the turn is given back")
+		assert.Assert(t, models.released.Load() > 0, "the turn is given back")
 	}
 }
 
 // Guards against an upstream taken out of use by bytes that it does not vouch for.
-func TestAnAnswerThatIsNotVouchedForSaysNothingOfItsUpstream(t *testing.T) {
+func TestSignalsOfAnUnsealedResponseAreIgnored(t *testing.T) {
 	for _, c := range []struct {
-		status int
-		answer ResponseInfo
-		heeded bool
+		status  int
+		answer  ResponseInfo
+		applied bool
 	}{
 		{http.StatusOK, ResponseInfo{AttemptID: "a1", Sealed: true, Draining: true}, true},
 		{http.StatusOK, ResponseInfo{AttemptID: "a1", Draining: true}, false},
@@ -76,10 +76,10 @@
 		{http.StatusServiceUnavailable, ResponseInfo{AttemptID: "other", NotRun: true, Draining: true}, false},
 		{http.StatusMisdirectedRequest, ResponseInfo{AttemptID: "a1", NotRun: true, Draining: true}, false},
 	} {
-		g, f := waiting(&modelless{}, "127.0.0.1:1")
+		g, f := newGate(&noModelCoordinator{}, "127.0.0.1:1")
 		e, _ := f.Entry("u")
-		q := &request{g: g, facts: RequestInfo{AttemptID: "a1"}, service: &deploy.Service{Name: "s"}, sentAt: time.Now()}
-		q.heed(e, c.status, &c.answer)
-		assert.Equal(t, !e.Usable(), c.heeded, "%d %+v", c.status, c.answer)
+		q := &request{g: g, info: RequestInfo{AttemptID: "a1"}, service: &deploy.Service{Name: "s"}, sentAt: time.Now()}
+		q.applySignals(e, c.status, &c.answer)
+		assert.Equal(t, !e.Usable(), c.applied, "%d %+v", c.status, c.answer)
 	}
 }
--- a/node/gate/silent_test.go
+++ b/node/gate/silent_test.go
@@ -19,17 +19,17 @@
 // silence is how long an upstream of these tests may be silent.
 const silence = 40 * time.Millisecond
 
-// silenced is a gate whose upstreams are found silent after a short time. Its
+// newSilenceGate is a gate whose upstreams are found silent after a short time. Its
 // one route is of the given kind, may be resumed and allows two attempts.
-func silenced(t *testing.T, kind deploy.RequestKind, upstreams ...http.HandlerFunc) (host *httptest.Server, f *fleet.Fleet) {
+func newSilenceGate(t *testing.T, kind deploy.RequestKind, upstreams ...http.HandlerFunc) (host *httptest.Server, f *fleet.Fleet) {
 	t.Helper()
-	return silencedWith(t, plainCodec{}, kind, upstreams...)
+	return newSilenceGateWith(t, plainCodec{}, kind, upstreams...)
 }
 
-// silencedWith is silenced with another codec.
-func silencedWith(t *testing.T, codec Codec, kind deploy.RequestKind, upstreams ...http.HandlerFunc) (host *httptest.Server, f *fleet.Fleet) {
+// newSilenceGateWith is silenced with another codec.
+func newSilenceGateWith(t *testing.T, codec Codec, kind deploy.RequestKind, upstreams ...http.HandlerFunc) (host *httptest.Server, f *fleet.Fleet) {
 	t.Helper()
-	g, _ := waiting(&modelless{}, "")
+	g, _ := newGate(&noModelCoordinator{}, "")
 	g.deps.Codec = codec
 	policy := health.DefaultPolicy
 	policy.UnresponsiveAfter = silence
@@ -63,8 +63,8 @@
 	return host, f
 }
 
-// ask sends one request and reads its answer.
-func ask(t *testing.T, host *httptest.Server) (status int, body string, err error) {
+// sendOne sends one request and reads its answer.
+func sendOne(t *testing.T, host *httptest.Server) (status int, body string, err error) {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, host.URL+"/x", nil)
 	assert.NilError(t, err)
@@ -90,13 +90,13 @@
 // are more urgent, and says nothing for a while; no other upstream could take it.
 // Cause: an attempt that may go elsewhere is ended before it is known that there
 // is anywhere to go.
-func TestAStreamThatCanGoNowhereStaysWithASilentUpstream(t *testing.T) {
-	host, _ := silenced(t, deploy.Stream, func(w http.ResponseWriter, _ *http.Request) {
+func TestAStreamWithoutAnAlternativeStaysWithAnUnresponsiveUpstream(t *testing.T) {
+	host, _ := newSilenceGate(t, deploy.Stream, func(w http.ResponseWriter, _ *http.Request) {
 		writeEvent(w, 1)
 		time.Sleep(4 * silence)
 		writeEvent(w, 2)
 	})
-	status, body, err := ask(t, host)
+	status, body, err := sendOne(t, host)
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, body, "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n")
@@ -105,12 +105,12 @@
 // Symptom: a lookup fails though its upstream is about to answer it.
 // Sequence: the only upstream of a service says nothing for a while.
 // Cause: as above.
-func TestARequestThatCanGoNowhereStaysWithASilentUpstream(t *testing.T) {
-	host, _ := silenced(t, deploy.Idempotent, func(w http.ResponseWriter, _ *http.Request) {
+func TestARequestWithoutAnAlternativeStaysWithAnUnresponsiveUpstream(t *testing.T) {
+	host, _ := newSilenceGate(t, deploy.Idempotent, func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(4 * silence)
 		_, _ = io.WriteString(w, "whole")
 	})
-	status, body, err := ask(t, host)
+	status, body, err := sendOne(t, host)
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, body, "whole")
@@ -119,9 +119,9 @@
 // Symptom: a caller waits for an upstream that will not answer, though another could.
 // Sequence: the only upstream of a service goes silent; a while later another comes.
 // Cause: whether a request can go elsewhere is looked at once only.
-func TestARequestLeavesASilentUpstreamAsSoonAsItCanGoElsewhere(t *testing.T) {
+func TestARequestLeavesAnUnresponsiveUpstreamOnceThereIsAnother(t *testing.T) {
 	asked := make(chan struct{})
-	host, f := silenced(t, deploy.Idempotent, func(_ http.ResponseWriter, r *http.Request) {
+	host, f := newSilenceGate(t, deploy.Idempotent, func(_ http.ResponseWriter, r *http.Request) {
 		close(asked)
 		<-r.Context().Done()
 	})
@@ -137,7 +137,7 @@
 		f.Apply([]deploy.Upstream{{ID: "v", Service: "s", Address: second.Listener.Addr().String(), Slots: 4}}, nil, 0)
 	}()
 	began := time.Now()
-	status, body, err := ask(t, host)
+	status, body, err := sendOne(t, host)
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, body, "whole")
@@ -150,8 +150,8 @@
 // Sequence: a resumable stream breaks off when its time to wait for an upstream
 // is over; the other upstream is full for a little longer.
 // Cause: the wait is bounded as that of a request that can still be refused.
-func TestAStreamThatHasBegunWaitsToGoOn(t *testing.T) {
-	host, f := silenced(t, deploy.Stream, func(w http.ResponseWriter, _ *http.Request) {
+func TestAStartedStreamWaitsToBeResumed(t *testing.T) {
+	host, f := newSilenceGate(t, deploy.Stream, func(w http.ResponseWriter, _ *http.Request) {
 		writeEvent(w, 1)
 		time.Sleep(500 * time.Millisecond) // past an eighth of the route's objective
 		panic(http.ErrAbortHandler)
@@ -170,7 +170,7 @@
 			x.Refused()
 		}
 	}()
-	status, body, err := ask(t, host)
+	status, body, err := sendOne(t, host)
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, body, "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n")
@@ -180,33 +180,33 @@
 // Sequence: an answer too large to be taken in first has begun; its upstream says
 // nothing for a while; another upstream could take the request.
 // Cause: whether the answer has begun is looked at before the attempt only.
-func TestALargeAnswerThatHasBegunStaysWithItsUpstream(t *testing.T) {
+func TestALargeResponseThatHasStartedStaysWithItsUpstream(t *testing.T) {
 	large := func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = w.Write(make([]byte, wholeMost+4096))
+		_, _ = w.Write(make([]byte, maxBufferedBytes+4096))
 		_ = http.NewResponseController(w).Flush()
 		time.Sleep(4 * silence)
 		_, _ = w.Write([]byte("end"))
 	}
-	host, _ := silenced(t, deploy.Idempotent, large, large)
-	status, body, err := ask(t, host)
+	host, _ := newSilenceGate(t, deploy.Idempotent, large, large)
+	status, body, err := sendOne(t, host)
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
-	assert.Equal(t, len(body), wholeMost+4096+len("end"))
+	assert.Equal(t, len(body), maxBufferedBytes+4096+len("end"))
 }
 
 // Symptom: a lookup fails though its upstream is about to answer it.
 // Sequence: an upstream has not answered after twice the route's objective; no
 // other could take the lookup.
 // Cause: an attempt that is slow is ended without a look at what could follow.
-func TestARequestThatCanGoNowhereStaysWithASlowUpstream(t *testing.T) {
+func TestARequestWithoutAnAlternativeStaysWithASlowUpstream(t *testing.T) {
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(4 * hedgeShare * slowObjective)
 		_, _ = io.WriteString(w, "whole")
 	}))
 	defer up.Close()
-	g, _ := waiting(&modelless{}, up.Listener.Addr().String())
-	routed(g, func(r *deploy.Route) { r.Kind, r.Attempts, r.Objective = deploy.Idempotent, 2, slowObjective })
-	status, body, err := ask(t, served(t, g))
+	g, _ := newGate(&noModelCoordinator{}, up.Listener.Addr().String())
+	changeRoute(g, func(r *deploy.Route) { r.Kind, r.Attempts, r.Objective = deploy.Idempotent, 2, slowObjective })
+	status, body, err := sendOne(t, startHost(t, g))
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, body, "whole")
@@ -223,15 +223,15 @@
 	defer slow.Close()
 	quick := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }))
 	defer quick.Close()
-	g, f := waiting(&modelless{}, slow.Listener.Addr().String())
+	g, f := newGate(&noModelCoordinator{}, slow.Listener.Addr().String())
 	f.Apply([]deploy.Upstream{{ID: "v", Service: "s", Address: quick.Listener.Addr().String(), Slots: 4}}, nil, 0)
 	v, _ := f.Entry("v")
 	for range 3 { // so that it is not chosen first
 		defer v.Begin(&fleet.Request{}, fleet.Cost{}).Cancelled()
 	}
-	routed(g, func(r *deploy.Route) { r.Kind, r.Attempts, r.Objective = deploy.Idempotent, 2, slowObjective })
+	changeRoute(g, func(r *deploy.Route) { r.Kind, r.Attempts, r.Objective = deploy.Idempotent, 2, slowObjective })
 	began := time.Now()
-	status, body, err := ask(t, served(t, g))
+	status, body, err := sendOne(t, startHost(t, g))
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, body, "whole")
@@ -271,8 +271,8 @@
 			for i := range all {
 				all[i] = serve
 			}
-			host, _ := silencedWith(t, refusingCodec{}, deploy.Stream, all...)
-			status, body, err := ask(t, host)
+			host, _ := newSilenceGateWith(t, refusingCodec{}, deploy.Stream, all...)
+			status, body, err := sendOne(t, host)
 			assert.NilError(t, err)
 			assert.Equal(t, status, http.StatusOK)
 			assert.Equal(t, body, "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n")
--- a/node/gate/turn.go
+++ b/node/gate/turn.go
@@ -51,82 +51,82 @@
 	Release      func()
 }
 
-// turn asks where the request may go. ok is false when this host has to decide
+// requestPermit asks where the request may go. ok is false when this host has to decide
 // by itself: nobody decides for all, or the wait is over.
-func (q *request) turn() (e *fleet.Entry, p picked, ok bool) {
+func (q *request) requestPermit() (e *fleet.Entry, p selection, ok bool) {
 	d := &q.g.deps
 	now := d.Now()
-	left := q.start.Add(q.patience()).Sub(now)
-	if left <= 0 {
-		return nil, picked{}, false
+	maxWait := q.start.Add(q.maxPermitWait()).Sub(now)
+	if maxWait <= 0 {
+		return nil, selection{}, false
 	}
-	ctx, cancel := context.WithTimeout(q.ctx, left)
+	ctx, cancel := context.WithTimeout(q.ctx, maxWait)
 	defer cancel()
-	defer q.endsWithStop(cancel)()
-	ask := &PermitRequest{Service: q.service.Name, Request: &q.ask, Cost: q.cost, Priority: q.urgency(), MaxPendingPromptTokens: q.reading(now, q.lost),
-		ObjectiveLeft: q.start.Add(q.route.Objective).Sub(now), MaxWait: left}
-	ask.WithIdleConn, ask.Backoffs = q.warm(), d.Fleet.Backoffs(q.service.Name)
-	if q.caller.owes() {
-		ask.Team, ask.Charge = q.caller.team, q.caller.cost
+	defer q.cancelWithHoldLimit(cancel)()
+	req := &PermitRequest{Service: q.service.Name, Request: &q.ask, Cost: q.cost, Priority: q.urgency(), MaxPendingPromptTokens: q.maxWaitingTokens(now, q.lostByUpstream),
+		ObjectiveLeft: q.start.Add(q.route.Objective).Sub(now), MaxWait: maxWait}
+	req.WithIdleConn, req.Backoffs = q.warmUpstreams(), d.Fleet.Backoffs(q.service.Name)
+	if q.caller.owesCharge() {
+		req.Team, req.Charge = q.caller.team, q.caller.cost
 	}
 	for _, e := range d.Fleet.EntriesWithModel(q.service.Name, q.ask.Model) {
 		if q.tried[e.ID()] || e.IsDown() {
-			ask.Excluded = append(ask.Excluded, e.ID())
+			req.Excluded = append(req.Excluded, e.ID())
 		}
 	}
-	t, err := d.Coordinator.RequestPermit(ctx, ask)
+	permit, err := d.Coordinator.RequestPermit(ctx, req)
 	if err != nil {
 		// A call that had no turn in its time would be late, and make others late.
-		full := q.ask.Model == "" && errors.Is(err, context.DeadlineExceeded)
-		return nil, picked{Decision: balance.Decision{Index: -1, Reason: balance.AllFull, AdapterTarget: -1}}, full
+		overdue := q.ask.Model == "" && errors.Is(err, context.DeadlineExceeded)
+		return nil, selection{Decision: balance.Decision{Index: -1, Reason: balance.AllFull, AdapterTarget: -1}}, overdue
 	}
-	if t.OverLimit {
-		return nil, picked{over: true, after: t.RetryAfter}, true
+	if permit.OverLimit {
+		return nil, selection{overLimit: true, retryAfter: permit.RetryAfter}, true
 	}
-	q.caller.paid()
-	if t.Upstream == "" {
-		return q.noTurn(t)
+	q.caller.markCharged()
+	if permit.Upstream == "" {
+		return q.withoutPermit(permit)
 	}
-	e, known := d.Fleet.Entry(t.Upstream)
-	if !known || !e.Usable() || e.Limit().Stated && !t.WithinLimit {
-		t.Release() // what this host knows is newer
-		return nil, picked{}, false
+	e, known := d.Fleet.Entry(permit.Upstream)
+	if !known || !e.Usable() || e.Limit().Stated && !permit.WithinLimit {
+		permit.Release() // what this host knows is newer
+		return nil, selection{}, false
 	}
-	p = picked{Decision: balance.Decision{PredictedWait: t.Predicted}, among: len(d.Fleet.EntriesOfService(q.service.Name)),
-		load: t.InFlight, waiting: t.PendingPromptTokens, cached: t.CachedTokens, turn: t}
-	d.Log.Emit(event.TurnGiven, q.id(), zap.String(event.FieldPeer, t.Upstream), zap.Int64("waited_ms", d.Now().Sub(now).Milliseconds()),
-		zap.Int("load", t.InFlight), zap.Int("waiting", t.PendingPromptTokens), zap.Int("cached", t.CachedTokens))
+	p = selection{Decision: balance.Decision{PredictedWait: permit.Predicted}, candidates: len(d.Fleet.EntriesOfService(q.service.Name)),
+		requests: permit.InFlight, waitingTokens: permit.PendingPromptTokens, cachedTokens: permit.CachedTokens, permit: permit}
+	d.Log.Emit(event.TurnGiven, q.id(), zap.String(event.FieldPeer, permit.Upstream), zap.Int64("waited_ms", d.Now().Sub(now).Milliseconds()),
+		zap.Int("load", permit.InFlight), zap.Int("waiting", permit.PendingPromptTokens), zap.Int("cached", permit.CachedTokens))
 	return e, p, true
 }
 
 const (
-	// turnShare is the part of its time that a request waits for a turn. What
+	// permitWaitShare is the part of its time that a request waits for a turn. What
 	// is left must do for its prompt and its answer. Waiting here keeps the
 	// streams of a busy upstream going; sent on, the prompt would only stop them.
-	turnShare = 0.35
-	// leastShare is the part of its objective that it waits for one in any case.
-	leastShare = 0.5
-	// mostShare is the part of its objective after which it is refused: its
+	permitWaitShare = 0.35
+	// minWaitShare is the part of its objective that it waits for one in any case.
+	minWaitShare = 0.5
+	// maxWaitShare is the part of its objective after which it is refused: its
 	// answer would be late, and what has just come can still be served in time.
-	mostShare = 0.8
+	maxWaitShare = 0.8
 )
 
-// patience is how long after its start the request may wait for a turn. A call of
+// maxPermitWait is how long after its start the request may wait for a turn. A call of
 // a plain service takes a small part of its time, and those that would be late let
 // the others pass: to refuse it sooner would leave its place to nobody, once the
 // crowd has passed.
-func (q *request) patience() time.Duration {
-	share := time.Duration(float64(q.deadline.Sub(q.start)) * turnShare)
+func (q *request) maxPermitWait() time.Duration {
+	share := time.Duration(float64(q.deadline.Sub(q.start)) * permitWaitShare)
 	if q.service.Engine == nil {
-		return q.bounded(share)
+		return q.limitHold(share)
 	}
-	share = max(share, time.Duration(float64(q.route.Objective)*leastShare))
-	return q.bounded(min(share, time.Duration(float64(q.route.Objective)*mostShare)))
+	share = max(share, time.Duration(float64(q.route.Objective)*minWaitShare))
+	return q.limitHold(min(share, time.Duration(float64(q.route.Objective)*maxWaitShare)))
 }
 
-// warm lists the upstreams that may answer the request and that this host has an
+// warmUpstreams lists the upstreams that may answer the request and that this host has an
 // idle connection to.
-func (q *request) warm() []string {
+func (q *request) warmUpstreams() []string {
 	var out []string
 	for _, e := range q.g.deps.Fleet.EntriesWithModel(q.service.Name, q.ask.Model) {
 		if q.g.deps.Client.HasIdleConnection(e.Address()) {
@@ -136,11 +136,11 @@
 	return out
 }
 
-// noTurn turns an answer without an upstream into what the wait goes by.
-func (q *request) noTurn(t *Permit) (*fleet.Entry, picked, bool) {
-	p := picked{Decision: balance.Decision{Index: -1, Reason: t.Reason, AdapterTarget: -1, MinBackoff: t.RetryAfter}, inVain: t.RetryAfter > 0, among: len(q.g.deps.Fleet.EntriesOfService(q.service.Name))}
-	if home, ok := q.g.deps.Fleet.Entry(t.AdapterUpstream); ok && t.Reason == balance.NoAdapter {
-		p.home = home
+// withoutPermit turns an answer without an upstream into what the wait goes by.
+func (q *request) withoutPermit(permit *Permit) (*fleet.Entry, selection, bool) {
+	p := selection{Decision: balance.Decision{Index: -1, Reason: permit.Reason, AdapterTarget: -1, MinBackoff: permit.RetryAfter}, unservable: permit.RetryAfter > 0, candidates: len(q.g.deps.Fleet.EntriesOfService(q.service.Name))}
+	if home, ok := q.g.deps.Fleet.Entry(permit.AdapterUpstream); ok && permit.Reason == balance.NoAdapter {
+		p.adapterUpstream = home
 	}
 	return nil, p, true
 }
--- a/node/gate/wait_test.go
+++ b/node/gate/wait_test.go
@@ -34,25 +34,27 @@
 	return ResponseInfo{AttemptID: "a1", Sealed: true}
 }
 
-// modelless is a host that decides for all and knows of no upstream with any model.
-type modelless struct{ asked, wanted atomic.Int32 }
+// noModelCoordinator is a host that decides for all and knows of no upstream with any model.
+type noModelCoordinator struct{ permitRequests, demandRecords atomic.Int32 }
 
-func (m *modelless) LoadAdapter(context.Context, string, string, string) error { return nil }
+func (m *noModelCoordinator) LoadAdapter(context.Context, string, string, string) error { return nil }
 
-func (m *modelless) RequestPermit(context.Context, *PermitRequest) (*Permit, error) {
-	m.asked.Add(1)
+func (m *noModelCoordinator) RequestPermit(context.Context, *PermitRequest) (*Permit, error) {
+	m.permitRequests.Add(1)
 	return &Permit{Reason: balance.NoModel}, nil
 }
 
-func (m *modelless) RecordDemand(string, *RequestInfo, int, time.Duration, bool) { m.wanted.Add(1) }
+func (m *noModelCoordinator) RecordDemand(string, *RequestInfo, int, time.Duration, bool) {
+	m.demandRecords.Add(1)
+}
 
-// waiting is a gate with one upstream at address, which holds the model "old".
-func waiting(models Coordinator, address string) (*Gate, *fleet.Fleet) {
-	return before(deploy.Upstream{Address: address, Slots: 4, Residents: []deploy.Resident{{Model: "old"}}}, models, deploy.Route{Objective: 3 * time.Second})
+// newGate is a gate with one upstream at address, which holds the model "old".
+func newGate(models Coordinator, address string) (*Gate, *fleet.Fleet) {
+	return newGateFor(deploy.Upstream{Address: address, Slots: 4, Residents: []deploy.Resident{{Model: "old"}}}, models, deploy.Route{Objective: 3 * time.Second})
 }
 
-// before is a gate before one upstream, with one route.
-func before(u deploy.Upstream, models Coordinator, r deploy.Route) (*Gate, *fleet.Fleet) {
+// newGateFor is a gate before one upstream, with one route.
+func newGateFor(u deploy.Upstream, models Coordinator, r deploy.Route) (*Gate, *fleet.Fleet) {
 	u.ID, u.Service = "u", "s"
 	r.Name, r.Host, r.Prefix, r.Timeout, r.Attempts, r.Splits = "r", "example.com", "/", 10*time.Second, 1, []deploy.Split{{Service: "s", Weight: 1}}
 	log := event.NewLog(nil)
@@ -70,11 +72,11 @@
 // Sequence: requests wait for a model that no upstream holds, while those of
 // others end hundreds of times a second.
 // Cause: each end wakes all that wait, and each of them asks again.
-func TestARequestThatWaitsForAModelAsksOnceForIt(t *testing.T) {
+func TestARequestThatWaitsForAModelAsksTheCoordinatorOnce(t *testing.T) {
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	defer up.Close()
-	models := &modelless{}
-	g, f := waiting(models, up.Listener.Addr().String())
+	models := &noModelCoordinator{}
+	g, f := newGate(models, up.Listener.Addr().String())
 	r := httptest.NewRequest(http.MethodPost, "http://example.com/x", nil)
 	r.Header.Set("Model", "new")
 	w := httptest.NewRecorder()
@@ -84,7 +86,7 @@
 		g.ServeHTTP(w, r)
 	}()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if models.wanted.Load() >= 2 { // once as any request, once as one that waits
+		if models.demandRecords.Load() >= 2 { // once as any request, once as one that waits
 			return poll.Success()
 		}
 		return poll.Continue("the request does not wait yet")
@@ -93,10 +95,10 @@
 		f.NotifyChanged()
 		time.Sleep(time.Millisecond)
 	}
-	assert.Equal(t, models.asked.Load(), int32(1))
+	assert.Equal(t, models.permitRequests.Load(), int32(1))
 	began := time.Now()
 	f.ApplyResidency([]fleet.Residency{{Upstream: "u", Residents: []deploy.Resident{{Model: "new"}}}}, began)
 	<-done
-	assert.Assert(t, time.Since(began) < modelLook/2, "it goes on as soon as an upstream holds the model")
+	assert.Assert(t, time.Since(began) < modelPollInterval/2, "it goes on as soon as an upstream holds the model")
 	assert.Equal(t, w.Code, http.StatusOK)
 }
--- a/node/gate/wire.go
+++ b/node/gate/wire.go
@@ -55,7 +55,7 @@
 	// Request decodes what a caller sent.
 	DecodeRequest(h http.Header) RequestInfo
 	// Sending sets what is this host's to set, in place of whatever a caller put there.
-	SetAttempt(h http.Header, s AttemptInfo)
+	SetAttempt(h http.Header, info AttemptInfo)
 	// Answer decodes an upstream's head.
 	DecodeResponse(status int, h http.Header) ResponseInfo
 }
--- a/node/metrics/metrics.go
+++ b/node/metrics/metrics.go
@@ -78,8 +78,8 @@
 	StoreCalls Name = "store_calls_total"
 )
 
-// ofRuntime are the metrics that the runtime keeps.
-var ofRuntime = map[Name]string{
+// runtimeMetrics are the metrics that the runtime keeps.
+var runtimeMetrics = map[Name]string{
 	HeapLive:    "/gc/heap/live:bytes",
 	Stacks:      "/memory/classes/heap/stacks:bytes",
 	Collections: "/gc/cycles/total:gc-cycles",
@@ -92,14 +92,14 @@
 	mu     sync.Mutex // guards creation of nested maps
 	tokens atomic.Int64
 
-	timings sync.Map // of *timing by name and kind
+	histograms sync.Map // of *timing by name and kind
 }
 
 // New makes an empty set.
 func New() *Set {
 	s := &Set{root: new(expvar.Map).Init()}
 	s.root.Set(string(Tokens), expvar.Func(func() any { return s.tokens.Load() }))
-	for n, name := range ofRuntime {
+	for n, name := range runtimeMetrics {
 		s.SetFunc(n, func() any {
 			sample := []metrics.Sample{{Name: name}}
 			metrics.Read(sample)
@@ -110,8 +110,8 @@
 }
 
 // Add adds to a counter of one upstream.
-func (s *Set) Add(n Name, dataCentre, upstream string, by int64) {
-	s.nested(s.nested(s.root, string(n)), dataCentre).Add(upstream, by)
+func (s *Set) Add(n Name, group, upstream string, by int64) {
+	s.nested(s.nested(s.root, string(n)), group).Add(upstream, by)
 }
 
 func (s *Set) nested(m *expvar.Map, key string) *expvar.Map {
@@ -161,31 +161,31 @@
 
 // Bounds of the durations that are told apart, in microseconds.
 const (
-	shortestMicros = 1
-	longestMicros  = 120_000_000
-	digits         = 2
+	minMicros         = 1
+	maxMicros         = 120_000_000
+	significantDigits = 2
 )
 
-// timing is one histogram of durations.
-type timing struct {
+// histogram is one histogram of durations.
+type histogram struct {
 	mu sync.Mutex
 	h  *hdrhistogram.Histogram
 }
 
 // Observe adds a duration to a histogram.
 func (s *Set) Observe(n Name, kind string, d time.Duration) {
-	t, _ := s.timings.LoadOrStore(string(n)+"{"+kind+"}", &timing{h: hdrhistogram.New(shortestMicros, longestMicros, digits)})
-	own := t.(*timing)
+	t, _ := s.histograms.LoadOrStore(string(n)+"{"+kind+"}", &histogram{h: hdrhistogram.New(minMicros, maxMicros, significantDigits)})
+	own := t.(*histogram)
 	own.mu.Lock()
 	defer own.mu.Unlock()
-	_ = own.h.RecordValue(min(max(d.Microseconds(), shortestMicros), longestMicros)) // within the bounds it cannot fail
+	_ = own.h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros)) // within the bounds it cannot fail
 }
 
 // WriteText writes every counter and histogram as lines "name value".
 func (s *Set) WriteText(w io.Writer) {
 	writeMap(w, "", s.root)
-	s.timings.Range(func(name, t any) bool {
-		own := t.(*timing)
+	s.histograms.Range(func(name, t any) bool {
+		own := t.(*histogram)
 		own.mu.Lock()
 		defer own.mu.Unlock()
 		fmt.Fprintf(w, "%s_count %d\n", name, own.h.TotalCount())
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -53,12 +53,12 @@
 try "bound of what is prepared for" core/replica/prior.go \
   'sum > most' 'false && sum > most' ./core/replica
 try "wait for a model on its way" node/gate/pick.go \
-  'if !coming || q.started' 'if true || !coming || q.started' ./node/gate -run 'OnItsWay|TooLate'
+  'if !loading || q.started' 'if true || !loading || q.started' ./node/gate -run 'ThatIsLoading|TooLate'
 try "bound of prompts at an upstream for all requests" node/gate/pick.go \
-  'return balance.ReadingFor(q.route.PauseBound, q.service.Engine.EventTokens)' \
+  'return balance.PendingPromptLimit(q.route.PauseBound, q.service.Engine.EventTokens)' \
   'return 0' ./node/gate -run 'OthersLate'
 try "requests that an upstream lost go first" node/gate/pick.go \
-  'if lost && now.Sub' 'if false && now.Sub' ./node/gate -run 'BeforeWhatIsNew'
+  'if lostByUpstream && now.Sub' 'if false && now.Sub' ./node/gate -run 'PrecedesNewOnes'
 try "holdings told once" node/coordinator/coordinator.go \
   'if !u.news() && u.revision.Load() > 0 {' 'if false {' ./node/coordinator -run 'OnlyWhatIsNew'
 try "packed configuration" node/coordinator/relay.go \
@@ -77,9 +77,9 @@
   's.undo(at)
 	if' 'if' ./node/coordinator
 try "answer to another attempt" node/gate/attempt.go \
-  'facts.Attempt != "" && facts.Attempt != q.facts.Attempt' 'false' ./platform -run 'Answers'
+  'info.AttemptID != "" && info.AttemptID != q.info.AttemptID' 'false' ./platform -run 'Answers'
 try "upstream's seal" node/gate/attempt.go \
-  '(!facts.Sealed || facts.Attempt == "")' 'false' ./platform -run 'Answers'
+  '(!info.Sealed || info.AttemptID == "")' 'false' ./platform -run 'Answers'
 try "no reuse of a connection that spoke" node/upstream/conn/pool.go \
   '&& quiet(l.nc)' '' ./node/upstream/conn
 try "a request before the close that was asked for" node/drain/conn.go \
@@ -148,9 +148,9 @@
 try "at most the route's attempts" node/gate/gate.go \
   'q.maybe < max(q.route.Attempts, 1) && q.mayGoOn(res)' '(q.mayGoOn(res) || true)' ./node/gate
 try "nothing after the beginning of an answer" node/gate/gate.go \
-  'if q.begun {' 'if false {' ./node/gate -run 'LargeAnswer'
+  'if q.largeStarted {' 'if false {' ./node/gate -run 'LargeResponse'
 try "an attempt whose answer has begun" node/gate/attempt.go \
-  'if !l.stay() {' 'if false {' ./node/gate -run 'LargeAnswer'
+  'if !fo.stay() {' 'if false {' ./node/gate -run 'LargeResponse'
 try "last lines of the log" node/event/sink.go \
   'len(buf) > 0 && time.Now().Before(end); buf = s.gather(buf[:0])' 'len(buf) > 0 && time.Now().Before(end); buf = nil' ./node/event
 try "kinds that may run again" node/gate/gate.go \
@@ -179,7 +179,7 @@
 try "the key is not passed on" platform/headers.go \
   '"Kv-Fetch", headerKey, headerTeam}' '"Kv-Fetch"}' ./platform -run 'NeverTheKey'
 try "a key that was taken away" node/gate/gate.go \
-  'if q.revoked() {' 'if false {' ./platform -run 'KeyWasTakenAway'
+  'if q.keyRevoked() {' 'if false {' ./platform -run 'KeyWasTakenAway'
 try "one key in two teams" core/deploy/team.go \
   'if other, ok := owners[k]; ok && other != team {' 'if other := 0; false {' ./core/deploy
 try "a limit is charged with the turn" node/coordinator/turns.go \
@@ -188,9 +188,9 @@
 	}
 ' '' ./node/coordinator ./platform -run 'Limit'
 try "a limit of a call without a turn" node/gate/caller.go \
-  'if !q.caller.owes() {' 'if true {' ./node/gate ./platform -run 'Limit|Pays'
+  'if !q.caller.owesCharge() {' 'if true {' ./node/gate ./platform -run 'Limit|Pays'
 try "what has not run is given back" node/gate/gate.go \
-  '	defer q.giveBack()
+  '	defer q.refundCharge()
 ' '' ./node/gate
 try "hosts that hear nobody pass a part" core/quota/share.go \
   'draw*asked >= aloneShare*s.limit.PerSecond' 'draw*asked < 0' ./core/quota
@@ -221,11 +221,11 @@
 try "bars are kept for a loss of all hosts" node/coordinator/quarantinerows.go \
   'return !q.rows.read || len(q.changesLocked(now)) > 0' 'return false' ./platform -run 'BarOutlivesAll'
 try "a run that lasted is not blamed" node/gate/poison.go \
-  '!q.ranSince.IsZero() &&' 'false && !q.ranSince.IsZero() &&' ./node/gate -run 'NotBlamed'
+  '!q.responseSince.IsZero() &&' 'false && !q.responseSince.IsZero() &&' ./node/gate -run 'NotBlamed'
 try "what is barred is looked at before each send" node/gate/gate.go \
   'if q.refuseBarred(d) {' 'if false {' ./node/gate -run 'SentAgain'
 try "a run to its end clears" node/gate/poison.go \
-  'q.g.deps.Guard.Completed(q.content)' '' ./node/gate -run 'RanToItsEnd'
+  'q.g.deps.PoisonGuard.RecordCompleted(q.content)' '' ./node/gate -run 'CompletedRequestIsRecorded'
 try "a pick heeds what an upstream takes" node/fleet/entry.go \
   'out.Backoff = e.backoffLocked(now)' '' ./node/fleet ./platform -run 'ItsShare|LimitOfAnUpstream|InTheRest'
 try "a turn heeds what an upstream takes" node/coordinator/turns.go \
@@ -246,11 +246,11 @@
 try "an older entry of the list does not win" node/fleet/entry.go \
   'e.gone, e.leaving, e.useUntil = false, e.signal.Leaving, time.Time{}' 'e.gone, e.leaving, e.useUntil = false, false, time.Time{}' ./node/fleet
 try "a rest is kept" node/gate/signals.go \
-  'e.Rest(a.Rest)' '' ./platform -run 'InTheRest'
+  'e.Rest(info.Backoff)' '' ./platform -run 'InTheRest'
 try "a grant that is not counted is not used" node/gate/turn.go \
-  'e.Limit().Named && !t.WithinLimit' 'false' ./node/gate -run 'NotCounted'
+  'e.Limit().Named && !permit.WithinLimit' 'false' ./node/gate -run 'NotCounted'
 try "what nothing takes in time is refused at once" node/gate/pick.go \
-  'p.Reason == balance.AllBackoff && !q.started && (p.inVain ||' 'false && (p.inVain ||' ./platform -run 'SoonestTime'
+  'p.Reason == balance.AllBackoff && !q.started && (p.unservable ||' 'false && (p.unservable ||' ./platform -run 'SoonestTime'
 try "somebody acts while nobody can take the lease" node/coordinator/lead.go \
   'case !own.Acting() && d.Link.comesFirst(ctx):' 'case false:' ./platform -run 'NobodyCanTake'
 exit $missed
