--- a/node/demand/demand.go
+++ b/node/demand/demand.go
@@ -1,6 +1,6 @@
-// Package demand measures what callers ask of each model and adapter: how many
-// requests are in progress or waiting at once, as means over a short and a
-// long time. The planners work with the sum over all hosts.
+// Package demand measures the demand for each model and adapter: the number of
+// requests in progress or waiting at once, averaged over a short and a long time.
+// The planners use the sum over all hosts.
 package demand
 
 import (
@@ -14,22 +14,22 @@
 	"peridotpier.example/core/place"
 )
 
-// sampleInterval is the time between two samples of the requests at once.
+// sampleInterval is the time between two samples of the concurrent requests.
 const sampleInterval = time.Second
 
-// negligible is the demand below which a key is forgotten.
+// negligible is the demand below which a key is removed.
 const negligible = 0.001
 
 const shardCount = 16
 
-// Config sets the two means' time constants.
+// Config sets the time constants of the two averages.
 type Config struct {
 	Short time.Duration
 	Long  time.Duration
 }
 
-// DefaultConfig fits models whose demand moves tenfold within an hour, with
-// bursts of seconds on top: those must not show in the long mean.
+// DefaultConfig fits models whose demand changes tenfold within an hour, with bursts
+// of seconds on top, which must not show in the long average.
 func DefaultConfig() Config { return Config{Short: 30 * time.Second, Long: 5 * time.Minute} }
 
 // Tracker counts requests by key, in shards, each under its own lock.
@@ -49,7 +49,7 @@
 	mean       place.Demand
 }
 
-// New makes a Tracker; Run samples.
+// New creates a Tracker; Run samples it.
 func New(cfg Config) *Tracker {
 	if cfg.Short == 0 || cfg.Long == 0 {
 		cfg = DefaultConfig()
@@ -61,7 +61,7 @@
 	return t
 }
 
-// lockedCount returns a key's count with its shard locked.
+// lockedCount returns a key's count, with its shard locked.
 func (t *Tracker) lockedCount(k place.Key) (*shard, *count) {
 	s := &t.shards[(xxhash.Sum64String(k.Model)^xxhash.Sum64String(k.Adapter))%shardCount]
 	s.mu.Lock()
@@ -80,8 +80,8 @@
 	s.mu.Unlock()
 }
 
-// End counts a request's end. One that was refused for want of room still
-// shows as demand: it would have been in progress, had it been let in.
+// End counts the end of a request. A request that was refused for lack of capacity
+// still counts as demand: it would have been in progress had it been admitted.
 func (t *Tracker) End(k place.Key, refused bool) {
 	s, c := t.lockedCount(k)
 	c.inProgress--
@@ -91,7 +91,7 @@
 	s.mu.Unlock()
 }
 
-// Run samples until ctx ends.
+// Run takes samples until ctx ends.
 func (t *Tracker) Run(ctx context.Context) error {
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
@@ -105,7 +105,7 @@
 	}
 }
 
-// Sample moves the means on by the time since the last sample.
+// Sample updates the averages for the time elapsed since the last sample.
 func (t *Tracker) Sample(elapsed time.Duration) {
 	short, long := weight(elapsed, t.cfg.Short), weight(elapsed, t.cfg.Long)
 	for i := range t.shards {
@@ -124,7 +124,8 @@
 	}
 }
 
-// weight is the part of a mean that passes to the present in a given time.
+// weight returns the weight of a new sample in an average, for the time elapsed since
+// the last sample and the average's time constant.
 func weight(elapsed, timeConstant time.Duration) float64 {
 	return 1 - math.Exp(-elapsed.Seconds()/timeConstant.Seconds())
 }
--- a/node/demand/demand_test.go
+++ b/node/demand/demand_test.go
@@ -10,9 +10,9 @@
 	"peridotpier.example/node/demand"
 )
 
-// Symptom: a burst of seconds moves models about.
-// Sequence: a quiet model gets forty requests at once for three seconds.
-// Cause: the demand that a move is decided on forgets too fast.
+// Guards against bursts of seconds that cause models to be moved: an idle model gets
+// forty requests at once for three seconds, and the demand that moves are decided on
+// must not follow so fast.
 func TestABurstOfSecondsHardlyShowsInTheLongAverage(t *testing.T) {
 	tr := demand.New(demand.DefaultConfig())
 	k := place.Key{Model: "m"}
--- a/node/metrics/metrics.go
+++ b/node/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics counts what a host does. Each host has its own set, shown
-// through expvar's format on the operators' listener; several hosts in one
-// process, as in the demo, do not share counts.
+// Package metrics holds the counters, gauges and histograms of a host. Each host has
+// its own set, published in expvar's format on the operators' listener; several hosts
+// in one process, as in the demo, do not share metrics.
 package metrics
 
 import (
@@ -18,13 +18,13 @@
 // Name is the name of a metric, with its unit as suffix.
 type Name string
 
-// Counters by data centre and upstream. None is kept by request: their number
-// must not grow with traffic.
+// Counters by data centre (or service) and upstream. There are none by request, since
+// the number of metrics must not grow with traffic.
 const (
 	Attempts   Name = "attempts_total"
 	Refused    Name = "attempts_refused_total"
 	Mismatched Name = "answers_crossed_total"
-	// BackoffsRequested counts answers that asked this host to send nothing for a while.
+	// BackoffsRequested counts responses that asked this host to send nothing for a while.
 	BackoffsRequested Name = "attempts_rest_asked_total"
 	Resumed           Name = "streams_resumed_total"
 )
@@ -38,47 +38,47 @@
 	Tokens            Name = "tokens_relayed_total"
 	Retries           Name = "requests_sent_again_total"
 	CallerDisconnects Name = "requests_left_by_caller_total"
-	BackedOff         Name = "requests_backed_off_total" // refused since all upstreams asked for a pause
+	BackedOff         Name = "requests_backed_off_total" // refused since all upstreams asked for a backoff
 	InFlight          Name = "requests_in_flight"
 	ConfigVersion     Name = "configuration_version"
 	UnresolvedClaims  Name = "claims_unsettled"
-	// UnresolvedClaimBytes are the bytes of their answers.
+	// UnresolvedClaimBytes is the size of the responses of the unresolved claims.
 	UnresolvedClaimBytes Name = "claims_unsettled_bytes"
-	HeapLive             Name = "memory_heap_live_bytes" // as the last collection found it
+	HeapLive             Name = "memory_heap_live_bytes" // as of the last garbage collection
 	Stacks               Name = "memory_stacks_bytes"
 	Collections          Name = "memory_collections_total"
 	Goroutines           Name = "goroutines"
 )
 
-// Counters and gauges of requests that end upstreams.
+// Counters and gauges of requests that crash upstreams.
 const (
-	UpstreamsTerminated Name = "upstreams_ended_total"     // with a request of this host under way
-	RequestsBarred      Name = "requests_barred_total"     // refused because they end upstreams
-	PoisonSuspects      Name = "poison_requests_suspected" // as this host knows
-	PoisonBarred        Name = "poison_requests_barred"    // likewise
+	UpstreamsTerminated Name = "upstreams_ended_total"     // with a request of this host in flight
+	RequestsBarred      Name = "requests_barred_total"     // refused because they crash upstreams
+	PoisonSuspects      Name = "poison_requests_suspected" // known to this host
+	PoisonBarred        Name = "poison_requests_barred"    // known to this host
 )
 
 // Counters and gauges of the callers' connections.
 const (
 	CallersAccepted   Name = "caller_connections_accepted_total"
-	CallersClosed     Name = "caller_connections_closed_total"            // by reason, or by the state in which it closed
+	CallersClosed     Name = "caller_connections_closed_total"            // by reason, or by the state in which the connection was closed
 	CallersUnanswered Name = "caller_connections_closed_unanswered_total" // by reason: with a request begun and not answered
 	CallersOpen       Name = "caller_connections_open"
-	CallersActive     Name = "caller_connections_under_way" // with something of a request that is not answered
+	CallersActive     Name = "caller_connections_under_way" // with at least part of a request that is not answered
 )
 
-// Counters of what hosts tell each other and ask of the platform's store, by kind.
+// Counters of traffic between hosts and with the platform's store, by kind.
 const (
-	// PeerBytes are the bytes of reports, by PeerKind, and of what answers to
-	// them bring, by field.
+	// PeerBytes counts the bytes of reports, by kind, and of the responses to them, by
+	// field.
 	PeerBytes Name = "peer_bytes_total"
-	// PeerCalls counts the calls that hosts make of the one that acts for all.
+	// PeerCalls counts the calls that other hosts make to the acting coordinator.
 	PeerCalls Name = "peer_calls_total"
-	// StoreCalls counts calls of the platform's store, by table and reason.
+	// StoreCalls counts calls to the platform's store, by table and reason.
 	StoreCalls Name = "store_calls_total"
 )
 
-// runtimeMetrics are the metrics that the runtime keeps.
+// runtimeMetrics maps metrics to the Go runtime's metrics that they show.
 var runtimeMetrics = map[Name]string{
 	HeapLive:    "/gc/heap/live:bytes",
 	Stacks:      "/memory/classes/heap/stacks:bytes",
@@ -86,16 +86,16 @@
 	Goroutines:  "/sched/goroutines:goroutines",
 }
 
-// Set is one host's metrics.
+// Set is the set of metrics of one host.
 type Set struct {
 	root   *expvar.Map
 	mu     sync.Mutex // guards creation of nested maps
 	tokens atomic.Int64
 
-	histograms sync.Map // of *timing by name and kind
+	histograms sync.Map // of *histogram by name and kind
 }
 
-// New makes an empty set.
+// New creates an empty set.
 func New() *Set {
 	s := &Set{root: new(expvar.Map).Init()}
 	s.root.Set(string(Tokens), expvar.Func(func() any { return s.tokens.Load() }))
@@ -109,7 +109,7 @@
 	return s
 }
 
-// Add adds to a counter of one upstream.
+// Add adds to a counter of one upstream, grouped by data centre or service.
 func (s *Set) Add(n Name, group, upstream string, by int64) {
 	s.nested(s.nested(s.root, string(n)), group).Add(upstream, by)
 }
@@ -131,10 +131,10 @@
 // Count adds to a counter or gauge of the host.
 func (s *Set) Count(n Name, by int64) { s.root.Add(string(n), by) }
 
-// CountKind adds to one kind of a counter of the host. The kinds must be few.
+// CountKind adds to one kind of a counter of the host. There must be few kinds.
 func (s *Set) CountKind(n Name, kind string, by int64) { s.nested(s.root, string(n)).Add(kind, by) }
 
-// CountsByKind returns a counter of the host by kind.
+// CountsByKind returns the values of a counter of the host by kind.
 func (s *Set) CountsByKind(n Name) map[string]int64 {
 	out := map[string]int64{}
 	m, ok := s.root.Get(string(n)).(*expvar.Map)
@@ -149,17 +149,17 @@
 	return out
 }
 
-// AddTokens counts relayed tokens; it is on the path of each of them.
+// AddTokens counts forwarded tokens; it is called for each token.
 func (s *Set) AddTokens(by int) { s.tokens.Add(int64(by)) }
 
 // Histograms of durations, by kind.
 const (
 	ResponseTime  Name = "answer_time"
 	FirstByteTime Name = "first_byte_time"
-	ShutdownTime  Name = "stop_time" // from the signal to the end
+	ShutdownTime  Name = "stop_time" // from the signal to the end of the process
 )
 
-// Bounds of the durations that are told apart, in microseconds.
+// Range, in microseconds, and significant digits of the histograms.
 const (
 	minMicros         = 1
 	maxMicros         = 120_000_000
@@ -178,10 +178,10 @@
 	own := t.(*histogram)
 	own.mu.Lock()
 	defer own.mu.Unlock()
-	_ = own.h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros)) // within the bounds it cannot fail
+	_ = own.h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros)) // cannot fail within the range
 }
 
-// WriteText writes every counter and histogram as lines "name value".
+// WriteText writes all counters and histograms as lines "name value".
 func (s *Set) WriteText(w io.Writer) {
 	writeMap(w, "", s.root)
 	s.histograms.Range(func(name, t any) bool {
@@ -207,8 +207,8 @@
 	})
 }
 
-// SetFunc shows a value that is worked out when it is read.
+// SetFunc publishes a metric whose value is computed when it is read.
 func (s *Set) SetFunc(n Name, f func() any) { s.root.Set(string(n), expvar.Func(f)) }
 
-// String renders the set as JSON.
+// String returns the counters and gauges of the set as JSON.
 func (s *Set) String() string { return s.root.String() }
--- a/node/pace/signal.go
+++ b/node/pace/signal.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Signal wakes all that wait for its next giving.
+// Signal is a broadcast that wakes all goroutines waiting for its next notification.
 type Signal struct {
 	mu sync.Mutex
-	ch chan struct{} // nil: nobody has waited since the last giving
+	ch chan struct{} // nil: nobody has waited since the last notification
 }
 
-// Next returns a channel that is closed when the signal is given next.
+// Next returns a channel that is closed at the next notification.
 func (s *Signal) Next() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -22,7 +22,7 @@
 	return s.ch
 }
 
-// Notify wakes those that wait.
+// Notify wakes all waiting goroutines.
 func (s *Signal) Notify() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,7 +32,8 @@
 	}
 }
 
-// SleepOrWake waits for d, or until ch is closed, and says whether ctx is still alive.
+// SleepOrWake waits for d, or until ch is closed or ctx is done, and reports whether ctx
+// is still active.
 func SleepOrWake(ctx context.Context, d time.Duration, ch <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
