--- a/node/gate/attempt.go
+++ b/node/gate/attempt.go
@@ -39,7 +39,7 @@
 	defer cancel(nil)
 	x := e.Begin(&q.ask, q.cost)
 	if p.permit != nil {
-		x.RecordPendingPrompts(p.waitingTokens)
+		x.RecordPendingPrompts(p.pendingPromptTokens)
 		if q.ask.Model != "" || p.permit.IsProbe { // for other calls only the end counts
 			x.OnFirstByte(p.permit.Began)
 		}
@@ -59,7 +59,7 @@
 	now := d.Now()
 	q.sentAt = now
 	d.Log.Emit(event.RequestSent, q.id(), q.routeName(), q.teamName(), zap.String(event.FieldPeer, e.ID()), zap.Int("among", p.candidates),
-		zap.Int("load", p.requests), zap.Int("prompt", q.cost.PromptTokens), zap.Int("cached", p.cachedTokens), zap.Int("waiting", p.waitingTokens), zap.Int64("predicted_ms", p.PredictedWait.Milliseconds()), zap.Uint64("version", q.configVersion),
+		zap.Int("load", p.inFlight), zap.Int("prompt", q.cost.PromptTokens), zap.Int("cached", p.cachedTokens), zap.Int("waiting", p.pendingPromptTokens), zap.Int64("predicted_ms", p.PredictedWait.Milliseconds()), zap.Uint64("version", q.configVersion),
 		zap.Int64("held_ms", now.Sub(q.start).Milliseconds()), zap.String("model", q.ask.Model), zap.String("adapter", q.ask.Adapter),
 		zap.Bool("by_turn", p.permit != nil), limitField(e))
 	d.Metrics.Add(metrics.Attempts, q.service.Name, e.ID(), 1)
--- a/node/gate/pick.go
+++ b/node/gate/pick.go
@@ -17,15 +17,15 @@
 // selection is the result of one attempt to select an upstream.
 type selection struct {
 	balance.Decision
-	candidates      int          // number of upstreams considered
-	adapterUpstream *fleet.Entry // where an adapter should be loaded; nil: nowhere
-	requests        int          // known number of requests at the selected upstream
-	waitingTokens   int          // known number of prompt tokens waiting there
-	cachedTokens    int          // prompt tokens that are probably cached there
-	permit          *Permit      // granted by the acting coordinator; nil: this host selected the upstream
-	unservable      bool         // no upstream accepts the request within its maximum wait
-	overLimit       bool         // the request is over its team's limit; only retryAfter is set beside it
-	retryAfter      time.Duration
+	candidates          int          // number of upstreams considered
+	adapterUpstream     *fleet.Entry // where an adapter should be loaded; nil: nowhere
+	inFlight            int          // known number of requests at the selected upstream
+	pendingPromptTokens int          // known number of prompt tokens waiting there
+	cachedTokens        int          // prompt tokens that are probably cached there
+	permit              *Permit      // granted by the acting coordinator; nil: this host selected the upstream
+	unservable          bool         // no upstream accepts the request within its maximum wait
+	overLimit           bool         // the request is over its team's limit; only retryAfter is set beside it
+	retryAfter          time.Duration
 }
 
 // choose requests a permit, or selects an upstream by what this host knows. Where
@@ -110,7 +110,7 @@
 	r := balance.Request{Model: q.ask.Model, Adapter: q.ask.Adapter, PromptTokens: q.cost.PromptTokens, OutputTokens: q.cost.OutputTokens}
 	if q.service.Engine != nil {
 		r.CacheTokens = q.service.Engine.CacheTokens
-		r.MaxPendingPromptTokens = q.maxWaitingTokens(now, lostByUpstream)
+		r.MaxPendingPromptTokens = q.maxPendingPromptTokens(now, lostByUpstream)
 	}
 	p := selection{Decision: balance.Pick(endpoints, &r, d.Rand), candidates: len(entries)}
 	if p.AdapterTarget >= 0 {
@@ -123,11 +123,11 @@
 		return nil, p
 	}
 	chosen := &endpoints[p.Index]
-	p.requests, p.waitingTokens, p.cachedTokens = chosen.InFlight, chosen.PendingPromptTokens, chosen.CachedTokens
+	p.inFlight, p.pendingPromptTokens, p.cachedTokens = chosen.InFlight, chosen.PendingPromptTokens, chosen.CachedTokens
 	return entries[p.Index], p
 }
 
-// maxWaitingTokens returns how many prompt tokens may be waiting at the upstream
+// maxPendingPromptTokens returns how many prompt tokens may be waiting at the upstream
 // that the request is sent to; 0: unbounded. The bound holds however long the
 // request has waited: for a model in higher demand than its upstreams can serve,
 // requests that were sent anyway once their time ran short delayed those that
@@ -135,7 +135,7 @@
 // only the excess being refused. It is lifted for a request that an upstream has
 // lost and that has waited for part of its objective, since its caller has been
 // waiting for a response already.
-func (q *request) maxWaitingTokens(now time.Time, lostByUpstream bool) int {
+func (q *request) maxPendingPromptTokens(now time.Time, lostByUpstream bool) int {
 	if q.service.Engine == nil {
 		return 0
 	}
--- a/node/gate/stream.go
+++ b/node/gate/stream.go
@@ -54,8 +54,8 @@
 	if q.lastPieceAt.IsZero() {
 		q.timeToFirst = now.Sub(q.start)
 	} else {
-		if gap := now.Sub(q.lastPieceAt); gap > q.longestPause {
-			q.longestPause, q.longestPauseAt = gap, q.lastPieceAt.Sub(q.start)
+		if pause := now.Sub(q.lastPieceAt); pause > q.longestPause {
+			q.longestPause, q.longestPauseAt = pause, q.lastPieceAt.Sub(q.start)
 		}
 	}
 	q.lastPieceAt = now
--- a/node/gate/turn.go
+++ b/node/gate/turn.go
@@ -64,7 +64,7 @@
 	ctx, cancel := context.WithTimeout(q.ctx, maxWait)
 	defer cancel()
 	defer q.cancelWithHoldLimit(cancel)()
-	req := &PermitRequest{Service: q.service.Name, Request: &q.ask, Cost: q.cost, Priority: q.urgency(), MaxPendingPromptTokens: q.maxWaitingTokens(now, q.lostByUpstream),
+	req := &PermitRequest{Service: q.service.Name, Request: &q.ask, Cost: q.cost, Priority: q.urgency(), MaxPendingPromptTokens: q.maxPendingPromptTokens(now, q.lostByUpstream),
 		ObjectiveLeft: q.start.Add(q.route.Objective).Sub(now), MaxWait: maxWait}
 	req.WithIdleConn, req.Backoffs = q.warmUpstreams(), d.Fleet.Backoffs(q.service.Name)
 	if q.caller.owesCharge() {
@@ -94,7 +94,7 @@
 		return nil, selection{}, false
 	}
 	p = selection{Decision: balance.Decision{PredictedWait: permit.Predicted}, candidates: len(d.Fleet.EntriesOfService(q.service.Name)),
-		requests: permit.InFlight, waitingTokens: permit.PendingPromptTokens, cachedTokens: permit.CachedTokens, permit: permit}
+		inFlight: permit.InFlight, pendingPromptTokens: permit.PendingPromptTokens, cachedTokens: permit.CachedTokens, permit: permit}
 	d.Log.Emit(event.TurnGiven, q.id(), zap.String(event.FieldPeer, permit.Upstream), zap.Int64("waited_ms", d.Now().Sub(now).Milliseconds()),
 		zap.Int("load", permit.InFlight), zap.Int("waiting", permit.PendingPromptTokens), zap.Int("cached", permit.CachedTokens))
 	return e, p, true
--- a/node/metrics/metrics.go
+++ b/node/metrics/metrics.go
@@ -175,24 +175,24 @@
 // Observe adds a duration to a histogram.
 func (s *Set) Observe(n Name, kind string, d time.Duration) {
 	t, _ := s.histograms.LoadOrStore(string(n)+"{"+kind+"}", &histogram{h: hdrhistogram.New(minMicros, maxMicros, significantDigits)})
-	own := t.(*histogram)
-	own.mu.Lock()
-	defer own.mu.Unlock()
-	_ = own.h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros)) // cannot fail within the range
+	hist := t.(*histogram)
+	hist.mu.Lock()
+	defer hist.mu.Unlock()
+	_ = hist.h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros)) // cannot fail within the range
 }
 
 // WriteText writes all counters and histograms as lines "name value".
 func (s *Set) WriteText(w io.Writer) {
 	writeMap(w, "", s.root)
 	s.histograms.Range(func(name, t any) bool {
-		own := t.(*histogram)
-		own.mu.Lock()
-		defer own.mu.Unlock()
-		fmt.Fprintf(w, "%s_count %d\n", name, own.h.TotalCount())
+		hist := t.(*histogram)
+		hist.mu.Lock()
+		defer hist.mu.Unlock()
+		fmt.Fprintf(w, "%s_count %d\n", name, hist.h.TotalCount())
 		for _, q := range []float64{50, 95, 99} {
-			fmt.Fprintf(w, "%s_p%.0f_us %d\n", name, q, own.h.ValueAtQuantile(q))
+			fmt.Fprintf(w, "%s_p%.0f_us %d\n", name, q, hist.h.ValueAtQuantile(q))
 		}
-		fmt.Fprintf(w, "%s_max_us %d\n", name, own.h.Max())
+		fmt.Fprintf(w, "%s_max_us %d\n", name, hist.h.Max())
 		return true
 	})
 }
