--- a/node/gate/attempt.go
+++ b/node/gate/attempt.go
@@ -51,9 +51,9 @@
 	fo := &failover{q: q, ctx: ctx, cancel: cancel}
 	defer fo.close()
 	if q.mayRunAgain() && q.sends < q.route.Attempts {
-		x.OnUnresponsive(fo.upstreamSilent)
+		x.OnUnresponsive(fo.onUnresponsive)
 		if q.route.Repeatable() && q.route.Objective > 0 {
-			defer time.AfterFunc(hedgeShare*q.route.Objective, fo.upstreamSlow).Stop()
+			defer time.AfterFunc(hedgeShare*q.route.Objective, fo.onSlow).Stop()
 		}
 	}
 	now := d.Now()
--- a/node/gate/crowded_test.go
+++ b/node/gate/crowded_test.go
@@ -32,11 +32,11 @@
 
 // newPlainGate returns a gate for a plain service with one upstream of six slots, at
 // which other hosts have the given number of requests.
-func newPlainGate(t *testing.T, models Coordinator, others int) *Gate {
+func newPlainGate(t *testing.T, coordinator Coordinator, others int) *Gate {
 	t.Helper()
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	t.Cleanup(up.Close)
-	g, f := newGateFor(deploy.Upstream{Address: up.Listener.Addr().String(), Slots: 6}, models, deploy.Route{Objective: 150 * time.Millisecond})
+	g, f := newGateFor(deploy.Upstream{Address: up.Listener.Addr().String(), Slots: 6}, coordinator, deploy.Route{Objective: 150 * time.Millisecond})
 	table := *g.deps.Config.Current().Config
 	table.Version++
 	table.Services = []deploy.Service{{Name: "s"}}
@@ -63,9 +63,9 @@
 	assert.Equal(t, callPlain(newPlainGate(t, m, 3)).Code, http.StatusOK)
 	assert.Equal(t, m.permitRequests.Load(), int32(1))
 	assert.Equal(t, m.released.Load(), int32(1))
-	quiet := &fixedCoordinator{}
-	assert.Equal(t, callPlain(newPlainGate(t, quiet, 2)).Code, http.StatusOK)
-	assert.Equal(t, quiet.permitRequests.Load(), int32(0), "without load there is no extra round trip")
+	idle := &fixedCoordinator{}
+	assert.Equal(t, callPlain(newPlainGate(t, idle, 2)).Code, http.StatusOK)
+	assert.Equal(t, idle.permitRequests.Load(), int32(0), "without load there is no extra round trip")
 }
 
 // Guards against a call without a permit in its time that is sent anyway and delays
--- a/node/gate/elsewhere.go
+++ b/node/gate/elsewhere.go
@@ -45,11 +45,11 @@
 	return ""
 }
 
-// upstreamSilent reports that nothing has arrived from the upstream for a while.
-func (f *failover) upstreamSilent() { f.startSearch(f.pieces.Load(), errUnresponsive) }
+// onUnresponsive is called when nothing has arrived from the upstream for a while.
+func (f *failover) onUnresponsive() { f.startSearch(f.pieces.Load(), errUnresponsive) }
 
-// upstreamSlow reports that the response has not started in time.
-func (f *failover) upstreamSlow() { f.startSearch(0, errSlow) }
+// onSlow is called when the response has not started in time.
+func (f *failover) onSlow() { f.startSearch(0, errSlow) }
 
 // startSearch starts searching for another upstream. It may be called from any
 // goroutine and does not block.
--- a/node/gate/gate.go
+++ b/node/gate/gate.go
@@ -1,7 +1,7 @@
 // Package gate is the data path of routed requests: it matches a request to a
 // route, picks an upstream, sends the request there and forwards the response. It
-// retries only requests that may be retried, and reports a request as not run only
-// if no upstream has run it.
+// retries only requests that may be retried, and reports as not run only requests
+// that no upstream has run.
 package gate
 
 import (
@@ -74,13 +74,13 @@
 	RetryBudget   *RetryBudget
 	Log           *event.Log
 	Metrics       *metrics.Set
-	Draining      func() bool // the host is about to stop: callers should use another host
+	Draining      func() bool // the host is draining: callers should use another host
 	RejectsNew    func() bool // new requests are refused, since they might not finish before the host stops
 	// HoldsLimited is done soon after Draining becomes true: from then on requests are
 	// held only briefly, so that those already sent can finish within the grace
 	// period. nil: never.
 	HoldsLimited context.Context
-	// Stopping is done when the host is about to stop: requests in flight then get
+	// Stopping is done when the process is about to end: requests in flight then get
 	// their final response at once. nil: never.
 	Stopping context.Context
 	// DisconnectReason returns how the connection of a request ended, given the
@@ -125,11 +125,11 @@
 	ctx, cancel := context.WithDeadlineCause(r.Context(), q.deadline, errTimeUp)
 	defer cancel()
 	defer q.refundCharge()
-	ctx, giveUp := context.WithCancelCause(ctx)
+	ctx, stop := context.WithCancelCause(ctx)
 	if g.deps.Stopping.Err() != nil {
-		giveUp(errStopping) // before anything is sent
+		stop(errStopping) // before anything is sent
 	}
-	defer context.AfterFunc(g.deps.Stopping, func() { giveUp(errStopping) })()
+	defer context.AfterFunc(g.deps.Stopping, func() { stop(errStopping) })()
 	rc := http.NewResponseController(w)
 	_ = rc.SetWriteDeadline(q.deadline.Add(writeGrace)) // a caller that does not read must not hold up the request
 	defer func() { _ = rc.SetWriteDeadline(time.Time{}) }()
@@ -143,7 +143,7 @@
 // errTimeUp is the cause for which requests end at their deadline.
 var errTimeUp = errors.New("time is up")
 
-// errStopping is the cause for which requests in flight end when the host is about to stop.
+// errStopping is the cause for which requests in flight end when the process is about to end.
 var errStopping = errors.New("the host stops")
 
 // request is the state of one caller's attempt. It is used by a single goroutine.
@@ -297,7 +297,7 @@
 	return false
 }
 
-// readBody reads until the end of the body, the request's deadline or the host's stop.
+// readBody reads until the end of the body, the request's deadline or Stopping is done.
 func (q *request) readBody(maxBytes int64) ([]byte, error) {
 	rc := http.NewResponseController(q.w)
 	_ = rc.SetReadDeadline(q.deadline)
@@ -324,21 +324,21 @@
 // run makes attempts until the request has its final response.
 func (q *request) run() {
 	for {
-		e, d := q.choose()
+		e, p := q.choose()
 		if e == nil {
-			if q.wait(d) {
+			if q.wait(p) {
 				continue
 			}
 			return
 		}
 		if q.keyRevoked() {
-			q.endRevoked(d)
+			q.endRevoked(p)
 			return
 		}
-		if q.refuseBarred(d) {
+		if q.refuseBarred(p) {
 			return
 		}
-		res := q.attempt(e, d)
+		res := q.attempt(e, p)
 		if res.done || !q.retryOrEnd(res) {
 			return
 		}
--- a/node/gate/large_test.go
+++ b/node/gate/large_test.go
@@ -22,10 +22,10 @@
 	slow := func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, begin)
 		_ = http.NewResponseController(w).Flush()
-		time.Sleep(4 * silence)
+		time.Sleep(4 * unresponsiveAfter)
 		_, _ = io.WriteString(w, rest)
 	}
-	host, _ := newSilenceGate(t, deploy.Idempotent, slow, slow)
+	host, _ := startFastDetectionHost(t, deploy.Idempotent, slow, slow)
 	_, body, err := sendOne(t, host)
 	assert.NilError(t, err)
 	assert.Assert(t, body == begin+rest, "%d bytes", len(body))
@@ -41,7 +41,7 @@
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
-	host, _ := newSilenceGate(t, deploy.Idempotent, broken, broken)
+	host, _ := startFastDetectionHost(t, deploy.Idempotent, broken, broken)
 	_, body, err := sendOne(t, host)
 	assert.Assert(t, err != nil, "a truncated response looks complete")
 	assert.Assert(t, len(body) <= len(begin), "%d bytes", len(body))
@@ -58,7 +58,7 @@
 			panic(http.ErrAbortHandler)
 		}
 	}
-	host, _ := newSilenceGate(t, deploy.Idempotent, once, once)
+	host, _ := startFastDetectionHost(t, deploy.Idempotent, once, once)
 	_, body, err := sendOne(t, host)
 	// The first may also break off before its beginning was forwarded; the second is then the response.
 	assert.Assert(t, err != nil || body == begin, "%d bytes of two responses look complete", len(body))
--- a/node/gate/poison_test.go
+++ b/node/gate/poison_test.go
@@ -24,10 +24,10 @@
 	barredUntil  time.Time
 }
 
-func (b *crashRecorder) RecordBroken(_, _ string, m poison.Fingerprint) {
+func (b *crashRecorder) RecordBroken(_, _ string, fingerprint poison.Fingerprint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.broken = append(b.broken, m)
+	b.broken = append(b.broken, fingerprint)
 }
 
 func (b *crashRecorder) RecordCompleted(r *poison.Request) {
@@ -46,7 +46,7 @@
 func (b *crashRecorder) bar(target string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.barredDigest, b.barredUntil = markOf(target).Digest, time.Now().Add(time.Minute)
+	b.barredDigest, b.barredUntil = fingerprintOf(target).Digest, time.Now().Add(time.Minute)
 }
 
 // newCrashGate returns a gate with one upstream and a clock that the test moves.
@@ -69,21 +69,21 @@
 	return w
 }
 
-func markOf(target string) poison.Fingerprint {
+func fingerprintOf(target string) poison.Fingerprint {
 	return (&poison.Content{Method: http.MethodPost, Host: "example.com", Target: "http://example.com" + target}).Fingerprint()
 }
 
 func TestARequestWhoseExchangeBrokeIsRecorded(t *testing.T) {
 	g, b := newCrashGate(t, deploy.NonIdempotent, new(atomic.Int64), func(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) })
 	assert.Equal(t, serve(g, "/a?b=c").Code, http.StatusBadGateway)
-	assert.DeepEqual(t, b.broken, []poison.Fingerprint{markOf("/a?b=c")})
+	assert.DeepEqual(t, b.broken, []poison.Fingerprint{fingerprintOf("/a?b=c")})
 	assert.Equal(t, len(b.completed), 0)
 }
 
 func TestACompletedRequestIsRecorded(t *testing.T) {
 	g, b := newCrashGate(t, deploy.NonIdempotent, new(atomic.Int64), func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "whole") })
 	assert.Equal(t, serve(g, "/a").Code, http.StatusOK)
-	assert.DeepEqual(t, b.completed, []poison.Fingerprint{markOf("/a")})
+	assert.DeepEqual(t, b.completed, []poison.Fingerprint{fingerprintOf("/a")})
 	assert.Equal(t, len(b.broken), 0)
 }
 
--- a/node/gate/refuse.go
+++ b/node/gate/refuse.go
@@ -16,18 +16,23 @@
 
 // Delays after which a refused caller should retry.
 const (
-	// configRetry: a host that starts has its configuration within a second.
+	// configRetry is the delay without a configuration: a host that starts has one
+	// within a second.
 	configRetry = 500 * time.Millisecond
-	// stopRetry: another host accepts the request at once.
+	// stopRetry is the delay at a stopping host: another host accepts the request at once.
 	stopRetry = 20 * time.Millisecond
-	// fullRetry: an engine's batch turns over in about this time.
+	// fullRetry is the delay when all upstreams are full: an engine's batch turns over
+	// in about this time.
 	fullRetry = 250 * time.Millisecond
-	// serverRetry: a restarted upstream is listed again after about a second.
-	serverRetry = 600 * time.Millisecond
-	// readingRetry: an engine processes the prompts that may wait beside its streams in
-	// a third of this time; the rest is for requests that arrived earlier.
-	readingRetry = 600 * time.Millisecond
-	// modelRetry: loading a model from disk or host memory takes 1 to 3 s.
+	// upstreamRetry is the delay without a usable upstream: a restarted one is listed
+	// again after about a second.
+	upstreamRetry = 600 * time.Millisecond
+	// prefillRetry is the delay when too many prompt tokens are pending: an engine
+	// processes those that may wait beside its streams in a third of this time; the
+	// rest is for requests that arrived earlier.
+	prefillRetry = 600 * time.Millisecond
+	// modelRetry is the delay without a resident model: a load from disk or host
+	// memory takes 1 to 3 s.
 	modelRetry = time.Second
 	// retrySpread is the share of the delay over which retries are spread, so that callers
 	// refused together do not return together; maxRetrySpread is enough for that,
@@ -36,16 +41,17 @@
 	maxRetrySpread = 500 * time.Millisecond
 )
 
+// retryDelay returns the retry delay for a reason why no upstream was found.
 func retryDelay(r balance.Reason) time.Duration {
 	switch r {
 	case balance.AllFull, balance.NoAdapter, balance.AllBackoff:
 		return fullRetry
 	case balance.AllPrefilling:
-		return readingRetry
+		return prefillRetry
 	case balance.NoModel:
 		return modelRetry
 	default:
-		return serverRetry
+		return upstreamRetry
 	}
 }
 
@@ -97,7 +103,7 @@
 	q.respond(status, why)
 }
 
-// timeUp ends a request at its deadline, or when the host is about to stop.
+// timeUp ends a request at its deadline, or when the process is about to end.
 func (q *request) timeUp() {
 	if errors.Is(context.Cause(q.ctx), errStopping) {
 		q.endUnserved(http.StatusBadGateway, "stopping", stopRetry)
--- a/node/gate/signals_test.go
+++ b/node/gate/signals_test.go
@@ -43,8 +43,8 @@
 		var reached atomic.Int32
 		up := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { reached.Add(1) }))
 		defer up.Close()
-		models := &grantingCoordinator{counted: counted}
-		g, f := newGate(models, up.Listener.Addr().String())
+		coordinator := &grantingCoordinator{counted: counted}
+		g, f := newGate(coordinator, up.Listener.Addr().String())
 		setLimit(t, f)
 		r := httptest.NewRequest(http.MethodPost, "http://example.com/x", nil)
 		r.Header.Set("Model", "old")
@@ -58,7 +58,7 @@
 		assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 		assert.Equal(t, w.Body.String(), "all_backoff\n")
 		assert.Equal(t, reached.Load(), int32(0))
-		assert.Assert(t, models.released.Load() > 0, "the permit is released")
+		assert.Assert(t, coordinator.released.Load() > 0, "the permit is released")
 	}
 }
 
--- a/node/gate/silent_test.go
+++ b/node/gate/silent_test.go
@@ -16,23 +16,24 @@
 	"peridotpier.example/node/fleet"
 )
 
-// silence is how long an upstream of these tests may send nothing.
-const silence = 40 * time.Millisecond
+// unresponsiveAfter is how long an upstream of these tests may send nothing before it
+// is found unresponsive.
+const unresponsiveAfter = 40 * time.Millisecond
 
-// newSilenceGate returns a gate whose upstreams are found unresponsive after a short
+// startFastDetectionHost starts a host whose upstreams are found unresponsive after a short
 // time. Its only route is of the given kind, may be resumed and allows two attempts.
-func newSilenceGate(t *testing.T, kind deploy.RequestKind, upstreams ...http.HandlerFunc) (host *httptest.Server, f *fleet.Fleet) {
+func startFastDetectionHost(t *testing.T, kind deploy.RequestKind, upstreams ...http.HandlerFunc) (host *httptest.Server, f *fleet.Fleet) {
 	t.Helper()
-	return newSilenceGateWith(t, plainCodec{}, kind, upstreams...)
+	return startFastDetectionHostWith(t, plainCodec{}, kind, upstreams...)
 }
 
-// newSilenceGateWith is newSilenceGate with another codec.
-func newSilenceGateWith(t *testing.T, codec Codec, kind deploy.RequestKind, upstreams ...http.HandlerFunc) (host *httptest.Server, f *fleet.Fleet) {
+// startFastDetectionHostWith is startFastDetectionHost with another codec.
+func startFastDetectionHostWith(t *testing.T, codec Codec, kind deploy.RequestKind, upstreams ...http.HandlerFunc) (host *httptest.Server, f *fleet.Fleet) {
 	t.Helper()
 	g, _ := newGate(&noModelCoordinator{}, "")
 	g.deps.Codec = codec
 	policy := health.DefaultPolicy
-	policy.UnresponsiveAfter = silence
+	policy.UnresponsiveAfter = unresponsiveAfter
 	f = fleet.New(fleet.Config{Health: policy}, fleet.Deps{Log: g.deps.Log})
 	g.deps.Fleet = f
 	for i, handler := range upstreams {
@@ -48,7 +49,7 @@
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
 	go func() {
-		for each := time.NewTicker(silence / 8); ; {
+		for each := time.NewTicker(unresponsiveAfter / 8); ; {
 			select {
 			case <-done:
 				each.Stop()
@@ -89,9 +90,9 @@
 // nothing for a while, and the attempt is ended before it is known whether another
 // upstream could resume the stream.
 func TestAStreamWithoutAnAlternativeStaysWithAnUnresponsiveUpstream(t *testing.T) {
-	host, _ := newSilenceGate(t, deploy.Stream, func(w http.ResponseWriter, _ *http.Request) {
+	host, _ := startFastDetectionHost(t, deploy.Stream, func(w http.ResponseWriter, _ *http.Request) {
 		writeEvent(w, 1)
-		time.Sleep(4 * silence)
+		time.Sleep(4 * unresponsiveAfter)
 		writeEvent(w, 2)
 	})
 	status, body, err := sendOne(t, host)
@@ -103,8 +104,8 @@
 // Guards against a lookup that fails though its upstream is about to respond: the
 // only upstream of a service sends nothing for a while.
 func TestARequestWithoutAnAlternativeStaysWithAnUnresponsiveUpstream(t *testing.T) {
-	host, _ := newSilenceGate(t, deploy.Idempotent, func(w http.ResponseWriter, _ *http.Request) {
-		time.Sleep(4 * silence)
+	host, _ := startFastDetectionHost(t, deploy.Idempotent, func(w http.ResponseWriter, _ *http.Request) {
+		time.Sleep(4 * unresponsiveAfter)
 		_, _ = io.WriteString(w, "whole")
 	})
 	status, body, err := sendOne(t, host)
@@ -117,7 +118,7 @@
 // respond: the other is listed a while later, and alternatives are sought only once.
 func TestARequestLeavesAnUnresponsiveUpstreamOnceThereIsAnother(t *testing.T) {
 	asked := make(chan struct{})
-	host, f := newSilenceGate(t, deploy.Idempotent, func(_ http.ResponseWriter, r *http.Request) {
+	host, f := startFastDetectionHost(t, deploy.Idempotent, func(_ http.ResponseWriter, r *http.Request) {
 		close(asked)
 		<-r.Context().Done()
 	})
@@ -129,7 +130,7 @@
 	defer second.Close()
 	go func() {
 		<-asked
-		time.Sleep(4 * silence)
+		time.Sleep(4 * unresponsiveAfter)
 		f.Apply([]deploy.Upstream{{ID: "v", Service: "s", Address: second.Listener.Addr().String(), Slots: 4}}, nil, 0)
 	}()
 	began := time.Now()
@@ -146,7 +147,7 @@
 // over, the other upstream is full for a little longer, and the wait is bounded as if
 // the request could still be refused.
 func TestAStartedStreamWaitsToBeResumed(t *testing.T) {
-	host, f := newSilenceGate(t, deploy.Stream, func(w http.ResponseWriter, _ *http.Request) {
+	host, f := startFastDetectionHost(t, deploy.Stream, func(w http.ResponseWriter, _ *http.Request) {
 		writeEvent(w, 1)
 		time.Sleep(500 * time.Millisecond) // past an eighth of the route's objective
 		panic(http.ErrAbortHandler)
@@ -179,10 +180,10 @@
 	large := func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(make([]byte, maxBufferedBytes+4096))
 		_ = http.NewResponseController(w).Flush()
-		time.Sleep(4 * silence)
+		time.Sleep(4 * unresponsiveAfter)
 		_, _ = w.Write([]byte("end"))
 	}
-	host, _ := newSilenceGate(t, deploy.Idempotent, large, large)
+	host, _ := startFastDetectionHost(t, deploy.Idempotent, large, large)
 	status, body, err := sendOne(t, host)
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
@@ -254,7 +255,7 @@
 					began.Store(time.Now().UnixNano())
 					writeEvent(w, 1)
 					<-r.Context().Done()
-				case time.Since(time.Unix(0, began.Load())) < 8*silence:
+				case time.Since(time.Unix(0, began.Load())) < 8*unresponsiveAfter:
 					w.WriteHeader(http.StatusServiceUnavailable)
 				default:
 					writeEvent(w, 2)
@@ -264,7 +265,7 @@
 			for i := range all {
 				all[i] = serve
 			}
-			host, _ := newSilenceGateWith(t, refusingCodec{}, deploy.Stream, all...)
+			host, _ := startFastDetectionHostWith(t, refusingCodec{}, deploy.Stream, all...)
 			status, body, err := sendOne(t, host)
 			assert.NilError(t, err)
 			assert.Equal(t, status, http.StatusOK)
--- a/node/gate/wait_test.go
+++ b/node/gate/wait_test.go
@@ -49,12 +49,12 @@
 }
 
 // newGate returns a gate with one upstream at address, at which the model "old" is resident.
-func newGate(models Coordinator, address string) (*Gate, *fleet.Fleet) {
-	return newGateFor(deploy.Upstream{Address: address, Slots: 4, Residents: []deploy.Resident{{Model: "old"}}}, models, deploy.Route{Objective: 3 * time.Second})
+func newGate(coordinator Coordinator, address string) (*Gate, *fleet.Fleet) {
+	return newGateFor(deploy.Upstream{Address: address, Slots: 4, Residents: []deploy.Resident{{Model: "old"}}}, coordinator, deploy.Route{Objective: 3 * time.Second})
 }
 
 // newGateFor returns a gate with one upstream and one route.
-func newGateFor(u deploy.Upstream, models Coordinator, r deploy.Route) (*Gate, *fleet.Fleet) {
+func newGateFor(u deploy.Upstream, coordinator Coordinator, r deploy.Route) (*Gate, *fleet.Fleet) {
 	u.ID, u.Service = "u", "s"
 	r.Name, r.Host, r.Prefix, r.Timeout, r.Attempts, r.Splits = "r", "example.com", "/", 10*time.Second, 1, []deploy.Split{{Service: "s", Weight: 1}}
 	log := event.NewLog(nil)
@@ -63,7 +63,7 @@
 	f := fleet.New(fleet.Config{}, fleet.Deps{Log: log})
 	f.Apply([]deploy.Upstream{u}, nil, 0)
 	never := func() bool { return false }
-	return New(Deps{Config: config, Fleet: f, Client: conn.New(conn.Config{}), Codec: plainCodec{}, Coordinator: models,
+	return New(Deps{Config: config, Fleet: f, Client: conn.New(conn.Config{}), Codec: plainCodec{}, Coordinator: coordinator,
 		RetryBudget: NewRetryBudget(budget.Policy{Ratio: 1, Slack: 10, Window: time.Second}, func() int { return 1 }), Log: log, Metrics: metrics.New(), Draining: never, RejectsNew: never}), f
 }
 
@@ -74,8 +74,8 @@
 func TestARequestThatWaitsForAModelAsksTheCoordinatorOnce(t *testing.T) {
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	defer up.Close()
-	models := &noModelCoordinator{}
-	g, f := newGate(models, up.Listener.Addr().String())
+	coordinator := &noModelCoordinator{}
+	g, f := newGate(coordinator, up.Listener.Addr().String())
 	r := httptest.NewRequest(http.MethodPost, "http://example.com/x", nil)
 	r.Header.Set("Model", "new")
 	w := httptest.NewRecorder()
@@ -85,7 +85,7 @@
 		g.ServeHTTP(w, r)
 	}()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if models.demandRecords.Load() >= 2 { // once as any request, once as one that waits
+		if coordinator.demandRecords.Load() >= 2 { // once as any request, once as one that waits
 			return poll.Success()
 		}
 		return poll.Continue("the request does not wait yet")
@@ -94,7 +94,7 @@
 		f.NotifyChanged()
 		time.Sleep(time.Millisecond)
 	}
-	assert.Equal(t, models.permitRequests.Load(), int32(1))
+	assert.Equal(t, coordinator.permitRequests.Load(), int32(1))
 	began := time.Now()
 	f.ApplyResidency([]fleet.Residency{{Upstream: "u", Residents: []deploy.Resident{{Model: "new"}}}}, began)
 	<-done
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -223,7 +223,7 @@
 try "a run that lasted is not blamed" node/gate/poison.go \
   '!q.responseSince.IsZero() &&' 'false && !q.responseSince.IsZero() &&' ./node/gate -run 'NotBlamed'
 try "what is barred is looked at before each send" node/gate/gate.go \
-  'if q.refuseBarred(d) {' 'if false {' ./node/gate -run 'SentAgain'
+  'if q.refuseBarred(p) {' 'if false {' ./node/gate -run 'SentAgain'
 try "a run to its end clears" node/gate/poison.go \
   'q.g.deps.PoisonGuard.RecordCompleted(q.content)' '' ./node/gate -run 'CompletedRequestIsRecorded'
 try "a pick heeds what an upstream takes" node/fleet/entry.go \
