--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -231,7 +231,7 @@
 try "a turn heeds what an upstream takes" node/coordinator/turns.go \
   'out.Backoff = max(t.limits.wait(e, now), t.rests.wait(e.ID()), w.rests[e.ID()].Sub(now))' 'out.Backoff = 0' ./platform -run 'UpstreamWithALimit|SoonestTime'
 try "calls of a service with a limited upstream go by turns" node/gate/pick.go \
-  'if q.g.deps.Fleet.Limited(q.service.Name) {' 'if false {' ./platform -run 'UpstreamWithALimit'
+  'if q.g.deps.Fleet.HasLimit(q.service.Name) {' 'if false {' ./platform -run 'UpstreamWithALimit'
 try "hosts alone have a turn each" node/coordinator/signals.go \
   'out.Place = uint32(c.sums.place(r.Host))' '' ./node/coordinator -run 'PlaceOfItsOwn'
 try "turns that nobody took do not pile up" core/backpressure/pacer.go \
@@ -246,7 +246,7 @@
 try "an older entry of the list does not win" node/fleet/entry.go \
   'e.gone, e.leaving, e.useUntil = false, e.signal.Leaving, time.Time{}' 'e.gone, e.leaving, e.useUntil = false, false, time.Time{}' ./node/fleet
 try "a rest is kept" node/gate/signals.go \
-  'e.Rest(info.Backoff)' '' ./platform -run 'InTheRest'
+  'e.StartBackoff(info.Backoff)' '' ./platform -run 'InTheRest'
 try "a grant that is not counted is not used" node/gate/turn.go \
   'e.Limit().Stated && !permit.WithinLimit' 'false' ./node/gate -run 'NotCounted'
 try "what nothing takes in time is refused at once" node/gate/pick.go \
