--- a/node/gate/attempt.go
+++ b/node/gate/attempt.go
@@ -37,11 +37,11 @@
 	d := &q.g.deps
 	ctx, cancel := context.WithCancelCause(q.ctx)
 	defer cancel(nil)
-	x := e.Begin(&q.ask, q.cost)
+	a := e.Begin(&q.needs, q.cost)
 	if p.permit != nil {
-		x.RecordPendingPrompts(p.pendingPromptTokens)
-		if q.ask.Model != "" || p.permit.IsProbe { // for other calls only the end counts
-			x.OnFirstByte(p.permit.Began)
+		a.RecordPendingPrompts(p.pendingPromptTokens)
+		if q.needs.Model != "" || p.permit.IsProbe { // for other calls only the end counts
+			a.OnFirstByte(p.permit.Began)
 		}
 		defer p.permit.Release()
 	}
@@ -51,7 +51,7 @@
 	fo := &failover{q: q, ctx: ctx, cancel: cancel}
 	defer fo.close()
 	if q.mayRunAgain() && q.sends < q.route.Attempts {
-		x.OnUnresponsive(fo.onUnresponsive)
+		a.OnUnresponsive(fo.onUnresponsive)
 		if q.route.Repeatable() && q.route.Objective > 0 {
 			defer time.AfterFunc(hedgeShare*q.route.Objective, fo.onSlow).Stop()
 		}
@@ -60,19 +60,19 @@
 	q.sentAt = now
 	d.Log.Emit(event.RequestSent, q.id(), q.routeName(), q.teamName(), zap.String(event.FieldPeer, e.ID()), zap.Int("among", p.candidates),
 		zap.Int("load", p.inFlight), zap.Int("prompt", q.cost.PromptTokens), zap.Int("cached", p.cachedTokens), zap.Int("waiting", p.pendingPromptTokens), zap.Int64("predicted_ms", p.PredictedWait.Milliseconds()), zap.Uint64("version", q.configVersion),
-		zap.Int64("held_ms", now.Sub(q.start).Milliseconds()), zap.String("model", q.ask.Model), zap.String("adapter", q.ask.Adapter),
+		zap.Int64("held_ms", now.Sub(q.start).Milliseconds()), zap.String("model", q.needs.Model), zap.String("adapter", q.needs.Adapter),
 		zap.Bool("by_turn", p.permit != nil), limitField(e))
 	d.Metrics.Add(metrics.Attempts, q.service.Name, e.ID(), 1)
 	resp, err := d.Client.Do(ctx, q.outgoing(e, now))
 	if err != nil {
-		res := q.noResponse(ctx, x, err)
+		res := q.noResponse(ctx, a, err)
 		if res.notListening && p.permit != nil {
 			p.permit.NotListening()
 		}
 		return res
 	}
 	fo.pieces.Add(1)
-	return q.checkResponse(ctx, fo, e, x, resp)
+	return q.checkResponse(ctx, fo, e, a, resp)
 }
 
 // hedgeShare is the time that a retryable request waits for the head of its response
@@ -94,74 +94,74 @@
 }
 
 // noResponse ends an attempt that failed before the head of a response arrived.
-func (q *request) noResponse(ctx context.Context, x *fleet.Attempt, err error) result {
+func (q *request) noResponse(ctx context.Context, a *fleet.Attempt, err error) result {
 	notRun := fault.From(fault.StepDispatch, err).Outcome == outcome.NotRun
 	if !notRun {
 		q.possibleRuns++
 	}
 	if q.ctx.Err() != nil {
-		x.Cancelled()
+		a.Cancelled()
 		return result{notRun: notRun, why: "time_up"}
 	}
 	why := "broken"
 	switch {
 	case failoverReason(ctx) != "":
-		x.Cancelled() // an unresponsive upstream was already recorded as such
+		a.Cancelled() // an unresponsive upstream was already recorded as such
 		return result{notRun: notRun, why: failoverReason(ctx), retryCharged: true}
 	case errors.Is(err, syscall.ECONNREFUSED):
 		q.sends--
-		x.NotListening()
+		a.NotListening()
 		return result{notRun: true, why: "absent", notListening: true}
 	case errors.Is(err, conn.ErrNoLongerWanted):
-		x.Cancelled()
+		a.Cancelled()
 		return result{notRun: true, why: "asked_meanwhile", retryCharged: true}
 	case notRun:
 		why = "no_connection"
-		x.Interrupted(why)
+		a.Interrupted(why)
 	default:
-		q.recordBroken(x, why)
+		q.recordBroken(a, why)
 	}
 	return result{notRun: notRun, why: why}
 }
 
 // checkResponse checks the head of a response and decides how it is handled.
-func (q *request) checkResponse(ctx context.Context, fo *failover, e *fleet.Entry, x *fleet.Attempt, resp *conn.Response) result {
+func (q *request) checkResponse(ctx context.Context, fo *failover, e *fleet.Entry, a *fleet.Attempt, resp *conn.Response) result {
 	info := q.g.deps.Codec.DecodeResponse(resp.Status, resp.Header)
 	if info.Load != nil {
-		x.RecordReportedLoad(*info.Load)
+		a.RecordReportedLoad(*info.Load)
 	}
 	q.applySignals(e, resp.Status, &info)
 	if info.NotRun {
-		return q.refused(e, x, resp, info)
+		return q.refused(e, a, resp, info)
 	}
 	q.possibleRuns++
 	switch {
 	case info.AttemptID != "" && info.AttemptID != q.info.AttemptID:
 		// These are bytes of another request's response, so the rest of the connection is unusable too.
 		q.g.deps.Log.Emit(event.AnswerCrossed, q.id(), zap.String(event.FieldPeer, e.ID()), zap.String("answers", info.AttemptID))
-		return q.rejectResponse(x, resp, "crossed")
+		return q.rejectResponse(a, resp, "crossed")
 	case resp.Status < 300 && (!info.Sealed || info.AttemptID == ""):
-		return q.rejectResponse(x, resp, "unsealed")
+		return q.rejectResponse(a, resp, "unsealed")
 	case resp.Status >= 300 && resp.Status < 400:
-		return q.rejectResponse(x, resp, "redirect")
+		return q.rejectResponse(a, resp, "redirect")
 	}
-	x.ReceivedBytes()
+	a.ReceivedBytes()
 	if q.route.Kind == deploy.Stream && resp.Status < 300 {
-		return q.forwardStream(ctx, fo, x, resp)
+		return q.forwardStream(ctx, fo, a, resp)
 	}
-	return q.forwardBuffered(ctx, fo, x, resp)
+	return q.forwardBuffered(ctx, fo, a, resp)
 }
 
 // rejectResponse ends an attempt whose response cannot be forwarded.
-func (q *request) rejectResponse(x *fleet.Attempt, resp *conn.Response, why string) result {
+func (q *request) rejectResponse(a *fleet.Attempt, resp *conn.Response, why string) result {
 	resp.Abort()
-	x.Interrupted(why)
+	a.Interrupted(why)
 	return result{why: why}
 }
 
 // refused ends an attempt that the upstream reported as not run.
-func (q *request) refused(e *fleet.Entry, x *fleet.Attempt, resp *conn.Response, info ResponseInfo) result {
-	x.Refused()
+func (q *request) refused(e *fleet.Entry, a *fleet.Attempt, resp *conn.Response, info ResponseInfo) result {
+	a.Refused()
 	after := retryAfter(resp.Header)
 	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxRefusalBytes)); err != nil {
 		resp.Abort()
@@ -173,7 +173,7 @@
 		if info.Upstream != "" && info.Upstream != e.ID() {
 			e.MarkReplaced()
 		} else {
-			e.MarkNotResident(q.ask.Model, q.ask.Adapter)
+			e.MarkNotResident(q.needs.Model, q.needs.Adapter)
 		}
 	}
 	return result{notRun: true, why: "refused_" + strconv.Itoa(resp.Status), retryAfter: after}
@@ -200,19 +200,19 @@
 const maxBufferedBytes = 1 << 20
 
 // forwardBuffered forwards a response that is not a stream.
-func (q *request) forwardBuffered(ctx context.Context, fo *failover, x *fleet.Attempt, resp *conn.Response) result {
+func (q *request) forwardBuffered(ctx context.Context, fo *failover, a *fleet.Attempt, resp *conn.Response) result {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBytes+1))
 	if err != nil {
-		return q.responseBroken(ctx, x, resp)
+		return q.responseBroken(ctx, a, resp)
 	}
 	if len(body) > maxBufferedBytes {
 		if !fo.stay() {
-			return q.responseBroken(ctx, x, resp)
+			return q.responseBroken(ctx, a, resp)
 		}
-		return q.forwardLarge(ctx, x, resp, body)
+		return q.forwardLarge(ctx, a, resp, body)
 	}
 	failed := resp.Status >= 500
-	x.Answered(failed)
+	a.Answered(failed)
 	resp.Finish()
 	if failed && q.route.Repeatable() && q.possibleRuns < q.route.Attempts && q.deliverFailed == nil {
 		q.deliverFailed = func() { q.deliver(resp, body) }
@@ -222,7 +222,7 @@
 }
 
 // forwardLarge forwards a response that is too large to buffer.
-func (q *request) forwardLarge(ctx context.Context, x *fleet.Attempt, resp *conn.Response, head []byte) result {
+func (q *request) forwardLarge(ctx context.Context, a *fleet.Attempt, resp *conn.Response, head []byte) result {
 	q.copyHeaders(resp)
 	if resp.Length >= 0 {
 		q.w.Header().Set("Content-Length", strconv.FormatInt(resp.Length, 10))
@@ -234,25 +234,25 @@
 		_, err = io.Copy(callerWriter{q}, resp.Body)
 	}
 	if err != nil {
-		return q.responseBroken(ctx, x, resp)
+		return q.responseBroken(ctx, a, resp)
 	}
-	x.Answered(resp.Status >= 500)
+	a.Answered(resp.Status >= 500)
 	resp.Finish()
 	return q.recordServed(resp.Status)
 }
 
 // responseBroken ends an attempt whose response broke off.
-func (q *request) responseBroken(ctx context.Context, x *fleet.Attempt, resp *conn.Response) result {
+func (q *request) responseBroken(ctx context.Context, a *fleet.Attempt, resp *conn.Response) result {
 	resp.Abort()
 	switch {
 	case failoverReason(ctx) != "":
-		x.Cancelled()
+		a.Cancelled()
 		return result{why: failoverReason(ctx), retryCharged: true}
 	case q.ctx.Err() != nil:
-		x.Cancelled()
+		a.Cancelled()
 		return result{why: "time_up"}
 	}
-	q.recordBroken(x, "cut")
+	q.recordBroken(a, "cut")
 	return result{why: "cut"}
 }
 
--- a/node/gate/caller_test.go
+++ b/node/gate/caller_test.go
@@ -83,7 +83,7 @@
 	a := &account{balance: 250}
 	g := newTeamGate(a, up.Listener.Addr().String(), func(AttemptInfo) {})
 	assert.Equal(t, sendKeyed(g, "l").Code, http.StatusOK)
-	assert.Equal(t, a.balance, 140.0, "100 tokens of the prompt, 10 of the answer")
+	assert.Equal(t, a.balance, 140.0, "100 prompt tokens and 10 output tokens")
 	up.Close()
 	assert.Equal(t, sendKeyed(g, "l").Code, http.StatusServiceUnavailable)
 	assert.Equal(t, a.balance, 140.0, "it has not run")
--- a/node/gate/gate.go
+++ b/node/gate/gate.go
@@ -162,7 +162,7 @@
 	bodyRead      bool // the complete body was read
 	start         time.Time
 	deadline      time.Time
-	ask           fleet.Request
+	needs         fleet.Request // model, adapter and prompt parts, for the choice of an upstream
 	cost          fleet.Cost
 
 	tried            map[string]bool // upstreams that had an attempt
@@ -230,10 +230,10 @@
 		return false
 	}
 	if q.service.Engine != nil { // a plain service runs no models, even if the caller names one
-		q.ask = fleet.Request{Model: q.info.Model, Adapter: q.info.Adapter, PromptParts: q.info.PromptParts}
+		q.needs = fleet.Request{Model: q.info.Model, Adapter: q.info.Adapter, PromptParts: q.info.PromptParts}
 	}
 	q.cost = fleet.Cost{PromptTokens: q.info.PromptTokens, OutputTokens: q.expectedOutput()}
-	if q.ask.Model != "" {
+	if q.needs.Model != "" {
 		d.Coordinator.RecordDemand(q.service.Name, &q.info, q.cost.OutputTokens, q.route.Objective, false)
 	}
 	d.RetryBudget.RecordRequest(q.service.Name, q.start)
--- a/node/gate/overload_test.go
+++ b/node/gate/overload_test.go
@@ -66,7 +66,7 @@
 	began := time.Now()
 	g.ServeHTTP(w, r)
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
-	assert.Assert(t, time.Since(began) < time.Second, "its caller is told before its objective is over")
+	assert.Assert(t, time.Since(began) < time.Second, "the caller is refused before the objective is over")
 	assert.Assert(t, w.Header().Get("Retry-After") != "")
 	assert.Equal(t, sent.Load(), int32(0), "it has not run")
 }
@@ -104,7 +104,7 @@
 	table := g.deps.Config.Current()
 	q.route = &table.Config.Routes[0]
 	q.service, _ = table.Service("s")
-	q.ask = fleet.Request{Model: "m"}
+	q.needs = fleet.Request{Model: "m"}
 	q.deadline = q.start.Add(q.route.Timeout)
 	found, _ := q.pick()
 	assert.Assert(t, found == nil, "a new request is held")
--- a/node/gate/pick.go
+++ b/node/gate/pick.go
@@ -32,7 +32,7 @@
 // the coordinator knows of no upstream but this host does, or of one that only
 // lacks capacity, this host's knowledge is newer.
 func (q *request) choose() (*fleet.Entry, selection) {
-	if q.ask.Model == "" && !q.crowded() {
+	if q.needs.Model == "" && !q.crowded() {
 		if over, ok := q.charge(); !ok {
 			return nil, over
 		}
@@ -42,7 +42,7 @@
 	if e != nil || decision.overLimit {
 		return e, decision
 	}
-	if ok && q.ask.Model == "" && decision.Reason != balance.NoUpstream {
+	if ok && q.needs.Model == "" && decision.Reason != balance.NoUpstream {
 		return nil, decision
 	}
 	if over, ok := q.charge(); !ok {
@@ -84,7 +84,7 @@
 	now := q.g.deps.Now()
 	requests, slots := 0, 0
 	for _, e := range q.g.deps.Fleet.EntriesOfService(q.service.Name) {
-		endpoint := e.Endpoint(&q.ask, now)
+		endpoint := e.Endpoint(&q.needs, now)
 		if !endpoint.Draining && !endpoint.Down {
 			requests, slots = requests+endpoint.InFlight, slots+endpoint.Slots
 		}
@@ -100,14 +100,14 @@
 func (q *request) pickFor(lostByUpstream bool) (*fleet.Entry, selection) {
 	d := &q.g.deps
 	now := d.Now()
-	entries := d.Fleet.EntriesWithModel(q.service.Name, q.ask.Model)
+	entries := d.Fleet.EntriesWithModel(q.service.Name, q.needs.Model)
 	endpoints := make([]balance.Endpoint, len(entries))
 	for i, e := range entries {
-		endpoints[i] = e.Endpoint(&q.ask, now)
+		endpoints[i] = e.Endpoint(&q.needs, now)
 		endpoints[i].Tried = q.tried[endpoints[i].ID]
 		endpoints[i].HasIdleConn = d.Client.HasIdleConnection(e.Address())
 	}
-	r := balance.Request{Model: q.ask.Model, Adapter: q.ask.Adapter, PromptTokens: q.cost.PromptTokens, OutputTokens: q.cost.OutputTokens}
+	r := balance.Request{Model: q.needs.Model, Adapter: q.needs.Adapter, PromptTokens: q.cost.PromptTokens, OutputTokens: q.cost.OutputTokens}
 	if q.service.Engine != nil {
 		r.CacheTokens = q.service.Engine.CacheTokens
 		r.MaxPendingPromptTokens = q.maxPendingPromptTokens(now, lostByUpstream)
@@ -116,7 +116,7 @@
 	if p.AdapterTarget >= 0 {
 		p.adapterUpstream = entries[p.AdapterTarget]
 	}
-	if p.Reason == balance.NoUpstream && d.Fleet.HasUsableWithoutModel(q.service.Name, q.ask.Model, func(e *fleet.Entry) bool { return q.tried[e.ID()] }) {
+	if p.Reason == balance.NoUpstream && d.Fleet.HasUsableWithoutModel(q.service.Name, q.needs.Model, func(e *fleet.Entry) bool { return q.tried[e.ID()] }) {
 		p.Reason = balance.NoModel
 	}
 	if p.Index < 0 {
@@ -259,7 +259,7 @@
 // only after the request's time, so that waiting is pointless.
 func (q *request) modelWaitUntil() (until time.Time, tooLate bool) {
 	inTime := q.start.Add(q.maxHold(balance.NoModel))
-	at, loading := q.g.deps.Fleet.ExpectedReady(q.service.Name, q.ask.Model)
+	at, loading := q.g.deps.Fleet.ExpectedReady(q.service.Name, q.needs.Model)
 	if !loading || q.started || q.g.deps.Draining() {
 		return inTime, false
 	}
@@ -276,7 +276,7 @@
 // giveUpModel responds to a request whose model will not be resident in time. If the
 // model is loading, the caller is told to retry when it is expected.
 func (q *request) giveUpModel(now time.Time) bool {
-	at, loading := q.g.deps.Fleet.ExpectedReady(q.service.Name, q.ask.Model)
+	at, loading := q.g.deps.Fleet.ExpectedReady(q.service.Name, q.needs.Model)
 	if after := at.Sub(now); loading && after > 0 && q.deliverFailed == nil && q.r.Context().Err() == nil {
 		q.endUnserved(http.StatusBadGateway, balance.NoModel.String(), after)
 		return false
@@ -309,8 +309,8 @@
 	ctx, cancel := context.WithTimeout(q.ctx, maxAdapterWait)
 	defer cancel()
 	d.Log.Emit(event.AdapterAsked, q.id(), zap.String(event.FieldPeer, p.adapterUpstream.ID()),
-		zap.String("model", q.ask.Model), zap.String("adapter", q.ask.Adapter))
-	err := d.Coordinator.LoadAdapter(ctx, p.adapterUpstream.ID(), q.ask.Model, q.ask.Adapter)
+		zap.String("model", q.needs.Model), zap.String("adapter", q.needs.Adapter))
+	err := d.Coordinator.LoadAdapter(ctx, p.adapterUpstream.ID(), q.needs.Model, q.needs.Adapter)
 	if err != nil {
 		d.Log.Emit(event.RequestWaits, q.id(), zap.String("why", "adapter"), zap.Error(err))
 		return q.giveUpUnlessStarted(p.Reason)
@@ -322,7 +322,7 @@
 const maxAdapterRequests = 2
 
 // giveUpBackoff responds to a request whose upstreams all asked for a backoff longer
-// than the request may wait. The caller is told when one of them accepts requests again.
+// than the request may wait. The caller may retry when one of them accepts requests again.
 func (q *request) giveUpBackoff(after time.Duration) bool {
 	if q.deliverFailed != nil || q.r.Context().Err() != nil {
 		return q.giveUp(balance.AllBackoff)
--- a/node/gate/poison.go
+++ b/node/gate/poison.go
@@ -50,13 +50,13 @@
 
 // recordBroken records an exchange that broke while the upstream may have been running
 // the request: the request may have crashed it.
-func (q *request) recordBroken(x *fleet.Attempt, why string) {
-	x.Interrupted(why)
+func (q *request) recordBroken(a *fleet.Attempt, why string) {
+	a.Interrupted(why)
 	if !q.responseSince.IsZero() && q.g.deps.Now().Sub(q.responseSince) > longRun {
 		q.recordCompleted()
 		return
 	}
-	if e := x.Entry(); q.g.deps.CrashRecorder != nil {
+	if e := a.Entry(); q.g.deps.CrashRecorder != nil {
 		q.g.deps.CrashRecorder.RecordBroken(e.ID(), e.Address(), q.content.Fingerprint())
 	}
 }
--- a/node/gate/refuse.go
+++ b/node/gate/refuse.go
@@ -183,12 +183,12 @@
 // modelName is the log field for the model that the request needs, with its adapter after a slash.
 func (q *request) modelName() zap.Field {
 	switch {
-	case q.ask.Model == "":
+	case q.needs.Model == "":
 		return zap.Skip()
-	case q.ask.Adapter == "":
-		return zap.String("model", q.ask.Model)
+	case q.needs.Adapter == "":
+		return zap.String("model", q.needs.Model)
 	default:
-		return zap.String("model", q.ask.Model+"/"+q.ask.Adapter)
+		return zap.String("model", q.needs.Model+"/"+q.needs.Adapter)
 	}
 }
 
--- a/node/gate/stream.go
+++ b/node/gate/stream.go
@@ -16,31 +16,31 @@
 
 // forwardStream forwards events as they arrive. A stream that breaks off ends without
 // its proper end, or is resumed at another upstream if its route allows that.
-func (q *request) forwardStream(ctx context.Context, fo *failover, x *fleet.Attempt, resp *conn.Response) result {
+func (q *request) forwardStream(ctx context.Context, fo *failover, a *fleet.Attempt, resp *conn.Response) result {
 	events := splitter{completeEvents: q.mayRunAgain(), lastEventID: q.lastEventID}
 	buf := make([]byte, streamBuffer)
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
-			x.ReceivedBytes()
+			a.ReceivedBytes()
 			fo.pieces.Add(1)
 			q.recordPiece()
 			if werr := q.forward(resp, events.split(buf[:n])); werr != nil {
-				return q.callerStopped(x, resp)
+				return q.callerStopped(a, resp)
 			}
 			q.lastEventID = events.lastEventID
 		}
 		switch {
 		case errors.Is(err, io.EOF):
 			if werr := q.forward(resp, events.flush()); werr != nil {
-				return q.callerStopped(x, resp)
+				return q.callerStopped(a, resp)
 			}
 			q.startResponse(resp) // a stream without events is complete too
-			x.Answered(false)
+			a.Answered(false)
 			resp.Finish()
 			return q.recordServed(resp.Status)
 		case err != nil:
-			return q.responseBroken(ctx, x, resp)
+			return q.responseBroken(ctx, a, resp)
 		}
 	}
 }
@@ -106,9 +106,9 @@
 func (w callerWriter) Write(b []byte) (int, error) { return w.q.write(b) }
 
 // callerStopped ends a stream whose caller no longer reads it.
-func (q *request) callerStopped(x *fleet.Attempt, resp *conn.Response) result {
+func (q *request) callerStopped(a *fleet.Attempt, resp *conn.Response) result {
 	resp.Abort()
-	x.Cancelled()
+	a.Cancelled()
 	q.callerLeft()
 	return result{done: true}
 }
--- a/node/gate/turn.go
+++ b/node/gate/turn.go
@@ -64,13 +64,13 @@
 	ctx, cancel := context.WithTimeout(q.ctx, maxWait)
 	defer cancel()
 	defer q.cancelWithHoldLimit(cancel)()
-	req := &PermitRequest{Service: q.service.Name, Request: &q.ask, Cost: q.cost, Priority: q.urgency(), MaxPendingPromptTokens: q.maxPendingPromptTokens(now, q.lostByUpstream),
+	req := &PermitRequest{Service: q.service.Name, Request: &q.needs, Cost: q.cost, Priority: q.urgency(), MaxPendingPromptTokens: q.maxPendingPromptTokens(now, q.lostByUpstream),
 		ObjectiveLeft: q.start.Add(q.route.Objective).Sub(now), MaxWait: maxWait}
-	req.WithIdleConn, req.Backoffs = q.warmUpstreams(), d.Fleet.Backoffs(q.service.Name)
+	req.WithIdleConn, req.Backoffs = q.withIdleConn(), d.Fleet.Backoffs(q.service.Name)
 	if q.caller.owesCharge() {
 		req.Team, req.Charge = q.caller.team, q.caller.cost
 	}
-	for _, e := range d.Fleet.EntriesWithModel(q.service.Name, q.ask.Model) {
+	for _, e := range d.Fleet.EntriesWithModel(q.service.Name, q.needs.Model) {
 		if q.tried[e.ID()] || e.IsDown() {
 			req.Excluded = append(req.Excluded, e.ID())
 		}
@@ -78,7 +78,7 @@
 	permit, err := d.Coordinator.RequestPermit(ctx, req)
 	if err != nil {
 		// A call without a permit by now would be overdue, and delay others.
-		overdue := q.ask.Model == "" && errors.Is(err, context.DeadlineExceeded)
+		overdue := q.needs.Model == "" && errors.Is(err, context.DeadlineExceeded)
 		return nil, selection{Decision: balance.Decision{Index: -1, Reason: balance.AllFull, AdapterTarget: -1}}, overdue
 	}
 	if permit.OverLimit {
@@ -124,11 +124,11 @@
 	return q.limitHold(min(share, time.Duration(float64(q.route.Objective)*maxWaitShare)))
 }
 
-// warmUpstreams lists the upstreams that may serve the request and to which this host
+// withIdleConn lists the upstreams that may serve the request and to which this host
 // has an idle connection.
-func (q *request) warmUpstreams() []string {
+func (q *request) withIdleConn() []string {
 	var out []string
-	for _, e := range q.g.deps.Fleet.EntriesWithModel(q.service.Name, q.ask.Model) {
+	for _, e := range q.g.deps.Fleet.EntriesWithModel(q.service.Name, q.needs.Model) {
 		if q.g.deps.Client.HasIdleConnection(e.Address()) {
 			out = append(out, e.ID())
 		}
