--- a/node/gate/again_test.go
+++ b/node/gate/again_test.go
@@ -16,12 +16,12 @@
 
 // startBreakingUpstream listens, reads the start of each request and closes the
 // connection without a response. It counts the requests.
-func startBreakingUpstream(t *testing.T) (address string, taken *atomic.Int32) {
+func startBreakingUpstream(t *testing.T) (address string, received *atomic.Int32) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
-	taken = new(atomic.Int32)
+	received = new(atomic.Int32)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -29,12 +29,12 @@
 				return
 			}
 			if n, _ := c.Read(make([]byte, 4096)); n > 0 {
-				taken.Add(1)
+				received.Add(1)
 			}
 			_ = c.Close()
 		}
 	}()
-	return ln.Addr().String(), taken
+	return ln.Addr().String(), received
 }
 
 // Guards against a request that runs more often than its route allows: each
@@ -51,7 +51,7 @@
 		{"may run twice", deploy.Idempotent, 2, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			address, taken := startBreakingUpstream(t)
+			address, received := startBreakingUpstream(t)
 			g, f := newGate(&noModelCoordinator{}, address)
 			var all []deploy.Upstream
 			for _, id := range []string{"u", "v", "w", "x"} {
@@ -64,7 +64,7 @@
 			g.deps.Config.ApplyIfNewer(&table, "test")
 			w := httptest.NewRecorder()
 			g.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "http://example.com/x", nil))
-			assert.Equal(t, taken.Load(), c.runs)
+			assert.Equal(t, received.Load(), c.runs)
 			assert.Equal(t, w.Code, http.StatusBadGateway, "nothing is promised about a request that may have run")
 		})
 	}
@@ -75,9 +75,9 @@
 // show that.
 func TestAnAttemptWithoutAResponseEndsWithItsCaller(t *testing.T) {
 	ended := make(chan struct{})
-	taken := make(chan struct{})
+	received := make(chan struct{})
 	up := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		close(taken)
+		close(received)
 		<-r.Context().Done()
 		close(ended)
 	}))
@@ -86,13 +86,13 @@
 	f.Apply([]deploy.Upstream{{ID: "u", Service: "s", Address: up.Listener.Addr().String(), Slots: 4}}, nil, 0)
 	host := httptest.NewServer(g)
 	defer host.Close()
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, host.URL+"/x", nil)
 	assert.NilError(t, err)
 	r.Host = "example.com"
 	go func() {
-		<-taken
-		leave()
+		<-received
+		disconnect()
 	}()
 	_, err = http.DefaultClient.Do(r)
 	assert.ErrorIs(t, err, context.Canceled)
--- a/node/gate/answer_test.go
+++ b/node/gate/answer_test.go
@@ -98,11 +98,11 @@
 	defer up.Close()
 	for range 20 {
 		g, _ := newGate(&noModelCoordinator{}, up.Listener.Addr().String())
-		ending, end := context.WithCancel(t.Context())
-		g.deps.Stopping = ending
+		stopping, stop := context.WithCancel(t.Context())
+		g.deps.Stopping = stopping
 		host := startHost(t, g)
 		c := post(t, host, 10, "half")
-		time.AfterFunc(20*time.Millisecond, end)
+		time.AfterFunc(20*time.Millisecond, stop)
 		assert.Equal(t, status(t, c), http.StatusServiceUnavailable)
 		assert.Equal(t, status(t, post(t, host, 4, "body")), http.StatusServiceUnavailable)
 	}
--- a/node/gate/caller_test.go
+++ b/node/gate/caller_test.go
@@ -22,12 +22,12 @@
 }
 
 func (c keyedCodec) DecodeRequest(h http.Header) RequestInfo {
-	f := c.plainCodec.DecodeRequest(h)
-	f.Key, f.DeclaresTokens = apikey.HashOf(h.Get("Key")), true
-	return f
+	info := c.plainCodec.DecodeRequest(h)
+	info.Key, info.DeclaresTokens = apikey.HashOf(h.Get("Key")), true
+	return info
 }
 
-func (c keyedCodec) SetAttempt(_ http.Header, s AttemptInfo) { c.sent(s) }
+func (c keyedCodec) SetAttempt(_ http.Header, info AttemptInfo) { c.sent(info) }
 
 // account is the limit of one team at one host.
 type account struct {
--- a/node/gate/leaving_test.go
+++ b/node/gate/leaving_test.go
@@ -41,10 +41,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				g, _ := newGate(c.models, "")
 				changeRoute(g, func(r *deploy.Route) { r.Timeout, r.Objective = 20*time.Second, 10*time.Second })
-				leaving, leave := context.WithCancel(t.Context())
-				g.deps.HoldsLimited = leaving
-				g.deps.Draining = func() bool { return leaving.Err() != nil }
-				time.AfterFunc(c.stopAt, leave)
+				holdsLimited, limitHolds := context.WithCancel(t.Context())
+				g.deps.HoldsLimited = holdsLimited
+				g.deps.Draining = func() bool { return holdsLimited.Err() != nil }
+				time.AfterFunc(c.stopAt, limitHolds)
 				time.Sleep(time.Nanosecond) // lets a stop at 0 happen first
 				r := httptest.NewRequest(http.MethodPost, "http://example.com/x", nil)
 				r.Header.Set("Model", "new")
--- a/node/gate/log_test.go
+++ b/node/gate/log_test.go
@@ -121,11 +121,11 @@
 		close(reached)
 		<-r.Context().Done()
 	})
-	ending, end := context.WithCancel(context.Background())
-	g.deps.Stopping = ending
+	stopping, stop := context.WithCancel(context.Background())
+	g.deps.Stopping = stopping
 	send(t, address, "GET / HTTP/1.1\r\nHost: example.com\r\n\r\n")
 	<-reached
-	end()
+	stop()
 	fields := waitForEvent(t, lines, event.RequestBroken)
 	assert.Equal(t, fields["ended"], "stopping")
 	assert.Equal(t, fields["started"], false)
--- a/node/gate/turn.go
+++ b/node/gate/turn.go
@@ -45,7 +45,7 @@
 	CachedTokens        int
 	// WithinLimit reports that the upstream names a limit and the request was counted towards it.
 	WithinLimit bool
-	IsProbe     bool // the coordinator waits for Began: the upstream has refused requests
+	IsProbe     bool // a probe of an upstream that has refused requests: the coordinator waits for Began
 
 	Began        func()
 	NotListening func()
--- a/node/gate/wait_test.go
+++ b/node/gate/wait_test.go
@@ -54,14 +54,14 @@
 }
 
 // newGateFor returns a gate with one upstream and one route.
-func newGateFor(u deploy.Upstream, coordinator Coordinator, r deploy.Route) (*Gate, *fleet.Fleet) {
-	u.ID, u.Service = "u", "s"
+func newGateFor(upstream deploy.Upstream, coordinator Coordinator, r deploy.Route) (*Gate, *fleet.Fleet) {
+	upstream.ID, upstream.Service = "u", "s"
 	r.Name, r.Host, r.Prefix, r.Timeout, r.Attempts, r.Splits = "r", "example.com", "/", 10*time.Second, 1, []deploy.Split{{Service: "s", Weight: 1}}
 	log := event.NewLog(nil)
 	config := follow.NewActiveConfig(log)
 	config.ApplyIfNewer(&deploy.Config{Version: 1, Services: []deploy.Service{{Name: "s", Engine: &deploy.Engine{}}}, Routes: []deploy.Route{r}}, "test")
 	f := fleet.New(fleet.Config{}, fleet.Deps{Log: log})
-	f.Apply([]deploy.Upstream{u}, nil, 0)
+	f.Apply([]deploy.Upstream{upstream}, nil, 0)
 	never := func() bool { return false }
 	return New(Deps{Config: config, Fleet: f, Client: conn.New(conn.Config{}), Codec: plainCodec{}, Coordinator: coordinator,
 		RetryBudget: NewRetryBudget(budget.Policy{Ratio: 1, Slack: 10, Window: time.Second}, func() int { return 1 }), Log: log, Metrics: metrics.New(), Draining: never, RejectsNew: never}), f
