--- a/node/gate/elsewhere.go
+++ b/node/gate/failover.go
@@ -92,8 +92,8 @@
 	return f.ctx.Err() == nil
 }
 
-// close returns when no search is running any more: the search reads fields of the
-// request that the next attempt changes.
+// close cancels the attempt's context and waits for a running search to end: the search
+// reads fields of the request that the next attempt changes.
 func (f *failover) close() {
 	f.mu.Lock()
 	f.ended = true
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -247,7 +247,7 @@
   'e.gone, e.leaving, e.useUntil = false, e.signal.Leaving, time.Time{}' 'e.gone, e.leaving, e.useUntil = false, false, time.Time{}' ./node/fleet
 try "a rest is kept" node/gate/signals.go \
   'e.StartBackoff(info.Backoff)' '' ./platform -run 'InTheRest'
-try "a grant that is not counted is not used" node/gate/turn.go \
+try "a grant that is not counted is not used" node/gate/permit.go \
   'e.Limit().Stated && !permit.WithinLimit' 'false' ./node/gate -run 'NotCounted'
 try "what nothing takes in time is refused at once" node/gate/pick.go \
   'p.Reason == balance.AllBackoff && !q.started && (p.unservable ||' 'false && (p.unservable ||' ./platform -run 'SoonestTime'
