--- a/node/admission/admission.go
+++ b/node/admission/admission.go
@@ -15,10 +15,10 @@
 	"peridotpier.example/core/fault"
 )
 
-// sweepEvery is the pause between two looks for requests that cannot make
+// expiryInterval is the pause between two looks for requests that cannot make
 // their deadline any more. It bounds how long a given-up request waits for its
 // final answer.
-const sweepEvery = 100 * time.Millisecond
+const expiryInterval = 100 * time.Millisecond
 
 // Config is what admission follows.
 type Config struct {
@@ -55,7 +55,7 @@
 
 // Run sweeps the queues until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(expiryInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -63,7 +63,7 @@
 			return nil
 		case now := <-tick.C:
 			for _, p := range c.allPools() {
-				p.sweep(now)
+				p.expire(now)
 			}
 		}
 	}
@@ -90,7 +90,7 @@
 	for _, t := range c.cfg.Teams {
 		listed[t.Name] = true
 		if known := c.teams[t.Name]; known != nil {
-			known.set(t)
+			known.reconfigure(t)
 			continue
 		}
 		c.teams[t.Name] = newTeam(t, c.cfg.Hosts, now)
@@ -112,7 +112,7 @@
 // SetPeerTeamUsage tells what the other hosts together are asked for by a team.
 func (c *Controller) SetPeerTeamUsage(name string, rps, concurrent float64, hosts int) {
 	if t := c.team(name); t != nil {
-		t.setPeers(rps, concurrent, hosts)
+		t.setPeerUsage(rps, concurrent, hosts)
 	}
 }
 
@@ -132,7 +132,7 @@
 		return nil, fault.NotRun(fault.StepAdmit, "", fault.CodeInvalidAPIKey, "team %q is not configured", r.Team)
 	}
 	if p == nil {
-		return nil, refused(admit.Refusal{Cause: admit.CauseNoCapacity, RetryAfter: time.Second}, r)
+		return nil, refusalError(admit.Refusal{Cause: admit.CauseNoCapacity, RetryAfter: time.Second}, r)
 	}
 	begun := time.Now()
 	weight, ok, wait := t.take(begun)
@@ -140,10 +140,10 @@
 		return nil, fault.NotRun(fault.StepAdmit, "", fault.CodeTeamLimit, "team is over its limit").WithRetryAfter(wait)
 	}
 	if err := p.admit(ctx, r, weight); err != nil {
-		t.giveBack()
+		t.cancel()
 		return nil, err
 	}
-	return &Ticket{pool: p, team: t, request: r, begun: begun, granted: time.Now()}, nil
+	return &Ticket{pool: p, team: t, request: r, arrivedAt: begun, admittedAt: time.Now()}, nil
 }
 
 // PoolLoad is the state of one pool's admission, for queries and metrics.
--- a/node/admission/admission_test.go
+++ b/node/admission/admission_test.go
@@ -83,13 +83,13 @@
 					ticket.Release()
 					return
 				}
-				assert.Check(t, time.Since(begun) <= 2*time.Second+sweepEvery)
+				assert.Check(t, time.Since(begun) <= 2*time.Second+expiryInterval)
 				refusals <- err
 			})
 		}
 		time.Sleep(2 * time.Second)
 		held[0].Release()
-		time.Sleep(sweepEvery)
+		time.Sleep(expiryInterval)
 		synctest.Wait()
 		assert.Assert(t, len(refusals) > 0)
 		notRun(t, <-refusals, fault.CodeDeadlineExceeded)
--- a/node/admission/pool.go
+++ b/node/admission/pool.go
@@ -16,7 +16,7 @@
 	mu      sync.Mutex
 	core    *admit.Pool
 	waiters map[uint64]*waiter
-	next    uint64
+	lastID  uint64
 }
 
 // waiter is one request in a queue. Whoever takes it out of pool.waiters, under
@@ -40,7 +40,7 @@
 	case err := <-w.done:
 		return err
 	case <-ctx.Done():
-		return p.leave(ctx, id, w)
+		return p.withdraw(ctx, id, w)
 	}
 }
 
@@ -48,34 +48,34 @@
 func (p *pool) arrive(r Request, weight int) (*waiter, uint64, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.next++
-	it := admit.Item{ID: p.next, Team: r.Team, Weight: weight, Class: r.Class, Deadline: r.Deadline, MinDuration: r.MinDuration}
+	p.lastID++
+	it := admit.Item{ID: p.lastID, Team: r.Team, Weight: weight, Class: r.Class, Deadline: r.Deadline, MinDuration: r.MinDuration}
 	verdict, refusal, displaced := p.core.Arrive(time.Now(), it)
 	if displaced != nil {
-		p.settle(admit.Result{Refused: []admit.Refusal{*displaced}})
+		p.deliver(admit.Result{Refused: []admit.Refusal{*displaced}})
 	}
 	switch verdict {
 	case admit.Admitted:
 		return nil, it.ID, nil
 	case admit.Refused:
-		return nil, it.ID, refused(refusal, r)
+		return nil, it.ID, refusalError(refusal, r)
 	}
 	w := &waiter{request: r, done: make(chan error, 1)}
 	p.waiters[it.ID] = w
 	return w, it.ID, nil
 }
 
-// leave takes out a request whose caller went away or whose deadline came. A
+// withdraw takes out a request whose caller went away or whose deadline came. A
 // slot granted at the same moment is given back: nobody else would, and one
 // would notice the pool's slots leaking away one by one.
-func (p *pool) leave(ctx context.Context, id uint64, w *waiter) error {
+func (p *pool) withdraw(ctx context.Context, id uint64, w *waiter) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, waits := p.waiters[id]; waits {
 		delete(p.waiters, id)
 		p.core.Cancel(w.request.Class, id)
 	} else if err := <-w.done; err == nil {
-		p.settle(p.core.ReleaseUnused(w.request.Class, w.request.Team))
+		p.deliver(p.core.ReleaseUnused(w.request.Class, w.request.Team))
 	}
 	code := fault.CodeOverloaded
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -87,21 +87,21 @@
 func (p *pool) release(c class.Class, team string, held time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.settle(p.core.Release(c, team, held))
+	p.deliver(p.core.Release(c, team, held))
 }
 
-func (p *pool) sweep(now time.Time) {
+func (p *pool) expire(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.waiters) > 0 {
-		p.settle(p.core.ExpireQueued(now))
+		p.deliver(p.core.ExpireQueued(now))
 	}
 }
 
 func (p *pool) setPolicy(now time.Time, policy admit.Policy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.settle(p.core.SetPolicy(now, policy))
+	p.deliver(p.core.SetPolicy(now, policy))
 }
 
 func (p *pool) load() PoolLoad {
@@ -114,27 +114,27 @@
 	return l
 }
 
-// settle tells the waiters what became of them.
-func (p *pool) settle(r admit.Result) {
+// deliver tells the waiters what became of them.
+func (p *pool) deliver(r admit.Result) {
 	for _, id := range r.Granted {
-		p.answer(id, nil)
+		p.notify(id, nil)
 	}
 	for _, refusal := range r.Refused {
 		if w := p.waiters[refusal.ID]; w != nil {
-			p.answer(refusal.ID, refused(refusal, w.request))
+			p.notify(refusal.ID, refusalError(refusal, w.request))
 		}
 	}
 }
 
-func (p *pool) answer(id uint64, err error) {
+func (p *pool) notify(id uint64, err error) {
 	if w := p.waiters[id]; w != nil {
 		delete(p.waiters, id)
 		w.done <- err
 	}
 }
 
-// refused turns a refusal into the error that callers see.
-func refused(r admit.Refusal, req Request) error {
+// refusalError turns a refusal into the error that callers see.
+func refusalError(r admit.Refusal, req Request) error {
 	code, why := fault.CodeOverloaded, "no slot"
 	switch r.Cause {
 	case admit.CauseNoCapacity:
--- a/node/admission/team.go
+++ b/node/admission/team.go
@@ -19,14 +19,14 @@
 	return &team{weight: t.Weight, limiter: admit.NewLimiter(t.Limits, hosts, now)}
 }
 
-func (t *team) set(c config.Team) {
+func (t *team) reconfigure(c config.Team) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.weight = c.Weight
 	t.limiter.SetLimits(c.Limits)
 }
 
-func (t *team) setPeers(rps, concurrent float64, hosts int) {
+func (t *team) setPeerUsage(rps, concurrent float64, hosts int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.limiter.SetPeerDemand(rps, concurrent, hosts)
@@ -51,7 +51,7 @@
 	t.limiter.Done(held)
 }
 
-func (t *team) giveBack() {
+func (t *team) cancel() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.limiter.Cancel()
--- a/node/command/audit.go
+++ b/node/command/audit.go
@@ -20,14 +20,14 @@
 
 // Where the audit trail is kept.
 const (
-	// keepRows is how many of the newest entries stay in the table: a few
+	// retainedRows is how many of the newest entries stay in the table: a few
 	// hours at 3,200 changes a day.
-	keepRows = 500
-	// archiveEvery is the pause between looks for a full batch; one batch of
+	retainedRows = 500
+	// archiveInterval is the pause between looks for a full batch; one batch of
 	// 100 takes 45 minutes at 3,200 changes a day.
-	archiveEvery = 10 * time.Minute
-	// archiveNeeds is the lease time that moving one batch may take.
-	archiveNeeds = 3 * time.Second
+	archiveInterval = 10 * time.Minute
+	// minLeaseLeft is the lease time that moving one batch may take.
+	minLeaseLeft = 3 * time.Second
 )
 
 // AuditLease is the name of the archiver's lease.
@@ -50,7 +50,7 @@
 
 // Run archives until ctx ends.
 func (a *Archiver) Run(ctx context.Context) error {
-	for pace.Sleep(ctx, pace.DefaultRand().Jitter(archiveEvery, 0.1)) {
+	for pace.Sleep(ctx, pace.DefaultRand().Jitter(archiveInterval, 0.1)) {
 		for moved, err := a.ArchiveNext(ctx); moved || err != nil; moved, err = a.ArchiveNext(ctx) {
 			if err != nil {
 				a.deps.Log.Emit(event.AuditArchiveFailed, zap.Error(err))
@@ -87,7 +87,7 @@
 			return false, fault.From(fault.StepConfig, err)
 		}
 	}
-	if _, last := revision.BatchVersions(batch); last+keepRows > head.Version {
+	if _, last := revision.BatchVersions(batch); last+retainedRows > head.Version {
 		return false, nil
 	}
 	return a.move(ctx, term, batch, at)
@@ -115,7 +115,7 @@
 	if err := a.deps.Objects.Put(ctx, revision.ArchiveName(batch), data); err != nil {
 		return false, storeError(fault.StepObject, err, "store batch %d", batch)
 	}
-	if err := a.role.Check(term.Epoch, archiveNeeds); err != nil {
+	if err := a.role.Check(term.Epoch, minLeaseLeft); err != nil {
 		return false, nil
 	}
 	_, err = store.CommitResolved(ctx, a.deps.Table, store.Txn{Op: uuid.NewString(), Writes: writes,
--- a/node/command/config.go
+++ b/node/command/config.go
@@ -22,8 +22,8 @@
 	"peridotpier.example/node/store"
 )
 
-// putPause is the wait between tries to store a document whose answer was lost.
-const putPause = 50 * time.Millisecond
+// putRetryPause is the wait between tries to store a document whose answer was lost.
+const putRetryPause = 50 * time.Millisecond
 
 // Deps are what the commands work with; Now and Log may be nil.
 type Deps struct {
@@ -65,13 +65,13 @@
 // InvalidError lists what is wrong with a document.
 type InvalidError struct{ Faults []config.Fault }
 
-// maxShown is how many faults an error message names; Faults has them all.
-const maxShown = 5
+// maxShownFaults is how many faults an error message names; Faults has them all.
+const maxShownFaults = 5
 
 // Error writes the first faults.
 func (e *InvalidError) Error() string {
 	var lines []string
-	for _, f := range e.Faults[:min(len(e.Faults), maxShown)] {
+	for _, f := range e.Faults[:min(len(e.Faults), maxShownFaults)] {
 		lines = append(lines, f.String())
 	}
 	return fmt.Sprintf("invalid configuration, %d faults: %s", len(e.Faults), strings.Join(lines, "; "))
@@ -98,23 +98,23 @@
 	if len(faults) > 0 {
 		return revision.Head{}, refuse(fault.CodeBadRequest, &InvalidError{faults})
 	}
-	cur, err := c.current(ctx)
+	cur, err := c.readHead(ctx)
 	if err != nil {
 		return revision.Head{}, err
 	}
 	if cur.head.Version != a.Parent {
 		return cur.head, refuse(fault.CodeConflict, &ConflictError{a.Parent, cur.head})
 	}
-	preset, err := presetFor(cfg, a.Preset, cur.head.Preset)
+	preset, err := choosePreset(cfg, a.Preset, cur.head.Preset)
 	if err != nil {
 		return revision.Head{}, err
 	}
-	old, err := c.document(ctx, cur.head)
+	old, err := c.readDocument(ctx, cur.head)
 	if err != nil {
 		return revision.Head{}, err
 	}
 	digest := revision.Digest(a.Document)
-	if err := c.put(ctx, digest, a.Document); err != nil {
+	if err := c.putDocument(ctx, digest, a.Document); err != nil {
 		return revision.Head{}, err
 	}
 	return c.commit(ctx, cur, revision.Entry{Action: revision.ActionApply, Changes: revision.Changes(old, cfg),
@@ -124,21 +124,21 @@
 // UsePreset puts another preset in force, with its audit entry, in one
 // conditional write. A preset that is in force already is left as it is.
 func (c *Configuration) UsePreset(ctx context.Context, u UsePresetRequest) (revision.Head, error) {
-	cur, err := c.current(ctx)
+	cur, err := c.readHead(ctx)
 	if err != nil {
 		return revision.Head{}, err
 	}
 	if u.Parent != 0 && u.Parent != cur.head.Version {
 		return cur.head, refuse(fault.CodeConflict, &ConflictError{u.Parent, cur.head})
 	}
-	cfg, err := c.document(ctx, cur.head)
+	cfg, err := c.readDocument(ctx, cur.head)
 	if err != nil {
 		return revision.Head{}, err
 	}
 	if cfg == nil {
 		return revision.Head{}, refuse(fault.CodeNotFound, errors.New("no configuration yet: apply one first"))
 	}
-	if _, err := presetFor(cfg, u.Preset, ""); err != nil {
+	if _, err := choosePreset(cfg, u.Preset, ""); err != nil {
 		return revision.Head{}, err
 	}
 	if u.Preset == cur.head.Preset {
@@ -149,29 +149,29 @@
 		Head:    revision.Head{Digest: cur.head.Digest, Preset: u.Preset, Author: u.Author}})
 }
 
-// current is the head in force with the version of its row.
-type current struct {
-	head revision.Head
-	row  uint64
+// headRow is the head in force with the version of its row.
+type headRow struct {
+	head    revision.Head
+	version uint64
 }
 
-func (c *Configuration) current(ctx context.Context) (current, error) {
+func (c *Configuration) readHead(ctx context.Context) (headRow, error) {
 	rows, err := c.deps.Table.Get(ctx, revision.HeadKey)
 	if err != nil {
-		return current{}, storeError(fault.StepTable, err, "read the head")
+		return headRow{}, storeError(fault.StepTable, err, "read the head")
 	}
 	if len(rows) == 0 {
-		return current{row: store.Absent}, nil
+		return headRow{version: store.Absent}, nil
 	}
 	head, err := revision.Decode[revision.Head](rows[0].Value)
 	if err != nil {
-		return current{}, fault.From(fault.StepConfig, err)
+		return headRow{}, fault.From(fault.StepConfig, err)
 	}
-	return current{head, rows[0].Version}, nil
+	return headRow{head, rows[0].Version}, nil
 }
 
-// document reads the configuration of a head; nil where there is none yet.
-func (c *Configuration) document(ctx context.Context, h revision.Head) (*config.Config, error) {
+// readDocument reads the configuration of a head; nil where there is none yet.
+func (c *Configuration) readDocument(ctx context.Context, h revision.Head) (*config.Config, error) {
 	if h.Version == 0 {
 		return nil, nil
 	}
@@ -190,10 +190,10 @@
 	return cfg, nil
 }
 
-// put stores a document before the head that names it: a head must never
+// putDocument stores a document before the head that names it: a head must never
 // name what is not there. What a lost race leaves behind is harmless. A
 // conflict means that the same document is there, compressed otherwise.
-func (c *Configuration) put(ctx context.Context, digest string, doc []byte) error {
+func (c *Configuration) putDocument(ctx context.Context, digest string, doc []byte) error {
 	packed, err := revision.Compress(doc)
 	if err != nil {
 		return fault.From(fault.StepConfig, err)
@@ -203,14 +203,14 @@
 		if err == nil || errors.Is(err, store.ErrConflict) {
 			return nil
 		}
-		if !errors.Is(err, store.ErrUnconfirmed) || !pace.Sleep(ctx, putPause) {
+		if !errors.Is(err, store.ErrUnconfirmed) || !pace.Sleep(ctx, putRetryPause) {
 			// The head is untouched, so the change did not run even if this write did.
 			return fault.NotRun(fault.StepObject, "platform", fault.CodeStoreUnavailable, "store the document: %w", err)
 		}
 	}
 }
 
-func (c *Configuration) commit(ctx context.Context, cur current, e revision.Entry) (revision.Head, error) {
+func (c *Configuration) commit(ctx context.Context, cur headRow, e revision.Entry) (revision.Head, error) {
 	e.Version, e.At = cur.head.Version+1, c.deps.Now().UTC()
 	e.FromVersion, e.FromDigest, e.FromPreset = cur.head.Version, cur.head.Digest, cur.head.Preset
 	head, err := json.Marshal(e.Head)
@@ -222,7 +222,7 @@
 		return revision.Head{}, fault.From(fault.StepConfig, err)
 	}
 	_, err = store.CommitResolved(ctx, c.deps.Table, store.Txn{Op: uuid.NewString(),
-		Conds: []store.Cond{{Key: revision.HeadKey, Version: cur.row}},
+		Conds: []store.Cond{{Key: revision.HeadKey, Version: cur.version}},
 		Writes: []store.Write{{Key: revision.HeadKey, Value: head},
 			{Key: revision.AuditKey(e.Version), Value: entry}}})
 	if errors.Is(err, store.ErrConflict) {
@@ -237,16 +237,16 @@
 }
 
 // lostRace reads who won, for the message.
-func (c *Configuration) lostRace(ctx context.Context, cur current) (revision.Head, error) {
-	won, err := c.current(ctx)
+func (c *Configuration) lostRace(ctx context.Context, cur headRow) (revision.Head, error) {
+	won, err := c.readHead(ctx)
 	if err != nil {
-		won = current{}
+		won = headRow{}
 	}
 	return won.head, refuse(fault.CodeConflict, &ConflictError{cur.head.Version, won.head})
 }
 
-// presetFor picks the preset to be in force with cfg.
-func presetFor(cfg *config.Config, wanted, now string) (string, error) {
+// choosePreset picks the preset to be in force with cfg.
+func choosePreset(cfg *config.Config, wanted, now string) (string, error) {
 	if wanted == "" {
 		wanted = now
 	}
--- a/node/keys/files.go
+++ b/node/keys/files.go
@@ -59,19 +59,19 @@
 	return data, nil
 }
 
-// part is what is put in force together: the files of one listener, or those
+// fileSet is what is put in force together: the files of one listener, or those
 // of the resume keys.
-type part struct {
+type fileSet struct {
 	name string
 	// load reads and checks, and returns what puts the result in force.
 	load   func(*reader) (func(), error)
 	stamps map[string]string
-	sum    string
+	digest string
 }
 
-// look reads the part again if its files changed, or in any case when it must.
+// reload reads the part again if its files changed, or in any case when it must.
 // A fault is returned once, when it appears.
-func (p *part) look(f Files, must bool) (changed bool, err error) {
+func (p *fileSet) reload(f Files, must bool) (changed bool, err error) {
 	if !must && p.sameStamps(f) {
 		return false, nil
 	}
@@ -82,10 +82,10 @@
 	if err != nil {
 		p.stamps = nil // not all files were reached, so the stamps would hide a mended one
 	}
-	if sum == p.sum {
+	if sum == p.digest {
 		return false, nil
 	}
-	p.sum = sum
+	p.digest = sum
 	if err != nil {
 		return false, err
 	}
@@ -93,7 +93,7 @@
 	return true, nil
 }
 
-func (p *part) sameStamps(f Files) bool {
+func (p *fileSet) sameStamps(f Files) bool {
 	for name, old := range p.stamps {
 		if now, err := f.Stamp(name); err != nil || now != old {
 			return false
--- a/node/keys/handshake.go
+++ b/node/keys/handshake.go
@@ -15,46 +15,46 @@
 )
 
 const (
-	// handshakeBound is how long the other side may take over a handshake.
-	handshakeBound = 5 * time.Second
-	// refusalsEach and refusalsBurst bound the lines that strangers can cause:
+	// handshakeTimeout is how long the other side may take over a handshake.
+	handshakeTimeout = 5 * time.Second
+	// refusalLogInterval and refusalsBurst bound the lines that strangers can cause:
 	// a scanner must not fill the log.
-	refusalsEach  = time.Second
-	refusalsBurst = 20
+	refusalLogInterval = time.Second
+	refusalLogBurst    = 20
 )
 
-// refusals writes refused handshakes, so many at most.
-type refusals struct {
-	log      *event.Log
-	limit    *rate.Limiter
-	heldBack *atomic.Int64
+// refusalLog writes refused handshakes, so many at most.
+type refusalLog struct {
+	log        *event.Log
+	limit      *rate.Limiter
+	suppressed *atomic.Int64
 }
 
-func newRefusals(log *event.Log) refusals {
-	return refusals{log: log, limit: rate.NewLimiter(rate.Every(refusalsEach), refusalsBurst), heldBack: new(atomic.Int64)}
+func newRefusalLog(log *event.Log) refusalLog {
+	return refusalLog{log: log, limit: rate.NewLimiter(rate.Every(refusalLogInterval), refusalLogBurst), suppressed: new(atomic.Int64)}
 }
 
-func (r refusals) emit(e event.Event, fields ...zap.Field) {
+func (r refusalLog) emit(e event.Event, fields ...zap.Field) {
 	if !r.limit.Allow() {
-		r.heldBack.Add(1)
+		r.suppressed.Add(1)
 		return
 	}
-	r.log.Emit(e, append(fields, zap.Int64("held_back", r.heldBack.Swap(0)))...)
+	r.log.Emit(e, append(fields, zap.Int64("held_back", r.suppressed.Swap(0)))...)
 }
 
 // LogRefused writes a handshake that failed on a listener.
 func (r *Ring) LogRefused(listener, peer, reason string) {
-	r.refused.emit(event.HandshakeRefused, zap.String("where", listener), zap.String(event.FieldPeer, peer), zap.String("reason", reason))
+	r.refusals.emit(event.HandshakeRefused, zap.String("where", listener), zap.String(event.FieldPeer, peer), zap.String("reason", reason))
 }
 
 // CallerListener wraps the callers' listener in TLS where the settings say so.
-func (r *Ring) CallerListener(ln net.Listener) net.Listener { return secure(ln, r.caller) }
+func (r *Ring) CallerListener(ln net.Listener) net.Listener { return wrapTLS(ln, r.caller) }
 
 // OperatorListener wraps the operators' listener.
-func (r *Ring) OperatorListener(ln net.Listener) net.Listener { return secure(ln, r.operator) }
+func (r *Ring) OperatorListener(ln net.Listener) net.Listener { return wrapTLS(ln, r.operator) }
 
-func secure(ln net.Listener, id *identity) net.Listener {
-	c := id.server()
+func wrapTLS(ln net.Listener, id *identity) net.Listener {
+	c := id.serverTLS()
 	if c == nil {
 		return ln
 	}
@@ -64,7 +64,7 @@
 // PeerListener wraps the listener for entry hosts. What serves it does not say why a
 // connection ended, so the wrapper does.
 func (r *Ring) PeerListener(ln net.Listener) net.Listener {
-	c := r.peer.server()
+	c := r.peer.serverTLS()
 	if c == nil {
 		return ln
 	}
@@ -96,7 +96,7 @@
 
 func (c *peerConn) handshake() error {
 	c.once.Do(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), handshakeBound)
+		ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 		defer cancel()
 		if c.err = c.Conn.HandshakeContext(ctx); c.err != nil {
 			c.ring.LogRefused("peers", c.RemoteAddr().String(), c.err.Error())
@@ -132,16 +132,16 @@
 		_ = nc.Close()
 		return nil, err
 	}
-	cfg := r.peer.client(host)
+	cfg := r.peer.clientTLS(host)
 	if cfg == nil {
 		return nc, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, handshakeBound)
+	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	c := tls.Client(nc, cfg)
 	if err := c.HandshakeContext(ctx); err != nil {
 		_ = nc.Close()
-		r.refused.emit(event.PeerCertRefused, zap.String(event.FieldPeer, address), zap.String("reason", err.Error()))
+		r.refusals.emit(event.PeerCertRefused, zap.String(event.FieldPeer, address), zap.String("reason", err.Error()))
 		return nil, err
 	}
 	return c, nil
--- a/node/keys/identity.go
+++ b/node/keys/identity.go
@@ -18,46 +18,46 @@
 )
 
 const (
-	// endingSoon is how long before its end a certificate is warned of.
-	endingSoon = 7 * 24 * time.Hour
-	// warnEach is the least time between two warnings of one certificate.
-	warnEach = 24 * time.Hour
+	// expiryWarning is how long before its end a certificate is warned of.
+	expiryWarning = 7 * 24 * time.Hour
+	// expiryWarningInterval is the least time between two warnings of one certificate.
+	expiryWarningInterval = 24 * time.Hour
 )
 
-// kind is who is on the other side of a listener.
-type kind int
+// clientKind is who is on the other side of a listener.
+type clientKind int
 
 const (
-	kindCaller   kind = iota // clients of any make; a certificate only where authorities are named
-	kindOperator             // must show a certificate of an authority
-	kindPeer                 // must show one with the address that it comes from
+	kindCaller   clientKind = iota // clients of any make; a certificate only where authorities are named
+	kindOperator                   // must show a certificate of an authority
+	kindPeer                       // must show one with the address that it comes from
 )
 
 // identity is the certificate and the authorities of one listener.
 type identity struct {
-	name    string
-	listen  netip.Addr
-	files   *settings.TLS // nil: plain TCP
-	kind    kind
-	clock   func() time.Time
-	current atomic.Pointer[material]
-	warned  time.Time // guarded by Ring.mu
+	name          string
+	listenAddress netip.Addr
+	files         *settings.TLS // nil: plain TCP
+	kind          clientKind
+	now           func() time.Time
+	current       atomic.Pointer[credentials]
+	lastWarned    time.Time // guarded by Ring.mu
 }
 
-// material is what is in force, never changed once made.
-type material struct {
+// credentials is what is in force, never changed once made.
+type credentials struct {
 	cert        tls.Certificate
 	authorities *x509.CertPool // nil: the other side needs no certificate
-	server      *tls.Config
+	tlsConfig   *tls.Config
 }
 
-func (r *Ring) identity(name string, l settings.Listener, k kind) *identity {
-	id := &identity{name: name, files: l.TLS, kind: k, clock: r.deps.Now}
+func (r *Ring) identity(name string, l settings.Listener, k clientKind) *identity {
+	id := &identity{name: name, files: l.TLS, kind: k, now: r.deps.Now}
 	if at, err := netip.ParseAddrPort(l.Address); err == nil {
-		id.listen = at.Addr()
+		id.listenAddress = at.Addr()
 	}
 	if l.TLS != nil {
-		r.parts = append(r.parts, &part{name: name + ".tls", load: id.load})
+		r.fileSets = append(r.fileSets, &fileSet{name: name + ".tls", load: id.load})
 	}
 	return id
 }
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &material{cert: cert}
+	m := &credentials{cert: cert}
 	if id.files.Authorities != "" {
 		data, err := rd.read(id.files.Authorities)
 		if err != nil {
@@ -78,7 +78,7 @@
 			return nil, errors.New("authorities: no certificate in the file")
 		}
 	}
-	m.server = id.serverConfig(m)
+	m.tlsConfig = id.serverConfig(m)
 	return func() { id.current.Store(m) }, nil
 }
 
@@ -98,12 +98,12 @@
 	if err != nil {
 		return none, eris.Wrap(err, "certificate and key")
 	}
-	leaf, now := pair.Leaf, id.clock()
+	leaf, now := pair.Leaf, id.now()
 	if now.Before(leaf.NotBefore) || !now.Before(leaf.NotAfter) {
 		return none, fmt.Errorf("certificate: valid from %s to %s, not now", leaf.NotBefore.Format(time.RFC3339), leaf.NotAfter.Format(time.RFC3339))
 	}
-	if id.kind == kindPeer && id.listen.IsValid() && !id.listen.IsUnspecified() {
-		if err := leaf.VerifyHostname(id.listen.String()); err != nil {
+	if id.kind == kindPeer && id.listenAddress.IsValid() && !id.listenAddress.IsUnspecified() {
+		if err := leaf.VerifyHostname(id.listenAddress.String()); err != nil {
 			return none, eris.Wrap(err, "certificate")
 		}
 	}
@@ -112,8 +112,8 @@
 
 // serverConfig makes the listener's side. Resumption is off where certificates
 // are asked for: a resumed session would outlive the authority behind it.
-func (id *identity) serverConfig(m *material) *tls.Config {
-	c := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{m.cert}, NextProtos: []string{"http/1.1"}, Time: id.clock}
+func (id *identity) serverConfig(m *credentials) *tls.Config {
+	c := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{m.cert}, NextProtos: []string{"http/1.1"}, Time: id.now}
 	switch id.kind {
 	case kindCaller:
 		c.MinVersion = tls.VersionTLS12 // callers' libraries are not ours to choose
@@ -126,27 +126,27 @@
 	return c
 }
 
-// server returns a configuration that follows what is in force, connection by
+// serverTLS returns a configuration that follows what is in force, connection by
 // connection; nil for plain TCP.
-func (id *identity) server() *tls.Config {
+func (id *identity) serverTLS() *tls.Config {
 	if id.files == nil {
 		return nil
 	}
 	return &tls.Config{GetConfigForClient: func(h *tls.ClientHelloInfo) (*tls.Config, error) {
-		c := id.current.Load().server
+		c := id.current.Load().tlsConfig
 		if id.kind != kindPeer {
 			return c, nil
 		}
 		c = c.Clone()
-		c.VerifyConnection = func(s tls.ConnectionState) error { return holdsAddress(s, h.Conn.RemoteAddr()) }
+		c.VerifyConnection = func(s tls.ConnectionState) error { return verifySourceAddress(s, h.Conn.RemoteAddr()) }
 		return c, nil
 	}}
 }
 
-// holdsAddress checks that a peer comes from an address in its certificate.
+// verifySourceAddress checks that a peer comes from an address in its certificate.
 // Without it, whoever got hold of any certificate of the authority, such as an
 // operator's, could pass as an entry host from anywhere.
-func holdsAddress(s tls.ConnectionState, from net.Addr) error {
+func verifySourceAddress(s tls.ConnectionState, from net.Addr) error {
 	at, err := netip.ParseAddrPort(from.String())
 	if err != nil {
 		return eris.Wrap(err, "address of the other side")
@@ -154,24 +154,24 @@
 	return s.PeerCertificates[0].VerifyHostname(at.Addr().Unmap().WithZone("").String())
 }
 
-// client makes the dialling side towards a peer; nil for plain TCP.
-func (id *identity) client(ip string) *tls.Config {
+// clientTLS makes the dialling side towards a peer; nil for plain TCP.
+func (id *identity) clientTLS(ip string) *tls.Config {
 	m := id.current.Load()
 	if m == nil {
 		return nil
 	}
-	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: m.authorities, ServerName: ip, Time: id.clock,
+	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: m.authorities, ServerName: ip, Time: id.now,
 		// Shown whatever authorities the other side names, so that it can say
 		// what is wrong with this certificate and not just that there is none.
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &m.cert, nil }}
 }
 
-// warn tells in time of a certificate's end.
-func (id *identity) warn(log *event.Log, now time.Time) {
+// warnOfExpiry tells in time of a certificate's end.
+func (id *identity) warnOfExpiry(log *event.Log, now time.Time) {
 	m := id.current.Load()
-	if m == nil || m.cert.Leaf.NotAfter.Sub(now) > endingSoon || now.Sub(id.warned) < warnEach {
+	if m == nil || m.cert.Leaf.NotAfter.Sub(now) > expiryWarning || now.Sub(id.lastWarned) < expiryWarningInterval {
 		return
 	}
-	id.warned = now
+	id.lastWarned = now
 	log.Emit(event.CertificateEnding, zap.String("what", id.name+".tls"), zap.Time("ends", m.cert.Leaf.NotAfter))
 }
--- a/node/keys/keys.go
+++ b/node/keys/keys.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	// defaultEvery is the mean time between two looks at the files. A changed
+	// defaultCheckInterval is the mean time between two looks at the files. A changed
 	// file is in force on all hosts within half as much again.
-	defaultEvery = 10 * time.Second
-	// rereadEach is how many looks pass until the files are read whatever their
+	defaultCheckInterval = 10 * time.Second
+	// checksPerFullRead is how many looks pass until the files are read whatever their
 	// stamps: a copy that keeps time and size would be missed for good.
-	rereadEach = 30
-	// secretBytes is the least length of a secret, in bytes.
-	secretBytes = 32
+	checksPerFullRead = 30
+	// minSecretBytes is the least length of a secret, in bytes.
+	minSecretBytes = 32
 )
 
 // Config says what a Ring keeps.
@@ -57,17 +57,17 @@
 	caller   *identity
 	operator *identity
 	peer     *identity
-	refused  refusals
+	refusals refusalLog
 
-	mu    sync.Mutex // one look at a time
-	parts []*part
-	looks int
+	mu       sync.Mutex // one look at a time
+	fileSets []*fileSet
+	reloads  int
 }
 
 // Load reads everything that the settings name; a fault in any is an error.
 func Load(cfg Config, deps Deps) (*Ring, error) {
 	if cfg.CheckInterval == 0 {
-		cfg.CheckInterval = defaultEvery
+		cfg.CheckInterval = defaultCheckInterval
 	}
 	if deps.Files == nil {
 		deps.Files = Disk{}
@@ -78,22 +78,22 @@
 	if deps.Now == nil {
 		deps.Now = time.Now
 	}
-	r := &Ring{cfg: cfg, deps: deps, refused: newRefusals(deps.Log)}
+	r := &Ring{cfg: cfg, deps: deps, refusals: newRefusalLog(deps.Log)}
 	salt, err := deps.Files.Read(cfg.Settings.Keys.PrefixSalt)
 	if err != nil {
 		return nil, eris.Wrap(err, "keys.prefix_salt_file")
 	}
-	if len(salt) < secretBytes {
-		return nil, fmt.Errorf("keys.prefix_salt_file: %d bytes, at least %d are needed", len(salt), secretBytes)
+	if len(salt) < minSecretBytes {
+		return nil, fmt.Errorf("keys.prefix_salt_file: %d bytes, at least %d are needed", len(salt), minSecretBytes)
 	}
 	r.salt = string(salt)
-	r.parts = []*part{{name: "keys.resume", load: r.loadTokens}}
+	r.fileSets = []*fileSet{{name: "keys.resume", load: r.loadResumeKeys}}
 	set := cfg.Settings
 	r.caller = r.identity("caller", set.Caller, kindCaller)
 	r.operator = r.identity("operator", set.Operator.Listener(), kindOperator)
 	r.peer = r.identity("peer", set.Peer, kindPeer)
-	for _, p := range r.parts {
-		if _, err := p.look(deps.Files, true); err != nil {
+	for _, p := range r.fileSets {
+		if _, err := p.reload(deps.Files, true); err != nil {
 			return nil, eris.Wrap(err, p.name)
 		}
 	}
@@ -120,9 +120,9 @@
 func (r *Ring) Reload() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.looks++
-	for _, p := range r.parts {
-		changed, err := p.look(r.deps.Files, r.looks%rereadEach == 0)
+	r.reloads++
+	for _, p := range r.fileSets {
+		changed, err := p.reload(r.deps.Files, r.reloads%checksPerFullRead == 0)
 		switch {
 		case err != nil:
 			r.deps.Log.Emit(event.KeysRefused, zap.String("what", p.name), zap.String("reason", err.Error()))
@@ -131,13 +131,13 @@
 		}
 	}
 	for _, id := range []*identity{r.caller, r.operator, r.peer} {
-		id.warn(r.deps.Log, r.deps.Now())
+		id.warnOfExpiry(r.deps.Log, r.deps.Now())
 	}
 }
 
-// loadTokens reads the resume keys. Their list stands in the settings file, so
+// loadResumeKeys reads the resume keys. Their list stands in the settings file, so
 // that file is one of theirs.
-func (r *Ring) loadTokens(rd *reader) (func(), error) {
+func (r *Ring) loadResumeKeys(rd *reader) (func(), error) {
 	list := r.cfg.Settings.Keys.Resume
 	if r.cfg.File != "" {
 		data, err := rd.read(r.cfg.File)
--- a/node/peer/ask.go
+++ b/node/peer/ask.go
@@ -12,8 +12,8 @@
 	"peridotpier.example/node/peer/peerpb"
 )
 
-// askAtOnce bounds the calls under way when every host is asked.
-const askAtOnce = 32
+// maxConcurrentCalls bounds the calls under way when every host is asked.
+const maxConcurrentCalls = 32
 
 // ConfigVersions asks every host that is alive or suspect which configuration
 // version it has in force; 0 stands for no answer. It is asked for by
@@ -22,9 +22,9 @@
 func (m *Mesh) ConfigVersions(ctx context.Context) map[string]uint64 {
 	out := map[string]uint64{}
 	var mu sync.Mutex
-	m.each(func(h member.Host) {
+	m.forEachOther(func(h member.Host) {
 		var version uint64
-		if r, err := m.pool.probe(ctx, h); err == nil && r.Host == h.Name {
+		if r, err := m.conns.probe(ctx, h); err == nil && r.Host == h.Name {
 			version = r.ConfigVersion
 		}
 		mu.Lock()
@@ -37,12 +37,12 @@
 	return out
 }
 
-// each calls f for every other host that may live, some at once.
-func (m *Mesh) each(f func(member.Host)) {
+// forEachOther calls f for every other host that may live, some at once.
+func (m *Mesh) forEachOther(f func(member.Host)) {
 	hosts, _ := m.AllHosts()
 	self := m.Self().Name
 	var g errgroup.Group
-	g.SetLimit(askAtOnce)
+	g.SetLimit(maxConcurrentCalls)
 	for _, h := range hosts {
 		if (h.State == member.Alive || h.State == member.Suspect) && h.Name != self && h.Address != "" {
 			g.Go(func() error { f(h); return nil })
@@ -55,10 +55,10 @@
 func (m *Mesh) Forecasts(ctx context.Context, preset string) [][]byte {
 	var out [][]byte
 	var mu sync.Mutex
-	m.each(func(h member.Host) {
+	m.forEachOther(func(h member.Host) {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		_ = m.pool.call(ctx, h.Address, func(c peerpb.DRPCPeerClient) error { // a host that does not answer plans nothing
+		_ = m.conns.call(ctx, h.Address, func(c peerpb.DRPCPeerClient) error { // a host that does not answer plans nothing
 			a, err := c.Forecast(ctx, &peerpb.ForecastQuery{Preset: preset})
 			if err != nil || len(a.Forecast) == 0 {
 				return err
@@ -84,7 +84,7 @@
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	found := false
-	err := m.pool.call(ctx, h.Address, func(c peerpb.DRPCPeerClient) error {
+	err := m.conns.call(ctx, h.Address, func(c peerpb.DRPCPeerClient) error {
 		a, err := c.Request(ctx, &peerpb.RequestQuery{Id: id, Cancel: cancel})
 		if err != nil || !a.Found {
 			return err
--- a/node/peer/claims.go
+++ b/node/peer/claims.go
@@ -81,7 +81,7 @@
 	defer cancel()
 	var seen claim.VersionedRow
 	var told error
-	err := m.pool.call(ctx, h.Address, func(p peerpb.DRPCPeerClient) error {
+	err := m.conns.call(ctx, h.Address, func(p peerpb.DRPCPeerClient) error {
 		a, err := p.Claim(ctx, c)
 		if err != nil {
 			return err
--- a/node/peer/config.go
+++ b/node/peer/config.go
@@ -10,13 +10,13 @@
 	"peridotpier.example/node/peer/peerpb"
 )
 
-// fetchAfter is how long a host that heard of a newer version tries the store
+// fetchDelay is how long a host that heard of a newer version tries the store
 // itself before it asks the peer for the document. Asking at once would load
 // the links with documents that the object store serves better.
-const fetchAfter = time.Second
+const fetchDelay = time.Second
 
-// followConfig tells each new version on all links.
-func (m *Mesh) followConfig(ctx context.Context) {
+// announceConfig tells each new version on all links.
+func (m *Mesh) announceConfig(ctx context.Context) {
 	var seen uint64
 	for {
 		st, err := m.deps.Config.Next(ctx, seen)
@@ -32,8 +32,8 @@
 	}
 }
 
-// configWord is what each message says of the configuration.
-func (m *Mesh) configWord(withHead bool) *peerpb.ConfigWord {
+// configUpdate is what each message says of the configuration.
+func (m *Mesh) configUpdate(withHead bool) *peerpb.ConfigWord {
 	w := &peerpb.ConfigWord{}
 	st, ok := m.deps.Config.Current()
 	if !ok {
@@ -51,8 +51,8 @@
 	return w
 }
 
-// takeConfig acts on a peer's word on the configuration.
-func (m *Mesh) takeConfig(l *link, w *peerpb.ConfigWord) {
+// handleConfig acts on a peer's word on the configuration.
+func (m *Mesh) handleConfig(l *link, w *peerpb.ConfigWord) {
 	var own uint64
 	if st, ok := m.deps.Config.Current(); ok {
 		own = st.Version
@@ -66,18 +66,18 @@
 		} else {
 			m.deps.Config.PollSoon()
 		}
-		m.fetchLater(l, w.Version)
+		m.scheduleFetch(l, w.Version)
 	case w.Confirmed:
 		m.deps.Config.ConfirmByPeer(w.Version, time.Duration(w.ConfirmedAgeMs)*time.Millisecond)
 	}
 }
 
-// fetchLater asks a peer for the document if the store has not given it by then.
-func (m *Mesh) fetchLater(l *link, version uint64) {
-	if !m.traces.once("fetch", m.now(), fetchAfter) {
+// scheduleFetch asks a peer for the document if the store has not given it by then.
+func (m *Mesh) scheduleFetch(l *link, version uint64) {
+	if !m.timestamps.allow("fetch", m.now(), fetchDelay) {
 		return
 	}
-	time.AfterFunc(fetchAfter, func() {
+	time.AfterFunc(fetchDelay, func() {
 		if st, ok := m.deps.Config.Current(); ok && st.Version >= version {
 			return
 		}
@@ -90,7 +90,7 @@
 		if st, ok := m.deps.Config.Current(); ok {
 			above = st.Version
 		}
-		err := m.pool.call(ctx, address, func(c peerpb.DRPCPeerClient) error {
+		err := m.conns.call(ctx, address, func(c peerpb.DRPCPeerClient) error {
 			a, err := c.Configuration(ctx, &peerpb.ConfigurationRequest{Above: above})
 			if err != nil || a.Version <= above {
 				return err
--- a/node/peer/link.go
+++ b/node/peer/link.go
@@ -16,14 +16,14 @@
 	// adds to each hop, of which there are about four; a burst of words then
 	// shares one message.
 	batchWindow = 20 * time.Millisecond
-	// wordsMost bounds one message; about 100 KB.
-	wordsMost = 500
-	// silentAfter is how many heartbeats may be missed on a link.
-	silentAfter = 3
-	// digestEach is how many heartbeats pass between two digests.
-	digestEach = 5
-	// repairEach is the least time between two full sendings on one link.
-	repairEach = 30 * time.Second
+	// maxRecords bounds one message; about 100 KB.
+	maxRecords = 500
+	// maxMissedHeartbeats is how many heartbeats may be missed on a link.
+	maxMissedHeartbeats = 3
+	// heartbeatsPerDigest is how many heartbeats pass between two digests.
+	heartbeatsPerDigest = 5
+	// minRepairInterval is the least time between two full sendings on one link.
+	minRepairInterval = 30 * time.Second
 )
 
 // stream is either side of a Link call.
@@ -37,35 +37,35 @@
 // a slow link is sent less, never older, and its memory is bounded by the
 // number of subjects.
 type link struct {
-	m      *Mesh
-	dialed bool // by this host
-	cancel context.CancelFunc
-	heard  atomic.Int64 // Unix nanoseconds of the last message, by the mesh's clock
-	wake   chan struct{}
-
-	mu        sync.Mutex // taken after Mesh.mu, if both
-	peer      member.Host
-	hosts     map[string]member.Host
-	upstreams map[string]member.Upstream // by name and incarnation
-	head      bool                       // send the configuration's head
-	digest    bool
-	repaired  time.Time
+	m            *Mesh
+	dialed       bool // by this host
+	cancel       context.CancelFunc
+	lastReceived atomic.Int64 // Unix nanoseconds of the last message, by the mesh's clock
+	wake         chan struct{}
+
+	mu         sync.Mutex // taken after Mesh.mu, if both
+	peer       member.Host
+	hosts      map[string]member.Host
+	upstreams  map[string]member.Upstream // by name and incarnation
+	sendHead   bool                       // send the configuration's head
+	sendDigest bool
+	lastRepair time.Time
 }
 
 func newLink(m *Mesh, dialed bool, cancel context.CancelFunc) *link {
 	l := &link{m: m, dialed: dialed, cancel: cancel, wake: make(chan struct{}, 1),
-		hosts: map[string]member.Host{}, upstreams: map[string]member.Upstream{}, head: true, digest: true}
-	l.heard.Store(m.now().UnixNano())
+		hosts: map[string]member.Host{}, upstreams: map[string]member.Upstream{}, sendHead: true, sendDigest: true}
+	l.lastReceived.Store(m.now().UnixNano())
 	return l
 }
 
-func (l *link) name() string {
+func (l *link) peerName() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.peer.Name
 }
 
-func (l *link) poke() {
+func (l *link) wakeSender() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -76,27 +76,27 @@
 	l.mu.Lock()
 	l.hosts[h.Name] = h
 	l.mu.Unlock()
-	l.poke()
+	l.wakeSender()
 }
 
 func (l *link) queueUpstream(u member.Upstream) {
 	l.mu.Lock()
 	l.upstreams[u.Name+"\x00"+u.Incarnation] = u
 	l.mu.Unlock()
-	l.poke()
+	l.wakeSender()
 }
 
 func (l *link) queueHead() {
 	l.mu.Lock()
-	l.head = true
+	l.sendHead = true
 	l.mu.Unlock()
-	l.poke()
+	l.wakeSender()
 }
 
 // send sends what is queued, and a heartbeat when nothing was for a while.
 func (l *link) send(s stream) error {
 	ctx := s.Context()
-	if err := s.Send(l.first()); err != nil {
+	if err := s.Send(l.firstMessage()); err != nil {
 		return err
 	}
 	beat := time.NewTimer(l.m.cfg.HeartbeatInterval)
@@ -108,7 +108,7 @@
 		case <-beat.C:
 			beats++
 			l.mu.Lock()
-			l.digest = l.digest || beats%digestEach == 0
+			l.sendDigest = l.sendDigest || beats%heartbeatsPerDigest == 0
 			l.mu.Unlock()
 		case <-l.wake:
 			if !pace.Sleep(ctx, batchWindow) {
@@ -117,7 +117,7 @@
 		}
 		for more := true; more; {
 			var msg *peerpb.Message
-			msg, more = l.next()
+			msg, more = l.nextMessage()
 			if err := s.Send(msg); err != nil {
 				return err
 			}
@@ -126,36 +126,36 @@
 	}
 }
 
-// first introduces this host.
-func (l *link) first() *peerpb.Message {
-	return &peerpb.Message{From: hostToWire(l.m.Self()), Config: l.m.configWord(false)}
+// firstMessage introduces this host.
+func (l *link) firstMessage() *peerpb.Message {
+	return &peerpb.Message{From: hostToWire(l.m.Self()), Config: l.m.configUpdate(false)}
 }
 
-// next takes one message's worth from the queue.
-func (l *link) next() (msg *peerpb.Message, more bool) {
+// nextMessage takes one message's worth from the queue.
+func (l *link) nextMessage() (msg *peerpb.Message, more bool) {
 	digest := l.m.digest()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	msg = &peerpb.Message{Config: l.m.configWord(l.head)}
-	l.head = false
+	msg = &peerpb.Message{Config: l.m.configUpdate(l.sendHead)}
+	l.sendHead = false
 	n := 0
 	for k, h := range l.hosts {
-		if n++; n > wordsMost {
+		if n++; n > maxRecords {
 			return msg, true
 		}
 		msg.Hosts = append(msg.Hosts, hostToWire(h))
 		delete(l.hosts, k)
 	}
 	for k, u := range l.upstreams {
-		if n++; n > wordsMost {
+		if n++; n > maxRecords {
 			return msg, true
 		}
 		msg.Upstreams = append(msg.Upstreams, upstreamToWire(u))
 		delete(l.upstreams, k)
 	}
-	if l.digest {
+	if l.sendDigest {
 		msg.Digest = digest
-		l.digest = false
+		l.sendDigest = false
 	}
 	return msg, false
 }
@@ -167,8 +167,8 @@
 		if err != nil {
 			return err
 		}
-		l.heard.Store(l.m.now().UnixNano())
-		l.m.take(l, msg)
+		l.lastReceived.Store(l.m.now().UnixNano())
+		l.m.handleMessage(l, msg)
 	}
 }
 
@@ -176,9 +176,9 @@
 func (l *link) mayRepair(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.repaired.IsZero() && now.Sub(l.repaired) < repairEach {
+	if !l.lastRepair.IsZero() && now.Sub(l.lastRepair) < minRepairInterval {
 		return false
 	}
-	l.repaired = now
+	l.lastRepair = now
 	return true
 }
--- a/node/peer/mesh.go
+++ b/node/peer/mesh.go
@@ -24,10 +24,10 @@
 
 // Defaults of Config.
 const (
-	defaultHeartbeat = 2 * time.Second  // with three missed, a dead link is noticed in 6 s
-	defaultHostList  = 10 * time.Second // 420 hosts then take 42 of 2,000 reads a second
-	defaultLocal     = 3                // links dialled within the data centre; as many again come in
-	defaultRemote    = 3                // links dialled to other data centres
+	defaultHeartbeatInterval = 2 * time.Second  // with three missed, a dead link is noticed in 6 s
+	defaultHostListInterval  = 10 * time.Second // 420 hosts then take 42 of 2,000 reads a second
+	defaultLocalLinks        = 3                // links dialled within the data centre; as many again come in
+	defaultRemoteLinks       = 3                // links dialled to other data centres
 )
 
 // Config bounds a Mesh; zero values take the defaults.
@@ -63,53 +63,53 @@
 
 // Mesh is one host's part of the net of links. Lock order: mu, then a link's.
 type Mesh struct {
-	cfg    Config
-	deps   Deps
-	now    func() time.Time
-	pool   *pool
-	wake   chan struct{} // asks for a look at the links
-	traces traces
+	cfg        Config
+	deps       Deps
+	now        func() time.Time
+	conns      *connPool
+	wake       chan struct{} // asks for a look at the links
+	timestamps timestamps
 
-	mu        sync.Mutex
-	self      member.Host
-	hosts     *member.Hosts
-	upstreams *member.Upstreams
-	links     map[*link]struct{}
-	dialing   map[string]bool
-	shunned   map[string]time.Time // could not be dialled: not chosen again until then
-	suspected map[string]suspicion // of other hosts by this one
-	listed    map[string]store.Host
-	listOnce  sync.Once
-	firstList chan struct{} // closed when the list was read once
+	mu            sync.Mutex
+	self          member.Host
+	hosts         *member.Hosts
+	upstreams     *member.Upstreams
+	links         map[*link]struct{}
+	dialing       map[string]bool
+	excludedUntil map[string]time.Time // could not be dialled: not chosen again until then
+	suspicions    map[string]suspicion // of other hosts by this one
+	listed        map[string]store.Host
+	firstListOnce sync.Once
+	firstList     chan struct{} // closed when the list was read once
 }
 
 // New makes a Mesh. Serve and Run make it work.
 func New(cfg Config, deps Deps) *Mesh {
 	if cfg.HeartbeatInterval == 0 {
-		cfg.HeartbeatInterval = defaultHeartbeat
+		cfg.HeartbeatInterval = defaultHeartbeatInterval
 	}
 	if cfg.HostListInterval == 0 {
-		cfg.HostListInterval = defaultHostList
+		cfg.HostListInterval = defaultHostListInterval
 	}
 	if cfg.LocalLinks == 0 {
-		cfg.LocalLinks = defaultLocal
+		cfg.LocalLinks = defaultLocalLinks
 	}
 	if cfg.RemoteLinks == 0 {
-		cfg.RemoteLinks = defaultRemote
+		cfg.RemoteLinks = defaultRemoteLinks
 	}
 	if deps.Now == nil {
 		deps.Now = time.Now
 	}
 	m := &Mesh{cfg: cfg, deps: deps, now: deps.Now, wake: make(chan struct{}, 1), hosts: member.NewHosts(),
 		upstreams: member.NewUpstreams(), links: map[*link]struct{}{}, dialing: map[string]bool{},
-		shunned: map[string]time.Time{}, suspected: map[string]suspicion{}, listed: map[string]store.Host{},
+		excludedUntil: map[string]time.Time{}, suspicions: map[string]suspicion{}, listed: map[string]store.Host{},
 		firstList: make(chan struct{})}
 	m.self = cfg.Self
 	if m.self.Incarnation == 0 {
 		m.self.Incarnation = uint64(m.now().UnixMilli())
 	}
 	m.hosts.Merge(m.self)
-	m.pool = newPool(deps.Dial)
+	m.conns = newConnPool(deps.Dial)
 	return m
 }
 
@@ -117,24 +117,24 @@
 // started has ended when it returns.
 func (m *Mesh) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { m.followHostList(ctx); return nil })
-	g.Go(func() error { m.followConfig(ctx); return nil })
+	g.Go(func() error { m.pollHostList(ctx); return nil })
+	g.Go(func() error { m.announceConfig(ctx); return nil })
 	if m.deps.Usage != nil {
 		g.Go(func() error { m.shareUsage(ctx); return nil })
 	}
 	g.Go(func() error {
-		defer m.pool.close()
+		defer m.conns.close()
 		for ctx.Err() == nil {
-			m.tend(ctx, g)
-			m.rest(ctx)
+			m.maintainLinks(ctx, g)
+			m.waitForMaintenance(ctx)
 		}
 		return nil
 	})
 	return g.Wait()
 }
 
-// rest waits for half a heartbeat, about, or until woken.
-func (m *Mesh) rest(ctx context.Context) {
+// waitForMaintenance waits for half a heartbeat, about, or until woken.
+func (m *Mesh) waitForMaintenance(ctx context.Context) {
 	t := time.NewTimer(pace.DefaultRand().Jitter(m.cfg.HeartbeatInterval/2, 0.2))
 	defer t.Stop()
 	select {
@@ -144,7 +144,7 @@
 	}
 }
 
-func (m *Mesh) tendSoon() {
+func (m *Mesh) wakeMaintenance() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
@@ -163,17 +163,17 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.self.State = s
-	m.raiseLocked(m.self.Sequence)
+	m.raiseSequenceLocked(m.self.Sequence)
 }
 
-// raiseLocked makes this host's own word newer than the given sequence.
-func (m *Mesh) raiseLocked(above uint64) {
+// raiseSequenceLocked makes this host's own word newer than the given sequence.
+func (m *Mesh) raiseSequenceLocked(above uint64) {
 	m.self.Sequence = max(m.self.Sequence, above) + 1
 	m.hosts.Merge(m.self)
-	m.spreadHostLocked(m.self, nil)
+	m.broadcastHostLocked(m.self, nil)
 }
 
-func (m *Mesh) spreadHostLocked(h member.Host, except *link) {
+func (m *Mesh) broadcastHostLocked(h member.Host, except *link) {
 	for l := range m.links {
 		if l != except {
 			l.queueHost(h)
@@ -204,7 +204,7 @@
 	defer m.mu.Unlock()
 	linked = map[string]bool{}
 	for l := range m.links {
-		linked[l.name()] = true
+		linked[l.peerName()] = true
 	}
 	return m.hosts.All(), linked
 }
@@ -245,8 +245,8 @@
 	}
 }
 
-// take takes one message of a link.
-func (m *Mesh) take(l *link, msg *peerpb.Message) {
+// handleMessage takes one message of a link.
+func (m *Mesh) handleMessage(l *link, msg *peerpb.Message) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if msg.From != nil {
@@ -263,49 +263,49 @@
 		m.mergeUpstreamLocked(upstreamFromWire(w), l)
 	}
 	if msg.Digest != nil {
-		m.compareLocked(l, msg.Digest)
+		m.compareDigestLocked(l, msg.Digest)
 	}
 	if msg.Config != nil {
-		m.takeConfig(l, msg.Config)
+		m.handleConfig(l, msg.Config)
 	}
 }
 
 // mergeHostLocked takes a word on a host, and passes it on if it is news.
 func (m *Mesh) mergeHostLocked(h member.Host, from *link) {
 	if h.Name == m.self.Name {
-		m.hearOfSelfLocked(h)
+		m.refuteLocked(h)
 		return
 	}
 	old, known := m.hosts.Get(h.Name)
 	if !m.hosts.Merge(h) {
 		return
 	}
-	m.spreadHostLocked(h, from)
+	m.broadcastHostLocked(h, from)
 	if !known || old.State != h.State || old.Incarnation != h.Incarnation || old.Address != h.Address {
 		m.deps.Log.Emit(event.PeerChanged, zap.String(event.FieldPeer, h.Name), zap.String("state", h.State.String()), zap.Uint64("incarnation", h.Incarnation))
-		delete(m.shunned, h.Name)
-		m.changedLocked()
+		delete(m.excludedUntil, h.Name)
+		m.notifyHostsChangedLocked()
 	}
 }
 
-// hearOfSelfLocked answers what others say of this host. A former process of
+// refuteLocked answers what others say of this host. A former process of
 // the same name, or a host that could not reach this one, must not stay the
 // last word.
-func (m *Mesh) hearOfSelfLocked(h member.Host) {
+func (m *Mesh) refuteLocked(h member.Host) {
 	if h.Process != m.self.Process && h.Incarnation >= m.self.Incarnation {
 		// The clock of the host that ran the former process was ahead.
 		m.self.Incarnation = h.Incarnation + 1
-		m.raiseLocked(0)
+		m.raiseSequenceLocked(0)
 		return
 	}
 	graver := h.Incarnation == m.self.Incarnation && h.State != m.self.State && h.Sequence >= m.self.Sequence
 	if graver {
-		m.raiseLocked(h.Sequence)
+		m.raiseSequenceLocked(h.Sequence)
 	}
 }
 
-func (m *Mesh) changedLocked() {
-	m.tendSoon()
+func (m *Mesh) notifyHostsChangedLocked() {
+	m.wakeMaintenance()
 	if m.deps.OnHostsChange != nil {
 		m.deps.OnHostsChange()
 	}
@@ -317,10 +317,10 @@
 	return &peerpb.Digest{Hosts: m.hosts.Digest(), Upstreams: m.upstreams.Digest()}
 }
 
-// compareLocked sends everything when the other side knows something else.
+// compareDigestLocked sends everything when the other side knows something else.
 // What was lost when a link broke is repaired by it; without it, a host could
 // go on for ever with an upstream that left.
-func (m *Mesh) compareLocked(l *link, d *peerpb.Digest) {
+func (m *Mesh) compareDigestLocked(l *link, d *peerpb.Digest) {
 	hosts, upstreams := d.Hosts != m.hosts.Digest(), d.Upstreams != m.upstreams.Digest()
 	if !hosts && !upstreams || !l.mayRepair(m.now()) {
 		return
--- a/node/peer/pool.go
+++ b/node/peer/pool.go
@@ -19,18 +19,18 @@
 // Dial opens a connection to a peer's listener, with TLS where it is set up.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// pool keeps one connection a peer for calls beside the links.
-type pool struct {
-	dial Dial
-	mu   sync.Mutex
-	open map[string]*drpcconn.Conn
-	shut bool
+// connPool keeps one connection a peer for calls beside the links.
+type connPool struct {
+	dial      Dial
+	mu        sync.Mutex
+	byAddress map[string]*drpcconn.Conn
+	closed    bool
 }
 
-func newPool(d Dial) *pool { return &pool{dial: d, open: map[string]*drpcconn.Conn{}} }
+func newConnPool(d Dial) *connPool { return &connPool{dial: d, byAddress: map[string]*drpcconn.Conn{}} }
 
-// fresh opens a connection that its caller closes.
-func (p *pool) fresh(ctx context.Context, address string) (*drpcconn.Conn, error) {
+// dialNew opens a connection that its caller closes.
+func (p *connPool) dialNew(ctx context.Context, address string) (*drpcconn.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	nc, err := p.dial(ctx, address)
@@ -40,9 +40,9 @@
 	return drpcconn.New(nc), nil
 }
 
-func (p *pool) get(ctx context.Context, address string) (*drpcconn.Conn, error) {
+func (p *connPool) get(ctx context.Context, address string) (*drpcconn.Conn, error) {
 	p.mu.Lock()
-	c := p.open[address]
+	c := p.byAddress[address]
 	p.mu.Unlock()
 	if c != nil {
 		select {
@@ -51,29 +51,29 @@
 			return c, nil
 		}
 	}
-	c, err := p.fresh(ctx, address)
+	c, err := p.dialNew(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.shut {
+	if p.closed {
 		_ = c.Close()
 		return nil, net.ErrClosed
 	}
-	if old := p.open[address]; old != nil {
+	if old := p.byAddress[address]; old != nil {
 		_ = old.Close()
 	}
-	p.open[address] = c
+	p.byAddress[address] = c
 	return c, nil
 }
 
 // call makes one call; a connection on which one failed is not used again.
-func (p *pool) call(ctx context.Context, address string, f func(peerpb.DRPCPeerClient) error) error {
+func (p *connPool) call(ctx context.Context, address string, f func(peerpb.DRPCPeerClient) error) error {
 	c, err := p.get(ctx, address)
 	if err == nil {
 		if err = f(peerpb.NewDRPCPeerClient(c)); err != nil {
-			p.drop(address, c)
+			p.discard(address, c)
 		}
 	}
 	if err != nil {
@@ -82,20 +82,20 @@
 	return nil
 }
 
-func (p *pool) drop(address string, c *drpcconn.Conn) {
+func (p *connPool) discard(address string, c *drpcconn.Conn) {
 	_ = c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open[address] == c {
-		delete(p.open, address)
+	if p.byAddress[address] == c {
+		delete(p.byAddress, address)
 	}
 }
 
 // probe always uses a new connection: an open one may have gone silent.
-func (p *pool) probe(ctx context.Context, h member.Host) (*peerpb.HostRecord, error) {
+func (p *connPool) probe(ctx context.Context, h member.Host) (*peerpb.HostRecord, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	c, err := p.fresh(ctx, h.Address)
+	c, err := p.dialNew(ctx, h.Address)
 	if err != nil {
 		return nil, err
 	}
@@ -103,11 +103,11 @@
 	return peerpb.NewDRPCPeerClient(c).Probe(ctx, &peerpb.ProbeRequest{Known: hostToWire(h)})
 }
 
-func (p *pool) close() {
+func (p *connPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.shut = true
-	for _, c := range p.open {
+	p.closed = true
+	for _, c := range p.byAddress {
 		_ = c.Close()
 	}
 }
--- a/node/peer/serve.go
+++ b/node/peer/serve.go
@@ -29,7 +29,7 @@
 	ctx, cancel := context.WithCancel(st.Context())
 	defer cancel()
 	l := newLink(s.m, false, func() { cancel(); _ = st.Close() })
-	s.m.keep(ctx, l, boundStream{st, ctx})
+	s.m.runLink(ctx, l, boundStream{st, ctx})
 	return nil
 }
 
@@ -67,7 +67,7 @@
 	if s.m.deps.Usage == nil {
 		return &peerpb.UsageTotals{}, nil
 	}
-	return s.m.deps.Usage.take(r, s.m.now()), nil
+	return s.m.deps.Usage.handleReport(r, s.m.now()), nil
 }
 
 func (s service) Request(_ context.Context, q *peerpb.RequestQuery) (*peerpb.RequestAnswer, error) {
--- a/node/peer/tend.go
+++ b/node/peer/tend.go
@@ -18,37 +18,37 @@
 )
 
 const (
-	// shunFor is how long a host that could not be dialled is not chosen again.
-	shunFor = 10 * time.Second
-	// suspectFirst and suspectMost bound the time between two words of this
+	// exclusionPeriod is how long a host that could not be dialled is not chosen again.
+	exclusionPeriod = 10 * time.Second
+	// minSuspectInterval and suspectMost bound the time between two words of this
 	// host that the same other one is suspect; it doubles each time. If others
 	// vouch for it, the fault lies between the two, and repeating the word
 	// would only make it flap everywhere. If it has died since, the word must
 	// not be long in coming.
-	suspectFirst = 5 * time.Second
-	suspectMost  = time.Minute
+	minSuspectInterval = 5 * time.Second
+	maxSuspectInterval = time.Minute
 	// listJitter spreads the hosts' readings of the list, as a share.
 	listJitter = 0.2
 	// forgetAfter is how long a host that the platform does not list is kept.
 	forgetAfter = 5 * time.Minute
 )
 
-// tend opens the links that are missing, closes those not wanted any more,
+// maintainLinks opens the links that are missing, closes those not wanted any more,
 // and looks after the silent and the suspect.
-func (m *Mesh) tend(ctx context.Context, g *errgroup.Group) {
+func (m *Mesh) maintainLinks(ctx context.Context, g *errgroup.Group) {
 	m.mu.Lock()
-	wanted := m.wantedLocked()
+	wanted := m.wantedLinksLocked()
 	have := map[string]bool{}
 	now := m.now()
 	var silent []*link
 	for l := range m.links {
-		name := l.name()
-		if l.dialed && name != "" && !wanted[name].ok {
+		name := l.peerName()
+		if l.dialed && name != "" && !wanted[name].wanted {
 			l.cancel()
 			continue
 		}
 		have[name] = have[name] || l.dialed
-		if now.Sub(time.Unix(0, l.heard.Load())) > silentAfter*m.cfg.HeartbeatInterval {
+		if now.Sub(time.Unix(0, l.lastReceived.Load())) > maxMissedHeartbeats*m.cfg.HeartbeatInterval {
 			silent = append(silent, l)
 		}
 	}
@@ -66,30 +66,30 @@
 		l.cancel() // its end is looked into in ended
 	}
 	for _, h := range dial {
-		g.Go(func() error { m.dial(ctx, h); return nil })
+		g.Go(func() error { m.dialLink(ctx, h); return nil })
 	}
 	if suspect.Name != "" {
 		g.Go(func() error { m.probe(ctx, suspect); return nil })
 	}
 }
 
-type want struct {
-	host member.Host
-	ok   bool
+type wantedLink struct {
+	host   member.Host
+	wanted bool
 }
 
-// wantedLocked are the hosts to keep a link to.
-func (m *Mesh) wantedLocked() map[string]want {
+// wantedLinksLocked are the hosts to keep a link to.
+func (m *Mesh) wantedLinksLocked() map[string]wantedLink {
 	now := m.now()
 	var candidates []member.Host
 	for _, h := range m.hosts.All() {
-		if h.Address != "" && now.After(m.shunned[h.Name]) && h.State != member.Draining {
+		if h.Address != "" && now.After(m.excludedUntil[h.Name]) && h.State != member.Draining {
 			candidates = append(candidates, h)
 		}
 	}
-	out := map[string]want{}
+	out := map[string]wantedLink{}
 	for _, h := range member.ChooseLinks(m.self, candidates, m.cfg.LocalLinks, m.cfg.RemoteLinks) {
-		out[h.Name] = want{h, true}
+		out[h.Name] = wantedLink{h, true}
 	}
 	return out
 }
@@ -109,34 +109,34 @@
 	return suspects[rand.IntN(len(suspects))]
 }
 
-// dial opens a link and keeps it until it ends.
-func (m *Mesh) dial(ctx context.Context, h member.Host) {
+// dialLink opens a link and keeps it until it ends.
+func (m *Mesh) dialLink(ctx context.Context, h member.Host) {
 	defer func() {
 		m.mu.Lock()
 		delete(m.dialing, h.Name)
 		m.mu.Unlock()
-		m.tendSoon()
+		m.wakeMaintenance()
 	}()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	conn, err := m.pool.fresh(ctx, h.Address)
+	conn, err := m.conns.dialNew(ctx, h.Address)
 	if err != nil {
-		m.unreachable(ctx, h, err)
+		m.markUnreachable(ctx, h, err)
 		return
 	}
 	defer func() { _ = conn.Close() }()
 	s, err := peerpb.NewDRPCPeerClient(conn).Link(ctx)
 	if err != nil {
-		m.unreachable(ctx, h, err)
+		m.markUnreachable(ctx, h, err)
 		return
 	}
 	l := newLink(m, true, cancel)
 	l.peer = h
-	m.keep(ctx, l, s)
+	m.runLink(ctx, l, s)
 }
 
-// keep runs a link until it ends, on either side.
-func (m *Mesh) keep(ctx context.Context, l *link, s stream) {
+// runLink runs a link until it ends, on either side.
+func (m *Mesh) runLink(ctx context.Context, l *link, s stream) {
 	m.mu.Lock()
 	m.links[l] = struct{}{}
 	m.mu.Unlock()
@@ -149,13 +149,13 @@
 	m.mu.Lock()
 	delete(m.links, l)
 	m.mu.Unlock()
-	m.ended(ctx, l, err)
+	m.handleLinkEnd(ctx, l, err)
 }
 
-// ended looks into the end of a link. If the other host answers on a new
+// handleLinkEnd looks into the end of a link. If the other host answers on a new
 // connection, only the old one was bad, as when something between the two lost
 // track of it; otherwise the host is suspect.
-func (m *Mesh) ended(ctx context.Context, l *link, err error) {
+func (m *Mesh) handleLinkEnd(ctx context.Context, l *link, err error) {
 	l.mu.Lock()
 	h := l.peer
 	l.mu.Unlock()
@@ -176,9 +176,9 @@
 
 // probe asks a host on a new connection whether it lives.
 func (m *Mesh) probe(ctx context.Context, h member.Host) bool {
-	r, err := m.pool.probe(ctx, h)
+	r, err := m.conns.probe(ctx, h)
 	if err != nil {
-		m.unreachable(ctx, h, err)
+		m.markUnreachable(ctx, h, err)
 		return false
 	}
 	m.mu.Lock()
@@ -187,15 +187,15 @@
 	return true
 }
 
-// unreachable calls a host suspect, unless others have just vouched for it.
-func (m *Mesh) unreachable(ctx context.Context, h member.Host, err error) {
+// markUnreachable calls a host suspect, unless others have just vouched for it.
+func (m *Mesh) markUnreachable(ctx context.Context, h member.Host, err error) {
 	if ctx.Err() != nil && !errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
-	m.shunned[h.Name] = now.Add(shunFor)
+	m.excludedUntil[h.Name] = now.Add(exclusionPeriod)
 	known, ok := m.hosts.Get(h.Name)
 	if !ok || known.Incarnation != h.Incarnation || known.State != member.Alive || !m.maySuspectLocked(h.Name, now) {
 		return
@@ -207,26 +207,26 @@
 
 // suspicion is how often this host called another suspect lately.
 type suspicion struct {
-	last time.Time
-	wait time.Duration
+	reportedAt  time.Time
+	minInterval time.Duration
 }
 
 func (m *Mesh) maySuspectLocked(host string, now time.Time) bool {
-	s := m.suspected[host]
-	since := now.Sub(s.last)
-	if since < s.wait {
+	s := m.suspicions[host]
+	since := now.Sub(s.reportedAt)
+	if since < s.minInterval {
 		return false
 	}
-	if since > 2*suspectMost {
-		s.wait = 0
+	if since > 2*maxSuspectInterval {
+		s.minInterval = 0
 	}
-	m.suspected[host] = suspicion{last: now, wait: min(max(2*s.wait, suspectFirst), suspectMost)}
+	m.suspicions[host] = suspicion{reportedAt: now, minInterval: min(max(2*s.minInterval, minSuspectInterval), maxSuspectInterval)}
 	return true
 }
 
-// followHostList takes new hosts from the platform's list and forgets those
+// pollHostList takes new hosts from the platform's list and forgets those
 // long gone from it. The list lags: what the hosts say themselves goes first.
-func (m *Mesh) followHostList(ctx context.Context) {
+func (m *Mesh) pollHostList(ctx context.Context) {
 	wait := m.cfg.HeartbeatInterval / 2 // until the first list is there
 	for {
 		if m.readHostList(ctx) {
@@ -252,13 +252,13 @@
 	for _, h := range list {
 		if h.Role == store.RoleEntry {
 			next[h.Name] = h
-			m.listLocked(h)
+			m.mergeListedLocked(h)
 		}
 	}
-	m.forgetLocked(next, now)
+	m.forgetUnlistedLocked(next, now)
 	m.listed = next
 	if len(next) > 0 {
-		m.listOnce.Do(func() { close(m.firstList) })
+		m.firstListOnce.Do(func() { close(m.firstList) })
 	}
 	return len(next) > 0
 }
@@ -274,9 +274,9 @@
 	}
 }
 
-// listLocked takes one entry of the list. It can add a host and say that it
+// mergeListedLocked takes one entry of the list. It can add a host and say that it
 // leaves, never that a leaving one is back.
-func (m *Mesh) listLocked(h store.Host) {
+func (m *Mesh) mergeListedLocked(h store.Host) {
 	old, known := m.hosts.Get(h.Name)
 	switch {
 	case h.Name == m.self.Name:
@@ -288,19 +288,19 @@
 	}
 }
 
-// forgetLocked drops hosts that ended and are not listed any more.
-func (m *Mesh) forgetLocked(list map[string]store.Host, now time.Time) {
+// forgetUnlistedLocked drops hosts that ended and are not listed any more.
+func (m *Mesh) forgetUnlistedLocked(list map[string]store.Host, now time.Time) {
 	for _, h := range m.hosts.All() {
 		_, listed := list[h.Name]
 		if listed || h.Name == m.self.Name || h.State == member.Alive || len(list) == 0 {
-			m.traces.clear("unlisted " + h.Name)
+			m.timestamps.clear("unlisted " + h.Name)
 			continue
 		}
-		if m.traces.since("unlisted "+h.Name, now) > forgetAfter {
+		if m.timestamps.sinceFirst("unlisted "+h.Name, now) > forgetAfter {
 			m.hosts.Remove(h.Name)
-			delete(m.suspected, h.Name)
-			delete(m.shunned, h.Name)
-			m.traces.clear("unlisted " + h.Name)
+			delete(m.suspicions, h.Name)
+			delete(m.excludedUntil, h.Name)
+			m.timestamps.clear("unlisted " + h.Name)
 		}
 	}
 }
--- a/node/peer/traces.go
+++ b/node/peer/traces.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// traces remembers when things began or were last done.
-type traces struct {
+// timestamps remembers when things began or were last done.
+type timestamps struct {
 	mu sync.Mutex
 	at map[string]time.Time
 }
 
-// once says whether key was not done within the last d, and notes that it is now.
-func (t *traces) once(key string, now time.Time, d time.Duration) bool {
+// allow says whether key was not done within the last d, and notes that it is now.
+func (t *timestamps) allow(key string, now time.Time, d time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.at == nil {
@@ -25,8 +25,8 @@
 	return true
 }
 
-// since returns how long ago key was first asked for.
-func (t *traces) since(key string, now time.Time) time.Duration {
+// sinceFirst returns how long ago key was first asked for.
+func (t *timestamps) sinceFirst(key string, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.at == nil {
@@ -38,7 +38,7 @@
 	return now.Sub(t.at[key])
 }
 
-func (t *traces) clear(key string) {
+func (t *timestamps) clear(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.at, key)
--- a/node/peer/usage.go
+++ b/node/peer/usage.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// usageEach is how often a host of a small fleet tells its parts.
-	usageEach = time.Second
-	// usageSlower stretches that with the fleet: by as many seconds for each
+	// baseUsageInterval is how often a host of a small fleet tells its parts.
+	baseUsageInterval = time.Second
+	// hostsPerExtraSecond stretches that with the fleet: by as many seconds for each
 	// of these hosts, so that what a host adding up hears stays bounded.
-	usageSlower = 100
+	hostsPerExtraSecond = 100
 	// usageBuckets are the groups of keys, each added up by one host: the
 	// calls of one host do not grow with the number of teams or models.
 	usageBuckets = 4
-	// usageLapse is how many intervals a host's word counts.
-	usageLapse = 3
+	// usageTTLIntervals is how many intervals a host's word counts.
+	usageTTLIntervals = 3
 )
 
 // UsageEntry is one host's part, or the others' sum, of two quantities under a key.
@@ -43,52 +43,52 @@
 	// Others takes the sums over the other hosts, for the keys asked about.
 	OnTotals func(hosts int, sums []UsageEntry)
 
-	mu    sync.Mutex
-	heard map[string]map[string]heardPart // by key, then host
+	mu       sync.Mutex
+	reported map[string]map[string]reportedUsage // by key, then host
 }
 
-type heardPart struct {
+type reportedUsage struct {
 	a, b        float64
 	incarnation uint64
 	at          time.Time
 }
 
-// bucket is the group of a key.
-func bucket(key string) string {
+// bucketOf is the group of a key.
+func bucketOf(key string) string {
 	return fmt.Sprintf("usage/%d", xxhash.Sum64String(key)%usageBuckets)
 }
 
-// interval is how often a host of a fleet of n tells its use.
-func interval(n int) time.Duration {
-	return usageEach + time.Duration(n)*time.Second/usageSlower
+// usageInterval is how often a host of a fleet of n tells its use.
+func usageInterval(n int) time.Duration {
+	return baseUsageInterval + time.Duration(n)*time.Second/hostsPerExtraSecond
 }
 
-// take notes a host's use and answers the other hosts' sum.
-func (u *UsageExchange) take(r *peerpb.UsageReport, now time.Time) *peerpb.UsageTotals {
+// handleReport notes a host's use and answers the other hosts' sum.
+func (u *UsageExchange) handleReport(r *peerpb.UsageReport, now time.Time) *peerpb.UsageTotals {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.heard == nil {
-		u.heard = map[string]map[string]heardPart{}
+	if u.reported == nil {
+		u.reported = map[string]map[string]reportedUsage{}
 	}
 	out := &peerpb.UsageTotals{}
 	for _, s := range r.Sums {
-		hosts := u.heard[s.Key]
+		hosts := u.reported[s.Key]
 		if hosts == nil {
-			hosts = map[string]heardPart{}
-			u.heard[s.Key] = hosts
+			hosts = map[string]reportedUsage{}
+			u.reported[s.Key] = hosts
 		}
 		if old := hosts[r.Host]; old.incarnation <= r.Incarnation {
-			hosts[r.Host] = heardPart{s.A, s.B, r.Incarnation, now}
+			hosts[r.Host] = reportedUsage{s.A, s.B, r.Incarnation, now}
 		}
-		out.Sums = append(out.Sums, u.othersLocked(s.Key, r.Host, now))
+		out.Sums = append(out.Sums, u.totalOfOthersLocked(s.Key, r.Host, now))
 	}
 	return out
 }
 
-func (u *UsageExchange) othersLocked(key, host string, now time.Time) *peerpb.Sum {
+func (u *UsageExchange) totalOfOthersLocked(key, host string, now time.Time) *peerpb.Sum {
 	sum := &peerpb.Sum{Key: key}
-	hosts := u.heard[key]
-	lapse := usageLapse * interval(len(hosts))
+	hosts := u.reported[key]
+	lapse := usageTTLIntervals * usageInterval(len(hosts))
 	for name, h := range hosts {
 		switch {
 		case now.Sub(h.at) > lapse:
@@ -105,7 +105,7 @@
 func (m *Mesh) shareUsage(ctx context.Context) {
 	for {
 		live := m.LiveHosts()
-		if !pace.Sleep(ctx, interval(len(live))) {
+		if !pace.Sleep(ctx, usageInterval(len(live))) {
 			return
 		}
 		if len(live) == 0 {
@@ -113,7 +113,7 @@
 		}
 		byBucket := map[string][]UsageEntry{}
 		for _, s := range m.deps.Usage.Own() {
-			byBucket[bucket(s.Key)] = append(byBucket[bucket(s.Key)], s)
+			byBucket[bucketOf(s.Key)] = append(byBucket[bucketOf(s.Key)], s)
 		}
 		for b, sums := range byBucket {
 			m.shareBucket(ctx, member.Rendezvous(b, live), sums, len(live))
@@ -128,24 +128,24 @@
 		r.Sums = append(r.Sums, &peerpb.Sum{Key: s.Key, A: s.A, B: s.B})
 	}
 	if adder.Name == self.Name {
-		m.tellOthers(hosts, m.deps.Usage.take(r, m.now()))
+		m.deliverTotals(hosts, m.deps.Usage.handleReport(r, m.now()))
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := m.pool.call(ctx, adder.Address, func(c peerpb.DRPCPeerClient) error {
+	err := m.conns.call(ctx, adder.Address, func(c peerpb.DRPCPeerClient) error {
 		totals, err := c.Usage(ctx, r)
 		if err == nil {
-			m.tellOthers(hosts, totals)
+			m.deliverTotals(hosts, totals)
 		}
 		return err
 	})
-	if err != nil && m.traces.once("usage", m.now(), time.Minute) {
+	if err != nil && m.timestamps.allow("usage", m.now(), time.Minute) {
 		m.deps.Log.Emit(event.PeerCallFailed, zap.String(event.FieldPeer, adder.Name), zap.String("call", "usage"), zap.Error(err))
 	}
 }
 
-func (m *Mesh) tellOthers(hosts int, totals *peerpb.UsageTotals) {
+func (m *Mesh) deliverTotals(hosts int, totals *peerpb.UsageTotals) {
 	out := make([]UsageEntry, len(totals.Sums))
 	for i, s := range totals.Sums {
 		out[i] = UsageEntry{s.Key, s.A, s.B}
--- a/node/query/config.go
+++ b/node/query/config.go
@@ -27,7 +27,7 @@
 	// table's 2,000 reads a second.
 	DefaultPollInterval = 4 * time.Second
 	pollJitter          = 0.25            // share
-	callTimeout         = 3 * time.Second // of one poll, the document included
+	pollTimeout         = 3 * time.Second // of one poll, the document included
 )
 
 // State is what is in force on this host, as one immutable value: a request
@@ -38,7 +38,7 @@
 	Index   *config.Index
 	Head    revision.Head
 
-	packed []byte // the document, compressed
+	compressed []byte // the document, compressed
 }
 
 // Deps are what the queries work with; Now, Rand and Log may be nil.
@@ -54,16 +54,16 @@
 // versions, so that whatever is late, repeated or stale never takes a host
 // back.
 type ConfigReader struct {
-	poll time.Duration
-	deps Deps
+	pollInterval time.Duration
+	deps         Deps
 
 	state atomic.Pointer[State]
 	wake  chan struct{} // asks Run to poll now
 
-	mu        sync.Mutex
-	changed   chan struct{} // closed when state changes, then replaced
-	confirmed time.Time     // when the state was last known to be the newest; zero: never
-	standing  revision.Freshness
+	mu              sync.Mutex
+	changed         chan struct{} // closed when state changes, then replaced
+	confirmed       time.Time     // when the state was last known to be the newest; zero: never
+	loggedFreshness revision.Freshness
 }
 
 // NewConfigReader makes a reader that polls about every poll (0: DefaultPoll).
@@ -80,7 +80,7 @@
 	if deps.Log == nil {
 		deps.Log = event.NewLog(nil)
 	}
-	return &ConfigReader{poll: poll, deps: deps, wake: make(chan struct{}, 1), changed: make(chan struct{})}
+	return &ConfigReader{pollInterval: poll, deps: deps, wake: make(chan struct{}, 1), changed: make(chan struct{})}
 }
 
 // Current returns the state in force, or false before the first was read: a
@@ -111,8 +111,8 @@
 func (r *ConfigReader) Run(ctx context.Context) error {
 	for {
 		_ = r.Poll(ctx)
-		r.noteStanding()
-		timer := time.NewTimer(r.deps.Rand.Jitter(r.poll, pollJitter))
+		r.logFreshnessChange()
+		timer := time.NewTimer(r.deps.Rand.Jitter(r.pollInterval, pollJitter))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -126,7 +126,7 @@
 
 // Poll reads the head once and takes a newer version in force.
 func (r *ConfigReader) Poll(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	asked := r.deps.Now()
 	rows, err := r.deps.Table.Get(ctx, revision.HeadKey)
@@ -138,10 +138,10 @@
 	}
 	head, err := revision.Decode[revision.Head](rows[0].Value)
 	if err != nil {
-		r.unreadable(0, err)
+		r.logUnreadable(0, err)
 		return err
 	}
-	if err := r.follow(ctx, head); err != nil {
+	if err := r.adoptHead(ctx, head); err != nil {
 		return err
 	}
 	r.confirm(head.Version, asked)
@@ -156,18 +156,18 @@
 	}
 	snap, err := revision.Decode[revision.Snapshot](data)
 	if err != nil {
-		r.unreadable(version, err)
+		r.logUnreadable(version, err)
 		return err
 	}
 	packed := snap.Document
 	if len(packed) == 0 {
 		var ok bool
-		if packed, ok = r.documentAtHand(snap.Head.Digest); !ok {
+		if packed, ok = r.localDocument(snap.Head.Digest); !ok {
 			r.PollSoon()
 			return nil
 		}
 	}
-	return r.take(snap.Head, packed)
+	return r.putInForce(snap.Head, packed)
 }
 
 // Snapshot returns what to offer to peers: the head alone for the push, with
@@ -179,7 +179,7 @@
 	}
 	snap := revision.Snapshot{Head: s.Head}
 	if withDocument {
-		snap.Document = s.packed
+		snap.Document = s.compressed
 	}
 	data, err := json.Marshal(snap)
 	return s.Version, data, err == nil
@@ -193,35 +193,35 @@
 	}
 }
 
-func (r *ConfigReader) follow(ctx context.Context, head revision.Head) error {
+func (r *ConfigReader) adoptHead(ctx context.Context, head revision.Head) error {
 	if s, ok := r.Current(); ok && s.Version >= head.Version {
 		if s.Version > head.Version {
 			r.deps.Log.Emit(event.ConfigStaleRead, zap.Uint64("version", head.Version), zap.Uint64("in_force", s.Version))
 		}
 		return nil
 	}
-	packed, ok := r.documentAtHand(head.Digest)
+	packed, ok := r.localDocument(head.Digest)
 	if !ok {
 		var err error
 		if packed, err = r.deps.Objects.Get(ctx, revision.DocumentName(head.Digest)); err != nil {
 			return eris.Wrapf(err, "read the document of version %d", head.Version)
 		}
 	}
-	return r.take(head, packed)
+	return r.putInForce(head, packed)
 }
 
-func (r *ConfigReader) documentAtHand(digest string) ([]byte, bool) {
+func (r *ConfigReader) localDocument(digest string) ([]byte, bool) {
 	if s, ok := r.Current(); ok && s.Head.Digest == digest {
-		return s.packed, true
+		return s.compressed, true
 	}
 	return nil, false
 }
 
-// take puts a head with its document in force, unless a newer one is.
-func (r *ConfigReader) take(head revision.Head, packed []byte) error {
+// putInForce puts a head with its document in force, unless a newer one is.
+func (r *ConfigReader) putInForce(head revision.Head, packed []byte) error {
 	next, err := r.build(head, packed)
 	if err != nil {
-		r.unreadable(head.Version, err)
+		r.logUnreadable(head.Version, err)
 		return err
 	}
 	r.mu.Lock()
@@ -239,9 +239,9 @@
 // build checks that the document is the one the head names, and indexes it;
 // the index of the same document is kept.
 func (r *ConfigReader) build(head revision.Head, packed []byte) (*State, error) {
-	next := &State{Version: head.Version, Head: head, packed: packed}
+	next := &State{Version: head.Version, Head: head, compressed: packed}
 	if s, ok := r.Current(); ok && s.Head.Digest == head.Digest {
-		next.Index, next.packed = s.Index, s.packed
+		next.Index, next.compressed = s.Index, s.compressed
 	} else {
 		doc, err := revision.DecompressVerified(packed, head.Digest)
 		if err != nil {
@@ -261,11 +261,11 @@
 	return next, nil
 }
 
-func (r *ConfigReader) unreadable(version uint64, err error) {
+func (r *ConfigReader) logUnreadable(version uint64, err error) {
 	r.deps.Log.Emit(event.ConfigUnreadable, zap.Uint64("version", version), zap.Error(err))
 }
 
 // Document returns the configuration as it was applied, byte for byte.
 func (s *State) Document() ([]byte, error) {
-	return revision.DecompressVerified(s.packed, s.Head.Digest)
+	return revision.DecompressVerified(s.compressed, s.Head.Digest)
 }
--- a/node/query/confirm.go
+++ b/node/query/confirm.go
@@ -59,12 +59,12 @@
 	return revision.FreshnessAt(r.confirmed, r.deps.Now())
 }
 
-// noteStanding logs a change of standing once.
-func (r *ConfigReader) noteStanding() {
+// logFreshnessChange logs a change of standing once.
+func (r *ConfigReader) logFreshnessChange() {
 	now := r.Freshness()
 	r.mu.Lock()
-	was := r.standing
-	r.standing = now
+	was := r.loggedFreshness
+	r.loggedFreshness = now
 	r.mu.Unlock()
 	switch {
 	case now == was:
--- a/node/store/resolve.go
+++ b/node/store/resolve.go
@@ -10,8 +10,8 @@
 
 // Retry bounds for a commit in doubt.
 const (
-	resolveFirst = 20 * time.Millisecond // first pause; about one round trip to the service
-	resolveMost  = time.Second           // longest pause; an outage is not helped by asking faster
+	initialRetryWait = 20 * time.Millisecond // first pause; about one round trip to the service
+	maxRetryWait     = time.Second           // longest pause; an outage is not helped by asking faster
 )
 
 // CommitResolved commits t and, when the answer is lost, commits it again
@@ -22,7 +22,7 @@
 // claim refused to its own owner, or a reservation leaked for ever.
 func CommitResolved(ctx context.Context, tb Table, t Txn) (uint64, error) {
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = resolveFirst, resolveMost
+	wait.InitialInterval, wait.MaxInterval = initialRetryWait, maxRetryWait
 	inDoubt := false
 	for {
 		v, err := tb.Commit(ctx, t)
--- a/node/store/rest/client.go
+++ b/node/store/rest/client.go
@@ -20,8 +20,8 @@
 // Defaults of a client.
 const (
 	defaultTimeout = 2 * time.Second // for one call; the services answer within tens of milliseconds
-	maxAnswer      = 64 << 20        // bytes; above the largest object that the system stores
-	idleConns      = 16              // to each service; above the calls that one host has open at once
+	maxAnswerBytes = 64 << 20        // bytes; above the largest object that the system stores
+	maxIdleConns   = 16              // to each service; above the calls that one host has open at once
 	idleTimeout    = 30 * time.Second
 )
 
@@ -52,7 +52,7 @@
 	if cfg.Timeout == 0 {
 		cfg.Timeout = defaultTimeout
 	}
-	tr := &http.Transport{MaxIdleConnsPerHost: idleConns, IdleConnTimeout: idleTimeout,
+	tr := &http.Transport{MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: idleTimeout,
 		TLSClientConfig: cfg.TLS}
 	return &Client{base: cfg.BaseURL, timeout: cfg.Timeout, http: &http.Client{Transport: tr,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
@@ -85,7 +85,7 @@
 // Hosts implements store.Hosts.
 func (c *Client) Hosts(ctx context.Context) ([]store.Host, error) {
 	var a HostList
-	err := c.call(ctx, request{method: http.MethodGet, path: PathHosts, lost: store.ErrUnavailable}, decode(&a))
+	err := c.call(ctx, request{method: http.MethodGet, path: PathHosts, errIfLost: store.ErrUnavailable}, decode(&a))
 	return a.Hosts, err
 }
 
@@ -109,14 +109,14 @@
 
 // Put implements store.Objects.
 func (o Objects) Put(ctx context.Context, name string, data []byte) error {
-	r := request{method: http.MethodPut, path: PathObject + url.PathEscape(name), body: data, lost: store.ErrUnconfirmed}
+	r := request{method: http.MethodPut, path: PathObject + url.PathEscape(name), body: data, errIfLost: store.ErrUnconfirmed}
 	return o.c.call(ctx, r, decode(&struct{}{}))
 }
 
 // Get implements store.Objects.
 func (o Objects) Get(ctx context.Context, name string) ([]byte, error) {
 	var data []byte
-	r := request{method: http.MethodGet, path: PathObject + url.PathEscape(name), lost: store.ErrUnavailable}
+	r := request{method: http.MethodGet, path: PathObject + url.PathEscape(name), errIfLost: store.ErrUnavailable}
 	err := o.c.call(ctx, r, func(b []byte) error { data = b; return nil })
 	return data, err
 }
@@ -125,7 +125,7 @@
 func (o Objects) List(ctx context.Context, prefix, after string, limit int) ([]string, error) {
 	q := url.Values{"prefix": {prefix}, "after": {after}, "limit": {strconv.Itoa(limit)}}
 	var a Names
-	r := request{method: http.MethodGet, path: PathObjects + "?" + q.Encode(), lost: store.ErrUnavailable}
+	r := request{method: http.MethodGet, path: PathObjects + "?" + q.Encode(), errIfLost: store.ErrUnavailable}
 	err := o.c.call(ctx, r, decode(&a))
 	return a.Names, err
 }
@@ -135,7 +135,7 @@
 type request struct {
 	method, path string
 	body         []byte
-	lost         error
+	errIfLost    error
 }
 
 func (c *Client) post(ctx context.Context, path string, lost error, in, out any) error {
@@ -143,7 +143,7 @@
 	if err != nil {
 		return fmt.Errorf("encode %s: %w", path, err)
 	}
-	return c.call(ctx, request{method: http.MethodPost, path: path, body: body, lost: lost}, decode(out))
+	return c.call(ctx, request{method: http.MethodPost, path: path, body: body, errIfLost: lost}, decode(out))
 }
 
 func decode(out any) func([]byte) error {
@@ -172,13 +172,13 @@
 		// timeout, one after the other; so all of them go with the first.
 		c.http.CloseIdleConnections()
 		if connected.Load() {
-			return fmt.Errorf("%w: %w", r.lost, err)
+			return fmt.Errorf("%w: %w", r.errIfLost, err)
 		}
 		return fmt.Errorf("%w: %w", store.ErrUnavailable, err)
 	}
 	if status == http.StatusOK {
 		if err := accept(body); err != nil {
-			return fmt.Errorf("%w: %w", r.lost, err)
+			return fmt.Errorf("%w: %w", r.errIfLost, err)
 		}
 		return nil
 	}
@@ -188,7 +188,7 @@
 			return err
 		}
 	}
-	return fmt.Errorf("%w: status %d", r.lost, status)
+	return fmt.Errorf("%w: status %d", r.errIfLost, status)
 }
 
 func (c *Client) do(req *http.Request) (status int, body []byte, err error) {
@@ -197,6 +197,6 @@
 		return 0, nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err = io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err = io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	return resp.StatusCode, body, err
 }
--- a/node/store/storetest/storetest.go
+++ b/node/store/storetest/storetest.go
@@ -36,7 +36,7 @@
 	}{
 		{"same operation has one effect and one answer", oneEffect},
 		{"conditions", conditions},
-		{"a transaction takes effect whole or not at all", whole},
+		{"a transaction takes effect whole or not at all", atomicity},
 		{"versions are never reused", versions},
 		{"pages", pages},
 		{"lost answer is resolved", lostAnswer},
@@ -54,7 +54,7 @@
 	return store.Txn{Op: op, Conds: conds, Writes: []store.Write{{Key: key, Value: []byte(value)}}}
 }
 
-func value(t *testing.T, b Fixture, key string) string {
+func readValue(t *testing.T, b Fixture, key string) string {
 	t.Helper()
 	rows, err := b.Table.Get(t.Context(), key)
 	assert.NilError(t, err)
@@ -72,7 +72,7 @@
 	again, err := b.Table.Commit(t.Context(), put("op1", "k", "1"))
 	assert.NilError(t, err)
 	assert.Equal(t, again, first)
-	assert.Equal(t, value(t, b, "k"), "2")
+	assert.Equal(t, readValue(t, b, "k"), "2")
 
 	// A refusal is an answer too: it must not turn into success later.
 	refused := put("op3", "k", "3", store.Cond{Key: "k", Version: first})
@@ -93,10 +93,10 @@
 	assert.ErrorIs(t, err, store.ErrConflict)
 	_, err = b.Table.Commit(t.Context(), put("d", "k", "2", store.Cond{Key: "k", Version: v}))
 	assert.NilError(t, err)
-	assert.Equal(t, value(t, b, "k"), "2")
+	assert.Equal(t, readValue(t, b, "k"), "2")
 }
 
-func whole(t *testing.T, b Fixture) {
+func atomicity(t *testing.T, b Fixture) {
 	two := store.Txn{Op: "a", Conds: []store.Cond{{Key: "x"}, {Key: "y"}},
 		Writes: []store.Write{{Key: "x", Value: []byte("1")}, {Key: "y", Value: []byte("1")}}}
 	v, err := b.Table.Commit(t.Context(), two)
@@ -111,7 +111,7 @@
 	two.Writes = []store.Write{{Key: "x", Delete: true}, {Key: "y", Delete: true}}
 	_, err = b.Table.Commit(t.Context(), two)
 	assert.ErrorIs(t, err, store.ErrConflict)
-	assert.Equal(t, value(t, b, "x"), "1")
+	assert.Equal(t, readValue(t, b, "x"), "1")
 }
 
 func versions(t *testing.T, b Fixture) {
@@ -167,14 +167,14 @@
 // counted as a new operation.
 func lostAnswer(t *testing.T, b Fixture) {
 	resolveAfter(t, b, b.LoseAnswers, put("a", "k", "1", store.Cond{Key: "k", Version: store.Absent}))
-	assert.Equal(t, value(t, b, "k"), "1")
+	assert.Equal(t, readValue(t, b, "k"), "1")
 }
 
 // Symptom: a write that was reported in doubt is taken for done and is not
 // there. Sequence: the request is lost on the way. Cause: no second try.
 func lostRequest(t *testing.T, b Fixture) {
 	resolveAfter(t, b, b.LoseRequests, put("a", "k", "1", store.Cond{Key: "k", Version: store.Absent}))
-	assert.Equal(t, value(t, b, "k"), "1")
+	assert.Equal(t, readValue(t, b, "k"), "1")
 }
 
 func refusals(t *testing.T, b Fixture) {
@@ -190,7 +190,7 @@
 	_, err = b.Table.Commit(t.Context(), put("b", "k", "1"))
 	assert.ErrorIs(t, err, store.ErrLimited)
 	b.SetLimited(false)
-	assert.Equal(t, value(t, b, "k"), "")
+	assert.Equal(t, readValue(t, b, "k"), "")
 }
 
 func objects(t *testing.T, b Fixture) {
