--- a/node/admission/admission.go
+++ b/node/admission/admission.go
@@ -134,8 +134,8 @@
 	if p == nil {
 		return nil, refusalError(admit.Refusal{Cause: admit.CauseNoCapacity, RetryAfter: time.Second}, r)
 	}
-	begun := time.Now()
-	weight, ok, wait := t.take(begun)
+	arrivedAt := time.Now()
+	weight, ok, wait := t.take(arrivedAt)
 	if !ok {
 		return nil, fault.NotRun(fault.StepAdmit, "", fault.CodeTeamLimit, "team is over its limit").WithRetryAfter(wait)
 	}
@@ -143,7 +143,7 @@
 		t.cancel()
 		return nil, err
 	}
-	return &Ticket{pool: p, team: t, request: r, arrivedAt: begun, admittedAt: time.Now()}, nil
+	return &Ticket{pool: p, team: t, request: r, arrivedAt: arrivedAt, admittedAt: time.Now()}, nil
 }
 
 // PoolLoad is the state of one pool's admission, for queries and metrics.
--- a/node/admission/pool.go
+++ b/node/admission/pool.go
@@ -49,20 +49,20 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastID++
-	it := admit.Item{ID: p.lastID, Team: r.Team, Weight: weight, Class: r.Class, Deadline: r.Deadline, MinDuration: r.MinDuration}
-	verdict, refusal, displaced := p.core.Arrive(time.Now(), it)
+	item := admit.Item{ID: p.lastID, Team: r.Team, Weight: weight, Class: r.Class, Deadline: r.Deadline, MinDuration: r.MinDuration}
+	verdict, refusal, displaced := p.core.Arrive(time.Now(), item)
 	if displaced != nil {
 		p.deliver(admit.Result{Refused: []admit.Refusal{*displaced}})
 	}
 	switch verdict {
 	case admit.Admitted:
-		return nil, it.ID, nil
+		return nil, item.ID, nil
 	case admit.Refused:
-		return nil, it.ID, refusalError(refusal, r)
+		return nil, item.ID, refusalError(refusal, r)
 	}
 	w := &waiter{request: r, done: make(chan error, 1)}
-	p.waiters[it.ID] = w
-	return w, it.ID, nil
+	p.waiters[item.ID] = w
+	return w, item.ID, nil
 }
 
 // withdraw takes out a request whose caller went away or whose deadline came. A
@@ -71,7 +71,7 @@
 func (p *pool) withdraw(ctx context.Context, id uint64, w *waiter) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, waits := p.waiters[id]; waits {
+	if _, queued := p.waiters[id]; queued {
 		delete(p.waiters, id)
 		p.core.Cancel(w.request.Class, id)
 	} else if err := <-w.done; err == nil {
@@ -84,10 +84,10 @@
 	return fault.NotRun(fault.StepAdmit, "", code, "gave up waiting: %w", ctx.Err()).WithRetryAfter(time.Second)
 }
 
-func (p *pool) release(c class.Class, team string, held time.Duration) {
+func (p *pool) release(c class.Class, team string, heldFor time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.deliver(p.core.Release(c, team, held))
+	p.deliver(p.core.Release(c, team, heldFor))
 }
 
 func (p *pool) expire(now time.Time) {
@@ -135,18 +135,18 @@
 
 // refusalError turns a refusal into the error that callers see.
 func refusalError(r admit.Refusal, req Request) error {
-	code, why := fault.CodeOverloaded, "no slot"
+	code, reason := fault.CodeOverloaded, "no slot"
 	switch r.Cause {
 	case admit.CauseNoCapacity:
-		code, why = fault.CodeNoUpstream, "no capacity in the pool"
+		code, reason = fault.CodeNoUpstream, "no capacity in the pool"
 	case admit.CauseBulkDisabled:
-		why = "bulk work is not accepted under the preset in force"
+		reason = "bulk work is not accepted under the preset in force"
 	case admit.CauseQueueFull:
-		why = "the queue is full"
+		reason = "the queue is full"
 	case admit.CauseDeadlineUnreachable:
-		code, why = fault.CodeDeadlineExceeded, "it would miss its deadline"
+		code, reason = fault.CodeDeadlineExceeded, "it would miss its deadline"
 	case admit.CauseDisplaced:
-		why = "the queue is full and the team holds most of it"
+		reason = "the queue is full and the team holds most of it"
 	}
-	return fault.NotRun(fault.StepAdmit, "", code, "%s request to pool %s: %s", req.Class, req.Pool, why).WithRetryAfter(r.RetryAfter)
+	return fault.NotRun(fault.StepAdmit, "", code, "%s request to pool %s: %s", req.Class, req.Pool, reason).WithRetryAfter(r.RetryAfter)
 }
--- a/node/admission/team.go
+++ b/node/admission/team.go
@@ -45,10 +45,10 @@
 	return t.weight, ok, wait
 }
 
-func (t *team) done(held time.Duration) {
+func (t *team) done(heldFor time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.limiter.Done(held)
+	t.limiter.Done(heldFor)
 }
 
 func (t *team) cancel() {
--- a/node/command/audit.go
+++ b/node/command/audit.go
@@ -75,12 +75,12 @@
 		return false, storeError(fault.StepTable, err, "read the archive's state")
 	}
 	var head revision.Head
-	var batch, at uint64
+	var batch, rowVersion uint64
 	for _, r := range rows {
 		if r.Key == revision.HeadKey {
 			head, err = revision.Decode[revision.Head](r.Value)
 		} else {
-			at = r.Version
+			rowVersion = r.Version
 			batch, err = strconv.ParseUint(string(r.Value), 10, 64)
 		}
 		if err != nil {
@@ -90,10 +90,10 @@
 	if _, last := revision.BatchVersions(batch); last+retainedRows > head.Version {
 		return false, nil
 	}
-	return a.move(ctx, term, batch, at)
+	return a.move(ctx, term, batch, rowVersion)
 }
 
-func (a *Archiver) move(ctx context.Context, term lease.Term, batch, at uint64) (bool, error) {
+func (a *Archiver) move(ctx context.Context, term lease.Term, batch, rowVersion uint64) (bool, error) {
 	first, last := revision.BatchVersions(batch)
 	rows, err := a.deps.Table.List(ctx, revision.AuditPrefix, revision.AuditKey(last+1), revision.BatchSize)
 	if err != nil {
@@ -119,7 +119,7 @@
 		return false, nil
 	}
 	_, err = store.CommitResolved(ctx, a.deps.Table, store.Txn{Op: uuid.NewString(), Writes: writes,
-		Conds: []store.Cond{term.Guard, {Key: revision.ArchiveKey, Version: at}}})
+		Conds: []store.Cond{term.Guard, {Key: revision.ArchiveKey, Version: rowVersion}}})
 	if err != nil {
 		return false, storeError(fault.StepTable, err, "drop batch %d", batch)
 	}
--- a/node/command/config.go
+++ b/node/command/config.go
@@ -175,11 +175,11 @@
 	if h.Version == 0 {
 		return nil, nil
 	}
-	packed, err := c.deps.Objects.Get(ctx, revision.DocumentName(h.Digest))
+	compressed, err := c.deps.Objects.Get(ctx, revision.DocumentName(h.Digest))
 	if err != nil {
 		return nil, storeError(fault.StepObject, err, "read the document in force")
 	}
-	doc, err := revision.DecompressVerified(packed, h.Digest)
+	doc, err := revision.DecompressVerified(compressed, h.Digest)
 	if err != nil {
 		return nil, fault.From(fault.StepConfig, err)
 	}
@@ -194,12 +194,12 @@
 // name what is not there. What a lost race leaves behind is harmless. A
 // conflict means that the same document is there, compressed otherwise.
 func (c *Configuration) putDocument(ctx context.Context, digest string, doc []byte) error {
-	packed, err := revision.Compress(doc)
+	compressed, err := revision.Compress(doc)
 	if err != nil {
 		return fault.From(fault.StepConfig, err)
 	}
 	for {
-		err := c.deps.Objects.Put(ctx, revision.DocumentName(digest), packed)
+		err := c.deps.Objects.Put(ctx, revision.DocumentName(digest), compressed)
 		if err == nil || errors.Is(err, store.ErrConflict) {
 			return nil
 		}
@@ -238,17 +238,17 @@
 
 // lostRace reads who won, for the message.
 func (c *Configuration) lostRace(ctx context.Context, cur headRow) (revision.Head, error) {
-	won, err := c.readHead(ctx)
+	winner, err := c.readHead(ctx)
 	if err != nil {
-		won = headRow{}
+		winner = headRow{}
 	}
-	return won.head, refuse(fault.CodeConflict, &ConflictError{cur.head.Version, won.head})
+	return winner.head, refuse(fault.CodeConflict, &ConflictError{cur.head.Version, winner.head})
 }
 
 // choosePreset picks the preset to be in force with cfg.
-func choosePreset(cfg *config.Config, wanted, now string) (string, error) {
+func choosePreset(cfg *config.Config, wanted, inForce string) (string, error) {
 	if wanted == "" {
-		wanted = now
+		wanted = inForce
 	}
 	if wanted == "" {
 		return cfg.Presets[0].Name, nil
--- a/node/keys/files.go
+++ b/node/keys/files.go
@@ -71,25 +71,25 @@
 
 // reload reads the part again if its files changed, or in any case when it must.
 // A fault is returned once, when it appears.
-func (p *fileSet) reload(f Files, must bool) (changed bool, err error) {
-	if !must && p.sameStamps(f) {
+func (p *fileSet) reload(f Files, force bool) (changed bool, err error) {
+	if !force && p.sameStamps(f) {
 		return false, nil
 	}
 	r := newReader(f)
-	put, err := p.load(r)
-	sum := string(r.hash.Sum(nil))
+	apply, err := p.load(r)
+	digest := string(r.hash.Sum(nil))
 	p.stamps = r.stamps
 	if err != nil {
 		p.stamps = nil // not all files were reached, so the stamps would hide a mended one
 	}
-	if sum == p.digest {
+	if digest == p.digest {
 		return false, nil
 	}
-	p.digest = sum
+	p.digest = digest
 	if err != nil {
 		return false, err
 	}
-	put()
+	apply()
 	return true, nil
 }
 
--- a/node/keys/identity.go
+++ b/node/keys/identity.go
@@ -147,11 +147,11 @@
 // Without it, whoever got hold of any certificate of the authority, such as an
 // operator's, could pass as an entry host from anywhere.
 func verifySourceAddress(s tls.ConnectionState, from net.Addr) error {
-	at, err := netip.ParseAddrPort(from.String())
+	source, err := netip.ParseAddrPort(from.String())
 	if err != nil {
 		return eris.Wrap(err, "address of the other side")
 	}
-	return s.PeerCertificates[0].VerifyHostname(at.Addr().Unmap().WithZone("").String())
+	return s.PeerCertificates[0].VerifyHostname(source.Addr().Unmap().WithZone("").String())
 }
 
 // clientTLS makes the dialling side towards a peer; nil for plain TCP.
--- a/node/peer/claims.go
+++ b/node/peer/claims.go
@@ -80,13 +80,13 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var seen claim.VersionedRow
-	var told error
+	var problem error
 	err := m.conns.call(ctx, h.Address, func(p peerpb.DRPCPeerClient) error {
 		a, err := p.Claim(ctx, c)
 		if err != nil {
 			return err
 		}
-		seen.Version, told = a.Version, claimProblems[a.Problem]
+		seen.Version, problem = a.Version, claimProblems[a.Problem]
 		if len(a.Row) == 0 {
 			return nil
 		}
@@ -96,5 +96,5 @@
 	if err != nil {
 		return claim.VersionedRow{}, errors.Join(store.ErrUnconfirmed, err)
 	}
-	return seen, told
+	return seen, problem
 }
--- a/node/peer/link.go
+++ b/node/peer/link.go
@@ -99,13 +99,13 @@
 	if err := s.Send(l.firstMessage()); err != nil {
 		return err
 	}
-	beat := time.NewTimer(l.m.cfg.HeartbeatInterval)
-	defer beat.Stop()
+	timer := time.NewTimer(l.m.cfg.HeartbeatInterval)
+	defer timer.Stop()
 	for beats := 1; ; {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-beat.C:
+		case <-timer.C:
 			beats++
 			l.mu.Lock()
 			l.sendDigest = l.sendDigest || beats%heartbeatsPerDigest == 0
@@ -122,7 +122,7 @@
 				return err
 			}
 		}
-		beat.Reset(l.m.cfg.HeartbeatInterval)
+		timer.Reset(l.m.cfg.HeartbeatInterval)
 	}
 }
 
--- a/node/peer/mesh.go
+++ b/node/peer/mesh.go
@@ -234,14 +234,14 @@
 	if !m.upstreams.Merge(u) {
 		return
 	}
-	now, _ := m.upstreams.Current(u.Name)
+	current, _ := m.upstreams.Current(u.Name)
 	for l := range m.links {
 		if l != from {
-			l.queueUpstream(now)
+			l.queueUpstream(current)
 		}
 	}
 	if m.deps.OnUpstreamChange != nil {
-		m.deps.OnUpstreamChange(now)
+		m.deps.OnUpstreamChange(current)
 	}
 }
 
@@ -298,8 +298,8 @@
 		m.raiseSequenceLocked(0)
 		return
 	}
-	graver := h.Incarnation == m.self.Incarnation && h.State != m.self.State && h.Sequence >= m.self.Sequence
-	if graver {
+	contradicted := h.Incarnation == m.self.Incarnation && h.State != m.self.State && h.Sequence >= m.self.Sequence
+	if contradicted {
 		m.raiseSequenceLocked(h.Sequence)
 	}
 }
--- a/node/peer/tend.go
+++ b/node/peer/tend.go
@@ -40,7 +40,7 @@
 	wanted := m.wantedLinksLocked()
 	have := map[string]bool{}
 	now := m.now()
-	var silent []*link
+	var unresponsive []*link
 	for l := range m.links {
 		name := l.peerName()
 		if l.dialed && name != "" && !wanted[name].wanted {
@@ -49,7 +49,7 @@
 		}
 		have[name] = have[name] || l.dialed
 		if now.Sub(time.Unix(0, l.lastReceived.Load())) > maxMissedHeartbeats*m.cfg.HeartbeatInterval {
-			silent = append(silent, l)
+			unresponsive = append(unresponsive, l)
 		}
 	}
 	var dial []member.Host
@@ -62,7 +62,7 @@
 	suspect := m.suspectToProbeLocked()
 	m.mu.Unlock()
 
-	for _, l := range silent {
+	for _, l := range unresponsive {
 		l.cancel() // its end is looked into in ended
 	}
 	for _, h := range dial {
@@ -160,8 +160,8 @@
 	h := l.peer
 	l.mu.Unlock()
 	m.mu.Lock()
-	now, known := m.hosts.Get(h.Name)
-	expected := !known || now.State == member.Draining || now.State == member.Terminated || m.self.State != member.Alive
+	current, known := m.hosts.Get(h.Name)
+	expected := !known || current.State == member.Draining || current.State == member.Terminated || m.self.State != member.Alive
 	m.mu.Unlock()
 	if expected || h.Name == "" {
 		return
@@ -169,7 +169,7 @@
 	// The context of the link has ended; the look into it is bounded instead.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	if m.probe(ctx, now) && !errors.Is(err, context.Canceled) {
+	if m.probe(ctx, current) && !errors.Is(err, context.Canceled) {
 		m.deps.Log.Emit(event.PeerLinkLost, zap.String(event.FieldPeer, h.Name), zap.Error(err))
 	}
 }
@@ -264,8 +264,8 @@
 }
 
 // AwaitHostList waits until the platform has listed any entry host, some time at most.
-func (m *Mesh) AwaitHostList(ctx context.Context, most time.Duration) {
-	t := time.NewTimer(most)
+func (m *Mesh) AwaitHostList(ctx context.Context, maxWait time.Duration) {
+	t := time.NewTimer(maxWait)
 	defer t.Stop()
 	select {
 	case <-m.firstList:
--- a/node/peer/usage.go
+++ b/node/peer/usage.go
@@ -88,10 +88,10 @@
 func (u *UsageExchange) totalOfOthersLocked(key, host string, now time.Time) *peerpb.Sum {
 	sum := &peerpb.Sum{Key: key}
 	hosts := u.reported[key]
-	lapse := usageTTLIntervals * usageInterval(len(hosts))
+	ttl := usageTTLIntervals * usageInterval(len(hosts))
 	for name, h := range hosts {
 		switch {
-		case now.Sub(h.at) > lapse:
+		case now.Sub(h.at) > ttl:
 			delete(hosts, name)
 		case name != host:
 			sum.A += h.a
@@ -121,19 +121,19 @@
 	}
 }
 
-func (m *Mesh) shareBucket(ctx context.Context, adder member.Host, sums []UsageEntry, hosts int) {
+func (m *Mesh) shareBucket(ctx context.Context, aggregator member.Host, sums []UsageEntry, hosts int) {
 	self := m.Self()
 	r := &peerpb.UsageReport{Host: self.Name, Incarnation: self.Incarnation}
 	for _, s := range sums {
 		r.Sums = append(r.Sums, &peerpb.Sum{Key: s.Key, A: s.A, B: s.B})
 	}
-	if adder.Name == self.Name {
+	if aggregator.Name == self.Name {
 		m.deliverTotals(hosts, m.deps.Usage.handleReport(r, m.now()))
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := m.conns.call(ctx, adder.Address, func(c peerpb.DRPCPeerClient) error {
+	err := m.conns.call(ctx, aggregator.Address, func(c peerpb.DRPCPeerClient) error {
 		totals, err := c.Usage(ctx, r)
 		if err == nil {
 			m.deliverTotals(hosts, totals)
@@ -141,7 +141,7 @@
 		return err
 	})
 	if err != nil && m.timestamps.allow("usage", m.now(), time.Minute) {
-		m.deps.Log.Emit(event.PeerCallFailed, zap.String(event.FieldPeer, adder.Name), zap.String("call", "usage"), zap.Error(err))
+		m.deps.Log.Emit(event.PeerCallFailed, zap.String(event.FieldPeer, aggregator.Name), zap.String("call", "usage"), zap.Error(err))
 	}
 }
 
--- a/node/query/config.go
+++ b/node/query/config.go
@@ -128,7 +128,7 @@
 func (r *ConfigReader) Poll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	asked := r.deps.Now()
+	requestedAt := r.deps.Now()
 	rows, err := r.deps.Table.Get(ctx, revision.HeadKey)
 	if err != nil {
 		return eris.Wrap(err, "read the head")
@@ -144,7 +144,7 @@
 	if err := r.adoptHead(ctx, head); err != nil {
 		return err
 	}
-	r.confirm(head.Version, asked)
+	r.confirm(head.Version, requestedAt)
 	return nil
 }
 
@@ -159,15 +159,15 @@
 		r.logUnreadable(version, err)
 		return err
 	}
-	packed := snap.Document
-	if len(packed) == 0 {
+	compressed := snap.Document
+	if len(compressed) == 0 {
 		var ok bool
-		if packed, ok = r.localDocument(snap.Head.Digest); !ok {
+		if compressed, ok = r.localDocument(snap.Head.Digest); !ok {
 			r.PollSoon()
 			return nil
 		}
 	}
-	return r.putInForce(snap.Head, packed)
+	return r.putInForce(snap.Head, compressed)
 }
 
 // Snapshot returns what to offer to peers: the head alone for the push, with
@@ -200,14 +200,14 @@
 		}
 		return nil
 	}
-	packed, ok := r.localDocument(head.Digest)
+	compressed, ok := r.localDocument(head.Digest)
 	if !ok {
 		var err error
-		if packed, err = r.deps.Objects.Get(ctx, revision.DocumentName(head.Digest)); err != nil {
+		if compressed, err = r.deps.Objects.Get(ctx, revision.DocumentName(head.Digest)); err != nil {
 			return eris.Wrapf(err, "read the document of version %d", head.Version)
 		}
 	}
-	return r.putInForce(head, packed)
+	return r.putInForce(head, compressed)
 }
 
 func (r *ConfigReader) localDocument(digest string) ([]byte, bool) {
@@ -218,8 +218,8 @@
 }
 
 // putInForce puts a head with its document in force, unless a newer one is.
-func (r *ConfigReader) putInForce(head revision.Head, packed []byte) error {
-	next, err := r.build(head, packed)
+func (r *ConfigReader) putInForce(head revision.Head, compressed []byte) error {
+	next, err := r.build(head, compressed)
 	if err != nil {
 		r.logUnreadable(head.Version, err)
 		return err
@@ -238,12 +238,12 @@
 
 // build checks that the document is the one the head names, and indexes it;
 // the index of the same document is kept.
-func (r *ConfigReader) build(head revision.Head, packed []byte) (*State, error) {
-	next := &State{Version: head.Version, Head: head, compressed: packed}
+func (r *ConfigReader) build(head revision.Head, compressed []byte) (*State, error) {
+	next := &State{Version: head.Version, Head: head, compressed: compressed}
 	if s, ok := r.Current(); ok && s.Head.Digest == head.Digest {
 		next.Index, next.compressed = s.Index, s.compressed
 	} else {
-		doc, err := revision.DecompressVerified(packed, head.Digest)
+		doc, err := revision.DecompressVerified(compressed, head.Digest)
 		if err != nil {
 			return nil, err
 		}
--- a/node/query/confirm.go
+++ b/node/query/confirm.go
@@ -16,14 +16,14 @@
 // confirm notes that the table showed version as the newest when it was asked
 // at asked. The time before the call counts: the answer says nothing of what
 // was committed while it was on its way.
-func (r *ConfigReader) confirm(version uint64, asked time.Time) {
+func (r *ConfigReader) confirm(version uint64, requestedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s, ok := r.Current(); !ok || s.Version != version {
 		return
 	}
-	if asked.After(r.confirmed) {
-		r.confirmed = asked
+	if requestedAt.After(r.confirmed) {
+		r.confirmed = requestedAt
 	}
 }
 
@@ -61,17 +61,17 @@
 
 // logFreshnessChange logs a change of standing once.
 func (r *ConfigReader) logFreshnessChange() {
-	now := r.Freshness()
+	current := r.Freshness()
 	r.mu.Lock()
-	was := r.loggedFreshness
-	r.loggedFreshness = now
+	previous := r.loggedFreshness
+	r.loggedFreshness = current
 	r.mu.Unlock()
 	switch {
-	case now == was:
-	case now == revision.Confirmed:
+	case current == previous:
+	case current == revision.Confirmed:
 		r.deps.Log.Emit(event.ConfigConfirmed)
 	default:
-		r.deps.Log.Emit(event.ConfigUnconfirmed, zap.Stringer("standing", now))
+		r.deps.Log.Emit(event.ConfigUnconfirmed, zap.Stringer("standing", current))
 	}
 }
 
--- a/node/store/resolve.go
+++ b/node/store/resolve.go
@@ -21,21 +21,21 @@
 // caller would act twice on a write that took effect: one would notice a
 // claim refused to its own owner, or a reservation leaked for ever.
 func CommitResolved(ctx context.Context, tb Table, t Txn) (uint64, error) {
-	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = initialRetryWait, maxRetryWait
-	inDoubt := false
+	pauses := backoff.NewExponentialBackOff()
+	pauses.InitialInterval, pauses.MaxInterval = initialRetryWait, maxRetryWait
+	unconfirmed := false
 	for {
 		v, err := tb.Commit(ctx, t)
 		switch {
 		case err == nil || errors.Is(err, ErrConflict):
 			return v, err
 		case errors.Is(err, ErrUnconfirmed):
-			inDoubt = true
-		case !inDoubt:
+			unconfirmed = true
+		case !unconfirmed:
 			return v, err // refused at once: nothing took effect
 		}
 		// Once in doubt, even a refusal says nothing of the first try.
-		timer := time.NewTimer(wait.NextBackOff())
+		timer := time.NewTimer(pauses.NextBackOff())
 		select {
 		case <-ctx.Done():
 			timer.Stop()
--- a/node/store/rest/client.go
+++ b/node/store/rest/client.go
@@ -138,12 +138,12 @@
 	errIfLost    error
 }
 
-func (c *Client) post(ctx context.Context, path string, lost error, in, out any) error {
+func (c *Client) post(ctx context.Context, path string, errIfLost error, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return fmt.Errorf("encode %s: %w", path, err)
 	}
-	return c.call(ctx, request{method: http.MethodPost, path: path, body: body, errIfLost: lost}, decode(out))
+	return c.call(ctx, request{method: http.MethodPost, path: path, body: body, errIfLost: errIfLost}, decode(out))
 }
 
 func decode(out any) func([]byte) error {
--- a/node/store/storetest/storetest.go
+++ b/node/store/storetest/storetest.go
@@ -220,16 +220,16 @@
 }
 
 func weights(t *testing.T, b Fixture) {
-	granted := func(load string) bool {
+	acquire := func(load string) bool {
 		wait, err := b.Weights.AcquireLoad(t.Context(), load)
 		assert.NilError(t, err)
 		return wait == 0
 	}
-	assert.Assert(t, granted("m#1"))
-	assert.Assert(t, granted("m#1"), "the same load takes no second place")
-	assert.Assert(t, granted("m#2"))
-	assert.Assert(t, !granted("m#3"))
+	assert.Assert(t, acquire("m#1"))
+	assert.Assert(t, acquire("m#1"), "the same load takes no second place")
+	assert.Assert(t, acquire("m#2"))
+	assert.Assert(t, !acquire("m#3"))
 	assert.NilError(t, b.Weights.ReleaseLoad(t.Context(), "m#1"))
 	assert.NilError(t, b.Weights.ReleaseLoad(t.Context(), "m#1"))
-	assert.Assert(t, granted("m#3"))
+	assert.Assert(t, acquire("m#3"))
 }
