--- a/node/store/resolve.go
+++ b/node/store/resolve.go
@@ -8,18 +8,18 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Retry bounds for a commit in doubt.
+// The bounds of the wait between two attempts at an unconfirmed commit.
 const (
-	initialRetryWait = 20 * time.Millisecond // first pause; about one round trip to the service
-	maxRetryWait     = time.Second           // longest pause; an outage is not helped by asking faster
+	initialRetryWait = 20 * time.Millisecond // about one round trip to the service
+	maxRetryWait     = time.Second           // retrying more often doesn't help in an outage
 )
 
-// CommitResolved commits t and, when the answer is lost, commits it again
-// under the same operation id until the service says what became of it or
-// ctx ends, which must be within OpMemory: a forgotten id would run again.
-// Without this a lost answer would be read as a failure, and the
-// caller would act twice on a write that took effect: one would notice a
-// claim refused to its own owner, or a reservation leaked for ever.
+// CommitResolved commits t. When the answer is lost, it retries under the same
+// operation id until the service answers or ctx ends; then the error is
+// ErrUnconfirmed. ctx must end within OpRetention, since the service would
+// execute a forgotten id again. Without the retries a caller would treat a lost
+// answer as a failure and repeat a write that took effect: a claim would be
+// refused to its own owner, or a reservation would leak for ever.
 func CommitResolved(ctx context.Context, tb Table, t Txn) (uint64, error) {
 	pauses := backoff.NewExponentialBackOff()
 	pauses.InitialInterval, pauses.MaxInterval = initialRetryWait, maxRetryWait
@@ -32,9 +32,9 @@
 		case errors.Is(err, ErrUnconfirmed):
 			unconfirmed = true
 		case !unconfirmed:
-			return v, err // refused at once: nothing took effect
+			return v, err // refused at the first attempt: nothing took effect
 		}
-		// Once in doubt, even a refusal says nothing of the first try.
+		// After a lost answer a refusal says nothing about the earlier attempt.
 		timer := time.NewTimer(pauses.NextBackOff())
 		select {
 		case <-ctx.Done():
--- a/node/store/rest/client.go
+++ b/node/store/rest/client.go
@@ -19,17 +19,17 @@
 
 // Defaults of a client.
 const (
-	defaultTimeout = 2 * time.Second // for one call; the services answer within tens of milliseconds
+	defaultTimeout = 2 * time.Second // of one call; the services answer within tens of milliseconds
 	maxAnswerBytes = 64 << 20        // bytes; above the largest object that the system stores
-	maxIdleConns   = 16              // to each service; above the calls that one host has open at once
+	maxIdleConns   = 16              // per service; above the number of calls that one host has open at a time
 	idleTimeout    = 30 * time.Second
 )
 
-// Config addresses one service or all of them.
+// Config gives the address of one platform service, or of all of them.
 type Config struct {
 	BaseURL string        // "http://IP:port" or "https://IP:port"
-	Timeout time.Duration // of one call; 0: two seconds
-	TLS     *tls.Config   // for https; nil: the system's roots
+	Timeout time.Duration // of one call; 0: 2 s
+	TLS     *tls.Config   // for https; nil: the system's root certificates
 }
 
 // Client calls the platform's services. It implements store.Table,
@@ -47,7 +47,8 @@
 	_ store.Objects = Objects{}
 )
 
-// New makes a client. Close ends it.
+// New returns a client. The caller must call Close when it no longer needs the
+// client.
 func New(cfg Config) *Client {
 	if cfg.Timeout == 0 {
 		cfg.Timeout = defaultTimeout
@@ -58,7 +59,7 @@
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Commit implements store.Table.
@@ -130,8 +131,8 @@
 	return a.Names, err
 }
 
-// request is one call; lost is the error when its answer is lost, which is
-// ErrInDoubt for whatever changes state.
+// request describes one call. errIfLost is the error to return when the answer is
+// lost; it is ErrUnconfirmed for calls that change state.
 type request struct {
 	method, path string
 	body         []byte
@@ -151,10 +152,11 @@
 }
 
 // call sends one request and classifies its failure. A call that never got a
-// connection had no effect. From then on every failure is r.lost: bytes may
-// have reached the service even if this side saw the write fail, and taking
-// that for "nothing took effect" would let a caller repeat the act under a
-// new operation id, twice in effect.
+// connection had no effect: its error is ErrUnavailable. From then on every
+// failure that the service did not report itself is r.errIfLost: bytes may have
+// reached the service even if the write failed on this side. If that counted as
+// "nothing took effect", a caller could repeat the operation under a new id, and
+// it would take effect twice.
 func (c *Client) call(ctx context.Context, r request, accept func([]byte) error) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -167,9 +169,9 @@
 	}
 	status, body, err := c.do(req)
 	if err != nil {
-		// Something between may have lost track of all open connections while
-		// new ones work. Each idle one would cost another call its whole
-		// timeout, one after the other; so all of them go with the first.
+		// A device on the path may have lost the state of all open connections
+		// while new ones work. Each idle connection would cost another call its
+		// whole timeout, one after the other, so the first failure closes all.
 		c.http.CloseIdleConnections()
 		if connected.Load() {
 			return fmt.Errorf("%w: %w", r.errIfLost, err)
--- a/node/store/rest/wire.go
+++ b/node/store/rest/wire.go
@@ -1,5 +1,5 @@
-// Package rest speaks the platform's services over HTTP with JSON bodies:
-// table, objects, hosts and weights. The true platform's protocol may differ;
+// Package rest is a client of the platform's services (table, objects, hosts and
+// weights) over HTTP with JSON bodies. The real platform's protocol may differ;
 // this package is then the only one to replace.
 package rest
 
@@ -11,7 +11,7 @@
 	"peridotpier.example/node/store"
 )
 
-// Paths of the services, below the service's base address.
+// The paths of the services, relative to the base URL.
 const (
 	PathCommit  = "/table/commit"
 	PathGet     = "/table/get"
@@ -23,12 +23,12 @@
 	PathDone    = "/weights/done"
 )
 
-// CommitAnswer is the answer to a store.Txn.
+// CommitAnswer is the response to a store.Txn.
 type CommitAnswer struct {
 	Version uint64 `json:"version"`
 }
 
-// GetRequest names the rows of one consistent read.
+// GetRequest lists the keys of one consistent read.
 type GetRequest struct {
 	Keys []string `json:"keys"`
 }
@@ -40,38 +40,40 @@
 	Limit  int    `json:"limit"`
 }
 
-// Rows answers a read.
+// Rows is the response to a read of rows.
 type Rows struct {
 	Rows []store.Row `json:"rows"`
 }
 
-// Names answers a list of objects.
+// Names is the response to a list request for objects.
 type Names struct {
 	Names []string `json:"names"`
 }
 
-// HostList answers the list of hosts.
+// HostList is the response to a request for the list of hosts.
 type HostList struct {
 	Hosts []store.Host `json:"hosts"`
 }
 
-// LoadRequest names one load.
+// LoadRequest is the request to acquire or release the grant of one load.
 type LoadRequest struct {
 	Load string `json:"load"`
 }
 
-// Grant answers a request for a load.
+// Grant is the response to a request for the grant of a load.
 type Grant struct {
 	WaitMs int64 `json:"wait_ms"` // rounded up; 0: granted
 }
 
-// NewGrant rounds wait up, since a wait rounded down to 0 would be a grant.
+// NewGrant returns the response for a wait. It rounds up, since a wait rounded
+// down to 0 would be a grant.
 func NewGrant(wait time.Duration) Grant {
 	return Grant{WaitMs: (wait + time.Millisecond - 1).Milliseconds()}
 }
 
-// Problem is the body of every refusal. The code decides, not the status: a
-// balancer in between answers 503 too, after it may have passed the call on.
+// Problem is the body of every refusal. Clients go by its code and not by the
+// HTTP status: a load balancer on the path also responds 503, and it may have
+// forwarded the call before that.
 type Problem struct {
 	Code string `json:"code"`
 }
@@ -89,7 +91,8 @@
 	{"not_found", http.StatusNotFound, store.ErrNotFound},
 }
 
-// ProblemOf returns status and body for an error that the service may tell.
+// ProblemOf returns the HTTP status and body for an error. ok is false for errors
+// that have no code in the protocol.
 func ProblemOf(err error) (int, Problem, bool) {
 	for _, p := range problems {
 		if errors.Is(err, p.err) {
--- a/node/store/store.go
+++ b/node/store/store.go
@@ -1,8 +1,8 @@
-// Package store holds the interfaces to what the platform gives: a
+// Package store defines the interfaces to the platform's services: a
 // transactional table service, an object store, a list of hosts and a weight
-// store. Everything that must be agreed or kept goes through them. The true
-// protocols may differ from site to site, so each interface is small and the
-// rest of the system sees nothing else.
+// store. All state that hosts must agree on or that must persist goes through
+// them. The platform's real protocols may differ from site to site, so each
+// interface is small and the rest of the system uses nothing else.
 package store
 
 import (
@@ -11,19 +11,22 @@
 	"time"
 )
 
-// The errors of a table or object call. They wrap into fault.Error at the
-// caller's step.
+// The errors of a call to a platform service. Callers wrap them in a fault.Error
+// that names their step.
 var (
-	// ErrUnavailable: the service refused or was not reached; nothing took effect.
+	// ErrUnavailable means that the service refused the call or was not reached;
+	// nothing took effect.
 	ErrUnavailable = errors.New("platform service unavailable")
-	// ErrInDoubt: the answer was lost; the call may or may not have taken effect.
-	// Resolve it by Resolve, never by assuming failure.
+	// ErrUnconfirmed means that the answer was lost: the call may or may not have
+	// taken effect. Callers must find out, for commits by CommitResolved, and
+	// never assume a failure.
 	ErrUnconfirmed = errors.New("platform answer lost, effect unknown")
-	// ErrConflict: a condition did not hold; nothing took effect.
+	// ErrConflict means that a condition did not hold; nothing took effect.
 	ErrConflict = errors.New("condition does not hold")
-	// ErrNotFound: no such object.
+	// ErrNotFound means that there is no such object.
 	ErrNotFound = errors.New("not found")
-	// ErrLimited: over the rate the platform allows; nothing took effect.
+	// ErrLimited means that the call was over the rate that the platform allows;
+	// nothing took effect.
 	ErrLimited = errors.New("platform rate limit")
 )
 
@@ -34,61 +37,63 @@
 	Version uint64 // set by the service: the number of the commit that wrote the row; never 0, never reused
 }
 
-// Absent is the version of a row that does not exist, in a condition.
+// Absent is the version that a condition gives for a row that must not exist.
 const Absent uint64 = 0
 
-// Cond demands that a row still has a version.
+// Cond is the condition that a row still has a version.
 type Cond struct {
 	Key     string
-	Version uint64 // Absent demands that there is no such row
+	Version uint64 // Absent: there must be no such row
 }
 
-// Write replaces or deletes a row.
+// Write creates, replaces or deletes a row.
 type Write struct {
 	Key    string
 	Value  []byte
 	Delete bool
 }
 
-// Txn takes effect whole or not at all.
+// Txn is a transaction: it takes effect completely or not at all.
 type Txn struct {
 	// Op is the operation's id, unique to one intended effect. Committing a
-	// Txn again under the same Op has no second effect and answers what the
-	// first one did; the service keeps ids for at least OpMemory.
+	// Txn again under the same Op has no second effect and returns the result of
+	// the first commit. The service keeps ids for at least OpRetention.
 	Op     string
 	Conds  []Cond
 	Writes []Write
 }
 
-// OpRetention is how long the table service remembers operation ids at least.
+// OpRetention is the minimum time for which the table service remembers
+// operation ids.
 const OpRetention = 10 * time.Minute
 
-// Table is the transactional table service. Every commit counts as one write
-// and every Get or List as one read against the platform's limits.
+// Table is the transactional table service. Against the platform's limits every
+// commit counts as one write, and every Get or List as one read.
 type Table interface {
-	// Commit applies t and returns the version that its rows got.
-	// Errors: ErrConflict, ErrUnavailable, ErrLimited, ErrInDoubt.
+	// Commit applies t and returns the version that its rows got. Its errors
+	// are ErrConflict, ErrUnavailable, ErrLimited and ErrUnconfirmed.
 	Commit(ctx context.Context, t Txn) (version uint64, err error)
-	// Get reads rows in one consistent read; absent rows are left out.
+	// Get reads rows in one consistent read; rows that don't exist are left out.
 	Get(ctx context.Context, keys ...string) ([]Row, error)
 	// List reads up to limit rows whose keys start with prefix and sort after
-	// the key after, in key order.
+	// the key named after, in key order.
 	List(ctx context.Context, prefix, after string, limit int) ([]Row, error)
 }
 
-// Objects is the object store: immutable blobs by name. Putting a name again
-// with the same content succeeds, so a Put in doubt is simply repeated; with
-// other content it is ErrConflict. A read that fails is ErrUnavailable.
+// Objects is the object store, which keeps immutable blobs by name. Putting a
+// name again with the same content succeeds, so an unconfirmed Put can simply be
+// repeated; with other content it returns ErrConflict. A read returns ErrNotFound
+// or ErrUnavailable when it fails.
 type Objects interface {
 	Put(ctx context.Context, name string, data []byte) error
 	Get(ctx context.Context, name string) ([]byte, error)
 	List(ctx context.Context, prefix, after string, limit int) ([]string, error)
 }
 
-// HostState is what the platform says of a host.
+// HostState is the state of a host in the platform's list.
 type HostState string
 
-// The states of a host in the platform's list.
+// The states of a host.
 const (
 	HostLive     HostState = "live"
 	HostDraining HostState = "leaving"
@@ -100,7 +105,7 @@
 	RoleUpstream = "upstream"
 )
 
-// Host is one entry of the platform's list of hosts, which lags behind.
+// Host is one entry of the platform's list of hosts, which lags behind reality.
 type Host struct {
 	Name       string    `json:"name"`
 	Address    string    `json:"address"` // IP:port; of the peer listener for entry hosts
@@ -109,34 +114,38 @@
 	State      HostState `json:"state"`
 }
 
-// Hosts is the platform's lagging list of live and leaving hosts.
+// Hosts gives the platform's list of live and draining hosts, which lags behind
+// reality.
 type Hosts interface {
 	Hosts(ctx context.Context) ([]Host, error)
 }
 
-// Weights is the weight store's admission: a load may start only with a
-// grant, at a limited rate and with a limited number at once.
+// Weights is the admission control of the weight store: a load may start only
+// with a grant. Grants are limited in rate and in number at a time.
 type Weights interface {
-	// Grant asks for leave to start one load now. It answers how long to wait
-	// when a limit is reached (0: granted). The load's name must be unique to
-	// one load ("model#order"): granting it again while it is open takes no
-	// second place, so a lost answer is settled by asking again.
+	// AcquireLoad requests a grant to start one load now. It returns 0 when the
+	// grant is given, and how long to wait when a limit is reached. The load's
+	// name must be unique to one load ("model#order"): acquiring it again while
+	// it is open takes no second grant, so a lost answer is resolved by another
+	// call.
 	AcquireLoad(ctx context.Context, load string) (wait time.Duration, err error)
-	// Done gives the place of a load back, whether it succeeded or not. It is
-	// idempotent. A holder that dies never says so: a grant therefore lapses
-	// after GrantMemory, or the places would leak until no load could start.
+	// ReleaseLoad returns the grant of a load, whether the load succeeded or not.
+	// It is idempotent. A process that dies can't release its grants: they
+	// therefore expire after GrantTTL, or they would leak until no load could
+	// start.
 	ReleaseLoad(ctx context.Context, load string) error
 }
 
-// GrantTTL is how long the weight store holds a place for a load at most;
+// GrantTTL is the maximum time for which the weight store keeps a grant. It is
 // far above the minutes that the largest model takes at the slowest rate.
 const GrantTTL = 10 * time.Minute
 
-// ErrHistoryLost: the changes asked for are no longer kept; read the table whole.
+// ErrHistoryLost means that the requested changes are no longer kept: the caller
+// must read the complete table.
 var ErrHistoryLost = errors.New("history of changes is no longer kept")
 
-// UnusableError says that what was read cannot be used. It came from the
-// store whole, so reading it again would not help.
+// UnusableError says that a value cannot be used although it was read from the
+// store without an error, so that reading it again would not help.
 type UnusableError struct{ Err error }
 
 // Error implements error.
--- a/node/store/storetest/storetest.go
+++ b/node/store/storetest/storetest.go
@@ -1,5 +1,5 @@
-// Package storetest is the conformance suite of the platform's interfaces.
-// Every adapter to a platform service must pass it, whatever the protocol.
+// Package storetest is the conformance test suite of the platform's interfaces.
+// Every implementation must pass it, whatever protocol it uses.
 package storetest
 
 import (
@@ -14,21 +14,21 @@
 	"peridotpier.example/node/store"
 )
 
-// Fixture is one fresh, empty set of services with switches for their faults.
+// Fixture is one fresh, empty set of services with switches to inject faults.
 type Fixture struct {
 	Table   store.Table
 	Objects store.Objects
 	Hosts   store.Hosts
-	Weights store.Weights // must allow two loads at once, and starts at any rate
+	Weights store.Weights // must allow two loads at a time, and starts at any rate
 
-	WantHosts    []store.Host // what Hosts must answer
+	WantHosts    []store.Host // what Hosts must return
 	SetOutage    func(on bool)
 	LoseAnswers  func(on bool) // writes take effect but their answers are lost
-	LoseRequests func(on bool) // writes are lost on the way
-	SetLimited   func(on bool) // every write is over the limit
+	LoseRequests func(on bool) // write requests are lost before they reach the service
+	SetLimited   func(on bool) // every write is over the rate limit
 }
 
-// Run runs the suite on benches that make builds.
+// Run runs the suite, each test on a fixture of its own that make builds.
 func Run(t *testing.T, make func(t *testing.T) Fixture) {
 	for _, c := range []struct {
 		name string
@@ -74,7 +74,7 @@
 	assert.Equal(t, again, first)
 	assert.Equal(t, readValue(t, b, "k"), "2")
 
-	// A refusal is an answer too: it must not turn into success later.
+	// A refusal is a result too: a repeated commit must not succeed later.
 	refused := put("op3", "k", "3", store.Cond{Key: "k", Version: first})
 	_, err = b.Table.Commit(t.Context(), refused)
 	assert.ErrorIs(t, err, store.ErrConflict)
@@ -148,8 +148,8 @@
 	assert.DeepEqual(t, got, []string{"p/1", "p/2", "p/3"})
 }
 
-// resolveAfter commits txn while a fault is on and clears the fault once the
-// commit is in doubt.
+// resolveAfter commits txn while a fault is on, clears the fault once the commit
+// is unconfirmed, and expects that retries then succeed.
 func resolveAfter(t *testing.T, b Fixture, fault func(bool), txn store.Txn) {
 	t.Helper()
 	fault(true)
@@ -162,16 +162,17 @@
 	assert.NilError(t, err)
 }
 
-// Symptom: a claim is refused to its own owner. Sequence: the write takes
-// effect, its answer is lost, the retry meets its own row. Cause: the retry
-// counted as a new operation.
+// lostAnswer guards against a claim that is refused to its own owner: the write
+// takes effect, its answer is lost, and the retry meets the row that it wrote
+// itself. A retry must not count as a new operation.
 func lostAnswer(t *testing.T, b Fixture) {
 	resolveAfter(t, b, b.LoseAnswers, put("a", "k", "1", store.Cond{Key: "k", Version: store.Absent}))
 	assert.Equal(t, readValue(t, b, "k"), "1")
 }
 
-// Symptom: a write that was reported in doubt is taken for done and is not
-// there. Sequence: the request is lost on the way. Cause: no second try.
+// lostRequest guards against an unconfirmed write that is treated as done although
+// its row does not exist: the request was lost before it reached the service, and
+// nothing retried it.
 func lostRequest(t *testing.T, b Fixture) {
 	resolveAfter(t, b, b.LoseRequests, put("a", "k", "1", store.Cond{Key: "k", Version: store.Absent}))
 	assert.Equal(t, readValue(t, b, "k"), "1")
