--- a/node/query/audit.go
+++ b/node/query/audit.go
@@ -9,17 +9,18 @@
 	"peridotpier.example/core/revision"
 )
 
-// AuditReader reads the audit trail wherever it is kept.
+// AuditReader reads the audit trail, both from the table and from the archive in
+// the object store.
 type AuditReader struct{ deps Deps }
 
-// NewAuditReader makes a reader.
+// NewAuditReader returns a reader.
 func NewAuditReader(deps Deps) *AuditReader { return &AuditReader{deps: deps} }
 
-// Page returns up to limit entries below version before, newest first; before
-// 0 starts at the newest. The next page starts at the last entry's version; a
-// page that is not full is the last one. Every version has exactly one entry,
-// so a version that is not in the table is in the object store: the archiver
-// writes there first.
+// Page returns up to limit entries below version before, newest first; with before
+// 0 it starts at the newest. For the next page, pass the version of the last entry;
+// a page with fewer entries than limit is the last one. Every version has exactly
+// one entry, so a version that is not in the table is in the object store: the
+// archiver writes there before it deletes rows.
 func (a *AuditReader) Page(ctx context.Context, before uint64, limit int) ([]revision.Entry, error) {
 	after := ""
 	if before > 0 {
@@ -39,7 +40,7 @@
 			return nil, err
 		}
 		if next := nextVersion(out, before); next != 0 && e.Version != next {
-			break // the entries between were moved after the list was read
+			break // the entries in between were archived after the list was read
 		}
 		out = append(out, e)
 	}
@@ -53,7 +54,8 @@
 	return out, nil
 }
 
-// nextVersion is the version that comes after those read; 0: none, or not known yet.
+// nextVersion returns the version that follows the entries read so far, in
+// descending order; 0: there is none, or it is not known yet.
 func nextVersion(read []revision.Entry, before uint64) uint64 {
 	if len(read) > 0 {
 		return read[len(read)-1].Version - 1
@@ -61,8 +63,8 @@
 	return max(before, 1) - 1
 }
 
-// archived returns the archived entries of a version's batch, from that
-// version down.
+// archived returns the archived entries of a version's batch, from that version
+// downwards.
 func (a *AuditReader) archived(ctx context.Context, version uint64) ([]revision.Entry, error) {
 	data, err := a.deps.Objects.Get(ctx, revision.ArchiveName(revision.BatchOf(version)))
 	if err != nil {
--- a/node/query/bench_test.go
+++ b/node/query/bench_test.go
@@ -8,11 +8,11 @@
 	"peridotpier.example/core/revision"
 )
 
-// designSize is the configuration of the largest site: 2,500 upstreams, 720
+// designSize returns the configuration of the largest site: 2,500 upstreams, 720
 // models and 100 teams.
 func designSize() *config.Config { return sized(2500, 720, 100) }
 
-// sized makes a configuration of 7 data centres.
+// sized returns a configuration with 7 data centres.
 func sized(upstreams, models, teams int) *config.Config {
 	c := &config.Config{Site: "design", Pools: []config.Pool{{Name: "lm", Kind: config.KindEngine}},
 		WeightStore: config.WeightStore{LoadsPerSecond: 10, Concurrent: 100, MBPerSecond: 4000},
--- a/node/query/config.go
+++ b/node/query/config.go
@@ -1,5 +1,5 @@
-// Package query reads what the whole site shares: the configuration in force,
-// which hosts have it, and the audit trail.
+// Package query reads the state that all hosts of a site share: the configuration
+// in force, which hosts have it, and the audit trail.
 package query
 
 import (
@@ -22,26 +22,27 @@
 )
 
 const (
-	// DefaultPollInterval is the safety net below the peers' push: with its jitter a
-	// missed push costs at most 5 s of the 16 s, and 420 hosts take 105 of the
-	// table's 2,000 reads a second.
+	// DefaultPollInterval is the mean time between two polls of the table, which
+	// are the fallback when a push from a peer is missed. With the jitter, a
+	// missed push costs at most 5 s of the 16 s within which a change must be in
+	// force, and 420 hosts use 105 of the table's 2,000 reads a second.
 	DefaultPollInterval = 4 * time.Second
-	pollJitter          = 0.25            // share
-	pollTimeout         = 3 * time.Second // of one poll, the document included
+	pollJitter          = 0.25            // share of the interval
+	pollTimeout         = 3 * time.Second // of one poll, including the read of the document
 )
 
-// State is what is in force on this host, as one immutable value: a request
-// is judged wholly under the State that it was admitted in.
+// State is the configuration in force on this host, as one immutable value: a
+// request is handled entirely under the State in which it was admitted.
 type State struct {
 	Version uint64
 	Preset  *config.Preset
 	Index   *config.Index
 	Head    revision.Head
 
-	compressed []byte // the document, compressed
+	compressed []byte // the compressed document
 }
 
-// Deps are what the queries work with; Now, Rand and Log may be nil.
+// Deps are the dependencies of the queries. Now, Rand and Log may be nil.
 type Deps struct {
 	Table   store.Table
 	Objects store.Objects
@@ -50,15 +51,15 @@
 	Rand    pace.Rand
 }
 
-// ConfigReader follows the configuration in force. It takes only higher
-// versions, so that whatever is late, repeated or stale never takes a host
-// back.
+// ConfigReader keeps this host at the newest configuration that it receives, from
+// the table or from peers. It accepts only higher versions, so that late, repeated
+// or stale input never takes a host back. It is safe for concurrent use.
 type ConfigReader struct {
 	pollInterval time.Duration
 	deps         Deps
 
 	state atomic.Pointer[State]
-	wake  chan struct{} // asks Run to poll now
+	wake  chan struct{} // triggers a poll by Run
 
 	mu              sync.Mutex
 	changed         chan struct{} // closed when state changes, then replaced
@@ -66,7 +67,8 @@
 	loggedFreshness revision.Freshness
 }
 
-// NewConfigReader makes a reader that polls about every poll (0: DefaultPoll).
+// NewConfigReader returns a reader that polls about once in the interval poll
+// (0: DefaultPollInterval).
 func NewConfigReader(poll time.Duration, deps Deps) *ConfigReader {
 	if poll == 0 {
 		poll = DefaultPollInterval
@@ -83,14 +85,15 @@
 	return &ConfigReader{pollInterval: poll, deps: deps, wake: make(chan struct{}, 1), changed: make(chan struct{})}
 }
 
-// Current returns the state in force, or false before the first was read: a
-// host is not ready until then.
+// Current returns the state in force. ok is false until the first one was read;
+// a host is not ready until then.
 func (r *ConfigReader) Current() (*State, bool) {
 	s := r.state.Load()
 	return s, s != nil
 }
 
-// Next waits for a state above version after.
+// Next returns the state in force once its version is higher than after. Its only
+// error is that of ctx.
 func (r *ConfigReader) Next(ctx context.Context, after uint64) (*State, error) {
 	for {
 		r.mu.Lock()
@@ -124,7 +127,7 @@
 	}
 }
 
-// Poll reads the head once and takes a newer version in force.
+// Poll reads the head once and puts a newer version in force.
 func (r *ConfigReader) Poll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -148,8 +151,9 @@
 	return nil
 }
 
-// Offer takes a snapshot that a peer pushed or answered with. A head alone is
-// taken when its document is at hand; otherwise the reader polls at once.
+// Offer puts a snapshot from a peer in force if its version is higher than the
+// current one. A snapshot without a document is accepted when the current state
+// has the same document; otherwise the reader polls at once.
 func (r *ConfigReader) Offer(version uint64, data []byte) error {
 	if s, ok := r.Current(); ok && s.Version >= version {
 		return nil
@@ -170,8 +174,9 @@
 	return r.putInForce(snap.Head, compressed)
 }
 
-// Snapshot returns what to offer to peers: the head alone for the push, with
-// the document for a peer that cannot reach the store.
+// Snapshot returns the encoded snapshot to send to peers: without the document for
+// a push, with it for a peer that cannot reach the store. ok is false before the
+// first state was read.
 func (r *ConfigReader) Snapshot(withDocument bool) (version uint64, data []byte, ok bool) {
 	s, ok := r.Current()
 	if !ok {
@@ -185,7 +190,7 @@
 	return s.Version, data, err == nil
 }
 
-// PollSoon asks for a poll now; asking again before it has begun adds nothing.
+// PollSoon makes Run poll at once. Calls before that poll has begun are merged.
 func (r *ConfigReader) PollSoon() {
 	select {
 	case r.wake <- struct{}{}:
@@ -193,6 +198,8 @@
 	}
 }
 
+// adoptHead puts the version of a head that was read from the table in force. It
+// reads the document from the object store unless this host has it.
 func (r *ConfigReader) adoptHead(ctx context.Context, head revision.Head) error {
 	if s, ok := r.Current(); ok && s.Version >= head.Version {
 		if s.Version > head.Version {
@@ -210,6 +217,7 @@
 	return r.putInForce(head, compressed)
 }
 
+// localDocument returns the compressed document with a digest if it is in force.
 func (r *ConfigReader) localDocument(digest string) ([]byte, bool) {
 	if s, ok := r.Current(); ok && s.Head.Digest == digest {
 		return s.compressed, true
@@ -217,7 +225,8 @@
 	return nil, false
 }
 
-// putInForce puts a head with its document in force, unless a newer one is.
+// putInForce puts a head with its document in force, unless the same or a newer
+// version already is.
 func (r *ConfigReader) putInForce(head revision.Head, compressed []byte) error {
 	next, err := r.build(head, compressed)
 	if err != nil {
@@ -236,8 +245,8 @@
 	return nil
 }
 
-// build checks that the document is the one the head names, and indexes it;
-// the index of the same document is kept.
+// build checks that the document has the digest in the head, and indexes it. If
+// the document is the one in force, its index is reused.
 func (r *ConfigReader) build(head revision.Head, compressed []byte) (*State, error) {
 	next := &State{Version: head.Version, Head: head, compressed: compressed}
 	if s, ok := r.Current(); ok && s.Head.Digest == head.Digest {
@@ -265,7 +274,7 @@
 	r.deps.Log.Emit(event.ConfigUnreadable, zap.Uint64("version", version), zap.Error(err))
 }
 
-// Document returns the configuration as it was applied, byte for byte.
+// Document returns the configuration document byte for byte as it was applied.
 func (s *State) Document() ([]byte, error) {
 	return revision.DecompressVerified(s.compressed, s.Head.Digest)
 }
--- a/node/query/config_test.go
+++ b/node/query/config_test.go
@@ -28,7 +28,8 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// site is the stores of one site with commands on them.
+// site is the table and object store of one site, with the commands that write to
+// them.
 type site struct {
 	table   *standin.Table
 	objects *standin.Objects
@@ -44,7 +45,7 @@
 	return s
 }
 
-// smallSite is a site whose document is quick to read.
+// smallSite returns a site with a document that is quick to read.
 func smallSite(t testing.TB) *site {
 	doc, err := json.Marshal(sized(2, 2, 1))
 	assert.NilError(t, err)
@@ -106,10 +107,11 @@
 	assert.Equal(t, page[1].FromPreset, "ordinary")
 }
 
-// Symptom: two operators both read that their change took effect, and one is
-// gone. Sequence: same parent, lost and late answers, an answer resolved after
-// the other's attempt. Cause: a write without a condition, or a lost answer
-// taken for a failure and repeated as a new one.
+// Guards against two operators who are both told that their change took effect
+// although one change is lost. Their changes have the same parent; answers are lost
+// or late, and one is resolved after the other operator's attempt. It happens with a
+// write without a condition, and with a lost answer that is treated as a failure and
+// repeated as a new operation.
 func TestRacingOperatorsHaveOneWinner(t *testing.T) {
 	type swap struct{ parent uint64 }
 	register := porcupine.Model{
@@ -172,9 +174,9 @@
 	})
 }
 
-// Symptom: a host falls back to an old configuration. Sequence: pushes come
-// late, twice, in any order, between polls. Cause: the last word counts
-// instead of the highest version.
+// Guards against a host that returns to an old configuration. Pushes arrive late,
+// twice and in any order, between polls; the highest version must count, not the
+// last message.
 func TestAnyOrderOfOffersEndsAtTheHighestVersion(t *testing.T) {
 	s := newSite(t)
 	source := s.reader()
@@ -216,7 +218,7 @@
 
 	r = s.reader()
 	var wg sync.WaitGroup
-	for i, data := range offers { // at once: each sees the state before the others are taken
+	for i, data := range offers { // concurrently: each may see the state before the others are in force
 		wg.Go(func() { assert.Check(t, r.Offer(uint64(i+1), data)) })
 	}
 	wg.Wait()
@@ -227,9 +229,10 @@
 	assert.Equal(t, state.Version, uint64(6))
 }
 
-// Symptom: a store outage stops brigades' look-ups, or a host that was cut
-// off serves an old configuration for ever. Sequence: outage of 10 minutes,
-// a host replaced in it, one host without any word for longer.
+// Guards against a store outage that stops brigades' look-ups, and against a host
+// that was cut off and serves an old configuration for ever. The store has an outage
+// of 10 minutes, during which a host is replaced; another host gets no confirmation
+// for longer than that.
 func TestOutageKeepsServingAndOldVersionsAgeOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t)
@@ -262,7 +265,7 @@
 		replaced.ConfirmByPeer(version, age)
 		assert.Equal(t, replaced.Freshness(), revision.Unconfirmed)
 		replaced.ConfirmByPeer(version-1, 0)
-		assert.Equal(t, replaced.Freshness(), revision.Unconfirmed, "a word on an older version confirms nothing")
+		assert.Equal(t, replaced.Freshness(), revision.Unconfirmed, "a report of an older version confirms nothing")
 
 		time.Sleep(6 * time.Minute)
 		assert.Assert(t, !r.Freshness().Admits(class.Standard))
@@ -277,8 +280,9 @@
 	})
 }
 
-// Symptom: an operator is told that a change is in force everywhere while a
-// host still has the old one. Sequence: a word comes late, a host restarts.
+// Guards against an operator who is told that a change is in force everywhere while
+// a host still has the old version, because a report arrived late or a host
+// restarted.
 func TestWaitingNamesHostsWithoutTheVersion(t *testing.T) {
 	c := query.NewVersionTracker(nil)
 	listed := []store.Host{{Name: "a", Role: store.RoleEntry, State: store.HostLive},
@@ -297,9 +301,9 @@
 	assert.Equal(t, c.HostsBelow(5, listed)[0].Host, "a")
 }
 
-// Symptom: audit entries are missing or twice. Sequence: an archiver moves
-// batches while a reader pages; its move is repeated after a lost answer; an
-// archiver without the lease tries as well.
+// Guards against audit entries that are missing or returned twice. An archiver moves
+// batches while a reader fetches pages; a move is repeated after a lost answer; an
+// archiver without the lease tries to move a batch as well.
 func TestAuditIsWholeWhereverItIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := smallSite(t)
--- a/node/query/confirm.go
+++ b/node/query/confirm.go
@@ -13,9 +13,9 @@
 	"peridotpier.example/node/store"
 )
 
-// confirm notes that the table showed version as the newest when it was asked
-// at asked. The time before the call counts: the answer says nothing of what
-// was committed while it was on its way.
+// confirm records that a read of the table that was sent at requestedAt returned
+// version as the newest. The time before the call counts: the answer says nothing
+// about commits made while it was on its way.
 func (r *ConfigReader) confirm(version uint64, requestedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -27,9 +27,9 @@
 	}
 }
 
-// ConfirmByPeer takes a peer's word that the table showed version as the
-// newest age ago. It keeps a host that cannot reach the table itself from
-// counting as out of date, and tells it when it is.
+// ConfirmByPeer records a peer's report that version was the newest in the table
+// age ago. With it, a host that cannot reach the table itself does not count as
+// outdated; if this host has a lower version, it polls at once.
 func (r *ConfigReader) ConfirmByPeer(version uint64, age time.Duration) {
 	if s, ok := r.Current(); !ok || s.Version < version {
 		r.PollSoon()
@@ -38,9 +38,9 @@
 	r.confirm(version, r.deps.Now().Add(-age))
 }
 
-// Confirmation returns the version in force here and how long ago it was last
-// known to be the newest: what this host tells its peers. ok is false when it
-// never was.
+// Confirmation returns the version in force on this host and how long ago it was
+// last known to be the newest, for this host's messages to its peers. ok is false
+// when that was never known.
 func (r *ConfigReader) Confirmation() (version uint64, age time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,15 +51,16 @@
 	return s.Version, r.deps.Now().Sub(r.confirmed), true
 }
 
-// Freshness says how far this host may rely on its version: callers ask it
-// before they admit a request.
+// Freshness returns how far this host may rely on its version of the
+// configuration. Callers check it before they admit a request.
 func (r *ConfigReader) Freshness() revision.Freshness {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return revision.FreshnessAt(r.confirmed, r.deps.Now())
 }
 
-// logFreshnessChange logs a change of standing once.
+// logFreshnessChange logs an event when the freshness differs from the one last
+// logged.
 func (r *ConfigReader) logFreshnessChange() {
 	current := r.Freshness()
 	r.mu.Lock()
@@ -75,8 +76,8 @@
 	}
 }
 
-// VersionTracker keeps what other hosts said of the version they have in
-// force, for an operator who waits for a change to be in force everywhere.
+// VersionTracker records the versions that other hosts report as in force, for an
+// operator who waits until a change is in force everywhere.
 type VersionTracker struct {
 	now func() time.Time
 
@@ -84,14 +85,15 @@
 	hosts map[string]HostVersion
 }
 
-// HostVersion is one host's word on its version.
+// HostVersion is the version that one host reported as in force.
 type HostVersion struct {
 	Host    string    `json:"host"`
 	Version uint64    `json:"version"`
-	At      time.Time `json:"at"` // when the word came in
+	At      time.Time `json:"at"` // when the report was received
 }
 
-// NewVersionTracker makes an empty record; now may be nil.
+// NewVersionTracker returns an empty tracker. now may be nil: then time.Now is
+// used.
 func NewVersionTracker(now func() time.Time) *VersionTracker {
 	if now == nil {
 		now = time.Now
@@ -99,8 +101,8 @@
 	return &VersionTracker{now: now, hosts: map[string]HostVersion{}}
 }
 
-// Record takes a host's word, from its heartbeat or an answer. A late or
-// repeated word with a lower version changes nothing.
+// Record records a version that a host reported. A late or repeated report with a
+// lower version changes nothing.
 func (c *VersionTracker) Record(host string, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,17 +111,17 @@
 	}
 }
 
-// Forget drops a host that restarted, so that the word of its former process
-// does not count for the new one.
+// Forget deletes the record of a host that restarted, so that the report of its
+// former process does not count for the new one.
 func (c *VersionTracker) Forget(host string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.hosts, host)
 }
 
-// HostsBelow returns the listed live entry hosts which have not confirmed a
-// version, with the one they last had (0: unknown). A change is accepted
-// everywhere when none is left.
+// HostsBelow returns the live entry hosts of a list that have not reported version
+// or a higher one, sorted by name, each with the version that it last reported (0:
+// unknown). When none is left, the change is in force everywhere.
 func (c *VersionTracker) HostsBelow(version uint64, listed []store.Host) []HostVersion {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/node/query/fleet_test.go
+++ b/node/query/fleet_test.go
@@ -14,15 +14,15 @@
 	"peridotpier.example/node/query"
 )
 
-// Symptom: a change reaches some hosts only after minutes, or the polls of the
-// fleet use up the table. Sequence: every push is lost, 420 hosts that started
-// together poll. Cause: polls too rare, or in step.
+// Guards against a change that reaches some hosts only after minutes, and against a
+// fleet whose polls use up the table's read limit. Every push is lost, and 420 hosts
+// that started together poll: too rarely, or at the same moments.
 func TestPollAloneReachesTheFleetInTime(t *testing.T) {
 	const (
-		hosts     = 420
-		changes   = 5
-		inForce   = 16 * time.Second
-		readsLeft = 200 // a second, of the table's 2,000: a tenth for this
+		hosts             = 420
+		changes           = 5
+		maxDelay          = 16 * time.Second
+		maxReadsPerSecond = 200 // polls may use a tenth of the table's 2,000
 	)
 	synctest.Test(t, func(t *testing.T) {
 		s := smallSite(t)
@@ -51,8 +51,8 @@
 		perSecond := float64(s.table.Faults.Reads()-reads) / time.Since(start).Seconds()
 		slices.Sort(took)
 		t.Logf("%d hosts, polls alone: last host after %v to %v, %.0f reads/s", hosts, took[0], took[changes-1], perSecond)
-		assert.Assert(t, took[changes-1] <= inForce)
-		assert.Assert(t, perSecond <= readsLeft)
+		assert.Assert(t, took[changes-1] <= maxDelay)
+		assert.Assert(t, perSecond <= maxReadsPerSecond)
 		stop()
 		wg.Wait()
 	})
