--- a/node/command/audit.go
+++ b/node/command/audit.go
@@ -18,29 +18,31 @@
 	"peridotpier.example/node/store"
 )
 
-// Where the audit trail is kept.
+// The archiving of the audit trail.
 const (
-	// retainedRows is how many of the newest entries stay in the table: a few
-	// hours at 3,200 changes a day.
+	// retainedRows is how many of the newest entries stay in the table: those of
+	// a few hours at 3,200 changes a day.
 	retainedRows = 500
-	// archiveInterval is the pause between looks for a full batch; one batch of
-	// 100 takes 45 minutes at 3,200 changes a day.
+	// archiveInterval is the mean time between two checks for a full batch. At
+	// 3,200 changes a day a batch of 100 entries fills in 45 minutes.
 	archiveInterval = 10 * time.Minute
-	// minLeaseLeft is the lease time that moving one batch may take.
+	// minLeaseLeft is how much time the lease must have left before a batch is
+	// moved.
 	minLeaseLeft = 3 * time.Second
 )
 
 // AuditLease is the name of the archiver's lease.
 const AuditLease = "audit-archive"
 
-// Archiver moves old audit entries from the table to the object store. Only
-// the holder of the lease AuditLease runs it.
+// Archiver moves old audit entries from the table to the object store, while this
+// process holds the lease AuditLease.
 type Archiver struct {
 	deps Deps
 	role *lease.Lease
 }
 
-// NewArchiver makes an archiver under role, whose owner runs the lease.
+// NewArchiver returns an archiver that acts under the lease role. The caller must
+// run the lease.
 func NewArchiver(deps Deps, role *lease.Lease) *Archiver {
 	if deps.Log == nil {
 		deps.Log = event.NewLog(nil)
@@ -61,10 +63,10 @@
 	return ctx.Err()
 }
 
-// ArchiveNext moves one batch, if this process holds the lease and one is due. The
-// object is written before the rows go, in a write that is conditional on the
-// lease's term: a reader finds each entry in one place or in both, and two
-// archivers cannot move the same batch.
+// ArchiveNext moves one batch, if this process holds the lease and a batch is due,
+// and reports whether it did. The object is written first; then the rows are
+// deleted in a write that is conditional on the lease's term. A reader thus finds
+// each entry in one place or in both, and two archivers cannot move the same batch.
 func (a *Archiver) ArchiveNext(ctx context.Context) (moved bool, err error) {
 	term, ok := a.role.Term()
 	if !ok {
--- a/node/command/config.go
+++ b/node/command/config.go
@@ -1,5 +1,5 @@
-// Package command changes what the whole site shares: the configuration, the
-// preset in force, and where the audit trail is kept.
+// Package command changes the state that all hosts of a site share: the
+// configuration, the preset in force, and where the audit trail is kept.
 package command
 
 import (
@@ -22,10 +22,11 @@
 	"peridotpier.example/node/store"
 )
 
-// putRetryPause is the wait between tries to store a document whose answer was lost.
+// putRetryPause is the wait before a document is stored again after the answer was
+// lost.
 const putRetryPause = 50 * time.Millisecond
 
-// Deps are what the commands work with; Now and Log may be nil.
+// Deps are the dependencies of the commands. Now and Log may be nil.
 type Deps struct {
 	Table   store.Table
 	Objects store.Objects
@@ -33,10 +34,11 @@
 	Now     func() time.Time
 }
 
-// Configuration changes the configuration and the preset in force.
+// Configuration executes commands that change the configuration or the preset in
+// force.
 type Configuration struct{ deps Deps }
 
-// NewConfiguration makes the commands.
+// NewConfiguration returns a Configuration.
 func NewConfiguration(deps Deps) *Configuration {
 	if deps.Now == nil {
 		deps.Now = time.Now
@@ -47,28 +49,29 @@
 	return &Configuration{deps: deps}
 }
 
-// ApplyRequest is one operator's wish for a new configuration.
+// ApplyRequest is an operator's request to apply a new configuration.
 type ApplyRequest struct {
 	Author   string
-	Parent   uint64 // the version that the document was made from; 0: there is none yet
+	Parent   uint64 // the version that the document is based on; 0: there is none yet
 	Document []byte
-	Preset   string // to be in force with it; "": the one now in force, or the document's first
+	Preset   string // to put in force; "": the one in force now, or else the document's first
 }
 
-// UsePresetRequest is one operator's wish for another preset.
+// UsePresetRequest is an operator's request to put another preset in force.
 type UsePresetRequest struct {
 	Author string
-	Parent uint64 // the version that the operator saw; 0: whichever is in force
+	Parent uint64 // the version that the operator saw; 0: any
 	Preset string
 }
 
-// InvalidError lists what is wrong with a document.
+// InvalidError lists the faults of a configuration document.
 type InvalidError struct{ Faults []config.Fault }
 
-// maxShownFaults is how many faults an error message names; Faults has them all.
+// maxShownFaults is the maximum number of faults in an error message.
+// InvalidError.Faults has all of them.
 const maxShownFaults = 5
 
-// Error writes the first faults.
+// Error implements error. The message has the first faults only.
 func (e *InvalidError) Error() string {
 	var lines []string
 	for _, f := range e.Faults[:min(len(e.Faults), maxShownFaults)] {
@@ -77,22 +80,24 @@
 	return fmt.Sprintf("invalid configuration, %d faults: %s", len(e.Faults), strings.Join(lines, "; "))
 }
 
-// ConflictError says that another change came first; nothing was changed.
+// ConflictError means that another change was committed first. The command changed
+// nothing.
 type ConflictError struct {
 	Parent  uint64
 	Current revision.Head
 }
 
-// Error names the winner and what to do.
+// Error implements error. The message names the change in force and says what to
+// do.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("version %d is in force (by %s at %s), not %d: look at it, then repeat the change upon it",
 		e.Current.Version, e.Current.Author, e.Current.At.Format(time.RFC3339), e.Parent)
 }
 
-// Apply checks a configuration and puts it in force, with its audit entry, in
-// one conditional write. Errors are fault.Errors around InvalidError,
-// ConflictError or the platform's own; store.ErrInDoubt means that ctx
-// ended before it was known which.
+// Apply checks a configuration and puts it in force, with its audit entry, in one
+// conditional write. Its errors are fault.Errors that wrap an InvalidError, a
+// ConflictError or an error of package store; store.ErrUnconfirmed means that ctx
+// ended before the outcome of the write was known.
 func (c *Configuration) Apply(ctx context.Context, a ApplyRequest) (revision.Head, error) {
 	cfg, faults := config.Parse(a.Document)
 	if len(faults) > 0 {
@@ -121,8 +126,8 @@
 		Head: revision.Head{Digest: digest, Preset: preset, Author: a.Author}})
 }
 
-// UsePreset puts another preset in force, with its audit entry, in one
-// conditional write. A preset that is in force already is left as it is.
+// UsePreset puts another preset in force, with its audit entry, in one conditional
+// write. If the preset is in force already, it writes nothing.
 func (c *Configuration) UsePreset(ctx context.Context, u UsePresetRequest) (revision.Head, error) {
 	cur, err := c.readHead(ctx)
 	if err != nil {
@@ -170,7 +175,8 @@
 	return headRow{head, rows[0].Version}, nil
 }
 
-// readDocument reads the configuration of a head; nil where there is none yet.
+// readDocument reads the configuration of a head. It returns nil if there is none
+// yet.
 func (c *Configuration) readDocument(ctx context.Context, h revision.Head) (*config.Config, error) {
 	if h.Version == 0 {
 		return nil, nil
@@ -190,9 +196,10 @@
 	return cfg, nil
 }
 
-// putDocument stores a document before the head that names it: a head must never
-// name what is not there. What a lost race leaves behind is harmless. A
-// conflict means that the same document is there, compressed otherwise.
+// putDocument stores a document. It must be called before the head that refers to
+// the document is written: a head must never refer to a missing document. A
+// document that remains after a lost race is harmless. A conflict means that the
+// same document is stored already, compressed in another way.
 func (c *Configuration) putDocument(ctx context.Context, digest string, doc []byte) error {
 	compressed, err := revision.Compress(doc)
 	if err != nil {
@@ -204,7 +211,7 @@
 			return nil
 		}
 		if !errors.Is(err, store.ErrUnconfirmed) || !pace.Sleep(ctx, putRetryPause) {
-			// The head is untouched, so the change did not run even if this write did.
+			// The head is unchanged, so the command did not run even if this write took effect.
 			return fault.NotRun(fault.StepObject, "platform", fault.CodeStoreUnavailable, "store the document: %w", err)
 		}
 	}
@@ -236,7 +243,8 @@
 	return e.Head, nil
 }
 
-// lostRace reads who won, for the message.
+// lostRace returns the ConflictError of a commit that lost against another change,
+// and reads that change for the message.
 func (c *Configuration) lostRace(ctx context.Context, cur headRow) (revision.Head, error) {
 	winner, err := c.readHead(ctx)
 	if err != nil {
@@ -245,7 +253,8 @@
 	return winner.head, refuse(fault.CodeConflict, &ConflictError{cur.head.Version, winner.head})
 }
 
-// choosePreset picks the preset to be in force with cfg.
+// choosePreset returns the preset to put in force with cfg: the wanted one, else
+// the one in force, else the first. The preset must exist in cfg.
 func choosePreset(cfg *config.Config, wanted, inForce string) (string, error) {
 	if wanted == "" {
 		wanted = inForce
@@ -268,8 +277,8 @@
 	return fault.NotRun(fault.StepConfig, "", code, "%w", err)
 }
 
-// storeError carries a platform error to the operator: not run, unless the
-// answer was lost.
+// storeError wraps an error of package store for the operator. The outcome is "not
+// run", unless the answer was lost.
 func storeError(step fault.Step, err error, format string, args ...any) error {
 	err = eris.Wrapf(err, format, args...)
 	if errors.Is(err, store.ErrUnconfirmed) {
