--- a/node/peer/mesh_test.go
+++ b/node/peer/mesh_test.go
@@ -24,17 +24,17 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// world is some hosts on a network in memory, under synctest's clock.
+// world is a set of hosts on a network in memory, under synctest's clock.
 type world struct {
-	t       *testing.T
-	ctx     context.Context
-	table   *standin.Table
-	objects *standin.Objects
-	list    *standin.Hosts
-	mu      sync.Mutex
-	hosts   map[string]*host
-	conns   []*wire
-	apart   map[string]bool // cut off from the rest
+	t           *testing.T
+	ctx         context.Context
+	table       *standin.Table
+	objects     *standin.Objects
+	list        *standin.Hosts
+	mu          sync.Mutex
+	hosts       map[string]*host
+	conns       []*memConn
+	partitioned map[string]bool // hosts on the far side of a partition
 }
 
 type host struct {
@@ -46,14 +46,15 @@
 	ln     *memListener
 }
 
-// gateTable is the table service as one host reaches it.
+// gateTable is the table service as one host sees it; the service can be made
+// unreachable for that host.
 type gateTable struct {
 	store.Table
-	down atomic.Bool
+	unreachable atomic.Bool
 }
 
 func (g *gateTable) Get(ctx context.Context, keys ...string) ([]store.Row, error) {
-	if g.down.Load() {
+	if g.unreachable.Load() {
 		return nil, store.ErrUnavailable
 	}
 	return g.Table.Get(ctx, keys...)
@@ -77,15 +78,15 @@
 func (l *memListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
 func (l *memListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// wire is one end of a connection; once silent, what is written to it is lost.
-type wire struct {
+// memConn is one end of a connection. Once it is silent, what is written to it is lost.
+type memConn struct {
 	net.Conn
 	from, to string
 	mu       sync.Mutex
 	silent   bool
 }
 
-func (w *wire) Write(p []byte) (int, error) {
+func (w *memConn) Write(p []byte) (int, error) {
 	w.mu.Lock()
 	silent := w.silent
 	w.mu.Unlock()
@@ -100,13 +101,13 @@
 func (w *world) dial(from string) peer.Dial {
 	return func(_ context.Context, address string) (net.Conn, error) {
 		w.mu.Lock()
-		h, cut := w.hosts[address], w.apart[address] != w.apart[from]
+		h, separated := w.hosts[address], w.partitioned[address] != w.partitioned[from]
 		w.mu.Unlock()
-		if h == nil || cut {
+		if h == nil || separated {
 			return nil, errRefused
 		}
 		a, b := net.Pipe()
-		near, far := &wire{Conn: a, from: from, to: address}, &wire{Conn: b, from: address, to: from}
+		near, far := &memConn{Conn: a, from: from, to: address}, &memConn{Conn: b, from: address, to: from}
 		select {
 		case h.ln.accept <- far:
 		case <-h.ln.closed:
@@ -119,22 +120,24 @@
 	}
 }
 
-// cut separates some hosts from the rest; none heals.
-func (w *world) cut(names ...string) {
+// partition separates the named hosts from the rest, and heals the previous partition;
+// without names it only heals.
+func (w *world) partition(names ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.apart = map[string]bool{}
+	w.partitioned = map[string]bool{}
 	for _, n := range names {
-		w.apart[n] = true
+		w.partitioned[n] = true
 	}
 	for _, c := range w.conns {
-		if w.apart[c.from] != w.apart[c.to] {
+		if w.partitioned[c.from] != w.partitioned[c.to] {
 			_ = c.Conn.Close()
 		}
 	}
 }
 
-// silence makes all open connections between two hosts silent for good.
+// silence makes all open connections between two hosts drop what is written, for
+// the rest of their life.
 func (w *world) silence(a, b string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -151,14 +154,14 @@
 	faults := func() *standin.Faults { return standin.NewFaults(1, nil) }
 	w := &world{t: t, ctx: t.Context(), table: standin.NewTable(), objects: standin.NewObjects(faults()),
 		list: standin.NewHosts(faults()), hosts: map[string]*host{}}
-	w.tell(names...)
+	w.setHostList(names...)
 	for _, n := range names {
 		w.start(n)
 	}
 	return w
 }
 
-func (w *world) tell(names ...string) {
+func (w *world) setHostList(names ...string) {
 	var list []store.Host
 	for _, n := range names {
 		list = append(list, store.Host{Name: n, Address: n, DataCentre: "dc", Role: store.RoleEntry, State: store.HostLive})
@@ -166,7 +169,7 @@
 	w.list.Set(list...)
 }
 
-// start starts a host; its address is its name.
+// start starts a host whose address is its name.
 func (w *world) start(name string) *host {
 	ctx, stop := context.WithCancel(w.ctx)
 	h := &host{name: name, store: &gateTable{Table: w.table}, stop: stop,
@@ -184,7 +187,7 @@
 	return h
 }
 
-// kill ends a host without a word: its connections break.
+// kill ends a host without an announcement: its connections break.
 func (w *world) kill(name string) {
 	w.mu.Lock()
 	h := w.hosts[name]
@@ -199,7 +202,7 @@
 	h.stop()
 }
 
-// end stops all, so that the bubble has no goroutines left.
+// end stops all hosts, so that no goroutines are left in the synctest bubble.
 func (w *world) end() {
 	for name := range w.hosts {
 		w.kill(name)
@@ -219,48 +222,45 @@
 "presets":[{"name":"ordinary","urgent_headroom":0.1,"moves_per_minute":1,"spread_threshold":0.5,"bulk_share":0.5,"accept_bulk":true}],
 "weight_store":{"loads_per_second":1,"concurrent":1,"mb_per_second":1},"limits":{"body_bytes":1,"answer_bytes":1,"claim_ttl_s":60,"retry_budget_share":0.1}}`
 
-func (w *world) live(of string) int { return len(w.hosts[of].mesh.LiveHosts()) }
+func (w *world) countLive(of string) int { return len(w.hosts[of].mesh.LiveHosts()) }
 
-// Symptom: callers wait for a host that has died, or one that was replaced is
-// never used again.
-// Sequence: a host dies without a word; the platform's list still shows it;
-// another process starts under its name and address.
-// Cause: only the list, which lags, is believed; or a dead host's state sticks
-// to its successor.
-func TestADeadHostIsSuspectAndItsSuccessorCounts(t *testing.T) {
+// Guards against callers that wait for a host that has died, and against a replaced
+// host that is never used again. A host dies without an announcement while the
+// platform's list still has it, and another process starts under its name and
+// address. It happens if only the lagging list counts, or if the new process
+// inherits the state of the dead one.
+func TestDeadHostIsSuspectAndItsSuccessorIsAlive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "a", "b", "c", "d")
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, w.live("a"), 4)
+		assert.Equal(t, w.countLive("a"), 4)
 		w.kill("d")
 		time.Sleep(10 * time.Second)
 		for _, n := range []string{"a", "b", "c"} {
-			assert.Equal(t, w.live(n), 3, n)
+			assert.Equal(t, w.countLive(n), 3, n)
 		}
 		w.start("d")
 		time.Sleep(20 * time.Second)
 		for _, n := range []string{"a", "b", "c", "d"} {
-			assert.Equal(t, w.live(n), 4, n)
+			assert.Equal(t, w.countLive(n), 4, n)
 		}
 		w.end()
 	})
 }
 
-// Symptom: two hosts that live take each other for dead, or never hear from
-// each other again.
-// Sequence: every open connection between them goes silent without an error;
-// new connections work.
-// Cause: something between the two lost track of the connections; the end of a
-// link is taken for the end of the host.
-func TestASilentLinkIsReplacedAndItsHostsStayMembers(t *testing.T) {
+// Guards against two live hosts that treat each other as dead, or never exchange
+// records again. Every open connection between them becomes unresponsive without an
+// error while new ones work, as when a device on the path lost their state. The end
+// of a link must not count as the end of the host.
+func TestUnresponsiveLinkIsReplacedAndItsHostsStayMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "a", "b")
 		time.Sleep(5 * time.Second)
 		w.silence("a", "b")
 		for range 30 {
 			time.Sleep(time.Second)
-			assert.Equal(t, w.live("a"), 2)
-			assert.Equal(t, w.live("b"), 2)
+			assert.Equal(t, w.countLive("a"), 2)
+			assert.Equal(t, w.countLive("b"), 2)
 		}
 		w.hosts["a"].mesh.ReportUpstream(member.Upstream{Name: "u", Incarnation: "1", FirstSeenMs: 1, Sequence: 1, Draining: true})
 		time.Sleep(time.Second)
@@ -270,14 +270,13 @@
 	})
 }
 
-// Symptom: a host serves under an old configuration for as long as the store
-// is down for it.
-// Sequence: a host cannot reach the table; a change is accepted through another.
-// Cause: the configuration comes from the table alone.
+// Guards against a host that serves under an old configuration for as long as it
+// cannot reach the table, because it gets the configuration from there alone. A
+// change is committed through another host meanwhile.
 func TestAHostWithoutTheStoreGetsTheConfigurationFromAPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "a", "b", "c")
-		w.hosts["c"].store.down.Store(true)
+		w.hosts["c"].store.unreachable.Store(true)
 		time.Sleep(5 * time.Second)
 		head := w.apply()
 		w.hosts["a"].config.PollSoon()
@@ -293,10 +292,9 @@
 	})
 }
 
-// Symptom: a host that lives gets no part of the work.
-// Sequence: another host, which cannot reach it, calls it suspect; the rest can.
-// Cause: nobody asks the host itself.
-func TestAHostThatIsCalledSuspectRefutesIt(t *testing.T) {
+// Guards against a live host that gets no share of the work because one other host,
+// which cannot reach it, reports it as suspect, and no host asks it itself.
+func TestSuspectHostRefutesTheSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "a", "b", "c")
 		time.Sleep(5 * time.Second)
@@ -308,52 +306,52 @@
 		}
 		time.Sleep(5 * time.Second)
 		for _, n := range []string{"a", "b", "c"} {
-			assert.Equal(t, w.live(n), 3, n)
+			assert.Equal(t, w.countLive(n), 3, n)
 		}
 		w.end()
 	})
 }
 
-// Symptom: a leaving host's leases and shares stay with it until it is gone.
-// Sequence: a host says that it leaves; it goes on finishing requests.
-// Cause: the word does not reach the others, or is undone by an older one.
-func TestALeavingHostStopsCountingAtOnce(t *testing.T) {
+// Guards against a draining host that keeps its leases and shares until its process
+// ends. It announces that it is draining and goes on to finish requests; the record
+// must reach the others, and an older one must not revert it.
+func TestDrainingHostStopsCountingAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "a", "b", "c")
 		time.Sleep(5 * time.Second)
 		w.hosts["b"].mesh.Announce(member.Draining)
 		time.Sleep(time.Second)
-		assert.Equal(t, w.live("a"), 2)
-		time.Sleep(time.Minute) // the list still shows it as live
-		assert.Equal(t, w.live("a"), 2)
-		assert.Equal(t, w.live("c"), 2)
+		assert.Equal(t, w.countLive("a"), 2)
+		time.Sleep(time.Minute) // the platform's list still has it as live
+		assert.Equal(t, w.countLive("a"), 2)
+		assert.Equal(t, w.countLive("c"), 2)
 		w.end()
 	})
 }
 
-// Symptom: after a data centre was cut off for a while, its hosts get no part
-// of the work; or hosts that die later are never noticed.
-// Sequence: some hosts are cut off for a minute; the cut heals; then one dies.
-// Cause: each side called the other suspect, and nobody asks again.
-func TestACutHealsAndADeathAfterItIsNoticed(t *testing.T) {
+// Guards against hosts that get no share of the work after their data centre was cut
+// off for a while, and against later deaths of hosts that are never detected. Some
+// hosts are cut off for a minute, the partition heals, and then two hosts die. Each
+// side reported the other as suspect, so hosts must probe suspects again.
+func TestPartitionHealsAndLaterDeathsAreDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		names := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"}
 		w := newWorld(t, names...)
 		time.Sleep(5 * time.Second)
-		w.cut("a", "b", "c")
+		w.partition("a", "b", "c")
 		time.Sleep(time.Minute)
-		assert.Equal(t, w.live("a"), 3)
-		assert.Equal(t, w.live("d"), 6)
-		w.cut()
+		assert.Equal(t, w.countLive("a"), 3)
+		assert.Equal(t, w.countLive("d"), 6)
+		w.partition()
 		time.Sleep(30 * time.Second)
 		for _, n := range names {
-			assert.Equal(t, w.live(n), 9, n)
+			assert.Equal(t, w.countLive(n), 9, n)
 		}
 		w.kill("e")
 		w.kill("b")
 		time.Sleep(30 * time.Second)
 		for _, n := range []string{"a", "c", "d", "f", "g", "h", "i"} {
-			assert.Equal(t, w.live(n), 7, n)
+			assert.Equal(t, w.countLive(n), 7, n)
 		}
 		w.end()
 	})
