--- a/node/peer/ask.go
+++ b/node/peer/ask.go
@@ -12,13 +12,13 @@
 	"peridotpier.example/node/peer/peerpb"
 )
 
-// maxConcurrentCalls bounds the calls under way when every host is asked.
+// maxConcurrentCalls bounds the concurrent calls when all hosts are called.
 const maxConcurrentCalls = 32
 
-// ConfigVersions asks every host that is alive or suspect which configuration
-// version it has in force; 0 stands for no answer. It is asked for by
-// operators only: telling it on the links at each change would cost each host
-// more than all other news together.
+// ConfigVersions asks every host that is alive or suspect for the configuration
+// version that it has in force; 0 stands for no answer. Only requests of operators
+// cause these calls: announcing the versions on the links at each change would cost
+// each host more than all other messages together.
 func (m *Mesh) ConfigVersions(ctx context.Context) map[string]uint64 {
 	out := map[string]uint64{}
 	var mu sync.Mutex
@@ -37,7 +37,8 @@
 	return out
 }
 
-// forEachOther calls f for every other host that may live, some at once.
+// forEachOther calls f for every other host that may be alive, for some of them
+// concurrently, and returns when all calls have.
 func (m *Mesh) forEachOther(f func(member.Host)) {
 	hosts, _ := m.AllHosts()
 	self := m.Self().Name
@@ -48,17 +49,18 @@
 			g.Go(func() error { f(h); return nil })
 		}
 	}
-	_ = g.Wait() // f keeps its failures to itself
+	_ = g.Wait() // f returns no error
 }
 
-// Forecasts asks the other hosts what a preset would move in their pools.
+// Forecasts asks the other hosts what a preset would move in the pools that they
+// plan.
 func (m *Mesh) Forecasts(ctx context.Context, preset string) [][]byte {
 	var out [][]byte
 	var mu sync.Mutex
 	m.forEachOther(func(h member.Host) {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		_ = m.conns.call(ctx, h.Address, func(c peerpb.DRPCPeerClient) error { // a host that does not answer plans nothing
+		_ = m.conns.call(ctx, h.Address, func(c peerpb.DRPCPeerClient) error { // a host that doesn't answer counts as planning nothing
 			a, err := c.Forecast(ctx, &peerpb.ForecastQuery{Preset: preset})
 			if err != nil || len(a.Forecast) == 0 {
 				return err
@@ -72,7 +74,8 @@
 	return out
 }
 
-// Request finds a caller's request on a named host, and cancels it if asked to.
+// Request finds a caller's request that runs on a named host, and cancels it if
+// cancel is set. It reports whether the request was found.
 func (m *Mesh) Request(ctx context.Context, host, id string, cancel bool) (inflight.Request, bool, error) {
 	var q inflight.Request
 	m.mu.Lock()
--- a/node/peer/claims.go
+++ b/node/peer/claims.go
@@ -12,7 +12,8 @@
 	"peridotpier.example/node/store"
 )
 
-// Claim answers a peer whose claims this host merges into its commits.
+// Claim reads or swaps a claim on behalf of a peer whose changes this host merges
+// into its own commits.
 func (s service) Claim(ctx context.Context, c *peerpb.ClaimCall) (*peerpb.ClaimAnswer, error) {
 	if s.m.deps.Claims == nil {
 		return &peerpb.ClaimAnswer{Problem: peerpb.ClaimAnswer_UNAVAILABLE}, nil
@@ -57,13 +58,15 @@
 	peerpb.ClaimAnswer_IN_DOUBT:    store.ErrUnconfirmed,
 }
 
-// ReadClaim reads a claim through another host.
+// ReadClaim reads a claim through another host. The error is one of package store;
+// it is ErrUnconfirmed when the host's answer was lost.
 func (m *Mesh) ReadClaim(ctx context.Context, h member.Host, key string) (claim.VersionedRow, error) {
 	return m.callClaim(ctx, h, &peerpb.ClaimCall{Key: key})
 }
 
-// SwapClaim changes a claim through another host. The error is one of
-// platform's; ErrInDoubt when the host's answer was lost.
+// SwapClaim replaces or deletes (row nil) a claim through another host, if its row
+// still has the given version. The error is one of package store: ErrConflict,
+// ErrUnavailable, or ErrUnconfirmed, also when the host's answer was lost.
 func (m *Mesh) SwapClaim(ctx context.Context, h member.Host, key string, version uint64, row *decide.Row) (claim.VersionedRow, error) {
 	c := &peerpb.ClaimCall{Key: key, Swap: true, Version: version}
 	if row != nil {
--- a/node/peer/config.go
+++ b/node/peer/config.go
@@ -10,12 +10,12 @@
 	"peridotpier.example/node/peer/peerpb"
 )
 
-// fetchDelay is how long a host that heard of a newer version tries the store
-// itself before it asks the peer for the document. Asking at once would load
-// the links with documents that the object store serves better.
+// fetchDelay is how long a host that received the number of a newer version tries
+// the store itself before it asks the peer for the document. Asking at once would
+// make peers send documents that the object store can serve better.
 const fetchDelay = time.Second
 
-// announceConfig tells each new version on all links.
+// announceConfig announces each new version on all links until ctx ends.
 func (m *Mesh) announceConfig(ctx context.Context) {
 	var seen uint64
 	for {
@@ -32,7 +32,8 @@
 	}
 }
 
-// configUpdate is what each message says of the configuration.
+// configUpdate returns the part of a message that describes this host's
+// configuration.
 func (m *Mesh) configUpdate(withHead bool) *peerpb.ConfigWord {
 	w := &peerpb.ConfigWord{}
 	st, ok := m.deps.Config.Current()
@@ -51,7 +52,7 @@
 	return w
 }
 
-// handleConfig acts on a peer's word on the configuration.
+// handleConfig acts on what a peer sent about its configuration.
 func (m *Mesh) handleConfig(l *link, w *peerpb.ConfigWord) {
 	var own uint64
 	if st, ok := m.deps.Config.Current(); ok {
@@ -62,7 +63,7 @@
 		l.queueHead()
 	case w.Version > own:
 		if len(w.Head) > 0 {
-			_ = m.deps.Config.Offer(w.Version, w.Head) // logs what it cannot read
+			_ = m.deps.Config.Offer(w.Version, w.Head) // Offer logs its error
 		} else {
 			m.deps.Config.PollSoon()
 		}
@@ -72,7 +73,8 @@
 	}
 }
 
-// scheduleFetch asks a peer for the document if the store has not given it by then.
+// scheduleFetch asks a peer for a version's document after fetchDelay, unless the
+// version is in force by then.
 func (m *Mesh) scheduleFetch(l *link, version uint64) {
 	if !m.timestamps.allow("fetch", m.now(), fetchDelay) {
 		return
--- a/node/peer/link.go
+++ b/node/peer/link.go
@@ -12,17 +12,19 @@
 )
 
 const (
-	// batchWindow is how long a link waits for more news before it sends. It
-	// adds to each hop, of which there are about four; a burst of words then
-	// shares one message.
+	// batchWindow is how long a link waits for more records before it sends a
+	// message, so that a burst of records shares one. It adds to the delay of each
+	// hop, of which there are about four.
 	batchWindow = 20 * time.Millisecond
-	// maxRecords bounds one message; about 100 KB.
+	// maxRecords bounds the records in one message, which is then about 100 KB.
 	maxRecords = 500
-	// maxMissedHeartbeats is how many heartbeats may be missed on a link.
+	// maxMissedHeartbeats is the number of heartbeat intervals without a message
+	// after which a link counts as unresponsive.
 	maxMissedHeartbeats = 3
-	// heartbeatsPerDigest is how many heartbeats pass between two digests.
+	// heartbeatsPerDigest is the number of heartbeats between two digests.
 	heartbeatsPerDigest = 5
-	// minRepairInterval is the least time between two full sendings on one link.
+	// minRepairInterval is the minimum time between two transfers of all records
+	// on one link.
 	minRepairInterval = 30 * time.Second
 )
 
@@ -33,22 +35,22 @@
 	Context() context.Context
 }
 
-// link is one open link. Its queue holds the newest word on each subject only:
-// a slow link is sent less, never older, and its memory is bounded by the
-// number of subjects.
+// link is one open link. Its queue has only the newest record of each host and of
+// each process of an upstream: a slow link thus gets fewer records, never outdated
+// ones, and its memory is bounded by the number of hosts and processes.
 type link struct {
 	m            *Mesh
-	dialed       bool // by this host
+	dialed       bool // this host opened the link
 	cancel       context.CancelFunc
-	lastReceived atomic.Int64 // Unix nanoseconds of the last message, by the mesh's clock
-	wake         chan struct{}
+	lastReceived atomic.Int64  // when the last message was received, in Unix nanoseconds by the mesh's clock
+	wake         chan struct{} // wakes the sender
 
-	mu         sync.Mutex // taken after Mesh.mu, if both
+	mu         sync.Mutex // locked after Mesh.mu, if both are
 	peer       member.Host
 	hosts      map[string]member.Host
 	upstreams  map[string]member.Upstream // by name and incarnation
-	sendHead   bool                       // send the configuration's head
-	sendDigest bool
+	sendHead   bool                       // the next message has the configuration's head
+	sendDigest bool                       // the last message of the next batch has a digest
 	lastRepair time.Time
 }
 
@@ -93,7 +95,8 @@
 	l.wakeSender()
 }
 
-// send sends what is queued, and a heartbeat when nothing was for a while.
+// send sends queued records, and a heartbeat after each interval without any, until
+// the link ends.
 func (l *link) send(s stream) error {
 	ctx := s.Context()
 	if err := s.Send(l.firstMessage()); err != nil {
@@ -126,12 +129,13 @@
 	}
 }
 
-// firstMessage introduces this host.
+// firstMessage returns the message that introduces this host.
 func (l *link) firstMessage() *peerpb.Message {
 	return &peerpb.Message{From: hostToWire(l.m.Self()), Config: l.m.configUpdate(false)}
 }
 
-// nextMessage takes one message's worth from the queue.
+// nextMessage removes up to one message's records from the queue. more reports
+// whether records remain.
 func (l *link) nextMessage() (msg *peerpb.Message, more bool) {
 	digest := l.m.digest()
 	l.mu.Lock()
@@ -160,7 +164,7 @@
 	return msg, false
 }
 
-// receive takes what the other side tells until the link ends.
+// receive processes the messages of the other side until the link ends.
 func (l *link) receive(s stream) error {
 	for {
 		msg, err := s.Recv()
@@ -172,7 +176,8 @@
 	}
 }
 
-// mayRepair says whether everything may be sent again on this link now.
+// mayRepair reports whether all records may be sent on this link now, and records
+// that they are.
 func (l *link) mayRepair(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/node/peer/mesh.go
+++ b/node/peer/mesh.go
@@ -1,7 +1,7 @@
-// Package peer lets the entry hosts act as one: each keeps links to a bounded
-// set of others and passes on what is news: hosts that come, go or cannot be
-// reached, upstreams that leave or change what they hold, and the version of
-// the configuration. docs/design/peers.md tells why.
+// Package peer connects the entry hosts by a gossip protocol. Each host keeps links
+// to a bounded number of others and forwards what changed: hosts that join, leave
+// or cannot be reached, upstreams that drain or change their resident models, and
+// the version of the configuration. docs/design/peers.md gives the reasons.
 package peer
 
 import (
@@ -24,22 +24,23 @@
 
 // Defaults of Config.
 const (
-	defaultHeartbeatInterval = 2 * time.Second  // with three missed, a dead link is noticed in 6 s
-	defaultHostListInterval  = 10 * time.Second // 420 hosts then take 42 of 2,000 reads a second
-	defaultLocalLinks        = 3                // links dialled within the data centre; as many again come in
+	defaultHeartbeatInterval = 2 * time.Second  // a dead link is detected after three missed heartbeats, in 6 s
+	defaultHostListInterval  = 10 * time.Second // 420 hosts then use 42 of 2,000 reads a second
+	defaultLocalLinks        = 3                // links dialled within the data centre; about as many are accepted
 	defaultRemoteLinks       = 3                // links dialled to other data centres
 )
 
-// Config bounds a Mesh; zero values take the defaults.
+// Config configures a Mesh. Zero values stand for the defaults.
 type Config struct {
 	Self              member.Host // name, address, data centre, process
 	HeartbeatInterval time.Duration
-	HostListInterval  time.Duration // between two looks at the platform's list
-	LocalLinks        int
-	RemoteLinks       int
+	HostListInterval  time.Duration // mean time between two reads of the platform's list
+	LocalLinks        int           // links dialled within the data centre
+	RemoteLinks       int           // links dialled to other data centres
 }
 
-// Deps are what a Mesh works with. The functions must not block.
+// Deps are the dependencies of a Mesh. The functions without a context must not
+// block.
 type Deps struct {
 	Hosts       store.Hosts
 	Config      *query.ConfigReader
@@ -48,26 +49,30 @@
 	Dial        Dial
 	Log         *event.Log
 	Now         func() time.Time
-	// Upstream is told each word that was news, wherever it came from.
+	// OnUpstreamChange is called with the newest record of an upstream whenever it
+	// changed, whichever host reported it. The Mesh is locked during the call; nil
+	// is allowed.
 	OnUpstreamChange func(member.Upstream)
-	// Changed is told when the hosts that count changed.
+	// OnHostsChange is called when a host joined or its state, process or address
+	// changed. The Mesh is locked during the call; nil is allowed.
 	OnHostsChange func()
-	// Usage sums up over all hosts; nil: this host takes no part.
+	// Usage exchanges totals over all hosts; nil: this host takes no part.
 	Usage *UsageExchange
-	// Claims are kept here for other hosts; nil: for none.
+	// Claims reads and writes claims on behalf of other hosts; nil: it does not.
 	Claims claim.Records
-	// Forecast tells what a preset would move in the pools that this host
-	// plans; no data when it plans none. nil: it never does.
+	// Forecast returns what a preset would move in the pools that this host plans,
+	// or no data if it plans none. nil: this host never plans.
 	Forecast func(ctx context.Context, preset string) ([]byte, error)
 }
 
-// Mesh is one host's part of the net of links. Lock order: mu, then a link's.
+// Mesh is one host's part of the network of links. It is safe for concurrent use.
+// Lock order: Mesh.mu, then link.mu.
 type Mesh struct {
 	cfg        Config
 	deps       Deps
 	now        func() time.Time
 	conns      *connPool
-	wake       chan struct{} // asks for a look at the links
+	wake       chan struct{} // triggers a check of the links
 	timestamps timestamps
 
 	mu            sync.Mutex
@@ -76,14 +81,14 @@
 	upstreams     *member.Upstreams
 	links         map[*link]struct{}
 	dialing       map[string]bool
-	excludedUntil map[string]time.Time // could not be dialled: not chosen again until then
-	suspicions    map[string]suspicion // of other hosts by this one
+	excludedUntil map[string]time.Time // hosts that could not be reached are not dialled until then
+	suspicions    map[string]suspicion // reports by this host that another one is suspect
 	listed        map[string]store.Host
 	firstListOnce sync.Once
-	firstList     chan struct{} // closed when the list was read once
+	firstList     chan struct{} // closed once a list with an entry host was read
 }
 
-// New makes a Mesh. Serve and Run make it work.
+// New returns a Mesh. The caller must run Serve and Run.
 func New(cfg Config, deps Deps) *Mesh {
 	if cfg.HeartbeatInterval == 0 {
 		cfg.HeartbeatInterval = defaultHeartbeatInterval
@@ -113,8 +118,9 @@
 	return m
 }
 
-// Run keeps links, heartbeats and the list of hosts until ctx ends. What it
-// started has ended when it returns.
+// Run maintains the links, the heartbeats and the list of hosts until ctx ends. All
+// goroutines that it starts, except pending fetches of a configuration, have ended
+// when it returns.
 func (m *Mesh) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { m.pollHostList(ctx); return nil })
@@ -133,7 +139,7 @@
 	return g.Wait()
 }
 
-// waitForMaintenance waits for half a heartbeat, about, or until woken.
+// waitForMaintenance waits for about half a heartbeat interval, or until woken.
 func (m *Mesh) waitForMaintenance(ctx context.Context) {
 	t := time.NewTimer(pace.DefaultRand().Jitter(m.cfg.HeartbeatInterval/2, 0.2))
 	defer t.Stop()
@@ -151,14 +157,14 @@
 	}
 }
 
-// Self is this host's own record.
+// Self returns this host's own record.
 func (m *Mesh) Self() member.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.self
 }
 
-// Announce tells the others this host's state.
+// Announce sets this host's state and sends it to the other hosts.
 func (m *Mesh) Announce(s member.State) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -166,13 +172,16 @@
 	m.raiseSequenceLocked(m.self.Sequence)
 }
 
-// raiseSequenceLocked makes this host's own word newer than the given sequence.
+// raiseSequenceLocked gives this host's own record a sequence above the given one
+// and sends the record on all links.
 func (m *Mesh) raiseSequenceLocked(above uint64) {
 	m.self.Sequence = max(m.self.Sequence, above) + 1
 	m.hosts.Merge(m.self)
 	m.broadcastHostLocked(m.self, nil)
 }
 
+// broadcastHostLocked queues a host's record on all links but one; except may be
+// nil.
 func (m *Mesh) broadcastHostLocked(h member.Host, except *link) {
 	for l := range m.links {
 		if l != except {
@@ -181,7 +190,8 @@
 	}
 }
 
-// LiveHosts returns the hosts that count as members: those alive, this one included.
+// LiveHosts returns the hosts that count as members: those alive, this one
+// included.
 func (m *Mesh) LiveHosts() []member.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -198,7 +208,8 @@
 	return out
 }
 
-// AllHosts returns every host known, and whether this host has a link to it.
+// AllHosts returns the records of all known hosts, and the names of those to which
+// this host has a link.
 func (m *Mesh) AllHosts() (hosts []member.Host, linked map[string]bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -209,27 +220,31 @@
 	return m.hosts.All(), linked
 }
 
-// ReportUpstream takes this host's own word on an upstream, from its report or refusal.
+// ReportUpstream adds a record that this host made itself, from an upstream's
+// report or refusal, and sends it to the other hosts if it changes anything.
 func (m *Mesh) ReportUpstream(u member.Upstream) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.mergeUpstreamLocked(u, nil)
 }
 
-// CurrentUpstream returns what is known of an upstream's newest process.
+// CurrentUpstream returns the record of an upstream's newest process.
 func (m *Mesh) CurrentUpstream(upstream string) (member.Upstream, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.upstreams.Current(upstream)
 }
 
-// RetainUpstreams forgets those that are not in the configuration any more.
+// RetainUpstreams deletes the records of all upstreams for which known returns
+// false: they are no longer in the configuration.
 func (m *Mesh) RetainUpstreams(known func(string) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.upstreams.Retain(known)
 }
 
+// mergeUpstreamLocked adds a record of an upstream. If that changes anything, the
+// record goes to all links but the one it came from, and to OnUpstreamChange.
 func (m *Mesh) mergeUpstreamLocked(u member.Upstream, from *link) {
 	if !m.upstreams.Merge(u) {
 		return
@@ -245,7 +260,7 @@
 	}
 }
 
-// handleMessage takes one message of a link.
+// handleMessage processes one message that was received on a link.
 func (m *Mesh) handleMessage(l *link, msg *peerpb.Message) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -270,7 +285,8 @@
 	}
 }
 
-// mergeHostLocked takes a word on a host, and passes it on if it is news.
+// mergeHostLocked adds a record of a host, and forwards it to all links but the one
+// it came from if it is newer than what was known.
 func (m *Mesh) mergeHostLocked(h member.Host, from *link) {
 	if h.Name == m.self.Name {
 		m.refuteLocked(h)
@@ -288,12 +304,12 @@
 	}
 }
 
-// refuteLocked answers what others say of this host. A former process of
-// the same name, or a host that could not reach this one, must not stay the
-// last word.
+// refuteLocked replaces a wrong record about this host by a newer one. The record of
+// a former process of the same name, or that of a host that could not reach this
+// one, must not remain the newest.
 func (m *Mesh) refuteLocked(h member.Host) {
 	if h.Process != m.self.Process && h.Incarnation >= m.self.Incarnation {
-		// The clock of the host that ran the former process was ahead.
+		// The former process started by a clock that was ahead of this one.
 		m.self.Incarnation = h.Incarnation + 1
 		m.raiseSequenceLocked(0)
 		return
@@ -317,9 +333,9 @@
 	return &peerpb.Digest{Hosts: m.hosts.Digest(), Upstreams: m.upstreams.Digest()}
 }
 
-// compareDigestLocked sends everything when the other side knows something else.
-// What was lost when a link broke is repaired by it; without it, a host could
-// go on for ever with an upstream that left.
+// compareDigestLocked sends all records on a link when the other side's digest
+// differs. This repairs what was lost when a link broke; without it, a host could
+// use an upstream that is draining for ever.
 func (m *Mesh) compareDigestLocked(l *link, d *peerpb.Digest) {
 	hosts, upstreams := d.Hosts != m.hosts.Digest(), d.Upstreams != m.upstreams.Digest()
 	if !hosts && !upstreams || !l.mayRepair(m.now()) {
@@ -337,7 +353,7 @@
 	}
 }
 
-// MergeHost takes a word on a host that came by another way than a link.
+// MergeHost adds a record of a host that was not received on a link.
 func (m *Mesh) MergeHost(h member.Host) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/node/peer/pool.go
+++ b/node/peer/pool.go
@@ -13,13 +13,13 @@
 	"peridotpier.example/node/peer/peerpb"
 )
 
-// callTimeout bounds one call to a peer.
+// callTimeout bounds one call to a peer, and the dialling of one.
 const callTimeout = 2 * time.Second
 
-// Dial opens a connection to a peer's listener, with TLS where it is set up.
+// Dial opens a connection to a peer's listener, with TLS where it is configured.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// connPool keeps one connection a peer for calls beside the links.
+// connPool keeps one connection per peer address, for calls outside the links.
 type connPool struct {
 	dial      Dial
 	mu        sync.Mutex
@@ -29,7 +29,7 @@
 
 func newConnPool(d Dial) *connPool { return &connPool{dial: d, byAddress: map[string]*drpcconn.Conn{}} }
 
-// dialNew opens a connection that its caller closes.
+// dialNew opens a connection that is not in the pool. The caller must close it.
 func (p *connPool) dialNew(ctx context.Context, address string) (*drpcconn.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -40,6 +40,8 @@
 	return drpcconn.New(nc), nil
 }
 
+// get returns the pool's connection to an address, and opens one if there is none
+// or it is closed.
 func (p *connPool) get(ctx context.Context, address string) (*drpcconn.Conn, error) {
 	p.mu.Lock()
 	c := p.byAddress[address]
@@ -68,7 +70,8 @@
 	return c, nil
 }
 
-// call makes one call; a connection on which one failed is not used again.
+// call makes one call. A connection on which a call failed is not used again. The
+// error is a *fault.Error with an unknown outcome.
 func (p *connPool) call(ctx context.Context, address string, f func(peerpb.DRPCPeerClient) error) error {
 	c, err := p.get(ctx, address)
 	if err == nil {
@@ -82,6 +85,7 @@
 	return nil
 }
 
+// discard closes a connection and removes it from the pool.
 func (p *connPool) discard(address string, c *drpcconn.Conn) {
 	_ = c.Close()
 	p.mu.Lock()
@@ -91,7 +95,8 @@
 	}
 }
 
-// probe always uses a new connection: an open one may have gone silent.
+// probe asks a host for its record. It always uses a new connection, since an open
+// one may have become unresponsive.
 func (p *connPool) probe(ctx context.Context, h member.Host) (*peerpb.HostRecord, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -103,6 +108,7 @@
 	return peerpb.NewDRPCPeerClient(c).Probe(ctx, &peerpb.ProbeRequest{Known: hostToWire(h)})
 }
 
+// close closes all connections. Later calls of get fail.
 func (p *connPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/peer/serve.go
+++ b/node/peer/serve.go
@@ -12,7 +12,7 @@
 	"peridotpier.example/node/peer/peerpb"
 )
 
-// Serve answers peers on ln until ctx ends.
+// Serve serves peers on ln until ctx ends.
 func (m *Mesh) Serve(ctx context.Context, ln net.Listener) error {
 	mux := drpcmux.New()
 	if err := peerpb.DRPCRegisterPeer(mux, service{m}); err != nil {
@@ -21,7 +21,7 @@
 	return drpcserver.New(mux).Serve(ctx, ln)
 }
 
-// service is what this host offers to its peers.
+// service implements the calls that this host offers to its peers.
 type service struct{ m *Mesh }
 
 // Link implements peerpb.DRPCPeerServer, as the methods below do.
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// boundStream ends its sender when the link is given up on this side.
+// boundStream is a stream whose context also ends when this side cancels the link.
 type boundStream struct {
 	peerpb.DRPCPeer_LinkStream
 	ctx context.Context
@@ -44,8 +44,9 @@
 
 func (s service) Probe(_ context.Context, q *peerpb.ProbeRequest) (*peerpb.HostRecord, error) {
 	if k := q.Known; k != nil && k.Host == s.m.Self().Name {
-		// Without this, two sides of a healed cut would call each other suspect
-		// for good: the host's own word is no newer than the one against it.
+		// Without this, two sides of a healed partition would treat each other as
+		// suspect for ever: this host's own record is no newer than the one that
+		// says it is suspect.
 		s.m.MergeHost(hostFromWire(k))
 	}
 	r := hostToWire(s.m.Self())
--- a/node/peer/tend.go
+++ b/node/peer/tend.go
@@ -18,23 +18,26 @@
 )
 
 const (
-	// exclusionPeriod is how long a host that could not be dialled is not chosen again.
+	// exclusionPeriod is how long a host that could not be reached is not chosen
+	// for a link again.
 	exclusionPeriod = 10 * time.Second
-	// minSuspectInterval and suspectMost bound the time between two words of this
-	// host that the same other one is suspect; it doubles each time. If others
-	// vouch for it, the fault lies between the two, and repeating the word
-	// would only make it flap everywhere. If it has died since, the word must
-	// not be long in coming.
+	// minSuspectInterval and maxSuspectInterval bound the time between two
+	// reports by this host that the same other host is suspect; it doubles with
+	// each report. If others can reach that host, the fault lies between the two,
+	// and frequent reports would only make its state flap everywhere. If it has
+	// died since, the next report must not be delayed for long.
 	minSuspectInterval = 5 * time.Second
 	maxSuspectInterval = time.Minute
-	// listJitter spreads the hosts' readings of the list, as a share.
+	// listJitter spreads the hosts' reads of the platform's list, as a share of
+	// the interval.
 	listJitter = 0.2
-	// forgetAfter is how long a host that the platform does not list is kept.
+	// forgetAfter is how long the record of a host that the platform does not
+	// list is kept.
 	forgetAfter = 5 * time.Minute
 )
 
-// maintainLinks opens the links that are missing, closes those not wanted any more,
-// and looks after the silent and the suspect.
+// maintainLinks opens the links that are missing, closes those that are no longer
+// wanted and those that are unresponsive, and may probe a suspect host.
 func (m *Mesh) maintainLinks(ctx context.Context, g *errgroup.Group) {
 	m.mu.Lock()
 	wanted := m.wantedLinksLocked()
@@ -63,7 +66,7 @@
 	m.mu.Unlock()
 
 	for _, l := range unresponsive {
-		l.cancel() // its end is looked into in ended
+		l.cancel() // handleLinkEnd then probes the host
 	}
 	for _, h := range dial {
 		g.Go(func() error { m.dialLink(ctx, h); return nil })
@@ -78,7 +81,7 @@
 	wanted bool
 }
 
-// wantedLinksLocked are the hosts to keep a link to.
+// wantedLinksLocked returns the hosts, by name, to which this host must dial a link.
 func (m *Mesh) wantedLinksLocked() map[string]wantedLink {
 	now := m.now()
 	var candidates []member.Host
@@ -94,8 +97,9 @@
 	return out
 }
 
-// suspectToProbeLocked chooses one suspect host at random, every other time:
-// a data centre that was cut off and comes back is found that way.
+// suspectToProbeLocked chooses a suspect host at random, on average at every other
+// call; otherwise it returns the zero Host. These probes detect a data centre that
+// was cut off and is reachable again.
 func (m *Mesh) suspectToProbeLocked() member.Host {
 	var suspects []member.Host
 	for _, h := range m.hosts.All() {
@@ -109,7 +113,7 @@
 	return suspects[rand.IntN(len(suspects))]
 }
 
-// dialLink opens a link and keeps it until it ends.
+// dialLink opens a link and runs it until it ends.
 func (m *Mesh) dialLink(ctx context.Context, h member.Host) {
 	defer func() {
 		m.mu.Lock()
@@ -135,7 +139,7 @@
 	m.runLink(ctx, l, s)
 }
 
-// runLink runs a link until it ends, on either side.
+// runLink runs a link until either side ends it.
 func (m *Mesh) runLink(ctx context.Context, l *link, s stream) {
 	m.mu.Lock()
 	m.links[l] = struct{}{}
@@ -152,9 +156,9 @@
 	m.handleLinkEnd(ctx, l, err)
 }
 
-// handleLinkEnd looks into the end of a link. If the other host answers on a new
-// connection, only the old one was bad, as when something between the two lost
-// track of it; otherwise the host is suspect.
+// handleLinkEnd probes the other host after a link has ended unexpectedly. If the
+// host answers on a new connection, only the old connection was broken, for example
+// by a device on the path that lost its state; otherwise the host is suspect.
 func (m *Mesh) handleLinkEnd(ctx context.Context, l *link, err error) {
 	l.mu.Lock()
 	h := l.peer
@@ -166,7 +170,7 @@
 	if expected || h.Name == "" {
 		return
 	}
-	// The context of the link has ended; the look into it is bounded instead.
+	// The context of the link has ended, so the probe gets a timeout of its own.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
 	if m.probe(ctx, current) && !errors.Is(err, context.Canceled) {
@@ -174,7 +178,8 @@
 	}
 }
 
-// probe asks a host on a new connection whether it lives.
+// probe asks a host for its record on a new connection, and reports whether it
+// answered.
 func (m *Mesh) probe(ctx context.Context, h member.Host) bool {
 	r, err := m.conns.probe(ctx, h)
 	if err != nil {
@@ -187,7 +192,8 @@
 	return true
 }
 
-// markUnreachable calls a host suspect, unless others have just vouched for it.
+// markUnreachable excludes a host from links for a while and reports it as suspect,
+// unless this host has done so too recently.
 func (m *Mesh) markUnreachable(ctx context.Context, h member.Host, err error) {
 	if ctx.Err() != nil && !errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return
@@ -205,12 +211,15 @@
 	m.mergeHostLocked(known, nil)
 }
 
-// suspicion is how often this host called another suspect lately.
+// suspicion records when this host last reported another one as suspect, and the
+// minimum time until it may do so again.
 type suspicion struct {
 	reportedAt  time.Time
 	minInterval time.Duration
 }
 
+// maySuspectLocked reports whether this host may report another one as suspect now.
+// If so, it records the report and doubles the interval.
 func (m *Mesh) maySuspectLocked(host string, now time.Time) bool {
 	s := m.suspicions[host]
 	since := now.Sub(s.reportedAt)
@@ -224,10 +233,11 @@
 	return true
 }
 
-// pollHostList takes new hosts from the platform's list and forgets those
-// long gone from it. The list lags: what the hosts say themselves goes first.
+// pollHostList adds new hosts from the platform's list and deletes those that have
+// not been in it for long. The list lags, so what hosts report themselves takes
+// precedence.
 func (m *Mesh) pollHostList(ctx context.Context) {
-	wait := m.cfg.HeartbeatInterval / 2 // until the first list is there
+	wait := m.cfg.HeartbeatInterval / 2 // until the first list was read
 	for {
 		if m.readHostList(ctx) {
 			wait = m.cfg.HostListInterval
@@ -238,6 +248,7 @@
 	}
 }
 
+// readHostList reads the list once and reports whether it has any entry host.
 func (m *Mesh) readHostList(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -263,7 +274,8 @@
 	return len(next) > 0
 }
 
-// AwaitHostList waits until the platform has listed any entry host, some time at most.
+// AwaitHostList waits until the platform has listed any entry host, for maxWait at
+// most.
 func (m *Mesh) AwaitHostList(ctx context.Context, maxWait time.Duration) {
 	t := time.NewTimer(maxWait)
 	defer t.Stop()
@@ -274,8 +286,8 @@
 	}
 }
 
-// mergeListedLocked takes one entry of the list. It can add a host and say that it
-// leaves, never that a leaving one is back.
+// mergeListedLocked applies one entry of the list. It can add a host and mark a host
+// as draining, but never mark a draining one as alive.
 func (m *Mesh) mergeListedLocked(h store.Host) {
 	old, known := m.hosts.Get(h.Name)
 	switch {
@@ -288,7 +300,8 @@
 	}
 }
 
-// forgetUnlistedLocked drops hosts that ended and are not listed any more.
+// forgetUnlistedLocked deletes hosts that are not alive and have not been listed for
+// forgetAfter.
 func (m *Mesh) forgetUnlistedLocked(list map[string]store.Host, now time.Time) {
 	for _, h := range m.hosts.All() {
 		_, listed := list[h.Name]
@@ -305,7 +318,8 @@
 	}
 }
 
-// ListedHosts returns the platform's list of entry hosts as last read.
+// ListedHosts returns the platform's list of entry hosts as last read, in no
+// particular order.
 func (m *Mesh) ListedHosts() []store.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/node/peer/traces.go
+++ b/node/peer/traces.go
@@ -5,13 +5,15 @@
 	"time"
 )
 
-// timestamps remembers when things began or were last done.
+// timestamps records when a condition was first seen or an action was last done, by
+// key. It is safe for concurrent use.
 type timestamps struct {
 	mu sync.Mutex
 	at map[string]time.Time
 }
 
-// allow says whether key was not done within the last d, and notes that it is now.
+// allow reports whether it did not return true for key within the last d. If so, it
+// records now for key.
 func (t *timestamps) allow(key string, now time.Time, d time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -25,7 +27,8 @@
 	return true
 }
 
-// sinceFirst returns how long ago key was first asked for.
+// sinceFirst returns the time since the first call for key, or since the first one
+// after clear.
 func (t *timestamps) sinceFirst(key string, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -38,6 +41,7 @@
 	return now.Sub(t.at[key])
 }
 
+// clear deletes the time of a key.
 func (t *timestamps) clear(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/peer/usage.go
+++ b/node/peer/usage.go
@@ -16,31 +16,38 @@
 )
 
 const (
-	// baseUsageInterval is how often a host of a small fleet tells its parts.
+	// baseUsageInterval is the interval at which a host of a very small fleet
+	// reports its usage.
 	baseUsageInterval = time.Second
-	// hostsPerExtraSecond stretches that with the fleet: by as many seconds for each
-	// of these hosts, so that what a host adding up hears stays bounded.
+	// hostsPerExtraSecond is the number of hosts for which the interval grows by
+	// one second, so that the rate of reports to one aggregator stays bounded.
 	hostsPerExtraSecond = 100
-	// usageBuckets are the groups of keys, each added up by one host: the
-	// calls of one host do not grow with the number of teams or models.
+	// usageBuckets is the number of buckets into which keys are hashed. One host
+	// aggregates each bucket, so that the number of a host's calls does not grow
+	// with the number of teams or models.
 	usageBuckets = 4
-	// usageTTLIntervals is how many intervals a host's word counts.
+	// usageTTLIntervals is the number of intervals for which a host's report
+	// counts.
 	usageTTLIntervals = 3
 )
 
-// UsageEntry is one host's part, or the others' sum, of two quantities under a key.
+// UsageEntry is one host's usage under a key, or the total of the other hosts, as
+// two quantities: a team's requests per second and concurrent requests, or a model's
+// demand over a short and a long time.
 type UsageEntry struct {
 	Key  string
 	A, B float64
 }
 
-// UsageExchange is how hosts learn sums over all hosts: a team's use of its limits, a
-// model's demand. Each host tells its part to the one that adds up the key's
-// bucket, chosen by rendezvous hash, and gets the others' sum back.
+// UsageExchange gives hosts totals over all hosts: each team's use of its limits,
+// and the demand for each model. Each host reports its own usage to the host that
+// aggregates the key's bucket, chosen by rendezvous hashing, and gets the total of
+// the other hosts in return.
 type UsageExchange struct {
-	// Own returns this host's part of every key that it wants the sum of.
+	// Own returns this host's usage for every key of which it wants the total.
 	Own func() []UsageEntry
-	// Others takes the sums over the other hosts, for the keys asked about.
+	// OnTotals receives the totals over the other hosts for some of these keys.
+	// hosts is the number of live hosts, this one included.
 	OnTotals func(hosts int, sums []UsageEntry)
 
 	mu       sync.Mutex
@@ -53,17 +60,18 @@
 	at          time.Time
 }
 
-// bucketOf is the group of a key.
+// bucketOf returns the bucket of a key.
 func bucketOf(key string) string {
 	return fmt.Sprintf("usage/%d", xxhash.Sum64String(key)%usageBuckets)
 }
 
-// usageInterval is how often a host of a fleet of n tells its use.
+// usageInterval returns the interval at which a host reports its usage in a fleet of
+// n hosts.
 func usageInterval(n int) time.Duration {
 	return baseUsageInterval + time.Duration(n)*time.Second/hostsPerExtraSecond
 }
 
-// handleReport notes a host's use and answers the other hosts' sum.
+// handleReport records a host's usage and returns the totals of the other hosts.
 func (u *UsageExchange) handleReport(r *peerpb.UsageReport, now time.Time) *peerpb.UsageTotals {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -85,6 +93,8 @@
 	return out
 }
 
+// totalOfOthersLocked returns the total under a key of all hosts but one. It deletes
+// expired reports.
 func (u *UsageExchange) totalOfOthersLocked(key, host string, now time.Time) *peerpb.Sum {
 	sum := &peerpb.Sum{Key: key}
 	hosts := u.reported[key]
@@ -101,7 +111,8 @@
 	return sum
 }
 
-// shareUsage tells this host's parts and learns the others', until ctx ends.
+// shareUsage reports this host's usage and fetches the totals of the others, at
+// intervals until ctx ends.
 func (m *Mesh) shareUsage(ctx context.Context) {
 	for {
 		live := m.LiveHosts()
@@ -109,7 +120,7 @@
 			return
 		}
 		if len(live) == 0 {
-			continue // this host leaves and knows no other
+			continue // this host is draining and knows no other
 		}
 		byBucket := map[string][]UsageEntry{}
 		for _, s := range m.deps.Usage.Own() {
@@ -121,6 +132,8 @@
 	}
 }
 
+// shareBucket exchanges the entries of one bucket with its aggregator, which may be
+// this host.
 func (m *Mesh) shareBucket(ctx context.Context, aggregator member.Host, sums []UsageEntry, hosts int) {
 	self := m.Self()
 	r := &peerpb.UsageReport{Host: self.Name, Incarnation: self.Incarnation}
