--- a/node/keys/handshake_test.go
+++ b/node/keys/handshake_test.go
@@ -16,8 +16,9 @@
 	"peridotpier.example/standin/pki"
 )
 
-// serve echoes one byte to each peer that gets through.
-func (b *bench) serve(r *keys.Ring) string {
+// serve listens with a ring's peer listener and echoes one byte to each accepted
+// peer. It returns the address.
+func (b *fixture) serve(r *keys.Ring) string {
 	b.t.Helper()
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b.t, err)
@@ -38,7 +39,8 @@
 	return plain.Addr().String()
 }
 
-// echo tells whether a connection carries a byte there and back.
+// echo returns an error unless a connection carries a byte there and back. It closes
+// the connection.
 func echo(c net.Conn) error {
 	defer func() { _ = c.Close() }()
 	if _, err := c.Write([]byte("x")); err != nil {
@@ -48,8 +50,8 @@
 	return err
 }
 
-// connect dials from one ring to a listener of another.
-func (b *bench) connect(from, to *keys.Ring) error {
+// connect dials from one ring to a listener of another, and exchanges a byte.
+func (b *fixture) connect(from, to *keys.Ring) error {
 	b.t.Helper()
 	address := b.serve(to)
 	nc, err := net.Dial("tcp", address)
@@ -61,8 +63,8 @@
 	return echo(c)
 }
 
-// logged waits for an event with a text in its reason.
-func (b *bench) logged(number int64, reason string) poll.Check {
+// hasLogged returns a check for a logged event with a text in its reason.
+func (b *fixture) hasLogged(number int64, reason string) poll.Check {
 	return func(poll.LogT) poll.Result {
 		for _, e := range b.logs.All() {
 			m := e.ContextMap()
@@ -74,37 +76,36 @@
 	}
 }
 
-// Symptom: somebody passes as an entry host, and reads and changes what the
-// hosts tell one another.
-// Sequence: a stranger dials the peers' listener, or answers in a peer's place.
-// Cause: a certificate is missing, not of our authority, over, or of another
-// address, and is taken all the same.
+// Guards against an impostor that passes as an entry host, and reads and changes what
+// hosts exchange. It dials the peers' listener, or answers in a peer's place, with a
+// certificate of an unknown authority, an expired one, or one without its address;
+// such a certificate must not be accepted.
 func TestWrongCertificatesAreRefusedOnBothSides(t *testing.T) {
 	stranger, err := pki.New("stranger")
 	assert.NilError(t, err)
 	here := pki.Address("127.0.0.1")
 	for _, c := range []struct {
 		name           string
-		ca             func(b *bench) *pki.Authority
+		ca             func(b *fixture) *pki.Authority
 		changes        []pki.Change
-		client, server string // what the other side says of it
+		client, server string // in the other side's reason for refusing the wrong client or server
 	}{
-		{"unknown authority", func(*bench) *pki.Authority { return stranger }, []pki.Change{here}, "unknown authority", "unknown authority"},
-		{"expired", func(b *bench) *pki.Authority { return b.ca }, []pki.Change{here, pki.Expired}, "expired", "expired"},
-		{"another address", func(b *bench) *pki.Authority { return b.ca }, []pki.Change{pki.Address("127.0.0.9")}, "127.0.0.9", "127.0.0.9"},
-		{"no address, as an operator's", func(b *bench) *pki.Authority { return b.ca }, nil, "doesn't contain any IP SANs", "doesn't contain any IP SANs"},
+		{"unknown authority", func(*fixture) *pki.Authority { return stranger }, []pki.Change{here}, "unknown authority", "unknown authority"},
+		{"expired", func(b *fixture) *pki.Authority { return b.ca }, []pki.Change{here, pki.Expired}, "expired", "expired"},
+		{"another address", func(b *fixture) *pki.Authority { return b.ca }, []pki.Change{pki.Address("127.0.0.9")}, "127.0.0.9", "127.0.0.9"},
+		{"no address, as an operator's", func(b *fixture) *pki.Authority { return b.ca }, nil, "doesn't contain any IP SANs", "doesn't contain any IP SANs"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t)
+			b := newFixture(t)
 			good := b.load()
 			pair, err := c.ca(b).Pair("wrong", c.changes...)
 			assert.NilError(t, err)
 			conf := &tls.Config{Certificates: []tls.Certificate{pair}, InsecureSkipVerify: true,
 				GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &pair, nil }}
 			nc, err := tls.Dial("tcp", b.serve(good), conf)
-			assert.NilError(t, err) // the server judges after the client is done
-			assert.Assert(t, echo(nc) != nil, "the wrong client got through")
-			poll.WaitOn(t, b.logged(1007, c.client))
+			assert.NilError(t, err) // the server verifies after the client has finished its handshake
+			assert.Assert(t, echo(nc) != nil, "the wrong client was accepted")
+			poll.WaitOn(t, b.hasLogged(1007, c.client))
 
 			ln, err := tls.Listen("tcp", "127.0.0.1:0", conf)
 			assert.NilError(t, err)
@@ -119,54 +120,53 @@
 			assert.NilError(t, err)
 			_, err = good.SecurePeerConn(t.Context(), plain, ln.Addr().String())
 			assert.ErrorContains(t, err, c.server)
-			poll.WaitOn(t, b.logged(1008, c.server))
+			poll.WaitOn(t, b.hasLogged(1008, c.server))
 		})
 	}
 }
 
-// Symptom: a host that has no certificate at all gets through.
-// Sequence: it dials with TLS and shows none, or without TLS.
-// Cause: the listener asks for a certificate but does not need it.
-func TestACertificateIsNeeded(t *testing.T) {
-	b := newBench(t)
+// Guards against a peers' listener that requests a certificate without requiring it:
+// a host without one would be accepted, with TLS or without.
+func TestPeerWithoutCertificateIsRefused(t *testing.T) {
+	b := newFixture(t)
 	r := b.load()
 	address := b.serve(r)
 	c, err := tls.Dial("tcp", address, &tls.Config{InsecureSkipVerify: true})
 	assert.NilError(t, err)
 	assert.Assert(t, echo(c) != nil)
-	poll.WaitOn(t, b.logged(1007, "didn't provide a certificate"))
+	poll.WaitOn(t, b.hasLogged(1007, "didn't provide a certificate"))
 	plain, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	_, err = plain.Write([]byte("no client hello"))
 	assert.NilError(t, err)
 	err = echo(plain)
 	assert.Assert(t, err != nil && !errors.Is(err, context.Canceled))
-	assert.NilError(t, b.connect(r, r), "the right one must get through")
+	assert.NilError(t, b.connect(r, r), "a valid certificate must be accepted")
 }
 
-// Symptom: a withdrawn authority's hosts still get through.
-// Sequence: both authorities are trusted, certificates are renewed, the old
-// authority is dropped from the files; no host restarts.
-// Cause: listener or dialler goes on with what it read at its start.
+// Guards against a listener or dialler that still trusts a removed authority, because
+// it uses what it read at its start. Both authorities are trusted at first,
+// certificates are renewed, and the old authority is removed from the files; no host
+// restarts.
 func TestAuthoritiesChangeWithoutARestart(t *testing.T) {
-	b := newBench(t)
-	moved, behind := b.load(), b.load()
+	b := newFixture(t)
+	renewed, unrenewed := b.load(), b.load()
 	next, err := pki.New("next")
 	assert.NilError(t, err)
-	assert.NilError(t, b.connect(behind, moved))
+	assert.NilError(t, b.connect(unrenewed, renewed))
 
 	b.files.Put(caFile, append(b.ca.PEM(), next.PEM()...))
-	moved.Reload()
-	behind.Reload()
+	renewed.Reload()
+	unrenewed.Reload()
 	c, k, err := next.Issue("host", pki.Address("127.0.0.1"))
 	assert.NilError(t, err)
 	b.files.Put(certFile, c)
 	b.files.Put(keyFile, k)
-	moved.Reload()
-	assert.NilError(t, b.connect(behind, moved), "both authorities are trusted")
-	assert.NilError(t, b.connect(moved, behind))
+	renewed.Reload()
+	assert.NilError(t, b.connect(unrenewed, renewed), "both authorities are trusted")
+	assert.NilError(t, b.connect(renewed, unrenewed))
 
 	b.files.Put(caFile, next.PEM())
-	moved.Reload()
-	assert.Assert(t, b.connect(behind, moved) != nil, "the old authority is still trusted")
+	renewed.Reload()
+	assert.Assert(t, b.connect(unrenewed, renewed) != nil, "the old authority is still trusted")
 }
--- a/node/keys/keys_test.go
+++ b/node/keys/keys_test.go
@@ -22,14 +22,14 @@
 	"peridotpier.example/standin/pki"
 )
 
-// The files of a test's host.
+// The names of the files of a test's host.
 const (
 	certFile, keyFile, caFile = "certificate", "key", "authorities"
 	resumeFile, saltFile      = "resume", "salt"
 )
 
-// bench is one host's ring over files in memory.
-type bench struct {
+// fixture has what one host's ring needs, with files in memory.
+type fixture struct {
 	t     *testing.T
 	ca    *pki.Authority
 	files *pki.Files
@@ -38,12 +38,12 @@
 	log   *event.Log
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	ca, err := pki.New("test")
 	assert.NilError(t, err)
 	core, logs := observer.New(zapcore.DebugLevel)
-	b := &bench{t: t, ca: ca, files: pki.NewFiles(), logs: logs, log: event.NewLog(zap.New(core))}
+	b := &fixture{t: t, ca: ca, files: pki.NewFiles(), logs: logs, log: event.NewLog(zap.New(core))}
 	b.issue(b.files, ca, pki.Address("127.0.0.1"))
 	b.files.Put(resumeFile, []byte(strings.Repeat("r", 32)))
 	b.files.Put(saltFile, []byte(strings.Repeat("s", 32)))
@@ -53,7 +53,7 @@
 	return b
 }
 
-func (b *bench) issue(files *pki.Files, ca *pki.Authority, changes ...pki.Change) {
+func (b *fixture) issue(files *pki.Files, ca *pki.Authority, changes ...pki.Change) {
 	b.t.Helper()
 	c, k, err := ca.Issue("host", changes...)
 	assert.NilError(b.t, err)
@@ -62,15 +62,15 @@
 	files.Put(caFile, b.ca.PEM())
 }
 
-func (b *bench) load() *keys.Ring {
+func (b *fixture) load() *keys.Ring {
 	b.t.Helper()
 	r, err := keys.Load(keys.Config{Settings: b.set}, keys.Deps{Files: b.files, Log: b.log})
 	assert.NilError(b.t, err)
 	return r
 }
 
-// events takes the numbers of what was logged since the last call.
-func (b *bench) events() []int {
+// events returns the numbers of the events logged since the last call.
+func (b *fixture) events() []int {
 	out := []int{}
 	for _, e := range b.logs.TakeAll() {
 		out = append(out, int(e.ContextMap()[event.FieldEvent].(int64)))
@@ -78,43 +78,42 @@
 	return out
 }
 
-// Symptom: a host goes out of service, or serves with half of a new pair, when
-// its files are replaced.
-// Sequence: files are copied one by one, or wrong ones are put in place.
-// Cause: what was read is put in force before it is checked as a whole.
-func TestWhatCannotBeUsedLeavesTheOldInForce(t *testing.T) {
+// Guards against a host that goes out of service, or serves with half of a new key
+// pair, when its files are copied one by one or replaced by wrong ones. It happens if
+// files are put in force before they are checked together.
+func TestInvalidFilesLeaveTheOldOnesInForce(t *testing.T) {
 	other, err := pki.New("other")
 	assert.NilError(t, err)
 	otherCert, _, err := other.Issue("host", pki.Address("127.0.0.1"))
 	assert.NilError(t, err)
 	for _, c := range []struct {
-		name  string
-		spoil func(b *bench)
-		event int
+		name      string
+		breakFile func(b *fixture)
+		event     int
 	}{
-		{"certificate without its key", func(b *bench) { b.files.Put(certFile, otherCert) }, 1005},
-		{"no PEM", func(b *bench) { b.files.Put(keyFile, []byte("half a fi")) }, 1005},
-		{"expired", func(b *bench) { b.issue(b.files, b.ca, pki.Address("127.0.0.1"), pki.Expired) }, 1005},
-		{"another host's", func(b *bench) { b.issue(b.files, b.ca, pki.Address("127.0.0.2")) }, 1005},
-		{"no authorities", func(b *bench) { b.files.Put(caFile, nil) }, 1005},
-		{"short resume key", func(b *bench) { b.files.Put(resumeFile, []byte("short")) }, 1005},
-		{"missing", func(b *bench) { b.files.Remove(keyFile) }, 1005},
-		{"touched, not changed", func(b *bench) { b.files.Put(caFile, b.ca.PEM()) }, 0},
+		{"certificate without its key", func(b *fixture) { b.files.Put(certFile, otherCert) }, 1005},
+		{"no PEM", func(b *fixture) { b.files.Put(keyFile, []byte("half a fi")) }, 1005},
+		{"expired", func(b *fixture) { b.issue(b.files, b.ca, pki.Address("127.0.0.1"), pki.Expired) }, 1005},
+		{"another host's", func(b *fixture) { b.issue(b.files, b.ca, pki.Address("127.0.0.2")) }, 1005},
+		{"no authorities", func(b *fixture) { b.files.Put(caFile, nil) }, 1005},
+		{"short resume key", func(b *fixture) { b.files.Put(resumeFile, []byte("short")) }, 1005},
+		{"missing", func(b *fixture) { b.files.Remove(keyFile) }, 1005},
+		{"touched, not changed", func(b *fixture) { b.files.Put(caFile, b.ca.PEM()) }, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t)
+			b := newFixture(t)
 			r := b.load()
 			signed, err := r.Encode(token.Token{Team: "a", Expires: time.Now().Add(time.Hour).Unix()})
 			assert.NilError(t, err)
-			c.spoil(b)
+			c.breakFile(b)
 			r.Reload()
 			r.Reload()
 			want := []int{}
 			if c.event != 0 {
-				want = append(want, c.event) // once, not at each look
+				want = append(want, c.event) // once, not at each check
 			}
 			assert.DeepEqual(t, b.events(), want)
-			assert.NilError(t, b.connect(r, r), "the old is not in force")
+			assert.NilError(t, b.connect(r, r), "the old files are not in force")
 			_, err = r.Decode(signed, "a", time.Now())
 			assert.NilError(t, err)
 			if c.event != 0 {
@@ -127,11 +126,11 @@
 	}
 }
 
-// Symptom: streams cannot be resumed through some hosts while keys rotate.
-// Sequence: hosts are at different stages of: new key last, new key first, old
-// key dropped; a token signed at one stage is shown to a host at the next or
-// the one before.
-// Cause: a host signs with a key that another does not accept yet, or any more.
+// Guards against streams that cannot be resumed through some hosts while keys rotate,
+// because a host signs with a key that another one does not accept yet, or no longer.
+// Hosts are at different stages of the rotation (new key last, new key first, old key
+// removed), and a token signed at one stage goes to a host at the next or the
+// previous one.
 func TestHostsOneStageApartAcceptEachOthersTokens(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -160,7 +159,7 @@
 			ring, err := keys.Load(keys.Config{Settings: set, File: file}, keys.Deps{})
 			assert.NilError(t, err)
 			move := func(stage int) {
-				write("settings.json", at(stage)+strings.Repeat(" ", 1+stage)) // another size: the clock of files is coarse
+				write("settings.json", at(stage)+strings.Repeat(" ", 1+stage)) // another size, since modification times are coarse
 				ring.Reload()
 			}
 			move(signer)
@@ -173,26 +172,25 @@
 	}
 }
 
-// sameStamp hides changes from all but those who read.
+// sameStamp gives all files the same stamp, so that only reading detects a change.
 type sameStamp struct{ *pki.Files }
 
 func (sameStamp) Stamp(string) (string, error) { return "same", nil }
 
-// Symptom: a host does not take a new file, or ends with its certificate
-// without a word.
-// Sequence: a file is replaced by a copy that keeps its time and size; nobody
-// replaces a certificate.
-// Cause: the file's stamp is taken for its content; nobody looks at its end.
-func TestChangesAndEndsAreNoticedInTime(t *testing.T) {
+// Guards against a host that ignores a new file, and against one whose certificate
+// expires without a warning. A file is replaced by a copy that keeps its modification
+// time and size, so its stamp says nothing about its content; a certificate is not
+// replaced in time.
+func TestChangesAndExpiryAreDetectedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newFixture(t)
 		r, err := keys.Load(keys.Config{Settings: b.set, CheckInterval: time.Minute}, keys.Deps{Files: sameStamp{b.files}, Log: b.log})
 		assert.NilError(t, err)
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- r.Run(ctx) }()
 		b.files.Put(resumeFile, []byte(strings.Repeat("n", 32)))
-		time.Sleep(48 * time.Minute) // 32 looks at the slowest
+		time.Sleep(48 * time.Minute) // at least 32 checks
 		synctest.Wait()
 		assert.DeepEqual(t, b.events(), []int{1004})
 		time.Sleep(23*24*time.Hour - 2*time.Hour) // the certificate lasts 30 days
