--- a/node/keys/files.go
+++ b/node/keys/files.go
@@ -7,17 +7,19 @@
 	"os"
 )
 
-// Files is where keys and certificates are read.
+// Files reads the files of keys and certificates.
 type Files interface {
-	// Stamp changes when a file does, nearly always, and costs little to read.
+	// Stamp returns a value that nearly always changes when the file does, and
+	// costs less than reading the file.
 	Stamp(name string) (string, error)
+	// Read returns the content of a file.
 	Read(name string) ([]byte, error)
 }
 
-// Disk reads the host's own files.
+// Disk implements Files on the host's file system.
 type Disk struct{}
 
-// Stamp implements Files: a file's modification time and size.
+// Stamp implements Files. It returns the file's modification time and size.
 func (Disk) Stamp(name string) (string, error) {
 	info, err := os.Stat(name)
 	if err != nil {
@@ -29,7 +31,8 @@
 // Read implements Files.
 func (Disk) Read(name string) ([]byte, error) { return os.ReadFile(name) }
 
-// reader reads the files of one part and notes what it saw.
+// reader reads the files of one set and records their stamps and a hash of their
+// contents.
 type reader struct {
 	files  Files
 	stamps map[string]string
@@ -40,8 +43,9 @@
 	return &reader{files: f, stamps: map[string]string{}, hash: sha256.New()}
 }
 
-// read takes the stamp before the content: a file that changes in between is
-// then read again at the next look, and not missed for good.
+// read returns the content of a file. It reads the stamp before the content: a file
+// that changes in between is then read again at the next check, instead of being
+// missed for ever.
 func (r *reader) read(name string) ([]byte, error) {
 	stamp, err := r.files.Stamp(name)
 	if err != nil {
@@ -54,23 +58,25 @@
 		r.hash.Write([]byte("unreadable " + name))
 		return nil, err
 	}
-	fmt.Fprintf(r.hash, "%d %s ", len(data), name) // so that moving bytes from one file to the next changes the sum
+	fmt.Fprintf(r.hash, "%d %s ", len(data), name) // so that moving bytes from one file to the next changes the hash
 	r.hash.Write(data)
 	return data, nil
 }
 
-// fileSet is what is put in force together: the files of one listener, or those
-// of the resume keys.
+// fileSet is a set of files that are put in force together: those of one listener,
+// or those of the resume keys.
 type fileSet struct {
 	name string
-	// load reads and checks, and returns what puts the result in force.
+	// load reads and checks the files, and returns a function that puts them in
+	// force.
 	load   func(*reader) (func(), error)
-	stamps map[string]string
-	digest string
+	stamps map[string]string // by file name, as last read; nil after a fault
+	digest string            // hash of the contents as last read
 }
 
-// reload reads the part again if its files changed, or in any case when it must.
-// A fault is returned once, when it appears.
+// reload reads the files again if their stamps changed, or if force is set, and puts
+// them in force if their contents changed. It returns each fault only once, when it
+// appears.
 func (p *fileSet) reload(f Files, force bool) (changed bool, err error) {
 	if !force && p.sameStamps(f) {
 		return false, nil
@@ -80,7 +86,7 @@
 	digest := string(r.hash.Sum(nil))
 	p.stamps = r.stamps
 	if err != nil {
-		p.stamps = nil // not all files were reached, so the stamps would hide a mended one
+		p.stamps = nil // not all files were read, so the stamps would hide a later correction
 	}
 	if digest == p.digest {
 		return false, nil
@@ -93,6 +99,7 @@
 	return true, nil
 }
 
+// sameStamps reports whether stamps are known and none has changed.
 func (p *fileSet) sameStamps(f Files) bool {
 	for name, old := range p.stamps {
 		if now, err := f.Stamp(name); err != nil || now != old {
--- a/node/keys/handshake.go
+++ b/node/keys/handshake.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// handshakeTimeout is how long the other side may take over a handshake.
+	// handshakeTimeout bounds a TLS handshake with a peer.
 	handshakeTimeout = 5 * time.Second
-	// refusalLogInterval and refusalsBurst bound the lines that strangers can cause:
-	// a scanner must not fill the log.
+	// refusalLogInterval and refusalLogBurst limit the rate of the log entries that
+	// unknown clients can cause: a scanner must not fill the log.
 	refusalLogInterval = time.Second
 	refusalLogBurst    = 20
 )
 
-// refusalLog writes refused handshakes, so many at most.
+// refusalLog logs refused handshakes at a limited rate.
 type refusalLog struct {
 	log        *event.Log
 	limit      *rate.Limiter
-	suppressed *atomic.Int64
+	suppressed *atomic.Int64 // events over the limit since the last one logged
 }
 
 func newRefusalLog(log *event.Log) refusalLog {
@@ -42,15 +42,17 @@
 	r.log.Emit(e, append(fields, zap.Int64("held_back", r.suppressed.Swap(0)))...)
 }
 
-// LogRefused writes a handshake that failed on a listener.
+// LogRefused logs a handshake that failed on a listener, at a limited rate.
 func (r *Ring) LogRefused(listener, peer, reason string) {
 	r.refusals.emit(event.HandshakeRefused, zap.String("where", listener), zap.String(event.FieldPeer, peer), zap.String("reason", reason))
 }
 
-// CallerListener wraps the callers' listener in TLS where the settings say so.
+// CallerListener wraps the callers' listener in TLS if the settings name a
+// certificate for it.
 func (r *Ring) CallerListener(ln net.Listener) net.Listener { return wrapTLS(ln, r.caller) }
 
-// OperatorListener wraps the operators' listener.
+// OperatorListener wraps the operators' listener in TLS if the settings name a
+// certificate for it.
 func (r *Ring) OperatorListener(ln net.Listener) net.Listener { return wrapTLS(ln, r.operator) }
 
 func wrapTLS(ln net.Listener, id *identity) net.Listener {
@@ -61,8 +63,9 @@
 	return tls.NewListener(ln, c)
 }
 
-// PeerListener wraps the listener for entry hosts. What serves it does not say why a
-// connection ended, so the wrapper does.
+// PeerListener wraps the listener for entry hosts in TLS if the settings name a
+// certificate for it. The server on it does not log why a connection ended, so the
+// listener logs failed handshakes.
 func (r *Ring) PeerListener(ln net.Listener) net.Listener {
 	c := r.peer.serverTLS()
 	if c == nil {
@@ -78,7 +81,8 @@
 }
 
 // Accept implements net.Listener. The handshake runs at the first use of the
-// connection, in whoever uses it: here, one slow stranger would keep all others out.
+// connection, in the goroutine that uses it: if it ran here, one slow client would
+// block all others.
 func (l *peerListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -87,6 +91,8 @@
 	return &peerConn{Conn: tls.Server(c, l.config), ring: l.ring}, nil
 }
 
+// peerConn is a server-side TLS connection with a bounded handshake, whose failure
+// is logged.
 type peerConn struct {
 	*tls.Conn
 	ring *Ring
@@ -121,11 +127,11 @@
 	return c.Conn.Write(p)
 }
 
-// PeersUseTLS says whether entry hosts talk over TLS.
+// PeersUseTLS reports whether entry hosts communicate over TLS.
 func (r *Ring) PeersUseTLS() bool { return r.peer.files != nil }
 
-// SecurePeerConn makes a connection to a peer secure where the settings say so. It
-// closes nc when it fails.
+// SecurePeerConn performs the client's TLS handshake on a connection to the peer at
+// address. Without TLS for peers it returns nc unchanged. It closes nc when it fails.
 func (r *Ring) SecurePeerConn(ctx context.Context, nc net.Conn, address string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/node/keys/identity.go
+++ b/node/keys/identity.go
@@ -18,39 +18,43 @@
 )
 
 const (
-	// expiryWarning is how long before its end a certificate is warned of.
+	// expiryWarning is how long before a certificate expires its warnings begin.
 	expiryWarning = 7 * 24 * time.Hour
-	// expiryWarningInterval is the least time between two warnings of one certificate.
+	// expiryWarningInterval is the minimum time between two warnings about one
+	// certificate.
 	expiryWarningInterval = 24 * time.Hour
 )
 
-// clientKind is who is on the other side of a listener.
+// clientKind is the kind of clients that connect to a listener.
 type clientKind int
 
 const (
-	kindCaller   clientKind = iota // clients of any make; a certificate only where authorities are named
-	kindOperator                   // must show a certificate of an authority
-	kindPeer                       // must show one with the address that it comes from
+	kindCaller   clientKind = iota // any client; it needs a certificate only if authorities are configured
+	kindOperator                   // needs a certificate of an authority
+	kindPeer                       // needs a certificate of an authority with the address that it connects from
 )
 
-// identity is the certificate and the authorities of one listener.
+// identity is the TLS identity of one listener: its certificate and the authorities
+// that it trusts.
 type identity struct {
 	name          string
 	listenAddress netip.Addr
-	files         *settings.TLS // nil: plain TCP
+	files         *settings.TLS // names of the files; nil: plain TCP
 	kind          clientKind
 	now           func() time.Time
 	current       atomic.Pointer[credentials]
 	lastWarned    time.Time // guarded by Ring.mu
 }
 
-// credentials is what is in force, never changed once made.
+// credentials are the credentials in force. They are immutable.
 type credentials struct {
 	cert        tls.Certificate
-	authorities *x509.CertPool // nil: the other side needs no certificate
+	authorities *x509.CertPool // nil: clients need no certificate
 	tlsConfig   *tls.Config
 }
 
+// identity returns the identity of a listener, not yet loaded, and adds its files to
+// those of the ring.
 func (r *Ring) identity(name string, l settings.Listener, k clientKind) *identity {
 	id := &identity{name: name, files: l.TLS, kind: k, now: r.deps.Now}
 	if at, err := netip.ParseAddrPort(l.Address); err == nil {
@@ -62,6 +66,7 @@
 	return id
 }
 
+// load reads and checks the files, and returns a function that puts them in force.
 func (id *identity) load(rd *reader) (func(), error) {
 	cert, err := id.loadPair(rd)
 	if err != nil {
@@ -82,8 +87,8 @@
 	return func() { id.current.Store(m) }, nil
 }
 
-// loadPair reads certificate and key and checks that others will accept them:
-// a wrong file must be found here, and not by every caller.
+// loadPair reads the certificate and key and checks that clients will accept them: a
+// wrong file must be detected here, not by every caller.
 func (id *identity) loadPair(rd *reader) (tls.Certificate, error) {
 	var none tls.Certificate
 	certificate, err := rd.read(id.files.Certificate)
@@ -110,15 +115,16 @@
 	return pair, nil
 }
 
-// serverConfig makes the listener's side. Resumption is off where certificates
-// are asked for: a resumed session would outlive the authority behind it.
+// serverConfig returns the server's TLS configuration. Session resumption is off if
+// clients need certificates: a resumed session would remain valid after its authority
+// was removed.
 func (id *identity) serverConfig(m *credentials) *tls.Config {
 	c := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{m.cert}, NextProtos: []string{"http/1.1"}, Time: id.now}
 	switch id.kind {
 	case kindCaller:
-		c.MinVersion = tls.VersionTLS12 // callers' libraries are not ours to choose
+		c.MinVersion = tls.VersionTLS12 // callers choose their own libraries
 	case kindPeer:
-		c.NextProtos = nil // drpc names no protocol
+		c.NextProtos = nil // drpc negotiates no protocol
 	}
 	if m.authorities != nil {
 		c.ClientAuth, c.ClientCAs, c.SessionTicketsDisabled = tls.RequireAndVerifyClientCert, m.authorities, true
@@ -126,8 +132,8 @@
 	return c
 }
 
-// serverTLS returns a configuration that follows what is in force, connection by
-// connection; nil for plain TCP.
+// serverTLS returns a TLS configuration that uses, for each new connection, the
+// credentials then in force; nil for plain TCP.
 func (id *identity) serverTLS() *tls.Config {
 	if id.files == nil {
 		return nil
@@ -143,8 +149,8 @@
 	}}
 }
 
-// verifySourceAddress checks that a peer comes from an address in its certificate.
-// Without it, whoever got hold of any certificate of the authority, such as an
+// verifySourceAddress checks that a peer connects from an address in its certificate.
+// Without this check anyone who has a certificate of the authority, such as an
 // operator's, could pass as an entry host from anywhere.
 func verifySourceAddress(s tls.ConnectionState, from net.Addr) error {
 	source, err := netip.ParseAddrPort(from.String())
@@ -154,19 +160,22 @@
 	return s.PeerCertificates[0].VerifyHostname(source.Addr().Unmap().WithZone("").String())
 }
 
-// clientTLS makes the dialling side towards a peer; nil for plain TCP.
+// clientTLS returns the TLS configuration for dialling the peer at an IP address; nil
+// for plain TCP.
 func (id *identity) clientTLS(ip string) *tls.Config {
 	m := id.current.Load()
 	if m == nil {
 		return nil
 	}
 	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: m.authorities, ServerName: ip, Time: id.now,
-		// Shown whatever authorities the other side names, so that it can say
-		// what is wrong with this certificate and not just that there is none.
+		// The certificate is sent whichever authorities the server names, so that
+		// the server can report what is wrong with it and not just that it is
+		// missing.
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &m.cert, nil }}
 }
 
-// warnOfExpiry tells in time of a certificate's end.
+// warnOfExpiry logs a warning if the certificate expires soon, at most one per
+// expiryWarningInterval.
 func (id *identity) warnOfExpiry(log *event.Log, now time.Time) {
 	m := id.current.Load()
 	if m == nil || m.cert.Leaf.NotAfter.Sub(now) > expiryWarning || now.Sub(id.lastWarned) < expiryWarningInterval {
--- a/node/keys/keys.go
+++ b/node/keys/keys.go
@@ -1,8 +1,8 @@
-// Package keys holds what a host proves itself and others by: the certificates
-// of its listeners, the authorities that it trusts, and the keys of resume
-// tokens. It reads their files again when they change, so that none of them
-// needs a restart; docs/design/keys.md tells why it looks the way it does.
-// Nothing that it returns or logs contains a secret.
+// Package keys provides the credentials of a host: the certificates of its
+// listeners, the authorities that it trusts, and the keys of resume tokens. It reads
+// their files again when they change, so that no change needs a restart;
+// docs/design/keys.md explains how it detects changes and why. Its errors and log
+// entries contain no secret.
 package keys
 
 import (
@@ -22,33 +22,36 @@
 )
 
 const (
-	// defaultCheckInterval is the mean time between two looks at the files. A changed
-	// file is in force on all hosts within half as much again.
+	// defaultCheckInterval is the mean time between two checks of the files. A
+	// changed file is in force on all hosts within 1.5 times the interval.
 	defaultCheckInterval = 10 * time.Second
-	// checksPerFullRead is how many looks pass until the files are read whatever their
-	// stamps: a copy that keeps time and size would be missed for good.
+	// checksPerFullRead is the number of checks after which the files are read
+	// whatever their stamps are: a copy that keeps modification time and size would
+	// otherwise never be detected.
 	checksPerFullRead = 30
-	// minSecretBytes is the least length of a secret, in bytes.
+	// minSecretBytes is the minimum length of a secret.
 	minSecretBytes = 32
 )
 
-// Config says what a Ring keeps.
+// Config configures a Ring.
 type Config struct {
 	Settings *settings.Settings
-	// File is the settings file, of which keys.resume is read again when it
+	// File is the settings file, whose list keys.resume is read again when the file
 	// changes; "": the list stays as it is in Settings.
 	File          string
-	CheckInterval time.Duration // mean time between two looks; 0: 10 s
+	CheckInterval time.Duration // mean time between two checks of the files; 0: 10 s
 }
 
-// Deps are what a Ring works with; zero values take the process's own.
+// Deps are the dependencies of a Ring. Zero values stand for the local file system,
+// no log and the system clock.
 type Deps struct {
 	Files Files
 	Log   *event.Log
 	Now   func() time.Time
 }
 
-// Ring is one host's keys and certificates.
+// Ring is the key ring of one host: its keys and certificates. It is safe for
+// concurrent use.
 type Ring struct {
 	cfg      Config
 	deps     Deps
@@ -59,12 +62,13 @@
 	peer     *identity
 	refusals refusalLog
 
-	mu       sync.Mutex // one look at a time
+	mu       sync.Mutex // guards what follows; one reload at a time
 	fileSets []*fileSet
 	reloads  int
 }
 
-// Load reads everything that the settings name; a fault in any is an error.
+// Load returns a ring with all files that the settings name. A fault in any of them
+// is an error.
 func Load(cfg Config, deps Deps) (*Ring, error) {
 	if cfg.CheckInterval == 0 {
 		cfg.CheckInterval = defaultCheckInterval
@@ -100,8 +104,8 @@
 	return r, nil
 }
 
-// Run looks at the files from time to time until ctx ends. The time between
-// two looks varies, so that the hosts of a site do not all look at once.
+// Run checks the files repeatedly until ctx ends. The time between two checks varies,
+// so that the hosts of a site do not all check at the same time.
 func (r *Ring) Run(ctx context.Context) error {
 	for {
 		t := time.NewTimer(time.Duration(float64(r.cfg.CheckInterval) * (0.5 + rand.Float64())))
@@ -115,8 +119,9 @@
 	}
 }
 
-// Reload puts in force what changed. What cannot be used is logged, and what was
-// in force stays: a half-copied file must not take a host out of service.
+// Reload checks the files and puts changed ones in force. If changed files can't be
+// used, it logs that and keeps what is in force: a half-copied file must not take a
+// host out of service.
 func (r *Ring) Reload() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,8 +140,8 @@
 	}
 }
 
-// loadResumeKeys reads the resume keys. Their list stands in the settings file, so
-// that file is one of theirs.
+// loadResumeKeys reads and checks the resume keys, and returns a function that puts
+// them in force. Their list is in the settings file, so that file belongs to the set.
 func (r *Ring) loadResumeKeys(rd *reader) (func(), error) {
 	list := r.cfg.Settings.Keys.Resume
 	if r.cfg.File != "" {
@@ -165,14 +170,14 @@
 	return func() { r.tokens.Store(checked) }, nil
 }
 
-// Encode signs a resume token with the key that is first now.
+// Encode signs a resume token with the first key in force.
 func (r *Ring) Encode(t token.Token) (string, error) { return r.tokens.Load().Encode(t) }
 
-// Decode checks a resume token against all keys in force now.
+// Decode checks a resume token against all keys in force.
 func (r *Ring) Decode(s, team string, now time.Time) (token.Token, error) {
 	return r.tokens.Load().Decode(s, team, now)
 }
 
-// PrefixSalt returns the secret that prefix hashes are salted with. It is not
-// read again: hosts with different salts would send equal prompts different ways.
+// PrefixSalt returns the secret with which prefix hashes are salted. It is never read
+// again: hosts with different salts would route equal prompts to different upstreams.
 func (r *Ring) PrefixSalt() string { return r.salt }
