--- a/node/admission/admission_test.go
+++ b/node/admission/admission_test.go
@@ -28,7 +28,7 @@
 	return Request{Team: team, Class: c, Pool: "p", Deadline: time.Now().Add(within)}
 }
 
-func notRun(t *testing.T, err error, code fault.Code) {
+func assertNotRun(t *testing.T, err error, code fault.Code) {
 	t.Helper()
 	var f *fault.Error
 	assert.Assert(t, errors.As(err, &f))
@@ -57,21 +57,21 @@
 	})
 }
 
-// Symptom: a request that cannot be served keeps its caller until the deadline.
-// Sequence: slots are held for a minute; requests with 20 s left are queued, as
-// no release has yet told how long a slot is held; then one does.
-// Cause: giving up only when the deadline comes.
-func TestGivenUpRequestsAreAnsweredAtOnce(t *testing.T) {
+// Guards against a request that can't be served in time but keeps its caller waiting
+// until the deadline. Slots are in use for a minute; requests with 20 s left are
+// queued, since no release has shown yet how long a slot is in use; then one does.
+// The queued requests must be refused at that time.
+func TestUnservableRequestsAreRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(testConfig(5))
 		ctx, stop := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		wg.Go(func() { _ = c.Run(ctx) })
-		var held []*Ticket
+		var tickets []*Ticket
 		for range 4 {
 			ticket, err := c.Admit(ctx, request("a", class.Standard, time.Hour))
 			assert.NilError(t, err)
-			held = append(held, ticket)
+			tickets = append(tickets, ticket)
 		}
 		time.Sleep(time.Minute)
 		begun, refusals := time.Now(), make(chan error, 8)
@@ -88,13 +88,13 @@
 			})
 		}
 		time.Sleep(2 * time.Second)
-		held[0].Release()
+		tickets[0].Release()
 		time.Sleep(expiryInterval)
 		synctest.Wait()
 		assert.Assert(t, len(refusals) > 0)
-		notRun(t, <-refusals, fault.CodeDeadlineExceeded)
+		assertNotRun(t, <-refusals, fault.CodeDeadlineExceeded)
 		stop()
-		for _, ticket := range held {
+		for _, ticket := range tickets {
 			ticket.Release()
 		}
 		wg.Wait()
@@ -102,9 +102,9 @@
 	})
 }
 
-// Symptom: slots leak until the pool admits nobody.
-// Sequence: callers go away at the very moment at which a slot is granted.
-// Cause: the grant goes to a request that has already left.
+// Guards against slots that leak until the pool admits no request. Callers cancel at
+// the very moment at which they are granted a slot, so that the grant goes to a
+// request that was already withdrawn.
 func TestCancelledWaitersLeakNoSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(testConfig(2))
@@ -117,7 +117,7 @@
 				if err != nil {
 					return
 				}
-				time.Sleep(time.Second) // releases fall together with the time-outs
+				time.Sleep(time.Second) // so that releases coincide with the timeouts
 				ticket.Release()
 			})
 		}
@@ -132,18 +132,18 @@
 		ticket, err := c.Admit(t.Context(), request("limited", class.Urgent, time.Minute))
 		assert.NilError(t, err)
 		_, err = c.Admit(t.Context(), request("limited", class.Urgent, time.Minute))
-		notRun(t, err, fault.CodeTeamLimit)
+		assertNotRun(t, err, fault.CodeTeamLimit)
 		ticket.Release()
 		ticket, err = c.Admit(t.Context(), request("limited", class.Urgent, time.Minute))
 		assert.NilError(t, err)
 		ticket.Release()
 		_, err = c.Admit(t.Context(), Request{Team: "a", Pool: "none"})
-		notRun(t, err, fault.CodeNoUpstream)
+		assertNotRun(t, err, fault.CodeNoUpstream)
 		cfg := testConfig(5)
 		cfg.Preset.AcceptBulk = false
 		c.Reconfigure(cfg)
 		_, err = c.Admit(t.Context(), request("a", class.Bulk, time.Minute))
-		notRun(t, err, fault.CodeOverloaded)
+		assertNotRun(t, err, fault.CodeOverloaded)
 	})
 }
 
