--- a/node/admission/admission.go
+++ b/node/admission/admission.go
@@ -1,7 +1,7 @@
-// Package admission executes what core/admit decides: it holds requests until
-// they get a slot, answers those given up at once, and keeps the team limits.
-// State is kept a pool and a team at a time, each under its own lock. Lock
-// order: the controller's maps, then one pool or one team; never two pools.
+// Package admission executes the decisions of core/admit: requests wait until they
+// get a slot, those that can no longer be served in time are refused, and the teams'
+// limits apply. Each pool and each team has state of its own under a lock of its
+// own. Lock order: the controller's maps, then one pool or one team; never two pools.
 package admission
 
 import (
@@ -15,30 +15,29 @@
 	"peridotpier.example/core/fault"
 )
 
-// expiryInterval is the pause between two looks for requests that cannot make
-// their deadline any more. It bounds how long a given-up request waits for its
-// final answer.
+// expiryInterval is the time between two checks for queued requests that can no
+// longer meet their deadline. It bounds how long such a request waits for its refusal.
 const expiryInterval = 100 * time.Millisecond
 
-// Config is what admission follows.
+// Config configures a Controller.
 type Config struct {
 	Preset  config.Preset
 	Classes []config.ClassRule
 	Teams   []config.Team
-	Slots   map[string]int // this host's places by pool, see admit.HostSlots
-	Hosts   int            // entry hosts, this one included
+	Slots   map[string]int // this host's slots by pool, see admit.HostSlots
+	Hosts   int            // number of entry hosts, this one included
 }
 
-// Request is one request that asks for leave to be dispatched.
+// Request is one request to be admitted.
 type Request struct {
 	Team        string
 	Class       class.Class
 	Pool        string
 	Deadline    time.Time     // zero: none
-	MinDuration time.Duration // least time that it takes once dispatched; 0: not known
+	MinDuration time.Duration // minimum time that it takes once dispatched; 0: unknown
 }
 
-// Controller admits requests.
+// Controller admits requests. It is safe for concurrent use.
 type Controller struct {
 	mu    sync.RWMutex
 	cfg   Config
@@ -46,14 +45,15 @@
 	teams map[string]*team
 }
 
-// New makes a controller. Its owner must run Run.
+// New returns a controller. The caller must run Run.
 func New(cfg Config) *Controller {
 	c := &Controller{pools: map[string]*pool{}, teams: map[string]*team{}}
 	c.Reconfigure(cfg)
 	return c
 }
 
-// Run sweeps the queues until ctx ends.
+// Run refuses queued requests that can no longer meet their deadline, at intervals
+// until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	tick := time.NewTicker(expiryInterval)
 	defer tick.Stop()
@@ -69,8 +69,8 @@
 	}
 }
 
-// Reconfigure puts a new preset, configuration or capacity in force. Requests
-// that were admitted keep their slots.
+// Reconfigure puts a new preset, configuration or capacity in force. Admitted
+// requests keep their slots.
 func (c *Controller) Reconfigure(cfg Config) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,21 +102,22 @@
 	}
 }
 
-// SetCapacity changes this host's places in one pool.
+// SetCapacity changes this host's slots in one pool.
 func (c *Controller) SetCapacity(name string, slots int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.poolLocked(name).setPolicy(time.Now(), admit.NewPolicy(c.cfg.Preset, c.cfg.Classes, slots))
 }
 
-// SetPeerTeamUsage tells what the other hosts together are asked for by a team.
+// SetPeerTeamUsage sets the total demand of a team at the other hosts, and the number
+// of entry hosts.
 func (c *Controller) SetPeerTeamUsage(name string, rps, concurrent float64, hosts int) {
 	if t := c.team(name); t != nil {
 		t.setPeerUsage(rps, concurrent, hosts)
 	}
 }
 
-// TeamUsage is what this host is asked for by a team, to be told to its peers.
+// TeamUsage returns the demand of a team at this host, to be reported to its peers.
 func (c *Controller) TeamUsage(name string) (rps, concurrent float64) {
 	if t := c.team(name); t != nil {
 		return t.demand(time.Now())
@@ -124,8 +125,8 @@
 	return 0, 0
 }
 
-// Admit waits for leave to dispatch the request. Every error is a
-// *fault.Error that promises that the request did not run.
+// Admit waits until the request may be dispatched. The caller must release the ticket.
+// Every error is a *fault.Error with the outcome that the request did not run.
 func (c *Controller) Admit(ctx context.Context, r Request) (*Ticket, error) {
 	t, p := c.team(r.Team), c.pool(r.Pool)
 	if t == nil {
@@ -146,13 +147,13 @@
 	return &Ticket{pool: p, team: t, request: r, arrivedAt: arrivedAt, admittedAt: time.Now()}, nil
 }
 
-// PoolLoad is the state of one pool's admission, for queries and metrics.
+// PoolLoad is the admission state of one pool, for queries and metrics.
 type PoolLoad struct {
-	Used    [class.Count]int
-	Waiting [class.Count]int
+	Used    [class.Count]int // slots in use
+	Waiting [class.Count]int // queued requests
 }
 
-// PoolLoad tells the state of a pool's admission.
+// PoolLoad returns the admission state of a pool; zero for an unknown one.
 func (c *Controller) PoolLoad(name string) PoolLoad {
 	if p := c.pool(name); p != nil {
 		return p.load()
@@ -182,6 +183,7 @@
 	return out
 }
 
+// poolLocked returns a pool, and creates it if there is none.
 func (c *Controller) poolLocked(name string) *pool {
 	p := c.pools[name]
 	if p == nil {
--- a/node/admission/pool.go
+++ b/node/admission/pool.go
@@ -11,7 +11,7 @@
 	"peridotpier.example/core/fault"
 )
 
-// pool guards one core pool and wakes those that wait in it.
+// pool guards one admit.Pool and wakes the requests that wait in it.
 type pool struct {
 	mu      sync.Mutex
 	core    *admit.Pool
@@ -19,18 +19,19 @@
 	lastID  uint64
 }
 
-// waiter is one request in a queue. Whoever takes it out of pool.waiters, under
-// the lock, sends to it exactly once; the channel holds one so that the sender
-// never blocks.
+// waiter is one queued request. The goroutine that removes it from pool.waiters, under
+// the lock, sends exactly one result on done, unless it withdraws the request. The
+// channel has a buffer of one, so that the sender never blocks.
 type waiter struct {
 	request Request
-	done    chan error
+	done    chan error // nil: admitted
 }
 
 func newPool() *pool {
 	return &pool{core: admit.NewPool(admit.Policy{}), waiters: map[uint64]*waiter{}}
 }
 
+// admit waits until the request is admitted (nil), refused, or ctx ends.
 func (p *pool) admit(ctx context.Context, r Request, weight int) error {
 	w, id, err := p.arrive(r, weight)
 	if w == nil {
@@ -44,7 +45,8 @@
 	}
 }
 
-// arrive asks the core; a nil waiter and nil error mean admitted.
+// arrive passes the request to the core pool. It returns a waiter if the request was
+// queued, an error if it was refused, and neither if it was admitted.
 func (p *pool) arrive(r Request, weight int) (*waiter, uint64, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,9 +67,9 @@
 	return w, item.ID, nil
 }
 
-// withdraw takes out a request whose caller went away or whose deadline came. A
-// slot granted at the same moment is given back: nobody else would, and one
-// would notice the pool's slots leaking away one by one.
+// withdraw removes a queued request whose caller cancelled it or whose deadline
+// passed. A slot that was granted at the same moment is returned here: nothing else
+// would return it, and the pool's slots would leak one by one.
 func (p *pool) withdraw(ctx context.Context, id uint64, w *waiter) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,7 +116,7 @@
 	return l
 }
 
-// deliver tells the waiters what became of them.
+// deliver sends the results of a change of the core pool to the waiters.
 func (p *pool) deliver(r admit.Result) {
 	for _, id := range r.Granted {
 		p.notify(id, nil)
@@ -126,6 +128,8 @@
 	}
 }
 
+// notify removes a waiter and sends its result; it does nothing if the request is no
+// longer queued.
 func (p *pool) notify(id uint64, err error) {
 	if w := p.waiters[id]; w != nil {
 		delete(p.waiters, id)
@@ -133,7 +137,7 @@
 	}
 }
 
-// refusalError turns a refusal into the error that callers see.
+// refusalError converts a refusal into the error that callers see.
 func refusalError(r admit.Refusal, req Request) error {
 	code, reason := fault.CodeOverloaded, "no slot"
 	switch r.Cause {
--- a/node/admission/team.go
+++ b/node/admission/team.go
@@ -38,6 +38,8 @@
 	return t.limiter.Demand(now)
 }
 
+// take counts a request against the team's limits. If a limit is reached, ok is false
+// and wait is the time after which to retry.
 func (t *team) take(now time.Time) (weight int, ok bool, wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -45,12 +47,14 @@
 	return t.weight, ok, wait
 }
 
+// done ends a request that was counted by take.
 func (t *team) done(heldFor time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.limiter.Done(heldFor)
 }
 
+// cancel reverts take for a request that was not admitted.
 func (t *team) cancel() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/admission/ticket.go
+++ b/node/admission/ticket.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Ticket is a slot held by one request until Release.
+// Ticket is the right of one request to use a slot until Release is called.
 type Ticket struct {
 	once       sync.Once
 	pool       *pool
@@ -15,7 +15,7 @@
 	admittedAt time.Time
 }
 
-// Release gives the slot back. Only the first call counts.
+// Release returns the slot. Further calls have no effect.
 func (t *Ticket) Release() {
 	t.once.Do(func() {
 		now := time.Now()
@@ -24,5 +24,5 @@
 	})
 }
 
-// WaitTime is how long the request waited for its slot.
+// WaitTime returns how long the request waited for its slot.
 func (t *Ticket) WaitTime() time.Duration { return t.admittedAt.Sub(t.arrivedAt) }
