--- a/node/command/audit.go
+++ b/node/command/audit.go
@@ -26,8 +26,8 @@
 	// archiveInterval is the mean time between two checks for a full batch. At
 	// 3,200 changes a day a batch of 100 entries fills in 45 minutes.
 	archiveInterval = 10 * time.Minute
-	// minLeaseLeft is how much time the lease must have left before a batch is
-	// moved.
+	// minLeaseLeft is how much time the lease must have left before the rows of a
+	// batch are deleted: the deletion may take as long.
 	minLeaseLeft = 3 * time.Second
 )
 
--- a/node/keys/files.go
+++ b/node/keys/files.go
@@ -77,21 +77,21 @@
 // reload reads the files again if their stamps changed, or if force is set, and puts
 // them in force if their contents changed. It returns each fault only once, when it
 // appears.
-func (p *fileSet) reload(f Files, force bool) (changed bool, err error) {
-	if !force && p.sameStamps(f) {
+func (s *fileSet) reload(f Files, force bool) (changed bool, err error) {
+	if !force && s.sameStamps(f) {
 		return false, nil
 	}
 	r := newReader(f)
-	apply, err := p.load(r)
+	apply, err := s.load(r)
 	digest := string(r.hash.Sum(nil))
-	p.stamps = r.stamps
+	s.stamps = r.stamps
 	if err != nil {
-		p.stamps = nil // not all files were read, so the stamps would hide a later correction
+		s.stamps = nil // not all files were read, so the stamps would hide a later correction
 	}
-	if digest == p.digest {
+	if digest == s.digest {
 		return false, nil
 	}
-	p.digest = digest
+	s.digest = digest
 	if err != nil {
 		return false, err
 	}
@@ -100,11 +100,11 @@
 }
 
 // sameStamps reports whether stamps are known and none has changed.
-func (p *fileSet) sameStamps(f Files) bool {
-	for name, old := range p.stamps {
+func (s *fileSet) sameStamps(f Files) bool {
+	for name, old := range s.stamps {
 		if now, err := f.Stamp(name); err != nil || now != old {
 			return false
 		}
 	}
-	return len(p.stamps) > 0
+	return len(s.stamps) > 0
 }
--- a/node/peer/config.go
+++ b/node/peer/config.go
@@ -17,13 +17,13 @@
 
 // announceConfig announces each new version on all links until ctx ends.
 func (m *Mesh) announceConfig(ctx context.Context) {
-	var seen uint64
+	var announced uint64
 	for {
-		st, err := m.deps.Config.Next(ctx, seen)
+		st, err := m.deps.Config.Next(ctx, announced)
 		if err != nil {
 			return // ctx ended
 		}
-		seen = st.Version
+		announced = st.Version
 		m.mu.Lock()
 		for l := range m.links {
 			l.queueHead()
--- a/node/peer/usage.go
+++ b/node/peer/usage.go
@@ -48,7 +48,7 @@
 	Own func() []UsageEntry
 	// OnTotals receives the totals over the other hosts for some of these keys.
 	// hosts is the number of live hosts, this one included.
-	OnTotals func(hosts int, sums []UsageEntry)
+	OnTotals func(hosts int, totals []UsageEntry)
 
 	mu       sync.Mutex
 	reported map[string]map[string]reportedUsage // by key, then host
@@ -126,18 +126,18 @@
 		for _, s := range m.deps.Usage.Own() {
 			byBucket[bucketOf(s.Key)] = append(byBucket[bucketOf(s.Key)], s)
 		}
-		for b, sums := range byBucket {
-			m.shareBucket(ctx, member.Rendezvous(b, live), sums, len(live))
+		for b, entries := range byBucket {
+			m.shareBucket(ctx, member.Rendezvous(b, live), entries, len(live))
 		}
 	}
 }
 
 // shareBucket exchanges the entries of one bucket with its aggregator, which may be
 // this host.
-func (m *Mesh) shareBucket(ctx context.Context, aggregator member.Host, sums []UsageEntry, hosts int) {
+func (m *Mesh) shareBucket(ctx context.Context, aggregator member.Host, entries []UsageEntry, hosts int) {
 	self := m.Self()
 	r := &peerpb.UsageReport{Host: self.Name, Incarnation: self.Incarnation}
-	for _, s := range sums {
+	for _, s := range entries {
 		r.Sums = append(r.Sums, &peerpb.Sum{Key: s.Key, A: s.A, B: s.B})
 	}
 	if aggregator.Name == self.Name {
--- a/node/query/freshness.go
+++ b/node/query/freshness.go
@@ -103,31 +103,31 @@
 
 // Record records a version that a host reported. A late or repeated report with a
 // lower version changes nothing.
-func (c *VersionTracker) Record(host string, version uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.hosts[host].Version <= version {
-		c.hosts[host] = HostVersion{host, version, c.now()}
+func (t *VersionTracker) Record(host string, version uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.hosts[host].Version <= version {
+		t.hosts[host] = HostVersion{host, version, t.now()}
 	}
 }
 
 // Forget deletes the record of a host that restarted, so that the report of its
 // former process does not count for the new one.
-func (c *VersionTracker) Forget(host string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.hosts, host)
+func (t *VersionTracker) Forget(host string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.hosts, host)
 }
 
 // HostsBelow returns the live entry hosts of a list that have not reported version
 // or a higher one, sorted by name, each with the version that it last reported (0:
 // unknown). When none is left, the change is in force everywhere.
-func (c *VersionTracker) HostsBelow(version uint64, listed []store.Host) []HostVersion {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (t *VersionTracker) HostsBelow(version uint64, listed []store.Host) []HostVersion {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var out []HostVersion
 	for _, h := range listed {
-		v := c.hosts[h.Name]
+		v := t.hosts[h.Name]
 		if h.Role == store.RoleEntry && h.State == store.HostLive && v.Version < version {
 			v.Host = h.Name
 			out = append(out, v)
