--- a/node/command/audit.go
+++ b/node/command/audit.go
@@ -18,29 +18,31 @@
 	"peridotpier.example/node/store"
 )
 
-// Where the audit trail is kept.
+// The archiving of the audit trail.
 const (
-	// keepRows is how many of the newest entries stay in the table: a few
-	// hours at 3,200 changes a day.
-	keepRows = 500
-	// archiveEvery is the pause between looks for a full batch; one batch of
-	// 100 takes 45 minutes at 3,200 changes a day.
-	archiveEvery = 10 * time.Minute
-	// archiveNeeds is the lease time that moving one batch may take.
-	archiveNeeds = 3 * time.Second
+	// retainedRows is how many of the newest entries stay in the table: those of
+	// a few hours at 3,200 changes a day.
+	retainedRows = 500
+	// archiveInterval is the mean time between two checks for a full batch. At
+	// 3,200 changes a day a batch of 100 entries fills in 45 minutes.
+	archiveInterval = 10 * time.Minute
+	// minLeaseLeft is how much time the lease must have left before the rows of a
+	// batch are deleted: the deletion may take as long.
+	minLeaseLeft = 3 * time.Second
 )
 
 // AuditLease is the name of the archiver's lease.
 const AuditLease = "audit-archive"
 
-// Archiver moves old audit entries from the table to the object store. Only
-// the holder of the lease AuditLease runs it.
+// Archiver moves old audit entries from the table to the object store, while this
+// process holds the lease AuditLease.
 type Archiver struct {
 	deps Deps
 	role *lease.Lease
 }
 
-// NewArchiver makes an archiver under role, whose owner runs the lease.
+// NewArchiver returns an archiver that acts under the lease role. The caller must
+// run the lease.
 func NewArchiver(deps Deps, role *lease.Lease) *Archiver {
 	if deps.Log == nil {
 		deps.Log = event.NewLog(nil)
@@ -50,7 +52,7 @@
 
 // Run archives until ctx ends.
 func (a *Archiver) Run(ctx context.Context) error {
-	for pace.Sleep(ctx, pace.DefaultRand().Jitter(archiveEvery, 0.1)) {
+	for pace.Sleep(ctx, pace.DefaultRand().Jitter(archiveInterval, 0.1)) {
 		for moved, err := a.ArchiveNext(ctx); moved || err != nil; moved, err = a.ArchiveNext(ctx) {
 			if err != nil {
 				a.deps.Log.Emit(event.AuditArchiveFailed, zap.Error(err))
@@ -61,10 +63,10 @@
 	return ctx.Err()
 }
 
-// ArchiveNext moves one batch, if this process holds the lease and one is due. The
-// object is written before the rows go, in a write that is conditional on the
-// lease's term: a reader finds each entry in one place or in both, and two
-// archivers cannot move the same batch.
+// ArchiveNext moves one batch, if this process holds the lease and a batch is due,
+// and reports whether it did. The object is written first; then the rows are
+// deleted in a write that is conditional on the lease's term. A reader thus finds
+// each entry in one place or in both, and two archivers cannot move the same batch.
 func (a *Archiver) ArchiveNext(ctx context.Context) (moved bool, err error) {
 	term, ok := a.role.Term()
 	if !ok {
@@ -75,25 +77,25 @@
 		return false, storeError(fault.StepTable, err, "read the archive's state")
 	}
 	var head revision.Head
-	var batch, at uint64
+	var batch, rowVersion uint64
 	for _, r := range rows {
 		if r.Key == revision.HeadKey {
 			head, err = revision.Decode[revision.Head](r.Value)
 		} else {
-			at = r.Version
+			rowVersion = r.Version
 			batch, err = strconv.ParseUint(string(r.Value), 10, 64)
 		}
 		if err != nil {
 			return false, fault.From(fault.StepConfig, err)
 		}
 	}
-	if _, last := revision.BatchVersions(batch); last+keepRows > head.Version {
+	if _, last := revision.BatchVersions(batch); last+retainedRows > head.Version {
 		return false, nil
 	}
-	return a.move(ctx, term, batch, at)
+	return a.move(ctx, term, batch, rowVersion)
 }
 
-func (a *Archiver) move(ctx context.Context, term lease.Term, batch, at uint64) (bool, error) {
+func (a *Archiver) move(ctx context.Context, term lease.Term, batch, rowVersion uint64) (bool, error) {
 	first, last := revision.BatchVersions(batch)
 	rows, err := a.deps.Table.List(ctx, revision.AuditPrefix, revision.AuditKey(last+1), revision.BatchSize)
 	if err != nil {
@@ -115,11 +117,11 @@
 	if err := a.deps.Objects.Put(ctx, revision.ArchiveName(batch), data); err != nil {
 		return false, storeError(fault.StepObject, err, "store batch %d", batch)
 	}
-	if err := a.role.Check(term.Epoch, archiveNeeds); err != nil {
+	if err := a.role.Check(term.Epoch, minLeaseLeft); err != nil {
 		return false, nil
 	}
 	_, err = store.CommitResolved(ctx, a.deps.Table, store.Txn{Op: uuid.NewString(), Writes: writes,
-		Conds: []store.Cond{term.Guard, {Key: revision.ArchiveKey, Version: at}}})
+		Conds: []store.Cond{term.Guard, {Key: revision.ArchiveKey, Version: rowVersion}}})
 	if err != nil {
 		return false, storeError(fault.StepTable, err, "drop batch %d", batch)
 	}
--- a/node/command/config.go
+++ b/node/command/config.go
@@ -1,5 +1,5 @@
-// Package command changes what the whole site shares: the configuration, the
-// preset in force, and where the audit trail is kept.
+// Package command changes the state that all hosts of a site share: the
+// configuration, the preset in force, and where the audit trail is kept.
 package command
 
 import (
@@ -22,10 +22,11 @@
 	"peridotpier.example/node/store"
 )
 
-// putPause is the wait between tries to store a document whose answer was lost.
-const putPause = 50 * time.Millisecond
+// putRetryPause is the wait before a document is stored again after the answer was
+// lost.
+const putRetryPause = 50 * time.Millisecond
 
-// Deps are what the commands work with; Now and Log may be nil.
+// Deps are the dependencies of the commands. Now and Log may be nil.
 type Deps struct {
 	Table   store.Table
 	Objects store.Objects
@@ -33,10 +34,11 @@
 	Now     func() time.Time
 }
 
-// Configuration changes the configuration and the preset in force.
+// Configuration executes commands that change the configuration or the preset in
+// force.
 type Configuration struct{ deps Deps }
 
-// NewConfiguration makes the commands.
+// NewConfiguration returns a Configuration.
 func NewConfiguration(deps Deps) *Configuration {
 	if deps.Now == nil {
 		deps.Now = time.Now
@@ -47,98 +49,101 @@
 	return &Configuration{deps: deps}
 }
 
-// ApplyRequest is one operator's wish for a new configuration.
+// ApplyRequest is an operator's request to apply a new configuration.
 type ApplyRequest struct {
 	Author   string
-	Parent   uint64 // the version that the document was made from; 0: there is none yet
+	Parent   uint64 // the version that the document is based on; 0: there is none yet
 	Document []byte
-	Preset   string // to be in force with it; "": the one now in force, or the document's first
+	Preset   string // to put in force; "": the one in force now, or else the document's first
 }
 
-// UsePresetRequest is one operator's wish for another preset.
+// UsePresetRequest is an operator's request to put another preset in force.
 type UsePresetRequest struct {
 	Author string
-	Parent uint64 // the version that the operator saw; 0: whichever is in force
+	Parent uint64 // the version that the operator saw; 0: any
 	Preset string
 }
 
-// InvalidError lists what is wrong with a document.
+// InvalidError lists the faults of a configuration document.
 type InvalidError struct{ Faults []config.Fault }
 
-// maxShown is how many faults an error message names; Faults has them all.
-const maxShown = 5
+// maxShownFaults is the maximum number of faults in an error message.
+// InvalidError.Faults has all of them.
+const maxShownFaults = 5
 
-// Error writes the first faults.
+// Error implements error. The message has the first faults only.
 func (e *InvalidError) Error() string {
 	var lines []string
-	for _, f := range e.Faults[:min(len(e.Faults), maxShown)] {
+	for _, f := range e.Faults[:min(len(e.Faults), maxShownFaults)] {
 		lines = append(lines, f.String())
 	}
 	return fmt.Sprintf("invalid configuration, %d faults: %s", len(e.Faults), strings.Join(lines, "; "))
 }
 
-// ConflictError says that another change came first; nothing was changed.
+// ConflictError means that another change was committed first. The command changed
+// nothing.
 type ConflictError struct {
 	Parent  uint64
 	Current revision.Head
 }
 
-// Error names the winner and what to do.
+// Error implements error. The message names the change in force and says what to
+// do.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("version %d is in force (by %s at %s), not %d: look at it, then repeat the change upon it",
 		e.Current.Version, e.Current.Author, e.Current.At.Format(time.RFC3339), e.Parent)
 }
 
-// Apply checks a configuration and puts it in force, with its audit entry, in
-// one conditional write. Errors are fault.Errors around InvalidError,
-// ConflictError or the platform's own; store.ErrInDoubt means that ctx
-// ended before it was known which.
+// Apply checks a configuration and puts it in force, with its audit entry, in one
+// conditional write. Its errors are fault.Errors that wrap an InvalidError, a
+// ConflictError or an error of package store; store.ErrUnconfirmed means that ctx
+// ended before the outcome of the write was known.
 func (c *Configuration) Apply(ctx context.Context, a ApplyRequest) (revision.Head, error) {
 	cfg, faults := config.Parse(a.Document)
 	if len(faults) > 0 {
 		return revision.Head{}, refuse(fault.CodeBadRequest, &InvalidError{faults})
 	}
-	cur, err := c.current(ctx)
+	cur, err := c.readHead(ctx)
 	if err != nil {
 		return revision.Head{}, err
 	}
 	if cur.head.Version != a.Parent {
 		return cur.head, refuse(fault.CodeConflict, &ConflictError{a.Parent, cur.head})
 	}
-	preset, err := presetFor(cfg, a.Preset, cur.head.Preset)
+	preset, err := choosePreset(cfg, a.Preset, cur.head.Preset)
 	if err != nil {
 		return revision.Head{}, err
 	}
-	old, err := c.document(ctx, cur.head)
+	old, err := c.readDocument(ctx, cur.head)
 	if err != nil {
 		return revision.Head{}, err
 	}
 	digest := revision.Digest(a.Document)
-	if err := c.put(ctx, digest, a.Document); err != nil {
+	if err := c.putDocument(ctx, digest, a.Document); err != nil {
 		return revision.Head{}, err
 	}
 	return c.commit(ctx, cur, revision.Entry{Action: revision.ActionApply, Changes: revision.Changes(old, cfg),
 		Head: revision.Head{Digest: digest, Preset: preset, Author: a.Author}})
 }
 
-// UsePreset puts another preset in force, with its audit entry, in one
-// conditional write. A preset that is in force already is left as it is.
+// UsePreset puts another preset in force, with its audit entry, in one conditional
+// write. If the preset is in force already, it writes nothing.
 func (c *Configuration) UsePreset(ctx context.Context, u UsePresetRequest) (revision.Head, error) {
-	cur, err := c.current(ctx)
+	cur, err := c.readHead(ctx)
 	if err != nil {
 		return revision.Head{}, err
 	}
 	if u.Parent != 0 && u.Parent != cur.head.Version {
 		return cur.head, refuse(fault.CodeConflict, &ConflictError{u.Parent, cur.head})
 	}
-	cfg, err := c.document(ctx, cur.head)
+	cfg, err := c.readDocument(ctx, cur.head)
 	if err != nil {
 		return revision.Head{}, err
 	}
 	if cfg == nil {
 		return revision.Head{}, refuse(fault.CodeNotFound, errors.New("no configuration yet: apply one first"))
 	}
-	if _, err := presetFor(cfg, u.Preset, ""); err != nil {
+	if _, err := choosePreset(cfg, u.Preset, ""); err != nil {
 		return revision.Head{}, err
 	}
 	if u.Preset == cur.head.Preset {
@@ -149,37 +154,38 @@
 		Head:    revision.Head{Digest: cur.head.Digest, Preset: u.Preset, Author: u.Author}})
 }
 
-// current is the head in force with the version of its row.
-type current struct {
-	head revision.Head
-	row  uint64
+// headRow is the head in force with the version of its row.
+type headRow struct {
+	head    revision.Head
+	version uint64
 }
 
-func (c *Configuration) current(ctx context.Context) (current, error) {
+func (c *Configuration) readHead(ctx context.Context) (headRow, error) {
 	rows, err := c.deps.Table.Get(ctx, revision.HeadKey)
 	if err != nil {
-		return current{}, storeError(fault.StepTable, err, "read the head")
+		return headRow{}, storeError(fault.StepTable, err, "read the head")
 	}
 	if len(rows) == 0 {
-		return current{row: store.Absent}, nil
+		return headRow{version: store.Absent}, nil
 	}
 	head, err := revision.Decode[revision.Head](rows[0].Value)
 	if err != nil {
-		return current{}, fault.From(fault.StepConfig, err)
+		return headRow{}, fault.From(fault.StepConfig, err)
 	}
-	return current{head, rows[0].Version}, nil
+	return headRow{head, rows[0].Version}, nil
 }
 
-// document reads the configuration of a head; nil where there is none yet.
-func (c *Configuration) document(ctx context.Context, h revision.Head) (*config.Config, error) {
+// readDocument reads the configuration of a head. It returns nil if there is none
+// yet.
+func (c *Configuration) readDocument(ctx context.Context, h revision.Head) (*config.Config, error) {
 	if h.Version == 0 {
 		return nil, nil
 	}
-	packed, err := c.deps.Objects.Get(ctx, revision.DocumentName(h.Digest))
+	compressed, err := c.deps.Objects.Get(ctx, revision.DocumentName(h.Digest))
 	if err != nil {
 		return nil, storeError(fault.StepObject, err, "read the document in force")
 	}
-	doc, err := revision.DecompressVerified(packed, h.Digest)
+	doc, err := revision.DecompressVerified(compressed, h.Digest)
 	if err != nil {
 		return nil, fault.From(fault.StepConfig, err)
 	}
@@ -190,27 +196,28 @@
 	return cfg, nil
 }
 
-// put stores a document before the head that names it: a head must never
-// name what is not there. What a lost race leaves behind is harmless. A
-// conflict means that the same document is there, compressed otherwise.
-func (c *Configuration) put(ctx context.Context, digest string, doc []byte) error {
-	packed, err := revision.Compress(doc)
+// putDocument stores a document. It must be called before the head that refers to
+// the document is written: a head must never refer to a missing document. A
+// document that remains after a lost race is harmless. A conflict means that the
+// same document is stored already, compressed in another way.
+func (c *Configuration) putDocument(ctx context.Context, digest string, doc []byte) error {
+	compressed, err := revision.Compress(doc)
 	if err != nil {
 		return fault.From(fault.StepConfig, err)
 	}
 	for {
-		err := c.deps.Objects.Put(ctx, revision.DocumentName(digest), packed)
+		err := c.deps.Objects.Put(ctx, revision.DocumentName(digest), compressed)
 		if err == nil || errors.Is(err, store.ErrConflict) {
 			return nil
 		}
-		if !errors.Is(err, store.ErrUnconfirmed) || !pace.Sleep(ctx, putPause) {
-			// The head is untouched, so the change did not run even if this write did.
+		if !errors.Is(err, store.ErrUnconfirmed) || !pace.Sleep(ctx, putRetryPause) {
+			// The head is unchanged, so the command did not run even if this write took effect.
 			return fault.NotRun(fault.StepObject, "platform", fault.CodeStoreUnavailable, "store the document: %w", err)
 		}
 	}
 }
 
-func (c *Configuration) commit(ctx context.Context, cur current, e revision.Entry) (revision.Head, error) {
+func (c *Configuration) commit(ctx context.Context, cur headRow, e revision.Entry) (revision.Head, error) {
 	e.Version, e.At = cur.head.Version+1, c.deps.Now().UTC()
 	e.FromVersion, e.FromDigest, e.FromPreset = cur.head.Version, cur.head.Digest, cur.head.Preset
 	head, err := json.Marshal(e.Head)
@@ -222,7 +229,7 @@
 		return revision.Head{}, fault.From(fault.StepConfig, err)
 	}
 	_, err = store.CommitResolved(ctx, c.deps.Table, store.Txn{Op: uuid.NewString(),
-		Conds: []store.Cond{{Key: revision.HeadKey, Version: cur.row}},
+		Conds: []store.Cond{{Key: revision.HeadKey, Version: cur.version}},
 		Writes: []store.Write{{Key: revision.HeadKey, Value: head},
 			{Key: revision.AuditKey(e.Version), Value: entry}}})
 	if errors.Is(err, store.ErrConflict) {
@@ -236,19 +243,21 @@
 	return e.Head, nil
 }
 
-// lostRace reads who won, for the message.
-func (c *Configuration) lostRace(ctx context.Context, cur current) (revision.Head, error) {
-	won, err := c.current(ctx)
+// lostRace returns the ConflictError of a commit that lost against another change,
+// and reads that change for the message.
+func (c *Configuration) lostRace(ctx context.Context, cur headRow) (revision.Head, error) {
+	winner, err := c.readHead(ctx)
 	if err != nil {
-		won = current{}
+		winner = headRow{}
 	}
-	return won.head, refuse(fault.CodeConflict, &ConflictError{cur.head.Version, won.head})
+	return winner.head, refuse(fault.CodeConflict, &ConflictError{cur.head.Version, winner.head})
 }
 
-// presetFor picks the preset to be in force with cfg.
-func presetFor(cfg *config.Config, wanted, now string) (string, error) {
+// choosePreset returns the preset to put in force with cfg: the wanted one, else
+// the one in force, else the first. The preset must exist in cfg.
+func choosePreset(cfg *config.Config, wanted, inForce string) (string, error) {
 	if wanted == "" {
-		wanted = now
+		wanted = inForce
 	}
 	if wanted == "" {
 		return cfg.Presets[0].Name, nil
@@ -268,8 +277,8 @@
 	return fault.NotRun(fault.StepConfig, "", code, "%w", err)
 }
 
-// storeError carries a platform error to the operator: not run, unless the
-// answer was lost.
+// storeError wraps an error of package store for the operator. The outcome is "not
+// run", unless the answer was lost.
 func storeError(step fault.Step, err error, format string, args ...any) error {
 	err = eris.Wrapf(err, format, args...)
 	if errors.Is(err, store.ErrUnconfirmed) {
--- a/node/keys/handshake.go
+++ b/node/keys/handshake.go
@@ -15,56 +15,59 @@
 )
 
 const (
-	// handshakeBound is how long the other side may take over a handshake.
-	handshakeBound = 5 * time.Second
-	// refusalsEach and refusalsBurst bound the lines that strangers can cause:
-	// a scanner must not fill the log.
-	refusalsEach  = time.Second
-	refusalsBurst = 20
+	// handshakeTimeout bounds a TLS handshake with a peer.
+	handshakeTimeout = 5 * time.Second
+	// refusalLogInterval and refusalLogBurst limit the rate of the log entries that
+	// unknown clients can cause: a scanner must not fill the log.
+	refusalLogInterval = time.Second
+	refusalLogBurst    = 20
 )
 
-// refusals writes refused handshakes, so many at most.
-type refusals struct {
-	log      *event.Log
-	limit    *rate.Limiter
-	heldBack *atomic.Int64
+// refusalLog logs refused handshakes at a limited rate.
+type refusalLog struct {
+	log        *event.Log
+	limit      *rate.Limiter
+	suppressed *atomic.Int64 // events over the limit since the last one logged
 }
 
-func newRefusals(log *event.Log) refusals {
-	return refusals{log: log, limit: rate.NewLimiter(rate.Every(refusalsEach), refusalsBurst), heldBack: new(atomic.Int64)}
+func newRefusalLog(log *event.Log) refusalLog {
+	return refusalLog{log: log, limit: rate.NewLimiter(rate.Every(refusalLogInterval), refusalLogBurst), suppressed: new(atomic.Int64)}
 }
 
-func (r refusals) emit(e event.Event, fields ...zap.Field) {
+func (r refusalLog) emit(e event.Event, fields ...zap.Field) {
 	if !r.limit.Allow() {
-		r.heldBack.Add(1)
+		r.suppressed.Add(1)
 		return
 	}
-	r.log.Emit(e, append(fields, zap.Int64("held_back", r.heldBack.Swap(0)))...)
+	r.log.Emit(e, append(fields, zap.Int64("held_back", r.suppressed.Swap(0)))...)
 }
 
-// LogRefused writes a handshake that failed on a listener.
+// LogRefused logs a handshake that failed on a listener, at a limited rate.
 func (r *Ring) LogRefused(listener, peer, reason string) {
-	r.refused.emit(event.HandshakeRefused, zap.String("where", listener), zap.String(event.FieldPeer, peer), zap.String("reason", reason))
+	r.refusals.emit(event.HandshakeRefused, zap.String("where", listener), zap.String(event.FieldPeer, peer), zap.String("reason", reason))
 }
 
-// CallerListener wraps the callers' listener in TLS where the settings say so.
-func (r *Ring) CallerListener(ln net.Listener) net.Listener { return secure(ln, r.caller) }
+// CallerListener wraps the callers' listener in TLS if the settings name a
+// certificate for it.
+func (r *Ring) CallerListener(ln net.Listener) net.Listener { return wrapTLS(ln, r.caller) }
 
-// OperatorListener wraps the operators' listener.
-func (r *Ring) OperatorListener(ln net.Listener) net.Listener { return secure(ln, r.operator) }
+// OperatorListener wraps the operators' listener in TLS if the settings name a
+// certificate for it.
+func (r *Ring) OperatorListener(ln net.Listener) net.Listener { return wrapTLS(ln, r.operator) }
 
-func secure(ln net.Listener, id *identity) net.Listener {
-	c := id.server()
+func wrapTLS(ln net.Listener, id *identity) net.Listener {
+	c := id.serverTLS()
 	if c == nil {
 		return ln
 	}
 	return tls.NewListener(ln, c)
 }
 
-// PeerListener wraps the listener for entry hosts. What serves it does not say why a
-// connection ended, so the wrapper does.
+// PeerListener wraps the listener for entry hosts in TLS if the settings name a
+// certificate for it. The server on it does not log why a connection ended, so the
+// listener logs failed handshakes.
 func (r *Ring) PeerListener(ln net.Listener) net.Listener {
-	c := r.peer.server()
+	c := r.peer.serverTLS()
 	if c == nil {
 		return ln
 	}
@@ -78,7 +81,8 @@
 }
 
 // Accept implements net.Listener. The handshake runs at the first use of the
-// connection, in whoever uses it: here, one slow stranger would keep all others out.
+// connection, in the goroutine that uses it: if it ran here, one slow client would
+// block all others.
 func (l *peerListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -87,6 +91,8 @@
 	return &peerConn{Conn: tls.Server(c, l.config), ring: l.ring}, nil
 }
 
+// peerConn is a server-side TLS connection with a bounded handshake, whose failure
+// is logged.
 type peerConn struct {
 	*tls.Conn
 	ring *Ring
@@ -96,7 +102,7 @@
 
 func (c *peerConn) handshake() error {
 	c.once.Do(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), handshakeBound)
+		ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 		defer cancel()
 		if c.err = c.Conn.HandshakeContext(ctx); c.err != nil {
 			c.ring.LogRefused("peers", c.RemoteAddr().String(), c.err.Error())
@@ -121,27 +127,27 @@
 	return c.Conn.Write(p)
 }
 
-// PeersUseTLS says whether entry hosts talk over TLS.
+// PeersUseTLS reports whether entry hosts communicate over TLS.
 func (r *Ring) PeersUseTLS() bool { return r.peer.files != nil }
 
-// SecurePeerConn makes a connection to a peer secure where the settings say so. It
-// closes nc when it fails.
+// SecurePeerConn performs the client's TLS handshake on a connection to the peer at
+// address. Without TLS for peers it returns nc unchanged. It closes nc when it fails.
 func (r *Ring) SecurePeerConn(ctx context.Context, nc net.Conn, address string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		_ = nc.Close()
 		return nil, err
 	}
-	cfg := r.peer.client(host)
+	cfg := r.peer.clientTLS(host)
 	if cfg == nil {
 		return nc, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, handshakeBound)
+	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	c := tls.Client(nc, cfg)
 	if err := c.HandshakeContext(ctx); err != nil {
 		_ = nc.Close()
-		r.refused.emit(event.PeerCertRefused, zap.String(event.FieldPeer, address), zap.String("reason", err.Error()))
+		r.refusals.emit(event.PeerCertRefused, zap.String(event.FieldPeer, address), zap.String("reason", err.Error()))
 		return nil, err
 	}
 	return c, nil
--- a/node/store/rest/client.go
+++ b/node/store/rest/client.go
@@ -19,17 +19,17 @@
 
 // Defaults of a client.
 const (
-	defaultTimeout = 2 * time.Second // for one call; the services answer within tens of milliseconds
-	maxAnswer      = 64 << 20        // bytes; above the largest object that the system stores
-	idleConns      = 16              // to each service; above the calls that one host has open at once
+	defaultTimeout = 2 * time.Second // of one call; the services answer within tens of milliseconds
+	maxAnswerBytes = 64 << 20        // bytes; above the largest object that the system stores
+	maxIdleConns   = 16              // per service; above the number of calls that one host has open at a time
 	idleTimeout    = 30 * time.Second
 )
 
-// Config addresses one service or all of them.
+// Config gives the address of one platform service, or of all of them.
 type Config struct {
 	BaseURL string        // "http://IP:port" or "https://IP:port"
-	Timeout time.Duration // of one call; 0: two seconds
-	TLS     *tls.Config   // for https; nil: the system's roots
+	Timeout time.Duration // of one call; 0: 2 s
+	TLS     *tls.Config   // for https; nil: the system's root certificates
 }
 
 // Client calls the platform's services. It implements store.Table,
@@ -47,18 +47,19 @@
 	_ store.Objects = Objects{}
 )
 
-// New makes a client. Close ends it.
+// New returns a client. The caller must call Close when it no longer needs the
+// client.
 func New(cfg Config) *Client {
 	if cfg.Timeout == 0 {
 		cfg.Timeout = defaultTimeout
 	}
-	tr := &http.Transport{MaxIdleConnsPerHost: idleConns, IdleConnTimeout: idleTimeout,
+	tr := &http.Transport{MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: idleTimeout,
 		TLSClientConfig: cfg.TLS}
 	return &Client{base: cfg.BaseURL, timeout: cfg.Timeout, http: &http.Client{Transport: tr,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Commit implements store.Table.
@@ -85,7 +86,7 @@
 // Hosts implements store.Hosts.
 func (c *Client) Hosts(ctx context.Context) ([]store.Host, error) {
 	var a HostList
-	err := c.call(ctx, request{method: http.MethodGet, path: PathHosts, lost: store.ErrUnavailable}, decode(&a))
+	err := c.call(ctx, request{method: http.MethodGet, path: PathHosts, errIfLost: store.ErrUnavailable}, decode(&a))
 	return a.Hosts, err
 }
 
@@ -109,14 +110,14 @@
 
 // Put implements store.Objects.
 func (o Objects) Put(ctx context.Context, name string, data []byte) error {
-	r := request{method: http.MethodPut, path: PathObject + url.PathEscape(name), body: data, lost: store.ErrUnconfirmed}
+	r := request{method: http.MethodPut, path: PathObject + url.PathEscape(name), body: data, errIfLost: store.ErrUnconfirmed}
 	return o.c.call(ctx, r, decode(&struct{}{}))
 }
 
 // Get implements store.Objects.
 func (o Objects) Get(ctx context.Context, name string) ([]byte, error) {
 	var data []byte
-	r := request{method: http.MethodGet, path: PathObject + url.PathEscape(name), lost: store.ErrUnavailable}
+	r := request{method: http.MethodGet, path: PathObject + url.PathEscape(name), errIfLost: store.ErrUnavailable}
 	err := o.c.call(ctx, r, func(b []byte) error { data = b; return nil })
 	return data, err
 }
@@ -125,25 +126,25 @@
 func (o Objects) List(ctx context.Context, prefix, after string, limit int) ([]string, error) {
 	q := url.Values{"prefix": {prefix}, "after": {after}, "limit": {strconv.Itoa(limit)}}
 	var a Names
-	r := request{method: http.MethodGet, path: PathObjects + "?" + q.Encode(), lost: store.ErrUnavailable}
+	r := request{method: http.MethodGet, path: PathObjects + "?" + q.Encode(), errIfLost: store.ErrUnavailable}
 	err := o.c.call(ctx, r, decode(&a))
 	return a.Names, err
 }
 
-// request is one call; lost is the error when its answer is lost, which is
-// ErrInDoubt for whatever changes state.
+// request describes one call. errIfLost is the error to return when the answer is
+// lost; it is ErrUnconfirmed for calls that change state.
 type request struct {
 	method, path string
 	body         []byte
-	lost         error
+	errIfLost    error
 }
 
-func (c *Client) post(ctx context.Context, path string, lost error, in, out any) error {
+func (c *Client) post(ctx context.Context, path string, errIfLost error, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return fmt.Errorf("encode %s: %w", path, err)
 	}
-	return c.call(ctx, request{method: http.MethodPost, path: path, body: body, lost: lost}, decode(out))
+	return c.call(ctx, request{method: http.MethodPost, path: path, body: body, errIfLost: errIfLost}, decode(out))
 }
 
 func decode(out any) func([]byte) error {
@@ -151,10 +152,11 @@
 }
 
 // call sends one request and classifies its failure. A call that never got a
-// connection had no effect. From then on every failure is r.lost: bytes may
-// have reached the service even if this side saw the write fail, and taking
-// that for "nothing took effect" would let a caller repeat the act under a
-// new operation id, twice in effect.
+// connection had no effect: its error is ErrUnavailable. From then on every
+// failure that the service did not report itself is r.errIfLost: bytes may have
+// reached the service even if the write failed on this side. If that counted as
+// "nothing took effect", a caller could repeat the operation under a new id, and
+// it would take effect twice.
 func (c *Client) call(ctx context.Context, r request, accept func([]byte) error) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -167,18 +169,18 @@
 	}
 	status, body, err := c.do(req)
 	if err != nil {
-		// Something between may have lost track of all open connections while
-		// new ones work. Each idle one would cost another call its whole
-		// timeout, one after the other; so all of them go with the first.
+		// A device on the path may have lost the state of all open connections
+		// while new ones work. Each idle connection would cost another call its
+		// whole timeout, one after the other, so the first failure closes all.
 		c.http.CloseIdleConnections()
 		if connected.Load() {
-			return fmt.Errorf("%w: %w", r.lost, err)
+			return fmt.Errorf("%w: %w", r.errIfLost, err)
 		}
 		return fmt.Errorf("%w: %w", store.ErrUnavailable, err)
 	}
 	if status == http.StatusOK {
 		if err := accept(body); err != nil {
-			return fmt.Errorf("%w: %w", r.lost, err)
+			return fmt.Errorf("%w: %w", r.errIfLost, err)
 		}
 		return nil
 	}
@@ -188,7 +190,7 @@
 			return err
 		}
 	}
-	return fmt.Errorf("%w: status %d", r.lost, status)
+	return fmt.Errorf("%w: status %d", r.errIfLost, status)
 }
 
 func (c *Client) do(req *http.Request) (status int, body []byte, err error) {
@@ -197,6 +199,6 @@
 		return 0, nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err = io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err = io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	return resp.StatusCode, body, err
 }
