--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -63,8 +63,10 @@
   'if !u.updatePublished() && u.revision.Load() > 0 {' 'if false {' ./node/coordinator -run 'OnlyNewHoldings'
 try "packed configuration" node/coordinator/relay.go \
   'if r.Packed {' 'if false {' ./node/coordinator -run 'Packed'
-try "reports that are too old leave the sums" node/coordinator/sums.go \
-  'if age > reportFresh {' 'if false {' ./node/coordinator -run 'Sums'
+try "reports that are too old leave the sums" node/coordinator/aggregate.go \
+  'if !h.fresh(now) {
+			a.subtractLocked(h)' 'if false {
+			a.subtractLocked(h)' ./node/coordinator -run 'Sums'
 try "number of orders in an order" platform/upstream.go \
   'Expected: o.Expected' 'Expected: 0' ./platform -run 'Adapter|Order'
 try "room for adapters beside models" core/residency/residency.go \
@@ -146,7 +148,7 @@
 try "bound of an answer that is left to write" node/drain/conn.go \
   '_ = rc.SetWriteDeadline(time.Now().Add(answerWriteTimeout))' '' ./node/drain
 try "at most the route's attempts" node/gate/gate.go \
-  'q.maybe < max(q.route.Attempts, 1) && q.mayGoOn(res)' '(q.mayGoOn(res) || true)' ./node/gate
+  'q.possibleRuns < max(q.route.Attempts, 1) && (q.mayRetry(res) || q.retryStarted(res))' '(q.mayRetry(res) || q.retryStarted(res))' ./node/gate
 try "nothing after the beginning of an answer" node/gate/gate.go \
   'if q.largeStarted {' 'if false {' ./node/gate -run 'LargeResponse'
 try "an attempt whose answer has begun" node/gate/attempt.go \
@@ -209,15 +211,9 @@
 try "what a known one explains speaks half" core/poison/judge.go \
   'explained(c, e) && len(e.crashes) < l.policy.MinCrashes' 'false' ./core/poison
 try "the loss of a rack names nobody" core/poison/judge.go \
-<<<<<<< scripts/mutations.sh
   'return all >= l.policy.MinMassCrashes && 2*ran < all' 'return false' ./core/poison
-try "a broken way is no crash" node/quarantine/watch.go \
-  '	if ended {
-=======
-  'return all >= l.policy.MassCrashes && 2*ran < all' 'return false' ./core/poison
 try "a broken way is no crash" node/quarantine/detector.go \
   '	if terminated {
->>>>>>> /tmp/mr
 		w.deps.Metrics' '	if true {
 		w.deps.Metrics' ./node/quarantine
 try "hosts are told what is barred" node/coordinator/quarantine.go \
@@ -256,13 +252,7 @@
 try "a grant that is not counted is not used" node/gate/permit.go \
   'e.Limit().Stated && !permit.WithinLimit' 'false' ./node/gate -run 'NotCounted'
 try "what nothing takes in time is refused at once" node/gate/pick.go \
-<<<<<<< scripts/mutations.sh
-  'p.Reason == balance.AllBackoff && !q.started && (p.inVain ||' 'false && (p.inVain ||' ./platform -run 'SoonestTime'
+  'p.Reason == balance.AllBackoff && !q.started && (p.unservable ||' 'false && (p.unservable ||' ./platform -run 'SoonestTime'
 try "somebody acts while nobody can take the lease" node/coordinator/elector.go \
   'case !own.Acting() && d.Link.isFirstDeputy(ctx):' 'case false:' ./platform -run 'NobodyCanTake'
-=======
-  'p.Reason == balance.AllBackoff && !q.started && (p.unservable ||' 'false && (p.unservable ||' ./platform -run 'SoonestTime'
-try "somebody acts while nobody can take the lease" node/coordinator/lead.go \
-  'case !own.Acting() && d.Link.comesFirst(ctx):' 'case false:' ./platform -run 'NobodyCanTake'
->>>>>>> /tmp/mr
 exit $missed
