--- a/core/admit/pool.go
+++ b/core/admit/pool.go
@@ -7,53 +7,53 @@
 	"peridotpier.example/core/class"
 )
 
-// Pool is the admission of one host to one pool.
+// Pool decides on the admission of one host's requests to one pool.
 type Pool struct {
-	policy Policy
-	queues [class.Count]fairQueue
-	used   [class.Count]int
-	teams  map[string]*teamUse
-	weight float64   // of the active teams together
-	swept  time.Time // when the active teams were last counted
-	hold   time.Duration
+	policy       Policy
+	queues       [class.Count]fairQueue
+	used         [class.Count]int
+	teams        map[string]*teamUsage
+	activeWeight float64   // sum of the active teams' weights
+	countedAt    time.Time // when the active teams were last counted
+	meanHold     time.Duration
 }
 
-type teamUse struct {
-	weight float64
-	used   int
-	peak   float64 // most slots held at once, decayed since
-	peaked time.Time
-	seen   time.Time
+type teamUsage struct {
+	weight    float64
+	used      int
+	peak      float64 // most slots held at once, decaying since
+	decayedAt time.Time
+	lastSeen  time.Time
 }
 
-// NewPool makes the admission of a pool.
+// NewPool returns a pool in which no slot is held.
 func NewPool(p Policy) *Pool {
-	pool := &Pool{policy: p, teams: map[string]*teamUse{}}
+	pool := &Pool{policy: p, teams: map[string]*teamUsage{}}
 	for i := range pool.queues {
 		pool.queues[i] = newFairQueue()
 	}
 	return pool
 }
 
-// Arrive judges a new request. A refusal of another one that it displaced
-// may come with it.
+// Arrive decides on a new request. The last result is the refusal of another request that
+// the new one displaced, or nil.
 func (p *Pool) Arrive(now time.Time, it Item) (Verdict, Refusal, *Refusal) {
-	p.see(now, it)
-	limit := p.policy.limit(it.Class)
+	p.recordArrival(now, it)
+	limit := p.policy.maxSlots(it.Class)
 	switch {
 	case p.policy.Slots <= 0 || (limit <= 0 && it.Class != class.Bulk):
 		return Refused, p.refusal(it, CauseNoCapacity, time.Second), nil
 	case it.Class == class.Bulk && (!p.policy.AcceptBulk || limit <= 0):
 		return Refused, p.refusal(it, CauseBulkDisabled, time.Minute), nil
-	case pastDeadline(now, it, 0):
+	case missesDeadline(now, it, 0):
 		return Refused, p.refusal(it, CauseDeadlineUnreachable, 0), nil
 	}
-	// Whoever waits now may not take what is free: the slots left to newcomers
-	// are not for a team over its share. So a free slot is this request's,
-	// unless its own team waits already.
-	if !p.queues[it.Class].waits(it.Team) && p.mayTake(it.Class, it.Team) {
-		p.queues[it.Class].pass(it)
-		p.take(it)
+	// A free slot may go to the new request unless its own team has requests waiting. The
+	// requests of other teams that wait now may not take it: the slots left free for
+	// newcomers are not available to a team above its fair share.
+	if !p.queues[it.Class].hasWaiting(it.Team) && p.canTake(it.Class, it.Team) {
+		p.queues[it.Class].recordAdmitted(it)
+		p.assign(it)
 		return Admitted, Refusal{}, nil
 	}
 	return p.enqueue(now, it)
@@ -61,8 +61,8 @@
 
 func (p *Pool) enqueue(now time.Time, it Item) (Verdict, Refusal, *Refusal) {
 	q := &p.queues[it.Class]
-	wait := p.waitFor(it.Class, q.ahead(q.startOf(it.Team))+p.waitingAbove(it.Class))
-	if pastDeadline(now, it, wait) {
+	wait := p.predictWait(it.Class, q.countAhead(q.startTag(it.Team))+p.waitingAbove(it.Class))
+	if missesDeadline(now, it, wait) {
 		return Refused, p.refusal(it, CauseDeadlineUnreachable, wait), nil
 	}
 	if q.n < p.policy.QueueMax[it.Class] {
@@ -78,24 +78,23 @@
 	return Queued, Refusal{}, &displaced
 }
 
-// Release gives back a slot that was held for a time, and grants what waits.
+// Release returns a slot that was held for a time, and grants slots to waiting requests.
 func (p *Pool) Release(c class.Class, team string, held time.Duration) Result {
 	p.used[c]--
 	if t := p.teams[team]; t != nil {
 		t.used--
 	}
-	if p.hold == 0 {
-		p.hold = held
+	if p.meanHold == 0 {
+		p.meanHold = held
 	}
-	p.hold += time.Duration(holdWeight * float64(held-p.hold))
+	p.meanHold += time.Duration(holdSampleWeight * float64(held-p.meanHold))
 	return Result{Granted: p.grant()}
 }
 
-// Cancel takes a waiting request out; false when it does not wait any more.
+// Cancel removes a waiting request. It returns false if the request is no longer waiting.
 func (p *Pool) Cancel(c class.Class, id uint64) bool { return p.queues[c].remove(id) }
 
-// SetPolicy puts a new policy in force. Requests that hold a slot keep it, as
-// they were admitted under the policy before.
+// SetPolicy changes the policy. Requests that hold a slot under the previous policy keep it.
 func (p *Pool) SetPolicy(now time.Time, policy Policy) Result {
 	p.policy = policy
 	granted := p.grant()
@@ -104,8 +103,8 @@
 	return r
 }
 
-// ExpireQueued gives up the waiting requests that cannot make their deadline any
-// more, so that their callers hear it now and not when the deadline has come.
+// ExpireQueued refuses the waiting requests that cannot meet their deadlines any more, so
+// that their callers learn it now and not at the deadline.
 func (p *Pool) ExpireQueued(now time.Time) Result {
 	p.countActive(now)
 	var r Result
@@ -113,15 +112,15 @@
 	for c := class.Urgent; ; c-- {
 		q := &p.queues[c]
 		for _, it := range q.ordered() {
-			wait := p.waitFor(c, kept)
-			if pastDeadline(now, it.Item, time.Duration(keepShare*float64(wait))) {
+			wait := p.predictWait(c, kept)
+			if missesDeadline(now, it.Item, time.Duration(keepWaitShare*float64(wait))) {
 				q.remove(it.ID)
 				r.Refused = append(r.Refused, p.refusal(it.Item, CauseDeadlineUnreachable, wait))
 				continue
 			}
 			kept++
 		}
-		q.forget()
+		q.dropIdle()
 		if c == class.Bulk {
 			break
 		}
@@ -130,22 +129,22 @@
 	return r
 }
 
-// Used tells the slots held by a class.
+// Used returns how many slots a class holds.
 func (p *Pool) Used(c class.Class) int { return p.used[c] }
 
-// Waiting tells the requests of a class that wait.
+// Waiting returns how many requests of a class are waiting.
 func (p *Pool) Waiting(c class.Class) int { return p.queues[c].n }
 
-// grant hands free slots to those that wait, most urgent class first.
+// grant assigns free slots to waiting requests, the most urgent class first.
 func (p *Pool) grant() []uint64 {
 	var out []uint64
 	for c := class.Urgent; ; c-- {
 		for p.queues[c].n > 0 {
-			it, ok := p.queues[c].pop(func(team string) bool { return p.mayTake(c, team) })
+			it, ok := p.queues[c].pop(func(team string) bool { return p.canTake(c, team) })
 			if !ok {
 				break
 			}
-			p.take(it)
+			p.assign(it)
 			out = append(out, it.ID)
 		}
 		if c == class.Bulk {
@@ -154,48 +153,49 @@
 	}
 }
 
-func (p *Pool) take(it Item) {
+func (p *Pool) assign(it Item) {
 	p.used[it.Class]++
 	t := p.teams[it.Team]
 	t.used++
 	t.peak = max(t.peak, float64(t.used))
 }
 
-// mayTake says whether there is a slot for the team in the class: a team over
-// its fair share leaves free what those under theirs have lately needed at
-// once, and a few slots for newcomers.
-func (p *Pool) mayTake(c class.Class, team string) bool {
-	free := p.room(c)
+// canTake reports whether the team may take a slot for a request of the class. A team above
+// its fair share leaves free what the teams below theirs have recently needed at once, and
+// a few slots for newcomers.
+func (p *Pool) canTake(c class.Class, team string) bool {
+	free := p.freeSlots(c)
 	if free <= 0 {
 		return false
 	}
 	t := p.teams[team]
-	if float64(t.used) < p.share(t) {
+	if float64(t.used) < p.fairShare(t) {
 		return true
 	}
-	return float64(free) > max(p.keptFrom(team), newcomerShare*float64(p.policy.limit(c)))
+	return float64(free) > max(p.reservedFrom(team), newcomerShare*float64(p.policy.maxSlots(c)))
 }
 
-// share is the slots that the team may count on.
-func (p *Pool) share(t *teamUse) float64 {
-	return t.weight / max(p.weight, t.weight) * float64(p.policy.Slots)
+// fairShare returns the number of slots that the team is entitled to.
+func (p *Pool) fairShare(t *teamUsage) float64 {
+	return t.weight / max(p.activeWeight, t.weight) * float64(p.policy.Slots)
 }
 
-// keptFrom is the slots that other teams, under their shares, have lately held
-// at once and do not hold now. Without them a quiet team waits for a release
-// of the flood: with few slots that is a good part of a request's time.
-func (p *Pool) keptFrom(team string) float64 {
+// reservedFrom returns the number of slots that other teams, within their fair shares, have
+// recently held at once and do not hold now. If these were not reserved, a team with few
+// requests would wait for a release by a flooding team; with few slots that takes a good
+// part of a request's time.
+func (p *Pool) reservedFrom(team string) float64 {
 	kept := 0.0
 	for name, t := range p.teams {
 		if name != team {
-			kept += max(min(t.peak, p.share(t))-float64(t.used), 0)
+			kept += max(min(t.peak, p.fairShare(t))-float64(t.used), 0)
 		}
 	}
 	return kept
 }
 
-// room is the free slots that class c may use.
-func (p *Pool) room(c class.Class) int {
+// freeSlots returns the number of free slots that class c may use.
+func (p *Pool) freeSlots(c class.Class) int {
 	free, held := p.policy.Slots, 0
 	for k := class.Bulk; k < class.Count; k++ {
 		free -= p.used[k]
@@ -203,13 +203,13 @@
 	for k := class.Bulk; k < class.Urgent && c != class.Urgent; k++ {
 		held += p.used[k]
 		if k >= c {
-			free = min(free, p.policy.limit(k)-held)
+			free = min(free, p.policy.maxSlots(k)-held)
 		}
 	}
 	return free
 }
 
-// waitingAbove counts those of more urgent classes.
+// waitingAbove counts the waiting requests of more urgent classes.
 func (p *Pool) waitingAbove(c class.Class) int {
 	n := 0
 	for k := c + 1; k < class.Count; k++ {
@@ -218,63 +218,64 @@
 	return n
 }
 
-// waitFor predicts the wait with so many ahead.
-func (p *Pool) waitFor(c class.Class, ahead int) time.Duration {
-	limit := p.policy.limit(c)
+// predictWait predicts the wait of a request with that many requests ahead of it.
+func (p *Pool) predictWait(c class.Class, ahead int) time.Duration {
+	limit := p.policy.maxSlots(c)
 	if limit <= 0 {
-		return time.Hour // longer than any deadline: nothing will be granted
+		return time.Hour // longer than any deadline: no slot will be granted
 	}
-	return p.hold * time.Duration(ahead+1) / time.Duration(limit)
+	return p.meanHold * time.Duration(ahead+1) / time.Duration(limit)
 }
 
 func (p *Pool) refusal(it Item, cause Cause, wait time.Duration) Refusal {
-	return Refusal{ID: it.ID, Cause: cause, RetryAfter: max(wait, leastRetry)}
+	return Refusal{ID: it.ID, Cause: cause, RetryAfter: max(wait, minRetryAfter)}
 }
 
-func (p *Pool) see(now time.Time, it Item) {
+func (p *Pool) recordArrival(now time.Time, it Item) {
 	t := p.teams[it.Team]
 	if t == nil {
-		t = &teamUse{}
+		t = &teamUsage{}
 		p.teams[it.Team] = t
-		p.swept = time.Time{}
+		p.countedAt = time.Time{}
 	}
-	t.weight, t.seen = float64(max(it.Weight, 1)), now
-	if now.Sub(p.swept) >= time.Second {
+	t.weight, t.lastSeen = float64(max(it.Weight, 1)), now
+	if now.Sub(p.countedAt) >= time.Second {
 		p.countActive(now)
 	}
 }
 
 func (p *Pool) countActive(now time.Time) {
-	p.weight, p.swept = 0, now
+	p.activeWeight, p.countedAt = 0, now
 	for name, t := range p.teams {
-		if t.used == 0 && now.Sub(t.seen) > activeFor && !p.waits(name) {
+		if t.used == 0 && now.Sub(t.lastSeen) > activeWindow && !p.hasWaiting(name) {
 			delete(p.teams, name)
 			continue
 		}
-		p.weight += t.weight
+		p.activeWeight += t.weight
 		t.decay(now)
 	}
 }
 
-// decay lets the peak sink towards what is held, so that a burst of long ago
-// keeps nothing from others.
-func (t *teamUse) decay(now time.Time) {
-	if !t.peaked.IsZero() {
-		keep := math.Exp(-now.Sub(t.peaked).Seconds() / activeFor.Seconds())
+// decay lowers the peak towards the current usage, so that an old burst reserves nothing.
+func (t *teamUsage) decay(now time.Time) {
+	if !t.decayedAt.IsZero() {
+		keep := math.Exp(-now.Sub(t.decayedAt).Seconds() / activeWindow.Seconds())
 		t.peak = max(t.peak*keep, float64(t.used))
 	}
-	t.peaked = now
+	t.decayedAt = now
 }
 
-func (p *Pool) waits(team string) bool {
+func (p *Pool) hasWaiting(team string) bool {
 	for c := range p.queues {
-		if p.queues[c].waits(team) {
+		if p.queues[c].hasWaiting(team) {
 			return true
 		}
 	}
 	return false
 }
 
-// ReleaseUnused gives back a slot that was granted to a request which had left by
-// then. It tells nothing of how long slots are held.
-func (p *Pool) ReleaseUnused(c class.Class, team string) Result { return p.Release(c, team, p.hold) }
+// ReleaseUnused returns a slot that was granted to a request after its caller had left. It
+// does not count for the mean time that slots are held.
+func (p *Pool) ReleaseUnused(c class.Class, team string) Result {
+	return p.Release(c, team, p.meanHold)
+}
--- a/core/config/parse.go
+++ b/core/config/parse.go
@@ -12,19 +12,19 @@
 	"strings"
 )
 
-// Bounds of a document.
+// Limits on a document.
 const (
-	// MaxBytes is the largest document; the design size (2,500 upstreams, 720
-	// models) takes about 1 MB.
+	// MaxBytes is the size of the largest document; one of the design size (2,500
+	// upstreams, 720 models) takes about 1 MB.
 	MaxBytes = 8 << 20
-	// maxDepth is the deepest nesting; a valid document has 5 levels. Without
-	// it, a document of opening brackets alone would exhaust the stack.
+	// maxDepth is the deepest nesting; a valid document has 5 levels. Without this
+	// limit, a document of opening brackets alone would exhaust the stack.
 	maxDepth = 16
 )
 
-// Parse reads a configuration strictly and validates it. It returns either a
-// valid configuration or every fault found: unknown, repeated and mistyped
-// fields first, and only when there are none, what Validate finds.
+// Parse decodes a configuration strictly and validates it. It returns either a
+// valid configuration or every fault found: unknown, repeated and mistyped fields
+// first and, only if there are none, the faults that Validate finds.
 func Parse(data []byte) (*Config, []Fault) {
 	c := new(Config)
 	if faults := ParseStrict(data, c); len(faults) > 0 {
@@ -37,13 +37,13 @@
 }
 
 // ParseStrict decodes one JSON document into out, a pointer to a struct, and
-// returns every unknown, repeated or mistyped field with its path. Settings
-// are read by it as well.
+// returns a fault with its path for every unknown, repeated or mistyped field.
+// Hosts' settings are decoded by it as well.
 func ParseStrict(data []byte, out any) []Fault {
 	if len(data) > MaxBytes {
-		return []Fault{{root, fmt.Sprintf("is %d bytes long, at most %d are read", len(data), MaxBytes)}}
+		return []Fault{{rootPath, fmt.Sprintf("is %d bytes long, at most %d are read", len(data), MaxBytes)}}
 	}
-	s := strict{dec: json.NewDecoder(bytes.NewReader(data)), fields: map[reflect.Type]map[string]reflect.Type{}}
+	s := strictReader{dec: json.NewDecoder(bytes.NewReader(data)), fields: map[reflect.Type]map[string]reflect.Type{}}
 	s.dec.UseNumber()
 	err := s.value(reflect.TypeOf(out).Elem(), "", 0)
 	if err == nil {
@@ -52,28 +52,28 @@
 		}
 	}
 	if err != nil {
-		s.add(root, "is not JSON: %v at byte %d", err, s.dec.InputOffset())
+		s.add(rootPath, "is not JSON: %v at byte %d", err, s.dec.InputOffset())
 		return s.faults
 	}
 	if len(s.faults) == 0 {
 		if err := json.Unmarshal(data, out); err != nil {
-			s.add(root, "cannot be decoded: %v", err)
+			s.add(rootPath, "cannot be decoded: %v", err)
 		}
 	}
 	return s.faults
 }
 
-// strict walks a document beside the type that it is decoded into. The
-// decoder of the library would name an unknown field without its path, take
-// "Name" for "name", and keep the last of two equal keys without a word.
-type strict struct {
+// strictReader walks a document together with the type that it is decoded into.
+// The decoder of encoding/json would report an unknown field without its path,
+// accept "Name" for "name", and silently keep the last of two equal keys.
+type strictReader struct {
 	collector
 	dec    *json.Decoder
-	fields map[reflect.Type]map[string]reflect.Type // of the types met, by name
+	fields map[reflect.Type]map[string]reflect.Type // JSON fields of the types met so far, by name
 }
 
-// value reads one value that should be a t; nil takes anything.
-func (s *strict) value(t reflect.Type, path string, depth int) error {
+// value reads one value that should be of type t; a nil t accepts anything.
+func (s *strictReader) value(t reflect.Type, path string, depth int) error {
 	if depth > maxDepth {
 		return fmt.Errorf("nested deeper than %d", maxDepth)
 	}
@@ -82,50 +82,51 @@
 		return err
 	}
 	if t != nil && t.Kind() == reflect.Pointer {
-		if tok == nil { // null: left out, as the library writes it
+		if tok == nil { // null: a pointer field that was left out, as encoding/json writes it
 			return nil
 		}
 		t = t.Elem()
 	}
 	switch tok {
 	case json.Delim('{'):
-		return s.object(s.expect(t, reflect.Struct, "an object", path), path, depth)
+		return s.object(s.expectKind(t, reflect.Struct, "an object", path), path, depth)
 	case json.Delim('['):
-		return s.array(s.expect(t, reflect.Slice, "a list", path), path, depth)
+		return s.array(s.expectKind(t, reflect.Slice, "a list", path), path, depth)
 	}
 	if t != nil {
-		s.leaf(t, tok, path)
+		s.scalar(t, tok, path)
 	}
 	return nil
 }
 
-// expect returns t when it has the kind, and nil after a fault.
-func (s *strict) expect(t reflect.Type, kind reflect.Kind, found, path string) reflect.Type {
+// expectKind returns t if it has the kind; otherwise it adds a fault and returns
+// nil.
+func (s *strictReader) expectKind(t reflect.Type, kind reflect.Kind, found, path string) reflect.Type {
 	if t == nil || t.Kind() == kind {
 		return t
 	}
-	s.add(orRoot(path), "is %s, must be %s", found, describe(t))
+	s.add(pathOrRoot(path), "is %s, must be %s", found, describe(t))
 	return nil
 }
 
-func (s *strict) object(t reflect.Type, path string, depth int) error {
-	fields, seen := s.fieldsOf(t), map[string]bool{}
+func (s *strictReader) object(t reflect.Type, path string, depth int) error {
+	fields, seen := s.jsonFields(t), map[string]bool{}
 	for s.dec.More() {
 		tok, err := s.dec.Token()
 		if err != nil {
 			return err
 		}
 		name, _ := tok.(string)
-		below := strings.TrimPrefix(path+"."+name, ".")
+		fieldPath := strings.TrimPrefix(path+"."+name, ".")
 		field, known := fields[name]
 		switch {
 		case t != nil && !known:
-			s.add(below, "unknown field %q", name)
+			s.add(fieldPath, "unknown field %q", name)
 		case seen[name]:
-			s.add(below, "stands twice")
+			s.add(fieldPath, "stands twice")
 		}
 		seen[name] = true
-		if err := s.value(field, below, depth+1); err != nil {
+		if err := s.value(field, fieldPath, depth+1); err != nil {
 			return err
 		}
 	}
@@ -133,13 +134,13 @@
 	return err
 }
 
-func (s *strict) array(t reflect.Type, path string, depth int) error {
+func (s *strictReader) array(t reflect.Type, path string, depth int) error {
 	var elem reflect.Type
 	if t != nil {
 		elem = t.Elem()
 	}
 	for i := 0; s.dec.More(); i++ {
-		if err := s.value(elem, at(path, i, ""), depth+1); err != nil {
+		if err := s.value(elem, itemPath(path, i, ""), depth+1); err != nil {
 			return err
 		}
 	}
@@ -147,8 +148,8 @@
 	return err
 }
 
-func (s *strict) leaf(t reflect.Type, tok json.Token, path string) {
-	path = orRoot(path)
+func (s *strictReader) scalar(t reflect.Type, tok json.Token, path string) {
+	path = pathOrRoot(path)
 	switch v := tok.(type) {
 	case string:
 		if u, ok := reflect.New(t).Interface().(encoding.TextUnmarshaler); ok {
@@ -163,15 +164,15 @@
 	case bool:
 		s.check(t.Kind() == reflect.Bool, path, "is %t, must be %s", v, describe(t))
 	default:
-		// The library writes an empty list as null, so null is one on reading too.
+		// encoding/json writes an empty list as null, so null is read as one too.
 		s.check(t.Kind() == reflect.Slice, path, "is null, must be %s", describe(t))
 	}
 }
 
-func (s *strict) number(t reflect.Type, v json.Number, path string) {
+func (s *strictReader) number(t reflect.Type, v json.Number, path string) {
 	var err error
 	switch {
-	case isText(t):
+	case decodesFromText(t):
 		err = errors.New("a number")
 	case t.Kind() == reflect.Int || t.Kind() == reflect.Int64:
 		_, err = strconv.ParseInt(v.String(), 10, 64)
@@ -183,12 +184,13 @@
 	s.check(err == nil, path, "is %.40s, must be %s", v, describe(t))
 }
 
-func isText(t reflect.Type) bool {
+// decodesFromText reports whether a value of type t is written as a string.
+func decodesFromText(t reflect.Type) bool {
 	return reflect.PointerTo(t).Implements(reflect.TypeFor[encoding.TextUnmarshaler]())
 }
 
 func describe(t reflect.Type) string {
-	if isText(t) {
+	if decodesFromText(t) {
 		return "a string"
 	}
 	switch t.Kind() {
@@ -207,7 +209,8 @@
 	}
 }
 
-func (s *strict) fieldsOf(t reflect.Type) map[string]reflect.Type {
+// jsonFields returns the types of a struct's fields by their JSON names.
+func (s *strictReader) jsonFields(t reflect.Type) map[string]reflect.Type {
 	if t == nil || s.fields[t] != nil {
 		return s.fields[t]
 	}
@@ -221,9 +224,9 @@
 	return fields
 }
 
-func orRoot(path string) string {
+func pathOrRoot(path string) string {
 	if path == "" {
-		return root
+		return rootPath
 	}
 	return path
 }
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -30,8 +30,8 @@
 	return ledger.Resident{Artifact: ledger.Artifact{Model: model, Version: "1"}, State: ledger.Ready, MemoryMB: mb}
 }
 
-func model(name string, mb, least int) config.Model {
-	return config.Model{Name: name, Version: "1", MemoryMB: mb, MinReplicas: least}
+func model(name string, mb, minReplicas int) config.Model {
+	return config.Model{Name: name, Version: "1", MemoryMB: mb, MinReplicas: minReplicas}
 }
 
 func snapshot(models []config.Model, upstreams ...Upstream) *Snapshot {
@@ -112,12 +112,12 @@
 	assert.Equal(t, len(Plan(hot, t0).Moves), 0)
 	hot.Budget, hot.LastMove[Key{Model: "a"}] = 1, t0.Add(-time.Minute)
 	assert.Equal(t, len(Plan(hot, t0).Moves), 0, "moved a minute ago")
-	assert.Equal(t, len(Plan(hot, t0.Add(settleFor)).Moves), 1)
+	assert.Equal(t, len(Plan(hot, t0.Add(defaultMoveCooldown)).Moves), 1)
 }
 
-// Symptom: a model stays unreachable for minutes though there is room.
-// Sequence: its load order is lost; the books keep it charged.
-// Cause: a charge taken for a replica on its way for as long as it is in doubt.
+// Guards against a model that stays unreachable for minutes though there is room.
+// Its load order is lost and the ledger keeps it charged; the charge must not
+// count as a replica that is being loaded for as long as it is unconfirmed.
 func TestLostLoadIsOrderedAgain(t *testing.T) {
 	s := snapshot([]config.Model{model("a", 80, 1)}, upstream("u1", "x", 100))
 	d := Plan(s, t0)
@@ -128,15 +128,16 @@
 	assert.DeepEqual(t, text(Plan(s, c.SendBy.Add(sendGrace+1)).Moves), []string{"load a:1 u1 unreachable"})
 }
 
-// site makes a deployment at random with about this share of memory needed.
-func site(seed uint64, runners, models, adapters, capacity int, share float64) *Snapshot {
+// randomSnapshot returns a random deployment that needs about this share of its
+// memory.
+func randomSnapshot(seed uint64, upstreams, models, adapters, capacity int, share float64) *Snapshot {
 	src := rand.New(rand.NewPCG(seed, 1))
 	var ups []Upstream
-	for i := range runners {
+	for i := range upstreams {
 		ups = append(ups, upstream("u"+strconv.Itoa(i), "dc"+strconv.Itoa(i%3), capacity))
 	}
 	s := snapshot(nil, ups...)
-	mean := share * float64(runners*capacity) / float64(models)
+	mean := share * float64(upstreams*capacity) / float64(models)
 	for i := range models {
 		name := "m" + strconv.Itoa(i)
 		s.Models = append(s.Models, model(name, int(mean*(0.4+1.1*src.Float64())), 1))
@@ -148,8 +149,9 @@
 	return s
 }
 
-// settle plans and carries out until the plans come to rest.
-func settle(s *Snapshot, rounds int) (loads int) {
+// planUntilStable plans and applies the moves until a plan has none, for at most
+// so many rounds, and returns the number of loads.
+func planUntilStable(s *Snapshot, rounds int) (loads int) {
 	for round := range rounds {
 		at := t0.Add(time.Duration(round) * 10 * time.Minute)
 		d := Plan(s, at)
@@ -160,16 +162,17 @@
 			if m.Change.Kind == ledger.Load {
 				loads++
 			}
-			s.carryOut(m, at, fmt.Sprint(round, k))
+			s.applyMove(m, at, fmt.Sprint(round, k))
 		}
 	}
 	return loads
 }
 
-func unreachable(s *Snapshot) int {
+// countUnreachable returns how many models and adapters have no confirmed replica.
+func countUnreachable(s *Snapshot) int {
 	n, p := 0, newPlan(s, t0)
-	for _, it := range append(p.models, p.extras...) {
-		if it.firm == 0 {
+	for _, w := range append(p.models, p.adapters...) {
+		if w.confirmedReplicas == 0 {
 			n++
 		}
 	}
@@ -184,26 +187,26 @@
 	}{{"taipei", 12, 26, 64, 0.8}, {"kathmandu", 9, 18, 41, 0.8}} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				s := site(seed, c.runners, c.models, c.adapters, 80_000, c.share)
-				loads := settle(s, 50)
-				assert.Equal(t, unreachable(s), 0, "seed %d", seed)
+				s := randomSnapshot(seed, c.runners, c.models, c.adapters, 80_000, c.share)
+				loads := planUntilStable(s, 50)
+				assert.Equal(t, countUnreachable(s), 0, "seed %d", seed)
 				assert.Assert(t, loads >= c.models+c.adapters)
 				for _, u := range s.Upstreams {
 					assert.Assert(t, u.Row.CommittedMB() <= u.Row.CapacityMB)
 				}
-				again := settle(s, 5)
-				assert.Equal(t, again, 0, "seed %d: comes to rest", seed)
+				again := planUntilStable(s, 5)
+				assert.Equal(t, again, 0, "seed %d: the plans converge", seed)
 			}
 		})
 	}
 }
 
-// Whatever the state, each move has the ledger's leave, and what had a firm
-// replica on a serving upstream keeps one.
+// In any state, the ledger allows each move, and a model with a confirmed replica
+// on a serving upstream keeps one.
 func TestPlanKeepsEveryModelReachable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := site(rapid.Uint64().Draw(t, "seed"), 5, 8, 6, 1000, rapid.Float64Range(0.3, 1.1).Draw(t, "share"))
-		settle(s, rapid.IntRange(0, 20).Draw(t, "rounds"))
+		s := randomSnapshot(rapid.Uint64().Draw(t, "seed"), 5, 8, 6, 1000, rapid.Float64Range(0.3, 1.1).Draw(t, "share"))
+		planUntilStable(s, rapid.IntRange(0, 20).Draw(t, "rounds"))
 		for i := range s.Models {
 			s.Demand[Key{Model: s.Models[i].Name}] = Demand{rapid.Float64Range(0, 20).Draw(t, "d"), 10}
 			s.Models[i].Version = rapid.SampledFrom([]string{"1", "1", "1", "2"}).Draw(t, "version")
@@ -223,16 +226,16 @@
 			}
 		}
 		after := newPlan(s, at)
-		for i, it := range before.models {
-			onDemand := it.least == 0
-			assert.Assert(t, it.firm == 0 || onDemand || after.models[i].firm > 0, "%v lost its last replica", it.key)
+		for i, w := range before.models {
+			onDemand := w.minReplicas == 0
+			assert.Assert(t, w.confirmedReplicas == 0 || onDemand || after.models[i].confirmedReplicas > 0, "%v lost its last replica", w.key)
 		}
 	})
 }
 
 func TestDryRun(t *testing.T) {
-	s := site(1, 9, 18, 41, 80_000, 0.5)
-	settle(s, 50)
+	s := randomSnapshot(1, 9, 18, 41, 80_000, 0.5)
+	planUntilStable(s, 50)
 	calm := DryRun(s, s.Preset, t0)
 	assert.Assert(t, calm.Converged)
 	assert.Equal(t, len(calm.Moves), 0)
@@ -254,18 +257,18 @@
 	assert.NilError(t, Feasible(c, "p"))
 	c.Models[0].MinReplicas = 2
 	err := Feasible(c, "p")
-	assert.ErrorContains(t, err, "pool p: 210 MB must be resident, 200 MB are there, no place for")
+	assert.ErrorContains(t, err, "pool p: 210 MB must be resident, the upstreams have 200 MB; no room for")
 }
 
 func BenchmarkPlan(b *testing.B) {
-	s := site(1, 2500, 720, 1400, 320_000, 0.2)
+	s := randomSnapshot(1, 2500, 720, 1400, 320_000, 0.2)
 	s.Store.Concurrent, s.Budget = 0, 4
 	b.Run("empty", func(b *testing.B) {
 		for range b.N {
 			Plan(s, t0)
 		}
 	})
-	settle(s, 6)
+	planUntilStable(s, 6)
 	for _, m := range s.Models[:50] {
 		s.Demand[Key{Model: m.Name}] = Demand{60, 60}
 	}
@@ -276,12 +279,11 @@
 	})
 }
 
-// Symptom: an upstream stays swamped while others idle.
-// Sequence: a model is asked for through its adapters only; they fill its one
-// upstream.
-// Cause: only the model's own demand was counted, and the adapters had nowhere
-// else to go.
-func TestAModelThatIsCalledThroughAdaptersSpreads(t *testing.T) {
+// Guards against an upstream that stays overloaded while others idle. A model is
+// asked for only through its adapters, which fill its one upstream; if only the
+// model's own demand counted, it would not be spread, and the adapters have
+// nowhere else to go.
+func TestAModelCalledOnlyThroughAdaptersIsSpread(t *testing.T) {
 	adapter := holds("a", 1)
 	adapter.Adapter = "x"
 	s := snapshot([]config.Model{model("a", 40, 1)}, upstream("u1", "x", 100, holds("a", 40), adapter), upstream("u2", "y", 100))
--- a/node/admission/pool.go
+++ b/node/admission/pool.go
@@ -11,26 +11,27 @@
 	"peridotpier.example/core/fault"
 )
 
-// pool guards one core pool and wakes those that wait in it.
+// pool guards one admit.Pool and wakes the requests that wait in it.
 type pool struct {
 	mu      sync.Mutex
 	core    *admit.Pool
 	waiters map[uint64]*waiter
-	next    uint64
+	lastID  uint64
 }
 
-// waiter is one request in a queue. Whoever takes it out of pool.waiters, under
-// the lock, sends to it exactly once; the channel holds one so that the sender
-// never blocks.
+// waiter is one queued request. The goroutine that removes it from pool.waiters, under
+// the lock, sends exactly one result on done, unless it withdraws the request. The
+// channel has a buffer of one, so that the sender never blocks.
 type waiter struct {
 	request Request
-	done    chan error
+	done    chan error // nil: admitted
 }
 
 func newPool() *pool {
 	return &pool{core: admit.NewPool(admit.Policy{}), waiters: map[uint64]*waiter{}}
 }
 
+// admit waits until the request is admitted (nil), refused, or ctx ends.
 func (p *pool) admit(ctx context.Context, r Request, weight int) error {
 	w, id, err := p.arrive(r, weight)
 	if w == nil {
@@ -40,42 +41,43 @@
 	case err := <-w.done:
 		return err
 	case <-ctx.Done():
-		return p.leave(ctx, id, w)
+		return p.withdraw(ctx, id, w)
 	}
 }
 
-// arrive asks the core; a nil waiter and nil error mean admitted.
+// arrive passes the request to the core pool. It returns a waiter if the request was
+// queued, an error if it was refused, and neither if it was admitted.
 func (p *pool) arrive(r Request, weight int) (*waiter, uint64, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.next++
-	it := admit.Item{ID: p.next, Team: r.Team, Weight: weight, Class: r.Class, Deadline: r.Deadline, MinDuration: r.MinDuration}
-	verdict, refusal, displaced := p.core.Arrive(time.Now(), it)
+	p.lastID++
+	item := admit.Item{ID: p.lastID, Team: r.Team, Weight: weight, Class: r.Class, Deadline: r.Deadline, MinDuration: r.MinDuration}
+	verdict, refusal, displaced := p.core.Arrive(time.Now(), item)
 	if displaced != nil {
-		p.settle(admit.Result{Refused: []admit.Refusal{*displaced}})
+		p.deliver(admit.Result{Refused: []admit.Refusal{*displaced}})
 	}
 	switch verdict {
 	case admit.Admitted:
-		return nil, it.ID, nil
+		return nil, item.ID, nil
 	case admit.Refused:
-		return nil, it.ID, refused(refusal, r)
+		return nil, item.ID, refusalError(refusal, r)
 	}
 	w := &waiter{request: r, done: make(chan error, 1)}
-	p.waiters[it.ID] = w
-	return w, it.ID, nil
+	p.waiters[item.ID] = w
+	return w, item.ID, nil
 }
 
-// leave takes out a request whose caller went away or whose deadline came. A
-// slot granted at the same moment is given back: nobody else would, and one
-// would notice the pool's slots leaking away one by one.
-func (p *pool) leave(ctx context.Context, id uint64, w *waiter) error {
+// withdraw removes a queued request whose caller cancelled it or whose deadline
+// passed. A slot that was granted at the same moment is returned here: nothing else
+// would return it, and the pool's slots would leak one by one.
+func (p *pool) withdraw(ctx context.Context, id uint64, w *waiter) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, waits := p.waiters[id]; waits {
+	if _, queued := p.waiters[id]; queued {
 		delete(p.waiters, id)
 		p.core.Cancel(w.request.Class, id)
 	} else if err := <-w.done; err == nil {
-		p.settle(p.core.ReleaseUnused(w.request.Class, w.request.Team))
+		p.deliver(p.core.ReleaseUnused(w.request.Class, w.request.Team))
 	}
 	code := fault.CodeOverloaded
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -84,24 +86,24 @@
 	return fault.NotRun(fault.StepAdmit, "", code, "gave up waiting: %w", ctx.Err()).WithRetryAfter(time.Second)
 }
 
-func (p *pool) release(c class.Class, team string, held time.Duration) {
+func (p *pool) release(c class.Class, team string, heldFor time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.settle(p.core.Release(c, team, held))
+	p.deliver(p.core.Release(c, team, heldFor))
 }
 
-func (p *pool) sweep(now time.Time) {
+func (p *pool) expire(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.waiters) > 0 {
-		p.settle(p.core.ExpireQueued(now))
+		p.deliver(p.core.ExpireQueued(now))
 	}
 }
 
 func (p *pool) setPolicy(now time.Time, policy admit.Policy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.settle(p.core.SetPolicy(now, policy))
+	p.deliver(p.core.SetPolicy(now, policy))
 }
 
 func (p *pool) load() PoolLoad {
@@ -114,39 +116,41 @@
 	return l
 }
 
-// settle tells the waiters what became of them.
-func (p *pool) settle(r admit.Result) {
+// deliver sends the results of a change of the core pool to the waiters.
+func (p *pool) deliver(r admit.Result) {
 	for _, id := range r.Granted {
-		p.answer(id, nil)
+		p.notify(id, nil)
 	}
 	for _, refusal := range r.Refused {
 		if w := p.waiters[refusal.ID]; w != nil {
-			p.answer(refusal.ID, refused(refusal, w.request))
+			p.notify(refusal.ID, refusalError(refusal, w.request))
 		}
 	}
 }
 
-func (p *pool) answer(id uint64, err error) {
+// notify removes a waiter and sends its result; it does nothing if the request is no
+// longer queued.
+func (p *pool) notify(id uint64, err error) {
 	if w := p.waiters[id]; w != nil {
 		delete(p.waiters, id)
 		w.done <- err
 	}
 }
 
-// refused turns a refusal into the error that callers see.
-func refused(r admit.Refusal, req Request) error {
-	code, why := fault.CodeOverloaded, "no slot"
+// refusalError converts a refusal into the error that callers see.
+func refusalError(r admit.Refusal, req Request) error {
+	code, reason := fault.CodeOverloaded, "no slot"
 	switch r.Cause {
 	case admit.CauseNoCapacity:
-		code, why = fault.CodeNoUpstream, "no capacity in the pool"
+		code, reason = fault.CodeNoUpstream, "no capacity in the pool"
 	case admit.CauseBulkDisabled:
-		why = "bulk work is not accepted under the preset in force"
+		reason = "bulk work is not accepted under the preset in force"
 	case admit.CauseQueueFull:
-		why = "the queue is full"
+		reason = "the queue is full"
 	case admit.CauseDeadlineUnreachable:
-		code, why = fault.CodeDeadlineExceeded, "it would miss its deadline"
+		code, reason = fault.CodeDeadlineExceeded, "it would miss its deadline"
 	case admit.CauseDisplaced:
-		why = "the queue is full and the team holds most of it"
+		reason = "the queue is full and the team holds most of it"
 	}
-	return fault.NotRun(fault.StepAdmit, "", code, "%s request to pool %s: %s", req.Class, req.Pool, why).WithRetryAfter(r.RetryAfter)
+	return fault.NotRun(fault.StepAdmit, "", code, "%s request to pool %s: %s", req.Class, req.Pool, reason).WithRetryAfter(r.RetryAfter)
 }
--- a/node/admission/team.go
+++ b/node/admission/team.go
@@ -19,14 +19,14 @@
 	return &team{weight: t.Weight, limiter: admit.NewLimiter(t.Limits, hosts, now)}
 }
 
-func (t *team) set(c config.Team) {
+func (t *team) reconfigure(c config.Team) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.weight = c.Weight
 	t.limiter.SetLimits(c.Limits)
 }
 
-func (t *team) setPeers(rps, concurrent float64, hosts int) {
+func (t *team) setPeerUsage(rps, concurrent float64, hosts int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.limiter.SetPeerDemand(rps, concurrent, hosts)
@@ -38,6 +38,8 @@
 	return t.limiter.Demand(now)
 }
 
+// take counts a request against the team's limits. If a limit is reached, ok is false
+// and wait is the time after which to retry.
 func (t *team) take(now time.Time) (weight int, ok bool, wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -45,13 +47,15 @@
 	return t.weight, ok, wait
 }
 
-func (t *team) done(held time.Duration) {
+// done ends a request that was counted by take.
+func (t *team) done(heldFor time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.limiter.Done(held)
+	t.limiter.Done(heldFor)
 }
 
-func (t *team) giveBack() {
+// cancel reverts take for a request that was not admitted.
+func (t *team) cancel() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.limiter.Cancel()
--- a/node/admission/ticket.go
+++ b/node/admission/ticket.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Ticket is a slot held by one request until Release.
+// Ticket is the right of one request to use a slot until Release is called.
 type Ticket struct {
-	once    sync.Once
-	pool    *pool
-	team    *team
-	request Request
-	begun   time.Time
-	granted time.Time
+	once       sync.Once
+	pool       *pool
+	team       *team
+	request    Request
+	arrivedAt  time.Time
+	admittedAt time.Time
 }
 
-// Release gives the slot back. Only the first call counts.
+// Release returns the slot. Further calls have no effect.
 func (t *Ticket) Release() {
 	t.once.Do(func() {
 		now := time.Now()
-		t.pool.release(t.request.Class, t.request.Team, now.Sub(t.granted))
-		t.team.done(now.Sub(t.begun))
+		t.pool.release(t.request.Class, t.request.Team, now.Sub(t.admittedAt))
+		t.team.done(now.Sub(t.arrivedAt))
 	})
 }
 
-// WaitTime is how long the request waited for its slot.
-func (t *Ticket) WaitTime() time.Duration { return t.granted.Sub(t.begun) }
+// WaitTime returns how long the request waited for its slot.
+func (t *Ticket) WaitTime() time.Duration { return t.admittedAt.Sub(t.arrivedAt) }
--- a/node/claim/bench_test.go
+++ b/node/claim/bench_test.go
@@ -15,8 +15,8 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// BenchmarkOpenRange reads the log of a range of 100,000 settled claims, in
-// log rows of 50 changes, and reports the memory that they take in the owner.
+// BenchmarkOpenRange reads the log of a range of 100,000 completed claims, in log rows
+// of 50 changes, and reports the memory that each claim takes in the owner.
 func BenchmarkOpenRange(b *testing.B) {
 	const claims = 100_000
 	tb := filledLog(b, claims)
@@ -38,15 +38,16 @@
 	return int64(m.HeapAlloc)
 }
 
-// filledLog writes the log as an owner would, without its pace.
+// filledLog returns a table with the log that an owner would write, without its rate
+// limit.
 func filledLog(b *testing.B, claims int) store.Table {
 	tb := standin.NewTable()
-	const together = 50
-	for i := 0; i < claims; i += together {
+	const rowEntries = 50
+	for i := 0; i < claims; i += rowEntries {
 		var entries []map[string]any
-		for n := i; n < i+together; n++ {
+		for n := i; n < i+rowEntries; n++ {
 			key := claim.Key("north", fmt.Sprint(n))
-			entries = append(entries, map[string]any{"k": key, "v": n + 1, "r": settled(n)})
+			entries = append(entries, map[string]any{"k": key, "v": n + 1, "r": completedRow(n)})
 		}
 		value, err := json.Marshal(map[string]any{"e": entries, "x": time.Now().Add(time.Hour).UnixMilli()})
 		assert.NilError(b, err)
@@ -57,8 +58,8 @@
 	return tb
 }
 
-func settled(n int) claim.Row {
-	id := fmt.Sprintf("%036d", n) // as long as the ids in use
+func completedRow(n int) claim.Row {
+	id := fmt.Sprintf("%036d", n) // as long as real ids
 	return claim.Row{ID: id, BodyHash: claim.Key("", id), Op: id, State: claim.Completed, Owner: claim.Owner{Host: "host-0", Incarnation: id},
 		Route:     claim.Route{Upstream: "engine-0", Incarnation: id, Attempt: id},
 		Answer:    &claim.Answer{Status: 200, ContentType: "application/json", Body: []byte(`{"stored":true}`)},
--- a/node/claim/range.go
+++ b/node/claim/range.go
@@ -15,25 +15,26 @@
 	"peridotpier.example/node/store"
 )
 
-// Lease is the right to own a range.
+// Lease is the right to own a range of claims.
 type Lease interface {
-	Epoch() uint64 // rises with every holder
-	Valid() bool   // by this host's monotonic clock; a courtesy: the head's condition is what fences
+	Epoch() uint64 // higher for each new holder
+	Valid() bool   // by this host's monotonic clock; it only saves a needless append: the condition on the head fences
 }
 
-// RangeConfig bounds a Range.
+// RangeConfig configures a Range.
 type RangeConfig struct {
-	TTL        time.Duration // of keys, as in Config
-	Interval   time.Duration // between appends under load; a few may follow at once
-	MaxChanges int           // changes in one append
+	TTL        time.Duration // of keys, as Config.TTL
+	Interval   time.Duration // between appends under load; a few may follow one another at once
+	MaxChanges int           // in one append
 }
 
-// DefaultRangeConfig makes at most 16 appends a second, 128 for 8 ranges.
+// DefaultRangeConfig returns a configuration with at most 16 appends a second, 128 for
+// 8 ranges.
 func DefaultRangeConfig() RangeConfig {
 	return RangeConfig{TTL: time.Hour, Interval: 60 * time.Millisecond, MaxChanges: 1024}
 }
 
-// RangeDeps are what a Range works with.
+// RangeDeps are the dependencies of a Range.
 type RangeDeps struct {
 	Table store.Table
 	Lease Lease
@@ -41,77 +42,77 @@
 	Now   func() time.Time
 }
 
-// Range is a range of claims in the memory of its owner, with its log in the
-// table service. Memory changes only after the append that holds the change.
+// Range is a range of claims in the memory of its owner, with a log in the table
+// service. A change is applied to memory only after its append to the log.
 type Range struct {
 	cfg         RangeConfig
 	deps        RangeDeps
-	rng         int
-	in          chan *change
+	id          int
+	arrivals    chan *rowChange
 	stopped     chan struct{}
-	head        head
+	head        headRow
 	headVersion uint64
-	version     uint64 // last one given to a row
+	version     uint64 // last one assigned to a row
 
-	mu       sync.RWMutex // rows and segments: written by Run, read by Read
-	rows     map[string]held
+	mu       sync.RWMutex // guards rows and segments, which Run writes and Read reads
+	rows     map[string]cachedRow
 	segments []segment
 }
 
-type held struct {
+type cachedRow struct {
 	row     *claim.Row
 	version uint64
-	seq     uint64 // of the log row that holds it
+	logSeq  uint64 // of the log row that contains it
 }
 
-type change struct {
+type rowChange struct {
 	key     string
 	version uint64
 	row     *claim.Row
-	reply   chan swapped
+	result  chan swapResult
 }
 
-type swapped struct {
+type swapResult struct {
 	seen VersionedRow
 	err  error
 }
 
-// Read answers from memory. An owner that lost its range may answer an old
-// row; every act on it goes through Swap, which then fails.
+// Read returns a row from memory. An owner that lost its range may return an old
+// row; a Swap that is based on it fails.
 func (r *Range) Read(_ context.Context, key string) (VersionedRow, error) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	h := r.rows[key]
-	return VersionedRow{Row: h.row, Version: h.version}, nil
+	cached := r.rows[key]
+	return VersionedRow{Row: cached.row, Version: cached.version}, nil
 }
 
-// Swap waits for the append that decides on the change.
+// Swap waits for the append that decides the change.
 func (r *Range) Swap(ctx context.Context, key string, version uint64, row *claim.Row) (VersionedRow, error) {
-	c := &change{key: key, version: version, row: row, reply: make(chan swapped, 1)}
+	c := &rowChange{key: key, version: version, row: row, result: make(chan swapResult, 1)}
 	select {
-	case r.in <- c:
+	case r.arrivals <- c:
 	case <-r.stopped:
 		return VersionedRow{}, store.ErrUnavailable
 	case <-ctx.Done():
-		return VersionedRow{}, store.ErrUnavailable // not taken in: nothing took effect
+		return VersionedRow{}, store.ErrUnavailable // not accepted: nothing took effect
 	}
 	select {
-	case s := <-c.reply:
+	case s := <-c.result:
 		return s.seen, s.err
 	case <-ctx.Done():
 		return VersionedRow{}, store.ErrUnconfirmed
 	}
 }
 
-// Run appends until ctx ends or the range is lost; then the range must be
-// opened anew.
+// Run appends changes until ctx ends or this host has lost the range, which must then
+// be opened again.
 func (r *Range) Run(ctx context.Context) error {
 	defer close(r.stopped)
-	arrivals := newCollector(r.in, r.cfg.Interval, r.cfg.MaxChanges)
+	batches := newCollector(r.arrivals, r.cfg.Interval, r.cfg.MaxChanges)
 	for {
-		batch, done := arrivals.next(ctx, nil)
+		batch, done := batches.next(ctx, nil)
 		if err := r.append(context.WithoutCancel(ctx), batch); err != nil {
-			r.deps.Log.Emit(event.ClaimRangeLost, zap.Int("range", r.rng), zap.Error(err))
+			r.deps.Log.Emit(event.ClaimRangeLost, zap.Int("range", r.id), zap.Error(err))
 			return err
 		}
 		if done != nil {
@@ -120,73 +121,73 @@
 	}
 }
 
-// append decides on the batch in order of arrival and writes what was
-// accepted. It returns an error when this host cannot go on as owner.
-func (r *Range) append(ctx context.Context, batch []*change) error {
+// append decides the batch in order of arrival and writes the accepted changes. It
+// returns an error if this host cannot continue as the owner.
+func (r *Range) append(ctx context.Context, batch []*rowChange) error {
 	if len(batch) == 0 {
 		return nil
 	}
 	if !r.deps.Lease.Valid() {
-		refuse(batch, store.ErrUnavailable)
+		sendSwapError(batch, store.ErrUnavailable)
 		return errors.New("lease lapsed")
 	}
-	ctx, cancel := context.WithTimeout(ctx, commitMost)
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	drops, entries, count := r.expire(r.deps.Now())
-	answers, accepted := r.judge(batch)
+	deletes, entries, dropped := r.expire(r.deps.Now())
+	results, accepted := r.decide(batch)
 	entries = append(entries, accepted...)
 	if len(entries) == 0 {
-		send(batch, answers)
+		sendSwapResults(batch, results)
 		return nil
 	}
-	err := r.write(ctx, drops, entries, count)
+	err := r.appendLog(ctx, deletes, entries, dropped)
 	switch {
 	case err == nil:
-		send(batch, answers)
+		sendSwapResults(batch, results)
 		return nil
 	case errors.Is(err, store.ErrConflict):
-		refuse(batch, store.ErrUnavailable) // another owner wrote the head: nothing took effect
+		sendSwapError(batch, store.ErrUnavailable) // another owner wrote the head: nothing took effect
 		return err
 	case errors.Is(err, store.ErrUnconfirmed):
-		refuse(batch, store.ErrUnconfirmed)
+		sendSwapError(batch, store.ErrUnconfirmed)
 		return err
 	default:
-		refuse(batch, err)
-		return nil // the table refused; the range stands as it was
+		sendSwapError(batch, err)
+		return nil // the table refused the append; the range has not changed
 	}
 }
 
-// judge decides each change against memory and the changes before it.
-func (r *Range) judge(batch []*change) (answers []swapped, accepted []logEntry) {
-	answers = make([]swapped, len(batch))
-	fresh := map[string]VersionedRow{}
+// decide decides each change, based on memory and the earlier changes of the batch.
+func (r *Range) decide(batch []*rowChange) (results []swapResult, accepted []logEntry) {
+	results = make([]swapResult, len(batch))
+	changed := map[string]VersionedRow{}
 	for i, c := range batch {
-		seen, ok := fresh[c.key]
+		seen, ok := changed[c.key]
 		if !ok {
-			h := r.rows[c.key]
-			seen = VersionedRow{Row: h.row, Version: h.version}
+			cached := r.rows[c.key]
+			seen = VersionedRow{Row: cached.row, Version: cached.version}
 		}
 		switch {
 		case seen.Row != nil && c.row != nil && seen.Row.Op == c.row.Op:
-			answers[i] = swapped{seen: seen} // asked for again after a lost answer
+			results[i] = swapResult{seen: seen} // sent again after a lost answer
 		case seen.Version != c.version:
-			answers[i] = swapped{seen: seen, err: store.ErrConflict}
+			results[i] = swapResult{seen: seen, err: store.ErrConflict}
 		default:
 			r.version++
 			next := VersionedRow{Row: c.row, Version: r.version}
 			if c.row == nil {
 				next.Version = store.Absent
 			}
-			fresh[c.key] = next
-			answers[i] = swapped{seen: next}
+			changed[c.key] = next
+			results[i] = swapResult{seen: next}
 			accepted = append(accepted, logEntry{Key: c.key, Version: r.version, Row: c.row})
 		}
 	}
-	return answers, accepted
+	return results, accepted
 }
 
-func (r *Range) write(ctx context.Context, drops []store.Write, entries []logEntry, count int) error {
-	l := logRow{Entries: entries, Expires: r.lastExpiry(entries)}
+func (r *Range) appendLog(ctx context.Context, deletes []store.Write, entries []logEntry, dropped int) error {
+	l := logRow{Entries: entries, Expires: r.logRowExpiry(entries)}
 	value, err := json.Marshal(l)
 	if err != nil {
 		return eris.Wrap(err, "encode claims")
@@ -194,7 +195,7 @@
 	next := r.head
 	next.Next++
 	next.Version = r.version
-	writes := append(drops, store.Write{Key: logKey(r.rng, r.head.Next), Value: value})
+	writes := append(deletes, store.Write{Key: logKey(r.id, r.head.Next), Value: value})
 	v, err := r.writeHead(ctx, r.headVersion, next, writes)
 	if err != nil {
 		return err
@@ -202,21 +203,22 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.headVersion = v
-	r.forget(count)
+	r.dropSegments(dropped)
 	r.apply(r.head.Next, l)
 	r.head = next
 	return nil
 }
 
-// lastExpiry is when a log row may be dropped. The order of the log must be
-// kept: a deletion may only go after what it deletes, which is older.
-func (r *Range) lastExpiry(entries []logEntry) int64 {
+// logRowExpiry returns when a log row may be dropped, in Unix milliseconds. Log rows
+// are dropped in order: a deletion may only be dropped after the entry that it
+// deletes, which is older.
+func (r *Range) logRowExpiry(entries []logEntry) int64 {
 	now := r.deps.Now().UnixMilli()
 	last := now
 	for _, e := range entries {
 		switch {
 		case e.Row == nil:
-		case e.Row.ExpiresMs <= now: // kept for a second lifetime
+		case e.Row.ExpiresMs <= now: // kept for a second TTL
 			last = max(last, e.Row.ExpiresMs+r.cfg.TTL.Milliseconds())
 		default:
 			last = max(last, e.Row.ExpiresMs)
@@ -225,14 +227,14 @@
 	return last
 }
 
-func send(batch []*change, answers []swapped) {
+func sendSwapResults(batch []*rowChange, results []swapResult) {
 	for i, c := range batch {
-		c.reply <- answers[i]
+		c.result <- results[i]
 	}
 }
 
-func refuse(batch []*change, err error) {
+func sendSwapError(batch []*rowChange, err error) {
 	for _, c := range batch {
-		c.reply <- swapped{err: err}
+		c.result <- swapResult{err: err}
 	}
 }
--- a/node/claim/fate.go
+++ b/node/claim/resolve.go
@@ -13,7 +13,7 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-var fates = map[engineapi.AttemptState]claim.AttemptState{
+var attemptStates = map[engineapi.AttemptState]claim.AttemptState{
 	engineapi.AttemptUnseen:    claim.AttemptUnseen,
 	engineapi.AttemptRefused:   claim.AttemptRefused,
 	engineapi.AttemptRunning:   claim.AttemptRunning,
@@ -21,53 +21,54 @@
 	engineapi.AttemptCancelled: claim.AttemptCancelled,
 }
 
-// settleByFate asks the upstream of a claim whose owner is out of sight what
-// became of the attempt, and writes it over the row that was seen. The answer
-// is the row to decide on next; an error ends the arrival.
-func (s *Store) settleByFate(ctx context.Context, key string, seen VersionedRow) (VersionedRow, error) {
+// resolveOutcome asks the upstream what became of the attempt of a claim whose owner
+// failed or lost contact with the attempt, and writes the outcome over the row that
+// was read. It returns the row for the next decision, or the error for the arrival.
+func (s *Store) resolveOutcome(ctx context.Context, key string, seen VersionedRow) (VersionedRow, error) {
 	row := *seen.Row
-	rep, err := s.ask(ctx, row)
+	rep, err := s.queryAttempt(ctx, row)
 	if rep.State == claim.AttemptRunning {
-		return seen, inProgress(0)
+		return seen, inProgressError(0)
 	}
-	next, settled := claim.ApplyReport(row, rep)
-	if settled || next.State != row.State {
-		if seen, err = s.write(ctx, key, seen, next); err != nil {
-			// The attempt may have run, so this must not read as "not run".
-			return seen, fault.Unknown(fault.StepClaim, "", fault.CodeStoreUnavailable, "settle claim: %w", err).WithRetryAfter(storeDownAfter)
+	next, resolved := claim.ApplyReport(row, rep)
+	if resolved || next.State != row.State {
+		if seen, err = s.writeRow(ctx, key, seen, next); err != nil {
+			// The attempt may have run, so the error must not say that it did not.
+			return seen, fault.Unknown(fault.StepClaim, "", fault.CodeStoreUnavailable, "settle claim: %w", err).WithRetryAfter(storeRetryAfter)
 		}
 	}
-	if !settled {
+	if !resolved {
 		s.deps.Log.Emit(event.ClaimOutcomeUnknown, zap.String(event.FieldPeer, row.Route.Upstream), zap.String("attempt", row.Route.Attempt), zap.Error(err))
-		return seen, fault.Unknown(fault.StepClaim, row.Route.Upstream, fault.CodeOutcomeUnknown, "the attempt's fate cannot be learned").WithRetryAfter(progressMost)
+		return seen, fault.Unknown(fault.StepClaim, row.Route.Upstream, fault.CodeOutcomeUnknown, "the attempt's fate cannot be learned").WithRetryAfter(maxInProgressRetryAfter)
 	}
 	s.deps.Log.Emit(event.ClaimResolvedByUpstream, zap.String(event.FieldPeer, row.Route.Upstream), zap.String("state", string(next.State)))
 	return seen, nil
 }
 
-// write swaps in the row; a conflict is no error: the row there is answered.
-func (s *Store) write(ctx context.Context, key string, seen VersionedRow, next claim.Row) (VersionedRow, error) {
+// writeRow replaces the row. After a conflict it returns the row that is there, and
+// no error.
+func (s *Store) writeRow(ctx context.Context, key string, seen VersionedRow, next claim.Row) (VersionedRow, error) {
 	if next.Answer != nil {
-		if err := s.keep(ctx, key, next.ID, next.Answer); err != nil {
+		if err := s.storeAnswer(ctx, key, next.ID, next.Answer); err != nil {
 			return seen, err
 		}
 	}
 	next.Op = newID()
-	now, err := s.deps.Records.Swap(ctx, key, seen.Version, &next)
+	current, err := s.deps.Records.Swap(ctx, key, seen.Version, &next)
 	if errors.Is(err, store.ErrConflict) {
 		err = nil
 	}
-	return now, err
+	return current, err
 }
 
-func (s *Store) ask(ctx context.Context, row claim.Row) (claim.Report, error) {
+func (s *Store) queryAttempt(ctx context.Context, row claim.Row) (claim.Report, error) {
 	if s.deps.Attempts == nil || row.Route.Attempt == "" {
 		return claim.Report{}, nil
 	}
 	a, err := s.deps.Attempts.QueryAttempt(ctx, row.Route.Upstream, row.Route.Attempt)
 	if err != nil || a.ID != row.Route.Attempt {
-		return claim.Report{}, err // an answer about another attempt says nothing of this one
+		return claim.Report{}, err // a mismatched answer says nothing about this attempt
 	}
-	return claim.Report{State: fates[a.State], Incarnation: a.Incarnation,
+	return claim.Report{State: attemptStates[a.State], Incarnation: a.Incarnation,
 		Answer: claim.Answer{Status: a.Status, ContentType: a.ContentType, Body: a.Body, Dropped: a.Body == nil}}, nil
 }
--- a/node/coordinator/adapters_test.go
+++ b/node/coordinator/adapters_test.go
@@ -14,11 +14,10 @@
 	"peridotpier.example/node/lease"
 )
 
-// Symptom: a request ends past its deadline, or with the host's process.
-// Sequence: an upstream does not answer an order; requests of the host that gives
-// orders wait there for adapters.
-// Cause: each waits until those before it have given their orders, however long
-// its own time is over.
+// Guards against requests that end past their deadline, or only with the host's
+// process: an upstream does not answer an order, and the requests that wait for
+// adapters there each wait for the orders before them, regardless of their own
+// deadlines.
 func TestAWaitForAnAdapterEndsWithItsRequest(t *testing.T) {
 	log := event.NewLog(nil)
 	config := follow.NewActiveConfig(log)
@@ -27,14 +26,14 @@
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
 	f.Replace([]deploy.Upstream{{ID: "a", Service: "s", Residents: []deploy.Resident{{Model: "m"}}}}, 1)
 	c := New(Config{}, Deps{Fleet: f, Config: config, Log: log, Lease: lease.New(lease.Config{Name: "l"}, lease.Deps{Table: noTable{}})})
-	c.standingIn.Store(true)
-	c.follow()
-	u, _ := c.unit("a")
+	c.actingWithoutLease.Store(true)
+	c.refresh()
+	u, _ := c.upstream("a")
 	assert.Assert(t, u.lockOrders(t.Context()))
 	defer u.unlockOrders()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	within(t, func() {
+	finishesSoon(t, func() {
 		assert.ErrorIs(t, u.loadAdapter(ctx, "m", "a1"), context.DeadlineExceeded)
 	})
 }
--- /dev/null
+++ b/node/coordinator/demandhandover.go
@@ -0,0 +1,67 @@
+package coordinator
+
+import (
+	"math"
+	"time"
+
+	"peridotpier.example/node/coordinator/coordpb"
+)
+
+// snapshot returns the demand for a successor. Without it the successor moves models
+// only for callers that wait, until it has received reports for demandKnownAfter.
+func (d *demand) snapshot(now time.Time) (all []*coordpb.HeldDemand, period time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for k, m := range d.models {
+		if now.Sub(m.lastAt) > demandExpiry {
+			continue
+		}
+		m.decay(now)
+		h := &coordpb.HeldDemand{Service: k.service, Model: k.model, EngineMs: uint32(m.engineSeconds * 1000),
+			FirstMs: uint32(min(now.Sub(m.firstAt), time.Hour).Milliseconds()), LastMs: uint32(now.Sub(m.lastAt).Milliseconds()),
+			PatienceMs: uint32(m.minObjective.Milliseconds())}
+		if now.Sub(m.unservedAt) < unservedFor {
+			h.UnservedMs = uint32(now.Sub(m.unservedAt).Milliseconds()) + 1
+		}
+		all = append(all, h)
+	}
+	if !d.reportedSince.IsZero() && now.Sub(d.lastReportAt) <= reportFresh {
+		period = min(now.Sub(d.reportedSince), time.Hour)
+	}
+	return all, period
+}
+
+// inherit adds the demand that a former holder reported at a time to what was reported
+// here since.
+func (d *demand) inherit(all []*coordpb.HeldDemand, period time.Duration, receivedAt, now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, h := range all {
+		m := d.modelLocked(modelKey{h.Service, h.Model}, now)
+		m.decay(now)
+		m.engineSeconds += float64(h.EngineMs) / 1000 * math.Exp(-now.Sub(receivedAt).Seconds()/demandDecay.Seconds())
+		m.firstAt = earlier(m.firstAt, receivedAt.Add(-milliseconds(h.FirstMs)))
+		m.lastAt = later(m.lastAt, receivedAt.Add(-milliseconds(h.LastMs)))
+		m.minObjective = min(m.minObjective, milliseconds(h.PatienceMs))
+		if h.UnservedMs > 0 {
+			m.unservedAt = later(m.unservedAt, receivedAt.Add(-milliseconds(h.UnservedMs)))
+		}
+	}
+	if period > 0 && now.Sub(receivedAt) <= reportFresh {
+		d.reportedSince, d.lastReportAt = receivedAt.Add(-period), now
+	}
+}
+
+func earlier(a, b time.Time) time.Time {
+	if a.Before(b) {
+		return a
+	}
+	return b
+}
+
+func later(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
+	}
+	return b
+}
--- a/node/coordinator/handover.go
+++ b/node/coordinator/handover.go
@@ -13,45 +13,46 @@
 	"peridotpier.example/node/lease"
 )
 
-// lastOrder is the last order to one upstream.
+// lastOrder is the last order that was sent to one upstream.
 type lastOrder struct {
 	at  time.Time
-	own bool // this process sent it, so that it need not wait before its next
+	own bool // sent by this process, so that it need not wait before its next order
 }
 
-// handover is what the last holder of the lease said when it gave up. Two
-// holders that give orders to one upstream too soon after each other could each
-// undo the other's; upstreams that got none lately need no such wait, and loads
-// that are known need not be assumed.
+// handover is what the last lease holder reported when it gave up the lease. Two
+// holders that give orders to one upstream too soon after each other could each undo
+// the other's; upstreams that got none recently need no such wait, and loads that are
+// known need not be assumed.
 type handover struct {
-	epoch     uint64
-	ordered   time.Time // the last order, at the latest
-	whole     bool      // what follows is all there is
-	upstreams map[string]time.Time
-	loads     []time.Time // from the weight store, when each began
-	doubts    []time.Time // until when each load whose order went unanswered may begin
-	demand    []*coordpb.HeldDemand
-	heard     time.Duration // for which the demand had been reported
-	at        time.Time     // when it was said
+	epoch            uint64
+	lastOrderAt      time.Time // latest time at which the last order may have been sent
+	complete         bool      // whether the fields below list everything recent
+	orderedAt        map[string]time.Time
+	loads            []time.Time // when each load from the weight store began
+	unconfirmedUntil []time.Time // until when each load whose order is unconfirmed may begin
+	demand           []*coordpb.HeldDemand
+	demandPeriod     time.Duration // how long the demand had been reported without a break
+	receivedAt       time.Time     // when the handover was received
 }
 
-// RecordHandover notes what a host said that held the lease in an epoch and gave it up.
-func (c *Coordinator) RecordHandover(epoch uint64, sinceOrder time.Duration, told *coordpb.Handover) {
+// RecordHandover records the handover of a host that held the lease in an epoch and
+// gave it up. sinceOrder is the time since the last order that the host knows of.
+func (c *Coordinator) RecordHandover(epoch uint64, sinceOrder time.Duration, msg *coordpb.Handover) {
 	now := c.now()
-	h := handover{epoch: epoch, ordered: now.Add(-sinceOrder), whole: told.GetWhole(), upstreams: map[string]time.Time{},
-		demand: told.GetDemand(), heard: milliseconds(told.GetHeardMs()), at: now}
-	for _, o := range told.GetOrders() {
-		h.upstreams[o.Upstream] = now.Add(-milliseconds(o.AgeMs))
+	h := handover{epoch: epoch, lastOrderAt: now.Add(-sinceOrder), complete: msg.GetWhole(), orderedAt: map[string]time.Time{},
+		demand: msg.GetDemand(), demandPeriod: milliseconds(msg.GetHeardMs()), receivedAt: now}
+	for _, o := range msg.GetOrders() {
+		h.orderedAt[o.Upstream] = now.Add(-milliseconds(o.AgeMs))
 	}
-	for _, ms := range told.GetLoadAgesMs() {
+	for _, ms := range msg.GetLoadAgesMs() {
 		h.loads = append(h.loads, now.Add(-milliseconds(ms)))
 	}
-	for _, ms := range told.GetLoadDoubtsMs() {
-		h.doubts = append(h.doubts, now.Add(milliseconds(ms)))
+	for _, ms := range msg.GetLoadDoubtsMs() {
+		h.unconfirmedUntil = append(h.unconfirmedUntil, now.Add(milliseconds(ms)))
 	}
 	c.mu.Lock()
-	if epoch >= c.former.epoch {
-		c.former = h
+	if epoch >= c.predecessor.epoch {
+		c.predecessor = h
 	}
 	c.mu.Unlock()
 	c.deps.Lease.RecordStepDown(epoch)
@@ -59,125 +60,126 @@
 
 func milliseconds(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// beginLocked starts a term. Orders of the former holder may still be on their
-// way, so that each upstream gets none until the quiet time after its last one
-// is over; where that is not known, none of them does.
-func (c *Coordinator) beginLocked(t lease.Term, now time.Time) {
+// beginTermLocked starts a term. Orders of the former holder may still arrive, so that
+// each upstream gets none until the quiet period after its last order is over; if that
+// time is unknown, no upstream does.
+func (c *Coordinator) beginTermLocked(t lease.Term, now time.Time) {
 	again := c.lastEpoch > 0 && c.lastEpoch+1 == t.Epoch
-	c.units, c.held, c.looked = map[string]*unit{}, changes.Log[*unit]{}, look{}
+	c.upstreams, c.holdingChanges, c.scanned = map[string]*managedUpstream{}, changes.Log[*managedUpstream]{}, scanPosition{}
 	if !again {
-		c.beginCounts(now)
+		c.resetCounts(now)
 	}
 	switch {
-	case t.Epoch <= 1: // nobody was there before
-		c.quiet, c.whole = now, true
-	case again: // what this process knows of the former term still holds
-	case c.former.epoch+1 == t.Epoch:
-		c.inheritLocked(&c.former, now)
-	case c.succeedsItself(t): // the orders of one host are those of one holder
-		c.quiet = now
-		c.stores.assumeFull(now)
+	case t.Epoch <= 1: // there is no former holder
+		c.quietUntil, c.ordersComplete = now, true
+	case again: // what this process knows of its former term is still valid
+	case c.predecessor.epoch+1 == t.Epoch:
+		c.inheritLocked(&c.predecessor, now)
+	case c.succeedsItself(t): // orders of one host count as those of one holder
+		c.quietUntil = now
+		c.storeLoads.assumeFull(now)
 	default:
-		c.quiet, c.ordered, c.whole = now.Add(c.cfg.QuietPeriod), now, false
-		c.stores.assumeFull(now)
+		c.quietUntil, c.lastOrderAt, c.ordersComplete = now.Add(c.cfg.QuietPeriod), now, false
+		c.storeLoads.assumeFull(now)
 	}
-	c.deps.Log.Emit(event.QuietPeriod, zap.Uint64("epoch", t.Epoch), zap.Duration("for", max(c.quiet.Sub(now), 0)), zap.Int("upstreams", len(c.orders)))
+	c.deps.Log.Emit(event.QuietPeriod, zap.Uint64("epoch", t.Epoch), zap.Duration("for", max(c.quietUntil.Sub(now), 0)), zap.Int("upstreams", len(c.lastOrders)))
 }
 
-// inheritLocked goes by the former holder's word.
+// inheritLocked takes over a former holder's handover.
 func (c *Coordinator) inheritLocked(h *handover, now time.Time) {
-	if h.ordered.After(c.ordered) {
-		c.ordered = h.ordered
+	if h.lastOrderAt.After(c.lastOrderAt) {
+		c.lastOrderAt = h.lastOrderAt
 	}
-	c.whole = h.whole
-	c.demand.inherit(h.demand, h.heard, h.at, now)
-	if !h.whole {
-		c.quiet = h.ordered.Add(c.cfg.QuietPeriod)
-		c.stores.assumeFull(now)
+	c.ordersComplete = h.complete
+	c.demand.inherit(h.demand, h.demandPeriod, h.receivedAt, now)
+	if !h.complete {
+		c.quietUntil = h.lastOrderAt.Add(c.cfg.QuietPeriod)
+		c.storeLoads.assumeFull(now)
 		return
 	}
-	c.quiet = now
-	for id, at := range h.upstreams {
-		c.orders[id] = lastOrder{at: at}
+	c.quietUntil = now
+	for id, at := range h.orderedAt {
+		c.lastOrders[id] = lastOrder{at: at}
 	}
-	c.stores.inherit(h.loads, h.doubts)
+	c.storeLoads.inherit(h.loads, h.unconfirmedUntil)
 }
 
-// succeedsItself says whether this host held the lease in the epoch before a
-// term, in its former process.
+// succeedsItself reports whether a former process of this host held the lease in the
+// epoch before a term.
 func (c *Coordinator) succeedsItself(t lease.Term) bool {
 	before := c.deps.Lease.LastObserved()
 	return before.Epoch+1 == t.Epoch && sameHost(c.cfg.Holder, before.Holder)
 }
 
-// ordering notes that an order is sent to an upstream now.
-func (c *Coordinator) ordering(upstream string) {
+// recordOrder records that an order is being sent to an upstream now.
+func (c *Coordinator) recordOrder(upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ordered = c.now()
-	c.orders[upstream] = lastOrder{at: c.ordered, own: true}
+	c.lastOrderAt = c.now()
+	c.lastOrders[upstream] = lastOrder{at: c.lastOrderAt, own: true}
 }
 
-// quietFor says whether the quiet time after a former holder's last order to
+// inQuietPeriod reports whether the quiet period after a former holder's last order to
 // an upstream is not over.
-func (c *Coordinator) quietFor(upstream string, now time.Time) bool {
+func (c *Coordinator) inQuietPeriod(upstream string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o, ok := c.orders[upstream]
+	o, ok := c.lastOrders[upstream]
 	return ok && !o.own && now.Before(o.at.Add(c.cfg.QuietPeriod))
 }
 
-// handed is what was told last to hosts that may succeed this one.
-type handed struct {
-	told   *coordpb.Handover
-	of     orderState
-	acting bool
-	at     time.Time
+// sentHandover is the handover that was last sent to hosts that may succeed this one.
+type sentHandover struct {
+	message *coordpb.Handover
+	state   orderState
+	acting  bool
+	at      time.Time
 }
 
-// orderState is which orders a handover tells of: it lacks those given since, and in
-// later terms.
+// orderState identifies the orders that a handover lists: later orders, and those of
+// later terms, are missing from it.
 type orderState struct {
 	epoch uint64
 	last  time.Time
 }
 
-// tellHandover is makeHandover, made anew expiryEach at most: all hosts ask at once.
-// What it says happened counts as having happened that much later.
-func (c *Coordinator) tellHandover(acting bool, now time.Time) *coordpb.Handover {
+// currentHandover returns the result of buildHandover, which is rebuilt at most once
+// per expiryInterval: all hosts ask at the same time. The receiver takes the ages in a
+// reused handover as counted from its arrival, so events appear up to that much later.
+func (c *Coordinator) currentHandover(acting bool, now time.Time) *coordpb.Handover {
 	c.mu.Lock()
-	h, of := c.handed, orderState{c.lastEpoch, c.ordered}
+	h, state := c.sentHandover, orderState{c.lastEpoch, c.lastOrderAt}
 	c.mu.Unlock()
-	if h.told != nil && h.of == of && h.acting == acting && now.Sub(h.at) < expiryEach {
-		return h.told
+	if h.message != nil && h.state == state && h.acting == acting && now.Sub(h.at) < expiryInterval {
+		return h.message
 	}
-	h = handed{c.makeHandover(acting, now), of, acting, now}
+	h = sentHandover{c.buildHandover(acting, now), state, acting, now}
 	c.mu.Lock()
-	c.handed = h
+	c.sentHandover = h
 	c.mu.Unlock()
-	return h.told
+	return h.message
 }
 
-// makeHandover tells a successor what it needs to know. c.mu is not held.
+// buildHandover returns what a successor needs to know. The caller must not hold c.mu.
 //
-// A host that acts on without the lease is asked five times a second by every
-// other. It leaves the demand out, which is most of it: 4 of 5.5 kB at 131
-// models, so that 81 hosts would cost 1.6 MB/s while the store is away.
-func (c *Coordinator) makeHandover(acting bool, now time.Time) *coordpb.Handover {
-	loads, doubts, known := c.stores.tell(now)
-	for _, u := range c.allUnits() {
-		if u.loadUnanswered() { // it may turn out to be carried out late
-			doubts = append(doubts, now.Add(residency.MaxOrderDelay))
+// A host that is acting without the lease is asked by every other one five times a
+// second. It leaves out the demand, which is most of the message: 4 of 5.5 kB at 131
+// models, so that 81 hosts would cost 1.6 MB/s while the store is unavailable.
+func (c *Coordinator) buildHandover(acting bool, now time.Time) *coordpb.Handover {
+	loads, unconfirmed, known := c.storeLoads.counted(now)
+	for _, u := range c.allUpstreams() {
+		if u.hasUnconfirmedStoreLoad() { // its order may still be carried out
+			unconfirmed = append(unconfirmed, now.Add(residency.MaxOrderDelay))
 		}
 	}
 	c.mu.Lock()
-	orders := maps.Clone(c.orders)
-	whole := known && (c.whole || !now.Before(c.quiet))
+	orders := maps.Clone(c.lastOrders)
+	complete := known && (c.ordersComplete || !now.Before(c.quietUntil))
 	c.mu.Unlock()
-	out := &coordpb.Handover{Whole: whole}
+	out := &coordpb.Handover{Whole: complete}
 	if !acting {
-		demand, heard := c.demand.tell(now)
-		out.Demand, out.HeardMs = demand, uint32(heard.Milliseconds())
+		demand, demandPeriod := c.demand.snapshot(now)
+		out.Demand, out.HeardMs = demand, uint32(demandPeriod.Milliseconds())
 	}
 	for id, o := range orders {
 		out.Orders = append(out.Orders, &coordpb.OrderAge{Upstream: id, AgeMs: uint32(now.Sub(o.at).Milliseconds())})
@@ -185,17 +187,17 @@
 	for _, at := range loads {
 		out.LoadAgesMs = append(out.LoadAgesMs, uint32(now.Sub(at).Milliseconds()))
 	}
-	for _, until := range doubts {
+	for _, until := range unconfirmed {
 		out.LoadDoubtsMs = append(out.LoadDoubtsMs, uint32(until.Sub(now).Milliseconds())+1)
 	}
 	return out
 }
 
-// loadUnanswered says whether a load from the weight store was ordered here and
-// is not known to have been taken.
-func (u *unit) loadUnanswered() bool {
+// hasUnconfirmedStoreLoad reports whether a load from the weight store was ordered here
+// and its acceptance is not confirmed.
+func (u *managedUpstream) hasUnconfirmedStoreLoad() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	v := u.moving
-	return v != nil && v.sent && !v.taken.Load()
+	v := u.activeMove
+	return v != nil && v.ordered && !v.accepted.Load()
 }
--- a/node/coordinator/linkmodels.go
+++ b/node/coordinator/linkmodels.go
@@ -9,12 +9,12 @@
 	"peridotpier.example/node/gate"
 )
 
-// errNotLinked: no host that holds the lease is known.
+// errNotLinked means that no acting coordinator is known.
 var errNotLinked = errors.New("not linked to a host that gives orders")
 
-// LoadAdapter implements gate.Models.
+// LoadAdapter implements gate.Coordinator.
 func (l *Link) LoadAdapter(ctx context.Context, upstream, model, adapter string) error {
-	address := l.where()
+	address := l.coordinatorAddress()
 	if address == "" {
 		return errNotLinked
 	}
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// RecordDemand implements gate.Models.
+// RecordDemand implements gate.Coordinator.
 func (l *Link) RecordDemand(service string, f *gate.RequestInfo, output int, objective time.Duration, unserved bool) {
 	k := demandKey{service, f.Model, f.Adapter}
 	l.mu.Lock()
@@ -58,7 +58,7 @@
 	}
 	if unserved {
 		d.Unserved++
-		l.ReportSoon() // what holds or loads the model is told with the answer
+		l.ReportSoon() // the answer tells where the model is resident or being loaded
 		return
 	}
 	d.Requests++
--- a/node/coordinator/linkteams.go
+++ b/node/coordinator/linkteams.go
@@ -12,17 +12,17 @@
 	"peridotpier.example/node/gate"
 )
 
-// aloneRetry is when a caller should come back that was refused while nobody
-// counts for all: by then another host mostly does.
-const aloneRetry = time.Second
+// uncoordinatedRetry is when a caller should come back that was refused while no
+// coordinator counts the use of limits: by then another host usually does.
+const uncoordinatedRetry = time.Second
 
-// teamShares are this host's parts in the accounts of the teams.
+// teamShares contains this host's shares of the teams' limits.
 type teamShares struct {
 	mu     sync.Mutex
 	byName map[string]*quota.Share
 }
 
-// shareLocked finds a team's share under the limit of a configuration.
+// shareLocked returns a team's share, under the limit of the team's configuration.
 func (t *teamShares) shareLocked(team *deploy.Team, now time.Time) *quota.Share {
 	s := t.byName[team.Name]
 	if s == nil {
@@ -36,15 +36,15 @@
 	return s
 }
 
-// with calls f on a team's share.
-func (t *teamShares) with(team *deploy.Team, now time.Time, f func(*quota.Share)) {
+// withShare calls f on a team's share, under the lock.
+func (t *teamShares) withShare(team *deploy.Team, now time.Time, f func(*quota.Share)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(t.shareLocked(team, now))
 }
 
-// word is how a team's account stood when this host was told last.
-func (t *teamShares) word(team string, now time.Time) (quota.KnownState, bool) {
+// state returns the state of a team's account as this host last received it.
+func (t *teamShares) state(team string, now time.Time) (quota.KnownState, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.byName[team]; s != nil {
@@ -53,8 +53,8 @@
 	return quota.KnownState{}, false
 }
 
-// report adds to a report what nobody who counts has heard of.
-func (t *teamShares) report(r *coordpb.HostReport, now time.Time) {
+// addUse adds to a report the use of limits that no coordinator has received yet.
+func (t *teamShares) addUse(r *coordpb.HostReport, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, s := range t.byName {
@@ -64,27 +64,27 @@
 	}
 }
 
-// words adds to a report how the accounts stood whose limits may bind. A holder that
-// has just started knows nothing of them.
-func (t *teamShares) words(r *coordpb.HostReport, now time.Time) {
+// addStates adds to a report the states of the accounts whose limits may bind. A
+// coordinator that has just started has none of them.
+func (t *teamShares) addStates(r *coordpb.HostReport, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, s := range t.byName {
-		w, ok := s.KnownState(now)
-		if !ok || !w.Constrained || w.Age > wordFor {
+		state, ok := s.KnownState(now)
+		if !ok || !state.Constrained || state.Age > maxStateAge {
 			continue
 		}
-		r.TeamWords = append(r.TeamWords, &coordpb.TeamWord{AgeMs: uint32(w.Age.Milliseconds()),
-			Standing: &coordpb.TeamStanding{Team: name, Level: int64(w.Level), Asked: uint64(w.Demand)}})
+		r.TeamWords = append(r.TeamWords, &coordpb.TeamWord{AgeMs: uint32(state.Age.Milliseconds()),
+			Standing: &coordpb.TeamStanding{Team: name, Level: int64(state.Level), Asked: uint64(state.Demand)}})
 	}
 }
 
-// wordFor is how old a word may be that is handed on. In this time an account gains
-// more than most bursts hold.
-const wordFor = 5 * time.Second
+// maxStateAge is how old the state of an account may be that is sent to a coordinator.
+// In this time an account gains more than most bursts hold.
+const maxStateAge = 5 * time.Second
 
-// reported notes that the last report was answered.
-func (t *teamShares) reported() {
+// confirmReported records that the last report was answered.
+func (t *teamShares) confirmReported() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.byName {
@@ -92,26 +92,26 @@
 	}
 }
 
-// tell enters the answer to a report, which counts until then.
-func (t *teamShares) tell(s *coordpb.SiteState, now, until time.Time) {
+// apply applies the answer to a report, which counts until the given time.
+func (t *teamShares) apply(s *coordpb.SiteState, now, until time.Time) {
 	if !s.CountsTeams {
 		return
 	}
-	scarce := make(map[string]*coordpb.TeamStanding, len(s.Teams))
+	constrained := make(map[string]*coordpb.TeamStanding, len(s.Teams))
 	for _, u := range s.Teams {
-		scarce[u.Team] = u
+		constrained[u.Team] = u
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, share := range t.byName {
-		u := scarce[name]
+		u := constrained[name]
 		share.SetState(quota.AccountState{Level: float64(u.GetLevel()), Demand: float64(u.GetAsked())}, u != nil, now, until)
 	}
 }
 
-// keep makes shares for the teams of a configuration, so that each is told of
-// before its first request, and drops those of teams that are gone.
-func (t *teamShares) keep(teams []deploy.Team, now time.Time) {
+// followTeams creates shares for the teams of a configuration that have a limit, so
+// that each has a state before its first request, and drops those of removed teams.
+func (t *teamShares) followTeams(teams []deploy.Team, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range teams {
@@ -131,34 +131,34 @@
 	}
 }
 
-// Charge implements gate.Limits.
+// Charge implements gate.TeamLimits.
 func (l *Link) Charge(ctx context.Context, team *deploy.Team, cost float64) (time.Duration, bool) {
 	now := l.own.now()
 	verdict := quota.ConsultLedger
-	l.teams.with(team, now, func(s *quota.Share) { verdict = s.Decide(cost, now) })
+	l.teams.withShare(team, now, func(s *quota.Share) { verdict = s.Decide(cost, now) })
 	if verdict == quota.ConsultLedger {
-		wait, ok, err := l.asking.charge(ctx, team.Name, cost)
+		wait, ok, err := l.permitClient.charge(ctx, team.Name, cost)
 		if err == nil {
 			return wait, ok
 		}
-		l.teams.with(team, now, func(s *quota.Share) { verdict = s.DecideWithoutLedger(cost, now, rand.Float64()) })
+		l.teams.withShare(team, now, func(s *quota.Share) { verdict = s.DecideWithoutLedger(cost, now, rand.Float64()) })
 	}
-	return aloneRetry, verdict == quota.Admit
+	return uncoordinatedRetry, verdict == quota.Admit
 }
 
-// Refund implements gate.Limits.
+// Refund implements gate.TeamLimits.
 func (l *Link) Refund(team *deploy.Team, cost float64) {
 	now := l.own.now()
-	l.teams.with(team, now, func(s *quota.Share) { s.Refund(cost, now) })
+	l.teams.withShare(team, now, func(s *quota.Share) { s.Refund(cost, now) })
 }
 
 var _ gate.TeamLimits = (*Link)(nil)
 
-// charge asks the host that counts for all whether a request may be sent.
-func (a *asking) charge(ctx context.Context, team string, cost float64) (wait time.Duration, ok bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, askBound)
+// charge asks the acting coordinator whether a team's limit allows a request.
+func (c *permitClient) charge(ctx context.Context, team string, cost float64) (wait time.Duration, ok bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, firstAnswerTimeout)
 	defer cancel()
-	answer, err := a.exchange(ctx, &coordpb.TurnEvent{Kind: coordpb.TurnEvent_CHARGE, Team: team, Charge: uint32(cost)})
+	answer, err := c.call(ctx, &coordpb.TurnEvent{Kind: coordpb.TurnEvent_CHARGE, Team: team, Charge: uint32(cost)})
 	if err != nil {
 		return 0, false, err
 	}
--- /dev/null
+++ b/node/coordinator/loadingmodels_test.go
@@ -0,0 +1,45 @@
+package coordinator
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"peridotpier.example/core/replica"
+	"peridotpier.example/node/coordinator/coordpb"
+)
+
+// Guards against callers that are refused, or wait until they can no longer be served,
+// for a model whose load ends at a known time: the coordinator moves a model, the one
+// that is evicted for it ends its streams first, and hosts are notified only when the
+// new one is ready.
+func TestHostsReceiveTheReadyTimeOfALoadingModel(t *testing.T) {
+	holder, host := holderSize{7, 12, 340}.holder(), holderSize{7, 12, 340}.holder()
+	l := NewLink(LinkConfig{Host: "h"}, host, nil, host.deps.Log)
+	report := func() {
+		l.applyAnswer(holder.answerLoads(&coordpb.HostReport{Host: "h", Revision: l.revision}, holder.now()))
+	}
+	report()
+	_, loading := host.deps.Fleet.ExpectedReady("s", modelName(200))
+	assert.Assert(t, !loading)
+
+	u, _ := holder.upstream(upstreamName(0))
+	u.activeMove = &activeMove{Move: replica.Move{Upstream: upstreamName(0), Unload: modelName(0), Load: modelName(200), From: replica.FromStore}}
+	holder.publishChange(u)
+	report()
+	at, loading := host.deps.Fleet.ExpectedReady("s", modelName(200))
+	assert.Assert(t, loading && at.Sub(host.now()) == 9*time.Second, "at the earliest")
+
+	u.activeMove.loadingSince = holder.now().Add(-4 * time.Second)
+	holder.publishChange(u)
+	report()
+	at, loading = host.deps.Fleet.ExpectedReady("s", modelName(200))
+	assert.Assert(t, loading && at.Sub(host.now()) == 5*time.Second)
+
+	u.activeMove = nil
+	holder.publishChange(u)
+	report()
+	_, loading = host.deps.Fleet.ExpectedReady("s", modelName(200))
+	assert.Assert(t, !loading, "the move failed")
+}
--- a/node/coordinator/asking_test.go
+++ b/node/coordinator/permitclient_test.go
@@ -17,12 +17,12 @@
 	"peridotpier.example/node/gate"
 )
 
-// stalled is a host that gives one turn and then reads nothing more.
-type stalled struct {
+// stalledHost grants one permit and then reads nothing more.
+type stalledHost struct {
 	coordpb.DRPCCoordinatorUnimplementedServer
 }
 
-func (*stalled) Turns(st coordpb.DRPCCoordinator_TurnsStream) error {
+func (*stalledHost) Turns(st coordpb.DRPCCoordinator_TurnsStream) error {
 	e, err := st.Recv()
 	if err != nil {
 		return err
@@ -34,38 +34,37 @@
 	return nil
 }
 
-// Symptom: requests end with the host's process, without an answer.
-// Sequence: the host that gives turns stops reading, as one that is frozen or
-// cut off does; the way there is full.
-// Cause: a handler tells of its request's progress by writing to that host
-// itself, and one that writes holds up all others; neither a deadline nor the
-// end of the grace ends that.
+// Guards against requests that end without an answer, with the host's process: the
+// coordinator stops reading, as a host does that is frozen or disconnected, until the
+// stream's buffers are full. A handler that reports its request's progress by writing
+// to the stream itself then blocks all others, and neither a deadline nor the end of
+// the grace period ends that.
 func TestNoRequestWaitsForAHostThatReadsNothing(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	mux := drpcmux.New()
-	assert.NilError(t, coordpb.DRPCRegisterCoordinator(mux, &stalled{}))
-	near, far := net.Pipe() // it holds no bytes: a write waits for its reader
+	assert.NilError(t, coordpb.DRPCRegisterCoordinator(mux, &stalledHost{}))
+	near, far := net.Pipe() // unbuffered: a write waits for its reader
 	go func() { _ = drpcserver.New(mux).ServeOne(ctx, far) }()
 	link := NewLink(LinkConfig{Host: "h", Address: "own"}, nil, func(context.Context, string, string) (net.Conn, error) { return near, nil }, event.NewLog(nil))
-	assert.NilError(t, link.asking.open(ctx, "other"))
+	assert.NilError(t, link.permitClient.open(ctx, "other"))
 	q := &gate.PermitRequest{Service: "s", Request: &fleet.Request{Model: "m"}}
-	turn, err := link.RequestPermit(ctx, q)
+	permit, err := link.RequestPermit(ctx, q)
 	assert.NilError(t, err)
-	assert.Equal(t, turn.Upstream, "u")
-	within(t, func() {
-		for range 4 * turnQueue {
-			turn.Began()
+	assert.Equal(t, permit.Upstream, "u")
+	finishesSoon(t, func() {
+		for range 4 * permitQueueLen {
+			permit.Began()
 		}
-		turn.Release()
+		permit.Release()
 	})
-	within(t, func() {
+	finishesSoon(t, func() {
 		_, err := link.RequestPermit(ctx, q)
-		assert.ErrorIs(t, err, errNoTurns)
+		assert.ErrorIs(t, err, errNoCoordinator)
 	})
 }
 
-func within(t *testing.T, f func()) {
+func finishesSoon(t *testing.T, f func()) {
 	t.Helper()
 	done := make(chan struct{})
 	go func() {
@@ -75,20 +74,19 @@
 	select {
 	case <-done:
 	case <-time.After(2 * time.Second):
-		t.Fatal("it waits")
+		t.Fatal("the call blocks")
 	}
 }
 
-// Symptom: a host that acts for all decides each of its own requests only after
-// a wait in vain, for ever.
-// Sequence: more answers to its own requests wait than its queue holds.
-// Cause: the end of its stream to itself is not noticed, so that no other is opened.
-func TestAStreamToItselfThatEndedIsGivenUp(t *testing.T) {
+// Guards against an acting host that waits for an unanswered permit request before each
+// of its own requests, forever: more answers to its own requests wait than its queue
+// holds, its local stream ends, and no other is opened because nobody notices.
+func TestAnEndedLocalStreamIsClosed(t *testing.T) {
 	log := event.NewLog(nil)
 	own := New(Config{}, Deps{Fleet: fleet.New(fleet.Config{}, fleet.Deps{}), Log: log})
-	a := NewLink(LinkConfig{Host: "h"}, own, nil, log).asking
-	a.openOwn()
-	to := a.stream.(*ownStream).to
+	a := NewLink(LinkConfig{Host: "h"}, own, nil, log).permitClient
+	a.openLocal()
+	to := a.stream.(*localStream).to
 	to.cancel() // as a full queue does
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		a.mu.Lock()
--- /dev/null
+++ b/node/coordinator/permits.go
@@ -0,0 +1,406 @@
+package coordinator
+
+import (
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"sort"
+	"sync"
+	"time"
+
+	"peridotpier.example/core/balance"
+	"peridotpier.example/core/speed"
+	"peridotpier.example/node/coordinator/coordpb"
+	"peridotpier.example/node/fleet"
+)
+
+// permits decides for all hosts where and when each request for a model is dispatched.
+//
+// Hosts that decide on their own see what the others have sent a fraction of a second
+// late, and send to the same upstream at once; its streams then stall while it reads
+// all those prompts. A single place that knows every dispatch can queue each request
+// until an upstream has read the prompts that it was given, and grant it at the first
+// upstream that is done, in order of urgency.
+type permits struct {
+	c *Coordinator
+
+	mu          sync.Mutex
+	streams     map[*permitStream]struct{}
+	granted     map[permitKey]*permitRequest
+	grants      map[string]*upstreamGrants // by upstream ID
+	waiting     []*permitRequest           // ordered by priority, then by age
+	suspects    map[string]bool            // upstreams that several hosts exclude, as of the last request or maintenance
+	unreachable map[string]time.Time       // upstreams at whose address nothing listened, and when that was found
+	limits      upstreamLimits
+	backoffs    backoffs
+	wakeAt      map[*fleet.Entry]time.Time // when the requests that wait for an upstream are tried again
+
+	endpoints []balance.Endpoint // buffer of one pick; reused, since a pick may cover hundreds
+}
+
+// upstreamGrants is the load that was granted at one upstream.
+type upstreamGrants struct {
+	load          fleet.Load
+	cache         fleet.PromptCache
+	newestReading *permitRequest // the newest request whose prompt is being read there; nil: none
+}
+
+// permitKey identifies a request by its stream and the number that its host gave it.
+type permitKey struct {
+	from *permitStream
+	id   uint64
+}
+
+// permitRequest is a request for a permit, granted or waiting.
+type permitRequest struct {
+	key           permitKey
+	event         *coordpb.TurnEvent
+	ask           fleet.Request
+	tried         map[string]bool
+	warm          map[string]bool
+	hostBackoffs  map[string]time.Time // until when upstreams asked the request's host to back off; nil: none did
+	askedAt       time.Time
+	upstream      string // where the request was granted; "": it waits
+	readingPrompt bool   // whether the first event of its answer is still to come
+	solePrompt    bool   // whether the upstream read no other prompt at the same time
+	grantedAt     time.Time
+	firstAt       time.Time // when the first event of its answer arrived
+	waitReason    balance.Reason
+	isTrial       bool // whether it was granted in the slow start after a backoff
+}
+
+func newPermits(c *Coordinator) *permits {
+	return &permits{c: c, streams: map[*permitStream]struct{}{}, granted: map[permitKey]*permitRequest{}, grants: map[string]*upstreamGrants{}, unreachable: map[string]time.Time{}, limits: newUpstreamLimits(c), backoffs: backoffs{}, wakeAt: map[*fleet.Entry]time.Time{}}
+}
+
+// reset begins a term: counts of an earlier one are outdated.
+func (p *permits) reset() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.limits.reset()
+}
+
+// handle processes one event of a host and sends the answers that result.
+func (p *permits) handle(from *permitStream, e *coordpb.TurnEvent) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	k := permitKey{from, e.Id}
+	switch e.Kind {
+	case coordpb.TurnEvent_ASK:
+		p.request(k, e)
+	case coordpb.TurnEvent_FIRST:
+		p.promptRead(k)
+	case coordpb.TurnEvent_END:
+		p.end(k)
+	case coordpb.TurnEvent_ABSENT:
+		p.upstreamUnreachable(k)
+	case coordpb.TurnEvent_CHARGE:
+		if p.chargeTeam(k, e, p.c.now()) {
+			from.send(&coordpb.TurnAnswer{Id: k.id, Kind: coordpb.TurnAnswer_GRANTED})
+		}
+	}
+}
+
+// removeStream drops all requests of a host whose stream has ended.
+func (p *permits) removeStream(from *permitStream) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.streams, from)
+	for k, g := range p.granted {
+		if k.from == from {
+			p.release(g)
+		}
+	}
+	kept := p.waiting[:0]
+	for _, w := range p.waiting {
+		if w.key.from != from {
+			kept = append(kept, w)
+		}
+	}
+	p.waiting = kept
+}
+
+// chargeTeam charges a request to its team's limit and reports whether the limit allows
+// it. If not, the host is answered.
+func (p *permits) chargeTeam(k permitKey, e *coordpb.TurnEvent, now time.Time) bool {
+	if e.Team == "" {
+		return true
+	}
+	wait, ok := p.c.accounts.charge(e.Team, float64(e.Charge), now)
+	if !ok {
+		k.from.send(&coordpb.TurnAnswer{Id: k.id, Kind: coordpb.TurnAnswer_OVER, WaitMs: uint32(wait.Milliseconds()) + 1})
+	}
+	return ok
+}
+
+func (p *permits) request(k permitKey, e *coordpb.TurnEvent) {
+	now := p.c.now()
+	if !p.chargeTeam(k, e, now) {
+		return
+	}
+	p.suspects = p.c.aggregate.suspects(now)
+	w := &permitRequest{key: k, event: e, ask: fleet.Request{Model: e.Model, Adapter: e.Adapter}, askedAt: now, tried: setOf(e.Tried), warm: setOf(e.Warm)}
+	p.backoffs.record(w, now)
+	for _, part := range e.Parts {
+		w.ask.PromptParts = append(w.ask.PromptParts, fleet.PromptPart{ID: part.Id, Tokens: int(part.Tokens)})
+	}
+	w.waitReason = p.tryAll(w, now)
+	if !mayQueue(w.waitReason) || w.waitReason == balance.AllBackoff && p.refuseUnservable(w, now) {
+		return
+	}
+	at := sort.Search(len(p.waiting), func(i int) bool { return p.waiting[i].event.Priority > e.Priority })
+	p.waiting = append(p.waiting, nil)
+	copy(p.waiting[at+1:], p.waiting[at:])
+	p.waiting[at] = w
+	k.from.send(&coordpb.TurnAnswer{Id: k.id, Kind: coordpb.TurnAnswer_QUEUED, Reason: uint32(w.waitReason)})
+}
+
+// mayQueue reports whether a request that was not granted for this reason waits here
+// until the reason has passed.
+func mayQueue(r balance.Reason) bool {
+	return r == balance.AllPrefilling || r == balance.AllFull || r == balance.AllBackoff
+}
+
+// tryAll tries to grant a request at any upstream of its service. It answers the host
+// unless the request has to wait.
+func (p *permits) tryAll(w *permitRequest, now time.Time) balance.Reason {
+	entries := p.c.deps.Fleet.EntriesWithModel(w.event.Service, w.ask.Model)
+	d := p.pick(w, entries, now)
+	if d.Reason == balance.NoUpstream && p.c.deps.Fleet.HasUsableWithoutModel(w.event.Service, w.ask.Model, func(e *fleet.Entry) bool { return p.isExcluded(e, w, now) }) {
+		d.Reason = balance.NoModel
+	}
+	if d.Index < 0 && !mayQueue(d.Reason) {
+		a := &coordpb.TurnAnswer{Id: w.key.id, Kind: coordpb.TurnAnswer_NONE, Reason: uint32(d.Reason)}
+		if d.AdapterTarget >= 0 {
+			a.Home = entries[d.AdapterTarget].ID()
+		}
+		w.key.from.send(a)
+	}
+	return d.Reason
+}
+
+// pick grants a request at the best of the given upstreams, if one can take it now.
+func (p *permits) pick(w *permitRequest, entries []*fleet.Entry, now time.Time) balance.Decision {
+	endpoints := p.endpoints[:0]
+	for _, e := range entries {
+		endpoints = append(endpoints, p.endpoint(e, w, now))
+	}
+	p.endpoints = endpoints
+	r := balance.Request{Model: w.ask.Model, Adapter: w.ask.Adapter, PromptTokens: int(w.event.Prompt), OutputTokens: int(w.event.Output), MaxPendingPromptTokens: int(w.event.Reading)}
+	if e := p.c.engine(w.event.Service); e != nil {
+		r.CacheTokens = e.CacheTokens
+	}
+	d := balance.Pick(endpoints, &r, rand.Float64)
+	if d.Index >= 0 {
+		p.grant(w, entries[d.Index], &endpoints[d.Index], d, now)
+	}
+	return d
+}
+
+// endpoint describes an upstream by what was granted there, in place of what hosts
+// report. The load of a host that has no stream here counts as reported.
+func (p *permits) endpoint(e *fleet.Entry, w *permitRequest, now time.Time) balance.Endpoint {
+	out := e.Endpoint(&w.ask, now)
+	out.SameDataCentre, out.Tried, out.HasIdleConn = e.DataCentre() == w.event.DataCentre, w.tried[e.ID()], w.warm[e.ID()]
+	out.Down = out.Down || p.isExcluded(e, w, now)
+	out.Backoff = max(p.limits.wait(e, now), p.backoffs.wait(e.ID()), w.hostBackoffs[e.ID()].Sub(now))
+	u := p.grants[e.ID()]
+	if u == nil {
+		out.PendingPromptTokens = 0
+		return out
+	}
+	out.InFlight, out.InFlightTokens, out.PendingPromptTokens = max(u.load.Requests, out.InFlight), max(u.load.Tokens, out.InFlightTokens), u.load.PendingPromptTokens
+	if out.ModelResident {
+		out.CachedTokens = max(out.CachedTokens, u.cache.CachedTokens(&w.ask, now))
+	}
+	return out
+}
+
+// isExcluded reports whether an upstream is passed over because of what hosts observed
+// there, or because it had an attempt of this request.
+func (p *permits) isExcluded(e *fleet.Entry, w *permitRequest, now time.Time) bool {
+	return w.tried[e.ID()] || p.suspects[e.ID()] || now.Sub(p.unreachable[e.ID()]) < unreachableFor
+}
+
+func (p *permits) grant(w *permitRequest, e *fleet.Entry, at *balance.Endpoint, d balance.Decision, now time.Time) {
+	w.upstream, w.readingPrompt = e.ID(), true
+	prompt := w.event.Prompt
+	w.event.Prompt -= min(w.event.Prompt, uint32(at.CachedTokens)) // what is not cached is left to be read
+	if w.event.Model != "" {
+		p.c.speeds.withModel(w.model(), func(m speed.Estimator) { m.AddPrompt(int(prompt), int(w.event.Prompt)) })
+	}
+	w.grantedAt, w.solePrompt = now, at.PendingPromptTokens == 0
+	p.granted[w.key] = w
+	u := p.grants[w.upstream]
+	if u == nil {
+		u = &upstreamGrants{}
+		p.grants[w.upstream] = u
+	}
+	if u.newestReading != nil {
+		u.newestReading.solePrompt = false
+	}
+	u.newestReading = w
+	within := p.limits.count(e, now)
+	trial := p.backoffs.recordGrant(w)
+	u.cache.Record(&w.ask, now)
+	u.load.Requests++
+	u.load.Tokens += int(w.event.Prompt + w.event.Output)
+	u.load.PendingPromptTokens += int(w.event.Prompt)
+	w.key.from.send(&coordpb.TurnAnswer{Id: w.key.id, Kind: coordpb.TurnAnswer_GRANTED, Upstream: w.upstream,
+		PredictedMs: uint32(d.PredictedWait.Milliseconds()), Load: uint32(at.InFlight), Waiting: uint32(at.PendingPromptTokens), Cached: uint32(at.CachedTokens), WithinLimit: within, Trial: trial})
+}
+
+// promptRead records that an upstream has read a request's prompt.
+func (p *permits) promptRead(k permitKey) {
+	if g := p.granted[k]; g != nil && g.readingPrompt {
+		g.firstAt = p.c.now()
+		p.backoffs.recordAnswer(g, p.slotCount(g.upstream))
+		if g.solePrompt && g.event.Model != "" {
+			p.c.speeds.withModel(g.model(), func(m speed.Estimator) { m.Read(int(g.event.Prompt), g.firstAt.Sub(g.grantedAt)) })
+		}
+		p.finishPrompt(g)
+		p.grantWaitingAt(g.upstream)
+	}
+}
+
+// slotCount returns how many requests an upstream runs at a time; 0: unknown.
+func (p *permits) slotCount(upstream string) int {
+	e, ok := p.c.deps.Fleet.Entry(upstream)
+	if !ok {
+		return 0
+	}
+	described, _ := e.Description()
+	return described.Slots
+}
+
+// finishPrompt subtracts a request's prompt from what its upstream has to read.
+func (p *permits) finishPrompt(g *permitRequest) {
+	if u := p.grants[g.upstream]; u != nil && g.readingPrompt {
+		u.load.PendingPromptTokens -= int(g.event.Prompt)
+		if u.newestReading == g {
+			u.newestReading = nil
+		}
+	}
+	g.readingPrompt = false
+}
+
+// release subtracts a request from its upstream's load.
+func (p *permits) release(g *permitRequest) {
+	p.finishPrompt(g)
+	p.backoffs.recordEnd(g)
+	if u := p.grants[g.upstream]; u != nil {
+		u.load.Requests--
+		u.load.Tokens -= int(g.event.Prompt + g.event.Output)
+	}
+	delete(p.granted, g.key)
+}
+
+func (p *permits) end(k permitKey) {
+	if g := p.granted[k]; g != nil {
+		if !g.firstAt.IsZero() && g.event.Output > 0 {
+			took := p.c.now().Sub(g.firstAt)
+			p.c.speeds.withModel(g.model(), func(m speed.Estimator) { m.AddGeneration(int(g.event.Output), took) })
+		}
+		p.release(g)
+		p.grantWaitingAt(g.upstream)
+		return
+	}
+	for i, w := range p.waiting {
+		if w.key == k {
+			p.waiting = append(p.waiting[:i], p.waiting[i+1:]...)
+			return
+		}
+	}
+}
+
+// unreachableFor is how long an upstream gets no permits after one host found nothing
+// listening at its address. By then that host and others report that they exclude it. A
+// refused connection is an answer of the upstream's own machine: unlike a timeout, it
+// does not depend on the network path of the host.
+const unreachableFor = 600 * time.Millisecond
+
+// upstreamUnreachable ends a request at whose upstream nothing listens. If the upstream
+// were not recorded, each of the hosts would be sent there until it finds out itself.
+func (p *permits) upstreamUnreachable(k permitKey) {
+	if g := p.granted[k]; g != nil {
+		p.unreachable[g.upstream] = p.c.now()
+		p.release(g)
+	}
+}
+
+// maxWaitingScan bounds how many waiting requests are tried for one event.
+const maxWaitingScan = 48
+
+// grantWaitingAt grants waiting requests at one upstream, whose state has changed. The
+// other upstreams are as they were when the requests were tried there.
+func (p *permits) grantWaitingAt(upstream string) {
+	e, ok := p.c.deps.Fleet.Entry(upstream)
+	if !ok {
+		return
+	}
+	now := p.c.now()
+	p.grantWaiting(now, func(w *permitRequest) bool {
+		return w.event.Service == e.Service() && p.pick(w, []*fleet.Entry{e}, now).Index >= 0
+	})
+	if len(p.waiting) > 0 {
+		p.wakeAfter(e, now, p.limits.wait(e, now))
+	}
+}
+
+// grantWaiting removes those waiting requests for which try returns true. Overdue
+// requests are tried after those that can still be answered in time.
+func (p *permits) grantWaiting(now time.Time, try func(*permitRequest) (gone bool)) {
+	tried := 0
+	for _, overdue := range []bool{false, true} {
+		for i, w := range p.waiting {
+			if tried >= maxWaitingScan || w == nil || w.isOverdue(now) != overdue {
+				continue
+			}
+			tried++
+			if try(w) {
+				p.waiting[i] = nil
+			}
+		}
+	}
+	p.waiting = slices.DeleteFunc(p.waiting, func(w *permitRequest) bool { return w == nil })
+}
+
+func (w *permitRequest) model() modelKey { return modelKey{w.event.Service, w.event.Model} }
+
+// isOverdue reports whether an answer to the request could no longer begin in time.
+func (w *permitRequest) isOverdue(now time.Time) bool {
+	inTime := milliseconds(w.event.InTimeMs)
+	if w.event.Model == "" {
+		return now.Sub(w.askedAt) > time.Duration(float64(inTime)*plainCallShare)
+	}
+	return now.Sub(w.askedAt) > inTime-promptReadTime
+}
+
+// promptReadTime is about how long an upstream that reads no other prompt takes to read
+// one.
+const promptReadTime = 120 * time.Millisecond
+
+// plainCallShare is the share of its objective that a call of a plain service may wait
+// and still be answered in time: the remainder is for the call and its transfer.
+const plainCallShare = 0.6
+
+// maintain tries all waiting requests again, since upstreams appear, recover and gain
+// models without an event here, and drops the records of upstreams that were removed.
+func (p *permits) maintain() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.c.now()
+	p.suspects = p.c.aggregate.suspects(now)
+	p.grantWaiting(now, func(w *permitRequest) bool {
+		w.waitReason = p.tryAll(w, now)
+		return !mayQueue(w.waitReason)
+	})
+	p.limits.expire()
+	p.backoffs.expire(now)
+	for id := range p.grants {
+		if _, ok := p.c.deps.Fleet.Entry(id); !ok {
+			delete(p.grants, id)
+		}
+	}
+	maps.DeleteFunc(p.unreachable, func(_ string, at time.Time) bool { return now.Sub(at) >= unreachableFor })
+}
--- a/node/coordinator/plan_test.go
+++ b/node/coordinator/plan_test.go
@@ -11,36 +11,35 @@
 	"peridotpier.example/core/residency"
 )
 
-// Symptom: a hot model is nowhere for ten seconds after its upstreams were
-// replaced, though its load takes 2.4 s.
-// Sequence: eight loads begin together, as many as the weight store's rate
-// allows in a window; two run at full speed, so that all eight end late.
-// Cause: how many loads run at once is not bounded.
+// Guards against a hot model that is not resident anywhere for ten seconds after its
+// upstreams were replaced, though its load takes 2.4 s: eight loads begin together, as
+// many as the weight store's rate allows in a window; two run at full speed, so that
+// all eight end late. The number of loads under way must be bounded, too.
 func TestLoadsFromTheStoreWaitForThoseUnderWay(t *testing.T) {
 	e := &deploy.Engine{LoadsPerSecond: 1.1, Models: []deploy.Model{{Name: "a", StoreLoad: 2400 * time.Millisecond}, {Name: "b", StoreLoad: 2200 * time.Millisecond}}}
-	assert.Equal(t, storePlaces(e), 3)
+	assert.Equal(t, storeSlots(e), 3)
 	slow := &deploy.Engine{LoadsPerSecond: 1.4, Models: []deploy.Model{{Name: "a", StoreLoad: 9 * time.Second}}}
-	assert.Equal(t, storePlaces(slow), 13)
-	assert.Equal(t, storePlaces(&deploy.Engine{}), leastStorePlaces, "one that tells nothing")
+	assert.Equal(t, storeSlots(slow), 13)
+	assert.Equal(t, storeSlots(&deploy.Engine{}), minStoreSlots, "an engine without load times")
 
 	now := time.Now()
-	unitWith := func(v *moving, r residency.Report) *unit {
-		u := &unit{engine: e, book: residency.New(e, &deploy.Upstream{}, now), moving: v}
-		u.book.Reconcile(r, now)
+	unitWith := func(v *activeMove, r residency.Report) *managedUpstream {
+		u := &managedUpstream{engine: e, record: residency.New(e, &deploy.Upstream{}, now), activeMove: v}
+		u.record.Reconcile(r, now)
 		return u
 	}
 	idle := residency.Report{}
-	units := []*unit{
+	units := []*managedUpstream{
 		unitWith(nil, idle),
-		unitWith(&moving{Move: replica.Move{Load: "a", From: replica.FromDisk}}, idle),
-		unitWith(&moving{Move: replica.Move{Load: "a", Unload: "b", From: replica.FromStore}}, idle), // the unload is not over
+		unitWith(&activeMove{Move: replica.Move{Load: "a", From: replica.FromDisk}}, idle),
+		unitWith(&activeMove{Move: replica.Move{Load: "a", Unload: "b", From: replica.FromStore}}, idle), // the unload is not over
 	}
-	assert.Equal(t, loadingFromStore(units, 0), 0)
+	assert.Equal(t, storeLoadsUnderWay(units, 0), 0)
 	units = append(units,
-		unitWith(&moving{Move: replica.Move{Load: "a", From: replica.FromStore}}, idle),
-		unitWith(&moving{Move: replica.Move{Load: "a", Unload: "b", From: replica.FromStore}, sent: true}, idle),
+		unitWith(&activeMove{Move: replica.Move{Load: "a", From: replica.FromStore}}, idle),
+		unitWith(&activeMove{Move: replica.Move{Load: "a", Unload: "b", From: replica.FromStore}, ordered: true}, idle),
 		unitWith(nil, residency.Report{Sequence: 4, Busy: true})) // a former holder's order
-	assert.Equal(t, loadingFromStore(units, 0), 3)
-	assert.Equal(t, loadingFromStore(units, 1), 3, "the one that was told is the one that shows")
-	assert.Equal(t, loadingFromStore(units, 2), 4)
+	assert.Equal(t, storeLoadsUnderWay(units, 0), 3)
+	assert.Equal(t, storeLoadsUnderWay(units, 1), 3, "the inherited load is the one that the report shows")
+	assert.Equal(t, storeLoadsUnderWay(units, 2), 4)
 }
--- a/node/coordinator/published.go
+++ b/node/coordinator/published.go
@@ -13,105 +13,108 @@
 	"peridotpier.example/node/fleet"
 )
 
-// published keeps the changes of the list that many hosts are told, encoded once for
-// all of them. When thousands of upstreams come at once, each as text to each of a
-// thousand hosts would be more than any link carries.
+// published keeps the changes of the list that are sent to many hosts, encoded once for
+// all of them. When thousands of upstreams appear at the same time, sending each one as
+// text to each of a thousand hosts would exceed any link.
 type published struct {
-	mu       sync.Mutex
-	segments []segment // the oldest first
-	begin    uint64    // state from which on they are complete
-	to       uint64    // state up to which all is published
-	at       uint64    // the store's version that it is of
-	closed   time.Time // when that was
-	whole    wholeList
+	mu           sync.Mutex
+	segments     []segment // the oldest first
+	completeFrom uint64    // state from which on the segments are complete
+	state        uint64    // state up to which all changes are published
+	storeVersion uint64    // the store's version of that state
+	publishedAt  time.Time // when that state was published
+	fullList     packedList
 }
 
-// segment is what changed since the one before, up to a state of the list.
+// segment contains the changes since the segment before, up to a state of the list.
 type segment struct {
-	to     uint64
-	packed []byte
-	made   time.Time
+	state    uint64
+	data     []byte
+	packedAt time.Time
 }
 
 const (
-	// publishEach is the least time between two segments: what comes together is
-	// packed together. A fraction of the time in which a change is to be known.
-	publishEach = 100 * time.Millisecond
-	// publishedFor is how long segments are kept: several reports of any host.
-	publishedFor = 10 * time.Second
+	// publishInterval is the minimum time between two segments, so that simultaneous
+	// changes are packed together. It is a fraction of the time in which hosts must
+	// know a change.
+	publishInterval = 100 * time.Millisecond
+	// segmentLifetime is how long segments are kept: several report periods of any
+	// host.
+	segmentLifetime = 10 * time.Second
 )
 
-// listChange is a segment's content.
+// listChange is the content of a segment.
 type listChange struct {
 	Put  []deploy.Upstream `json:"put,omitempty"`
 	Gone []string          `json:"gone,omitempty"`
 }
 
-// publish adds what has changed since it was called last. at is the store's version
-// that the list is of, at least.
-func (p *published) publish(f *fleet.Fleet, at uint64, now time.Time) error {
+// publish adds a segment with the changes since its last call. storeVersion is the
+// store's version of the list; the list may be newer.
+func (p *published) publish(f *fleet.Fleet, storeVersion uint64, now time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.closed) < publishEach {
+	if now.Sub(p.publishedAt) < publishInterval {
 		return nil
 	}
-	change := f.ChangesSince(p.to, true)
+	change := f.ChangesSince(p.state, true)
 	if change.Complete {
-		p.segments, p.begin = nil, change.Revision
+		p.segments, p.completeFrom = nil, change.Revision
 	} else if len(change.Put)+len(change.Removed) > 0 {
-		packed, err := packList(listChange{plainOf(change.Put, true), change.Removed})
+		packed, err := packList(listChange{listedUpstreams(change.Put, true), change.Removed})
 		if err != nil {
 			return err
 		}
 		p.segments = append(p.segments, segment{change.Revision, packed, now})
 	}
-	p.to, p.at, p.closed = change.Revision, at, now
-	p.dropLocked(now)
+	p.state, p.storeVersion, p.publishedAt = change.Revision, storeVersion, now
+	p.expireLocked(now)
 	return nil
 }
 
-func (p *published) dropLocked(now time.Time) {
-	old := sort.Search(len(p.segments), func(i int) bool { return now.Sub(p.segments[i].made) < publishedFor })
+func (p *published) expireLocked(now time.Time) {
+	old := sort.Search(len(p.segments), func(i int) bool { return now.Sub(p.segments[i].packedAt) < segmentLifetime })
 	if old > 0 {
-		p.begin, p.segments = p.segments[old-1].to, append([]segment(nil), p.segments[old:]...)
+		p.completeFrom, p.segments = p.segments[old-1].state, append([]segment(nil), p.segments[old:]...)
 	}
 }
 
-// since returns the segments that bring a host from a state to the newest one; false:
-// it needs the whole list.
+// since returns the segments that bring a host from a state to the newest one. ok is
+// false if the host needs the complete list.
 func (p *published) since(from uint64) (packed [][]byte, to, at uint64, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if from == 0 || p.at == 0 || from < p.begin {
+	if from == 0 || p.storeVersion == 0 || from < p.completeFrom {
 		return nil, 0, 0, false
 	}
-	first := sort.Search(len(p.segments), func(i int) bool { return p.segments[i].to > from })
+	first := sort.Search(len(p.segments), func(i int) bool { return p.segments[i].state > from })
 	for _, s := range p.segments[first:] {
-		packed = append(packed, s.packed)
+		packed = append(packed, s.data)
 	}
-	return packed, p.to, p.at, true
+	return packed, p.state, p.storeVersion, true
 }
 
-// wholeList returns the list as of what is published, at most wholeFor older.
-func (p *published) wholeList(f *fleet.Fleet, now time.Time) (wholeList, error) {
+// packedFullList returns the list as of the published state, or an earlier one that is
+// at most packedListMaxAge old.
+func (p *published) packedFullList(f *fleet.Fleet, now time.Time) (packedList, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.whole.to > 0 && p.whole.to >= p.begin && now.Sub(p.whole.made) < wholeFor {
-		return p.whole, nil
+	if p.fullList.state > 0 && p.fullList.state >= p.completeFrom && now.Sub(p.fullList.packedAt) < packedListMaxAge {
+		return p.fullList, nil
 	}
-	next, err := packWhole(f, true, now)
+	next, err := packFullList(f, true, now)
 	if err != nil {
-		return wholeList{}, err
+		return packedList{}, err
 	}
-	next.to, next.at = p.to, p.at // what is newer comes with the next segments
-	p.whole = next
+	next.state, next.storeVersion = p.state, p.storeVersion // newer changes come with the next segments
+	p.fullList = next
 	return next, nil
 }
 
-// readChanges reads segments that follow a list, or what is known of it: of an
-// upstream that changed several times, the last.
-func readChanges(list []deploy.Upstream, segments [][]byte) (put []deploy.Upstream, gone []string, err error) {
-	newest := map[string]*deploy.Upstream{} // nil: gone
+// mergeChanges decodes segments that follow a list, or the state that a host has. Of an
+// upstream that changed several times it returns the last change.
+func mergeChanges(list []deploy.Upstream, segments [][]byte) (put []deploy.Upstream, gone []string, err error) {
+	newest := map[string]*deploy.Upstream{} // nil: removed
 	for i := range list {
 		newest[list[i].ID] = &list[i]
 	}
--- a/node/coordinator/relay.go
+++ b/node/coordinator/relay.go
@@ -12,80 +12,81 @@
 	"peridotpier.example/node/coordinator/coordpb"
 )
 
-// relay adds what the store told this host and the other does not have yet.
+// relay adds the store's state that this host has and the other does not have yet to an
+// answer.
 func (c *Coordinator) relay(r *coordpb.HostReport, out *coordpb.SiteState) error {
 	out.StoreAgeMs = uint32(min(c.deps.Feed.StoreAge(), time.Hour).Milliseconds())
 	if err := c.relayConfig(r, out); err != nil {
 		return err
 	}
-	if r.BriefList && milliseconds(out.PeriodMs) > reportPeriod {
-		return c.relayBrief(r, out)
+	if r.BriefList && milliseconds(out.PeriodMs) > minReportPeriod {
+		return c.relayCompactList(r, out)
 	}
-	at := c.deps.Feed.UpstreamsVersion() // before the list: it may be newer than what is said of it
-	from := c.listedUpTo(r)
-	if from == 0 && r.PackedList { // without a copy of the list for each that asks
-		return c.relayWhole(r, at, out)
+	at := c.deps.Feed.UpstreamsVersion() // read before the list, which may thus be newer than this version
+	from := c.listState(r)
+	if from == 0 && r.PackedList { // avoids a copy of the list for each host that asks
+		return c.relayFullList(r, at, out)
 	}
 	change := c.deps.Fleet.ChangesSince(from, false)
 	if change.Complete && r.PackedList {
-		return c.relayWhole(r, at, out)
+		return c.relayFullList(r, at, out)
 	}
 	put, err := c.encodings.upstreams(change.Put)
 	out.List, out.ListAt, out.ListFull, out.Put, out.Gone = change.Revision, at, change.Complete, put, change.Removed
 	return err
 }
 
-// listedUpTo is up to which state of the list a host knows it; 0: not at all.
-func (c *Coordinator) listedUpTo(r *coordpb.HostReport) uint64 {
+// listState returns the state of the list up to which a host has it; 0: it has none.
+func (c *Coordinator) listState(r *coordpb.HostReport) uint64 {
 	if r.List != 0 {
 		return r.List
 	}
 	return c.deps.Fleet.RevisionAt(r.ListAt)
 }
 
-// relayWhole adds the whole list, packed.
-func (c *Coordinator) relayWhole(r *coordpb.HostReport, at uint64, out *coordpb.SiteState) error {
-	w, err := c.encodings.whole(c.now(), at, false, c.deps.Fleet)
+// relayFullList adds the complete list, packed.
+func (c *Coordinator) relayFullList(r *coordpb.HostReport, storeVersion uint64, out *coordpb.SiteState) error {
+	list, err := c.encodings.packedList(c.now(), storeVersion, false, c.deps.Fleet)
 	if err != nil {
 		return err
 	}
-	c.addWhole(w, r, out)
+	c.addFullList(list, r, out)
 	return nil
 }
 
-// addWhole adds a whole list, unless this host's link is busy with those for others: a
-// host that is told nothing of the list asks one that would act next, or again with its
-// next report. Those that would act next hand it on, and so come first.
-func (c *Coordinator) addWhole(w wholeList, r *coordpb.HostReport, out *coordpb.SiteState) {
-	if slices.Contains(out.Deputies, r.Address) || c.lists.take(len(w.packed), c.cfg.LinkMbps, c.now()) {
-		out.List, out.ListAt, out.ListFull, out.PackedList = w.to, w.at, true, w.packed
+// addFullList adds a complete list, unless this host's link is busy with those for
+// others: a host that gets no list asks a deputy, or asks again with its next report.
+// Deputies always get it, since they forward it.
+func (c *Coordinator) addFullList(list packedList, r *coordpb.HostReport, out *coordpb.SiteState) {
+	if slices.Contains(out.Deputies, r.Address) || c.listBudget.reserve(len(list.data), c.cfg.LinkMbps, c.now()) {
+		out.List, out.ListAt, out.ListFull, out.PackedList = list.state, list.storeVersion, true, list.data
 	}
 }
 
-// relayBrief adds what every host needs of the list, as published.
-func (c *Coordinator) relayBrief(r *coordpb.HostReport, out *coordpb.SiteState) error {
+// relayCompactList adds the part of the list that every host needs, as published.
+func (c *Coordinator) relayCompactList(r *coordpb.HostReport, out *coordpb.SiteState) error {
 	out.ListBrief = true
 	p := &c.published
 	if err := p.publish(c.deps.Fleet, c.deps.Feed.UpstreamsVersion(), c.now()); err != nil {
 		return err
 	}
-	changes, to, at, ok := p.since(c.listedUpTo(r))
+	changes, to, at, ok := p.since(c.listState(r))
 	if ok {
 		out.List, out.ListAt, out.PackedChanges = to, at, changes
 		return nil
 	}
-	w, err := p.wholeList(c.deps.Fleet, c.now())
+	list, err := p.packedFullList(c.deps.Fleet, c.now())
 	if err != nil {
 		return err
 	}
-	c.addWhole(w, r, out)
-	if changes, to, at, ok := p.since(w.to); ok && out.ListFull { // the list may be of a moment ago
+	c.addFullList(list, r, out)
+	if changes, to, at, ok := p.since(list.state); ok && out.ListFull { // the cached list may be older
 		out.List, out.ListAt, out.PackedChanges = to, at, changes
 	}
 	return nil
 }
 
-// relayConfig adds the configuration if it is newer than the other's.
+// relayConfig adds the configuration if it is newer than the other host's.
 func (c *Coordinator) relayConfig(r *coordpb.HostReport, out *coordpb.SiteState) (err error) {
 	t := c.deps.Config.Current()
 	if t == nil || t.Config.Version <= r.Config {
@@ -100,8 +101,8 @@
 	return err
 }
 
-// configOf reads the configuration of an answer; nil: it brings none.
-func configOf(s *coordpb.SiteState) (*deploy.Config, error) {
+// decodeConfig decodes the configuration of an answer; nil: there is none.
+func decodeConfig(s *coordpb.SiteState) (*deploy.Config, error) {
 	data := s.Config
 	if len(s.PackedConfig) > 0 {
 		var err error
@@ -119,23 +120,23 @@
 	return cfg, nil
 }
 
-// listOf reads the list of an answer, or its changes.
-func listOf(s *coordpb.SiteState) (put []deploy.Upstream, gone []string, err error) {
-	if put, err = upstreamsOf(s); err != nil || len(s.PackedChanges) == 0 {
+// decodeList decodes the list of an answer, or its changes.
+func decodeList(s *coordpb.SiteState) (put []deploy.Upstream, gone []string, err error) {
+	if put, err = decodeUpstreams(s); err != nil || len(s.PackedChanges) == 0 {
 		return put, s.Gone, err
 	}
-	return readChanges(put, s.PackedChanges)
+	return mergeChanges(put, s.PackedChanges)
 }
 
-// upstreamsOf reads the upstreams of an answer.
-func upstreamsOf(s *coordpb.SiteState) ([]deploy.Upstream, error) {
+// decodeUpstreams decodes the upstreams of an answer.
+func decodeUpstreams(s *coordpb.SiteState) ([]deploy.Upstream, error) {
 	if len(s.PackedList) == 0 {
-		return decode(s.Put)
+		return decodeEach(s.Put)
 	}
 	return unpackList(s.PackedList)
 }
 
-// unpackList reads a list that packList packed.
+// unpackList decodes a list that packList packed.
 func unpackList(packed []byte) ([]deploy.Upstream, error) {
 	data, err := revision.Decompress(packed)
 	if err != nil {
@@ -145,8 +146,8 @@
 	return out, eris.Wrap(json.Unmarshal(data, &out), "decode list")
 }
 
-// decode reads upstreams that another host encoded.
-func decode(all [][]byte) ([]deploy.Upstream, error) {
+// decodeEach decodes upstreams that another host encoded one by one.
+func decodeEach(all [][]byte) ([]deploy.Upstream, error) {
 	out := make([]deploy.Upstream, len(all))
 	for i, data := range all {
 		if err := json.Unmarshal(data, &out[i]); err != nil {
--- a/node/coordinator/serve_test.go
+++ b/node/coordinator/serve_test.go
@@ -16,11 +16,10 @@
 	"peridotpier.example/node/store"
 )
 
-// Symptom: bytes between data centres grow with hosts times upstreams times orders.
-// Sequence: an adapter is loaded at one upstream; each of 80 hosts is told what
-// all 60 upstreams hold.
-// Cause: holdings are told as a whole.
-func TestAReportIsAnsweredWithWhatChanged(t *testing.T) {
+// Guards against traffic between data centres that grows with hosts times upstreams
+// times orders: an adapter is loaded at one upstream, and each of 80 hosts is sent the
+// holdings of all 60 upstreams.
+func TestAReportIsAnsweredWithChangesOnly(t *testing.T) {
 	log := event.NewLog(nil)
 	config := follow.NewActiveConfig(log)
 	config.ApplyIfNewer(&deploy.Config{Version: 1, Services: []deploy.Service{{Name: "s", Engine: &deploy.Engine{MemoryMB: 100, AdapterSlots: 2,
@@ -29,14 +28,14 @@
 	f.Replace([]deploy.Upstream{{ID: "a", Service: "s", Residents: []deploy.Resident{{Model: "m"}}},
 		{ID: "b", Service: "s", Residents: []deploy.Resident{{Model: "m"}}}}, 1)
 	c := New(Config{}, Deps{Fleet: f, Config: config, Log: log, Lease: lease.New(lease.Config{Name: "l"}, lease.Deps{Table: noTable{}})})
-	c.standingIn.Store(true)
-	c.follow()
+	c.actingWithoutLease.Store(true)
+	c.refresh()
 	all := c.report(&coordpb.HostReport{Host: "h"})
 	assert.Equal(t, len(all.Holdings), 2)
 	assert.Equal(t, len(c.report(&coordpb.HostReport{Host: "h", Revision: all.Revision}).Holdings), 0)
-	u, _ := c.unit("b")
-	u.book.Reconcile(residency.Report{Residents: []deploy.Resident{{Model: "m", Adapters: []string{"x"}}}}, time.Now())
-	c.changed(u)
+	u, _ := c.upstream("b")
+	u.record.Reconcile(residency.Report{Residents: []deploy.Resident{{Model: "m", Adapters: []string{"x"}}}}, time.Now())
+	c.publishChange(u)
 	some := c.report(&coordpb.HostReport{Host: "h", Revision: all.Revision})
 	assert.Equal(t, len(some.Holdings), 1)
 	assert.Equal(t, some.Holdings[0].Upstream, "b")
@@ -46,12 +45,10 @@
 // noTable is a store that no test here reaches.
 type noTable struct{ store.Table }
 
-// Symptom: a host sends requests by a description that lags, for as long as
-// nothing changes at an upstream.
-// Sequence: the holder tells what a new upstream holds before this host's list
-// names it; the list follows.
-// Cause: what was told of an unknown upstream is dropped, and is not told again.
-func TestWhatIsToldOfAnUpstreamBeforeTheListIsKept(t *testing.T) {
+// Guards against a host that dispatches by an outdated description for as long as
+// nothing changes at an upstream: the coordinator sends the holdings of a new upstream
+// before this host's list contains it. If they are dropped, they are not sent again.
+func TestHoldingsOfAnUnlistedUpstreamAreKept(t *testing.T) {
 	log := event.NewLog(nil)
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
 	own := New(Config{}, Deps{Fleet: f, Config: follow.NewActiveConfig(log), Log: log, Lease: lease.New(lease.Config{Name: "l"}, lease.Deps{Table: noTable{}})})
@@ -60,21 +57,21 @@
 		e, ok := f.Entry(id)
 		return ok && e.Endpoint(&fleet.Request{Model: "m"}, time.Now()).ModelResident
 	}
-	link.take(&coordpb.SiteState{Revision: 1, Holdings: []*coordpb.Holding{{Upstream: "u", Residents: []*coordpb.Resident{{Model: "m"}}}}})
+	link.applyAnswer(&coordpb.SiteState{Revision: 1, Holdings: []*coordpb.Holding{{Upstream: "u", Residents: []*coordpb.Resident{{Model: "m"}}}}})
 	f.Apply([]deploy.Upstream{{ID: "u", Service: "s"}}, nil, 1)
-	link.take(&coordpb.SiteState{Revision: 1})
+	link.applyAnswer(&coordpb.SiteState{Revision: 1})
 	assert.Assert(t, holds("u"))
-	link.take(&coordpb.SiteState{Revision: 2, Holdings: []*coordpb.Holding{{Upstream: "v", Residents: []*coordpb.Resident{{Model: "m"}}}}})
+	link.applyAnswer(&coordpb.SiteState{Revision: 2, Holdings: []*coordpb.Holding{{Upstream: "v", Residents: []*coordpb.Resident{{Model: "m"}}}}})
 	f.Apply(nil, []string{"v"}, 2)
 	f.Apply([]deploy.Upstream{{ID: "v", Service: "s"}}, nil, 3)
-	assert.Assert(t, !holds("v"), "what was told of one that is gone is not kept")
+	assert.Assert(t, !holds("v"), "holdings of a removed upstream are not kept")
 }
 
-// Symptom: requests are sent for models that an upstream does not hold.
-// Sequence: its process starts again under its id, empty; this host learns so
-// before the holder tells what the new process holds.
-// Cause: what the holder told of the former process is taken for the new one's.
-func TestWhatWasToldOfAFormerProcessIsNotBelievedOfItsSuccessor(t *testing.T) {
+// Guards against requests for models that an upstream does not have resident: its
+// process restarts empty under the same ID, this host learns that from the list before
+// the coordinator sends the new process's holdings, and uses those of the former
+// process.
+func TestHoldingsOfAFormerProcessAreNotUsedForItsSuccessor(t *testing.T) {
 	log := event.NewLog(nil)
 	f := fleet.New(fleet.Config{}, fleet.Deps{})
 	own := New(Config{}, Deps{Fleet: f, Config: follow.NewActiveConfig(log), Log: log, Lease: lease.New(lease.Config{Name: "l"}, lease.Deps{Table: noTable{}})})
@@ -84,11 +81,11 @@
 		return ok && e.Endpoint(&fleet.Request{Model: "m"}, time.Now()).ModelResident
 	}
 	f.Apply([]deploy.Upstream{{ID: "u", Service: "s", Born: 1}}, nil, 1)
-	link.take(&coordpb.SiteState{Revision: 1, Holdings: []*coordpb.Holding{{Upstream: "u", Born: 1, Residents: []*coordpb.Resident{{Model: "m"}}}}})
+	link.applyAnswer(&coordpb.SiteState{Revision: 1, Holdings: []*coordpb.Holding{{Upstream: "u", Born: 1, Residents: []*coordpb.Resident{{Model: "m"}}}}})
 	assert.Assert(t, holds())
 	f.Apply([]deploy.Upstream{{ID: "u", Service: "s", Born: 2}}, nil, 2)
-	link.take(&coordpb.SiteState{Revision: 1})
+	link.applyAnswer(&coordpb.SiteState{Revision: 1})
 	assert.Assert(t, !holds())
-	link.take(&coordpb.SiteState{Revision: 2, Holdings: []*coordpb.Holding{{Upstream: "u", Born: 2, Residents: []*coordpb.Resident{{Model: "m"}}}}})
+	link.applyAnswer(&coordpb.SiteState{Revision: 2, Holdings: []*coordpb.Holding{{Upstream: "u", Born: 2, Residents: []*coordpb.Resident{{Model: "m"}}}}})
 	assert.Assert(t, holds())
 }
--- /dev/null
+++ b/node/coordinator/waitestimate.go
@@ -0,0 +1,100 @@
+package coordinator
+
+import (
+	"time"
+
+	"peridotpier.example/core/balance"
+	"peridotpier.example/node/coordinator/coordpb"
+	"peridotpier.example/node/fleet"
+)
+
+// refuseUnservable answers a request that no upstream will take within its maximum
+// wait; the answer says when to come back. Otherwise it returns false, and the queue is
+// checked again when one of the upstreams may take a request.
+func (p *permits) refuseUnservable(w *permitRequest, now time.Time) bool {
+	o := p.estimateWait(w, now)
+	maxWait := milliseconds(w.event.PatienceMs)
+	if maxWait == 0 || o.dispatchIn <= maxWait {
+		return false
+	}
+	w.key.from.send(&coordpb.TurnAnswer{Id: w.key.id, Kind: coordpb.TurnAnswer_NONE, Reason: uint32(balance.AllBackoff),
+		WaitMs: uint32(o.retryIn.Milliseconds()) + 1})
+	return true
+}
+
+// waitEstimate estimates when a request can be dispatched whose upstreams all take
+// nothing for now.
+type waitEstimate struct {
+	dispatchIn time.Duration // until its host may dispatch it
+	retryIn    time.Duration // until its caller should come back, if that is too late
+}
+
+func (p *permits) estimateWait(w *permitRequest, now time.Time) waitEstimate {
+	var o waitEstimate
+	first, perSecond := true, 0.0
+	for _, e := range p.c.deps.Fleet.EntriesWithModel(w.event.Service, w.ask.Model) {
+		at := p.endpoint(e, w, now)
+		if balance.Check(&at, &balance.Request{Model: w.ask.Model}) != balance.AllBackoff {
+			continue
+		}
+		p.wakeAfter(e, now, at.Backoff)
+		estimate := waitEstimate{dispatchIn: at.Backoff, retryIn: p.retryAfter(e, at.Backoff, now)}
+		if first {
+			o, first = estimate, false
+		}
+		o = waitEstimate{dispatchIn: min(o.dispatchIn, estimate.dispatchIn), retryIn: min(o.retryIn, estimate.retryIn)}
+		if limit := e.Limit(); limit.Stated {
+			perSecond += limit.Rate()
+		}
+	}
+	if perSecond > 0 {
+		queued := time.Duration(float64(p.queuedAhead(w)) / perSecond * float64(time.Second))
+		o.dispatchIn, o.retryIn = o.dispatchIn+queued, o.retryIn+queued
+	}
+	return o
+}
+
+// otherHostRetry is after how long a caller should come back that other hosts can serve
+// now: its next attempt may reach one of them.
+const otherHostRetry = 100 * time.Millisecond
+
+// retryAfter returns after how long a caller should come back for an upstream that
+// takes nothing from its host for the time of backoff: an upstream that asked one host
+// to back off may serve the others.
+func (p *permits) retryAfter(e *fleet.Entry, backoff time.Duration, now time.Time) time.Duration {
+	if p.limits.wait(e, now) == 0 && p.backoffs.serves(e.ID()) {
+		return otherHostRetry
+	}
+	return backoff
+}
+
+// queuedAhead returns how many of the requests that wait for the same upstreams come
+// before a request.
+func (p *permits) queuedAhead(w *permitRequest) int {
+	n := 0
+	for _, o := range p.waiting {
+		if o.waitReason == balance.AllBackoff && o.event.Priority <= w.event.Priority && o.event.Service == w.event.Service && o.ask.Model == w.ask.Model {
+			n++
+		}
+	}
+	return n
+}
+
+// wakeAfter tries the waiting requests again after wait, when an upstream may take one
+// more.
+func (p *permits) wakeAfter(e *fleet.Entry, now time.Time, wait time.Duration) {
+	if wait <= 0 {
+		return
+	}
+	at := now.Add(wait)
+	if due, ok := p.wakeAt[e]; ok && !at.Before(due) {
+		return
+	}
+	p.wakeAt[e] = at
+	time.AfterFunc(wait, func() {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		delete(p.wakeAt, e)
+		p.grantWaitingAt(e.ID())
+	})
+}
--- a/node/dispatch/output.go
+++ b/node/dispatch/output.go
@@ -10,107 +10,108 @@
 	nodeclaim "peridotpier.example/node/claim"
 )
 
-// output passes an answer to the caller and, for a claim, keeps it.
+// output writes an answer to the caller and, for a claim, retains it.
 type output struct {
-	sink     Sink
-	started  bool // the head went out: no other attempt may answer
-	keep     bool
-	most     int64
-	budget   *keepBudget
-	detached bool // the request goes on when its caller is gone
-	gone     bool // the caller is gone
-	head     Head
-	kept     []byte
-	overflow bool
+	sink        Sink
+	started     bool // the head was written: no other attempt may answer
+	retain      bool
+	maxRetained int64
+	budget      *retainBudget
+	detached    bool // the request continues after its caller has disconnected
+	callerGone  bool
+	head        Head
+	retained    []byte
+	overflow    bool
 }
 
 func (o *output) start(h Head) {
 	o.started, o.head = true, h
-	if !o.gone {
+	if !o.callerGone {
 		o.sink.WriteHead(h)
 	}
 }
 
-// write passes p on. A claimed request goes on without its caller, since the
-// answer will be asked for again under its key; any other ends.
+// write writes p to the caller. A request under a claim continues without its
+// caller, since its answer will be requested again under its key; any other
+// request ends with an error.
 func (o *output) write(p []byte) error {
-	if o.keep && !o.overflow {
-		o.hold(p)
+	if o.retain && !o.overflow {
+		o.retainBytes(p)
 	}
-	if o.gone {
+	if o.callerGone {
 		return nil
 	}
-	return o.lost(o.sink.Write(p))
+	return o.handleSinkError(o.sink.Write(p))
 }
 
-// hold keeps p for the claim, unless the answer gets too large for its own
-// bound or for what the host holds of all answers together.
-func (o *output) hold(p []byte) {
-	if int64(len(o.kept)+len(p)) > o.most || !o.budget.take(len(p)) {
-		o.release()
+// retainBytes retains p for the claim, unless the answer exceeds its own maximum
+// or the host's budget for all answers.
+func (o *output) retainBytes(p []byte) {
+	if int64(len(o.retained)+len(p)) > o.maxRetained || !o.budget.reserve(len(p)) {
+		o.releaseRetained()
 		o.overflow = true
 		return
 	}
-	o.kept = append(o.kept, p...)
+	o.retained = append(o.retained, p...)
 }
 
-// release gives back what the answer took of the host's memory.
-func (o *output) release() {
-	if len(o.kept) > 0 {
-		o.budget.give(len(o.kept))
+// releaseRetained drops the retained answer and returns its bytes to the budget.
+func (o *output) releaseRetained() {
+	if len(o.retained) > 0 {
+		o.budget.release(len(o.retained))
 	}
-	o.kept = nil
+	o.retained = nil
 }
 
-// keepBudget bounds the bytes of answers that a host holds for claims while
-// their requests run. Without it, many large answers at once would take the
-// memory of a small host.
-type keepBudget struct {
+// retainBudget bounds the bytes of answers that a host retains for claims while
+// their requests run. Without it, many large answers at the same time would
+// exhaust the memory of a small host.
+type retainBudget struct {
 	used atomic.Int64
-	most int64
+	max  int64
 }
 
-func (b *keepBudget) take(n int) bool {
-	if b.used.Add(int64(n)) <= b.most {
+func (b *retainBudget) reserve(n int) bool {
+	if b.used.Add(int64(n)) <= b.max {
 		return true
 	}
-	b.give(n)
+	b.release(n)
 	return false
 }
 
-func (b *keepBudget) give(n int) { b.used.Add(-int64(n)) }
+func (b *retainBudget) release(n int) { b.used.Add(-int64(n)) }
 
 func (o *output) flush() error {
-	if o.gone {
+	if o.callerGone {
 		return nil
 	}
-	return o.lost(o.sink.Flush())
+	return o.handleSinkError(o.sink.Flush())
 }
 
-func (o *output) lost(err error) error {
+func (o *output) handleSinkError(err error) error {
 	if err == nil {
 		return nil
 	}
-	o.gone = true
+	o.callerGone = true
 	if o.detached {
 		return nil
 	}
 	return fault.Unknown(fault.StepRelay, "caller", fault.CodeInternal, "caller is gone: %w", err)
 }
 
-// answer is what a claim keeps.
+// answer returns what the claim stores.
 func (o *output) answer() nodeclaim.Answer {
-	return nodeclaim.Answer{Status: o.head.Status, ContentType: o.head.Header.Get("Content-Type"), Body: o.kept, Dropped: o.overflow}
+	return nodeclaim.Answer{Status: o.head.Status, ContentType: o.head.Header.Get("Content-Type"), Body: o.retained, Dropped: o.overflow}
 }
 
-// replay hands over the stored answer of a request that ran before.
+// replay writes the stored answer of a request that ran before.
 func (o *output) replay(a *nodeclaim.Answer) error {
 	h := http.Header{}
 	if a.ContentType != "" {
 		h.Set("Content-Type", a.ContentType)
 	}
 	h.Set("Content-Length", strconv.Itoa(len(a.Body)))
-	o.keep = false // it is kept
+	o.retain = false // it is stored already
 	o.start(Head{Status: a.Status, Header: h})
 	if err := o.write(a.Body); err != nil {
 		return err
--- a/node/fleet/fleet.go
+++ b/node/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet is one host's view of the upstreams: what they say of
-// themselves, what this host and the others have sent to them, and what their
-// answers show. Requests read it at every pick.
+// Package fleet is one host's view of the upstreams: their descriptions in the store's
+// list, the load that this host and the others have sent to them, and what their answers
+// show. Every pick of an upstream reads it.
 package fleet
 
 import (
@@ -17,74 +17,76 @@
 	"peridotpier.example/node/pace"
 )
 
-// Config is what a Fleet is made of.
+// Config holds the settings of a Fleet.
 type Config struct {
 	DataCentre string
 	Health     health.Policy
-	// LapseHold is how long after the store's return the entries that ran out
-	// while it was away may take to come back, if their upstreams live.
+	// RecoveryGrace is how long, after the store is reachable again, upstreams are still
+	// used whose entries expired while it was away. Upstreams that are alive write their
+	// entries anew in that time.
 	RecoveryGrace time.Duration
-	// MassHold is how long upstreams are still used whose entries vanish in
-	// great number though the store was not seen to be away.
+	// MassRemovalGrace is how long upstreams are still used when a large share of a
+	// service's entries is removed together although the store was not seen to be away.
 	MassRemovalGrace time.Duration
 }
 
-// Deps are what a Fleet works with.
+// Deps holds the dependencies of a Fleet.
 type Deps struct {
 	Log *event.Log
 	Now func() time.Time
-	// Left is told the address of an upstream that is forgotten.
+	// OnForgotten is called with the address of an upstream that the Fleet has forgotten;
+	// nil: not called.
 	OnForgotten func(address string)
-	// Changed is called when something changed that every host has to hear of: who
-	// an upstream is, that it leaves, or is gone. nil: nobody asks.
+	// OnListChange is called after a change of the list that every host must receive: the
+	// identity of an upstream, its drain, or the removal of its entry. nil: not called.
 	OnListChange func()
-	// Noticed is called when this host found something out that the one which acts
-	// for all should hear of at once: an upstream is left alone, or asked all hosts
-	// for something. It must not block. nil: nobody asks.
+	// OnUrgentChange is called when this host has observed something that the acting
+	// coordinator should receive at once: it excluded an upstream, or an upstream sent a
+	// signal that concerns all hosts. It must not block. nil: not called.
 	OnUrgentChange func()
 }
 
-// Fleet holds the upstreams. The index is replaced whole when upstreams come
-// or go; each entry has its own lock, so that requests to different upstreams
-// do not wait for each other.
+// Fleet holds the entries of the upstreams. The index is replaced as a whole when entries
+// are added or removed; each entry has its own lock, so that requests to different
+// upstreams do not wait for each other.
 type Fleet struct {
 	cfg   Config
 	deps  Deps
 	index atomic.Pointer[index]
 
-	mu       sync.Mutex          // of writers of the index
-	backAt   time.Time           // when the store was last reached again
-	state    uint64              // rises with every change of the list
-	listed   changes.Log[*Entry] // of what the list says
-	standing changes.Log[*Entry] // of that, what every host needs to hear
-	forAll   uint64              // newest state at which there was such a change
-	gone     []vanished          // the last ones
-	goneFrom uint64              // state from which on gone is complete
-	marks    []mark              // the last states, with the store's versions that they are of
-	changes  pace.Signal
-	holdings pace.Signal
-	stirred  pace.Signal // given when there is something to watch again
-
-	origin    time.Time
-	sharing   atomic.Pointer[sharing]
-	holders   holders // by what they hold
-	loaders   holders // by what they are loading
-	others    others
-	word      atomic.Pointer[word]
-	rests     deadline                  // of upstreams
-	limits    deadline                  // for so long some upstream is taken to name a limit
-	signals   signalLog                 // of what others have to hear
-	early     map[string]UpstreamSignal // of upstreams that the list does not name yet; under mu
-	earlyHeld map[string]Residency      // likewise, what they hold
-
-	// The entries that time changes something at, so that none of the others is
-	// looked at: their number grows with the fleet.
-	watched entrySet // with a request of this host, gone, or naming a limit
-	rated   entrySet // with enough answers for their failures to count
-	resting entrySet // left alone, or on trial
+	mu               sync.Mutex          // held by writers of the index
+	storeRecoveredAt time.Time           // when the store was last reachable again
+	revision         uint64              // of the list; rises with each change
+	listedLog        changes.Log[*Entry] // entries by the revision at which the list last changed them
+	identityLog      changes.Log[*Entry] // the same, only for changes that every host must receive
+	identityRevision uint64              // newest revision with such a change
+	removed          []removedUpstream   // latest removals, oldest first
+	removedFrom      uint64              // revision after which removed is complete
+	versionMarks     []versionMark       // latest revisions, with the store's versions that they include
+	changes          pace.Signal
+	residencyChanges pace.Signal
+	checksNeeded     pace.Signal // notified when there are entries to check again
+
+	origin         time.Time
+	sharing        atomic.Pointer[limitSharing]
+	residentIndex  modelIndex // by models that may be resident
+	loadingIndex   modelIndex // by models that are being loaded
+	otherHosts     otherHostsLoad
+	coordinator    atomic.Pointer[coordinatorTerm]
+	backoffs       deadline                  // latest end of a backoff of any upstream
+	limits         deadline                  // until when some upstream is treated as stating a limit
+	signals        signalLog                 // signals that other hosts must receive
+	earlySignals   map[string]UpstreamSignal // of upstreams that the list does not name yet; guarded by mu
+	earlyResidency map[string]Residency      // the same for residency; guarded by mu
+
+	// The sets of entries whose state changes with time. Other entries are not visited,
+	// since their number grows with the fleet.
+	pendingChecks entrySet // with a request of this host, delisted, or stating a limit
+	rated         entrySet // with enough answers for their error share to count
+	excluded      entrySet // excluded by this host, or on trial after that
 }
 
-// New makes an empty Fleet.
+// New returns an empty Fleet.
 func New(cfg Config, deps Deps) *Fleet {
 	if cfg.Health == (health.Policy{}) {
 		cfg.Health = health.DefaultPolicy
@@ -96,30 +98,30 @@
 		deps.Log = event.NewLog(nil)
 	}
 	f := &Fleet{cfg: cfg, deps: deps, origin: deps.Now()}
-	f.sharing.Store(&sharing{})
-	f.word.Store(&word{})
+	f.sharing.Store(&limitSharing{})
+	f.coordinator.Store(&coordinatorTerm{})
 	f.index.Store(&index{byID: map[string]*Entry{}, byService: map[string][]*Entry{}})
 	return f
 }
 
-// Changed returns a channel that is closed at the next change which may let a
-// waiting request go.
+// Changed returns a channel that is closed at the next change which may let a waiting
+// request proceed.
 func (f *Fleet) Changed() <-chan struct{} { return f.changes.Next() }
 
-// ResidencyChanged is like Changed for requests that wait for a model: it passes
-// over the ends of others' requests, which come hundreds of times a second.
-func (f *Fleet) ResidencyChanged() <-chan struct{} { return f.holdings.Next() }
+// ResidencyChanged is like Changed, for requests that wait for a model. It is not closed
+// when other requests end, which happens hundreds of times a second.
+func (f *Fleet) ResidencyChanged() <-chan struct{} { return f.residencyChanges.Next() }
 
 // NotifyChanged wakes the requests that wait for an upstream.
 func (f *Fleet) NotifyChanged() { f.changes.Notify() }
 
-// tellHoldings wakes those that wait for a model, too.
-func (f *Fleet) tellHoldings() {
-	f.holdings.Notify()
+// notifyResidencyChanged also wakes the requests that wait for a model.
+func (f *Fleet) notifyResidencyChanged() {
+	f.residencyChanges.Notify()
 	f.changes.Notify()
 }
 
-func (f *Fleet) noticed() {
+func (f *Fleet) notifyUrgentChange() {
 	if f.deps.OnUrgentChange != nil {
 		f.deps.OnUrgentChange()
 	}
@@ -128,13 +130,13 @@
 // EntriesOfService returns the entries of a service.
 func (f *Fleet) EntriesOfService(name string) []*Entry { return f.index.Load().byService[name] }
 
-// Entry finds an upstream.
+// Entry returns the entry of an upstream.
 func (f *Fleet) Entry(id string) (*Entry, bool) {
 	e, ok := f.index.Load().byID[id]
 	return e, ok
 }
 
-// All returns every entry, in no order.
+// All returns all entries in no particular order.
 func (f *Fleet) All() []*Entry {
 	ix := f.index.Load()
 	out := make([]*Entry, 0, len(ix.byID))
@@ -144,22 +146,22 @@
 	return out
 }
 
-// DownIDs lists the upstreams that this host leaves alone now for what their
-// answers, or their silence, showed.
+// DownIDs returns the IDs of the upstreams that this host currently excludes because
+// their answers failed or they were unresponsive.
 func (f *Fleet) DownIDs() []string {
 	now := f.deps.Now()
 	var out []string
-	for _, e := range f.resting.all() {
-		if e.restsAt(now) {
+	for _, e := range f.excluded.all() {
+		if e.refreshExcluded(now) {
 			out = append(out, e.id)
 		}
 	}
 	return out
 }
 
-// Replace takes a full list of a version of the store: those that are missing
-// are gone.
-func (f *Fleet) Replace(all []deploy.Upstream, at uint64) {
+// Replace applies the complete list at a version of the store: entries that are missing
+// from it are removed.
+func (f *Fleet) Replace(all []deploy.Upstream, version uint64) {
 	listed := map[string]bool{}
 	for i := range all {
 		listed[all[i].ID] = true
@@ -170,37 +172,39 @@
 			missing = append(missing, id)
 		}
 	}
-	f.Apply(all, missing, at)
+	f.Apply(all, missing, version)
 }
 
-// Apply takes upstreams that came or changed, and ids of those whose entries
-// are gone, up to a version of the store; 0: of no version.
-func (f *Fleet) Apply(put []deploy.Upstream, gone []string, at uint64) {
+// Apply applies a change of the list up to a version of the store: descriptions that were
+// added or changed, and the IDs of removed entries. Version 0 is a change without a
+// version of the store.
+func (f *Fleet) Apply(put []deploy.Upstream, removed []string, version uint64) {
 	f.mu.Lock()
 	now := f.deps.Now()
-	f.state++
-	d := &draft{index: f.index.Load()}
+	f.revision++
+	next := &nextIndex{index: f.index.Load()}
 	for i := range put {
-		f.put(d, put[i], now)
+		f.putLocked(next, put[i], now)
 	}
-	next := d.done()
-	f.lapse(next, gone, now)
-	f.markLocked(at)
-	f.index.Store(next)
-	forAll := f.forAll == f.state
+	done := next.done()
+	f.delistLocked(done, removed, now)
+	f.recordVersionLocked(version)
+	f.index.Store(done)
+	identityChanged := f.identityRevision == f.revision
 	f.mu.Unlock()
-	f.logSeen(d.seen)
-	f.tellHoldings()
-	if forAll && f.deps.OnListChange != nil {
+	f.logSeen(next.added)
+	f.notifyResidencyChanged()
+	if identityChanged && f.deps.OnListChange != nil {
 		f.deps.OnListChange()
 	}
 }
 
-// seenMost is how many upstreams that come together get a line each in the log.
-const seenMost = 16
+// maxLoggedSeen is up to how many upstreams added by one change are logged one by one; of
+// more, only the number is logged.
+const maxLoggedSeen = 16
 
 func (f *Fleet) logSeen(seen []*Entry) {
-	if len(seen) > seenMost {
+	if len(seen) > maxLoggedSeen {
 		f.deps.Log.Emit(event.UpstreamsListed, zap.Int("count", len(seen)))
 		return
 	}
@@ -211,126 +215,129 @@
 	}
 }
 
-func (f *Fleet) put(d *draft, u deploy.Upstream, now time.Time) {
-	e, known := d.byID[u.ID]
+func (f *Fleet) putLocked(next *nextIndex, u deploy.Upstream, now time.Time) {
+	e, known := next.byID[u.ID]
 	if known {
-		switch e.relation(u.Born) {
-		case formerProcess: // a heartbeat that was written late
+		switch e.compareProcess(u.Born) {
+		case earlierProcess: // a late heartbeat of the earlier process
 			return
-		case newProcess:
-			f.retire(e)
+		case laterProcess:
+			f.retireLocked(e)
 			known = false
 		}
 	}
 	if !known {
-		e = &Entry{fleet: f, id: u.ID, service: u.Service, address: u.Address, dataCentre: u.DataCentre, born: u.Born, up: u, movable: map[*Attempt]struct{}{}}
-		d.add(e)
-		f.heedEarlyLocked(e)
-		d.seen = append(d.seen, e)
+		e = &Entry{fleet: f, id: u.ID, service: u.Service, address: u.Address, dataCentre: u.DataCentre, startedMs: u.Born, desc: u, movable: map[*Attempt]struct{}{}}
+		next.add(e)
+		f.applyEarlySignalLocked(e)
+		next.added = append(next.added, e)
 	}
-	switch e.describe(u, now, f.state) {
-	case newsForAll:
-		f.standing.Record(e, f.state)
-		f.forAll = f.state
+	switch e.describe(u, now, f.revision) {
+	case identityChange:
+		f.identityLog.Record(e, f.revision)
+		f.identityRevision = f.revision
 		fallthrough
-	case newsOfHeld:
-		f.listed.Record(e, f.state)
+	case copiesChange:
+		f.listedLog.Record(e, f.revision)
 	}
 	if !known {
-		f.believeEarlyLocked(e, now)
+		f.applyEarlyResidencyLocked(e, now)
 	}
 }
 
-// retire ends all that was believed of a process whose successor has its ID:
-// what it held and kept, what was sent there, how it answered, and its
-// connections. To go on by it would send requests for models that the new
-// process, which starts empty, does not hold, and orders for room that is gone.
-func (f *Fleet) retire(e *Entry) {
-	e.succeeded()
+// retireLocked drops everything that is known of a process when a later process has taken
+// over its ID: its residents and cached prompts, what was sent to it, its health and its
+// connections. Otherwise requests would be sent for models that the new process, which
+// starts empty, does not have, and orders would be given for memory that was freed with
+// the old one.
+func (f *Fleet) retireLocked(e *Entry) {
+	e.markSuperseded()
 	f.dropLocked(e)
 	if f.deps.OnForgotten != nil {
 		f.deps.OnForgotten(e.Address())
 	}
 }
 
-// massShare is the part of a service's upstreams that do not leave all at once.
-const massShare = 0.34
+// massRemovalShare is the share of a service's upstreams that do not drain all at once.
+const massRemovalShare = 0.34
 
-// lapse notes entries that vanished. Normally their upstreams are leaving. But
-// entries also run out while the store is away, and giving up all upstreams
-// then would leave nobody to serve.
-func (f *Fleet) lapse(ix *index, gone []string, now time.Time) {
-	together := map[string]int{}
-	for _, id := range gone {
+// delistLocked records that entries were removed from the list. Normally their upstreams
+// are draining. But entries also expire while the store is away, and if all upstreams
+// were given up then, none would be left to serve requests.
+func (f *Fleet) delistLocked(ix *index, ids []string, now time.Time) {
+	countByService := map[string]int{}
+	for _, id := range ids {
 		if e, ok := ix.byID[id]; ok {
-			together[e.Service()]++
+			countByService[e.Service()]++
 		}
 	}
-	for _, id := range gone {
-		delete(f.earlyHeld, id)
+	for _, id := range ids {
+		delete(f.earlyResidency, id)
 	}
-	away := f.cfg.RecoveryGrace - now.Sub(f.backAt) // what is left of the time after the store's return
-	for _, id := range gone {
+	graceLeft := f.cfg.RecoveryGrace - now.Sub(f.storeRecoveredAt) // remainder of the grace after the store's recovery
+	for _, id := range ids {
 		e, ok := ix.byID[id]
 		if !ok {
 			continue
 		}
-		hold := max(away, 0)
-		n := together[e.Service()]
-		if hold == 0 && n > 1 && float64(n) >= massShare*float64(len(ix.byService[e.Service()])) {
-			hold = f.cfg.MassRemovalGrace
+		grace := max(graceLeft, 0)
+		n := countByService[e.Service()]
+		if grace == 0 && n > 1 && float64(n) >= massRemovalShare*float64(len(ix.byService[e.Service()])) {
+			grace = f.cfg.MassRemovalGrace
 		}
-		if e.vanish(now, hold) {
-			f.gone = append(f.gone, vanished{id, f.state, now})
-			f.forAll = f.state
+		if e.markDelisted(now, grace) {
+			f.removed = append(f.removed, removedUpstream{id, f.revision, now})
+			f.identityRevision = f.revision
 		}
 	}
-	f.forgetGoneLocked(now)
+	f.trimRemovedLocked(now)
 }
 
-// forgetGoneLocked drops those that all hosts have been told of, but for the last.
-func (f *Fleet) forgetGoneLocked(now time.Time) {
-	over := len(f.gone) - goneMost
-	for over > 0 && now.Sub(f.gone[over-1].since) < goneFor {
+// trimRemovedLocked drops removals that are older than removedTTL, and so known to all
+// hosts, but keeps the latest minRemovedKept.
+func (f *Fleet) trimRemovedLocked(now time.Time) {
+	over := len(f.removed) - minRemovedKept
+	for over > 0 && now.Sub(f.removed[over-1].removedAt) < removedTTL {
 		over--
 	}
 	if over > 0 {
-		f.goneFrom = f.gone[over-1].at
-		f.gone = append([]vanished(nil), f.gone[over:]...)
+		f.removedFrom = f.removed[over-1].revision
+		f.removed = append([]removedUpstream(nil), f.removed[over:]...)
 	}
 }
 
-// StoreRecovered notes that the store is reached again after it was away.
+// StoreRecovered records that the store is reachable again after it was away.
 func (f *Fleet) StoreRecovered() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.backAt = f.deps.Now()
+	f.storeRecoveredAt = f.deps.Now()
 }
 
-// watch has Sweep look at an entry.
-func (f *Fleet) watch(e *Entry) {
-	if f.watched.add(e) {
-		f.stirred.Notify()
+// scheduleChecks has RunChecks visit an entry.
+func (f *Fleet) scheduleChecks(e *Entry) {
+	if f.pendingChecks.add(e) {
+		f.checksNeeded.Notify()
 	}
 }
 
-// HasPendingChecks says whether there is anything that Sweep has to look at often.
-func (f *Fleet) HasPendingChecks() bool { return !f.watched.empty() }
+// HasPendingChecks reports whether there are entries to check, for which RunChecks must
+// run often.
+func (f *Fleet) HasPendingChecks() bool { return !f.pendingChecks.empty() }
 
-// WakeChecks has those woken that wait until there is something to watch.
-func (f *Fleet) WakeChecks() { f.stirred.Notify() }
+// WakeChecks wakes those that wait for ChecksNeeded.
+func (f *Fleet) WakeChecks() { f.checksNeeded.Notify() }
 
-// ChecksNeeded returns a channel that is closed once there is again.
-func (f *Fleet) ChecksNeeded() <-chan struct{} { return f.stirred.Next() }
+// ChecksNeeded returns a channel that is closed when there are entries to check again.
+func (f *Fleet) ChecksNeeded() <-chan struct{} { return f.checksNeeded.Next() }
 
-// RunChecks forgets upstreams that have left and answer nothing any more, ends
-// holds that are over, and leaves alone those that are silent or stand out by
-// their failures. It is called several times a second.
+// RunChecks forgets delisted upstreams that have no requests left, ends grace periods
+// that are over, and excludes upstreams that are unresponsive or whose error share is an
+// outlier. It is called several times a second.
 func (f *Fleet) RunChecks() {
 	now := f.deps.Now()
 	var forget []string
-	for _, e := range f.watched.all() {
-		if e.sweep(now) {
+	for _, e := range f.pendingChecks.all() {
+		if e.runChecks(now) {
 			forget = append(forget, e.ID())
 		}
 	}
@@ -339,7 +346,7 @@
 		rated[e.Service()] = append(rated[e.Service()], e)
 	}
 	for service, entries := range rated {
-		f.judge(entries, len(f.EntriesOfService(service)), now)
+		f.excludeOutliers(entries, len(f.EntriesOfService(service)), now)
 	}
 	if len(forget) > 0 {
 		f.forget(forget)
@@ -349,9 +356,9 @@
 func (f *Fleet) forget(ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d := &draft{index: f.index.Load()}
+	next := &nextIndex{index: f.index.Load()}
 	for _, id := range ids {
-		e, ok := d.byID[id]
+		e, ok := next.byID[id]
 		if !ok {
 			continue
 		}
@@ -359,31 +366,31 @@
 		if f.deps.OnForgotten != nil {
 			f.deps.OnForgotten(e.Address())
 		}
-		d.remove(id)
+		next.remove(id)
 	}
-	f.index.Store(d.done())
+	f.index.Store(next.done())
 }
 
-// dropLocked forgets an entry for good; f.mu is held.
+// dropLocked removes an entry for good. f.mu must be held.
 func (f *Fleet) dropLocked(e *Entry) {
 	e.forget()
-	f.listed.Forget(e)
-	f.standing.Forget(e)
-	f.signals.drop(e)
-	f.watched.remove(e)
+	f.listedLog.Forget(e)
+	f.identityLog.Forget(e)
+	f.signals.remove(e)
+	f.pendingChecks.remove(e)
 	f.rated.remove(e)
-	f.resting.remove(e)
+	f.excluded.remove(e)
 }
 
-// judge leaves alone those of a service's upstreams whose failures stand out; all
-// is how many it has.
-func (f *Fleet) judge(entries []*Entry, all int, now time.Time) {
+// excludeOutliers excludes those of a service's upstreams whose error share is an
+// outlier; total is the number of its upstreams.
+func (f *Fleet) excludeOutliers(entries []*Entry, total int, now time.Time) {
 	shares := make([]float64, len(entries))
 	for i, e := range entries {
-		shares[i] = e.failures(f.cfg.Health)
+		shares[i] = e.errorShare(f.cfg.Health)
 	}
-	for i, failing := range health.Outliers(f.cfg.Health, shares, all) {
-		if failing && entries[i].rest(now) {
+	for i, isOutlier := range health.Outliers(f.cfg.Health, shares, total) {
+		if isOutlier && entries[i].exclude(now) {
 			f.deps.Log.Emit(event.UpstreamExcluded, zap.String(event.FieldPeer, entries[i].ID()),
 				zap.String("why", "failures"), zap.Float64("share", shares[i]))
 		}
--- a/node/follow/feed.go
+++ b/node/follow/feed.go
@@ -16,164 +16,165 @@
 
 // feed is one table that is followed.
 type feed struct {
-	name      string
-	progress  *progress
-	relayWait time.Duration
-	read      func(ctx context.Context) (at uint64, err error)
-	wait      func(ctx context.Context, after uint64, wait time.Duration) (at uint64, err error)
-	back      func()      // the store is reached again; nil: nobody asks
-	lacks     func() bool // the table has to be read whole for what this host does with it
-	second    bool        // another feed's tries show whether the store is away
-	reread    bool
-	lostAt    time.Time
+	name          string
+	progress      *progress
+	relayWait     time.Duration
+	read          func(ctx context.Context) (version uint64, err error)
+	wait          func(ctx context.Context, after uint64, wait time.Duration) (version uint64, err error)
+	onRecovered   func()      // called when the store is reachable again; nil: not called
+	needsFullRead func() bool // the table must be read completely, since it lacks what this host now needs
+	followsOther  bool        // the calls of another feed show whether the store is away
+	reread        bool
+	failingSince  time.Time
 }
 
-// storeBack notes that the upstreams' feed is answered again.
-func (f *Follower) storeBack() {
+// storeRecovered records that the store answers the upstreams' feed again.
+func (f *Follower) storeRecovered() {
 	f.deps.Upstreams.StoreRecovered()
-	f.away.Store(false)
+	f.storeAway.Store(false)
 	select {
-	case f.returned <- struct{}{}:
-	default: // one is enough
+	case f.recovered <- struct{}{}:
+	default: // one token is enough
 	}
 }
 
 // run follows one table until ctx ends.
 func (f *Follower) run(ctx context.Context, d *feed) error {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = firstPause, longestPause
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval, retry.MaxInterval = minRetryPause, maxRetryPause
 	for ctx.Err() == nil {
-		if f.isRelayed() || f.spared() {
-			pace.Sleep(ctx, f.relayedFor())
+		if f.isRelayed() || f.shouldWaitForRelay() {
+			pace.Sleep(ctx, f.relayCheckInterval())
 			continue
 		}
-		began := time.Now()
-		at, err := f.step(ctx, d)
+		startedAt := time.Now()
+		version, err := f.step(ctx, d)
 		switch {
-		case err == nil && at == 0: // a store in which nothing was ever written has nothing to wait for
-			f.heard(d, at)
-			wait := pause.NextBackOff()
+		case err == nil && version == 0: // in a store in which nothing was ever written there is no version to wait after
+			f.recordAnswer(d, version)
+			wait := retry.NextBackOff()
 			if f.deps.OthersProbeFirst() {
-				wait = emptyPause
+				wait = emptyStorePause
 			}
 			pace.Sleep(ctx, wait)
 		case err == nil:
-			f.heard(d, at)
-			pause.Reset()
-			pace.Sleep(ctx, f.least()-time.Since(began))
+			f.recordAnswer(d, version)
+			retry.Reset()
+			pace.Sleep(ctx, f.minInterval()-time.Since(startedAt))
 		case errors.Is(err, store.ErrHistoryLost):
-			f.deps.Log.Emit(event.FeedReloaded, zap.String("table", d.name), zap.Uint64("after", d.progress.at.Load()))
+			f.deps.Log.Emit(event.FeedReloaded, zap.String("table", d.name), zap.Uint64("after", d.progress.version.Load()))
 			d.reread = true
 		default:
-			f.lost(ctx, d, err)
-			f.rest(ctx, d, pause.NextBackOff())
+			f.recordFailure(ctx, d, err)
+			f.waitAfterFailure(ctx, d, retry.NextBackOff())
 		}
 	}
 	return ctx.Err()
 }
 
-// heard notes an answer of the store.
-func (f *Follower) heard(d *feed, at uint64) {
-	d.progress.heard.Store(f.sinceStart())
-	f.advance(d, at)
-	f.regained(d)
+// recordAnswer records an answer of the store.
+func (f *Follower) recordAnswer(d *feed, version uint64) {
+	d.progress.answeredAt.Store(f.sinceStart())
+	f.advance(d, version)
+	f.recordRecovery(d)
 }
 
-// least is the time from one call for changes to the next.
-func (f *Follower) least() time.Duration {
+// minInterval returns the minimum time from one call for changes to the next.
+func (f *Follower) minInterval() time.Duration {
 	switch {
 	case f.deps.IsRelaying():
-		return relayEach
+		return relayInterval
 	case f.deps.OthersProbeFirst():
-		return pace.DefaultRand().Jitter(patientEach, pauseJitter)
+		return pace.DefaultRand().Jitter(deferredInterval, pauseJitter)
 	default:
-		return pace.DefaultRand().Jitter(aloneEach, pauseJitter)
+		return pace.DefaultRand().Jitter(defaultInterval, pauseJitter)
 	}
 }
 
-// rest waits between two tries while the store is away.
-func (f *Follower) rest(ctx context.Context, d *feed, wait time.Duration) {
-	quiet := d.second && f.away.Load()
-	if !f.deps.OthersProbeFirst() || wait <= onceMore && !quiet {
+// waitAfterFailure waits between two retries while the store is away.
+func (f *Follower) waitAfterFailure(ctx context.Context, d *feed, wait time.Duration) {
+	otherProbes := d.followsOther && f.storeAway.Load()
+	if !f.deps.OthersProbeFirst() || wait <= maxQuickRetryPause && !otherProbes {
 		pace.Sleep(ctx, wait)
 		return
 	}
-	if !quiet {
-		between := patientPause
+	if !otherProbes {
+		pause := deferredRetryPause
 		if f.deps.LinkedToCoordinator() {
-			between = ledPause
+			pause = linkedRetryPause
 		}
-		pace.Sleep(ctx, pace.DefaultRand().Jitter(between, pauseJitter))
+		pace.Sleep(ctx, pace.DefaultRand().Jitter(pause, pauseJitter))
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, quietPause)
+	ctx, cancel := context.WithTimeout(ctx, otherFeedRetryPause)
 	defer cancel()
 	select {
-	case <-f.returned:
+	case <-f.recovered:
 	case <-ctx.Done():
 	}
 }
 
-// advance notes how far the table was followed, unless a relay is farther.
-func (f *Follower) advance(d *feed, at uint64) {
+// advance records up to which version the table was followed, unless a relay was newer.
+func (f *Follower) advance(d *feed, version uint64) {
 	for {
-		old := d.progress.at.Load()
-		if old >= at || d.progress.at.CompareAndSwap(old, at) {
+		old := d.progress.version.Load()
+		if old >= version || d.progress.version.CompareAndSwap(old, version) {
 			return
 		}
 	}
 }
 
-// step makes one call: a full read when nothing is known, else the next changes.
-func (f *Follower) step(ctx context.Context, d *feed) (at uint64, err error) {
-	err = contained(func() error {
-		at, err = f.call(ctx, d)
+// step makes one call: a complete read if nothing is known, else a call for the next
+// changes.
+func (f *Follower) step(ctx context.Context, d *feed) (version uint64, err error) {
+	err = recoverPanic(func() error {
+		version, err = f.call(ctx, d)
 		return err
 	})
-	return at, err
+	return version, err
 }
 
 func (f *Follower) call(ctx context.Context, d *feed) (uint64, error) {
-	at := d.progress.at.Load()
-	if at == 0 || d.reread || d.lacks() {
-		f.count(d.name, readWhole)
+	version := d.progress.version.Load()
+	if version == 0 || d.reread || d.needsFullRead() {
+		f.count(d.name, fullRead)
 		next, err := d.read(ctx)
 		d.reread = d.reread && err != nil
 		return next, err
 	}
-	wait, why := aloneWait, waitAlone
+	wait, reason := defaultWait, waitForChanges
 	switch {
-	case !f.deps.OthersProbeFirst() && f.silent(d):
-		// A host that may act next has to know whether the store answers before a
-		// call that waits for changes would tell.
-		wait, why = 0, lookForStore
-	case !d.lostAt.IsZero():
-		// The store may come back without a word on a call that it never heard;
-		// short calls find it within a second, and what changed meanwhile.
-		wait, why = 0, lookForStore
+	case !f.deps.OthersProbeFirst() && f.hasNotAnswered(d):
+		// A host that may be the next to coordinate must know whether the store answers
+		// earlier than a call that waits for changes would show it.
+		wait, reason = 0, probeStore
+	case !d.failingSince.IsZero():
+		// After a recovery the store may never answer a call that it had not received;
+		// short calls notice the recovery within a second, and find what has changed.
+		wait, reason = 0, probeStore
 	case f.deps.IsRelaying():
-		wait, why = d.relayWait, waitForAll
+		wait, reason = d.relayWait, waitAsRelay
 	case !f.deps.OthersProbeFirst():
-		wait = d.relayWait // it may relay before the call ends, and tells how old its last answer is
+		wait = d.relayWait // it may relay before the call ends, and it reports how old its last answer is
 	}
-	f.count(d.name, why)
+	f.count(d.name, reason)
 	ctx, cancel := context.WithTimeout(ctx, wait+waitSlack)
 	defer cancel()
-	return d.wait(ctx, at, wait)
+	return d.wait(ctx, version, wait)
 }
 
-// silent says whether the store has said nothing here for longer than a call for
-// changes waits, as while another host relayed.
-func (f *Follower) silent(d *feed) bool {
-	return f.sinceStart()-d.progress.heard.Load() > int64(aloneWait)
+// hasNotAnswered reports whether the store has not answered this host for longer than a
+// call for changes waits, for example while another host relayed.
+func (f *Follower) hasNotAnswered(d *feed) bool {
+	return f.sinceStart()-d.progress.answeredAt.Load() > int64(defaultWait)
 }
 
-// Reasons of calls of the store, as they are counted.
+// Reasons for calls of the store, as they are counted.
 const (
-	readWhole    = "read_whole"     // nothing is known, or the history is lost; each part of a list is a call
-	waitAlone    = "wait_alone"     // no other host tells what changes
-	waitForAll   = "wait_for_all"   // this host tells the others
-	lookForStore = "look_for_store" // it did not answer last time, or was not asked lately
+	fullRead       = "read_whole"     // nothing is known, or the history is lost; each part of a list is a call
+	waitForChanges = "wait_alone"     // no other host relays changes
+	waitAsRelay    = "wait_for_all"   // this host relays to the others
+	probeStore     = "look_for_store" // the store did not answer last time, or was not asked lately
 )
 
 func (f *Follower) count(table, reason string) {
@@ -182,24 +183,24 @@
 	}
 }
 
-func (f *Follower) lost(ctx context.Context, d *feed, err error) {
-	if !d.lostAt.IsZero() || ctx.Err() != nil {
+func (f *Follower) recordFailure(ctx context.Context, d *feed, err error) {
+	if !d.failingSince.IsZero() || ctx.Err() != nil {
 		return
 	}
-	d.lostAt = time.Now()
-	if !d.second {
-		f.away.Store(true)
+	d.failingSince = time.Now()
+	if !d.followsOther {
+		f.storeAway.Store(true)
 	}
 	f.deps.Log.Emit(event.StoreLost, zap.String("table", d.name), zap.Error(err))
 }
 
-func (f *Follower) regained(d *feed) {
-	if d.lostAt.IsZero() {
+func (f *Follower) recordRecovery(d *feed) {
+	if d.failingSince.IsZero() {
 		return
 	}
-	f.deps.Log.Emit(event.StoreRecovered, zap.String("table", d.name), zap.Duration("away", time.Since(d.lostAt)))
-	d.lostAt = time.Time{}
-	if d.back != nil {
-		d.back()
+	f.deps.Log.Emit(event.StoreRecovered, zap.String("table", d.name), zap.Duration("away", time.Since(d.failingSince)))
+	d.failingSince = time.Time{}
+	if d.onRecovered != nil {
+		d.onRecovered()
 	}
 }
--- a/node/follow/relay.go
+++ b/node/follow/relay.go
@@ -6,87 +6,91 @@
 	"peridotpier.example/core/deploy"
 )
 
-// Relay is what the host that follows the store closely hands on.
+// Relay is what the relaying host sends to the others.
 type Relay struct {
-	Config           *deploy.Config // nil: none newer
-	StoreAge         time.Duration  // since the store last answered that host, for the older of its two feeds
-	UpstreamsVersion uint64         // version that the list is of
-	Complete         bool           // Put is the whole list
-	Compact          bool           // Put lacks copies, and upstreams of which nothing changed but what they hold
+	Config           *deploy.Config // nil: none is newer
+	StoreAge         time.Duration  // time since the store last answered the relaying host, for the older of its two feeds
+	UpstreamsVersion uint64         // store's version of the list
+	Complete         bool           // Put is the complete list
+	Compact          bool           // Put lacks local copies, and upstreams of which only residents or local copies changed
 	UpstreamUpdate
 }
 
-// ApplyRelay enters what was relayed. An upstreams' list that is older than what
-// this host has itself is passed over.
-func (f *Follower) ApplyRelay(r Relay) {
-	if r.Config != nil {
-		f.deps.Config.ApplyIfNewer(r.Config, "relay")
+// ApplyRelay applies what was relayed. A list of upstreams that is older than this host's
+// own is ignored.
+func (f *Follower) ApplyRelay(relay Relay) {
+	if relay.Config != nil {
+		f.deps.Config.ApplyIfNewer(relay.Config, "relay")
 	}
 	f.applying.Lock()
 	defer f.applying.Unlock()
-	if r.UpstreamsVersion >= f.upstreams.at.Load() && r.UpstreamsVersion > 0 {
-		if r.Complete {
-			f.deps.Upstreams.Replace(r.Put, r.UpstreamsVersion)
+	if relay.UpstreamsVersion >= f.upstreams.version.Load() && relay.UpstreamsVersion > 0 {
+		if relay.Complete {
+			f.deps.Upstreams.Replace(relay.Put, relay.UpstreamsVersion)
 			f.deps.OnListed()
-		} else if len(r.Put)+len(r.Removed) > 0 {
-			f.deps.Upstreams.Apply(r.Put, r.Removed, r.UpstreamsVersion)
+		} else if len(relay.Put)+len(relay.Removed) > 0 {
+			f.deps.Upstreams.Apply(relay.Put, relay.Removed, relay.UpstreamsVersion)
 		}
-		f.upstreams.at.Store(r.UpstreamsVersion)
-		f.brief.Store(r.Compact || !r.Complete && f.brief.Load())
+		f.upstreams.version.Store(relay.UpstreamsVersion)
+		f.listIsCompact.Store(relay.Compact || !relay.Complete && f.listIsCompact.Load())
 	}
-	if r.StoreAge < f.deps.MaxRelayAge {
-		f.relayed.Store(f.sinceStart() - int64(r.StoreAge))
+	if relay.StoreAge < f.deps.MaxRelayAge {
+		f.relayedAt.Store(f.sinceStart() - int64(relay.StoreAge))
 	}
 }
 
-// relayFresh is how old the relaying host's last answer from the store may be here. A
-// host that should act next finds out soonest that just that one is turned away.
-func (f *Follower) relayFresh() time.Duration {
+// maxRelayAge returns how old the relaying host's last answer from the store may be at
+// this host. A host that should coordinate next must be the first to find out that the
+// store rejects only the relaying host.
+func (f *Follower) maxRelayAge() time.Duration {
 	if f.deps.OthersProbeFirst() {
 		return f.deps.MaxRelayAge
 	}
-	return min(f.deps.MaxRelayAge, defaultRelayFresh)
+	return min(f.deps.MaxRelayAge, defaultMaxRelayAge)
 }
 
-// isRelayed says whether the relay is fresh enough to do without the store.
+// isRelayed reports whether the relay is fresh enough for this host not to call the
+// store.
 func (f *Follower) isRelayed() bool {
-	at := f.relayed.Load()
-	return at != 0 && f.sinceStart()-at < int64(f.relayFresh()) && !f.deps.IsRelaying() && f.deps.Config.Current() != nil && f.upstreams.at.Load() != 0
+	relayedAt := f.relayedAt.Load()
+	return relayedAt != 0 && f.sinceStart()-relayedAt < int64(f.maxRelayAge()) && !f.deps.IsRelaying() && f.deps.Config.Current() != nil && f.upstreams.version.Load() != 0
 }
 
-// relayedFor is how long a relay that is fresh stays so, within relayedPause and
-// longestRelayedPause. A host that may soon relay itself looks often.
-func (f *Follower) relayedFor() time.Duration {
-	left := f.deps.MaxRelayAge - time.Duration(f.sinceStart()-f.relayed.Load())
+// relayCheckInterval returns how long a fresh relay remains fresh, from
+// minRelayCheckInterval to maxRelayCheckInterval. A host that may soon relay itself
+// checks often.
+func (f *Follower) relayCheckInterval() time.Duration {
+	freshFor := f.deps.MaxRelayAge - time.Duration(f.sinceStart()-f.relayedAt.Load())
 	if !f.deps.OthersProbeFirst() {
-		return relayedPause
+		return minRelayCheckInterval
 	}
-	return min(max(left, relayedPause), longestRelayedPause)
+	return min(max(freshFor, minRelayCheckInterval), maxRelayCheckInterval)
 }
 
 const (
-	// startPatience is how long a host that nobody waits for yet leaves the store
-	// alone after its start: others read it, take the lease and relay meanwhile.
-	startPatience = 1500 * time.Millisecond
-	// relayPatience is how long after its start such a host that is linked waits for
-	// what the relay has not brought yet, because nobody has written it.
-	relayPatience = 20 * time.Second
+	// startupRelayWait is how long after its start a host that nobody waits for yet does
+	// not call the store: others read it, take the lease and relay in the meantime.
+	startupRelayWait = 1500 * time.Millisecond
+	// linkedRelayWait is how long after its start such a host, when linked, waits for
+	// what the relay has not brought yet because nobody has written it.
+	linkedRelayWait = 20 * time.Second
 )
 
-// spared says whether another host asks the store for this one, which nobody
-// waits for yet, or where the list has several parts. Hosts that start together would
-// each read the store whole, and ask it again several times until they are linked.
-func (f *Follower) spared() bool {
+// shouldWaitForRelay reports whether another host asks the store for this one, which
+// nobody waits for yet or for which the list has several parts. Hosts that start together
+// would each read the complete store, and ask it several more times until they are
+// linked.
+func (f *Follower) shouldWaitForRelay() bool {
 	if !f.deps.OthersProbeFirst() {
 		return false
 	}
 	now := f.sinceStart()
 	if !f.deps.NotNeededYet() {
-		return f.large.Load() && f.deps.Config.Current() == nil && now < int64(startPatience)
+		return f.listIsLarge.Load() && f.deps.Config.Current() == nil && now < int64(startupRelayWait)
 	}
-	if now < int64(startPatience) {
+	if now < int64(startupRelayWait) {
 		return true
 	}
-	at := f.relayed.Load()
-	return at != 0 && now-at < int64(f.deps.MaxRelayAge) && now < int64(relayPatience)
+	relayedAt := f.relayedAt.Load()
+	return relayedAt != 0 && now-relayedAt < int64(f.deps.MaxRelayAge) && now < int64(linkedRelayWait)
 }
--- a/node/gate/crowded_test.go
+++ b/node/gate/crowded_test.go
@@ -14,29 +14,29 @@
 	"peridotpier.example/node/fleet"
 )
 
-// giver gives all turns to one upstream, or none in time.
-type giver struct {
-	alone
-	asked, ended atomic.Int32
-	silent       bool
+// fixedCoordinator grants all permits for one upstream, or none in time.
+type fixedCoordinator struct {
+	noCoordinator
+	permitRequests, released atomic.Int32
+	unresponsive             bool
 }
 
-func (g *giver) RequestPermit(ctx context.Context, _ *PermitRequest) (*Permit, error) {
-	g.asked.Add(1)
-	if g.silent {
+func (g *fixedCoordinator) RequestPermit(ctx context.Context, _ *PermitRequest) (*Permit, error) {
+	g.permitRequests.Add(1)
+	if g.unresponsive {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return &Permit{Upstream: "u", Began: func() {}, NotListening: func() {}, Release: func() { g.ended.Add(1) }}, nil
+	return &Permit{Upstream: "u", Began: func() {}, NotListening: func() {}, Release: func() { g.released.Add(1) }}, nil
 }
 
-// plain is a gate before a plain service of one upstream with six slots, at
-// which others have so many requests.
-func plain(t *testing.T, models Coordinator, others int) *Gate {
+// newPlainGate returns a gate for a plain service with one upstream of six slots, at
+// which other hosts have the given number of requests.
+func newPlainGate(t *testing.T, coordinator Coordinator, others int) *Gate {
 	t.Helper()
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	t.Cleanup(up.Close)
-	g, f := before(deploy.Upstream{Address: up.Listener.Addr().String(), Slots: 6}, models, deploy.Route{Objective: 150 * time.Millisecond})
+	g, f := newGateFor(deploy.Upstream{Address: up.Listener.Addr().String(), Slots: 6}, coordinator, deploy.Route{Objective: 150 * time.Millisecond})
 	table := *g.deps.Config.Current().Config
 	table.Version++
 	table.Services = []deploy.Service{{Name: "s"}}
@@ -44,7 +44,7 @@
 	table.Routes[0].Timeout = 1200 * time.Millisecond
 	g.deps.Config.ApplyIfNewer(&table, "test")
 	e, _ := f.Entry("u")
-	othersSent(g, e, fleet.Load{Requests: others})
+	setOthersLoad(g, e, fleet.Load{Requests: others})
 	return g
 }
 
@@ -54,27 +54,25 @@
 	return w
 }
 
-// Symptom: lookups that are due in 150 ms are late, and a third is refused,
-// while a plain service gets more than it can answer.
-// Sequence: many hosts send to three upstreams; what each knows of the others'
-// sends is 200 ms old.
-// Cause: they fill the queue of one upstream and then of the next: what is
-// answered has waited for longer than it is worth.
-func TestCallsOfACrowdedServiceGoByTurns(t *testing.T) {
-	m := &giver{}
-	assert.Equal(t, callPlain(plain(t, m, 3)).Code, http.StatusOK)
-	assert.Equal(t, m.asked.Load(), int32(1))
-	assert.Equal(t, m.ended.Load(), int32(1))
-	quiet := &giver{}
-	assert.Equal(t, callPlain(plain(t, quiet, 2)).Code, http.StatusOK)
-	assert.Equal(t, quiet.asked.Load(), int32(0), "on a calm day its way is not longer")
+// Guards against lookups that are overdue at their objective of 150 ms, and a third
+// of them refused, while a plain service gets more than it can serve: many hosts
+// send to three upstreams and see each other's requests 200 ms late, so that they
+// fill the queue of one upstream and then of the next.
+func TestCallsOfACrowdedServiceNeedPermits(t *testing.T) {
+	m := &fixedCoordinator{}
+	assert.Equal(t, callPlain(newPlainGate(t, m, 3)).Code, http.StatusOK)
+	assert.Equal(t, m.permitRequests.Load(), int32(1))
+	assert.Equal(t, m.released.Load(), int32(1))
+	idle := &fixedCoordinator{}
+	assert.Equal(t, callPlain(newPlainGate(t, idle, 2)).Code, http.StatusOK)
+	assert.Equal(t, idle.permitRequests.Load(), int32(0), "without load there is no extra round trip")
 }
 
-// A call that gets no turn in its time is refused then, and not sent to make
-// others late.
-func TestACallWithoutATurnInItsTimeIsRefused(t *testing.T) {
+// Guards against a call without a permit in its time that is sent anyway and delays
+// others.
+func TestACallWithoutAPermitInItsTimeIsRefused(t *testing.T) {
 	began := time.Now()
-	w := callPlain(plain(t, &giver{silent: true}, 12))
+	w := callPlain(newPlainGate(t, &fixedCoordinator{unresponsive: true}, 12))
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, w.Body.String(), "all_full\n")
 	assert.Assert(t, w.Header().Get("Retry-After") != "")
@@ -82,7 +80,8 @@
 	assert.Assert(t, took > 300*time.Millisecond && took < 2*time.Second, "%v", took)
 }
 
-// While nobody decides for all, calls go by what this host knows.
-func TestCallsOfACrowdedServiceGoOnWithoutTurns(t *testing.T) {
-	assert.Equal(t, callPlain(plain(t, alone{}, 12)).Code, http.StatusOK)
+// Guards against calls that need a permit while there is no coordinator: they are then
+// sent by what this host knows.
+func TestCallsOfACrowdedServiceContinueWithoutACoordinator(t *testing.T) {
+	assert.Equal(t, callPlain(newPlainGate(t, noCoordinator{}, 12)).Code, http.StatusOK)
 }
--- /dev/null
+++ b/node/gate/failover.go
@@ -0,0 +1,103 @@
+package gate
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"peridotpier.example/node/pace"
+)
+
+// failover ends an attempt at an upstream that is unresponsive, or slow to respond,
+// as soon as the request can be sent to another. Being unresponsive alone ends
+// nothing: an engine that preempts a request for more urgent ones sends nothing
+// either, and continues with the request later.
+type failover struct {
+	q      *request
+	ctx    context.Context // of the attempt
+	cancel context.CancelCauseFunc
+	pieces atomic.Int64 // number of pieces of the response that arrived
+
+	mu        sync.Mutex
+	searching bool
+	ended     bool
+	searches  sync.WaitGroup
+}
+
+// failoverPollInterval is how often a request at an unresponsive upstream checks for
+// another: a fraction of the shortest objectives.
+const failoverPollInterval = 50 * time.Millisecond
+
+// Causes for which an attempt is ended in favour of another. Another attempt was then
+// already charged to the retry budget.
+var (
+	errUnresponsive = errors.New("silent")
+	errSlow         = errors.New("slow")
+)
+
+// failoverReason returns the cause of a failover from the attempt; "": there was none.
+func failoverReason(ctx context.Context) string {
+	if cause := context.Cause(ctx); errors.Is(cause, errUnresponsive) || errors.Is(cause, errSlow) {
+		return cause.Error()
+	}
+	return ""
+}
+
+// onUnresponsive is called when nothing has arrived from the upstream for a while.
+func (f *failover) onUnresponsive() { f.startSearch(f.pieces.Load(), errUnresponsive) }
+
+// onSlow is called when the response has not started in time.
+func (f *failover) onSlow() { f.startSearch(0, errSlow) }
+
+// startSearch starts searching for another upstream. It may be called from any
+// goroutine and does not block.
+func (f *failover) startSearch(pieces int64, cause error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.searching || f.ended {
+		return
+	}
+	f.searching = true
+	f.searches.Add(1)
+	go f.search(pieces, cause)
+}
+
+// search ends the attempt once the request may be retried and another upstream could
+// accept it. It stops when the present upstream sends something.
+func (f *failover) search(pieces int64, cause error) {
+	defer f.searches.Done()
+	defer func() { f.mu.Lock(); f.searching = false; f.mu.Unlock() }()
+	for f.pieces.Load() == pieces {
+		if e, _ := f.q.pickFor(true); e != nil && f.q.g.deps.RetryBudget.Take(f.q.service.Name, f.q.g.deps.Now()) {
+			f.cancel(cause)
+			return
+		}
+		if !pace.Sleep(f.ctx, failoverPollInterval) {
+			return
+		}
+	}
+}
+
+// stay keeps the attempt at its upstream from now on: its response is about to be
+// forwarded and could not be resumed at another. It returns false if the attempt
+// has just been ended.
+func (f *failover) stay() bool {
+	f.mu.Lock()
+	f.ended = true
+	f.mu.Unlock()
+	f.pieces.Add(1) // ends a search
+	f.searches.Wait()
+	return f.ctx.Err() == nil
+}
+
+// close cancels the attempt's context and waits for a running search to end: the search
+// reads fields of the request that the next attempt changes.
+func (f *failover) close() {
+	f.mu.Lock()
+	f.ended = true
+	f.mu.Unlock()
+	f.cancel(nil)
+	f.searches.Wait()
+}
--- a/node/gate/log_test.go
+++ b/node/gate/log_test.go
@@ -19,11 +19,11 @@
 	"peridotpier.example/node/event"
 )
 
-// logged is a gate with one upstream, and its log.
-func logged(t *testing.T, up http.HandlerFunc) (*Gate, *observer.ObservedLogs, string) {
+// newLoggedGate returns a gate with one upstream, its log and its address.
+func newLoggedGate(t *testing.T, up http.HandlerFunc) (*Gate, *observer.ObservedLogs, string) {
 	upstream := httptest.NewServer(up)
 	t.Cleanup(upstream.Close)
-	g, _ := waiting(&modelless{}, upstream.Listener.Addr().String())
+	g, _ := newGate(&noModelCoordinator{}, upstream.Listener.Addr().String())
 	core, lines := observer.New(zap.DebugLevel)
 	g.deps.Log = event.NewLog(zap.New(core))
 	front := httptest.NewServer(g)
@@ -31,8 +31,8 @@
 	return g, lines, front.Listener.Addr().String()
 }
 
-// last waits for the line that ends a request.
-func last(t *testing.T, lines *observer.ObservedLogs, e event.Event) map[string]any {
+// waitForEvent waits for the event that ends a request and returns its fields.
+func waitForEvent(t *testing.T, lines *observer.ObservedLogs, e event.Event) map[string]any {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if lines.FilterMessage(e.Name).Len() == 0 {
@@ -56,42 +56,39 @@
 	return c
 }
 
-// Symptom: an operator searches for the id of a request that a stopping host
-// refused, and finds nothing.
-// Sequence: the host takes nothing any more; a request comes.
-// Cause: the id is read only from requests that are let in.
+// Guards against an operator who searches for the id of a request that a stopping
+// host refused and finds nothing: the id was read only from admitted requests.
 func TestEveryRefusalNamesItsRequest(t *testing.T) {
-	g, lines, address := logged(t, nil)
+	g, lines, address := newLoggedGate(t, nil)
 	g.deps.RejectsNew = func() bool { return true }
 	send(t, address, "GET / HTTP/1.1\r\nHost: example.com\r\n\r\n")
-	assert.Equal(t, last(t, lines, event.RequestRefused)["why"], "stopping")
+	assert.Equal(t, waitForEvent(t, lines, event.RequestRefused)["why"], "stopping")
 }
 
-func TestARequestWithoutARouteIsNamed(t *testing.T) {
-	_, lines, address := logged(t, nil)
+func TestARefusalWithoutARouteNamesItsRequest(t *testing.T) {
+	_, lines, address := newLoggedGate(t, nil)
 	send(t, address, "GET / HTTP/1.1\r\nHost: elsewhere\r\n\r\n")
-	assert.Equal(t, last(t, lines, event.RequestRefused)["why"], "no_route")
+	assert.Equal(t, waitForEvent(t, lines, event.RequestRefused)["why"], "no_route")
 }
 
-// Symptom: a request counts as wrong, and its caller swears that it was not.
-// Sequence: its body stops half-way, as its caller's connection breaks.
-// Cause: the line does not say how the body ended.
-func TestABodyThatEndsEarlySaysHow(t *testing.T) {
-	_, lines, address := logged(t, nil)
+// Guards against a request that is reported as incomplete without the reason: its
+// body stops half-way because its caller's connection breaks, and the log does not
+// say how the body ended.
+func TestARefusedIncompleteBodyIsLoggedWithItsError(t *testing.T) {
+	_, lines, address := newLoggedGate(t, nil)
 	c := send(t, address, "POST / HTTP/1.1\r\nHost: example.com\r\nContent-Length: 10\r\n\r\nabc")
 	assert.NilError(t, c.(*net.TCPConn).CloseWrite())
-	fields := last(t, lines, event.RequestRefused)
+	fields := waitForEvent(t, lines, event.RequestRefused)
 	assert.Equal(t, fields["why"], "body_incomplete")
 	assert.Equal(t, fields["error"], io.ErrUnexpectedEOF.Error())
 	assert.Equal(t, fmt.Sprint(fields["read_bytes"], " of ", fields["length"]), "3 of 10")
 }
 
-// Symptom: a request ended as left by its caller, who waited for it.
-// Sequence: the connection of a request ends; the gate ends the attempt.
-// Cause: the line does not say why the caller counts as gone.
-func TestALeftRequestSaysWhy(t *testing.T) {
+// Guards against a request that is logged as left by its caller without the reason:
+// its connection ends, and the gate ends the attempt.
+func TestADisconnectIsLoggedWithItsReason(t *testing.T) {
 	reached := make(chan struct{})
-	g, lines, address := logged(t, func(_ http.ResponseWriter, r *http.Request) {
+	g, lines, address := newLoggedGate(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(reached)
 		<-r.Context().Done()
 	})
@@ -99,37 +96,37 @@
 	c := send(t, address, "GET / HTTP/1.1\r\nHost: example.com\r\n\r\n")
 	<-reached
 	assert.NilError(t, c.Close())
-	fields := last(t, lines, event.RequestAbandoned)
+	fields := waitForEvent(t, lines, event.RequestAbandoned)
 	assert.Equal(t, fields["why"], "stop")
 	assert.Equal(t, fields["ended"], "connection")
 	assert.Equal(t, fmt.Sprint(fields["sends"]), "1")
 }
 
-func TestAServedRequestSaysHowMuchItsConnectionTook(t *testing.T) {
-	_, lines, address := logged(t, func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(w, strings.Repeat("x", wholeMost+5))
+func TestAServedRequestIsLoggedWithItsForwardedBytes(t *testing.T) {
+	_, lines, address := newLoggedGate(t, func(w http.ResponseWriter, _ *http.Request) {
+		_, _ = io.WriteString(w, strings.Repeat("x", maxBufferedBytes+5))
 	})
 	c := send(t, address, "GET / HTTP/1.1\r\nHost: example.com\r\nConnection: close\r\n\r\n")
 	_, err := io.Copy(io.Discard, c)
 	assert.NilError(t, err)
-	assert.Equal(t, fmt.Sprint(last(t, lines, event.RequestServed)["relayed_bytes"]), fmt.Sprint(wholeMost+5))
+	assert.Equal(t, fmt.Sprint(waitForEvent(t, lines, event.RequestServed)["relayed_bytes"]), fmt.Sprint(maxBufferedBytes+5))
 }
 
-// Symptom: a request ends as broken at its time, which was far.
-// Sequence: the host is about to end; the request's upstream has not answered.
-// Cause: the line does not say what ended it.
-func TestARequestThatTheStopEndsSaysSo(t *testing.T) {
+// Guards against a request that is logged as broken at its deadline, which was far
+// away: the host is about to stop before the upstream has responded, and the log does
+// not say what ended the request.
+func TestARequestEndedByTheStopIsLoggedAsSuch(t *testing.T) {
 	reached := make(chan struct{})
-	g, lines, address := logged(t, func(_ http.ResponseWriter, r *http.Request) {
+	g, lines, address := newLoggedGate(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(reached)
 		<-r.Context().Done()
 	})
-	ending, end := context.WithCancel(context.Background())
-	g.deps.Stopping = ending
+	stopping, stop := context.WithCancel(context.Background())
+	g.deps.Stopping = stopping
 	send(t, address, "GET / HTTP/1.1\r\nHost: example.com\r\n\r\n")
 	<-reached
-	end()
-	fields := last(t, lines, event.RequestInterrupted)
+	stop()
+	fields := waitForEvent(t, lines, event.RequestInterrupted)
 	assert.Equal(t, fields["ended"], "stopping")
 	assert.Equal(t, fields["started"], false)
 }
--- a/node/gate/overload_test.go
+++ b/node/gate/overload_test.go
@@ -15,43 +15,43 @@
 	"peridotpier.example/node/fleet"
 )
 
-// alone has no host that decides for all.
-type alone struct{}
+// noCoordinator stands for a coordinator that cannot be reached.
+type noCoordinator struct{}
 
-func (alone) LoadAdapter(context.Context, string, string, string) error { return nil }
+func (noCoordinator) LoadAdapter(context.Context, string, string, string) error { return nil }
 
-func (alone) RequestPermit(context.Context, *PermitRequest) (*Permit, error) {
+func (noCoordinator) RequestPermit(context.Context, *PermitRequest) (*Permit, error) {
 	return nil, errors.New("none")
 }
 
-func (alone) RecordDemand(string, *RequestInfo, int, time.Duration, bool) {}
+func (noCoordinator) RecordDemand(string, *RequestInfo, int, time.Duration, bool) {}
 
-// reading is a gate with one upstream at address, which holds the model "m".
-// Its route's answers should begin within a second, and pause for 400 ms at most.
-func reading(address string) (*Gate, *fleet.Entry) {
-	g, f := before(deploy.Upstream{Address: address, Slots: 32, Residents: []deploy.Resident{{Model: "m"}}}, alone{},
+// newEngineGate returns a gate with one upstream at address, at which the model "m" is
+// resident. Responses of its route should begin within a second and pause for at
+// most 400 ms.
+func newEngineGate(address string) (*Gate, *fleet.Entry) {
+	g, f := newGateFor(deploy.Upstream{Address: address, Slots: 32, Residents: []deploy.Resident{{Model: "m"}}}, noCoordinator{},
 		deploy.Route{Objective: time.Second, PauseBound: 400 * time.Millisecond})
 	e, _ := f.Entry("u")
 	return g, e
 }
 
-// Symptom: while a model is asked for more than its upstreams can read, every
-// answer is late, and one in ten is not ready at its deadline.
-// Sequence: more prompts wait at the upstream than it reads in half a second, all
-// the time; a request has waited for most of its objective.
-// Cause: it is sent on all the same, before what has just come and could still
-// be answered in time.
+// Guards against responses that are all overdue, one in ten missing its deadline,
+// while a model is in higher demand than its upstreams can serve: more prompts wait
+// at the upstream than it reads in half a second, and a request that has waited for
+// most of its objective is sent anyway, ahead of newer requests that could still be
+// answered in time.
 func TestARequestIsNotSentWhereItWouldOnlyMakeOthersLate(t *testing.T) {
 	t.Parallel()
 	var sent atomic.Int32
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { sent.Add(1) }))
 	defer up.Close()
-	g, e := reading(up.Listener.Addr().String())
+	g, e := newEngineGate(up.Listener.Addr().String())
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
 		for {
-			othersSent(g, e, fleet.Load{Requests: 4, PendingPromptTokens: 9000, Tokens: 9400})
+			setOthersLoad(g, e, fleet.Load{Requests: 4, PendingPromptTokens: 9000, Tokens: 9400})
 			select {
 			case <-done:
 				return
@@ -66,20 +66,20 @@
 	began := time.Now()
 	g.ServeHTTP(w, r)
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
-	assert.Assert(t, time.Since(began) < time.Second, "its caller is told before its objective is over")
+	assert.Assert(t, time.Since(began) < time.Second, "the caller is refused before the objective is over")
 	assert.Assert(t, w.Header().Get("Retry-After") != "")
 	assert.Equal(t, sent.Load(), int32(0), "it has not run")
 }
 
-// A request waits for a place that comes free.
-func TestARequestGoesOnceAPromptWasRead(t *testing.T) {
+// Guards against a request that is not sent when capacity becomes free.
+func TestARequestIsSentOnceAPromptWasRead(t *testing.T) {
 	t.Parallel()
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	defer up.Close()
-	g, e := reading(up.Listener.Addr().String())
-	othersSent(g, e, fleet.Load{Requests: 4, PendingPromptTokens: 9000, Tokens: 9400})
+	g, e := newEngineGate(up.Listener.Addr().String())
+	setOthersLoad(g, e, fleet.Load{Requests: 4, PendingPromptTokens: 9000, Tokens: 9400})
 	time.AfterFunc(300*time.Millisecond, func() {
-		othersSent(g, e, fleet.Load{Requests: 3, PendingPromptTokens: 100, Tokens: 500})
+		setOthersLoad(g, e, fleet.Load{Requests: 3, PendingPromptTokens: 100, Tokens: 500})
 		g.deps.Fleet.NotifyChanged()
 	})
 	r := httptest.NewRequest(http.MethodPost, "http://example.com/x", nil)
@@ -89,32 +89,31 @@
 	assert.Equal(t, w.Code, http.StatusOK)
 }
 
-// Symptom: streams that could go on elsewhere end in the middle when a part of
-// the upstreams is lost.
-// Sequence: an upstream ends with a request that it was sent, when half of its
-// objective is over; the other has prompts to read all the time.
-// Cause: the request waits, behind what is new, until its time is over.
-func TestARequestThatAnUpstreamLostGoesBeforeWhatIsNew(t *testing.T) {
+// Guards against streams that end in the middle, though they could be resumed
+// elsewhere, when some upstreams are lost: an upstream terminates with a request
+// half of whose objective is over, the other always has prompts to read, and the
+// request waits behind newer ones until its time is over.
+func TestARequestLostByItsUpstreamPrecedesNewOnes(t *testing.T) {
 	t.Parallel()
 	var sent atomic.Int32
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { sent.Add(1) }))
 	defer up.Close()
-	g, e := reading(up.Listener.Addr().String())
-	othersSent(g, e, fleet.Load{Requests: 4, PendingPromptTokens: 9000, Tokens: 9400})
+	g, e := newEngineGate(up.Listener.Addr().String())
+	setOthersLoad(g, e, fleet.Load{Requests: 4, PendingPromptTokens: 9000, Tokens: 9400})
 	q := &request{g: g, start: time.Now().Add(-600 * time.Millisecond), tried: map[string]bool{}}
 	table := g.deps.Config.Current()
 	q.route = &table.Config.Routes[0]
 	q.service, _ = table.Service("s")
-	q.ask = fleet.Request{Model: "m"}
+	q.needs = fleet.Request{Model: "m"}
 	q.deadline = q.start.Add(q.route.Timeout)
 	found, _ := q.pick()
-	assert.Assert(t, found == nil, "it is new")
-	q.lost = true
+	assert.Assert(t, found == nil, "a new request is held")
+	q.lostByUpstream = true
 	found, _ = q.pick()
 	assert.Assert(t, found == e)
 }
 
-// othersSent has the others' load at an upstream told, alone of its service.
-func othersSent(g *Gate, e *fleet.Entry, l fleet.Load) {
+// setOthersLoad sets the load of other hosts at an upstream, the only one of its service.
+func setOthersLoad(g *Gate, e *fleet.Entry, l fleet.Load) {
 	g.deps.Fleet.SetOtherHostsLoad(e.Service(), map[string]fleet.Load{e.ID(): l}, time.Now().Add(1500*time.Millisecond))
 }
