--- /dev/null
+++ b/node/gate/permit.go
@@ -0,0 +1,146 @@
+package gate
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"go.uber.org/zap"
+
+	"peridotpier.example/core/balance"
+	"peridotpier.example/core/deploy"
+	"peridotpier.example/node/event"
+	"peridotpier.example/node/fleet"
+)
+
+// PermitRequest asks the acting coordinator where a request may be sent.
+type PermitRequest struct {
+	Service                string
+	Request                *fleet.Request
+	Cost                   fleet.Cost
+	Priority               int
+	MaxPendingPromptTokens int            // prompt tokens that may be waiting at the upstream; 0: unbounded
+	Excluded               []string       // upstreams not to use: already tried, or excluded by this host
+	WithIdleConn           []string       // upstreams to which this host has an idle connection
+	Backoffs               fleet.Backoffs // remaining backoffs that upstreams of the service asked this host for
+	ObjectiveLeft          time.Duration  // until the request's objective; a response that starts later is overdue
+	MaxWait                time.Duration  // how long the request waits for the permit
+	Team                   *deploy.Team   // whose limit is charged with the permit; nil: none
+	Charge                 float64        // in the unit of the team's limit
+}
+
+// Permit is the coordinator's decision on a PermitRequest. If it names an upstream,
+// Began is called when the response begins, NotListening when nothing listens at
+// the upstream, and Release when the attempt is over; each may be called from any
+// goroutine.
+type Permit struct {
+	OverLimit           bool          // over the team's limit; only RetryAfter is set beside it
+	RetryAfter          time.Duration // until the limit, or some upstream, may allow the request; 0: not known
+	Upstream            string        // "": none; see Reason
+	Reason              balance.Reason
+	AdapterUpstream     string // where an adapter should be loaded
+	Predicted           time.Duration
+	InFlight            int
+	PendingPromptTokens int
+	CachedTokens        int
+	// WithinLimit reports that the upstream names a limit and the request was counted towards it.
+	WithinLimit bool
+	IsProbe     bool // a probe of an upstream that has refused requests: the coordinator waits for Began
+
+	Began        func()
+	NotListening func()
+	Release      func()
+}
+
+// requestPermit asks where the request may be sent. ok is false when this host has to
+// decide by itself: there is no acting coordinator, or the wait is over.
+func (q *request) requestPermit() (e *fleet.Entry, p selection, ok bool) {
+	d := &q.g.deps
+	now := d.Now()
+	maxWait := q.start.Add(q.maxPermitWait()).Sub(now)
+	if maxWait <= 0 {
+		return nil, selection{}, false
+	}
+	ctx, cancel := context.WithTimeout(q.ctx, maxWait)
+	defer cancel()
+	defer q.cancelWithHoldLimit(cancel)()
+	req := &PermitRequest{Service: q.service.Name, Request: &q.needs, Cost: q.cost, Priority: q.urgency(), MaxPendingPromptTokens: q.maxPendingPromptTokens(now, q.lostByUpstream),
+		ObjectiveLeft: q.start.Add(q.route.Objective).Sub(now), MaxWait: maxWait}
+	req.WithIdleConn, req.Backoffs = q.withIdleConn(), d.Fleet.Backoffs(q.service.Name)
+	if q.caller.owesCharge() {
+		req.Team, req.Charge = q.caller.team, q.caller.cost
+	}
+	for _, e := range d.Fleet.EntriesWithModel(q.service.Name, q.needs.Model) {
+		if q.tried[e.ID()] || e.IsDown() {
+			req.Excluded = append(req.Excluded, e.ID())
+		}
+	}
+	permit, err := d.Coordinator.RequestPermit(ctx, req)
+	if err != nil {
+		// A call without a permit by now would be overdue, and delay others.
+		overdue := q.needs.Model == "" && errors.Is(err, context.DeadlineExceeded)
+		return nil, selection{Decision: balance.Decision{Index: -1, Reason: balance.AllFull, AdapterTarget: -1}}, overdue
+	}
+	if permit.OverLimit {
+		return nil, selection{overLimit: true, retryAfter: permit.RetryAfter}, true
+	}
+	q.caller.markCharged()
+	if permit.Upstream == "" {
+		return q.withoutPermit(permit)
+	}
+	e, known := d.Fleet.Entry(permit.Upstream)
+	if !known || !e.Usable() || e.Limit().Stated && !permit.WithinLimit {
+		permit.Release() // what this host knows is newer
+		return nil, selection{}, false
+	}
+	p = selection{Decision: balance.Decision{PredictedWait: permit.Predicted}, candidates: len(d.Fleet.EntriesOfService(q.service.Name)),
+		inFlight: permit.InFlight, pendingPromptTokens: permit.PendingPromptTokens, cachedTokens: permit.CachedTokens, permit: permit}
+	d.Log.Emit(event.PermitGranted, q.id(), zap.String(event.FieldPeer, permit.Upstream), zap.Int64("waited_ms", d.Now().Sub(now).Milliseconds()),
+		zap.Int("load", permit.InFlight), zap.Int("waiting", permit.PendingPromptTokens), zap.Int("cached", permit.CachedTokens))
+	return e, p, true
+}
+
+const (
+	// permitWaitShare is the share of its time that a request waits for a permit. The
+	// remainder must suffice for its prompt and its response. Waiting here keeps the
+	// streams of a busy upstream going; a prompt sent there would only stall them.
+	permitWaitShare = 0.35
+	// minWaitShare is the share of its objective that a request waits at least.
+	minWaitShare = 0.5
+	// maxWaitShare is the share of its objective after which a request is refused: its
+	// response would be overdue, while newer requests can still be served in time.
+	maxWaitShare = 0.8
+)
+
+// maxPermitWait returns how long after its start the request may wait for a permit. A
+// call of a plain service takes a small part of its time, and overdue calls let
+// others pass: refusing it earlier would leave its slot unused once the peak is over.
+func (q *request) maxPermitWait() time.Duration {
+	share := time.Duration(float64(q.deadline.Sub(q.start)) * permitWaitShare)
+	if q.service.Engine == nil {
+		return q.limitHold(share)
+	}
+	share = max(share, time.Duration(float64(q.route.Objective)*minWaitShare))
+	return q.limitHold(min(share, time.Duration(float64(q.route.Objective)*maxWaitShare)))
+}
+
+// withIdleConn lists the upstreams that may serve the request and to which this host
+// has an idle connection.
+func (q *request) withIdleConn() []string {
+	var out []string
+	for _, e := range q.g.deps.Fleet.EntriesWithModel(q.service.Name, q.needs.Model) {
+		if q.g.deps.Client.HasIdleConnection(e.Address()) {
+			out = append(out, e.ID())
+		}
+	}
+	return out
+}
+
+// withoutPermit converts a decision without an upstream into a selection to wait on.
+func (q *request) withoutPermit(permit *Permit) (*fleet.Entry, selection, bool) {
+	p := selection{Decision: balance.Decision{Index: -1, Reason: permit.Reason, AdapterTarget: -1, MinBackoff: permit.RetryAfter}, unservable: permit.RetryAfter > 0, candidates: len(q.g.deps.Fleet.EntriesOfService(q.service.Name))}
+	if home, ok := q.g.deps.Fleet.Entry(permit.AdapterUpstream); ok && permit.Reason == balance.NoAdapter {
+		p.adapterUpstream = home
+	}
+	return nil, p, true
+}
--- a/node/gate/pick.go
+++ b/node/gate/pick.go
@@ -14,49 +14,50 @@
 	"peridotpier.example/node/metrics"
 )
 
-// picked is the outcome of one look at the upstreams.
-type picked struct {
+// selection is the result of one attempt to select an upstream.
+type selection struct {
 	balance.Decision
-	among   int          // upstreams looked at
-	home    *fleet.Entry // where an adapter should be loaded; nil: nowhere
-	load    int          // requests at the chosen one, as known
-	waiting int          // prompt tokens to be read there, as known
-	cached  int          // prompt tokens that it probably keeps
-	turn    *Permit      // given by the host that decides for all; nil: decided here
-	inVain  bool         // no upstream takes the request while it waits
-	over    bool         // the request is over its team's limit; nothing else is set but after
-	after   time.Duration
+	candidates          int          // number of upstreams considered
+	adapterUpstream     *fleet.Entry // where an adapter should be loaded; nil: nowhere
+	inFlight            int          // known number of requests at the selected upstream
+	pendingPromptTokens int          // known number of prompt tokens waiting there
+	cachedTokens        int          // prompt tokens that are probably cached there
+	permit              *Permit      // granted by the acting coordinator; nil: this host selected the upstream
+	unservable          bool         // no upstream accepts the request within its maximum wait
+	overLimit           bool         // the request is over its team's limit; only retryAfter is set beside it
+	retryAfter          time.Duration
 }
 
-// choose asks where the request goes, or picks by what this host knows. Where
-// the host that decides for all knows of no upstream but this one does, or of
-// one that only has no room, its own knowledge is newer.
-func (q *request) choose() (*fleet.Entry, picked) {
-	if q.ask.Model == "" && !q.crowded() {
+// choose requests a permit, or selects an upstream by what this host knows. Where
+// the coordinator knows of no upstream but this host does, or of one that only
+// lacks capacity, this host's knowledge is newer.
+func (q *request) choose() (*fleet.Entry, selection) {
+	if q.needs.Model == "" && !q.crowded() {
 		if over, ok := q.charge(); !ok {
 			return nil, over
 		}
 		return q.pickCounted()
 	}
-	e, given, ok := q.turn()
-	if e != nil || given.over {
-		return e, given
+	e, decision, ok := q.requestPermit()
+	if e != nil || decision.overLimit {
+		return e, decision
 	}
-	if ok && q.ask.Model == "" && given.Reason != balance.NoUpstream {
-		return nil, given
+	if ok && q.needs.Model == "" && decision.Reason != balance.NoUpstream {
+		return nil, decision
 	}
 	if over, ok := q.charge(); !ok {
 		return nil, over
 	}
 	e, own := q.pickCounted()
-	if e != nil || !ok || given.Reason == balance.NoModel && own.Reason.CloserToFound(given.Reason) {
+	if e != nil || !ok || decision.Reason == balance.NoModel && own.Reason.CloserToFound(decision.Reason) {
 		return e, own
 	}
-	return nil, given
+	return nil, decision
 }
 
-// pickCounted picks an upstream and counts the request at it, if that names a limit.
-func (q *request) pickCounted() (*fleet.Entry, picked) {
+// pickCounted selects an upstream and, if the upstream names a limit, counts the
+// request towards it.
+func (q *request) pickCounted() (*fleet.Entry, selection) {
 	for {
 		e, p := q.pick()
 		if e == nil || e.AdmitWithoutPermit(q.g.deps.Now()) {
@@ -65,16 +66,17 @@
 	}
 }
 
-// crowdedShare is how many requests there must be at a plain service, by what
-// this host knows, as a share of its slots, for turns to be worth their way. With
-// fewer, hosts seldom send to the same upstream at once.
+// crowdedShare is the number of known requests at a plain service, as a share of
+// its slots, from which requests need a permit. With fewer requests, hosts seldom
+// send to the same upstream at once, and the extra round trip is not worth it.
 const crowdedShare = 0.5
 
-// crowded says whether the service of a call is so busy that it goes by turns, or
-// has upstreams that name a limit for all hosts together.
-// Hosts see what the others have sent a fraction of a second late, which is
-// several times what a call takes: together they fill one upstream's queue, so
-// that its answers are late and the rest is refused, with the next one idle.
+// crowded reports whether calls of the request's service need a permit, because it
+// is busy or has upstreams that name a limit for all hosts together.
+// Hosts see each other's requests with a delay of a fraction of a second, several
+// times the duration of a call: together they would fill the queue of one upstream
+// until its responses are overdue and further calls are refused, while the next
+// upstream is idle.
 func (q *request) crowded() bool {
 	if q.g.deps.Fleet.HasLimit(q.service.Name) {
 		return true
@@ -82,98 +84,101 @@
 	now := q.g.deps.Now()
 	requests, slots := 0, 0
 	for _, e := range q.g.deps.Fleet.EntriesOfService(q.service.Name) {
-		at := e.Endpoint(&q.ask, now)
-		if !at.Draining && !at.Down {
-			requests, slots = requests+at.InFlight, slots+at.Slots
+		endpoint := e.Endpoint(&q.needs, now)
+		if !endpoint.Draining && !endpoint.Down {
+			requests, slots = requests+endpoint.InFlight, slots+endpoint.Slots
 		}
 	}
 	return float64(requests) >= crowdedShare*float64(slots)
 }
 
-// pick chooses an upstream among those of the request's service.
-func (q *request) pick() (*fleet.Entry, picked) { return q.pickAs(q.lost) }
+// pick selects an upstream among those of the request's service.
+func (q *request) pick() (*fleet.Entry, selection) { return q.pickFor(q.lostByUpstream) }
 
-// pickAs is pick for a request that an upstream has lost, or is losing, or not.
-func (q *request) pickAs(lost bool) (*fleet.Entry, picked) {
+// pickFor is pick with a flag for requests that were, or are about to be, lost by
+// their upstream.
+func (q *request) pickFor(lostByUpstream bool) (*fleet.Entry, selection) {
 	d := &q.g.deps
 	now := d.Now()
-	entries := d.Fleet.EntriesWithModel(q.service.Name, q.ask.Model)
+	entries := d.Fleet.EntriesWithModel(q.service.Name, q.needs.Model)
 	endpoints := make([]balance.Endpoint, len(entries))
 	for i, e := range entries {
-		endpoints[i] = e.Endpoint(&q.ask, now)
+		endpoints[i] = e.Endpoint(&q.needs, now)
 		endpoints[i].Tried = q.tried[endpoints[i].ID]
 		endpoints[i].HasIdleConn = d.Client.HasIdleConnection(e.Address())
 	}
-	r := balance.Request{Model: q.ask.Model, Adapter: q.ask.Adapter, PromptTokens: q.cost.PromptTokens, OutputTokens: q.cost.OutputTokens}
+	r := balance.Request{Model: q.needs.Model, Adapter: q.needs.Adapter, PromptTokens: q.cost.PromptTokens, OutputTokens: q.cost.OutputTokens}
 	if q.service.Engine != nil {
 		r.CacheTokens = q.service.Engine.CacheTokens
-		r.MaxPendingPromptTokens = q.reading(now, lost)
+		r.MaxPendingPromptTokens = q.maxPendingPromptTokens(now, lostByUpstream)
 	}
-	p := picked{Decision: balance.Pick(endpoints, &r, d.Rand), among: len(entries)}
+	p := selection{Decision: balance.Pick(endpoints, &r, d.Rand), candidates: len(entries)}
 	if p.AdapterTarget >= 0 {
-		p.home = entries[p.AdapterTarget]
+		p.adapterUpstream = entries[p.AdapterTarget]
 	}
-	if p.Reason == balance.NoUpstream && d.Fleet.HasUsableWithoutModel(q.service.Name, q.ask.Model, func(e *fleet.Entry) bool { return q.tried[e.ID()] }) {
+	if p.Reason == balance.NoUpstream && d.Fleet.HasUsableWithoutModel(q.service.Name, q.needs.Model, func(e *fleet.Entry) bool { return q.tried[e.ID()] }) {
 		p.Reason = balance.NoModel
 	}
 	if p.Index < 0 {
 		return nil, p
 	}
 	chosen := &endpoints[p.Index]
-	p.load, p.waiting, p.cached = chosen.InFlight, chosen.PendingPromptTokens, chosen.CachedTokens
+	p.inFlight, p.pendingPromptTokens, p.cachedTokens = chosen.InFlight, chosen.PendingPromptTokens, chosen.CachedTokens
 	return entries[p.Index], p
 }
 
-// reading is how many prompt tokens may wait where the request goes, however
-// long it has waited. Sent on all the same once its time was short, requests for
-// a model that is asked for more than its upstreams can read kept these from
-// what could still be answered in time: all answers were late, in place of those
-// that there was no room for. One that an upstream has lost goes to the best of
-// the others: its caller has waited for an answer already.
-func (q *request) reading(now time.Time, lost bool) int {
+// maxPendingPromptTokens returns how many prompt tokens may be waiting at the upstream
+// that the request is sent to; 0: unbounded. The bound holds however long the
+// request has waited: for a model in higher demand than its upstreams can serve,
+// requests that were sent anyway once their time ran short delayed those that
+// could still be answered in time, so that all responses were overdue instead of
+// only the excess being refused. It is lifted for a request that an upstream has
+// lost and that has waited for part of its objective, since its caller has been
+// waiting for a response already.
+func (q *request) maxPendingPromptTokens(now time.Time, lostByUpstream bool) int {
 	if q.service.Engine == nil {
 		return 0
 	}
-	if lost && now.Sub(q.start) >= q.bounded(time.Duration(float64(q.route.Objective)*leastShare)) {
+	if lostByUpstream && now.Sub(q.start) >= q.limitHold(time.Duration(float64(q.route.Objective)*minWaitShare)) {
 		return 0
 	}
 	return balance.PendingPromptLimit(q.route.PauseBound, q.service.Engine.EventTokens)
 }
 
 const (
-	// holdShare is the part of a request's objective for which it may be held
-	// without being offered to an upstream, and still be refused.
+	// holdShare is the share of a request's objective for which the request may be
+	// held without being offered to an upstream, and still be refused.
 	holdShare = 1.0 / 8
-	// shortestHold is worth a look even for the shortest objectives: a plain
-	// service frees a place in this time.
-	shortestHold = 10 * time.Millisecond
-	// adapterHold is how long a request waits for an adapter: a load takes 10
-	// to 30 ms, the order's way a few more.
-	adapterHold = 500 * time.Millisecond
-	// modelShare is the part of its objective that a request waits for a model
-	// that no upstream holds. Later the answer would no longer be in time.
-	modelShare = 0.6
+	// minHold is the hold that is worthwhile even for the shortest objectives: a plain
+	// service frees a slot in this time.
+	minHold = 10 * time.Millisecond
+	// maxAdapterWait is how long a request waits for an adapter: a load takes 10 to
+	// 30 ms, and the request for it a few more.
+	maxAdapterWait = 500 * time.Millisecond
+	// modelWaitShare is the share of its objective for which a request waits for a
+	// model that is resident at no upstream. After that the response would be overdue.
+	modelWaitShare = 0.6
 )
 
-// wait lets a request wait until an upstream may take it. It answers the
-// caller, and says no, when none will in time.
-func (q *request) wait(p picked) bool {
-	if p.over {
-		q.refuseOver(p.after)
+// wait waits until an upstream may accept the request. It responds to the caller
+// and returns false when no upstream will in time.
+func (q *request) wait(p selection) bool {
+	if p.overLimit {
+		q.refuseOverLimit(p.retryAfter)
 		return false
 	}
 	if p.Reason == balance.NoModel {
 		return q.awaitModel(p)
 	}
 	if q.triedAll(p) {
-		return q.giveUpUnbegun(p.Reason)
+		return q.giveUpUnlessStarted(p.Reason)
 	}
-	until := q.start.Add(q.hold(p.Reason))
-	if p.Reason == balance.NoAdapter && p.home != nil {
-		return q.fetchAdapter(p)
+	until := q.start.Add(q.maxHold(p.Reason))
+	if p.Reason == balance.NoAdapter && p.adapterUpstream != nil {
+		return q.loadAdapter(p)
 	}
 	now := q.g.deps.Now()
-	if p.Reason == balance.AllBackoff && !q.started && (p.inVain || now.Add(p.MinBackoff).After(until)) {
+	if p.Reason == balance.AllBackoff && !q.started && (p.unservable || now.Add(p.MinBackoff).After(until)) {
 		return q.giveUpBackoff(p.MinBackoff)
 	}
 	if !now.Before(until) {
@@ -184,8 +189,8 @@
 	if p.MinBackoff > 0 {
 		defer time.AfterFunc(p.MinBackoff, q.g.deps.Fleet.NotifyChanged).Stop()
 	}
-	defer q.endsWithStop(cancel)()
-	q.tellWait(p, until.Sub(now))
+	defer q.cancelWithHoldLimit(cancel)()
+	q.logWait(p, until.Sub(now))
 	changed := q.g.deps.Fleet.Changed()
 	if e, _ := q.pick(); e != nil {
 		return true
@@ -198,44 +203,44 @@
 	}
 }
 
-// tellWait logs why the request waits, once for each reason.
-func (q *request) tellWait(p picked, most time.Duration) {
-	if q.waitsFor == p.Reason {
+// logWait logs why the request waits, once per reason.
+func (q *request) logWait(p selection, maxWait time.Duration) {
+	if q.loggedReason == p.Reason {
 		return
 	}
-	q.waitsFor = p.Reason
-	q.g.deps.Log.Emit(event.RequestQueued, q.id(), q.routeName(), q.modelName(), zap.Stringer("why", p.Reason), zap.Int("among", p.among),
-		zap.Int64("for_ms", most.Milliseconds()))
+	q.loggedReason = p.Reason
+	q.g.deps.Log.Emit(event.RequestQueued, q.id(), q.routeName(), q.modelName(), zap.Stringer("why", p.Reason), zap.Int("among", p.candidates),
+		zap.Int64("for_ms", maxWait.Milliseconds()))
 }
 
-// modelLook is how often a request that waits for a model looks for it without
-// a change of what upstreams hold: one that rested may be tried again.
-const modelLook = 200 * time.Millisecond
+// modelPollInterval is how often a request that waits for a model checks for it
+// without a change of residency: an excluded upstream may be available again.
+const modelPollInterval = 200 * time.Millisecond
 
-// awaitModel lets the request wait until an upstream holds its model. It goes
-// by what this host knows: the host that decides for all tells it what was
-// loaded and what is on its way, and a question for each change would be one for
-// each request that ends anywhere.
-func (q *request) awaitModel(p picked) bool {
+// awaitModel waits until the request's model is resident at an upstream. It uses what
+// this host knows: the coordinator publishes which models are resident and which
+// are loading, and asking it upon each change would cause a call for each request
+// that ends on any host.
+func (q *request) awaitModel(p selection) bool {
 	ctx, cancel := context.WithCancel(q.ctx)
 	defer cancel()
-	defer q.endsWithStop(cancel)()
+	defer q.cancelWithHoldLimit(cancel)()
 	for {
-		held := q.g.deps.Fleet.ResidencyChanged()
+		changed := q.g.deps.Fleet.ResidencyChanged()
 		if e, p := q.pick(); e != nil || p.Reason != balance.NoModel {
 			return true
 		}
-		until, late := q.modelBy()
+		until, tooLate := q.modelWaitUntil()
 		now := q.g.deps.Now()
-		if late || !now.Before(until) {
+		if tooLate || !now.Before(until) {
 			return q.giveUpModel(now)
 		}
-		q.tellWait(p, until.Sub(now))
-		q.g.deps.Coordinator.RecordDemand(q.service.Name, &q.facts, q.cost.OutputTokens, q.route.Objective, true)
-		look, cancel := context.WithTimeout(ctx, min(modelLook, until.Sub(now)))
+		q.logWait(p, until.Sub(now))
+		q.g.deps.Coordinator.RecordDemand(q.service.Name, &q.info, q.cost.OutputTokens, q.route.Objective, true)
+		pollCtx, cancel := context.WithTimeout(ctx, min(modelPollInterval, until.Sub(now)))
 		select {
-		case <-held:
-		case <-look.Done():
+		case <-changed:
+		case <-pollCtx.Done():
 		}
 		cancel()
 		if ctx.Err() != nil {
@@ -244,98 +249,98 @@
 	}
 }
 
-// comingSlack is how much later than it can be expected a model may come:
-// what makes way for it ends its streams first.
-const comingSlack = 2 * time.Second
+// loadingSlack is how much later than expected a model may become resident: the
+// model evicted for it finishes its streams first.
+const loadingSlack = 2 * time.Second
 
-// modelBy is until when the request waits for a model that no upstream holds:
-// until it is there, if that is on its way; else for as long as its answer could
-// still be in time. Late says that the model comes after the request's time, so
-// that any wait is in vain.
-func (q *request) modelBy() (until time.Time, late bool) {
-	usual := q.start.Add(q.hold(balance.NoModel))
-	at, coming := q.g.deps.Fleet.ExpectedReady(q.service.Name, q.ask.Model)
-	if !coming || q.started || q.g.deps.Draining() {
-		return usual, false
-	}
-	last := q.start.Add(time.Duration(float64(q.deadline.Sub(q.start)) * replica.MaxWaitShare))
-	if at.After(last) {
-		return usual, true
-	}
-	if until = at.Add(comingSlack); until.After(last) {
-		until = last
+// modelWaitUntil returns until when the request waits for a model that is resident at
+// no upstream: until the model is expected, if it is loading, else for as long as
+// the response could still be in time. tooLate reports that the model is expected
+// only after the request's time, so that waiting is pointless.
+func (q *request) modelWaitUntil() (until time.Time, tooLate bool) {
+	inTime := q.start.Add(q.maxHold(balance.NoModel))
+	at, loading := q.g.deps.Fleet.ExpectedReady(q.service.Name, q.needs.Model)
+	if !loading || q.started || q.g.deps.Draining() {
+		return inTime, false
+	}
+	latest := q.start.Add(time.Duration(float64(q.deadline.Sub(q.start)) * replica.MaxWaitShare))
+	if at.After(latest) {
+		return inTime, true
+	}
+	if until = at.Add(loadingSlack); until.After(latest) {
+		until = latest
 	}
 	return until, false
 }
 
-// giveUpModel answers a request whose model will not come in its time. A caller
-// may come back when it is there.
+// giveUpModel responds to a request whose model will not be resident in time. If the
+// model is loading, the caller is told to retry when it is expected.
 func (q *request) giveUpModel(now time.Time) bool {
-	at, coming := q.g.deps.Fleet.ExpectedReady(q.service.Name, q.ask.Model)
-	if after := at.Sub(now); coming && after > 0 && q.kept == nil && q.r.Context().Err() == nil {
-		q.unserved(http.StatusBadGateway, balance.NoModel.String(), after)
+	at, loading := q.g.deps.Fleet.ExpectedReady(q.service.Name, q.needs.Model)
+	if after := at.Sub(now); loading && after > 0 && q.deliverFailed == nil && q.r.Context().Err() == nil {
+		q.endUnserved(http.StatusBadGateway, balance.NoModel.String(), after)
 		return false
 	}
 	return q.giveUp(balance.NoModel)
 }
 
-// hold is how long the request may wait for the reason to pass. One whose
-// answer has begun can be refused no more; to give it up would cut it.
-func (q *request) hold(r balance.Reason) time.Duration {
+// maxHold returns how long the request may wait for the reason to pass. A request
+// whose response has started cannot be refused, and giving up would cut it off.
+func (q *request) maxHold(r balance.Reason) time.Duration {
 	if q.started {
 		return q.deadline.Sub(q.start)
 	}
-	hold := max(time.Duration(float64(q.route.Objective)*holdShare), shortestHold)
+	wait := max(time.Duration(float64(q.route.Objective)*holdShare), minHold)
 	if r == balance.AllPrefilling || r == balance.AllBackoff {
-		return q.patience()
+		return q.maxPermitWait()
 	}
-	if r == balance.NoModel && !q.g.deps.Draining() { // else its answer might not end before the process does
-		hold = max(hold, time.Duration(float64(q.route.Objective)*modelShare))
+	if r == balance.NoModel && !q.g.deps.Draining() { // otherwise the response might not finish before the process ends
+		wait = max(wait, time.Duration(float64(q.route.Objective)*modelWaitShare))
 	}
-	return hold
+	return wait
 }
 
-// fetchAdapter has the adapter loaded where the request would go.
-func (q *request) fetchAdapter(p picked) bool {
+// loadAdapter has the adapter loaded at the upstream that the request would go to.
+func (q *request) loadAdapter(p selection) bool {
 	d := &q.g.deps
-	if q.adapterAsks++; q.adapterAsks > adapterTries {
-		return q.giveUpUnbegun(p.Reason)
+	if q.adapterRequests++; q.adapterRequests > maxAdapterRequests {
+		return q.giveUpUnlessStarted(p.Reason)
 	}
-	ctx, cancel := context.WithTimeout(q.ctx, adapterHold)
+	ctx, cancel := context.WithTimeout(q.ctx, maxAdapterWait)
 	defer cancel()
-	d.Log.Emit(event.AdapterRequested, q.id(), zap.String(event.FieldPeer, p.home.ID()),
-		zap.String("model", q.ask.Model), zap.String("adapter", q.ask.Adapter))
-	err := d.Coordinator.LoadAdapter(ctx, p.home.ID(), q.ask.Model, q.ask.Adapter)
+	d.Log.Emit(event.AdapterRequested, q.id(), zap.String(event.FieldPeer, p.adapterUpstream.ID()),
+		zap.String("model", q.needs.Model), zap.String("adapter", q.needs.Adapter))
+	err := d.Coordinator.LoadAdapter(ctx, p.adapterUpstream.ID(), q.needs.Model, q.needs.Adapter)
 	if err != nil {
 		d.Log.Emit(event.RequestQueued, q.id(), zap.String("why", "adapter"), zap.Error(err))
-		return q.giveUpUnbegun(p.Reason)
+		return q.giveUpUnlessStarted(p.Reason)
 	}
 	return true
 }
 
-// adapterTries is how often one request asks for its adapter.
-const adapterTries = 2
+// maxAdapterRequests is how often one request asks for its adapter to be loaded.
+const maxAdapterRequests = 2
 
-// giveUpBackoff answers a request whose upstreams all asked to be sent nothing
-// for longer than it may wait. It is told when one of them takes some again.
+// giveUpBackoff responds to a request whose upstreams all asked for a backoff longer
+// than the request may wait. The caller may retry when one of them accepts requests again.
 func (q *request) giveUpBackoff(after time.Duration) bool {
-	if q.kept != nil || q.r.Context().Err() != nil {
+	if q.deliverFailed != nil || q.r.Context().Err() != nil {
 		return q.giveUp(balance.AllBackoff)
 	}
 	q.g.deps.Metrics.Count(metrics.BackedOff, 1)
-	q.unserved(http.StatusBadGateway, balance.AllBackoff.String(), max(after, stopRetry))
+	q.endUnserved(http.StatusBadGateway, balance.AllBackoff.String(), max(after, stopRetry))
 	return false
 }
 
-// giveUp answers a request that no upstream will take in time.
+// giveUp responds to a request that no upstream will accept in time.
 func (q *request) giveUp(r balance.Reason) bool {
 	switch {
 	case q.r.Context().Err() != nil:
-		q.left()
-	case q.kept != nil:
-		q.kept()
+		q.callerLeft()
+	case q.deliverFailed != nil:
+		q.deliverFailed()
 	default:
-		q.unserved(http.StatusBadGateway, r.String(), retryOf(r))
+		q.endUnserved(http.StatusBadGateway, r.String(), retryDelay(r))
 	}
 	return false
 }
--- a/node/gate/poison.go
+++ b/node/gate/poison.go
@@ -9,19 +9,19 @@
 	"peridotpier.example/node/metrics"
 )
 
-// longRun is how long after its answer began a request must have run for its
-// upstream's end to be no sign against it: one that ends upstreams does so as it
-// begins.
+// longRun is how long after its response began a request must have run so that a
+// crash of its upstream is not held against it: a request that crashes upstreams
+// does so when it begins.
 const longRun = time.Second
 
-// describe notes what is asked, now that the request was read whole.
-func (q *request) describe() {
+// setContent records the request's content for the poison guard, once it was read completely.
+func (q *request) setContent() {
 	q.content = poison.NewRequest(poison.Content{Team: q.caller.name(), Method: q.r.Method, Host: q.r.Host, Target: q.r.RequestURI, Body: q.body})
 }
 
-// refuseBarred ends a request that ends upstreams, and says so. p is where it would
-// have gone, if it got that far.
-func (q *request) refuseBarred(p picked) bool {
+// refuseBarred refuses a request that is barred for crashing upstreams and reports
+// whether it did. p is the selection made for the request, if any.
+func (q *request) refuseBarred(p selection) bool {
 	if q.g.deps.PoisonGuard == nil {
 		return false
 	}
@@ -29,34 +29,34 @@
 	if !ok {
 		return false
 	}
-	if p.turn != nil {
-		p.turn.Release()
+	if p.permit != nil {
+		p.permit.Release()
 	}
 	q.g.deps.Metrics.Count(metrics.RequestsBarred, 1)
-	if q.kept != nil { // an answer that is there is delivered
-		q.kept()
+	if q.deliverFailed != nil { // a failed response is better than none
+		q.deliverFailed()
 		return true
 	}
-	q.unserved(http.StatusBadGateway, "poison", until.Sub(q.g.deps.Now()))
+	q.endUnserved(http.StatusBadGateway, "poison", until.Sub(q.g.deps.Now()))
 	return true
 }
 
-// completed notes that the request ran to its end.
-func (q *request) completed() {
+// recordCompleted records that the request ran to completion.
+func (q *request) recordCompleted() {
 	if q.g.deps.PoisonGuard != nil {
 		q.g.deps.PoisonGuard.RecordCompleted(q.content)
 	}
 }
 
-// broken notes an exchange that broke while the upstream may have been running
-// the request: the request may have ended it.
-func (q *request) broken(x *fleet.Attempt, why string) {
-	x.Interrupted(why)
-	if !q.ranSince.IsZero() && q.g.deps.Now().Sub(q.ranSince) > longRun {
-		q.completed()
+// recordBroken records an exchange that broke while the upstream may have been running
+// the request: the request may have crashed it.
+func (q *request) recordBroken(a *fleet.Attempt, why string) {
+	a.Interrupted(why)
+	if !q.responseSince.IsZero() && q.g.deps.Now().Sub(q.responseSince) > longRun {
+		q.recordCompleted()
 		return
 	}
-	if e := x.Entry(); q.g.deps.CrashRecorder != nil {
+	if e := a.Entry(); q.g.deps.CrashRecorder != nil {
 		q.g.deps.CrashRecorder.RecordBroken(e.ID(), e.Address(), q.content.Fingerprint())
 	}
 }
--- a/node/gate/again_test.go
+++ b/node/gate/retry_test.go
@@ -14,14 +14,14 @@
 	"peridotpier.example/core/deploy"
 )
 
-// breaking listens, takes whatever comes and closes without an answer. It
-// counts what it took.
-func breaking(t *testing.T) (address string, taken *atomic.Int32) {
+// startBreakingUpstream listens, reads the start of each request and closes the
+// connection without a response. It counts the requests.
+func startBreakingUpstream(t *testing.T) (address string, received *atomic.Int32) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
-	taken = new(atomic.Int32)
+	received = new(atomic.Int32)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -29,17 +29,17 @@
 				return
 			}
 			if n, _ := c.Read(make([]byte, 4096)); n > 0 {
-				taken.Add(1)
+				received.Add(1)
 			}
 			_ = c.Close()
 		}
 	}()
-	return ln.Addr().String(), taken
+	return ln.Addr().String(), received
 }
 
-// Symptom: a request that may run once runs twice, or more often than its route allows.
-// Sequence: each upstream takes the request and breaks off without an answer.
-// Cause: an attempt that may have run is followed by another.
+// Guards against a request that runs more often than its route allows: each
+// upstream reads the request and breaks off without a response, and an attempt that
+// may have run is followed by another.
 func TestAttemptsFollowTheRoutesKind(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -47,12 +47,12 @@
 		attempts int
 		runs     int32
 	}{
-		{"may run once, though its route names more", deploy.NonIdempotent, 3, 1},
+		{"may run once, though its route allows more attempts", deploy.NonIdempotent, 3, 1},
 		{"may run twice", deploy.Idempotent, 2, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			address, taken := breaking(t)
-			g, f := waiting(&modelless{}, address)
+			address, received := startBreakingUpstream(t)
+			g, f := newGate(&noModelCoordinator{}, address)
 			var all []deploy.Upstream
 			for _, id := range []string{"u", "v", "w", "x"} {
 				all = append(all, deploy.Upstream{ID: id, Service: "s", Address: address, Slots: 4})
@@ -64,41 +64,41 @@
 			g.deps.Config.ApplyIfNewer(&table, "test")
 			w := httptest.NewRecorder()
 			g.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "http://example.com/x", nil))
-			assert.Equal(t, taken.Load(), c.runs)
-			assert.Equal(t, w.Code, http.StatusBadGateway, "nothing is promised of what may have run")
+			assert.Equal(t, received.Load(), c.runs)
+			assert.Equal(t, w.Code, http.StatusBadGateway, "nothing is promised about a request that may have run")
 		})
 	}
 }
 
-// Symptom: engines work for callers who have left.
-// Sequence: an upstream takes a request and has not answered when the caller leaves.
-// Cause: only a write to the caller shows that it is gone.
-func TestAnAttemptWithoutAnAnswerEndsWithItsCaller(t *testing.T) {
+// Guards against engines that work for callers who have disconnected: an upstream
+// has not responded when the caller leaves, and only a write to the caller would
+// show that.
+func TestAnAttemptWithoutAResponseEndsWithItsCaller(t *testing.T) {
 	ended := make(chan struct{})
-	taken := make(chan struct{})
+	received := make(chan struct{})
 	up := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		close(taken)
+		close(received)
 		<-r.Context().Done()
 		close(ended)
 	}))
 	defer up.Close()
-	g, f := waiting(&modelless{}, up.Listener.Addr().String())
+	g, f := newGate(&noModelCoordinator{}, up.Listener.Addr().String())
 	f.Apply([]deploy.Upstream{{ID: "u", Service: "s", Address: up.Listener.Addr().String(), Slots: 4}}, nil, 0)
 	host := httptest.NewServer(g)
 	defer host.Close()
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, host.URL+"/x", nil)
 	assert.NilError(t, err)
 	r.Host = "example.com"
 	go func() {
-		<-taken
-		leave()
+		<-received
+		disconnect()
 	}()
 	_, err = http.DefaultClient.Do(r)
 	assert.ErrorIs(t, err, context.Canceled)
 	select {
 	case <-ended:
 	case <-time.After(400 * time.Millisecond):
-		t.Fatal("the run goes on")
+		t.Fatal("the upstream continues to run the request")
 	}
 }
--- a/node/gate/silent_test.go
+++ b/node/gate/silent_test.go
@@ -16,23 +16,24 @@
 	"peridotpier.example/node/fleet"
 )
 
-// silence is how long an upstream of these tests may be silent.
-const silence = 40 * time.Millisecond
+// unresponsiveAfter is how long an upstream of these tests may send nothing before it
+// is found unresponsive.
+const unresponsiveAfter = 40 * time.Millisecond
 
-// silenced is a gate whose upstreams are found silent after a short time. Its
-// one route is of the given kind, may be resumed and allows two attempts.
-func silenced(t *testing.T, kind deploy.RequestKind, upstreams ...http.HandlerFunc) (host *httptest.Server, f *fleet.Fleet) {
+// startFastDetectionHost starts a host whose upstreams are found unresponsive after a short
+// time. Its only route is of the given kind, may be resumed and allows two attempts.
+func startFastDetectionHost(t *testing.T, kind deploy.RequestKind, upstreams ...http.HandlerFunc) (host *httptest.Server, f *fleet.Fleet) {
 	t.Helper()
-	return silencedWith(t, plainCodec{}, kind, upstreams...)
+	return startFastDetectionHostWith(t, plainCodec{}, kind, upstreams...)
 }
 
-// silencedWith is silenced with another codec.
-func silencedWith(t *testing.T, codec Codec, kind deploy.RequestKind, upstreams ...http.HandlerFunc) (host *httptest.Server, f *fleet.Fleet) {
+// startFastDetectionHostWith is startFastDetectionHost with another codec.
+func startFastDetectionHostWith(t *testing.T, codec Codec, kind deploy.RequestKind, upstreams ...http.HandlerFunc) (host *httptest.Server, f *fleet.Fleet) {
 	t.Helper()
-	g, _ := waiting(&modelless{}, "")
+	g, _ := newGate(&noModelCoordinator{}, "")
 	g.deps.Codec = codec
 	policy := health.DefaultPolicy
-	policy.UnresponsiveAfter = silence
+	policy.UnresponsiveAfter = unresponsiveAfter
 	f = fleet.New(fleet.Config{Health: policy}, fleet.Deps{Log: g.deps.Log})
 	g.deps.Fleet = f
 	for i, handler := range upstreams {
@@ -48,7 +49,7 @@
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
 	go func() {
-		for each := time.NewTicker(silence / 8); ; {
+		for each := time.NewTicker(unresponsiveAfter / 8); ; {
 			select {
 			case <-done:
 				each.Stop()
@@ -63,8 +64,8 @@
 	return host, f
 }
 
-// ask sends one request and reads its answer.
-func ask(t *testing.T, host *httptest.Server) (status int, body string, err error) {
+// sendOne sends one request and reads its response.
+func sendOne(t *testing.T, host *httptest.Server) (status int, body string, err error) {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, host.URL+"/x", nil)
 	assert.NilError(t, err)
@@ -78,50 +79,46 @@
 	return resp.StatusCode, string(all), err
 }
 
-// event writes one event of a stream.
+// writeEvent writes one event of a stream.
 func writeEvent(w http.ResponseWriter, n int) {
 	_, _ = fmt.Fprintf(w, "id: %d\ndata: piece %d\n\n", n, n)
 	_ = http.NewResponseController(w).Flush()
 }
 
-// Symptom: a stream that has begun ends without its end, though its upstream is
-// sound and works on it.
-// Sequence: a resumable stream begins; its upstream puts it aside for others that
-// are more urgent, and says nothing for a while; no other upstream could take it.
-// Cause: an attempt that may go elsewhere is ended before it is known that there
-// is anywhere to go.
-func TestAStreamThatCanGoNowhereStaysWithASilentUpstream(t *testing.T) {
-	host, _ := silenced(t, deploy.Stream, func(w http.ResponseWriter, _ *http.Request) {
+// Guards against a started stream that is cut off though its upstream is healthy and
+// works on it: the upstream preempts the stream for more urgent ones and sends
+// nothing for a while, and the attempt is ended before it is known whether another
+// upstream could resume the stream.
+func TestAStreamWithoutAnAlternativeStaysWithAnUnresponsiveUpstream(t *testing.T) {
+	host, _ := startFastDetectionHost(t, deploy.Stream, func(w http.ResponseWriter, _ *http.Request) {
 		writeEvent(w, 1)
-		time.Sleep(4 * silence)
+		time.Sleep(4 * unresponsiveAfter)
 		writeEvent(w, 2)
 	})
-	status, body, err := ask(t, host)
+	status, body, err := sendOne(t, host)
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, body, "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n")
 }
 
-// Symptom: a lookup fails though its upstream is about to answer it.
-// Sequence: the only upstream of a service says nothing for a while.
-// Cause: as above.
-func TestARequestThatCanGoNowhereStaysWithASilentUpstream(t *testing.T) {
-	host, _ := silenced(t, deploy.Idempotent, func(w http.ResponseWriter, _ *http.Request) {
-		time.Sleep(4 * silence)
+// Guards against a lookup that fails though its upstream is about to respond: the
+// only upstream of a service sends nothing for a while.
+func TestARequestWithoutAnAlternativeStaysWithAnUnresponsiveUpstream(t *testing.T) {
+	host, _ := startFastDetectionHost(t, deploy.Idempotent, func(w http.ResponseWriter, _ *http.Request) {
+		time.Sleep(4 * unresponsiveAfter)
 		_, _ = io.WriteString(w, "whole")
 	})
-	status, body, err := ask(t, host)
+	status, body, err := sendOne(t, host)
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, body, "whole")
 }
 
-// Symptom: a caller waits for an upstream that will not answer, though another could.
-// Sequence: the only upstream of a service goes silent; a while later another comes.
-// Cause: whether a request can go elsewhere is looked at once only.
-func TestARequestLeavesASilentUpstreamAsSoonAsItCanGoElsewhere(t *testing.T) {
+// Guards against a caller that waits for an unresponsive upstream though another could
+// respond: the other is listed a while later, and alternatives are sought only once.
+func TestARequestLeavesAnUnresponsiveUpstreamOnceThereIsAnother(t *testing.T) {
 	asked := make(chan struct{})
-	host, f := silenced(t, deploy.Idempotent, func(_ http.ResponseWriter, r *http.Request) {
+	host, f := startFastDetectionHost(t, deploy.Idempotent, func(_ http.ResponseWriter, r *http.Request) {
 		close(asked)
 		<-r.Context().Done()
 	})
@@ -133,11 +130,11 @@
 	defer second.Close()
 	go func() {
 		<-asked
-		time.Sleep(4 * silence)
+		time.Sleep(4 * unresponsiveAfter)
 		f.Apply([]deploy.Upstream{{ID: "v", Service: "s", Address: second.Listener.Addr().String(), Slots: 4}}, nil, 0)
 	}()
 	began := time.Now()
-	status, body, err := ask(t, host)
+	status, body, err := sendOne(t, host)
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, body, "whole")
@@ -145,13 +142,12 @@
 	assert.Assert(t, time.Since(began) < 2*time.Second)
 }
 
-// Symptom: a stream that has begun ends without its end, though an upstream could
-// have gone on with it a moment later.
-// Sequence: a resumable stream breaks off when its time to wait for an upstream
-// is over; the other upstream is full for a little longer.
-// Cause: the wait is bounded as that of a request that can still be refused.
-func TestAStreamThatHasBegunWaitsToGoOn(t *testing.T) {
-	host, f := silenced(t, deploy.Stream, func(w http.ResponseWriter, _ *http.Request) {
+// Guards against a started stream that is cut off though an upstream could have resumed
+// it a moment later: the stream breaks off when its time to wait for an upstream is
+// over, the other upstream is full for a little longer, and the wait is bounded as if
+// the request could still be refused.
+func TestAStartedStreamWaitsToBeResumed(t *testing.T) {
+	host, f := startFastDetectionHost(t, deploy.Stream, func(w http.ResponseWriter, _ *http.Request) {
 		writeEvent(w, 1)
 		time.Sleep(500 * time.Millisecond) // past an eighth of the route's objective
 		panic(http.ErrAbortHandler)
@@ -170,43 +166,42 @@
 			x.Refused()
 		}
 	}()
-	status, body, err := ask(t, host)
+	status, body, err := sendOne(t, host)
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, body, "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n")
 }
 
-// Symptom: a large answer is cut though its upstream goes on with it.
-// Sequence: an answer too large to be taken in first has begun; its upstream says
-// nothing for a while; another upstream could take the request.
-// Cause: whether the answer has begun is looked at before the attempt only.
-func TestALargeAnswerThatHasBegunStaysWithItsUpstream(t *testing.T) {
+// Guards against a large response that is cut off though its upstream continues it: a
+// response too large to buffer has started, its upstream sends nothing for a while,
+// another could take the request, and whether the response has started is checked
+// only before the attempt.
+func TestALargeResponseThatHasStartedStaysWithItsUpstream(t *testing.T) {
 	large := func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = w.Write(make([]byte, wholeMost+4096))
+		_, _ = w.Write(make([]byte, maxBufferedBytes+4096))
 		_ = http.NewResponseController(w).Flush()
-		time.Sleep(4 * silence)
+		time.Sleep(4 * unresponsiveAfter)
 		_, _ = w.Write([]byte("end"))
 	}
-	host, _ := silenced(t, deploy.Idempotent, large, large)
-	status, body, err := ask(t, host)
+	host, _ := startFastDetectionHost(t, deploy.Idempotent, large, large)
+	status, body, err := sendOne(t, host)
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
-	assert.Equal(t, len(body), wholeMost+4096+len("end"))
+	assert.Equal(t, len(body), maxBufferedBytes+4096+len("end"))
 }
 
-// Symptom: a lookup fails though its upstream is about to answer it.
-// Sequence: an upstream has not answered after twice the route's objective; no
-// other could take the lookup.
-// Cause: an attempt that is slow is ended without a look at what could follow.
-func TestARequestThatCanGoNowhereStaysWithASlowUpstream(t *testing.T) {
+// Guards against a lookup that fails though its upstream is about to respond: it has not
+// responded after twice the route's objective, no other could take the lookup, and a
+// slow attempt is ended without checking for an alternative.
+func TestARequestWithoutAnAlternativeStaysWithASlowUpstream(t *testing.T) {
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(4 * hedgeShare * slowObjective)
 		_, _ = io.WriteString(w, "whole")
 	}))
 	defer up.Close()
-	g, _ := waiting(&modelless{}, up.Listener.Addr().String())
-	routed(g, func(r *deploy.Route) { r.Kind, r.Attempts, r.Objective = deploy.Idempotent, 2, slowObjective })
-	status, body, err := ask(t, served(t, g))
+	g, _ := newGate(&noModelCoordinator{}, up.Listener.Addr().String())
+	changeRoute(g, func(r *deploy.Route) { r.Kind, r.Attempts, r.Objective = deploy.Idempotent, 2, slowObjective })
+	status, body, err := sendOne(t, startHost(t, g))
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, body, "whole")
@@ -215,31 +210,30 @@
 // slowObjective is short, so that its multiples pass soon.
 const slowObjective = 20 * time.Millisecond
 
-// Symptom: a lookup is late though another upstream could have answered it.
-// Sequence: an upstream has not answered after twice the route's objective;
-// another could take the lookup.
+// Guards against a lookup that is overdue though another upstream could have answered
+// it: its upstream has not responded after twice the route's objective.
 func TestARequestLeavesASlowUpstreamForAnother(t *testing.T) {
 	slow := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer slow.Close()
 	quick := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }))
 	defer quick.Close()
-	g, f := waiting(&modelless{}, slow.Listener.Addr().String())
+	g, f := newGate(&noModelCoordinator{}, slow.Listener.Addr().String())
 	f.Apply([]deploy.Upstream{{ID: "v", Service: "s", Address: quick.Listener.Addr().String(), Slots: 4}}, nil, 0)
 	v, _ := f.Entry("v")
-	for range 3 { // so that it is not chosen first
+	for range 3 { // so that it is not selected first
 		defer v.Begin(&fleet.Request{}, fleet.Cost{}).Cancelled()
 	}
-	routed(g, func(r *deploy.Route) { r.Kind, r.Attempts, r.Objective = deploy.Idempotent, 2, slowObjective })
+	changeRoute(g, func(r *deploy.Route) { r.Kind, r.Attempts, r.Objective = deploy.Idempotent, 2, slowObjective })
 	began := time.Now()
-	status, body, err := ask(t, served(t, g))
+	status, body, err := sendOne(t, startHost(t, g))
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, body, "whole")
-	assert.Assert(t, time.Since(began) >= hedgeShare*slowObjective, "the first was the slow one")
+	assert.Assert(t, time.Since(began) >= hedgeShare*slowObjective, "the first attempt was at the slow upstream")
 	assert.Assert(t, time.Since(began) < 10*hedgeShare*slowObjective, "%v", time.Since(began))
 }
 
-// refusingCodec takes a 503 for a refusal.
+// refusingCodec treats a 503 as a refusal.
 type refusingCodec struct{ plainCodec }
 
 func (c refusingCodec) DecodeResponse(status int, h http.Header) ResponseInfo {
@@ -248,8 +242,8 @@
 	return a
 }
 
-// Guards against a stream that has begun and ends without its end, since the upstreams
-// that could go on with it refuse it for a moment.
+// Guards against a started stream that is cut off because the upstreams that could
+// resume it refuse it for a moment.
 func TestABegunStreamIsNotCutByUpstreamsThatRefuseIt(t *testing.T) {
 	for _, upstreams := range []int{2, 8} {
 		t.Run(fmt.Sprint(upstreams, " upstreams"), func(t *testing.T) {
@@ -261,7 +255,7 @@
 					began.Store(time.Now().UnixNano())
 					writeEvent(w, 1)
 					<-r.Context().Done()
-				case time.Since(time.Unix(0, began.Load())) < 8*silence:
+				case time.Since(time.Unix(0, began.Load())) < 8*unresponsiveAfter:
 					w.WriteHeader(http.StatusServiceUnavailable)
 				default:
 					writeEvent(w, 2)
@@ -271,8 +265,8 @@
 			for i := range all {
 				all[i] = serve
 			}
-			host, _ := silencedWith(t, refusingCodec{}, deploy.Stream, all...)
-			status, body, err := ask(t, host)
+			host, _ := startFastDetectionHostWith(t, refusingCodec{}, deploy.Stream, all...)
+			status, body, err := sendOne(t, host)
 			assert.NilError(t, err)
 			assert.Equal(t, status, http.StatusOK)
 			assert.Equal(t, body, "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n")
--- a/node/gate/wait_test.go
+++ b/node/gate/wait_test.go
@@ -21,7 +21,7 @@
 	"peridotpier.example/node/upstream/conn"
 )
 
-// plainCodec reads a model from a header of its own.
+// plainCodec reads the model from a header of its own.
 type plainCodec struct{}
 
 func (plainCodec) DecodeRequest(h http.Header) RequestInfo {
@@ -34,47 +34,48 @@
 	return ResponseInfo{AttemptID: "a1", Sealed: true}
 }
 
-// modelless is a host that decides for all and knows of no upstream with any model.
-type modelless struct{ asked, wanted atomic.Int32 }
+// noModelCoordinator is a coordinator that knows of no upstream with any model.
+type noModelCoordinator struct{ permitRequests, demandRecords atomic.Int32 }
 
-func (m *modelless) LoadAdapter(context.Context, string, string, string) error { return nil }
+func (m *noModelCoordinator) LoadAdapter(context.Context, string, string, string) error { return nil }
 
-func (m *modelless) RequestPermit(context.Context, *PermitRequest) (*Permit, error) {
-	m.asked.Add(1)
+func (m *noModelCoordinator) RequestPermit(context.Context, *PermitRequest) (*Permit, error) {
+	m.permitRequests.Add(1)
 	return &Permit{Reason: balance.NoModel}, nil
 }
 
-func (m *modelless) RecordDemand(string, *RequestInfo, int, time.Duration, bool) { m.wanted.Add(1) }
+func (m *noModelCoordinator) RecordDemand(string, *RequestInfo, int, time.Duration, bool) {
+	m.demandRecords.Add(1)
+}
 
-// waiting is a gate with one upstream at address, which holds the model "old".
-func waiting(models Coordinator, address string) (*Gate, *fleet.Fleet) {
-	return before(deploy.Upstream{Address: address, Slots: 4, Residents: []deploy.Resident{{Model: "old"}}}, models, deploy.Route{Objective: 3 * time.Second})
+// newGate returns a gate with one upstream at address, at which the model "old" is resident.
+func newGate(coordinator Coordinator, address string) (*Gate, *fleet.Fleet) {
+	return newGateFor(deploy.Upstream{Address: address, Slots: 4, Residents: []deploy.Resident{{Model: "old"}}}, coordinator, deploy.Route{Objective: 3 * time.Second})
 }
 
-// before is a gate before one upstream, with one route.
-func before(u deploy.Upstream, models Coordinator, r deploy.Route) (*Gate, *fleet.Fleet) {
-	u.ID, u.Service = "u", "s"
+// newGateFor returns a gate with one upstream and one route.
+func newGateFor(upstream deploy.Upstream, coordinator Coordinator, r deploy.Route) (*Gate, *fleet.Fleet) {
+	upstream.ID, upstream.Service = "u", "s"
 	r.Name, r.Host, r.Prefix, r.Timeout, r.Attempts, r.Splits = "r", "example.com", "/", 10*time.Second, 1, []deploy.Split{{Service: "s", Weight: 1}}
 	log := event.NewLog(nil)
 	config := follow.NewActiveConfig(log)
 	config.ApplyIfNewer(&deploy.Config{Version: 1, Services: []deploy.Service{{Name: "s", Engine: &deploy.Engine{}}}, Routes: []deploy.Route{r}}, "test")
 	f := fleet.New(fleet.Config{}, fleet.Deps{Log: log})
-	f.Apply([]deploy.Upstream{u}, nil, 0)
+	f.Apply([]deploy.Upstream{upstream}, nil, 0)
 	never := func() bool { return false }
-	return New(Deps{Config: config, Fleet: f, Client: conn.New(conn.Config{}), Codec: plainCodec{}, Coordinator: models,
+	return New(Deps{Config: config, Fleet: f, Client: conn.New(conn.Config{}), Codec: plainCodec{}, Coordinator: coordinator,
 		RetryBudget: NewRetryBudget(budget.Policy{Ratio: 1, Slack: 10, Window: time.Second}, func() int { return 1 }), Log: log, Metrics: metrics.New(), Draining: never, RejectsNew: never}), f
 }
 
-// Symptom: the host that decides for all is asked several times for each
-// request that is served anywhere, and answers nobody in time.
-// Sequence: requests wait for a model that no upstream holds, while those of
-// others end hundreds of times a second.
-// Cause: each end wakes all that wait, and each of them asks again.
-func TestARequestThatWaitsForAModelAsksOnceForIt(t *testing.T) {
+// Guards against a coordinator that is asked several times for each request that is
+// served on any host, and answers nobody in time: requests wait for a model that is
+// resident at no upstream, each of the hundreds of requests that end per second wakes
+// all of them, and each asks again.
+func TestARequestThatWaitsForAModelAsksTheCoordinatorOnce(t *testing.T) {
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	defer up.Close()
-	models := &modelless{}
-	g, f := waiting(models, up.Listener.Addr().String())
+	coordinator := &noModelCoordinator{}
+	g, f := newGate(coordinator, up.Listener.Addr().String())
 	r := httptest.NewRequest(http.MethodPost, "http://example.com/x", nil)
 	r.Header.Set("Model", "new")
 	w := httptest.NewRecorder()
@@ -84,7 +85,7 @@
 		g.ServeHTTP(w, r)
 	}()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if models.wanted.Load() >= 2 { // once as any request, once as one that waits
+		if coordinator.demandRecords.Load() >= 2 { // once as any request, once as one that waits
 			return poll.Success()
 		}
 		return poll.Continue("the request does not wait yet")
@@ -93,10 +94,10 @@
 		f.NotifyChanged()
 		time.Sleep(time.Millisecond)
 	}
-	assert.Equal(t, models.asked.Load(), int32(1))
+	assert.Equal(t, coordinator.permitRequests.Load(), int32(1))
 	began := time.Now()
 	f.ApplyResidency([]fleet.Residency{{Upstream: "u", Residents: []deploy.Resident{{Model: "new"}}}}, began)
 	<-done
-	assert.Assert(t, time.Since(began) < modelLook/2, "it goes on as soon as an upstream holds the model")
+	assert.Assert(t, time.Since(began) < modelPollInterval/2, "it continues as soon as the model is resident")
 	assert.Equal(t, w.Code, http.StatusOK)
 }
--- a/node/peer/link.go
+++ b/node/peer/link.go
@@ -12,18 +12,20 @@
 )
 
 const (
-	// batchWindow is how long a link waits for more news before it sends. It
-	// adds to each hop, of which there are about four; a burst of words then
-	// shares one message.
+	// batchWindow is how long a link waits for more records before it sends a
+	// message, so that a burst of records shares one. It adds to the delay of each
+	// hop, of which there are about four.
 	batchWindow = 20 * time.Millisecond
-	// wordsMost bounds one message; about 100 KB.
-	wordsMost = 500
-	// silentAfter is how many heartbeats may be missed on a link.
-	silentAfter = 3
-	// digestEach is how many heartbeats pass between two digests.
-	digestEach = 5
-	// repairEach is the least time between two full sendings on one link.
-	repairEach = 30 * time.Second
+	// maxRecords bounds the records in one message, which is then about 100 KB.
+	maxRecords = 500
+	// maxMissedHeartbeats is the number of heartbeat intervals without a message
+	// after which a link counts as unresponsive.
+	maxMissedHeartbeats = 3
+	// heartbeatsPerDigest is the number of heartbeats between two digests.
+	heartbeatsPerDigest = 5
+	// minRepairInterval is the minimum time between two transfers of all records
+	// on one link.
+	minRepairInterval = 30 * time.Second
 )
 
 // stream is either side of a Link call.
@@ -33,39 +35,39 @@
 	Context() context.Context
 }
 
-// link is one open link. Its queue holds the newest word on each subject only:
-// a slow link is sent less, never older, and its memory is bounded by the
-// number of subjects.
+// link is one open link. Its queue has only the newest record of each host and of
+// each process of an upstream: a slow link thus gets fewer records, never outdated
+// ones, and its memory is bounded by the number of hosts and processes.
 type link struct {
-	m      *Mesh
-	dialed bool // by this host
-	cancel context.CancelFunc
-	heard  atomic.Int64 // Unix nanoseconds of the last message, by the mesh's clock
-	wake   chan struct{}
-
-	mu        sync.Mutex // taken after Mesh.mu, if both
-	peer      member.Host
-	hosts     map[string]member.Host
-	upstreams map[string]member.Upstream // by name and incarnation
-	head      bool                       // send the configuration's head
-	digest    bool
-	repaired  time.Time
+	m            *Mesh
+	dialed       bool // this host opened the link
+	cancel       context.CancelFunc
+	lastReceived atomic.Int64  // when the last message was received, in Unix nanoseconds by the mesh's clock
+	wake         chan struct{} // wakes the sender
+
+	mu         sync.Mutex // locked after Mesh.mu, if both are
+	peer       member.Host
+	hosts      map[string]member.Host
+	upstreams  map[string]member.Upstream // by name and incarnation
+	sendHead   bool                       // the next message has the configuration's head
+	sendDigest bool                       // the last message of the next batch has a digest
+	lastRepair time.Time
 }
 
 func newLink(m *Mesh, dialed bool, cancel context.CancelFunc) *link {
 	l := &link{m: m, dialed: dialed, cancel: cancel, wake: make(chan struct{}, 1),
-		hosts: map[string]member.Host{}, upstreams: map[string]member.Upstream{}, head: true, digest: true}
-	l.heard.Store(m.now().UnixNano())
+		hosts: map[string]member.Host{}, upstreams: map[string]member.Upstream{}, sendHead: true, sendDigest: true}
+	l.lastReceived.Store(m.now().UnixNano())
 	return l
 }
 
-func (l *link) name() string {
+func (l *link) peerName() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.peer.Name
 }
 
-func (l *link) poke() {
+func (l *link) wakeSender() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -76,39 +78,40 @@
 	l.mu.Lock()
 	l.hosts[h.Name] = h
 	l.mu.Unlock()
-	l.poke()
+	l.wakeSender()
 }
 
 func (l *link) queueUpstream(u member.Upstream) {
 	l.mu.Lock()
 	l.upstreams[u.Name+"\x00"+u.Incarnation] = u
 	l.mu.Unlock()
-	l.poke()
+	l.wakeSender()
 }
 
 func (l *link) queueHead() {
 	l.mu.Lock()
-	l.head = true
+	l.sendHead = true
 	l.mu.Unlock()
-	l.poke()
+	l.wakeSender()
 }
 
-// send sends what is queued, and a heartbeat when nothing was for a while.
+// send sends queued records, and a heartbeat after each interval without any, until
+// the link ends.
 func (l *link) send(s stream) error {
 	ctx := s.Context()
-	if err := s.Send(l.first()); err != nil {
+	if err := s.Send(l.firstMessage()); err != nil {
 		return err
 	}
-	beat := time.NewTimer(l.m.cfg.HeartbeatInterval)
-	defer beat.Stop()
+	timer := time.NewTimer(l.m.cfg.HeartbeatInterval)
+	defer timer.Stop()
 	for beats := 1; ; {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-beat.C:
+		case <-timer.C:
 			beats++
 			l.mu.Lock()
-			l.digest = l.digest || beats%digestEach == 0
+			l.sendDigest = l.sendDigest || beats%heartbeatsPerDigest == 0
 			l.mu.Unlock()
 		case <-l.wake:
 			if !pace.Sleep(ctx, batchWindow) {
@@ -117,68 +120,70 @@
 		}
 		for more := true; more; {
 			var msg *peerpb.Message
-			msg, more = l.next()
+			msg, more = l.nextMessage()
 			if err := s.Send(msg); err != nil {
 				return err
 			}
 		}
-		beat.Reset(l.m.cfg.HeartbeatInterval)
+		timer.Reset(l.m.cfg.HeartbeatInterval)
 	}
 }
 
-// first introduces this host.
-func (l *link) first() *peerpb.Message {
-	return &peerpb.Message{From: hostToWire(l.m.Self()), Config: l.m.configWord(false)}
+// firstMessage returns the message that introduces this host.
+func (l *link) firstMessage() *peerpb.Message {
+	return &peerpb.Message{From: hostToWire(l.m.Self()), Config: l.m.configUpdate(false)}
 }
 
-// next takes one message's worth from the queue.
-func (l *link) next() (msg *peerpb.Message, more bool) {
+// nextMessage removes up to one message's records from the queue. more reports
+// whether records remain.
+func (l *link) nextMessage() (msg *peerpb.Message, more bool) {
 	digest := l.m.digest()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	msg = &peerpb.Message{Config: l.m.configWord(l.head)}
-	l.head = false
+	msg = &peerpb.Message{Config: l.m.configUpdate(l.sendHead)}
+	l.sendHead = false
 	n := 0
 	for k, h := range l.hosts {
-		if n++; n > wordsMost {
+		if n++; n > maxRecords {
 			return msg, true
 		}
 		msg.Hosts = append(msg.Hosts, hostToWire(h))
 		delete(l.hosts, k)
 	}
 	for k, u := range l.upstreams {
-		if n++; n > wordsMost {
+		if n++; n > maxRecords {
 			return msg, true
 		}
 		msg.Upstreams = append(msg.Upstreams, upstreamToWire(u))
 		delete(l.upstreams, k)
 	}
-	if l.digest {
+	if l.sendDigest {
 		msg.Digest = digest
-		l.digest = false
+		l.sendDigest = false
 	}
 	return msg, false
 }
 
-// receive takes what the other side tells until the link ends.
+// receive processes the messages of the other side until the link ends.
 func (l *link) receive(s stream) error {
 	for {
 		msg, err := s.Recv()
 		if err != nil {
 			return err
 		}
-		l.heard.Store(l.m.now().UnixNano())
-		l.m.take(l, msg)
+		l.lastReceived.Store(l.m.now().UnixNano())
+		l.m.handleMessage(l, msg)
 	}
 }
 
-// mayRepair says whether everything may be sent again on this link now.
+// mayRepair reports whether all records may be sent on this link now, and records
+// that they are.
 func (l *link) mayRepair(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.repaired.IsZero() && now.Sub(l.repaired) < repairEach {
+	if !l.lastRepair.IsZero() && now.Sub(l.lastRepair) < minRepairInterval {
 		return false
 	}
-	l.repaired = now
+	l.lastRepair = now
 	return true
 }
--- a/node/store/storetest/storetest.go
+++ b/node/store/storetest/storetest.go
@@ -1,5 +1,5 @@
-// Package storetest is the conformance suite of the platform's interfaces.
-// Every adapter to a platform service must pass it, whatever the protocol.
+// Package storetest is the conformance test suite of the platform's interfaces.
+// Every implementation must pass it, whatever protocol it uses.
 package storetest
 
 import (
@@ -14,21 +14,21 @@
 	"peridotpier.example/node/store"
 )
 
-// Fixture is one fresh, empty set of services with switches for their faults.
+// Fixture is one fresh, empty set of services with switches to inject faults.
 type Fixture struct {
 	Table   store.Table
 	Objects store.Objects
 	Hosts   store.Hosts
-	Weights store.Weights // must allow two loads at once, and starts at any rate
+	Weights store.Weights // must allow two loads at a time, and starts at any rate
 
-	WantHosts    []store.Host // what Hosts must answer
+	WantHosts    []store.Host // what Hosts must return
 	SetOutage    func(on bool)
 	LoseAnswers  func(on bool) // writes take effect but their answers are lost
-	LoseRequests func(on bool) // writes are lost on the way
-	SetLimited   func(on bool) // every write is over the limit
+	LoseRequests func(on bool) // write requests are lost before they reach the service
+	SetLimited   func(on bool) // every write is over the rate limit
 }
 
-// Run runs the suite on benches that make builds.
+// Run runs the suite, each test on a fixture of its own that make builds.
 func Run(t *testing.T, make func(t *testing.T) Fixture) {
 	for _, c := range []struct {
 		name string
@@ -36,7 +36,7 @@
 	}{
 		{"same operation has one effect and one answer", oneEffect},
 		{"conditions", conditions},
-		{"a transaction takes effect whole or not at all", whole},
+		{"a transaction takes effect whole or not at all", atomicity},
 		{"versions are never reused", versions},
 		{"pages", pages},
 		{"lost answer is resolved", lostAnswer},
@@ -54,7 +54,7 @@
 	return store.Txn{Op: op, Conds: conds, Writes: []store.Write{{Key: key, Value: []byte(value)}}}
 }
 
-func value(t *testing.T, b Fixture, key string) string {
+func readValue(t *testing.T, b Fixture, key string) string {
 	t.Helper()
 	rows, err := b.Table.Get(t.Context(), key)
 	assert.NilError(t, err)
@@ -72,9 +72,9 @@
 	again, err := b.Table.Commit(t.Context(), put("op1", "k", "1"))
 	assert.NilError(t, err)
 	assert.Equal(t, again, first)
-	assert.Equal(t, value(t, b, "k"), "2")
+	assert.Equal(t, readValue(t, b, "k"), "2")
 
-	// A refusal is an answer too: it must not turn into success later.
+	// A refusal is a result too: a repeated commit must not succeed later.
 	refused := put("op3", "k", "3", store.Cond{Key: "k", Version: first})
 	_, err = b.Table.Commit(t.Context(), refused)
 	assert.ErrorIs(t, err, store.ErrConflict)
@@ -93,10 +93,10 @@
 	assert.ErrorIs(t, err, store.ErrConflict)
 	_, err = b.Table.Commit(t.Context(), put("d", "k", "2", store.Cond{Key: "k", Version: v}))
 	assert.NilError(t, err)
-	assert.Equal(t, value(t, b, "k"), "2")
+	assert.Equal(t, readValue(t, b, "k"), "2")
 }
 
-func whole(t *testing.T, b Fixture) {
+func atomicity(t *testing.T, b Fixture) {
 	two := store.Txn{Op: "a", Conds: []store.Cond{{Key: "x"}, {Key: "y"}},
 		Writes: []store.Write{{Key: "x", Value: []byte("1")}, {Key: "y", Value: []byte("1")}}}
 	v, err := b.Table.Commit(t.Context(), two)
@@ -111,7 +111,7 @@
 	two.Writes = []store.Write{{Key: "x", Delete: true}, {Key: "y", Delete: true}}
 	_, err = b.Table.Commit(t.Context(), two)
 	assert.ErrorIs(t, err, store.ErrConflict)
-	assert.Equal(t, value(t, b, "x"), "1")
+	assert.Equal(t, readValue(t, b, "x"), "1")
 }
 
 func versions(t *testing.T, b Fixture) {
@@ -148,8 +148,8 @@
 	assert.DeepEqual(t, got, []string{"p/1", "p/2", "p/3"})
 }
 
-// resolveAfter commits txn while a fault is on and clears the fault once the
-// commit is in doubt.
+// resolveAfter commits txn while a fault is on, clears the fault once the commit
+// is unconfirmed, and expects that retries then succeed.
 func resolveAfter(t *testing.T, b Fixture, fault func(bool), txn store.Txn) {
 	t.Helper()
 	fault(true)
@@ -162,19 +162,20 @@
 	assert.NilError(t, err)
 }
 
-// Symptom: a claim is refused to its own owner. Sequence: the write takes
-// effect, its answer is lost, the retry meets its own row. Cause: the retry
-// counted as a new operation.
+// lostAnswer guards against a claim that is refused to its own owner: the write
+// takes effect, its answer is lost, and the retry meets the row that it wrote
+// itself. A retry must not count as a new operation.
 func lostAnswer(t *testing.T, b Fixture) {
 	resolveAfter(t, b, b.LoseAnswers, put("a", "k", "1", store.Cond{Key: "k", Version: store.Absent}))
-	assert.Equal(t, value(t, b, "k"), "1")
+	assert.Equal(t, readValue(t, b, "k"), "1")
 }
 
-// Symptom: a write that was reported in doubt is taken for done and is not
-// there. Sequence: the request is lost on the way. Cause: no second try.
+// lostRequest guards against an unconfirmed write that is treated as done although
+// its row does not exist: the request was lost before it reached the service, and
+// nothing retried it.
 func lostRequest(t *testing.T, b Fixture) {
 	resolveAfter(t, b, b.LoseRequests, put("a", "k", "1", store.Cond{Key: "k", Version: store.Absent}))
-	assert.Equal(t, value(t, b, "k"), "1")
+	assert.Equal(t, readValue(t, b, "k"), "1")
 }
 
 func refusals(t *testing.T, b Fixture) {
@@ -190,7 +191,7 @@
 	_, err = b.Table.Commit(t.Context(), put("b", "k", "1"))
 	assert.ErrorIs(t, err, store.ErrLimited)
 	b.SetLimited(false)
-	assert.Equal(t, value(t, b, "k"), "")
+	assert.Equal(t, readValue(t, b, "k"), "")
 }
 
 func objects(t *testing.T, b Fixture) {
@@ -220,16 +221,16 @@
 }
 
 func weights(t *testing.T, b Fixture) {
-	granted := func(load string) bool {
+	acquire := func(load string) bool {
 		wait, err := b.Weights.AcquireLoad(t.Context(), load)
 		assert.NilError(t, err)
 		return wait == 0
 	}
-	assert.Assert(t, granted("m#1"))
-	assert.Assert(t, granted("m#1"), "the same load takes no second place")
-	assert.Assert(t, granted("m#2"))
-	assert.Assert(t, !granted("m#3"))
+	assert.Assert(t, acquire("m#1"))
+	assert.Assert(t, acquire("m#1"), "the same load takes no second place")
+	assert.Assert(t, acquire("m#2"))
+	assert.Assert(t, !acquire("m#3"))
 	assert.NilError(t, b.Weights.ReleaseLoad(t.Context(), "m#1"))
 	assert.NilError(t, b.Weights.ReleaseLoad(t.Context(), "m#1"))
-	assert.Assert(t, granted("m#3"))
+	assert.Assert(t, acquire("m#3"))
 }
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -42,70 +42,72 @@
 	}
 	if c.now()' ./node/coordinator ./platform -run 'Order|Holder'
 try "quiet period of a new holder" node/coordinator/handover.go \
-  'c.quiet, c.ordered, c.whole = now.Add(c.cfg.Quiet), now' 'c.quiet, c.ordered, c.whole = now, now' ./node/coordinator
+  'c.quietUntil, c.lastOrderAt, c.ordersComplete = now.Add(c.cfg.QuietPeriod), now' 'c.quietUntil, c.lastOrderAt, c.ordersComplete = now, now' ./node/coordinator
 try "order within the former holder's quiet time at one upstream" node/coordinator/handover.go \
   'return ok && !o.own' 'return false && ok && !o.own' ./node/coordinator ./platform -run 'Holder|Orders'
 try "bound of loads from the weight store" node/coordinator/plan.go \
-  'min(c.stores.left(s.Engine.LoadsPerSecond, now), c.storeRoom(s.Engine, units, now))' \
-  'c.stores.left(s.Engine.LoadsPerSecond, now)' ./node/coordinator ./platform -run 'Loads|EnginesReplaced'
+  'min(c.storeLoads.remaining(s.Engine.LoadsPerSecond, now), c.freeStoreSlots(s.Engine, upstreams, now))' \
+  'c.storeLoads.remaining(s.Engine.LoadsPerSecond, now)' ./node/coordinator ./platform -run 'Loads|EnginesReplaced'
 try "loads by what they serve" core/replica/replica.go \
   'if x, y := a.gain(), b.gain(); x != y {' 'if x, y := a.gain(), b.gain(); false && x != y {' ./core/replica
 try "bound of what is prepared for" core/replica/prior.go \
-  'sum > most' 'false && sum > most' ./core/replica
+  'sum > limit' 'false && sum > limit' ./core/replica
 try "wait for a model on its way" node/gate/pick.go \
-  'if !coming || q.started' 'if true || !coming || q.started' ./node/gate -run 'OnItsWay|TooLate'
+  'if !loading || q.started' 'if true || !loading || q.started' ./node/gate -run 'ThatIsLoading|TooLate'
 try "bound of prompts at an upstream for all requests" node/gate/pick.go \
-  'return balance.ReadingFor(q.route.PauseBound, q.service.Engine.EventTokens)' \
+  'return balance.PendingPromptLimit(q.route.PauseBound, q.service.Engine.EventTokens)' \
   'return 0' ./node/gate -run 'OthersLate'
 try "requests that an upstream lost go first" node/gate/pick.go \
-  'if lost && now.Sub' 'if false && now.Sub' ./node/gate -run 'BeforeWhatIsNew'
+  'if lostByUpstream && now.Sub' 'if false && now.Sub' ./node/gate -run 'PrecedesNewOnes'
 try "holdings told once" node/coordinator/coordinator.go \
-  'if !u.news() && u.revision.Load() > 0 {' 'if false {' ./node/coordinator -run 'OnlyWhatIsNew'
+  'if !u.updatePublished() && u.revision.Load() > 0 {' 'if false {' ./node/coordinator -run 'OnlyNewHoldings'
 try "packed configuration" node/coordinator/relay.go \
   'if r.Packed {' 'if false {' ./node/coordinator -run 'Packed'
-try "reports that are too old leave the sums" node/coordinator/sums.go \
-  'if age > reportFresh {' 'if false {' ./node/coordinator -run 'Sums'
+try "reports that are too old leave the sums" node/coordinator/aggregate.go \
+  'if !h.fresh(now) {
+			a.subtractLocked(h)' 'if false {
+			a.subtractLocked(h)' ./node/coordinator -run 'Sums'
 try "number of orders in an order" platform/upstream.go \
   'Expected: o.Expected' 'Expected: 0' ./platform -run 'Adapter|Order'
 try "room for adapters beside models" core/residency/residency.go \
-  'b.engine.MemoryMB - b.weights() - b.adapterReserve()' 'b.engine.MemoryMB - b.weights()' ./core/residency
+  'rec.engine.MemoryMB - rec.usedMB() - rec.adapterReserveMB()' 'rec.engine.MemoryMB - rec.usedMB()' ./core/residency
 try "report after a refusal" core/residency/residency.go \
-  'b.unsure, b.sequence = true, 0' 'b.sequence = 0' ./core/residency
-try "end of a former holder's load" core/residency/settle.go \
-  'b.foreign = r.Busy && b.busy == nil' 'b.foreign = false' ./core/residency
+  'rec.needsReport, rec.sequence = true, 0' 'rec.sequence = 0' ./core/residency
+try "end of a former holder's load" core/residency/reconcile.go \
+  'rec.formerHolderOrder = r.Busy && rec.currentOrder == nil' 'rec.formerHolderOrder = false' ./core/residency
 try "loads counted when they begin" node/coordinator/authority.go \
-  's.undo(at)
+  's.remove(at)
 	if' 'if' ./node/coordinator
 try "answer to another attempt" node/gate/attempt.go \
-  'facts.Attempt != "" && facts.Attempt != q.facts.Attempt' 'false' ./platform -run 'Answers'
+  'info.AttemptID != "" && info.AttemptID != q.info.AttemptID' 'false' ./platform -run 'Answers'
 try "upstream's seal" node/gate/attempt.go \
-  '(!facts.Sealed || facts.Attempt == "")' 'false' ./platform -run 'Answers'
+  '(!info.Sealed || info.AttemptID == "")' 'false' ./platform -run 'Answers'
 try "no reuse of a connection that spoke" node/upstream/conn/pool.go \
   '&& quiet(l.nc)' '' ./node/upstream/conn
 try "a request before the close that was asked for" node/drain/conn.go \
-  'if !c.phase.CompareAndSwap(asked, busy) {' 'if true {' ./node/drain
+  'if !c.phase.CompareAndSwap(phaseCloseRequested, phaseBusy) {' 'if true {' ./node/drain
 try "end of a read that waits" node/drain/conn.go \
   '_ = c.Conn.SetReadDeadline(past)' '_ = past' ./node/drain
 try "bytes that wait at a close" node/drain/conn.go \
-  '&& c.pending() && c.stay()' '&& false' ./node/drain
+  '&& c.hasPending() && c.cancelClose()' '&& false' ./node/drain
 try "the server's bounds after a close was asked for" node/drain/conn.go \
-  'if p := c.phase.Load(); p == asked || p == closing {' 'if false {' ./node/drain
+  'if p := c.phase.Load(); p == phaseCloseRequested || p == phaseClosing {' 'if false {' ./node/drain
 try "time again after a close that was asked for" node/drain/conn.go \
-  '_ = c.Conn.SetReadDeadline(until)' '_ = until' ./node/drain
+  '_ = c.Conn.SetReadDeadline(deadline)' '_ = deadline' ./node/drain
 try "bound of a head's first bytes" node/drain/conn.go \
-  '	if next {
-' '	if false && next {
+  '	if firstBytes {
+' '	if false && firstBytes {
 ' ./node/drain
 try "requests sent ahead" node/drain/conn.go \
-  '&& size < c.room' '&& false' ./node/drain
+  '&& size < c.bufferSize' '&& false' ./node/drain
 try "a head that was read while a close was asked for" node/drain/drain.go \
-  'c.begin() // a head' '// a head' ./node/drain -race -run 'AHeadThatWasRead|AStallIs'
+  'c.tryBegin() // a head' '// a head' ./node/drain -race -run 'AHeadThatWasRead|AStallIs'
 try "a head in the server's buffer" node/drain/conn.go \
-  'c.waits, c.bounded = !c.bounded, true' 'c.bounded = true' ./node/drain
+  'c.awaitsNext, c.waitBounded = !c.waitBounded, true' 'c.waitBounded = true' ./node/drain
 try "bound of what a handler left" node/drain/conn.go \
-  '_ = rc.SetReadDeadline(time.Now().Add(restBound))' '' ./node/drain
+  '_ = rc.SetReadDeadline(time.Now().Add(bodyReadTimeout))' '' ./node/drain
 try "no bound on a body that is whole" node/drain/conn.go \
-  'if rest.whole {
+  'if body.complete {
 		return' 'if false {
 		return' ./node/drain
 try "an answer before the rest of its body" node/drain/conn.go \
@@ -113,7 +115,7 @@
 try "what comes after an answer" node/drain/conn.go \
   'c.linger()' '' ./node/drain
 try "last look" node/drain/drain.go \
-  's.over = left == 0' 's.over = false' ./node/drain
+  's.stopped = left == 0' 's.stopped = false' ./node/drain
 try "drain: no end of an answer that broke off" node/drain/conn.go \
   '!returned || ' '' ./node/drain
 try "drain: last chunk before the rest of a body" node/drain/conn.go \
@@ -121,48 +123,48 @@
 try "drain: half closed after the last answer" node/drain/conn.go \
   '_ = half.CloseWrite()' '_ = half' ./node/drain
 try "drain: nothing awaited of a connection that rests" node/drain/conn.go \
-  'c.unread.Load() && c.phase.Load() == busy && c' 'c.unread.Load() && c' ./node/drain
+  'c.mayHaveUnread.Load() && c.phase.Load() == phaseBusy && c' 'c.mayHaveUnread.Load() && c' ./node/drain
 try "drain: answers of the server on kept connections" node/drain/drain.go \
-  '			c.unread.Store(true)
+  '			c.mayHaveUnread.Store(true)
 ' '' ./node/drain
 try "drain: new connections are asked" node/drain/drain.go \
-  'left = s.ask(func(*conn) bool { return true })' 'left = 0' ./node/drain
+  'left = s.requestClose(func(*conn) bool { return true })' 'left = 0' ./node/drain
 try "drain: new connections are asked last" node/drain/drain.go \
-  'left := s.ask((*conn).kept)' 'left := s.ask(func(*conn) bool { return true })' ./node/drain
+  'left := s.requestClose((*conn).keptAlive)' 'left := s.requestClose(func(*conn) bool { return true })' ./node/drain
 try "drain: what is asked counts" node/drain/drain.go \
-  'p == busy || p == asked' 'p == busy' ./node/drain
+  'p == phaseBusy || p == phaseCloseRequested' 'p == phaseBusy' ./node/drain
 try "drain: only kept connections are idle" node/drain/conn.go \
-  '	if !c.kept() {
+  '	if !c.keptAlive() {
 		return 0' '	if false {
 		return 0' ./node/drain
 try "drain: the end of what is awaited when secured" node/drain/drain.go \
   '		_ = c.Conn.Close() // one' '		_ = c // one' ./node/drain
 try "drain: the body that the server made" node/drain/drain.go \
-  'own := r.WithContext(r.Context())' 'own := r' ./node/drain
+  'tracked := r.WithContext(r.Context())' 'tracked := r' ./node/drain
 try "drain: a look at the socket below the account" node/host/callers.go \
   'if sc, ok := c.Conn.(syscall.Conn); ok {' 'if sc, ok := c.Conn.(syscall.Conn); ok && false {' ./node/host
 try "drain: half closing of the socket below the account" node/host/callers.go \
   'if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {' 'if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && false {' ./node/host
 try "bound of an answer that is left to write" node/drain/conn.go \
-  '_ = rc.SetWriteDeadline(time.Now().Add(answerBound))' '' ./node/drain
+  '_ = rc.SetWriteDeadline(time.Now().Add(answerWriteTimeout))' '' ./node/drain
 try "at most the route's attempts" node/gate/gate.go \
-  'q.maybe < max(q.route.Attempts, 1) && q.mayGoOn(res)' '(q.mayGoOn(res) || true)' ./node/gate
+  'q.possibleRuns < max(q.route.Attempts, 1) && (q.mayRetry(res) || q.retryStarted(res))' '(q.mayRetry(res) || q.retryStarted(res))' ./node/gate
 try "nothing after the beginning of an answer" node/gate/gate.go \
-  'if q.begun {' 'if false {' ./node/gate -run 'LargeAnswer'
+  'if q.largeStarted {' 'if false {' ./node/gate -run 'LargeResponse'
 try "an attempt whose answer has begun" node/gate/attempt.go \
-  'if !l.stay() {' 'if false {' ./node/gate -run 'LargeAnswer'
+  'if !fo.stay() {' 'if false {' ./node/gate -run 'LargeResponse'
 try "last lines of the log" node/event/sink.go \
   'len(buf) > 0 && time.Now().Before(end); buf = s.gather(buf[:0])' 'len(buf) > 0 && time.Now().Before(end); buf = nil' ./node/event
 try "kinds that may run again" node/gate/gate.go \
   'case !res.notRun && !q.mayRunAgain():' 'case false:' ./node/gate
 try "entries that ran out with the store" node/fleet/fleet.go \
-  'hold := max(away, 0)' 'hold := 0*away' ./node/fleet
+  'grace := max(graceLeft, 0)' 'grace := 0*graceLeft' ./node/fleet
 try "upstreams that come back in one change" node/fleet/change.go \
   '&& !isListed(byID[v.id])' '' ./node/fleet
 try "a version only rises" node/follow/config.go \
   'old.Config.Version >= next.Version' 'false' ./platform -run 'Rises' ./node/follow
 try "first try after the store's return" node/follow/follow.go \
-  'patientPause = time.Second' 'patientPause = 4 * time.Second' ./node/follow
+  'deferredRetryPause = time.Second' 'deferredRetryPause = 4 * time.Second' ./node/follow
 try "questions of a request that waits" node/gate/pick.go \
   'return q.awaitModel(p)' '' ./node/gate
 try "answers at the end of a stop" node/host/stop.go \
@@ -170,7 +172,7 @@
 ' '' ./platform -run 'AStop'
 try "caller gone" node/gate/gate.go \
   'WithDeadlineCause(r.Context()' 'WithDeadlineCause(context.Background()' ./node/gate
-try "time to stand by while the store is away" node/coordinator/lead.go \
+try "time to stand by while the store is away" node/coordinator/elector.go \
   'answered = time.Now()
 		}' '_ = answered
 		}' ./node/coordinator -run 'StandsBy'
@@ -179,39 +181,39 @@
 try "the key is not passed on" platform/headers.go \
   '"Kv-Fetch", headerKey, headerTeam}' '"Kv-Fetch"}' ./platform -run 'NeverTheKey'
 try "a key that was taken away" node/gate/gate.go \
-  'if q.revoked() {' 'if false {' ./platform -run 'KeyWasTakenAway'
+  'if q.keyRevoked() {' 'if false {' ./platform -run 'KeyWasTakenAway'
 try "one key in two teams" core/deploy/team.go \
   'if other, ok := owners[k]; ok && other != team {' 'if other := 0; false {' ./core/deploy
-try "a limit is charged with the turn" node/coordinator/turns.go \
-  '	if !t.within(k, e, now) {
+try "a limit is charged with the turn" node/coordinator/permits.go \
+  '	if !p.chargeTeam(k, e, now) {
 		return
 	}
 ' '' ./node/coordinator ./platform -run 'Limit'
 try "a limit of a call without a turn" node/gate/caller.go \
-  'if !q.caller.owes() {' 'if true {' ./node/gate ./platform -run 'Limit|Pays'
+  'if !q.caller.owesCharge() {' 'if true {' ./node/gate ./platform -run 'Limit|Pays'
 try "what has not run is given back" node/gate/gate.go \
-  '	defer q.giveBack()
+  '	defer q.refundCharge()
 ' '' ./node/gate
 try "hosts that hear nobody pass a part" core/quota/share.go \
-  'draw*asked >= aloneShare*s.limit.PerSecond' 'draw*asked < 0' ./core/quota
+  'draw*demand >= withoutLedgerShare*s.limit.PerSecond' 'draw*demand < 0' ./core/quota
 try "hosts without a word pass little" core/quota/share.go \
-  'startShare = 0.02' 'startShare = 1.0' ./core/quota
+  'initialShare = 0.02' 'initialShare = 1.0' ./core/quota
 try "the part of hosts that are not heard is withheld" core/quota/ledger.go \
-  'limit.PerSecond *= l.part' '' ./core/quota ./node/coordinator -run 'NotHeard|Limit'
+  'limit.PerSecond *= l.connectedShare' '' ./core/quota ./node/coordinator -run 'NotHeard|Limit'
 try "a new count goes on from the former's" node/coordinator/accounts.go \
-  'a.ledger.Follow(teams, a.word, now)' 'a.ledger.Follow(teams, nil, now)' ./node/coordinator
+  'a.ledger.SetTeams(teams, a.lastState, now)' 'a.ledger.SetTeams(teams, nil, now)' ./node/coordinator
 try "a process that begins to count hears how accounts stood" node/coordinator/serve.go \
-  'c.accounts.heardOf(r.TeamWords, now)' '' ./node/coordinator -run 'HowAccountsStood'
+  'c.accounts.adoptStates(r.TeamWords, now)' '' ./node/coordinator -run 'ReceivesAccountStates'
 try "a holder that is back at once hears how accounts stood" node/coordinator/link.go \
-  'return l.failed > 0 || l.begun' 'return false' ./node/coordinator -run 'BackAtOnce'
+  'return l.failedReports > 0 || l.countIsNew' 'return false' ./node/coordinator -run 'QuicklyRestartedHolder'
 try "a crash blames all that ran there" core/poison/ledger.go \
-  'len(c.ran) >= ranMost' 'len(c.ran) >= 1' ./core/poison
+  'len(c.ran) >= maxRequestsPerCrash' 'len(c.ran) >= 1' ./core/poison
 try "what a known one explains speaks half" core/poison/judge.go \
-  'explained(c, e) && len(e.crashes) < l.policy.Crashes' 'false' ./core/poison
+  'explained(c, e) && len(e.crashes) < l.policy.MinCrashes' 'false' ./core/poison
 try "the loss of a rack names nobody" core/poison/judge.go \
-  'return all >= l.policy.MassCrashes && 2*ran < all' 'return false' ./core/poison
-try "a broken way is no crash" node/quarantine/watch.go \
-  '	if ended {
+  'return all >= l.policy.MinMassCrashes && 2*ran < all' 'return false' ./core/poison
+try "a broken way is no crash" node/quarantine/detector.go \
+  '	if terminated {
 		w.deps.Metrics' '	if true {
 		w.deps.Metrics' ./node/quarantine
 try "hosts are told what is barred" node/coordinator/quarantine.go \
@@ -221,36 +223,36 @@
 try "bars are kept for a loss of all hosts" node/coordinator/quarantinerows.go \
   'return !q.rows.read || len(q.changesLocked(now)) > 0' 'return false' ./platform -run 'BarOutlivesAll'
 try "a run that lasted is not blamed" node/gate/poison.go \
-  '!q.ranSince.IsZero() &&' 'false && !q.ranSince.IsZero() &&' ./node/gate -run 'NotBlamed'
+  '!q.responseSince.IsZero() &&' 'false && !q.responseSince.IsZero() &&' ./node/gate -run 'NotBlamed'
 try "what is barred is looked at before each send" node/gate/gate.go \
-  'if q.refuseBarred(d) {' 'if false {' ./node/gate -run 'SentAgain'
+  'if q.refuseBarred(p) {' 'if false {' ./node/gate -run 'SentAgain'
 try "a run to its end clears" node/gate/poison.go \
-  'q.g.deps.Guard.Completed(q.content)' '' ./node/gate -run 'RanToItsEnd'
+  'q.g.deps.PoisonGuard.RecordCompleted(q.content)' '' ./node/gate -run 'CompletedRequestIsRecorded'
 try "a pick heeds what an upstream takes" node/fleet/entry.go \
   'out.Backoff = e.backoffLocked(now)' '' ./node/fleet ./platform -run 'ItsShare|LimitOfAnUpstream|InTheRest'
-try "a turn heeds what an upstream takes" node/coordinator/turns.go \
-  'out.Backoff = max(t.limits.wait(e, now), t.rests.wait(e.ID()), w.rests[e.ID()].Sub(now))' 'out.Backoff = 0' ./platform -run 'UpstreamWithALimit|SoonestTime'
+try "a turn heeds what an upstream takes" node/coordinator/permits.go \
+  'out.Backoff = max(p.limits.wait(e, now), p.backoffs.wait(e.ID()), w.hostBackoffs[e.ID()].Sub(now))' 'out.Backoff = 0' ./platform -run 'UpstreamWithALimit|SoonestTime'
 try "calls of a service with a limited upstream go by turns" node/gate/pick.go \
-  'if q.g.deps.Fleet.Limited(q.service.Name) {' 'if false {' ./platform -run 'UpstreamWithALimit'
+  'if q.g.deps.Fleet.HasLimit(q.service.Name) {' 'if false {' ./platform -run 'UpstreamWithALimit'
 try "hosts alone have a turn each" node/coordinator/signals.go \
-  'out.Place = uint32(c.sums.place(r.Host))' '' ./node/coordinator -run 'PlaceOfItsOwn'
+  'out.Place = uint32(c.aggregate.hostIndex(r.Host))' '' ./node/coordinator -run 'PlaceOfItsOwn'
 try "turns that nobody took do not pile up" core/backpressure/pacer.go \
-  'return max(p.taken+1/perSecond, at-keepFor.Seconds()-keepTurns/perSecond)' 'return p.taken+1/perSecond' ./core/backpressure
+  'return max(p.lastTaken+1/perSecond, at-unusedPermitTTL.Seconds()-maxUnusedPermits/perSecond)' 'return p.lastTaken+1/perSecond' ./core/backpressure
 try "a turn lies a period after the last" core/backpressure/pacer.go \
-  'after := max(p.taken+period-rounding,' 'after := max(p.taken+rounding,' ./core/backpressure
+  'after := max(p.lastTaken+period-roundingTolerance,' 'after := max(p.lastTaken+roundingTolerance,' ./core/backpressure
 try "what is told on" node/coordinator/signals.go \
   'out.SignalsId, out.SignalsRevision, out.Signals = c.id, revision, encodeSignals(all, now)' \
   '_ = all; out.SignalsId, out.SignalsRevision = c.id, revision' ./platform -run 'OtherHosts'
 try "of answers that cross the stricter holds" core/backpressure/signal.go \
   'if b.Limit.stricter(a.Limit) {' 'if b.Limit != a.Limit {' ./core/backpressure
 try "an older entry of the list does not win" node/fleet/entry.go \
-  'e.gone, e.leaving, e.useUntil = false, e.signal.Leaving, time.Time{}' 'e.gone, e.leaving, e.useUntil = false, false, time.Time{}' ./node/fleet
+  'e.delisted, e.draining, e.useUntil = false, e.signal.Draining, time.Time{}' 'e.delisted, e.draining, e.useUntil = false, false, time.Time{}' ./node/fleet
 try "a rest is kept" node/gate/signals.go \
-  'e.Rest(a.Rest)' '' ./platform -run 'InTheRest'
-try "a grant that is not counted is not used" node/gate/turn.go \
-  'e.Limit().Named && !t.WithinLimit' 'false' ./node/gate -run 'NotCounted'
+  'e.StartBackoff(info.Backoff)' '' ./platform -run 'InTheRest'
+try "a grant that is not counted is not used" node/gate/permit.go \
+  'e.Limit().Stated && !permit.WithinLimit' 'false' ./node/gate -run 'NotCounted'
 try "what nothing takes in time is refused at once" node/gate/pick.go \
-  'p.Reason == balance.AllBackoff && !q.started && (p.inVain ||' 'false && (p.inVain ||' ./platform -run 'SoonestTime'
-try "somebody acts while nobody can take the lease" node/coordinator/lead.go \
-  'case !own.Acting() && d.Link.comesFirst(ctx):' 'case false:' ./platform -run 'NobodyCanTake'
+  'p.Reason == balance.AllBackoff && !q.started && (p.unservable ||' 'false && (p.unservable ||' ./platform -run 'SoonestTime'
+try "somebody acts while nobody can take the lease" node/coordinator/elector.go \
+  'case !own.Acting() && d.Link.isFirstDeputy(ctx):' 'case false:' ./platform -run 'NobodyCanTake'
 exit $missed
