--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -177,7 +177,7 @@
 try "a key before the body" node/gate/gate.go \
   'if !q.identify() {' 'if q.identify(); false {' ./platform -run 'OneKnownKey' ./node/gate
 try "the key is not passed on" platform/headers.go \
-  '"Kv-Fetch", headerKey, headerTeam}' '"Kv-Fetch"}' ./platform -run 'NeverTheKey'
+  '"Kv-Fetch", headerAPIKey, headerTeam}' '"Kv-Fetch"}' ./platform -run 'NeverTheKey'
 try "a key that was taken away" node/gate/gate.go \
   'if q.revoked() {' 'if false {' ./platform -run 'KeyWasTakenAway'
 try "one key in two teams" core/deploy/team.go \
