--- a/cmd/pierctl/apply.go
+++ b/cmd/pierctl/apply.go
@@ -77,8 +77,8 @@
 		}
 		select {
 		case <-ctx.Done():
-			return &exit.Error{Code: exit.Unknown, Err: fmt.Errorf("version %d was accepted, but %d hosts have not confirmed it within %s", version, waiting, most),
-				Do: "see pierctl status --everywhere"}
+			return &exit.Error{Code: exit.Unconfirmed, Err: fmt.Errorf("version %d was accepted, but %d hosts have not confirmed it within %s", version, waiting, most),
+				Hint: "see pierctl status --everywhere"}
 		case <-time.After(waitEach):
 		}
 	}
--- a/cmd/pierctl/drive.go
+++ b/cmd/pierctl/drive.go
@@ -86,5 +86,5 @@
 
 // showProgress keeps one line on standard error up to date.
 func showProgress(p load.Progress) {
-	fmt.Fprintf(os.Stderr, "\r%5.0fs  sent %6d  answered %6d  in time %6d ", p.Elapsed.Seconds(), p.Sent, p.Finished, p.Met)
+	fmt.Fprintf(os.Stderr, "\r%5.0fs  sent %6d  answered %6d  in time %6d ", p.Elapsed.Seconds(), p.Sent, p.Finished, p.MetDeadline)
 }
--- a/standin/load/caller.go
+++ b/standin/load/caller.go
@@ -176,7 +176,7 @@
 
 func (c *caller) setHeaders(req *http.Request) {
 	src := c.inv.Arrival.Source
-	req.Header.Set("Authorization", "Bearer "+src.Key)
+	req.Header.Set("Authorization", "Bearer "+src.APIKey)
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(headerClass, src.Class.String())
 	left := src.Deadline - time.Since(c.inv.Intended)
--- a/standin/load/demand.go
+++ b/standin/load/demand.go
@@ -99,7 +99,7 @@
 // Source is one team's calls of one kind.
 type Source struct {
 	Team        string
-	Key         string // API key
+	APIKey      string // API key
 	Kind        Kind
 	Class       class.Class
 	Deadline    time.Duration // for the whole answer
--- a/standin/load/load_test.go
+++ b/standin/load/load_test.go
@@ -74,7 +74,7 @@
 }
 
 func source(kind load.Kind) load.Source {
-	return load.Source{Team: "crew", Key: "key", Kind: kind, Class: class.Standard, Deadline: 20 * time.Second, Model: "m",
+	return load.Source{Team: "crew", APIKey: "key", Kind: kind, Class: class.Standard, Deadline: 20 * time.Second, Model: "m",
 		Tokens: load.Range{Min: 20, Max: 40}, PromptBytes: load.Range{Min: 50, Max: 400},
 		Service: "ledger", Method: "POST", Path: "/records",
 		Curve: load.Curve{Points: []load.Point{{AtSeconds: 0, PerSecond: 200}}}}
--- a/standin/load/run.go
+++ b/standin/load/run.go
@@ -68,10 +68,10 @@
 
 // Progress is where a run stands.
 type Progress struct {
-	Elapsed  time.Duration
-	Sent     int
-	Finished int
-	Met      int
+	Elapsed     time.Duration
+	Sent        int
+	Finished    int
+	MetDeadline int
 }
 
 // Run sends the plan and returns when every invocation has had its last word
--- a/standin/local/targets.go
+++ b/standin/local/targets.go
@@ -30,8 +30,8 @@
 // stores lets scenarios act on table service and object store together.
 type stores struct{ r *RunningSite }
 
-// OutageFor implements site.StoreFaultsFaults.
-func (s stores) OutageFor(d time.Duration) {
+// StartOutage implements site.StoreFaultsFaults.
+func (s stores) StartOutage(d time.Duration) {
 	s.r.Table.Faults.StartOutage(d)
 	s.r.Objects.Faults.StartOutage(d)
 }
--- a/standin/site/bound.go
+++ b/standin/site/bound.go
@@ -62,7 +62,7 @@
 func (s *Site) prefill(a load.Arrival) time.Duration {
 	saved := 0.0
 	if a.Prefix > 0 {
-		saved = s.Engines.PrefixSaved
+		saved = s.Engines.PrefixSavedShare
 	}
 	tokens := float64(a.PromptBytes) / bytesPerToken * (1 - saved)
 	return time.Duration(tokens * float64(s.Engines.PrefillUsToken) * float64(time.Microsecond))
--- a/standin/site/demand.go
+++ b/standin/site/demand.go
@@ -71,7 +71,7 @@
 }
 
 func (s *Site) spread(l *Line, t *config.Team, teamIndex int, stretch float64, length time.Duration) ([]load.Source, error) {
-	src := load.Source{Team: t.Name, Key: s.TeamKey(t.Name), Kind: l.Kind, Class: l.Class, Deadline: s.deadline(l),
+	src := load.Source{Team: t.Name, APIKey: s.TeamKey(t.Name), Kind: l.Kind, Class: l.Class, Deadline: s.deadline(l),
 		Tokens: l.Tokens, PromptBytes: l.PromptBytes, Prefixes: l.Prefixes, Service: l.Service, Method: l.Method, Path: l.Path}
 	if l.Kind == load.KindService || l.Kind == load.KindOnce {
 		src.Path = splitPath(l.Path)
--- a/standin/site/direct.go
+++ b/standin/site/direct.go
@@ -41,7 +41,7 @@
 		directError(w, http.StatusServiceUnavailable, "no_upstream")
 		return
 	}
-	if most := u.Site.Engines.QueueMax; most > 0 && e.ActualState().Waiting >= most {
+	if most := u.Site.Engines.MaxQueue; most > 0 && e.ActualState().Waiting >= most {
 		directError(w, http.StatusServiceUnavailable, "overloaded")
 		return
 	}
--- a/standin/site/scenario.go
+++ b/standin/site/scenario.go
@@ -13,7 +13,7 @@
 // StoreFaults is the platform's table service and object store, which can be made to fail.
 type StoreFaults interface {
 	// OutageFor makes them unavailable for a while.
-	OutageFor(d time.Duration)
+	StartOutage(d time.Duration)
 	// LoseAnswers makes a share of the writes take effect and be answered as in doubt.
 	LoseAnswers(share float64)
 }
@@ -189,7 +189,7 @@
 
 func storeOutage(_ context.Context, t Targets, length time.Duration) error {
 	if t.Store != nil {
-		t.Store.OutageFor(min(outage, length/3))
+		t.Store.StartOutage(min(outage, length/3))
 	}
 	return nil
 }
--- a/standin/site/upstreams.go
+++ b/standin/site/upstreams.go
@@ -70,11 +70,11 @@
 func (u *Upstreams) startEngine(up *config.Upstream, opt StartOptions, index uint64) error {
 	c := u.Site.Engines
 	cfg := engine.Config{Name: up.Name, MemoryMB: up.MemoryMB, MBPerSecond: c.MBPerSecond, Weights: opt.Weights,
-		UnloadTime: ms(c.UnloadMs), Fencing: up.Fencing, MaxBatch: up.MaxBatch, MaxQueue: c.QueueMax,
+		UnloadTime: ms(c.UnloadMs), Fencing: up.Fencing, MaxBatch: up.MaxBatch, MaxQueue: c.MaxQueue,
 		TokenTimes: u.Site.tokenTimes(), BatchSlope: c.BatchSlope,
-		PrefillPerToken: time.Duration(c.PrefillUsToken) * time.Microsecond, PrefixSlots: c.PrefixSlots, PrefixSavedShare: c.PrefixSaved,
-		ReportInterval: ms(c.ReportEveryMs), ReportLag: ms(c.ReportLagMs), EventLag: ms(c.EventLagMs), EventLoss: c.EventLoss,
-		ResumeWindow: ms(c.ResumeForMs), FlushTokens: 1, Seed: opt.Seed*1000 + index}
+		PrefillPerToken: time.Duration(c.PrefillUsToken) * time.Microsecond, PrefixSlots: c.PrefixSlots, PrefixSavedShare: c.PrefixSavedShare,
+		ReportInterval: ms(c.ReportIntervalMs), ReportLag: ms(c.ReportLagMs), EventLag: ms(c.EventLagMs), EventLoss: c.EventLoss,
+		ResumeWindow: ms(c.ResumeWindowMs), FlushTokens: 1, Seed: opt.Seed*1000 + index}
 	if opt.Oracle {
 		cfg.ReportInterval, cfg.ReportLag, cfg.EventLag, cfg.EventLoss = 0, 0, 0, 0
 	}
@@ -110,7 +110,7 @@
 		if c.Name != u.serviceOf(up.Pool) {
 			continue
 		}
-		cfg.DefaultDuration, cfg.ReportInterval, cfg.ReportLag = ms(c.Ms), ms(c.ReportEveryMs), ms(c.ReportLagMs)
+		cfg.DefaultDuration, cfg.ReportInterval, cfg.ReportLag = ms(c.Ms), ms(c.ReportIntervalMs), ms(c.ReportLagMs)
 		for _, r := range c.Routes {
 			cfg.Routes = append(cfg.Routes, service.Route{Method: r.Method, Prefix: r.Prefix, Duration: ms(r.Ms)})
 		}
