--- a/node/host/callers.go
+++ b/node/host/callers.go
@@ -17,36 +17,36 @@
 
 // Bounds of a caller's connection that hold under every configuration.
 const (
-	headMost  = 64 << 10 // bytes of a request's head
-	headBound = 5 * time.Second
+	maxHeadBytes = 64 << 10 // bytes of a request's head
+	headTimeout  = 5 * time.Second
 )
 
-// callers serves the callers' connections.
-type callers struct {
-	server *http.Server
-	drain  *drain.Server
-	bound  func() time.Duration
-	conns  *connLog
+// callerServer serves the callers' connections.
+type callerServer struct {
+	server      *http.Server
+	drain       *drain.Server
+	idleTimeout func() time.Duration
+	conns       *connLog
 }
 
-func newCallers(ln net.Listener, h http.Handler, idleBound func() time.Duration, conns *connLog) *callers {
-	c := &callers{bound: idleBound, conns: conns}
-	c.server = &http.Server{Handler: c.handle(h), MaxHeaderBytes: headMost, ReadHeaderTimeout: headBound, ConnState: c.state,
-		ConnContext: withConn, ErrorLog: log.New(complaints{conns.log}, "", 0)}
-	c.drain = drain.New(drain.Config{Listener: callerListener{ln, conns}, Server: c.server, BeforeClose: c.closing})
+func newCallerServer(ln net.Listener, h http.Handler, idleBound func() time.Duration, conns *connLog) *callerServer {
+	c := &callerServer{idleTimeout: idleBound, conns: conns}
+	c.server = &http.Server{Handler: c.trackRequests(h), MaxHeaderBytes: maxHeadBytes, ReadHeaderTimeout: headTimeout, ConnState: c.onConnState,
+		ConnContext: withConn, ErrorLog: log.New(serverErrorLog{conns.log}, "", 0)}
+	c.drain = drain.New(drain.Config{Listener: callerListener{ln, conns}, Server: c.server, BeforeClose: c.recordCloseReason})
 	return c
 }
 
-// handle keeps the connection's account of its handlers.
-func (c *callers) handle(h http.Handler) http.Handler {
+// trackRequests keeps the connection's account of its handlers.
+func (c *callerServer) trackRequests(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c.account(h, r.Context().Value(connKey{}).(*callerConn).track, w, r)
+		c.serveTracked(h, r.Context().Value(connKey{}).(*callerConn).track, w, r)
 	})
 }
 
-// account tells track of a request's begin and end. A handler that panics ends
+// serveTracked tells track of a request's begin and end. A handler that panics ends
 // its connection, as the HTTP server has it; the log then names the request.
-func (c *callers) account(h http.Handler, track *connTrack, w http.ResponseWriter, r *http.Request) {
+func (c *callerServer) serveTracked(h http.Handler, track *connTrack, w http.ResponseWriter, r *http.Request) {
 	returned := false
 	track.begin(r.Header)
 	defer func() {
@@ -67,9 +67,9 @@
 	return context.WithValue(ctx, connKey{}, drain.Underlying(nc))
 }
 
-// connGone says how the connection of a request ended; "": it has not, or that
+// disconnectReason says how the connection of a request ended; "": it has not, or that
 // is not known.
-func connGone(ctx context.Context) string {
+func disconnectReason(ctx context.Context) string {
 	own, ok := ctx.Value(connKey{}).(*callerConn)
 	if !ok {
 		return ""
@@ -77,32 +77,32 @@
 	return string(own.track.endedBy())
 }
 
-func (c *callers) state(nc net.Conn, s http.ConnState) {
+func (c *callerServer) onConnState(nc net.Conn, s http.ConnState) {
 	if s == http.StateIdle {
 		drain.Underlying(nc).(*callerConn).track.idle()
 	}
 }
 
-func (c *callers) closing(nc net.Conn, why drain.Reason) {
-	nc.(*callerConn).track.closeFor(closeReason(why))
+func (c *callerServer) recordCloseReason(nc net.Conn, why drain.Reason) {
+	nc.(*callerConn).track.setCloseCause(closeReason(why))
 }
 
-// sweep closes the connections that were idle for longer than the
+// closeExpired closes the connections that were idle for longer than the
 // configuration in force allows, which the server's own fixed bound cannot follow.
-func (c *callers) sweep(now time.Time) { c.drain.CloseIdle(now, c.bound()) }
+func (c *callerServer) closeExpired(now time.Time) { c.drain.CloseIdle(now, c.idleTimeout()) }
 
-// closeIdle closes the connections without a request and returns how many
+// drainStep closes the connections without a request and returns how many
 // have one.
-func (c *callers) closeIdle() int { return c.drain.DrainStep() }
+func (c *callerServer) drainStep() int { return c.drain.DrainStep() }
 
 // closeListener takes no more connections.
-func (c *callers) closeListener() { c.drain.CloseListener() }
+func (c *callerServer) closeListener() { c.drain.CloseListener() }
 
-func (c *callers) serve() error { return c.drain.Serve() }
+func (c *callerServer) serve() error { return c.drain.Serve() }
 
 // close ends whatever is left.
-func (c *callers) close() {
-	c.conns.ending.Store(true)
+func (c *callerServer) close() {
+	c.conns.processEnding.Store(true)
 	c.drain.Close()
 }
 
@@ -148,7 +148,7 @@
 	s, first := c.track.close()
 	err := c.Conn.Close()
 	if first {
-		c.track.all.closed(c.track, s)
+		c.track.log.recordClosed(c.track, s)
 	}
 	return err
 }
@@ -168,11 +168,11 @@
 	return &callerConn{Conn: nc, track: l.conns.track(nc.RemoteAddr().String())}, nil
 }
 
-// complaints passes on what the HTTP server has to say.
-type complaints struct{ log *event.Log }
+// serverErrorLog passes on what the HTTP server has to say.
+type serverErrorLog struct{ log *event.Log }
 
 // Write implements io.Writer.
-func (c complaints) Write(p []byte) (int, error) {
+func (c serverErrorLog) Write(p []byte) (int, error) {
 	c.log.Emit(event.ConnectionComplaint, zap.ByteString("text", p), zap.String("where", "callers"))
 	return len(p), nil
 }
--- a/node/host/callers_bench_test.go
+++ b/node/host/callers_bench_test.go
@@ -46,10 +46,10 @@
 // BenchmarkConnection is what the connection's wrapper adds to a request: two
 // reads, a write, the handler and the change to idle.
 func BenchmarkConnection(b *testing.B) {
-	c := &callers{conns: newConnLog(event.NewLog(nil), metrics.New(), nil)}
+	c := &callerServer{conns: newConnLog(event.NewLog(nil), metrics.New(), nil)}
 	own := &callerConn{Conn: nullConn{}, track: c.conns.track("a")}
 	buf := make([]byte, 512)
-	h := c.handle(http.HandlerFunc(ok))
+	h := c.trackRequests(http.HandlerFunc(ok))
 	w, r := nullAnswer{}, (&http.Request{Header: http.Header{}}).WithContext(context.WithValue(b.Context(), connKey{}, own))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -67,6 +67,6 @@
 func (nullAnswer) Write(p []byte) (int, error) { return len(p), nil }
 func (nullAnswer) WriteHeader(int)             {}
 
-func benchCallers(ln net.Listener, h http.HandlerFunc) *callers {
-	return newCallers(ln, h, func() time.Duration { return time.Hour }, newConnLog(event.NewLog(nil), metrics.New(), nil))
+func benchCallers(ln net.Listener, h http.HandlerFunc) *callerServer {
+	return newCallerServer(ln, h, func() time.Duration { return time.Hour }, newConnLog(event.NewLog(nil), metrics.New(), nil))
 }
--- a/node/host/callers_test.go
+++ b/node/host/callers_test.go
@@ -27,7 +27,7 @@
 type rig struct {
 	t       *testing.T
 	ln      net.Listener
-	callers *callers
+	callers *callerServer
 	lines   *observer.ObservedLogs
 	set     *metrics.Set
 }
@@ -42,7 +42,7 @@
 	core, lines := observer.New(zap.DebugLevel)
 	r := &rig{t: t, ln: ln, lines: lines, set: metrics.New()}
 	conns := newConnLog(event.NewLog(zap.New(core)), r.set, func(h http.Header) string { return h.Get(testID) })
-	r.callers = newCallers(ln, h, func() time.Duration { return 0 }, conns)
+	r.callers = newCallerServer(ln, h, func() time.Duration { return 0 }, conns)
 	served := make(chan error, 1)
 	go func() { served <- r.callers.serve() }()
 	t.Cleanup(func() {
@@ -74,8 +74,8 @@
 	return resp
 }
 
-// until waits for the connections to be as wanted.
-func (r *rig) until(want connCounts) {
+// waitForCounts waits for the connections to be as wanted.
+func (r *rig) waitForCounts(want connCounts) {
 	poll.WaitOn(r.t, func(poll.LogT) poll.Result {
 		if n := r.callers.conns.counts(); n != want {
 			return poll.Continue("is %+v", n)
@@ -84,8 +84,8 @@
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(5*time.Second))
 }
 
-// answering says whether a handler has returned and its answer is not written.
-func (r *rig) answering() bool {
+// hasAnsweringConn says whether a handler has returned and its answer is not written.
+func (r *rig) hasAnsweringConn() bool {
 	r.callers.conns.mu.Lock()
 	defer r.callers.conns.mu.Unlock()
 	for t := range r.callers.conns.open {
@@ -96,8 +96,8 @@
 	return false
 }
 
-// counted waits for a line of the metrics.
-func (r *rig) counted(line string) {
+// waitForMetric waits for a line of the metrics.
+func (r *rig) waitForMetric(line string) {
 	poll.WaitOn(r.t, func(poll.LogT) poll.Result {
 		var text strings.Builder
 		r.set.WriteText(&text)
@@ -108,20 +108,20 @@
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(5*time.Second))
 }
 
-// one returns the fields of the only line about a connection.
-func (r *rig) one() map[string]any {
+// onlyLine returns the fields of the only line about a connection.
+func (r *rig) onlyLine() map[string]any {
 	found := r.lines.FilterMessage(event.CallerClosed.Name).All()
 	assert.Equal(r.t, len(found), 1, "%v", found)
 	return found[0].ContextMap()
 }
 
-func (r *rig) silent() {
+func (r *rig) assertNoLine() {
 	found := r.lines.FilterMessage(event.CallerClosed.Name).All()
 	assert.Equal(r.t, len(found), 0, "%v", found)
 }
 
-// is compares the fields that do not depend on time.
-func is(t *testing.T, got map[string]any, want map[string]any) {
+// assertFields compares the fields that do not depend on time.
+func assertFields(t *testing.T, got map[string]any, want map[string]any) {
 	t.Helper()
 	for name, v := range want {
 		assert.Equal(t, fmt.Sprint(got[name]), fmt.Sprint(v), "%s of %v", name, got)
@@ -135,17 +135,17 @@
 	c := r.dial()
 	r.send(c, get("a"))
 	r.answer(c)
-	r.until(connCounts{open: 1})
+	r.waitForCounts(connCounts{open: 1})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		r.callers.sweep(time.Now())
+		r.callers.closeExpired(time.Now())
 		if r.callers.conns.counts().open > 0 {
 			return poll.Continue("open")
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond))
-	r.counted("caller_connections_accepted_total 1")
-	r.counted("caller_connections_closed_total.idle 1")
-	r.silent()
+	r.waitForMetric("caller_connections_accepted_total 1")
+	r.waitForMetric("caller_connections_closed_total.idle 1")
+	r.assertNoLine()
 }
 
 func TestTheStopClosesIdleConnections(t *testing.T) {
@@ -154,14 +154,14 @@
 	r.send(c, get("a"))
 	r.answer(c)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		r.callers.closeIdle()
+		r.callers.drainStep()
 		if r.callers.conns.counts().open > 0 {
 			return poll.Continue("open")
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond))
-	r.counted("caller_connections_closed_total.stop 1")
-	r.silent()
+	r.waitForMetric("caller_connections_closed_total.stop 1")
+	r.assertNoLine()
 }
 
 func TestALastAnswerIsCountedOnly(t *testing.T) {
@@ -169,8 +169,8 @@
 	c := r.dial()
 	r.send(c, get("a"))
 	r.answer(c)
-	r.counted("caller_connections_closed_total.last 1")
-	r.silent()
+	r.waitForMetric("caller_connections_closed_total.last 1")
+	r.assertNoLine()
 }
 
 func TestACallerThatGoesIsCountedOnly(t *testing.T) {
@@ -180,11 +180,11 @@
 	})
 	c := r.dial()
 	r.send(c, get("a"))
-	r.until(connCounts{open: 1, underWay: 1, unanswered: 1})
+	r.waitForCounts(connCounts{open: 1, underWay: 1, unanswered: 1})
 	assert.NilError(t, c.Close())
-	r.counted("caller_connections_closed_total.caller 1")
-	r.counted("caller_connections_closed_unanswered_total.caller 1")
-	r.silent()
+	r.waitForMetric("caller_connections_closed_total.caller 1")
+	r.waitForMetric("caller_connections_closed_unanswered_total.caller 1")
+	r.assertNoLine()
 }
 
 // Symptom: a caller gets no answer, and the host's log has nothing of it.
@@ -195,12 +195,12 @@
 	fresh := r.dial()
 	c := r.dial()
 	r.send(c, "GET / HT")
-	r.until(connCounts{open: 2, underWay: 1, new: 1})
+	r.waitForCounts(connCounts{open: 2, underWay: 1, new: 1})
 	r.callers.close()
-	r.until(connCounts{})
-	is(t, r.one(), map[string]any{"reason": "end", "phase": "reading", "read_bytes": 8, "unanswered": false, "requests": 0, "request": nil,
+	r.waitForCounts(connCounts{})
+	assertFields(t, r.onlyLine(), map[string]any{"reason": "end", "phase": "reading", "read_bytes": 8, "unanswered": false, "requests": 0, "request": nil,
 		"caller": c.LocalAddr()})
-	r.counted("caller_connections_closed_total.end 2")
+	r.waitForMetric("caller_connections_closed_total.end 2")
 	assert.NilError(t, fresh.Close())
 }
 
@@ -213,11 +213,11 @@
 	defer close(end)
 	c := r.dial()
 	r.send(c, get("a"))
-	r.until(connCounts{open: 1, underWay: 1, unanswered: 1})
+	r.waitForCounts(connCounts{open: 1, underWay: 1, unanswered: 1})
 	r.callers.close()
-	is(t, r.one(), map[string]any{"reason": "end", "phase": "handling", "unanswered": true, "requests": 1, "answers": 0, "request": "a",
+	assertFields(t, r.onlyLine(), map[string]any{"reason": "end", "phase": "handling", "unanswered": true, "requests": 1, "answers": 0, "request": "a",
 		"written_bytes": 0, "read_bytes": len(get("a"))})
-	r.counted("caller_connections_closed_unanswered_total.end 1")
+	r.waitForMetric("caller_connections_closed_unanswered_total.end 1")
 }
 
 // Symptom: a caller gets no answer, and the request counts as served.
@@ -229,14 +229,14 @@
 	go func() { _, _ = io.WriteString(far, get("a")) }()
 	r := newRigAt(t, &oneConn{conn: near, done: make(chan struct{})}, ok)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if !r.answering() {
+		if !r.hasAnsweringConn() {
 			return poll.Continue("not answered yet")
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond))
-	r.until(connCounts{open: 1, underWay: 1, unanswered: 1})
+	r.waitForCounts(connCounts{open: 1, underWay: 1, unanswered: 1})
 	r.callers.close()
-	is(t, r.one(), map[string]any{"reason": "end", "phase": "answering", "unanswered": true, "written_bytes": 0, "request": "a"})
+	assertFields(t, r.onlyLine(), map[string]any{"reason": "end", "phase": "answering", "unanswered": true, "written_bytes": 0, "request": "a"})
 }
 
 // Symptom: a refused caller sees its connection reset instead of the answer.
@@ -251,35 +251,35 @@
 	track.end(true)
 	track.willWrite()
 	track.didWrite(150, nil)
-	r.callers.conns.ending.Store(true)
+	r.callers.conns.processEnding.Store(true)
 	s, _ := track.close()
-	r.callers.conns.closed(track, s)
-	is(t, r.one(), map[string]any{"reason": "end", "phase": "answering", "unanswered": false, "read_bytes": 100, "written_bytes": 150, "request": "a"})
+	r.callers.conns.recordClosed(track, s)
+	assertFields(t, r.onlyLine(), map[string]any{"reason": "end", "phase": "answering", "unanswered": false, "read_bytes": 100, "written_bytes": 150, "request": "a"})
 }
 
 func TestAnAbortedRequestIsLogged(t *testing.T) {
 	r := newRig(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	c := r.dial()
 	r.send(c, get("a"))
-	r.counted("caller_connections_closed_unanswered_total.aborted 1")
-	is(t, r.one(), map[string]any{"reason": "aborted", "phase": "answering", "unanswered": true, "request": "a"})
+	r.waitForMetric("caller_connections_closed_unanswered_total.aborted 1")
+	assertFields(t, r.onlyLine(), map[string]any{"reason": "aborted", "phase": "answering", "unanswered": true, "request": "a"})
 }
 
 func TestBytesOfAClosedConnectionAreLogged(t *testing.T) {
 	r := newRig(t, ok)
 	track := r.callers.conns.track("a")
-	track.closeFor(closedStop)
+	track.setCloseCause(closedStop)
 	s, first := track.close()
 	assert.Assert(t, first)
-	r.callers.conns.closed(track, s)
-	r.silent()
+	r.callers.conns.recordClosed(track, s)
+	r.assertNoLine()
 	track.didRead(4096, 20, nil)
 	track.didRead(4096, 20, nil)
 	track.begin(http.Header{testID: {"a"}})
 	found := r.lines.FilterMessage(event.CallerClosed.Name).All()
 	assert.Equal(t, len(found), 2)
-	is(t, found[0].ContextMap(), map[string]any{"reason": "stop", "phase": "late_read", "read_bytes": 20, "unanswered": false})
-	is(t, found[1].ContextMap(), map[string]any{"reason": "stop", "phase": "late_begun", "read_bytes": 40, "unanswered": true, "request": "a"})
+	assertFields(t, found[0].ContextMap(), map[string]any{"reason": "stop", "phase": "late_read", "read_bytes": 20, "unanswered": false})
+	assertFields(t, found[1].ContextMap(), map[string]any{"reason": "stop", "phase": "late_begun", "read_bytes": 40, "unanswered": true, "request": "a"})
 }
 
 func TestAByteBeforeTheAnswerIsOfTheNextRequest(t *testing.T) {
@@ -287,22 +287,22 @@
 	track := r.callers.conns.track("a")
 	track.didRead(4096, 100, nil)
 	track.begin(http.Header{testID: {"a"}})
-	track.didRead(aheadRead, 1, nil)
+	track.didRead(aheadReadSize, 1, nil)
 	track.end(true)
 	track.idle()
-	track.closeFor(closedIdle)
+	track.setCloseCause(closedIdle)
 	s, _ := track.close()
-	r.callers.conns.closed(track, s)
-	is(t, r.one(), map[string]any{"reason": "idle", "phase": "reading", "read_bytes": 1, "unanswered": false, "request": nil, "answers": 1})
+	r.callers.conns.recordClosed(track, s)
+	assertFields(t, r.onlyLine(), map[string]any{"reason": "idle", "phase": "reading", "read_bytes": 1, "unanswered": false, "request": nil, "answers": 1})
 }
 
 func TestLinesOfConnectionsAreBounded(t *testing.T) {
 	l := newConnLog(event.NewLog(nil), metrics.New(), nil)
-	for range connLinesMost {
-		assert.Assert(t, l.mayWrite(7))
+	for range maxConnLinesPerSecond {
+		assert.Assert(t, l.allowLine(7))
 	}
-	assert.Assert(t, !l.mayWrite(7))
-	assert.Assert(t, l.mayWrite(8))
+	assert.Assert(t, !l.allowLine(7))
+	assert.Assert(t, l.allowLine(8))
 }
 
 // oneConn is a listener that has one connection.
@@ -340,7 +340,7 @@
 	r.send(c, get("a"))
 	_, err := io.ReadAll(c)
 	assert.NilError(t, err, "the connection ends without an answer")
-	r.counted("caller_connections_closed_unanswered_total.aborted 1")
+	r.waitForMetric("caller_connections_closed_unanswered_total.aborted 1")
 	found := r.lines.FilterMessage(event.HandlerPanicked.Name).All()
 	assert.Equal(t, len(found), 1)
 	fields := found[0].ContextMap()
@@ -354,7 +354,7 @@
 	r := newRig(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	c := r.dial()
 	r.send(c, get("a"))
-	r.counted("caller_connections_closed_total.aborted 1")
+	r.waitForMetric("caller_connections_closed_total.aborted 1")
 	assert.Equal(t, r.lines.FilterMessage(event.HandlerPanicked.Name).Len(), 0)
 }
 
@@ -381,7 +381,7 @@
 			got := make(chan string, 1)
 			r := newRig(t, func(w http.ResponseWriter, q *http.Request) {
 				h(w, q)
-				got <- connGone(q.Context())
+				got <- disconnectReason(q.Context())
 			})
 			c := r.dial()
 			r.send(c, get("a"))
@@ -389,7 +389,7 @@
 			case "caller":
 				assert.NilError(t, c.Close())
 			case "end":
-				r.until(connCounts{open: 1, underWay: 1, unanswered: 1})
+				r.waitForCounts(connCounts{open: 1, underWay: 1, unanswered: 1})
 				r.callers.close()
 			}
 			assert.Equal(t, <-got, want)
--- a/node/host/connlog.go
+++ b/node/host/connlog.go
@@ -25,9 +25,9 @@
 	closedAborted closeReason = "aborted" // its handler ended without a whole answer
 	closedLast    closeReason = "last"    // its answer said that it was the last one
 	closedServer  closeReason = "server"  // anything else that the HTTP server ends
-	// leftBound is not of a close: the read that notices a caller's end, while a
+	// closedReadBound is not of a close: the read that notices a caller's end, while a
 	// handler runs, found its time over, and the caller counts as gone.
-	leftBound closeReason = "read_bound"
+	closedReadBound closeReason = "read_bound"
 )
 
 // connPhase is what a caller's connection is doing.
@@ -43,17 +43,17 @@
 	phaseLateBegun connPhase = "late_begun" // a handler began with a request of such a connection
 )
 
-// connLinesMost is how many lines of connections are written in a second: a
+// maxConnLinesPerSecond is how many lines of connections are written in a second: a
 // tenth of what the log's sink takes, so that other lines keep their room.
-const connLinesMost = 500
+const maxConnLinesPerSecond = 500
 
 // connLog counts the callers' connections and logs those that this host closes
 // with a request under way. It decides nothing.
 type connLog struct {
-	log     *event.Log
-	metrics *metrics.Set
-	idOf    func(http.Header) string // reads the id of a request
-	ending  atomic.Bool              // the process ends: what is open is closed
+	log           *event.Log
+	metrics       *metrics.Set
+	idOf          func(http.Header) string // reads the id of a request
+	processEnding atomic.Bool              // the process ends: what is open is closed
 
 	mu     sync.Mutex
 	open   map[*connTrack]struct{}
@@ -98,7 +98,7 @@
 
 // track begins the account of a connection that was accepted.
 func (l *connLog) track(from string) *connTrack {
-	t := &connTrack{all: l, from: from, changed: time.Now()}
+	t := &connTrack{log: l, from: from, phaseSince: time.Now()}
 	l.metrics.Count(metrics.CallersAccepted, 1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,8 +106,8 @@
 	return t
 }
 
-// closed accounts for a connection that was closed in the state s.
-func (l *connLog) closed(t *connTrack, s connState) {
+// recordClosed accounts for a connection that was closed in the state s.
+func (l *connLog) recordClosed(t *connTrack, s connState) {
 	l.mu.Lock()
 	delete(l.open, t)
 	l.mu.Unlock()
@@ -115,13 +115,13 @@
 	if s.unanswered {
 		l.metrics.CountKind(metrics.CallersUnanswered, string(s.reason), 1)
 	}
-	if s.worthLine() {
+	if s.shouldLog() {
 		l.write(t, s)
 	}
 }
 
-// late accounts for bytes or a request of a connection that was closed before.
-func (l *connLog) late(t *connTrack, s connState) {
+// recordLate accounts for bytes or a request of a connection that was closed before.
+func (l *connLog) recordLate(t *connTrack, s connState) {
 	if s.unanswered {
 		l.metrics.CountKind(metrics.CallersUnanswered, string(s.reason), 1)
 	}
@@ -131,7 +131,7 @@
 }
 
 func (l *connLog) write(t *connTrack, s connState) {
-	if !l.mayWrite(time.Now().Unix()) {
+	if !l.allowLine(time.Now().Unix()) {
 		return
 	}
 	id := zap.Skip()
@@ -152,13 +152,13 @@
 	}
 }
 
-// mayWrite takes one of the lines that a second has.
-func (l *connLog) mayWrite(second int64) bool {
+// allowLine takes one of the lines that a second has.
+func (l *connLog) allowLine(second int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if second != l.second {
 		l.second, l.lines = second, 0
 	}
 	l.lines++
-	return l.lines <= connLinesMost
+	return l.lines <= maxConnLinesPerSecond
 }
--- a/node/host/conntrack.go
+++ b/node/host/conntrack.go
@@ -11,32 +11,32 @@
 // connTrack is the account of one caller's connection: what was read and
 // answered, and who closes it.
 type connTrack struct {
-	all  *connLog
+	log  *connLog
 	from string // address of the other side
 
-	mu       sync.Mutex
-	requests int // begun by a handler
-	answers  int // after which the connection was idle
-	read     int64
-	ahead    int64 // bytes of the next request that came before the answer was done
-	written  int64 // since the first byte of the request
-	writing  bool
-	any      bool // a byte has come at all
-	handling bool
-	returned bool // the handler has, and the connection is not idle yet
-	aborted  bool // the handler panicked
-	head     http.Header
-	first    time.Time // when the first byte of the request came
-	changed  time.Time // when the phase changed
+	mu          sync.Mutex
+	requests    int // begun by a handler
+	answers     int // after which the connection was idle
+	read        int64
+	readAhead   int64 // bytes of the next request that came before the answer was done
+	written     int64 // since the first byte of the request
+	writing     bool
+	anyRead     bool // a byte has come at all
+	handling    bool
+	returned    bool // the handler has, and the connection is not idle yet
+	aborted     bool // the handler panicked
+	head        http.Header
+	firstByteAt time.Time // when the first byte of the request came
+	phaseSince  time.Time // when the phase changed
 
-	gone  bool // the other side has closed, or the connection is broken
-	late  bool // a read found its time over
-	stuck bool // a write found its time over
-	bound bool // the read beside a handler found its time over
+	peerClosed        bool // the other side has closed, or the connection is broken
+	readTimedOut      bool // a read found its time over
+	writeTimedOut     bool // a write found its time over
+	aheadReadTimedOut bool // the read beside a handler found its time over
 
-	closer   closeReason // that was asked for
-	isClosed bool
-	lateTold bool
+	closeCause   closeReason // that was asked for
+	isClosed     bool
+	lateRecorded bool
 }
 
 // connState is a connection's state at one moment.
@@ -53,9 +53,9 @@
 	inPhase    time.Duration
 }
 
-// worthLine says whether this host ended a connection with something under way.
+// shouldLog says whether this host ended a connection with something under way.
 // A caller that goes is counted only, as are the ends that follow an answer.
-func (s *connState) worthLine() bool {
+func (s *connState) shouldLog() bool {
 	switch {
 	case s.reason == closedCaller, s.reason == closedLast:
 		return false
@@ -65,45 +65,45 @@
 	return s.phase == phaseHandling || s.phase == phaseAnswering
 }
 
-// aheadRead is the size of the reads by which the HTTP server notices, while a
+// aheadReadSize is the size of the reads by which the HTTP server notices, while a
 // handler runs, that the caller is gone. What they bring is of the next request.
-const aheadRead = 1
+const aheadReadSize = 1
 
 // didRead notes what a read of up to size bytes brought.
 func (t *connTrack) didRead(size, n int, err error) {
 	t.mu.Lock()
 	if n > 0 {
-		t.took(size, int64(n))
+		t.recordRead(size, int64(n))
 	}
 	switch {
 	case err == nil || t.isClosed:
 	case !errors.Is(err, os.ErrDeadlineExceeded):
-		t.gone = true
-	case size > aheadRead:
-		t.late = true
+		t.peerClosed = true
+	case size > aheadReadSize:
+		t.readTimedOut = true
 	case t.handling: // else the server has ended the read, as it needs no more of it
-		t.bound = true
+		t.aheadReadTimedOut = true
 	}
-	if n <= 0 || !t.isClosed || t.lateTold {
+	if n <= 0 || !t.isClosed || t.lateRecorded {
 		t.mu.Unlock()
 		return
 	}
-	t.lateTold = true
+	t.lateRecorded = true
 	s := t.state()
 	t.mu.Unlock()
 	s.phase = phaseLateRead
-	t.all.late(t, s)
+	t.log.recordLate(t, s)
 }
 
-// took counts n bytes that were read.
-func (t *connTrack) took(size int, n int64) {
-	t.any = true
-	if t.read+t.ahead == 0 {
-		t.first = time.Now()
-		t.changed = t.first
+// recordRead counts n bytes that were read.
+func (t *connTrack) recordRead(size int, n int64) {
+	t.anyRead = true
+	if t.read+t.readAhead == 0 {
+		t.firstByteAt = time.Now()
+		t.phaseSince = t.firstByteAt
 	}
-	if size <= aheadRead {
-		t.ahead += n
+	if size <= aheadReadSize {
+		t.readAhead += n
 		return
 	}
 	t.read += n
@@ -126,9 +126,9 @@
 	switch {
 	case err == nil || t.isClosed:
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		t.stuck = true
+		t.writeTimedOut = true
 	default:
-		t.gone = true
+		t.peerClosed = true
 	}
 }
 
@@ -136,7 +136,7 @@
 func (t *connTrack) begin(head http.Header) {
 	t.mu.Lock()
 	t.requests++
-	t.handling, t.head, t.changed = true, head, time.Now()
+	t.handling, t.head, t.phaseSince = true, head, time.Now()
 	if !t.isClosed {
 		t.mu.Unlock()
 		return
@@ -144,14 +144,14 @@
 	s := t.state()
 	t.mu.Unlock()
 	s.phase = phaseLateBegun
-	t.all.late(t, s)
+	t.log.recordLate(t, s)
 }
 
 // end notes that the handler has returned, or panicked.
 func (t *connTrack) end(returned bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.handling, t.returned, t.aborted, t.changed = false, true, !returned, time.Now()
+	t.handling, t.returned, t.aborted, t.phaseSince = false, true, !returned, time.Now()
 }
 
 // idle notes that the answer is written and the next request awaited.
@@ -159,19 +159,19 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.answers++
-	t.handling, t.returned, t.head, t.changed = false, false, nil, time.Now()
-	t.read, t.ahead, t.written = t.ahead, 0, 0
+	t.handling, t.returned, t.head, t.phaseSince = false, false, nil, time.Now()
+	t.read, t.readAhead, t.written = t.readAhead, 0, 0
 	if t.read > 0 {
-		t.first = t.changed
+		t.firstByteAt = t.phaseSince
 	}
 }
 
-// closeFor names the reason of the close that follows. The first one counts.
-func (t *connTrack) closeFor(r closeReason) {
+// setCloseCause names the reason of the close that follows. The first one counts.
+func (t *connTrack) setCloseCause(r closeReason) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.closer == "" {
-		t.closer = r
+	if t.closeCause == "" {
+		t.closeCause = r
 	}
 }
 
@@ -182,7 +182,7 @@
 	if t.isClosed {
 		return connState{}, false
 	}
-	t.closer = t.reason()
+	t.closeCause = t.reason()
 	t.isClosed = true
 	return t.state(), true
 }
@@ -190,19 +190,19 @@
 // reason says why the connection is closed now.
 func (t *connTrack) reason() closeReason {
 	switch {
-	case t.closer != "":
-		return t.closer
-	case t.gone:
+	case t.closeCause != "":
+		return t.closeCause
+	case t.peerClosed:
 		return closedCaller
 	case t.aborted && t.returned:
 		return closedAborted
-	case t.stuck:
+	case t.writeTimedOut:
 		return closedStuck
-	case t.all.ending.Load():
+	case t.log.processEnding.Load():
 		return closedEnd
 	case t.returned && t.written > 0:
 		return closedLast
-	case t.late:
+	case t.readTimedOut:
 		return closedLate
 	}
 	return closedServer
@@ -214,13 +214,13 @@
 	defer t.mu.Unlock()
 	switch {
 	case t.isClosed:
-		return t.closer
-	case t.gone:
+		return t.closeCause
+	case t.peerClosed:
 		return closedCaller
-	case t.stuck:
+	case t.writeTimedOut:
 		return closedStuck
-	case t.bound:
-		return leftBound
+	case t.aheadReadTimedOut:
+		return closedReadBound
 	}
 	return ""
 }
@@ -232,10 +232,10 @@
 }
 
 func (t *connTrack) state() connState {
-	s := connState{reason: t.closer, phase: t.phase(), read: t.read + t.ahead, written: t.written,
-		requests: t.requests, answers: t.answers, head: t.head, inPhase: time.Since(t.changed)}
+	s := connState{reason: t.closeCause, phase: t.phase(), read: t.read + t.readAhead, written: t.written,
+		requests: t.requests, answers: t.answers, head: t.head, inPhase: time.Since(t.phaseSince)}
 	if s.read > 0 {
-		s.age = time.Since(t.first)
+		s.age = time.Since(t.firstByteAt)
 	}
 	switch s.phase {
 	case phaseHandling:
@@ -254,7 +254,7 @@
 		return phaseAnswering
 	case t.read > 0:
 		return phaseReading
-	case t.any:
+	case t.anyRead:
 		return phaseIdle
 	}
 	return phaseNew
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -51,60 +51,60 @@
 
 // Host is one entry host.
 type Host struct {
-	deps     Deps
-	set      *Settings
-	log      *event.Log
-	config   *follow.ActiveConfig
-	fleet    *fleet.Fleet
-	gate     *gate.Gate
-	crashes  *quarantine.CrashDetector
-	guard    *quarantine.Guard
-	feed     *follow.Follower
-	lease    *lease.Lease
-	coord    *coordinator.Coordinator
-	link     *coordinator.Link
-	callers  *callers
-	ready    *http.Server
-	metrics  *http.Server
-	draining atomic.Bool   // callers should go elsewhere
-	closing  atomic.Bool   // requests are not taken any more
-	giveUp   func()        // ends the requests that are under way
-	leave    func()        // ends the long waits of requests
-	listed   chan struct{} // closed when the upstreams were read once
-	listOnce atomic.Bool
-	stopped  chan struct{} // closed when the stop is over
-	started  time.Time
+	deps           Deps
+	settings       *Settings
+	log            *event.Log
+	config         *follow.ActiveConfig
+	fleet          *fleet.Fleet
+	gate           *gate.Gate
+	crashes        *quarantine.CrashDetector
+	guard          *quarantine.Guard
+	feed           *follow.Follower
+	lease          *lease.Lease
+	coord          *coordinator.Coordinator
+	link           *coordinator.Link
+	callers        *callerServer
+	ready          *http.Server
+	metrics        *http.Server
+	draining       atomic.Bool   // callers should go elsewhere
+	closing        atomic.Bool   // requests are not taken any more
+	abortRequests  func()        // ends the requests that are under way
+	releaseWaiting func()        // ends the long waits of requests
+	listed         chan struct{} // closed when the upstreams were read once
+	listOnce       atomic.Bool
+	stopped        chan struct{} // closed when the stop is over
+	started        time.Time
 }
 
 // New puts a host together and opens its listeners.
 func New(d Deps) (*Host, error) {
 	set := d.Settings
-	h := &Host{deps: d, set: set, log: d.Log, config: follow.NewActiveConfig(d.Log), listed: make(chan struct{}), stopped: make(chan struct{}), started: time.Now()}
-	h.fleet = fleet.New(fleet.Config{DataCentre: set.DataCentre, RecoveryGrace: milliseconds(set.Bounds.LapseMs), MassRemovalGrace: milliseconds(set.Bounds.DrainMs * massHoldShare)},
-		fleet.Deps{Log: d.Log, OnForgotten: d.Client.Forget, OnListChange: h.announce, OnUrgentChange: h.hasten})
+	h := &Host{deps: d, settings: set, log: d.Log, config: follow.NewActiveConfig(d.Log), listed: make(chan struct{}), stopped: make(chan struct{}), started: time.Now()}
+	h.fleet = fleet.New(fleet.Config{DataCentre: set.DataCentre, RecoveryGrace: milliseconds(set.Bounds.LapseMs), MassRemovalGrace: milliseconds(set.Bounds.DrainMs * massRemovalGraceShare)},
+		fleet.Deps{Log: d.Log, OnForgotten: d.Client.Forget, OnListChange: h.announce, OnUrgentChange: h.announceUrgent})
 	h.config.OnChange(h.announce)
 	h.controlPath()
 	policy := budget.Policy{Ratio: set.Bounds.RepeatRatio, Slack: set.Bounds.RepeatSlack, Window: seconds(set.Bounds.RepeatWindowS)}
 	ending, giveUp := context.WithCancel(context.Background())
-	h.giveUp = giveUp
+	h.abortRequests = giveUp
 	leaving, leave := context.WithCancel(context.Background())
-	h.leave = leave
+	h.releaseWaiting = leave
 	h.guard = quarantine.NewGuard(quarantine.GuardDeps{Connected: h.link.Linked, Log: d.Log, Metrics: d.Metrics})
 	h.link.Quarantine = h.guard
-	h.crashes = quarantine.NewCrashDetector(quarantine.CrashDetectorDeps{NotListening: d.Client.NotListening, OnCrash: h.crashed, Log: d.Log, Metrics: d.Metrics})
+	h.crashes = quarantine.NewCrashDetector(quarantine.CrashDetectorDeps{NotListening: d.Client.NotListening, OnCrash: h.recordCrash, Log: d.Log, Metrics: d.Metrics})
 	h.gate = gate.New(gate.Deps{HoldsLimited: leaving, Stopping: ending, Config: h.config, Fleet: h.fleet, Client: d.Client, Codec: d.Platform.Codec, Coordinator: h.link, TeamLimits: h.link, CrashRecorder: h.crashes, PoisonGuard: h.guard,
-		RetryBudget: gate.NewRetryBudget(policy, h.link.Hosts), Log: d.Log, Metrics: d.Metrics, Draining: h.draining.Load, RejectsNew: h.closing.Load, DisconnectReason: connGone})
+		RetryBudget: gate.NewRetryBudget(policy, h.link.Hosts), Log: d.Log, Metrics: d.Metrics, Draining: h.draining.Load, RejectsNew: h.closing.Load, DisconnectReason: disconnectReason})
 	h.limitMemory()
 	return h, h.listen()
 }
 
-// relayFreshShare is the part of the time in which a leaving upstream may still
+// maxRelayAgeShare is the part of the time in which a leaving upstream may still
 // get work for which a relay of the store's changes is trusted without news.
-const relayFreshShare = 0.6
+const maxRelayAgeShare = 0.6
 
-// massHoldShare is the part of the time in which a leaving upstream may still
+// massRemovalGraceShare is the part of the time in which a leaving upstream may still
 // get work for which upstreams are used whose entries vanish in great number.
-const massHoldShare = 0.6
+const massRemovalGraceShare = 0.6
 
 // memoryShare is the part of the machine's memory that the runtime aims at.
 // The rest covers what it does not count: sockets' buffers and stacks in use.
@@ -113,23 +113,23 @@
 // limitMemory keeps the process from being ended by force: past the limit the
 // collector works harder instead of the heap growing on.
 func (h *Host) limitMemory() {
-	debug.SetMemoryLimit(int64(float64(h.set.Limits.MemoryMB) * memoryShare * (1 << 20)))
+	debug.SetMemoryLimit(int64(float64(h.settings.Limits.MemoryMB) * memoryShare * (1 << 20)))
 }
 
 func (h *Host) listen() error {
-	ln, err := net.Listen("tcp", h.set.Callers)
+	ln, err := net.Listen("tcp", h.settings.Callers)
 	if err != nil {
-		return eris.Wrapf(err, "listen for callers at %s", h.set.Callers)
+		return eris.Wrapf(err, "listen for callers at %s", h.settings.Callers)
 	}
 	attempt := func(head http.Header) string { return h.deps.Platform.Codec.DecodeRequest(head).AttemptID }
-	h.callers = newCallers(ln, h.gate, h.idleBound, newConnLog(h.deps.Log, h.deps.Metrics, attempt))
-	h.ready = &http.Server{Handler: h.readiness(), ReadHeaderTimeout: adminBound}
-	h.metrics = &http.Server{Handler: h.metricsPage(), ReadHeaderTimeout: adminBound}
+	h.callers = newCallerServer(ln, h.gate, h.callerIdleTimeout, newConnLog(h.deps.Log, h.deps.Metrics, attempt))
+	h.ready = &http.Server{Handler: h.readinessPage(), ReadHeaderTimeout: adminHeadTimeout}
+	h.metrics = &http.Server{Handler: h.metricsPage(), ReadHeaderTimeout: adminHeadTimeout}
 	return nil
 }
 
-// adminBound is how long the head of a request for a page of the host's own may take.
-const adminBound = 2 * time.Second
+// adminHeadTimeout is how long the head of a request for a page of the host's own may take.
+const adminHeadTimeout = 2 * time.Second
 
 const (
 	// leaseName is the lease of the host that gives orders.
@@ -137,21 +137,21 @@
 	// leaseTTL bounds how long nobody gives orders after their giver was lost.
 	// At a renewal every 0.5 s it costs two calls of the store a second.
 	leaseTTL = 1500 * time.Millisecond
-	// leaseTry bounds one try of a renewal: several fit into a term, also when
+	// leaseTryTimeout bounds one try of a renewal: several fit into a term, also when
 	// the store takes a quarter of a second.
-	leaseTry = 400 * time.Millisecond
-	// orderFlight is how long the last order of a former holder may be on its way.
-	orderFlight = 100 * time.Millisecond
+	leaseTryTimeout = 400 * time.Millisecond
+	// maxOrderTransit is how long the last order of a former holder may be on its way.
+	maxOrderTransit = 100 * time.Millisecond
 )
 
 // controlPath puts together what acts for the whole deployment.
 func (h *Host) controlPath() {
-	set, d := h.set, h.deps
+	set, d := h.settings, h.deps
 	table := countedTable{d.Platform.Table, d.Metrics}
-	relayFresh := milliseconds(set.Bounds.DrainMs * relayFreshShare)
+	relayFresh := milliseconds(set.Bounds.DrainMs * maxRelayAgeShare)
 	holder := coordinator.HolderName(set.Host, set.Peers, uuid.NewString())
 	h.lease = lease.New(lease.Config{Name: leaseName, Holder: holder, HasTerminated: coordinator.FormerProcessOf(holder),
-		TryTimeout: leaseTry, Policy: leasing.Policy{TTL: leaseTTL, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}},
+		TryTimeout: leaseTryTimeout, Policy: leasing.Policy{TTL: leaseTTL, Margin: leasing.DefaultMargin, ClockRate: leasing.DefaultClockRate}},
 		lease.Deps{Table: table, Log: d.Log})
 	h.feed = follow.New(follow.Deps{Source: d.Platform.Source, Config: h.config, Upstreams: h.fleet, Log: d.Log, Metrics: d.Metrics,
 		OthersProbeFirst:    func() bool { return !h.link.Candidate() && !h.coord.Acting() },
@@ -159,40 +159,40 @@
 		NotNeededYet:        func() bool { return set.FirstStart },
 		MaxRelayAge:         relayFresh,
 		IsRelaying:          func() bool { return h.coord.Acting() }, OnListed: h.upstreamsListed})
-	h.coord = coordinator.New(coordinator.Config{Host: set.Host, Holder: holder, Address: set.Peers, QuietPeriod: milliseconds(set.Bounds.LeaseMs) + orderFlight,
+	h.coord = coordinator.New(coordinator.Config{Host: set.Host, Holder: holder, Address: set.Peers, QuietPeriod: milliseconds(set.Bounds.LeaseMs) + maxOrderTransit,
 		CeilingWindow: seconds(set.Bounds.CeilingWindowS), CeilingFactor: set.Bounds.CeilingOver, LimitSlack: set.Bounds.LimitSlack, MaxRelayAge: relayFresh, LinkMbps: set.Limits.LinkMbps, NoModelMoves: set.NoModelMoves},
 		coordinator.Deps{Fleet: h.fleet, Config: h.config, Lease: h.lease, Orders: d.Platform.Orders, Table: table, Feed: h.feed, Log: d.Log, Metrics: d.Metrics})
 	h.coord.LinkedAddress = func() string { return h.link.CoordinatorAddress() }
-	h.link = coordinator.NewLink(coordinator.LinkConfig{Host: set.Host, DataCentre: set.DataCentre, Address: set.Peers, Seeds: set.Seeds, HasSpareCapacity: func(hosts int) bool { return ample(set.Limits, hosts) }}, h.coord, conn.NewDialer().DialContext, d.Log)
+	h.link = coordinator.NewLink(coordinator.LinkConfig{Host: set.Host, DataCentre: set.DataCentre, Address: set.Peers, Seeds: set.Seeds, HasSpareCapacity: func(hosts int) bool { return hasSpareCapacity(set.Limits, hosts) }}, h.coord, conn.NewDialer().DialContext, d.Log)
 }
 
 // Run serves until ctx ends, then stops without cutting anything off within
 // the grace that the platform gives.
 func (h *Host) Run(ctx context.Context) error {
-	h.log.Emit(event.HostStarting, zap.String("host", h.set.Host), zap.String("data_centre", h.set.DataCentre),
-		zap.String("callers", h.set.Callers), zap.String("store", h.set.Store), zap.Strings("seeds", h.set.Seeds))
+	h.log.Emit(event.HostStarting, zap.String("host", h.settings.Host), zap.String("data_centre", h.settings.DataCentre),
+		zap.String("callers", h.settings.Callers), zap.String("store", h.settings.Store), zap.Strings("seeds", h.settings.Seeds))
 	// What serves requests outlives ctx by the time that the stop takes.
 	work, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	var g run.Group
 	h.add(&g, work, h.feed.RunConfig)
 	h.add(&g, work, h.feed.RunUpstreams)
-	h.add(&g, work, h.sweep)
+	h.add(&g, work, h.runChecks)
 	h.add(&g, work, h.coord.Run)
 	h.add(&g, work, h.link.Run)
 	h.add(&g, work, h.link.RunPermits)
 	h.add(&g, work, h.coord.RunAnnouncements)
-	h.add(&g, work, h.fetch)
+	h.add(&g, work, h.fetchFromPeers)
 	h.add(&g, work, h.crashes.Run)
 	h.add(&g, work, h.coord.RunQuarantine)
-	lead := &coordinator.Elector{Lease: h.lease, Link: h.link, CampaignDelay: h.handicap, StoreReachable: h.link.StoreReachable}
-	h.add(&g, ctx, h.whileServing(lead.Run))
+	elector := &coordinator.Elector{Lease: h.lease, Link: h.link, CampaignDelay: h.campaignDelay, StoreReachable: h.link.StoreReachable}
+	h.add(&g, ctx, h.whileServing(elector.Run))
 	h.servePeers(&g)
-	h.add(&g, work, h.hangups)
+	h.add(&g, work, h.handleReloads)
 	h.add(&g, work, h.logReady)
-	h.serve(&g, h.ready, h.set.Readiness)
-	if h.set.Metrics != "" {
-		h.serve(&g, h.metrics, h.set.Metrics)
+	h.serve(&g, h.ready, h.settings.Readiness)
+	if h.settings.Metrics != "" {
+		h.serve(&g, h.metrics, h.settings.Metrics)
 	}
 	g.Add(h.callers.serve, func(error) { h.callers.close() })
 	g.Add(func() error { return h.stopOn(ctx, work) }, func(error) { end() })
@@ -219,9 +219,9 @@
 func (h *Host) servePeers(g *run.Group) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error {
-		ln, err := net.Listen("tcp", h.set.Peers)
+		ln, err := net.Listen("tcp", h.settings.Peers)
 		if err != nil {
-			return eris.Wrapf(err, "listen for peers at %s", h.set.Peers)
+			return eris.Wrapf(err, "listen for peers at %s", h.settings.Peers)
 		}
 		return h.coord.Serve(ctx, ln)
 	}, func(error) { cancel() })
@@ -241,39 +241,39 @@
 	// ampleCores, ampleLinkMbps and ampleMemoryMB are what a host should have that
 	// acts for all, in any case and for each host: its work grows with their number.
 	// The one that acts for 986 takes 0.00037 cores and 0.26 MB a host.
-	ampleCores        = 0.35
-	ampleCoresEach    = 0.0006
-	ampleLinkMbps     = 50
-	ampleLinkMbpsEach = 0.1
-	ampleMemoryMBEach = 0.4
-	// handicapPoor is how long one with less waits before it campaigns.
-	handicapPoor = 800 * time.Millisecond
-	handicapAny  = 40 * time.Millisecond
+	minCoordinatorCores           = 0.35
+	minCoordinatorCoresPerHost    = 0.0006
+	minCoordinatorLinkMbps        = 50
+	minCoordinatorLinkMbpsPerHost = 0.1
+	minCoordinatorMemoryMBPerHost = 0.4
+	// campaignDelayLowCapacity is how long one with less waits before it campaigns.
+	campaignDelayLowCapacity   = 800 * time.Millisecond
+	campaignDelaySpareCapacity = 40 * time.Millisecond
 )
 
-// handicap lets hosts with more to spare take the lease first.
-func (h *Host) handicap() time.Duration {
+// campaignDelay lets hosts with more to spare take the lease first.
+func (h *Host) campaignDelay() time.Duration {
 	if !h.link.HasSpareCapacity() {
-		return handicapPoor
+		return campaignDelayLowCapacity
 	}
-	return handicapAny
+	return campaignDelaySpareCapacity
 }
 
-// ample says whether a host of these limits has enough to spare to act for a number
+// hasSpareCapacity says whether a host of these limits has enough to spare to act for a number
 // of hosts. What a limit does not say is not bounded.
-func ample(l Limits, hosts int) bool {
+func hasSpareCapacity(l Limits, hosts int) bool {
 	n := float64(hosts)
-	return (l.Cores == 0 || l.usualCores() >= max(ampleCores, ampleCoresEach*n)) &&
-		(l.LinkMbps == 0 || l.LinkMbps >= max(ampleLinkMbps, ampleLinkMbpsEach*n)) &&
-		(l.MemoryMB == 0 || float64(l.MemoryMB) >= ampleMemoryMBEach*n)
+	return (l.Cores == 0 || l.usualCores() >= max(minCoordinatorCores, minCoordinatorCoresPerHost*n)) &&
+		(l.LinkMbps == 0 || l.LinkMbps >= max(minCoordinatorLinkMbps, minCoordinatorLinkMbpsPerHost*n)) &&
+		(l.MemoryMB == 0 || float64(l.MemoryMB) >= minCoordinatorMemoryMBPerHost*n)
 }
 
-// fetchAfter is how long the store may take at the start before peers are asked.
-const fetchAfter = time.Second
+// peerFetchDelay is how long the store may take at the start before peers are asked.
+const peerFetchDelay = time.Second
 
-// fetch asks peers for what this host needs while the store is away.
-func (h *Host) fetch(ctx context.Context) error {
-	for pace.Sleep(ctx, fetchAfter) {
+// fetchFromPeers asks peers for what this host needs while the store is away.
+func (h *Host) fetchFromPeers(ctx context.Context) error {
+	for pace.Sleep(ctx, peerFetchDelay) {
 		if h.config.Current() != nil {
 			break
 		}
@@ -301,14 +301,14 @@
 // something new for each of them.
 func (h *Host) announce() { h.coord.Announce() }
 
-// hasten has the host that acts for all told at once what this one found out.
-func (h *Host) hasten() {
+// announceUrgent has the host that acts for all told at once what this one found out.
+func (h *Host) announceUrgent() {
 	h.link.ReportSoon()
 	h.coord.Announce()
 }
 
-// crashed notes that an upstream ended under requests of this host.
-func (h *Host) crashed(upstream string, at time.Time, ran []poison.Fingerprint) {
+// recordCrash notes that an upstream ended under requests of this host.
+func (h *Host) recordCrash(upstream string, at time.Time, ran []poison.Fingerprint) {
 	h.guard.RecordCrash(upstream, at, ran)
 	h.link.ReportSoon()
 }
@@ -328,37 +328,37 @@
 }
 
 const (
-	// sweepEach is how often the host looks for silent upstreams: a fraction of
+	// checkInterval is how often the host looks for silent upstreams: a fraction of
 	// the silence that it looks for.
-	sweepEach = 100 * time.Millisecond
-	// sweepIdle is the same while nothing is under way.
-	sweepIdle = 500 * time.Millisecond
+	checkInterval = 100 * time.Millisecond
+	// idleCheckInterval is the same while nothing is under way.
+	idleCheckInterval = 500 * time.Millisecond
 )
 
-func (h *Host) sweep(ctx context.Context) error {
+func (h *Host) runChecks(ctx context.Context) error {
 	dropped := int64(0)
-	for h.sweepPause(ctx) {
-		dropped = h.tellDropped(dropped)
+	for h.waitForCheck(ctx) {
+		dropped = h.logDropped(dropped)
 		h.fleet.RunChecks()
-		h.callers.sweep(time.Now())
+		h.callers.closeExpired(time.Now())
 		if h.draining.Load() {
-			h.leave()
+			h.releaseWaiting()
 		}
 	}
 	return ctx.Err()
 }
 
-// sweepPause waits for the next look; it says no when ctx ends.
-func (h *Host) sweepPause(ctx context.Context) bool {
-	stirred := h.fleet.ChecksNeeded()
+// waitForCheck waits for the next look; it says no when ctx ends.
+func (h *Host) waitForCheck(ctx context.Context) bool {
+	wake := h.fleet.ChecksNeeded()
 	if h.fleet.HasPendingChecks() {
-		return pace.Sleep(ctx, sweepEach)
+		return pace.Sleep(ctx, checkInterval)
 	}
-	return pace.SleepOrWake(ctx, sweepIdle, stirred) && pace.Sleep(ctx, sweepEach)
+	return pace.SleepOrWake(ctx, idleCheckInterval, wake) && pace.Sleep(ctx, checkInterval)
 }
 
-// tellDropped logs that lines were dropped since it was called last.
-func (h *Host) tellDropped(before int64) int64 {
+// logDropped logs that lines were dropped since it was called last.
+func (h *Host) logDropped(before int64) int64 {
 	if h.deps.DroppedLines == nil {
 		return 0
 	}
@@ -369,13 +369,13 @@
 	return now
 }
 
-// idleBound is how long a caller's connection may stay idle.
-func (h *Host) idleBound() time.Duration {
+// callerIdleTimeout is how long a caller's connection may stay idle.
+func (h *Host) callerIdleTimeout() time.Duration {
 	if t := h.config.Current(); t != nil && t.Config.Limits.IdleTimeout > 0 {
 		return t.Config.Limits.IdleTimeout
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
-// defaultIdle holds until a configuration says otherwise.
-const defaultIdle = 30 * time.Second
+// defaultIdleTimeout holds until a configuration says otherwise.
+const defaultIdleTimeout = 30 * time.Second
--- a/node/host/pages.go
+++ b/node/host/pages.go
@@ -6,8 +6,8 @@
 	"github.com/labstack/echo/v5"
 )
 
-// readiness tells the balancer whether to send callers here.
-func (h *Host) readiness() http.Handler {
+// readinessPage tells the balancer whether to send callers here.
+func (h *Host) readinessPage() http.Handler {
 	e := echo.New()
 	e.GET("/*", func(c *echo.Context) error {
 		if !h.isReady() {
@@ -27,8 +27,8 @@
 		h.deps.Metrics.WriteText(c.Response())
 		return nil
 	})
-	h.quarantine(e)
-	h.upstreams(e)
-	h.status(e)
+	h.addQuarantinePage(e)
+	h.addUpstreamsPage(e)
+	h.addStatusPage(e)
 	return e
 }
--- a/node/host/quarantine.go
+++ b/node/host/quarantine.go
@@ -23,8 +23,8 @@
 	Bars    int    `json:"bars"`    // how often it was barred
 }
 
-// quarantine adds the page to e.
-func (h *Host) quarantine(e *echo.Echo) {
+// addQuarantinePage adds the page to e.
+func (h *Host) addQuarantinePage(e *echo.Echo) {
 	e.GET(QuarantinePath, func(c *echo.Context) error {
 		out := []QuarantinedRequest{}
 		now := time.Now()
--- a/node/host/settings.go
+++ b/node/host/settings.go
@@ -134,7 +134,7 @@
 		}
 	}
 	own := map[string]string{}
-	for _, a := range addresses[:ownAddresses] {
+	for _, a := range addresses[:ownAddressCount] {
 		if other, taken := own[a.value]; taken && a.value != "" {
 			fault(a.path, "is also that of "+other)
 		}
@@ -152,9 +152,9 @@
 	return faults
 }
 
-// ownAddresses is how many of the addresses in check are the host's own or the
+// ownAddressCount is how many of the addresses in check are the host's own or the
 // store's: all but the seeds.
-const ownAddresses = 5
+const ownAddressCount = 5
 
 func addressProblem(a string) string {
 	host, _, err := net.SplitHostPort(a)
@@ -173,8 +173,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// changed names the keys that differ and take effect at the next start only.
-func (s *Settings) changed(next *Settings) []string {
+// changedKeys names the keys that differ and take effect at the next start only.
+func (s *Settings) changedKeys(next *Settings) []string {
 	var out []string
 	for _, v := range []struct {
 		name    string
--- a/node/host/status.go
+++ b/node/host/status.go
@@ -30,10 +30,10 @@
 	StoreCalls    map[string]int64 `json:"store_calls"` // of this host, by table and reason
 }
 
-// status adds the page to e.
-func (h *Host) status(e *echo.Echo) {
+// addStatusPage adds the page to e.
+func (h *Host) addStatusPage(e *echo.Echo) {
 	e.GET(StatusPath, func(c *echo.Context) error {
-		s := Status{Host: h.set.Host, DataCentre: h.set.DataCentre, Ready: h.isReady(), Coordinator: h.link.CoordinatorAddress(),
+		s := Status{Host: h.settings.Host, DataCentre: h.settings.DataCentre, Ready: h.isReady(), Coordinator: h.link.CoordinatorAddress(),
 			HoldsLease: h.coord.HoldsLease(), Acting: h.coord.Acting(), Hosts: h.link.Hosts(), ReportMs: h.link.ReportPeriod().Milliseconds(),
 			Upstreams: len(h.fleet.All()), ListVersion: h.feed.UpstreamsVersion(), PeerCalls: h.deps.Metrics.CountsByKind(metrics.PeerCalls),
 			PeerBytes: h.deps.Metrics.CountsByKind(metrics.PeerBytes), StoreCalls: h.deps.Metrics.CountsByKind(metrics.StoreCalls)}
--- a/node/host/stop.go
+++ b/node/host/stop.go
@@ -16,12 +16,12 @@
 	// after the host says that it is not ready: two questions a second apart,
 	// and the way of the last connection.
 	balancerNotice = 2500 * time.Millisecond
-	// stopLook is how often the stop looks whether it is over.
-	stopLook = 50 * time.Millisecond
+	// stopCheckInterval is how often the stop looks whether it is over.
+	stopCheckInterval = 50 * time.Millisecond
 	// stopReserve is kept of the grace for the last writes and the end of the process.
 	stopReserve = 700 * time.Millisecond
-	// answerBound is how long the last answers may take to be written.
-	answerBound = 250 * time.Millisecond
+	// finalAnswerTimeout is how long the last answers may take to be written.
+	finalAnswerTimeout = 250 * time.Millisecond
 )
 
 // stopOn waits for ctx to end and stops the host. Callers are still served
@@ -39,33 +39,33 @@
 	h.draining.Store(true)
 	h.fleet.WakeChecks() // those who wait are let go by the next look
 	h.log.Emit(event.HostStopping, zap.Int("active", h.callers.drain.Active()))
-	grace := seconds(h.set.Bounds.GraceS) - stopReserve
+	grace := seconds(h.settings.Bounds.GraceS) - stopReserve
 	wait := context.WithoutCancel(ctx)
 	pace.Sleep(wait, min(balancerNotice, grace/2))
 	h.closing.Store(true)
 	h.callers.closeListener()
-	for h.callers.closeIdle() > 0 && time.Since(began) < grace {
-		pace.Sleep(wait, stopLook)
+	for h.callers.drainStep() > 0 && time.Since(began) < grace {
+		pace.Sleep(wait, stopCheckInterval)
 	}
-	h.giveUp()
-	for until := time.Now().Add(answerBound); h.callers.closeIdle() > 0 && time.Now().Before(until); {
-		pace.Sleep(wait, stopLook/5)
+	h.abortRequests()
+	for until := time.Now().Add(finalAnswerTimeout); h.callers.drainStep() > 0 && time.Now().Before(until); {
+		pace.Sleep(wait, stopCheckInterval/5)
 	}
-	h.tellStopped(time.Since(began))
+	h.logStopped(time.Since(began))
 	return nil
 }
 
-// tellStopped logs what the end of the process finds open.
-func (h *Host) tellStopped(took time.Duration) {
+// logStopped logs what the end of the process finds open.
+func (h *Host) logStopped(took time.Duration) {
 	n := h.callers.conns.counts()
 	h.deps.Metrics.Observe(metrics.ShutdownTime, "host", took)
 	h.log.Emit(event.HostStopped, zap.Int("cut", h.callers.drain.Active()), zap.Duration("took", took),
 		zap.Int("open", n.open), zap.Int("under_way", n.underWay), zap.Int("unanswered", n.unanswered), zap.Int("new", n.new))
 }
 
-// hangups reads the settings again when told to. What is in use since the
+// handleReloads reads the settings again when told to. What is in use since the
 // start stays: addresses cannot change under open connections.
-func (h *Host) hangups(ctx context.Context) error {
+func (h *Host) handleReloads(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -76,7 +76,7 @@
 				h.log.Emit(event.SettingsBad, zap.Error(err))
 				continue
 			}
-			h.log.Emit(event.SettingsReread, zap.Strings("changed", h.set.changed(next)))
+			h.log.Emit(event.SettingsReread, zap.Strings("changed", h.settings.changedKeys(next)))
 		}
 	}
 }
--- a/node/host/upstreams.go
+++ b/node/host/upstreams.go
@@ -22,8 +22,8 @@
 	Source      string   `json:"source"`                // who heard that
 }
 
-// upstreams adds the page to e.
-func (h *Host) upstreams(e *echo.Echo) {
+// addUpstreamsPage adds the page to e.
+func (h *Host) addUpstreamsPage(e *echo.Echo) {
 	e.GET(UpstreamsPath, func(c *echo.Context) error {
 		out := []RestrictedUpstream{}
 		now := time.Now()
--- a/node/settings/check.go
+++ b/node/settings/check.go
@@ -27,7 +27,7 @@
 	out = append(out, checkListener("peer", s.Peer, true)...)
 	for _, p := range []struct{ path, value string }{{"platform.table", s.Platform.Table}, {"platform.objects", s.Platform.Objects},
 		{"platform.hosts", s.Platform.Hosts}, {"platform.weights", s.Platform.Weights}} {
-		add(isBase(p.value), p.path, "%q must be http://IP:port", p.value)
+		add(isBaseURL(p.value), p.path, "%q must be http://IP:port", p.value)
 	}
 	out = append(out, s.checkKeys()...)
 	out = append(out, s.checkBounds()...)
@@ -53,8 +53,8 @@
 	return out
 }
 
-// isBase accepts only an IP number, since hosts have no name service to rely on.
-func isBase(text string) bool {
+// isBaseURL accepts only an IP number, since hosts have no name service to rely on.
+func isBaseURL(text string) bool {
 	u, err := url.Parse(text)
 	if err != nil || u.Scheme != "http" || u.Path != "" {
 		return false
@@ -95,15 +95,15 @@
 	var out []config.Fault
 	b := s.Bounds
 	for _, x := range []struct {
-		path               string
-		value, least, most int
+		path             string
+		value, low, high int
 	}{
 		{"drain_s", b.DrainSeconds, 1, 3600}, {"balancer_wait_s", b.BalancerWaitSeconds, 1, 300},
 		{"silence_ms", b.SilenceMs, 100, 60_000}, {"report_every_ms", b.ReportEveryMs, 50, 60_000},
 		{"header_bytes", b.HeaderBytes, 4 << 10, 1 << 20}, {"configuration_poll_s", b.ConfigPollSeconds, 1, 10},
 	} {
-		if x.value < x.least || x.value > x.most {
-			out = append(out, fault("bounds."+x.path, "%d is not from %d to %d", x.value, x.least, x.most))
+		if x.value < x.low || x.value > x.high {
+			out = append(out, fault("bounds."+x.path, "%d is not from %d to %d", x.value, x.low, x.high))
 		}
 	}
 	if b.RetryShare < 0 || b.RetryShare > 1 {
--- a/node/upstream/conn/body.go
+++ b/node/upstream/conn/body.go
@@ -13,15 +13,15 @@
 // Unwrap returns the cause.
 func (e *BodyError) Unwrap() error { return e.Err }
 
-// source remembers that its reader failed: the error that comes back from
+// bodyReader remembers that its reader failed: the error that comes back from
 // writing a request does not tell which of its two sides broke.
-type source struct {
+type bodyReader struct {
 	r   io.Reader
 	err error
 }
 
 // Read implements io.Reader.
-func (s *source) Read(p []byte) (int, error) {
+func (s *bodyReader) Read(p []byte) (int, error) {
 	n, err := s.r.Read(p)
 	if err != nil && err != io.EOF {
 		s.err = err
--- a/node/upstream/conn/client.go
+++ b/node/upstream/conn/client.go
@@ -20,9 +20,9 @@
 
 // Defaults of Config.
 const (
-	defaultDialTimeout = time.Second     // the data centres lie close together: a dial takes milliseconds
-	defaultIdleMost    = 5 * time.Second // below the idle time-outs usual at upstreams, so that a pooled connection is rarely found closed
-	defaultIdleCount   = 64              // idle connections an upstream
+	defaultDialTimeout  = time.Second     // the data centres lie close together: a dial takes milliseconds
+	defaultMaxIdleTime  = 5 * time.Second // below the idle time-outs usual at upstreams, so that a pooled connection is rarely found closed
+	defaultMaxIdleConns = 64              // idle connections an upstream
 )
 
 // Config bounds a Client; zero values take the defaults.
@@ -46,10 +46,10 @@
 		cfg.DialTimeout = defaultDialTimeout
 	}
 	if cfg.MaxIdleTime == 0 {
-		cfg.MaxIdleTime = defaultIdleMost
+		cfg.MaxIdleTime = defaultMaxIdleTime
 	}
 	if cfg.MaxIdleConns == 0 {
-		cfg.MaxIdleConns = defaultIdleCount
+		cfg.MaxIdleConns = defaultMaxIdleConns
 	}
 	if cfg.Dialer == nil {
 		cfg.Dialer = &net.Dialer{}
@@ -74,7 +74,7 @@
 	// Wanted is asked when the connection stands: to open one may take seconds. nil: it is.
 	StillWanted func() bool
 
-	source *source // of Stream
+	bodyReader *bodyReader // of Stream
 }
 
 // ErrUnwanted: the exchange was not wanted any more when its connection stood.
@@ -113,7 +113,7 @@
 	resp, err := c.exchange(l, r, req)
 	if err != nil {
 		if l.reused && l.read == 0 {
-			l.pool.shorten(l.rested, c.cfg.MaxIdleTime)
+			l.pool.recordDropped(l.idleBefore, c.cfg.MaxIdleTime)
 		}
 		stop()
 		l.reset()
@@ -133,19 +133,19 @@
 // refuses early may close its reading side, so a failed write still looks for
 // an answer.
 func (c *Client) exchange(l *link, r *Request, req *http.Request) (*http.Response, error) {
-	if len(r.Body) > earlyBody {
-		return exchangeLong(l, r, req)
+	if len(r.Body) > minConcurrentBody {
+		return exchangeConcurrently(l, r, req)
 	}
-	bw := writers.Get().(*bufio.Writer)
+	bw := writerPool.Get().(*bufio.Writer)
 	bw.Reset(l)
 	err := req.Write(bw)
 	if err == nil {
 		err = bw.Flush()
 	}
 	bw.Reset(nil)
-	writers.Put(bw)
-	if r.source != nil && r.source.err != nil {
-		return nil, &BodyError{r.source.err} // the upstream waits for the rest and would never answer
+	writerPool.Put(bw)
+	if r.bodyReader != nil && r.bodyReader.err != nil {
+		return nil, &BodyError{r.bodyReader.err} // the upstream waits for the rest and would never answer
 	}
 	if err != nil && l.written == 0 {
 		return nil, err
@@ -160,19 +160,19 @@
 	return resp, nil
 }
 
-// earlyBody is the length of a body, in bytes, from which on the answer is
+// minConcurrentBody is the length of a body, in bytes, from which on the answer is
 // looked for while the body is still being written. An upstream may answer
 // before it has read a long body and read on later; writing alone would then
 // wait for windows that open only after the answer was taken.
-const earlyBody = 8 << 10
+const minConcurrentBody = 8 << 10
 
-// exchangeLong writes and reads at the same time. An answer that comes before
+// exchangeConcurrently writes and reads at the same time. An answer that comes before
 // the body is out leaves its connection unfit for another request: the
 // upstream would take that request's bytes for the rest of this body.
-func exchangeLong(l *link, r *Request, req *http.Request) (*http.Response, error) {
+func exchangeConcurrently(l *link, r *Request, req *http.Request) (*http.Response, error) {
 	written := make(chan error, 1)
 	go func() {
-		bw := bufio.NewWriterSize(l, earlyBody)
+		bw := bufio.NewWriterSize(l, minConcurrentBody)
 		err := req.Write(bw)
 		if err == nil {
 			err = bw.Flush()
@@ -193,7 +193,7 @@
 	return resp, nil
 }
 
-var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, readBuffer) }}
+var writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, readBufferSize) }}
 
 func (r *Request) httpRequest() *http.Request {
 	if _, ok := r.Header["User-Agent"]; !ok {
@@ -205,20 +205,20 @@
 		req.Host = r.Host
 	}
 	if r.Target != "" {
-		req.URL = target(r.Target)
+		req.URL = requestURL(r.Target)
 	}
 	switch {
 	case r.Stream != nil:
-		r.source = &source{r: r.Stream}
-		req.Body, req.ContentLength = io.NopCloser(r.source), r.StreamLength
+		r.bodyReader = &bodyReader{r: r.Stream}
+		req.Body, req.ContentLength = io.NopCloser(r.bodyReader), r.StreamLength
 	case len(r.Body) > 0:
 		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(r.Body)), int64(len(r.Body))
 	}
 	return req
 }
 
-// target makes a URL that is written to the request line as it stands.
-func target(t string) *url.URL {
+// requestURL makes a URL that is written to the request line as it stands.
+func requestURL(t string) *url.URL {
 	if strings.HasPrefix(t, "//") { // an opaque one would be written with a scheme
 		path, query, found := strings.Cut(t, "?")
 		return &url.URL{Path: path, RawPath: path, RawQuery: query, ForceQuery: found}
@@ -229,7 +229,7 @@
 func (c *Client) connect(ctx context.Context, r *Request) (*link, error) {
 	p := c.pool(r.Address)
 	if !r.NewConnection {
-		if l := p.take(time.Now(), c.cfg.MaxIdleTime); l != nil {
+		if l := p.takeIdle(time.Now(), c.cfg.MaxIdleTime); l != nil {
 			l.written, l.read, l.reused = 0, 0, true
 			return l, nil
 		}
@@ -263,7 +263,7 @@
 	c.mu.RLock()
 	p := c.pools[address]
 	c.mu.RUnlock()
-	return p != nil && p.warm(time.Now(), c.cfg.MaxIdleTime)
+	return p != nil && p.hasIdle(time.Now(), c.cfg.MaxIdleTime)
 }
 
 // Forget retires the connections to an address that nothing is sent to any more.
@@ -305,7 +305,7 @@
 		_ = r.link.nc.Close()
 		return
 	}
-	r.link.pool.put(r.link, time.Now(), r.client.cfg, stated(r.Header))
+	r.link.pool.put(r.link, time.Now(), r.client.cfg, statedIdleTime(r.Header))
 }
 
 // SetReadDeadline bounds the wait for the next bytes of the body.
@@ -314,20 +314,20 @@
 // Reused says whether the exchange went over a connection that was used before.
 func (r *Response) Reused() bool { return r.link.reused }
 
-// statedShare is the part of an upstream's stated idle time that is used: the
+// statedIdleShare is the part of an upstream's stated idle time that is used: the
 // rest covers the way of a request to it and its rounding to whole seconds.
-const statedShare = 0.8
+const statedIdleShare = 0.8
 
-// stated is how long an upstream says that it keeps an idle connection, less
+// statedIdleTime is how long an upstream says that it keeps an idle connection, less
 // a margin; 0: it does not say.
-func stated(h http.Header) time.Duration {
+func statedIdleTime(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if s, err := strconv.Atoi(value); err == nil && s > 0 {
-			return time.Duration(float64(s) * statedShare * float64(time.Second))
+			return time.Duration(float64(s) * statedIdleShare * float64(time.Second))
 		}
 	}
 	return 0
--- a/node/upstream/conn/conn.go
+++ b/node/upstream/conn/conn.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// readBuffer holds a few tokens' events; larger only costs memory a stream.
-	readBuffer = 2 << 10
-	// headerLimit bounds the head of an answer, so that a broken upstream
+	// readBufferSize holds a few tokens' events; larger only costs memory a stream.
+	readBufferSize = 2 << 10
+	// maxHeadBytes bounds the head of an answer, so that a broken upstream
 	// cannot fill a small host's memory.
-	headerLimit = 64 << 10
+	maxHeadBytes = 64 << 10
 )
 
 var errHeaderTooLarge = errors.New("head of the answer is too large")
 
 // link is one connection to an upstream.
 type link struct {
-	nc        net.Conn
-	br        *bufio.Reader
-	pool      *pool
-	gen       uint64 // of the pool when it was dialled
-	written   int64  // bytes of the current exchange handed to the kernel
-	headLeft  int64  // bytes the head of the answer may still take; <0: not in the head
-	read      int64  // bytes of the current exchange that came
-	reused    bool   // the current exchange is not the first
-	idleSince time.Time
-	idleMost  time.Duration // that the upstream stated; 0: it did not
-	rested    time.Duration // idle before the current exchange
+	nc            net.Conn
+	br            *bufio.Reader
+	pool          *pool
+	gen           uint64 // of the pool when it was dialled
+	written       int64  // bytes of the current exchange handed to the kernel
+	headRemaining int64  // bytes the head of the answer may still take; <0: not in the head
+	read          int64  // bytes of the current exchange that came
+	reused        bool   // the current exchange is not the first
+	idleSince     time.Time
+	statedIdle    time.Duration // that the upstream stated; 0: it did not
+	idleBefore    time.Duration // idle before the current exchange
 }
 
 func newLink(nc net.Conn, p *pool, gen uint64) *link {
-	l := &link{nc: nc, pool: p, gen: gen, headLeft: -1}
-	l.br = bufio.NewReaderSize(l, readBuffer)
+	l := &link{nc: nc, pool: p, gen: gen, headRemaining: -1}
+	l.br = bufio.NewReaderSize(l, readBufferSize)
 	return l
 }
 
@@ -59,16 +59,16 @@
 
 // Read counts what the head of an answer takes.
 func (l *link) Read(p []byte) (int, error) {
-	if l.headLeft == 0 {
+	if l.headRemaining == 0 {
 		return 0, errHeaderTooLarge
 	}
-	if l.headLeft > 0 && int64(len(p)) > l.headLeft {
-		p = p[:l.headLeft]
+	if l.headRemaining > 0 && int64(len(p)) > l.headRemaining {
+		p = p[:l.headRemaining]
 	}
 	n, err := l.nc.Read(p)
 	l.read += int64(n)
-	if l.headLeft > 0 {
-		l.headLeft -= int64(n)
+	if l.headRemaining > 0 {
+		l.headRemaining -= int64(n)
 	}
 	return n, err
 }
@@ -83,8 +83,8 @@
 
 // readHead reads the head of the answer to req, passing over interim answers.
 func (l *link) readHead(req *http.Request) (*http.Response, error) {
-	l.headLeft = headerLimit
-	defer func() { l.headLeft = -1 }()
+	l.headRemaining = maxHeadBytes
+	defer func() { l.headRemaining = -1 }()
 	for {
 		resp, err := http.ReadResponse(l.br, req)
 		if err != nil {
--- a/node/upstream/conn/conn_test.go
+++ b/node/upstream/conn/conn_test.go
@@ -46,11 +46,11 @@
 	return p.dials, p.open
 }
 
-var errNobody = errors.New("nobody listens")
+var errNotListening = errors.New("nobody listens")
 
 func (p *pipes) DialContext(context.Context, string, string) (net.Conn, error) {
 	if p.serve == nil {
-		return nil, errNobody
+		return nil, errNotListening
 	}
 	a, b := net.Pipe()
 	p.mu.Lock()
--- a/node/upstream/conn/dialer.go
+++ b/node/upstream/conn/dialer.go
@@ -11,9 +11,9 @@
 	keepAliveIdle     = 2 * time.Second // before the first probe
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
-	// unacknowledged is how long sent bytes may wait for an acknowledgement.
+	// unackedTimeout is how long sent bytes may wait for an acknowledgement.
 	// Without it a machine that lost its power holds a request for minutes.
-	unacknowledged = 3 * time.Second
+	unackedTimeout = 3 * time.Second
 )
 
 // tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
@@ -27,7 +27,7 @@
 		Control: func(_, _ string, c syscall.RawConn) error {
 			var err error
 			if cerr := c.Control(func(fd uintptr) {
-				err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unacknowledged.Milliseconds()))
+				err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
 			}); cerr != nil {
 				return cerr
 			}
--- a/node/upstream/conn/refuses_test.go
+++ b/node/upstream/conn/listening_test.go
@@ -17,7 +17,7 @@
 	assert.Assert(t, !c.NotListening(t.Context(), ln.Addr().String()))
 	assert.NilError(t, ln.Close())
 	assert.Assert(t, c.NotListening(t.Context(), ln.Addr().String()))
-	over, cancel := context.WithCancel(t.Context())
+	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.Assert(t, !c.NotListening(over, ln.Addr().String()), "an unanswered question says nothing")
+	assert.Assert(t, !c.NotListening(ended, ln.Addr().String()), "an unanswered question says nothing")
 }
--- a/node/upstream/conn/pool.go
+++ b/node/upstream/conn/pool.go
@@ -9,23 +9,23 @@
 
 // pool keeps the idle connections to one address.
 type pool struct {
-	address  string
-	mu       sync.Mutex
-	idle     []*link       // newest last
-	gen      uint64        // connections of an older generation are not reused
-	sweeping bool          // a sweep is due
-	learned  time.Duration // idle time past which this upstream was seen to drop connections; 0: not seen
+	address         string
+	mu              sync.Mutex
+	idle            []*link       // newest last
+	gen             uint64        // connections of an older generation are not reused
+	expiryScheduled bool          // a sweep is due
+	observedBound   time.Duration // idle time past which this upstream was seen to drop connections; 0: not seen
 }
 
-// take returns the newest idle connection that is young enough, or nil.
-func (p *pool) take(now time.Time, idleMost time.Duration) *link {
+// takeIdle returns the newest idle connection that is young enough, or nil.
+func (p *pool) takeIdle(now time.Time, maxIdle time.Duration) *link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.idle) > 0 {
 		l := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		l.rested = now.Sub(l.idleSince)
-		if l.rested <= p.bound(l, idleMost) && quiet(l.nc) {
+		l.idleBefore = now.Sub(l.idleSince)
+		if l.idleBefore <= p.idleBound(l, maxIdle) && isClean(l.nc) {
 			return l
 		}
 		_ = l.nc.Close()
@@ -33,34 +33,34 @@
 	return nil
 }
 
-// bound is how long l may have been idle to be used again.
-func (p *pool) bound(l *link, idleMost time.Duration) time.Duration {
-	if l.idleMost > 0 {
-		idleMost = l.idleMost
+// idleBound is how long l may have been idle to be used again.
+func (p *pool) idleBound(l *link, maxIdle time.Duration) time.Duration {
+	if l.statedIdle > 0 {
+		maxIdle = l.statedIdle
 	}
-	if p.learned > 0 {
-		idleMost = min(idleMost, p.learned)
+	if p.observedBound > 0 {
+		maxIdle = min(maxIdle, p.observedBound)
 	}
-	return idleMost
+	return maxIdle
 }
 
-// learnedShare is the part of the idle time at which a connection was found
+// droppedIdleShare is the part of the idle time at which a connection was found
 // dropped that others to the same upstream may still rest.
-const learnedShare = 0.5
+const droppedIdleShare = 0.5
 
-// shortestRest keeps connections usable between requests that follow closely.
-const shortestRest = 50 * time.Millisecond
+// minIdleBound keeps connections usable between requests that follow closely.
+const minIdleBound = 50 * time.Millisecond
 
-// shorten learns that the upstream had dropped a connection which rested for
+// recordDropped learns that the upstream had dropped a connection which rested for
 // that long. A request that went out on it may have run, so it cannot be sent
 // again; shorter rests keep the next ones from the same fate.
-func (p *pool) shorten(rested, idleMost time.Duration) {
+func (p *pool) recordDropped(idle, maxIdle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.learned == 0 {
-		p.learned = idleMost
+	if p.observedBound == 0 {
+		p.observedBound = maxIdle
 	}
-	p.learned = max(min(p.learned, time.Duration(float64(rested)*learnedShare)), shortestRest)
+	p.observedBound = max(min(p.observedBound, time.Duration(float64(idle)*droppedIdleShare)), minIdleBound)
 }
 
 // put keeps a connection whose exchange ended cleanly.
@@ -71,26 +71,26 @@
 		_ = l.nc.Close()
 		return
 	}
-	l.idleSince, l.idleMost = now, stated
+	l.idleSince, l.statedIdle = now, stated
 	p.idle = append(p.idle, l)
-	p.sweepLocked(cfg.MaxIdleTime)
+	p.scheduleExpiryLocked(cfg.MaxIdleTime)
 }
 
-// sweepLocked closes the connections that are idle for too long, when it is
+// scheduleExpiryLocked closes the connections that are idle for too long, when it is
 // time. The newest is reused first, so that after a burst the older ones would
 // never be looked at again; one would see them pile up half closed.
-func (p *pool) sweepLocked(idleMost time.Duration) {
-	if p.sweeping || len(p.idle) == 0 {
+func (p *pool) scheduleExpiryLocked(maxIdle time.Duration) {
+	if p.expiryScheduled || len(p.idle) == 0 {
 		return
 	}
-	p.sweeping = true
-	time.AfterFunc(idleMost, func() {
+	p.expiryScheduled = true
+	time.AfterFunc(maxIdle, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.sweeping = false
+		p.expiryScheduled = false
 		now, kept := time.Now(), p.idle[:0]
 		for _, l := range p.idle {
-			if now.Sub(l.idleSince) >= p.bound(l, idleMost) {
+			if now.Sub(l.idleSince) >= p.idleBound(l, maxIdle) {
 				_ = l.nc.Close()
 				continue
 			}
@@ -98,16 +98,16 @@
 		}
 		clear(p.idle[len(kept):])
 		p.idle = kept
-		p.sweepLocked(idleMost)
+		p.scheduleExpiryLocked(maxIdle)
 	})
 }
 
-// warm says whether a connection is there that could be used again.
-func (p *pool) warm(now time.Time, idleMost time.Duration) bool {
+// hasIdle says whether a connection is there that could be used again.
+func (p *pool) hasIdle(now time.Time, maxIdle time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.idle)
-	return n > 0 && now.Sub(p.idle[n-1].idleSince) < p.bound(p.idle[n-1], idleMost)
+	return n > 0 && now.Sub(p.idle[n-1].idleSince) < p.idleBound(p.idle[n-1], maxIdle)
 }
 
 // retire closes the idle connections and keeps those in use from coming back.
--- a/node/upstream/conn/reuse_test.go
+++ b/node/upstream/conn/reuse_test.go
@@ -18,8 +18,8 @@
 	"peridotpier.example/node/upstream/conn"
 )
 
-// raw serves each connection with its own function on a loopback port.
-func raw(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) string {
+// serveRaw serves each connection with its own function on a loopback port.
+func serveRaw(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -40,7 +40,7 @@
 	return ln.Addr().String()
 }
 
-func ask(t *testing.T, c *conn.Client, address string, body int) string {
+func roundTrip(t *testing.T, c *conn.Client, address string, body int) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
@@ -58,7 +58,7 @@
 func TestAnExtraAnswerIsNeverRead(t *testing.T) {
 	for name, pause := range map[string]time.Duration{"at once": 0, "late": 30 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
-			address := raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+			address := serveRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 				for {
 					if _, err := http.ReadRequest(r); err != nil {
 						return
@@ -70,7 +70,7 @@
 			})
 			c := conn.New(conn.Config{})
 			for range 4 {
-				assert.Equal(t, ask(t, c, address, 0), "ok")
+				assert.Equal(t, roundTrip(t, c, address, 0), "ok")
 				time.Sleep(60 * time.Millisecond)
 			}
 		})
@@ -81,14 +81,14 @@
 // Sequence: an upstream closes an idle connection; the next request goes out on it.
 // Cause: nobody looks whether the connection has ended.
 func TestAClosedIdleConnectionIsNotUsed(t *testing.T) {
-	address := raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	address := serveRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			_, _ = io.WriteString(c, ok)
 		}
 	})
 	c := conn.New(conn.Config{})
 	for range 5 {
-		assert.Equal(t, ask(t, c, address, 0), "ok")
+		assert.Equal(t, roundTrip(t, c, address, 0), "ok")
 		time.Sleep(20 * time.Millisecond)
 	}
 }
@@ -98,7 +98,7 @@
 // Cause: the stated time is not heeded.
 func TestTheStatedIdleTimeIsHeeded(t *testing.T) {
 	var conns atomic.Int32
-	address := raw(t, func(n int, c net.Conn, r *bufio.Reader) {
+	address := serveRaw(t, func(n int, c net.Conn, r *bufio.Reader) {
 		conns.Store(int32(n))
 		for {
 			if _, err := http.ReadRequest(r); err != nil {
@@ -108,12 +108,12 @@
 		}
 	})
 	c := conn.New(conn.Config{})
-	ask(t, c, address, 0)
+	roundTrip(t, c, address, 0)
 	time.Sleep(300 * time.Millisecond)
-	ask(t, c, address, 0)
+	roundTrip(t, c, address, 0)
 	assert.Equal(t, conns.Load(), int32(1))
 	time.Sleep(800 * time.Millisecond)
-	ask(t, c, address, 0)
+	roundTrip(t, c, address, 0)
 	assert.Equal(t, conns.Load(), int32(2))
 }
 
@@ -123,7 +123,7 @@
 func TestAnEarlyAnswerLeavesItsConnectionUnused(t *testing.T) {
 	const long = 4 << 20
 	var conns atomic.Int32
-	address := raw(t, func(n int, c net.Conn, r *bufio.Reader) {
+	address := serveRaw(t, func(n int, c net.Conn, r *bufio.Reader) {
 		conns.Store(int32(n))
 		req, err := http.ReadRequest(r)
 		if err != nil {
@@ -136,8 +136,8 @@
 		assert.Check(t, err != nil || strings.Count(string(got), "\x00") == long, "the rest of the body is the body's")
 	})
 	c := conn.New(conn.Config{})
-	assert.Equal(t, ask(t, c, address, long), "ok")
-	assert.Equal(t, ask(t, c, address, long), "ok")
+	assert.Equal(t, roundTrip(t, c, address, long), "ok")
+	assert.Equal(t, roundTrip(t, c, address, long), "ok")
 	assert.Equal(t, conns.Load(), int32(2))
 }
 
@@ -146,23 +146,23 @@
 // Sequence: a request's time ends just before it is sent on a pooled connection.
 // Cause: that its time is over is noticed while the request is being written.
 func TestNothingIsSentAfterItsTime(t *testing.T) {
-	var came atomic.Int32
-	address := raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	var received atomic.Int32
+	address := serveRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			if _, err := http.ReadRequest(r); err != nil {
 				return
 			}
-			came.Add(1)
+			received.Add(1)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 	})
 	c := conn.New(conn.Config{Dialer: conn.NewDialer()})
-	over, end := context.WithCancel(t.Context())
-	end()
+	ended, cancel := context.WithCancel(t.Context())
+	cancel()
 	for range 200 { // whether its write or the end comes first is chance
-		assert.Equal(t, ask(t, c, address, 0), "ok")
-		_, err := c.Do(over, &conn.Request{Address: address, Method: "POST", Target: "/", Header: http.Header{}})
+		assert.Equal(t, roundTrip(t, c, address, 0), "ok")
+		_, err := c.Do(ended, &conn.Request{Address: address, Method: "POST", Target: "/", Header: http.Header{}})
 		assert.Equal(t, fault.From(fault.StepDispatch, err).Outcome, outcome.NotRun)
 	}
-	assert.Equal(t, came.Load(), int32(200))
+	assert.Equal(t, received.Load(), int32(200))
 }
--- a/node/upstream/orders/orders.go
+++ b/node/upstream/orders/orders.go
@@ -12,7 +12,7 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-const answerBytes = 64 << 10 // bound of the answer to an order
+const maxAnswerBytes = 64 << 10 // bound of the answer to an order
 
 // Sender sends orders. Address finds an upstream's present address.
 type Sender struct {
@@ -42,7 +42,7 @@
 	if err != nil {
 		return a, err
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, answerBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		resp.Abort()
 		return a, fault.Unknown(fault.StepOrder, upstream, fault.CodeUpstreamFailed, "read the answer: %w", err)
--- a/node/upstream/poll/poll.go
+++ b/node/upstream/poll/poll.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	// askTimeout bounds one question; a slower report would be stale anyway.
-	askTimeout = 2 * time.Second
-	// reportBytes bounds a report; one with 500 residents takes some 60 KB.
-	reportBytes = 1 << 20
+	// requestTimeout bounds one question; a slower report would be stale anyway.
+	requestTimeout = 2 * time.Second
+	// maxReportBytes bounds a report; one with 500 residents takes some 60 KB.
+	maxReportBytes = 1 << 20
 	// jitter spreads the questions of many hosts over the interval.
 	jitter = 0.2
-	// keepMost is the pace above which no connection is kept.
-	keepMost = 2 * time.Second
-	// askAtOnce bounds the questions under way when a host starts.
-	askAtOnce = 32
+	// maxPooledInterval is the pace above which no connection is kept.
+	maxPooledInterval = 2 * time.Second
+	// maxConcurrentStartup bounds the questions under way when a host starts.
+	maxConcurrentStartup = 32
 )
 
 // Sink takes what upstreams tell; node/upstream/view implements it.
@@ -59,39 +59,39 @@
 	OnReport func(r engineapi.Report, at time.Time)
 
 	mu      sync.Mutex
-	asked   map[string]*target // by upstream
-	started context.Context
+	targets map[string]*target // by upstream
+	runCtx  context.Context
 	wg      sync.WaitGroup
 }
 
 type target struct {
-	mu        sync.Mutex // guards ask, which Assign may change
-	ask       Target
-	cancel    context.CancelFunc
-	process   string // incarnation that the last report came from
-	after     uint64 // last cache event seen of that process
-	residents []engineapi.Resident
-	digest    string // of residents
-	failing   bool
+	mu          sync.Mutex // guards ask, which Assign may change
+	assigned    Target
+	cancel      context.CancelFunc
+	incarnation string // incarnation that the last report came from
+	lastEvent   uint64 // last cache event seen of that process
+	residents   []engineapi.Resident
+	digest      string // of residents
+	failing     bool
 }
 
 func (t *target) current() Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.ask
+	return t.assigned
 }
 
 // New makes a Poller. The connections of client are used for questions that
 // follow each other closely; sparse must not keep connections for long.
 func New(client, sparse *conn.Client, sink Sink, log *event.Log) *Poller {
-	return &Poller{client: client, sparse: sparse, sink: sink, log: log, asked: map[string]*target{}}
+	return &Poller{client: client, sparse: sparse, sink: sink, log: log, targets: map[string]*target{}}
 }
 
 // clientFor chooses the connections for a pace. A fleet's hosts each ask some
 // twenty upstreams every few seconds: connections kept between would cost every
 // upstream and host more than they save.
 func (p *Poller) clientFor(every time.Duration) *conn.Client {
-	if every > keepMost {
+	if every > maxPooledInterval {
 		return p.sparse
 	}
 	return p.client
@@ -100,8 +100,8 @@
 // Run asks until ctx ends, and waits for what it started.
 func (p *Poller) Run(ctx context.Context) error {
 	p.mu.Lock()
-	p.started = ctx
-	for _, t := range p.asked {
+	p.runCtx = ctx
+	for _, t := range p.targets {
 		p.start(t)
 	}
 	p.mu.Unlock()
@@ -116,41 +116,41 @@
 	defer p.mu.Unlock()
 	next := make(map[string]*target, len(targets))
 	for _, u := range targets {
-		old := p.asked[u.Name]
+		old := p.targets[u.Name]
 		if old != nil && old.current().Address == u.Address {
 			old.mu.Lock()
-			old.ask = u
+			old.assigned = u
 			old.mu.Unlock()
 			next[u.Name] = old
-			delete(p.asked, u.Name)
+			delete(p.targets, u.Name)
 			continue
 		}
-		t := &target{ask: u}
+		t := &target{assigned: u}
 		next[u.Name] = t
-		if p.started != nil {
+		if p.runCtx != nil {
 			p.start(t)
 		}
 	}
-	for _, t := range p.asked {
+	for _, t := range p.targets {
 		if t.cancel != nil {
 			t.cancel()
 		}
 	}
-	p.asked = next
+	p.targets = next
 }
 
 // start needs p.mu.
 func (p *Poller) start(t *target) {
-	if p.started.Err() != nil {
+	if p.runCtx.Err() != nil {
 		return
 	}
-	ctx, cancel := context.WithCancel(p.started)
+	ctx, cancel := context.WithCancel(p.runCtx)
 	t.cancel = cancel
-	p.wg.Go(func() { p.follow(ctx, t) })
+	p.wg.Go(func() { p.pollLoop(ctx, t) })
 }
 
-// follow asks one upstream at a jittered pace.
-func (p *Poller) follow(ctx context.Context, t *target) {
+// pollLoop asks one upstream at a jittered pace.
+func (p *Poller) pollLoop(ctx context.Context, t *target) {
 	// The first question comes at a random moment of the interval: hosts that
 	// start together must not go on asking together.
 	timer := time.NewTimer(time.Duration(rand.Float64() * float64(t.current().Interval)))
@@ -161,31 +161,31 @@
 			return
 		case <-timer.C:
 		}
-		now := t.current()
-		p.ask(ctx, t, now)
+		assigned := t.current()
+		p.pollReport(ctx, t, assigned)
 		spread := 1 - jitter/2 + jitter*rand.Float64()
-		timer.Reset(time.Duration(float64(now.Interval) * spread))
+		timer.Reset(time.Duration(float64(assigned.Interval) * spread))
 	}
 }
 
-func (p *Poller) ask(ctx context.Context, t *target, u Target) {
+func (p *Poller) pollReport(ctx context.Context, t *target, u Target) {
 	var r engineapi.Report
 	query := ""
 	if t.digest != "" {
 		query = engineapi.ParamResidents + "=" + t.digest
 	}
 	if err := p.get(ctx, u, engineapi.PathReport, query, &r); err != nil {
-		p.failed(ctx, t, u, err)
+		p.recordFailure(ctx, t, u, err)
 		return
 	}
 	if r.Upstream != u.Name {
 		// Another upstream has taken over the address; its word is not this one's.
-		p.failed(ctx, t, u, fault.Unknown(fault.StepDispatch, u.Address, fault.CodeUpstreamFailed, "report is of %q", r.Upstream))
+		p.recordFailure(ctx, t, u, fault.Unknown(fault.StepDispatch, u.Address, fault.CodeUpstreamFailed, "report is of %q", r.Upstream))
 		return
 	}
 	t.failing = false
-	if t.process != r.Incarnation {
-		t.process, t.after = r.Incarnation, 0
+	if t.incarnation != r.Incarnation {
+		t.incarnation, t.lastEvent = r.Incarnation, 0
 	}
 	if r.Residents == nil && r.Digest != "" && r.Digest == t.digest {
 		r.Residents = t.residents
@@ -196,13 +196,13 @@
 		p.OnReport(r, at)
 	}
 	if u.CacheEvents {
-		p.events(ctx, t, u)
+		p.pollEvents(ctx, t, u)
 	}
 }
 
-// failed logs the first failure of a row, and takes a refused connection as a
+// recordFailure logs the first failure of a row, and takes a refused connection as a
 // sign that the upstream is down.
-func (p *Poller) failed(ctx context.Context, t *target, u Target, err error) {
+func (p *Poller) recordFailure(ctx context.Context, t *target, u Target, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -215,31 +215,31 @@
 	}
 }
 
-// events takes cache events as hints; a failure is not worth a word.
-func (p *Poller) events(ctx context.Context, t *target, u Target) {
+// pollEvents takes cache events as hints; a failure is not worth a word.
+func (p *Poller) pollEvents(ctx context.Context, t *target, u Target) {
 	var list []engineapi.CacheEvent
-	if p.get(ctx, u, engineapi.PathEvents, "after="+strconv.FormatUint(t.after, 10), &list) != nil {
+	if p.get(ctx, u, engineapi.PathEvents, "after="+strconv.FormatUint(t.lastEvent, 10), &list) != nil {
 		return
 	}
 	for _, e := range list {
-		t.after = max(t.after, e.Sequence)
+		t.lastEvent = max(t.lastEvent, e.Sequence)
 		p.sink.ObserveCacheEvent(u.Name, e)
 	}
 }
 
 func (p *Poller) get(ctx context.Context, u Target, path, query string, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	resp, err := p.clientFor(u.Interval).Do(ctx, &conn.Request{Address: u.Address, Method: http.MethodGet, Path: path, Query: query, Header: http.Header{}})
 	if err != nil {
 		return err
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, reportBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
 	if err != nil {
 		resp.Abort()
 		return err
 	}
-	if len(data) == reportBytes {
+	if len(data) == maxReportBytes {
 		resp.Abort()
 	} else {
 		resp.Finish()
@@ -254,15 +254,15 @@
 // started does not refuse what it could serve.
 func (p *Poller) PollAll(ctx context.Context) {
 	p.mu.Lock()
-	targets := make([]Target, 0, len(p.asked))
-	for _, t := range p.asked {
+	targets := make([]Target, 0, len(p.targets))
+	for _, t := range p.targets {
 		targets = append(targets, t.current())
 	}
 	p.mu.Unlock()
 	var g errgroup.Group
-	g.SetLimit(askAtOnce)
+	g.SetLimit(maxConcurrentStartup)
 	for _, u := range targets {
-		g.Go(func() error { p.ask(ctx, &target{ask: u}, u); return nil })
+		g.Go(func() error { p.pollReport(ctx, &target{assigned: u}, u); return nil })
 	}
 	_ = g.Wait() // ask keeps its failures to itself
 }
--- a/node/upstream/view/load.go
+++ b/node/upstream/view/load.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// recentMost bounds the dispatches remembered for one upstream; the oldest
+// maxRecentDeltas bounds the dispatches remembered for one upstream; the oldest
 // are forgotten first. It covers 200 requests a second over a lag of 5 s.
-const recentMost = 2048
+const maxRecentDeltas = 2048
 
 // delta is one own dispatch (+1) or completion (-1).
 type delta struct {
@@ -21,8 +21,8 @@
 type deltas []delta
 
 func (d *deltas) add(at time.Time, by int8) {
-	if len(*d) >= recentMost {
-		*d = append((*d)[:0], (*d)[recentMost/2:]...)
+	if len(*d) >= maxRecentDeltas {
+		*d = append((*d)[:0], (*d)[maxRecentDeltas/2:]...)
 	}
 	*d = append(*d, delta{at, by})
 }
--- a/node/upstream/view/pace.go
+++ b/node/upstream/view/pace.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// stepFor is how long an observed pace holds: an engine's batch, and its
+	// stepTimeValidity is how long an observed pace holds: an engine's batch, and its
 	// pace with it, changes within seconds.
-	stepFor = 2 * time.Second
+	stepTimeValidity = 2 * time.Second
 	// stepWeight is the part that one sample has in the mean pace; with a
 	// sample from each stream every few steps, it follows within a second.
 	stepWeight = 0.2
@@ -16,13 +16,13 @@
 
 // ObserveStepTime takes the time of one decoding step that a stream showed.
 func (v *View) ObserveStepTime(upstream string, step time.Duration) {
-	s := v.of(upstream)
+	s := v.lockState(upstream)
 	if s == nil {
 		return
 	}
 	defer s.mu.Unlock()
 	now, ms := v.now(), float64(step)/float64(time.Millisecond)
-	if now.Sub(s.stepAt) >= stepFor {
+	if now.Sub(s.stepAt) >= stepTimeValidity {
 		s.stepMs = ms
 	}
 	s.stepMs += stepWeight * (ms - s.stepMs)
@@ -33,7 +33,7 @@
 // ObserveFirstToken takes the time from an attempt's dispatch to its first token, of one
 // that found a free place in the batch.
 func (v *View) ObserveFirstToken(upstream string, first time.Duration) {
-	s := v.of(upstream)
+	s := v.lockState(upstream)
 	if s == nil {
 		return
 	}
@@ -47,13 +47,13 @@
 
 // ObserveAnswerLength takes the length of an answer that the upstream gave.
 func (v *View) ObserveAnswerLength(upstream string, tokens int) {
-	s := v.of(upstream)
+	s := v.lockState(upstream)
 	if s == nil {
 		return
 	}
 	defer s.mu.Unlock()
-	if s.holdTokens == 0 {
-		s.holdTokens = float64(tokens)
+	if s.meanAnswerTokens == 0 {
+		s.meanAnswerTokens = float64(tokens)
 	}
-	s.holdTokens += prefillWeight * (float64(tokens) - s.holdTokens)
+	s.meanAnswerTokens += prefillWeight * (float64(tokens) - s.meanAnswerTokens)
 }
--- a/node/upstream/view/reports.go
+++ b/node/upstream/view/reports.go
@@ -7,13 +7,13 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// lostAfter is how long an upstream must not have been heard of before it
+// disconnectedAfter is how long an upstream must not have been heard of before it
 // counts as lost: several reports, so that one lost does not move models.
-const lostAfter = 10 * time.Second
+const disconnectedAfter = 10 * time.Second
 
-// ownFor is how long a report that this host read itself goes before what
+// ownReportPrecedence is how long a report that this host read itself goes before what
 // peers say of the same process.
-const ownFor = 5 * time.Second
+const ownReportPrecedence = 5 * time.Second
 
 // ReceivedReport is the newest report of an upstream that this host read itself.
 type ReceivedReport struct {
@@ -28,11 +28,11 @@
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	var out []ReceivedReport
-	for _, name := range v.order {
-		s := v.state[name]
+	for _, name := range v.names {
+		s := v.states[name]
 		s.mu.Lock()
-		if s.cfg.Pool == pool && !s.readAt.IsZero() {
-			out = append(out, ReceivedReport{Report: s.report, Read: s.readAt, Disconnected: now.Sub(s.heardAt) > lostAfter})
+		if s.cfg.Pool == pool && !s.lastReported.IsZero() {
+			out = append(out, ReceivedReport{Report: s.report, Read: s.lastReported, Disconnected: now.Sub(s.lastSeen) > disconnectedAfter})
 		}
 		s.mu.Unlock()
 	}
@@ -41,29 +41,29 @@
 
 // ApplyPeerReport takes what peers say of an upstream's newest process.
 func (v *View) ApplyPeerReport(upstream, incarnation string, leaving bool, ready map[route.ModelKey]bool) {
-	s := v.of(upstream)
+	s := v.lockState(upstream)
 	if s == nil {
 		return
 	}
 	defer s.mu.Unlock()
 	if leaving {
-		s.leaving[incarnation] = true
+		s.draining[incarnation] = true
 	}
-	own := s.report.Incarnation == incarnation && v.now().Sub(s.readAt) < ownFor
+	own := s.report.Incarnation == incarnation && v.now().Sub(s.lastReported) < ownReportPrecedence
 	if !own {
 		if s.report.Incarnation != incarnation {
-			s.restarted(engineapi.Report{Upstream: upstream, Incarnation: incarnation})
+			s.resetForIncarnation(engineapi.Report{Upstream: upstream, Incarnation: incarnation})
 		}
 		s.ready = ready
 	}
-	v.changed()
+	v.markTopologyChanged()
 }
 
 // MarkRestarted takes an upstream's own word, on an attempt meant for its process
 // from, that the process to runs there now. It counts only while from is the
 // process known: a refusal that arrives late must not bring an older one back.
 func (v *View) MarkRestarted(upstream, from, to string) {
-	s := v.of(upstream)
+	s := v.lockState(upstream)
 	if s == nil {
 		return
 	}
@@ -71,17 +71,17 @@
 	if to == "" || s.report.Incarnation != from {
 		return
 	}
-	s.restarted(engineapi.Report{Upstream: upstream, Incarnation: to})
+	s.resetForIncarnation(engineapi.Report{Upstream: upstream, Incarnation: to})
 	s.ready = map[route.ModelKey]bool{} // its memory is empty until it reports
-	v.changed()
+	v.markTopologyChanged()
 }
 
-// restarted forgets what held for a former process.
-func (s *state) restarted(r engineapi.Report) {
+// resetForIncarnation forgets what held for a former process.
+func (s *upstreamState) resetForIncarnation(r engineapi.Report) {
 	s.report = r
-	s.offsetSet, s.loadAt, s.readAt = false, time.Time{}, time.Time{}
+	s.offsetSet, s.loadAt, s.lastReported = false, time.Time{}, time.Time{}
 	s.running, s.waiting = 0, 0
 	s.prefixes = map[uint64]bool{}
-	s.inFlight, s.recent = 0, s.recent[:0]
+	s.inFlight, s.sinceLoad = 0, s.sinceLoad[:0]
 	s.stepMs, s.stepAt, s.prefillMs = 0, time.Time{}, 0
 }
--- a/node/upstream/view/snapshot.go
+++ b/node/upstream/view/snapshot.go
@@ -14,19 +14,19 @@
 	if old != nil && !v.dirty.Load() {
 		return old
 	}
-	if !v.rebuild.TryLock() {
+	if !v.rebuildMu.TryLock() {
 		if old != nil {
 			return old
 		}
-		v.rebuild.Lock()
+		v.rebuildMu.Lock()
 	}
-	defer v.rebuild.Unlock()
+	defer v.rebuildMu.Unlock()
 	now := v.now()
-	if old != nil && !v.topo.Load() && now.Sub(old.Taken) < time.Duration(len(old.Endpoints))*rebuildEach {
+	if old != nil && !v.topologyChanged.Load() && now.Sub(old.Taken) < time.Duration(len(old.Endpoints))*rebuildIntervalPerEndpoint {
 		return old
 	}
 	v.dirty.Store(false)
-	s := v.build(now, old, v.topo.Swap(false))
+	s := v.build(now, old, v.topologyChanged.Swap(false))
 	v.snap.Store(s)
 	return s
 }
@@ -36,13 +36,13 @@
 func (v *View) build(now time.Time, old *route.Snapshot, topo bool) *route.Snapshot {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	s := &route.Snapshot{Taken: now, Endpoints: make([]route.Endpoint, len(v.order))}
-	for i, name := range v.order {
-		st := v.state[name]
+	s := &route.Snapshot{Taken: now, Endpoints: make([]route.Endpoint, len(v.names))}
+	for i, name := range v.names {
+		st := v.states[name]
 		st.mu.Lock()
 		st.fill(&s.Endpoints[i], now)
 		st.mu.Unlock()
-		s.Endpoints[i].DistanceMs = v.dist(v.host, s.Endpoints[i].DataCentre)
+		s.Endpoints[i].DistanceMs = v.distance(v.dataCentre, s.Endpoints[i].DataCentre)
 	}
 	if !topo && old != nil && len(old.Endpoints) == len(s.Endpoints) {
 		s.ByModel, s.ByPool = old.ByModel, old.ByPool
@@ -59,16 +59,16 @@
 	return s
 }
 
-func (s *state) fill(e *route.Endpoint, now time.Time) {
+func (s *upstreamState) fill(e *route.Endpoint, now time.Time) {
 	*e = route.Endpoint{
 		Upstream: s.cfg.Name, Address: s.cfg.Address, Pool: s.cfg.Pool, DataCentre: s.cfg.DataCentre,
-		Incarnation: s.report.Incarnation, Draining: s.leaving[s.report.Incarnation], Down: now.Before(s.downUntil),
+		Incarnation: s.report.Incarnation, Draining: s.draining[s.report.Incarnation], Down: now.Before(s.downUntil),
 		MaxBatch: s.cfg.MaxBatch, Accelerators: s.cfg.Accelerators, Ready: s.ready,
-		Running: s.running, Waiting: s.waiting, PeerDispatchedSinceReport: s.peersSince,
-		InFlight: s.inFlight, PrefillMs: s.prefillMs, MeanAnswerTokens: s.holdTokens, Prefixes: s.prefixes,
+		Running: s.running, Waiting: s.waiting, PeerDispatchedSinceReport: s.peerDispatched,
+		InFlight: s.inFlight, PrefillMs: s.prefillMs, MeanAnswerTokens: s.meanAnswerTokens, Prefixes: s.prefixes,
 	}
-	e.DispatchedSinceReport, e.CompletedSinceReport = s.recent.count()
-	if now.Sub(s.stepAt) < stepFor {
+	e.DispatchedSinceReport, e.CompletedSinceReport = s.sinceLoad.count()
+	if now.Sub(s.stepAt) < stepTimeValidity {
 		e.RecentStepMs = s.stepMs
 	}
 	if !s.loadAt.IsZero() {
--- a/node/upstream/view/view.go
+++ b/node/upstream/view/view.go
@@ -14,56 +14,56 @@
 )
 
 const (
-	// downFor is how long an upstream that could not be reached gets no new
+	// downDuration is how long an upstream that could not be reached gets no new
 	// work unless a report or an answer shows it alive sooner.
-	downFor = 2 * time.Second
-	// rebuildEach bounds the cost of snapshots: one is rebuilt at most once in
+	downDuration = 2 * time.Second
+	// rebuildIntervalPerEndpoint bounds the cost of snapshots: one is rebuilt at most once in
 	// this time for each endpoint in it (350 endpoints: every 1.75 ms).
-	rebuildEach = 5 * time.Microsecond
-	// prefixesMost bounds the prefix hints kept for one upstream.
-	prefixesMost = 4096
+	rebuildIntervalPerEndpoint = 5 * time.Microsecond
+	// maxPrefixes bounds the prefix hints kept for one upstream.
+	maxPrefixes = 4096
 )
 
 // View holds the upstreams' states, each under its own lock.
 type View struct {
-	host  string // this host's data centre
-	now   func() time.Time
-	mu    sync.RWMutex // guards the map, not the states; taken before a state's lock
-	state map[string]*state
-	order []string
-	dist  func(from, to string) float64
+	dataCentre string // this host's data centre
+	now        func() time.Time
+	mu         sync.RWMutex // guards the map, not the states; taken before a state's lock
+	states     map[string]*upstreamState
+	names      []string
+	distance   func(from, to string) float64
 
-	dirty   atomic.Bool
-	topo    atomic.Bool // residents, states or the set of upstreams changed
-	snap    atomic.Pointer[route.Snapshot]
-	rebuild sync.Mutex
+	dirty           atomic.Bool
+	topologyChanged atomic.Bool // residents, states or the set of upstreams changed
+	snap            atomic.Pointer[route.Snapshot]
+	rebuildMu       sync.Mutex
 }
 
-// state is one upstream.
-type state struct {
-	mu         sync.Mutex
-	cfg        config.Upstream
-	service    bool
-	report     engineapi.Report
-	takenAt    time.Time // this host's time at which the report was taken, as estimated
-	offset     time.Duration
-	offsetSet  bool
-	running    int
-	waiting    int
-	loadAt     time.Time
-	leaving    map[string]bool // incarnations that are leaving: never undone
-	downUntil  time.Time
-	readAt     time.Time // when this host read a report itself
-	heardAt    time.Time // when it last had a word from the upstream
-	inFlight   int
-	recent     deltas // own dispatches and completions since loadAt
-	peersSince int
-	ready      map[route.ModelKey]bool
-	prefixes   map[uint64]bool
-	stepMs     float64   // time of one decoding step, as streams showed it
-	stepAt     time.Time // when it was last seen
-	holdTokens float64   // mean length of its answers
-	prefillMs  float64   // time to the first token where no queue was expected
+// upstreamState is one upstream.
+type upstreamState struct {
+	mu               sync.Mutex
+	cfg              config.Upstream
+	isService        bool
+	report           engineapi.Report
+	takenAt          time.Time // this host's time at which the report was taken, as estimated
+	offset           time.Duration
+	offsetSet        bool
+	running          int
+	waiting          int
+	loadAt           time.Time
+	draining         map[string]bool // incarnations that are leaving: never undone
+	downUntil        time.Time
+	lastReported     time.Time // when this host read a report itself
+	lastSeen         time.Time // when it last had a word from the upstream
+	inFlight         int
+	sinceLoad        deltas // own dispatches and completions since loadAt
+	peerDispatched   int
+	ready            map[route.ModelKey]bool
+	prefixes         map[uint64]bool
+	stepMs           float64   // time of one decoding step, as streams showed it
+	stepAt           time.Time // when it was last seen
+	meanAnswerTokens float64   // mean length of its answers
+	prefillMs        float64   // time to the first token where no queue was expected
 }
 
 // New makes an empty view for a host in the given data centre; distance gives
@@ -72,8 +72,8 @@
 	if distance == nil {
 		distance = func(string, string) float64 { return 0 }
 	}
-	v := &View{host: dataCentre, now: now, state: map[string]*state{}, dist: distance}
-	v.changed()
+	v := &View{dataCentre: dataCentre, now: now, states: map[string]*upstreamState{}, distance: distance}
+	v.markTopologyChanged()
 	return v
 }
 
@@ -86,32 +86,32 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	next := make(map[string]*state, len(x.Upstreams))
-	v.order = v.order[:0:0]
+	next := make(map[string]*upstreamState, len(x.Upstreams))
+	v.names = v.names[:0:0]
 	for _, u := range x.Upstreams {
-		s := v.state[u.Name]
+		s := v.states[u.Name]
 		if s == nil || s.cfg.Address != u.Address {
-			s = &state{leaving: map[string]bool{}, prefixes: map[uint64]bool{}}
+			s = &upstreamState{draining: map[string]bool{}, prefixes: map[uint64]bool{}}
 		}
 		s.mu.Lock()
-		s.cfg, s.service = u, service[u.Pool]
+		s.cfg, s.isService = u, service[u.Pool]
 		s.mu.Unlock()
 		next[u.Name] = s
-		v.order = append(v.order, u.Name)
+		v.names = append(v.names, u.Name)
 	}
-	v.state = next
-	v.changed()
+	v.states = next
+	v.markTopologyChanged()
 }
 
-func (v *View) changed() {
-	v.topo.Store(true)
+func (v *View) markTopologyChanged() {
+	v.topologyChanged.Store(true)
 	v.dirty.Store(true)
 }
 
-// of returns an upstream's state, locked, or nil.
-func (v *View) of(upstream string) *state {
+// lockState returns an upstream's state, locked, or nil.
+func (v *View) lockState(upstream string) *upstreamState {
 	v.mu.RLock()
-	s := v.state[upstream]
+	s := v.states[upstream]
 	v.mu.RUnlock()
 	if s != nil {
 		s.mu.Lock()
@@ -122,7 +122,7 @@
 // ApplyReport takes an upstream's own report, received at time at. Reports of an
 // older incarnation's sequence or out of order are dropped.
 func (v *View) ApplyReport(r engineapi.Report, at time.Time) bool {
-	s := v.of(r.Upstream)
+	s := v.lockState(r.Upstream)
 	if s == nil {
 		return false
 	}
@@ -132,9 +132,9 @@
 		return false
 	}
 	if !same {
-		s.restarted(r)
+		s.resetForIncarnation(r)
 	}
-	s.readAt, s.heardAt = at, at
+	s.lastReported, s.lastSeen = at, at
 	s.estimateTaken(r.TakenMs, at)
 	taken := at
 	if s.offsetSet {
@@ -143,16 +143,16 @@
 	changed := !same || s.ready == nil || !sameResidents(s.report.Residents, r.Residents) || r.Draining != s.report.Draining
 	s.report, s.takenAt = r, taken
 	if r.Draining {
-		s.leaving[r.Incarnation] = true
+		s.draining[r.Incarnation] = true
 	}
 	if taken.After(s.loadAt) {
 		s.running, s.waiting, s.loadAt = r.Running, r.Waiting, taken
-		s.recent.dropUntil(taken)
+		s.sinceLoad.dropUntil(taken)
 	}
 	s.downUntil = time.Time{}
 	if changed {
-		s.ready = readyOf(r.Residents)
-		v.topo.Store(true)
+		s.ready = readyModels(r.Residents)
+		v.topologyChanged.Store(true)
 	}
 	v.dirty.Store(true)
 	return true
@@ -162,7 +162,7 @@
 // and the upstream's: the one with the least lag in it. Reports alone would
 // not do, since all of them may be late by the same time; the stamps that ride
 // on answers are as old as the way back only.
-func (s *state) estimateTaken(takenMs int64, at time.Time) {
+func (s *upstreamState) estimateTaken(takenMs int64, at time.Time) {
 	off := at.Sub(time.UnixMilli(takenMs))
 	if !s.offsetSet || off < s.offset {
 		s.offset, s.offsetSet = off, true
@@ -181,9 +181,9 @@
 	return true
 }
 
-// readyOf lists what can be answered: ready models, and ready adapters whose
+// readyModels lists what can be answered: ready models, and ready adapters whose
 // base model is ready too.
-func readyOf(residents []engineapi.Resident) map[route.ModelKey]bool {
+func readyModels(residents []engineapi.Resident) map[route.ModelKey]bool {
 	ready := map[route.ModelKey]bool{}
 	for _, r := range residents {
 		if r.Adapter == "" && r.State == engineapi.StateReady {
@@ -200,9 +200,9 @@
 
 // AttemptStarted counts an attempt sent to an upstream; Finished undoes it.
 func (v *View) AttemptStarted(upstream string) {
-	if s := v.of(upstream); s != nil {
+	if s := v.lockState(upstream); s != nil {
 		s.inFlight++
-		s.recent.add(v.now(), 1)
+		s.sinceLoad.add(v.now(), 1)
 		s.mu.Unlock()
 		v.dirty.Store(true)
 	}
@@ -210,11 +210,11 @@
 
 // AttemptFinished counts the end of an attempt.
 func (v *View) AttemptFinished(upstream string) {
-	if s := v.of(upstream); s != nil {
+	if s := v.lockState(upstream); s != nil {
 		if s.inFlight > 0 {
 			s.inFlight--
 		}
-		s.recent.add(v.now(), -1)
+		s.sinceLoad.add(v.now(), -1)
 		s.mu.Unlock()
 		v.dirty.Store(true)
 	}
@@ -222,12 +222,12 @@
 
 // ObserveAnswer takes what rode on an answer's head: the incarnation and the load.
 func (v *View) ObserveAnswer(upstream, incarnation, load string) {
-	s := v.of(upstream)
+	s := v.lockState(upstream)
 	if s == nil {
 		return
 	}
 	defer s.mu.Unlock()
-	s.downUntil, s.heardAt = time.Time{}, v.now()
+	s.downUntil, s.lastSeen = time.Time{}, v.now()
 	l, ok := parseLoad(load)
 	if !ok || incarnation != s.report.Incarnation && s.report.Incarnation != "" {
 		return
@@ -235,14 +235,14 @@
 	now := v.now()
 	s.estimateTaken(l.takenMs, now)
 	s.running, s.waiting, s.loadAt = l.running, l.waiting, now
-	s.recent.dropUntil(now)
+	s.sinceLoad.dropUntil(now)
 	v.dirty.Store(true)
 }
 
 // MarkDraining marks an incarnation of an upstream as leaving, for good. An empty
 // incarnation stands for the one now known. It answers whether that was news.
 func (v *View) MarkDraining(upstream, incarnation string) bool {
-	s := v.of(upstream)
+	s := v.lockState(upstream)
 	if s == nil {
 		return false
 	}
@@ -250,25 +250,25 @@
 	if incarnation == "" {
 		incarnation = s.report.Incarnation
 	}
-	news := !s.leaving[incarnation]
-	s.leaving[incarnation] = true
-	v.changed()
-	return news
+	first := !s.draining[incarnation]
+	s.draining[incarnation] = true
+	v.markTopologyChanged()
+	return first
 }
 
 // MarkDown keeps new work from an upstream that could not be reached, for a while.
 func (v *View) MarkDown(upstream string) {
-	if s := v.of(upstream); s != nil {
-		s.downUntil = v.now().Add(downFor)
+	if s := v.lockState(upstream); s != nil {
+		s.downUntil = v.now().Add(downDuration)
 		s.mu.Unlock()
-		v.changed()
+		v.markTopologyChanged()
 	}
 }
 
 // MarkNotReady takes an upstream's refusal to answer for a model as word that the
 // model is not resident there, until its next report.
 func (v *View) MarkNotReady(upstream string, key route.ModelKey) {
-	if s := v.of(upstream); s != nil {
+	if s := v.lockState(upstream); s != nil {
 		next := make(map[route.ModelKey]bool, len(s.ready))
 		for k := range s.ready {
 			if k != key {
@@ -277,15 +277,15 @@
 		}
 		s.ready = next
 		s.mu.Unlock()
-		v.changed()
+		v.markTopologyChanged()
 	}
 }
 
 // ObserveCacheEvent takes a cache event as a hint.
 func (v *View) ObserveCacheEvent(upstream string, e engineapi.CacheEvent) {
-	if s := v.of(upstream); s != nil {
+	if s := v.lockState(upstream); s != nil {
 		next := make(map[uint64]bool, len(s.prefixes)+1)
-		if len(s.prefixes) < prefixesMost {
+		if len(s.prefixes) < maxPrefixes {
 			for k := range s.prefixes {
 				next[k] = true
 			}
@@ -300,8 +300,8 @@
 // SetPeerDispatched takes how many attempts the peers together have in flight at an
 // upstream beyond what its report shows.
 func (v *View) SetPeerDispatched(upstream string, attempts int) {
-	if s := v.of(upstream); s != nil {
-		s.peersSince = attempts
+	if s := v.lockState(upstream); s != nil {
+		s.peerDispatched = attempts
 		s.mu.Unlock()
 		v.dirty.Store(true)
 	}
@@ -309,7 +309,7 @@
 
 // Incarnation returns the incarnation now known of an upstream.
 func (v *View) Incarnation(upstream string) string {
-	s := v.of(upstream)
+	s := v.lockState(upstream)
 	if s == nil {
 		return ""
 	}
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -81,7 +81,7 @@
 try "upstream's seal" node/gate/attempt.go \
   '(!facts.Sealed || facts.Attempt == "")' 'false' ./platform -run 'Answers'
 try "no reuse of a connection that spoke" node/upstream/conn/pool.go \
-  '&& quiet(l.nc)' '' ./node/upstream/conn
+  '&& isClean(l.nc)' '' ./node/upstream/conn
 try "a request before the close that was asked for" node/drain/conn.go \
   'if !c.phase.CompareAndSwap(asked, busy) {' 'if true {' ./node/drain
 try "end of a read that waits" node/drain/conn.go \
@@ -166,7 +166,7 @@
 try "questions of a request that waits" node/gate/pick.go \
   'return q.awaitModel(p)' '' ./node/gate
 try "answers at the end of a stop" node/host/stop.go \
-  '	h.giveUp()
+  '	h.abortRequests()
 ' '' ./platform -run 'AStop'
 try "caller gone" node/gate/gate.go \
   'WithDeadlineCause(r.Context()' 'WithDeadlineCause(context.Background()' ./node/gate
