--- a/node/upstream/conn/bench_test.go
+++ b/node/upstream/conn/bench_test.go
@@ -13,8 +13,8 @@
 	"peridotpier.example/node/upstream/conn"
 )
 
-// BenchmarkExchange compares an exchange on a kept connection with one through
-// net/http's Transport: the same request, the same server, one at a time.
+// BenchmarkExchange compares an exchange on a reused connection with one through
+// net/http's Transport: the same request and server, one exchange at a time.
 func BenchmarkExchange(b *testing.B) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
--- a/node/upstream/conn/body.go
+++ b/node/upstream/conn/body.go
@@ -2,9 +2,9 @@
 
 import "io"
 
-// BodyError is a failure of the stream that an exchange was to send: its
-// caller hung up, was too slow or sent too much. The upstream is not to blame,
-// and must not be taken for broken because of it.
+// BodyError reports that the request body could not be read: the caller
+// disconnected, was too slow or sent too much. It is no failure of the upstream
+// and must not count against its health.
 type BodyError struct{ Err error }
 
 // Error implements error.
@@ -13,8 +13,9 @@
 // Unwrap returns the cause.
 func (e *BodyError) Unwrap() error { return e.Err }
 
-// bodyReader remembers that its reader failed: the error that comes back from
-// writing a request does not tell which of its two sides broke.
+// bodyReader records an error of the reader that it wraps: the error returned
+// from writing a request does not tell whether reading the body or writing to
+// the connection failed.
 type bodyReader struct {
 	r   io.Reader
 	err error
--- a/node/upstream/conn/clean.go
+++ b/node/upstream/conn/clean.go
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// isClean says that an idle connection has neither ended nor brought bytes that
-// nobody asked for. A request sent on one that its upstream has closed fails
-// without telling whether it ran; looking first keeps most requests from that.
+// isClean reports whether an idle connection is open and has no unsolicited bytes
+// to read. A request sent on a connection that its upstream has closed fails with
+// an unknown outcome; this check prevents most such failures.
 func isClean(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
--- a/node/upstream/conn/client.go
+++ b/node/upstream/conn/client.go
@@ -20,27 +20,28 @@
 
 // Defaults of Config.
 const (
-	defaultDialTimeout  = time.Second     // the data centres lie close together: a dial takes milliseconds
-	defaultMaxIdleTime  = 5 * time.Second // below the idle time-outs usual at upstreams, so that a pooled connection is rarely found closed
-	defaultMaxIdleConns = 64              // idle connections an upstream
+	defaultDialTimeout  = time.Second     // the data centres are close together: a dial takes milliseconds
+	defaultMaxIdleTime  = 5 * time.Second // below the usual idle timeouts of upstreams, so that a pooled connection is rarely found closed
+	defaultMaxIdleConns = 64              // for each address
 )
 
-// Config bounds a Client; zero values take the defaults.
+// Config configures a Client; zero values take the defaults.
 type Config struct {
 	DialTimeout  time.Duration
-	MaxIdleTime  time.Duration
-	MaxIdleConns int
+	MaxIdleTime  time.Duration // after which an idle connection is not reused
+	MaxIdleConns int           // for each address
 	Dialer       Dialer
 }
 
-// Client sends exchanges to upstreams and pools their connections.
+// Client sends requests to upstreams and pools the connections to them. It never
+// sends a request twice. It is safe for concurrent use.
 type Client struct {
 	cfg   Config
 	mu    sync.RWMutex
 	pools map[string]*pool // by address
 }
 
-// New makes a Client.
+// New returns a Client.
 func New(cfg Config) *Client {
 	if cfg.DialTimeout == 0 {
 		cfg.DialTimeout = defaultDialTimeout
@@ -57,47 +58,49 @@
 	return &Client{cfg: cfg, pools: map[string]*pool{}}
 }
 
-// Request is one exchange. Body is sent with its length; Stream, when not
-// nil, is sent instead, in chunks when StreamLength is negative.
+// Request is one request to an upstream. Body is sent with its length; Stream,
+// when not nil, is sent instead, with chunked encoding when StreamLength is negative.
 type Request struct {
 	Address       string
 	Method        string
 	Path          string
 	Query         string
-	Target        string // as it stands in the request line, in place of Path and Query; "": those
-	Host          string // of the Host header; "": Address
+	Target        string // request target, sent unchanged in place of Path and Query; "" sends these
+	Host          string // value of the Host header; "" sends Address
 	Header        http.Header
 	Body          []byte
 	Stream        io.Reader
 	StreamLength  int64
-	NewConnection bool // use a new connection
-	// Wanted is asked when the connection stands: to open one may take seconds. nil: it is.
+	NewConnection bool // do not use a pooled connection
+	// StillWanted reports whether the request should still be sent. It is called
+	// once the connection is open, since dialling may take seconds. nil sends always.
 	StillWanted func() bool
 
-	bodyReader *bodyReader // of Stream
+	bodyReader *bodyReader // reads Stream
 }
 
-// ErrUnwanted: the exchange was not wanted any more when its connection stood.
+// ErrNoLongerWanted means that StillWanted reported false once the connection was open.
 var ErrNoLongerWanted = errors.New("not wanted any more")
 
-// Response is the answer to an exchange. Exactly one of Finish and Abort ends it.
+// Response is the answer to a Request. The caller ends it with Finish or Abort;
+// calls after the first have no effect.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
-	Length int64 // of the body; -1: not said
+	Length int64 // of the body; -1 if not stated
 
 	client *Client
 	link   *link
 	close  bool
-	stop   func() bool // ends the watch on the context
+	stop   func() bool // detaches the connection from the context
 	ended  atomic.Bool
 }
 
 // Do writes the request and reads the head of the answer. The error is a
-// *fault.Error: NotRun when no byte was written, else Unknown.
+// *fault.Error, with the outcome NotRun when no byte was written, else Unknown.
 func (c *Client) Do(ctx context.Context, r *Request) (*Response, error) {
-	if err := ctx.Err(); err != nil { // a pooled connection would still take it
+	if err := ctx.Err(); err != nil { // a pooled connection would still accept the request
 		return nil, fault.NotRun(fault.StepDispatch, r.Address, fault.CodeUpstreamFailed, "not sent: %w", err)
 	}
 	l, err := c.connect(ctx, r)
@@ -130,8 +133,8 @@
 }
 
 // exchange writes req and reads the head of its answer. An upstream that
-// refuses early may close its reading side, so a failed write still looks for
-// an answer.
+// refuses early may close its reading side, so the answer is read even if the
+// write failed after some bytes.
 func (c *Client) exchange(l *link, r *Request, req *http.Request) (*http.Response, error) {
 	if len(r.Body) > minConcurrentBody {
 		return exchangeConcurrently(l, r, req)
@@ -145,7 +148,7 @@
 	bw.Reset(nil)
 	writerPool.Put(bw)
 	if r.bodyReader != nil && r.bodyReader.err != nil {
-		return nil, &BodyError{r.bodyReader.err} // the upstream waits for the rest and would never answer
+		return nil, &BodyError{r.bodyReader.err} // the upstream waits for the remainder and would never answer
 	}
 	if err != nil && l.written == 0 {
 		return nil, err
@@ -160,15 +163,15 @@
 	return resp, nil
 }
 
-// minConcurrentBody is the length of a body, in bytes, from which on the answer is
-// looked for while the body is still being written. An upstream may answer
-// before it has read a long body and read on later; writing alone would then
-// wait for windows that open only after the answer was taken.
+// minConcurrentBody is the length of a body, in bytes, above which the answer is
+// read while the body is still being written. An upstream may answer before it
+// has read a long body and read on later; a write without a concurrent read would
+// then wait for a TCP window that opens only after the answer was read.
 const minConcurrentBody = 8 << 10
 
-// exchangeConcurrently writes and reads at the same time. An answer that comes before
-// the body is out leaves its connection unfit for another request: the
-// upstream would take that request's bytes for the rest of this body.
+// exchangeConcurrently writes req while it reads the head of the answer. A
+// connection whose answer arrives before the body is written is not reused: the
+// upstream would read the next request as the remainder of this body.
 func exchangeConcurrently(l *link, r *Request, req *http.Request) (*http.Response, error) {
 	written := make(chan error, 1)
 	go func() {
@@ -197,7 +200,7 @@
 
 func (r *Request) httpRequest() *http.Request {
 	if _, ok := r.Header["User-Agent"]; !ok {
-		r.Header["User-Agent"] = nil // else net/http adds its own to every request
+		r.Header["User-Agent"] = nil // otherwise net/http adds its own to every request
 	}
 	req := &http.Request{Method: r.Method, Host: r.Address, Header: r.Header,
 		URL: &url.URL{Scheme: "http", Host: r.Address, Path: r.Path, RawQuery: r.Query}}
@@ -217,9 +220,9 @@
 	return req
 }
 
-// requestURL makes a URL that is written to the request line as it stands.
+// requestURL returns a URL that net/http writes to the request line as t, unchanged.
 func requestURL(t string) *url.URL {
-	if strings.HasPrefix(t, "//") { // an opaque one would be written with a scheme
+	if strings.HasPrefix(t, "//") { // as an opaque URL it would be written with a scheme
 		path, query, found := strings.Cut(t, "?")
 		return &url.URL{Path: path, RawPath: path, RawQuery: query, ForceQuery: found}
 	}
@@ -253,12 +256,12 @@
 	return p
 }
 
-// Retire closes the idle connections to address and lets none of those in use
-// be used again. A middle box that lost track of connections swallows what is
-// sent on them without an error; new connections are not concerned.
+// Retire closes the idle connections to address, and those in use when their
+// exchanges end. A middlebox that has lost its connection state drops what is
+// sent on existing connections without an error; new connections are not affected.
 func (c *Client) Retire(address string) { c.pool(address).retire() }
 
-// HasIdleConnection says whether an exchange with address would need no new connection.
+// HasIdleConnection reports whether an exchange with address could use a pooled connection.
 func (c *Client) HasIdleConnection(address string) bool {
 	c.mu.RLock()
 	p := c.pools[address]
@@ -266,7 +269,8 @@
 	return p != nil && p.hasIdle(time.Now(), c.cfg.MaxIdleTime)
 }
 
-// Forget retires the connections to an address that nothing is sent to any more.
+// Forget retires the connections to address and removes its pool. It is for
+// addresses that are no longer in use.
 func (c *Client) Forget(address string) {
 	c.mu.Lock()
 	p := c.pools[address]
@@ -286,21 +290,22 @@
 	}
 }
 
-// WaitReadable returns when something of the answer can be read or the connection has
-// ended, which the next read of Body then tells. A stream between two tokens
-// so needs no buffer of its reader's. Only for an answer not yet at its end.
+// WaitReadable blocks until bytes of the answer can be read or the connection has
+// ended, which the next read of Body then reports. A reader therefore needs no
+// buffer of its own while a stream waits for its next token. It must not be
+// called after the end of the answer.
 func (r *Response) WaitReadable() {
 	_, _ = r.link.br.Peek(1)
 }
 
 // Finish ends an exchange whose answer was read to its end; the connection
-// may be used again.
+// returns to the pool if it can be reused.
 func (r *Response) Finish() {
 	if !r.ended.CompareAndSwap(false, true) {
 		return
 	}
-	// Bytes beyond the answer belong to no request; kept, they would be read as
-	// the next one's answer.
+	// Bytes after the answer belong to no request; on a reused connection they
+	// would be read as the answer to the next request.
 	if !r.stop() || r.close || r.link.br.Buffered() > 0 {
 		_ = r.link.nc.Close()
 		return
@@ -311,15 +316,15 @@
 // SetReadDeadline bounds the wait for the next bytes of the body.
 func (r *Response) SetReadDeadline(t time.Time) error { return r.link.nc.SetReadDeadline(t) }
 
-// Reused says whether the exchange went over a connection that was used before.
+// Reused reports whether the exchange used a pooled connection.
 func (r *Response) Reused() bool { return r.link.reused }
 
-// statedIdleShare is the part of an upstream's stated idle time that is used: the
-// rest covers the way of a request to it and its rounding to whole seconds.
+// statedIdleShare is the share of an upstream's stated idle time that is used: the
+// remainder covers a request's transit time and the rounding to whole seconds.
 const statedIdleShare = 0.8
 
-// statedIdleTime is how long an upstream says that it keeps an idle connection, less
-// a margin; 0: it does not say.
+// statedIdleTime returns how long an upstream keeps an idle connection according to
+// its Keep-Alive header, less a margin; 0 if it does not say.
 func statedIdleTime(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -333,9 +338,9 @@
 	return 0
 }
 
-// Abort ends an exchange in any other state. The connection is closed, since
-// what is left on it would be read as the answer to the next request. Abort
-// may be called while another goroutine reads Body, which then fails.
+// Abort ends an exchange whose answer was not read to its end. The connection is
+// closed, since the unread bytes would be read as the answer to the next request.
+// Abort may be called while another goroutine reads Body, which then fails.
 func (r *Response) Abort() {
 	if r.ended.CompareAndSwap(false, true) {
 		r.stop()
--- a/node/upstream/conn/conn.go
+++ b/node/upstream/conn/conn.go
@@ -1,9 +1,9 @@
-// Package conn speaks HTTP/1.1 to upstreams, one attempt a connection at a
-// time. It exists beside net/http's Transport because a request that may not
-// be repeated needs what Transport hides: whether a byte of the attempt was
-// written, no retry of its own, and a pool that can be retired as a whole
-// when its connections have gone silent. docs/design/upstream-connections.md
-// weighs both.
+// Package conn is an HTTP/1.1 client for upstreams, with one exchange at a time on
+// each connection. It replaces net/http's Transport because a request that may not
+// be repeated needs what Transport does not offer: knowledge whether a byte of the
+// attempt was written, no automatic retry, and a pool that can be retired as a
+// whole when its connections have become unresponsive.
+// docs/design/upstream-connections.md compares the two.
 package conn
 
 import (
@@ -16,10 +16,11 @@
 )
 
 const (
-	// readBufferSize holds a few tokens' events; larger only costs memory a stream.
+	// readBufferSize holds the events of a few tokens, in bytes; a larger buffer
+	// only costs memory for each stream.
 	readBufferSize = 2 << 10
-	// maxHeadBytes bounds the head of an answer, so that a broken upstream
-	// cannot fill a small host's memory.
+	// maxHeadBytes bounds the head of an answer, so that a faulty upstream cannot
+	// exhaust the memory of a small host.
 	maxHeadBytes = 64 << 10
 )
 
@@ -30,14 +31,14 @@
 	nc            net.Conn
 	br            *bufio.Reader
 	pool          *pool
-	gen           uint64 // of the pool when it was dialled
-	written       int64  // bytes of the current exchange handed to the kernel
-	headRemaining int64  // bytes the head of the answer may still take; <0: not in the head
-	read          int64  // bytes of the current exchange that came
+	gen           uint64 // generation of the pool when the connection was dialled
+	written       int64  // bytes of the current exchange passed to the kernel
+	headRemaining int64  // bytes that the head of the answer may still take; negative while no head is read
+	read          int64  // bytes received in the current exchange
 	reused        bool   // the current exchange is not the first
 	idleSince     time.Time
-	statedIdle    time.Duration // that the upstream stated; 0: it did not
-	idleBefore    time.Duration // idle before the current exchange
+	statedIdle    time.Duration // idle time that the upstream allows, see statedIdleTime; 0 if not stated
+	idleBefore    time.Duration // how long it was idle before the current exchange
 }
 
 func newLink(nc net.Conn, p *pool, gen uint64) *link {
@@ -46,18 +47,18 @@
 	return l
 }
 
-// reset ends an exchange that was given up, and its connection. What the kernel
-// still has to send is dropped: after a plain close it goes on sending, so that
-// a request whose way was cut would reach its upstream seconds later, when the
-// caller has its answer from elsewhere, or the upstream is about to leave.
+// reset closes the connection of an abandoned exchange and discards what the kernel
+// has not sent yet. After a plain close the kernel goes on sending: a request held
+// up by a network failure would reach its upstream seconds later, when the caller
+// already has an answer from another upstream, or this one is draining.
 func (l *link) reset() {
 	if c, ok := l.nc.(interface{ SetLinger(sec int) error }); ok {
-		_ = c.SetLinger(0) // it fails only on a connection that is closed already
+		_ = c.SetLinger(0) // fails only on a closed connection
 	}
 	_ = l.nc.Close()
 }
 
-// Read counts what the head of an answer takes.
+// Read implements io.Reader. It counts the bytes and bounds the head of an answer.
 func (l *link) Read(p []byte) (int, error) {
 	if l.headRemaining == 0 {
 		return 0, errHeaderTooLarge
--- a/node/upstream/conn/conn_test.go
+++ b/node/upstream/conn/conn_test.go
@@ -21,7 +21,7 @@
 	"peridotpier.example/node/upstream/conn"
 )
 
-// pipes dials in-memory connections to a server function.
+// pipes is a dialer of in-memory connections to a server function.
 type pipes struct {
 	serve func(c net.Conn)
 	mu    sync.Mutex
@@ -46,7 +46,7 @@
 	return p.dials, p.open
 }
 
-var errNotListening = errors.New("nobody listens")
+var errNotListening = errors.New("not listening")
 
 func (p *pipes) DialContext(context.Context, string, string) (net.Conn, error) {
 	if p.serve == nil {
@@ -61,7 +61,7 @@
 	return &counted{Conn: a, p: p}, nil
 }
 
-// answers serves one answer after another on a connection.
+// answers returns a server function that gives the same answer to each request.
 func answers(text string) func(net.Conn) {
 	return func(c net.Conn) {
 		defer func() { _ = c.Close() }()
@@ -97,9 +97,8 @@
 	r.Finish()
 }
 
-// Symptom: half-closed connections pile up on a host after each burst.
-// Sequence: many exchanges at once; then one at a time.
-// Cause: the newest idle connection is reused first, and nobody looks at the rest.
+// Guards against half-closed connections piling up after a burst of exchanges: the
+// most recently used connection is reused first, so the others are never checked.
 func TestIdleConnectionsAreClosedAfterABurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &pipes{serve: answers(ok)}
@@ -128,9 +127,8 @@
 	})
 }
 
-// Symptom: a request that ran is reported as not run, or the other way round.
-// Sequence: the connection cannot be made; or it breaks after the request left.
-// Cause: every failed exchange is taken for one that did not run.
+// Guards against a request that ran being reported as not run, or the reverse:
+// failing to connect and failing after a write have different outcomes.
 func TestOnlyWhatWasNeverWrittenIsNotRun(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -149,9 +147,8 @@
 	}
 }
 
-// Symptom: a caller gets what is left of another's answer.
-// Sequence: an answer is given up in the middle; the next request follows.
-// Cause: its connection goes back to the pool.
+// Guards against a caller receiving the remainder of another caller's answer: the
+// connection of an aborted exchange must not return to the pool.
 func TestAConnectionThatDidNotEndCleanlyIsNotReused(t *testing.T) {
 	p := &pipes{serve: answers(ok)}
 	c := conn.New(conn.Config{Dialer: p})
@@ -166,10 +163,10 @@
 	assert.Equal(t, p.dials, 3)
 }
 
-// Symptom: a request that may not be repeated runs twice.
-// Sequence: a pooled connection is closed by the upstream as the request goes
-// out; its method or its Idempotency-Key says that it may be repeated.
-// Cause: net/http's Transport then sends it again by itself; this client must not.
+// Guards against a request that may not be repeated running twice. When an upstream
+// closes a pooled connection while a request is sent on it, net/http's Transport
+// sends the request again if its method or Idempotency-Key marks it as repeatable;
+// this client must not.
 func TestNothingIsSentAgainByItself(t *testing.T) {
 	requests := 0
 	p := &pipes{serve: func(c net.Conn) {
@@ -198,9 +195,9 @@
 	assert.Equal(t, p.dials, 1)
 }
 
-// Guards against a request that reaches an upstream which asked for none while its
-// connection was being opened.
-func TestAnExchangeThatIsNotWantedAnyMoreIsNotSent(t *testing.T) {
+// Guards against a request reaching an upstream that stopped accepting requests
+// while the connection was being opened.
+func TestARequestThatIsNoLongerWantedIsNotSent(t *testing.T) {
 	reached := false
 	up := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { reached = true }))
 	defer up.Close()
--- a/node/upstream/conn/dialer.go
+++ b/node/upstream/conn/dialer.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Bounds of a connection whose other side or way has gone without a word.
+// Bounds after which a connection fails whose peer or network path is lost.
 const (
-	keepAliveIdle     = 2 * time.Second // before the first probe
+	keepAliveIdle     = 2 * time.Second // before the first keep-alive probe
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
-	// unackedTimeout is how long sent bytes may wait for an acknowledgement.
-	// Without it a machine that lost its power holds a request for minutes.
+	// unackedTimeout is how long sent bytes may remain unacknowledged. Without it
+	// a request to a machine that lost power would be stuck for minutes.
 	unackedTimeout = 3 * time.Second
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
+// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux, which package syscall lacks.
 const tcpUserTimeout = 0x12
 
-// NewDialer makes a dialer whose connections end by themselves, within about
-// four seconds, when the other side has lost power or cannot be reached.
+// NewDialer returns a dialer whose connections fail within about four seconds
+// when the peer has lost power or cannot be reached.
 func NewDialer() *net.Dialer {
 	return &net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
--- a/node/upstream/conn/listening.go
+++ b/node/upstream/conn/listening.go
@@ -6,8 +6,9 @@
 	"syscall"
 )
 
-// NotListening says whether nothing listens at address: the process there has ended.
-// One that is silent, or that cannot be reached, does not refuse.
+// NotListening reports whether a dial to address is refused, which means that the
+// process there has terminated. It is false for one that is unresponsive or cannot
+// be reached.
 func (c *Client) NotListening(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.DialTimeout)
 	defer cancel()
--- a/node/upstream/conn/listening_test.go
+++ b/node/upstream/conn/listening_test.go
@@ -10,7 +10,7 @@
 	"peridotpier.example/node/upstream/conn"
 )
 
-func TestAnAddressRefusesOnceNothingListens(t *testing.T) {
+func TestAnAddressIsNotListeningOnceItsListenerIsClosed(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	c := conn.New(conn.Config{})
@@ -19,5 +19,5 @@
 	assert.Assert(t, c.NotListening(t.Context(), ln.Addr().String()))
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.Assert(t, !c.NotListening(ended, ln.Addr().String()), "an unanswered question says nothing")
+	assert.Assert(t, !c.NotListening(ended, ln.Addr().String()), "a dial without a result is no proof")
 }
--- a/node/upstream/conn/pool.go
+++ b/node/upstream/conn/pool.go
@@ -11,13 +11,14 @@
 type pool struct {
 	address         string
 	mu              sync.Mutex
-	idle            []*link       // newest last
+	idle            []*link       // most recently used last
 	gen             uint64        // connections of an older generation are not reused
-	expiryScheduled bool          // a sweep is due
-	observedBound   time.Duration // idle time past which this upstream was seen to drop connections; 0: not seen
+	expiryScheduled bool          // a timer will close expired connections
+	observedBound   time.Duration // bound on the idle time, derived from connections that the upstream dropped; 0 if none
 }
 
-// takeIdle returns the newest idle connection that is young enough, or nil.
+// takeIdle returns the most recently used connection that may still be reused, or
+// nil. It closes the others that it comes across.
 func (p *pool) takeIdle(now time.Time, maxIdle time.Duration) *link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -33,7 +34,7 @@
 	return nil
 }
 
-// idleBound is how long l may have been idle to be used again.
+// idleBound returns how long l may be idle and still be reused.
 func (p *pool) idleBound(l *link, maxIdle time.Duration) time.Duration {
 	if l.statedIdle > 0 {
 		maxIdle = l.statedIdle
@@ -44,16 +45,18 @@
 	return maxIdle
 }
 
-// droppedIdleShare is the part of the idle time at which a connection was found
-// dropped that others to the same upstream may still rest.
+// droppedIdleShare is the share of a dropped connection's idle time for which other
+// connections to the same upstream may still be idle.
 const droppedIdleShare = 0.5
 
-// minIdleBound keeps connections usable between requests that follow closely.
+// minIdleBound is the least value of an observed bound; it keeps connections
+// reusable between requests in close succession.
 const minIdleBound = 50 * time.Millisecond
 
-// recordDropped learns that the upstream had dropped a connection which rested for
-// that long. A request that went out on it may have run, so it cannot be sent
-// again; shorter rests keep the next ones from the same fate.
+// recordDropped records that the upstream dropped a connection after the given idle
+// time, and lowers the bound for the others. The request sent on the dropped
+// connection may have run and cannot be sent again; a lower bound makes the same
+// failure less likely for later requests.
 func (p *pool) recordDropped(idle, maxIdle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,7 +66,7 @@
 	p.observedBound = max(min(p.observedBound, time.Duration(float64(idle)*droppedIdleShare)), minIdleBound)
 }
 
-// put keeps a connection whose exchange ended cleanly.
+// put returns a connection to the pool after its exchange ended cleanly.
 func (p *pool) put(l *link, now time.Time, cfg Config, stated time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,9 +79,9 @@
 	p.scheduleExpiryLocked(cfg.MaxIdleTime)
 }
 
-// scheduleExpiryLocked closes the connections that are idle for too long, when it is
-// time. The newest is reused first, so that after a burst the older ones would
-// never be looked at again; one would see them pile up half closed.
+// scheduleExpiryLocked starts a timer that closes expired connections, unless one
+// runs. The most recently used connection is reused first, so the others would
+// never be checked again after a burst and would pile up half closed. p.mu is held.
 func (p *pool) scheduleExpiryLocked(maxIdle time.Duration) {
 	if p.expiryScheduled || len(p.idle) == 0 {
 		return
@@ -102,7 +105,7 @@
 	})
 }
 
-// hasIdle says whether a connection is there that could be used again.
+// hasIdle reports whether the pool has a connection that could be reused.
 func (p *pool) hasIdle(now time.Time, maxIdle time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,7 +113,7 @@
 	return n > 0 && now.Sub(p.idle[n-1].idleSince) < p.idleBound(p.idle[n-1], maxIdle)
 }
 
-// retire closes the idle connections and keeps those in use from coming back.
+// retire closes the idle connections and keeps those in use from returning to the pool.
 func (p *pool) retire() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,7 +130,7 @@
 	return p.gen
 }
 
-// dial opens a connection of the pool's present generation.
+// dial opens a connection of the pool's current generation.
 func (p *pool) dial(ctx context.Context, d Dialer, timeout time.Duration) (*link, error) {
 	gen := p.generation()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -139,7 +142,7 @@
 	return newLink(nc, p, gen), nil
 }
 
-// Dialer opens connections; a net.Dialer does.
+// Dialer opens connections; net.Dialer implements it.
 type Dialer interface {
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
--- a/node/upstream/conn/reset_test.go
+++ b/node/upstream/conn/reset_test.go
@@ -14,12 +14,11 @@
 	"peridotpier.example/node/upstream/conn"
 )
 
-// Symptom: a request reaches an upstream six seconds after its caller had the
-// answer of another, and after the upstream has said that it leaves.
-// Sequence: the way to an upstream is cut; the attempt is given up and its
-// connection closed; the way heals.
-// Cause: the kernel goes on sending what was written before a plain close.
-func TestAnExchangeThatWasGivenUpIsReset(t *testing.T) {
+// Guards against a request reaching its upstream six seconds after the caller got
+// an answer from another, and after the upstream began to drain. The network path
+// fails, the attempt is abandoned and its connection closed, and the path recovers:
+// after a plain close the kernel goes on sending what was written before it.
+func TestAnAbandonedExchangeIsReset(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = ln.Close() }()
@@ -42,5 +41,5 @@
 	defer cancel()
 	_, err = client.Do(ctx, &conn.Request{Address: ln.Addr().String(), Method: http.MethodGet, Target: "/", Header: http.Header{}})
 	assert.Assert(t, err != nil)
-	assert.Assert(t, errors.Is(<-ended, syscall.ECONNRESET), "it is dropped, not ended in order")
+	assert.Assert(t, errors.Is(<-ended, syscall.ECONNRESET), "the connection is reset, not closed in order")
 }
--- a/node/upstream/conn/reuse_test.go
+++ b/node/upstream/conn/reuse_test.go
@@ -18,7 +18,8 @@
 	"peridotpier.example/node/upstream/conn"
 )
 
-// serveRaw serves each connection with its own function on a loopback port.
+// serveRaw listens on a loopback port, serves each connection with serve and returns
+// the address. n counts the connections from 1.
 func serveRaw(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,9 +53,9 @@
 	return string(got)
 }
 
-// Symptom: a caller gets the second answer to somebody else's request.
-// Sequence: an upstream sends an answer twice; the connection is used again.
-// Cause: what lies behind an answer is left for the next reader.
+// Guards against a caller receiving the second answer to another caller's request:
+// an upstream sends two answers, and bytes after the first are left to the next
+// request on the connection.
 func TestAnExtraAnswerIsNeverRead(t *testing.T) {
 	for name, pause := range map[string]time.Duration{"at once": 0, "late": 30 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
@@ -77,9 +78,8 @@
 	}
 }
 
-// Symptom: a request is lost though its upstream is sound.
-// Sequence: an upstream closes an idle connection; the next request goes out on it.
-// Cause: nobody looks whether the connection has ended.
+// Guards against a request being lost at a healthy upstream: the upstream closes an
+// idle connection, and the next request is sent on it without a check.
 func TestAClosedIdleConnectionIsNotUsed(t *testing.T) {
 	address := serveRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
@@ -93,10 +93,9 @@
 	}
 }
 
-// Symptom: requests are cut at an upstream that keeps idle connections briefly.
-// Sequence: it states a time; a request follows after more than that.
-// Cause: the stated time is not heeded.
-func TestTheStatedIdleTimeIsHeeded(t *testing.T) {
+// Guards against requests failing at an upstream that keeps idle connections only
+// briefly: it states its idle time in Keep-Alive, and a connection is reused later.
+func TestTheStatedIdleTimeIsApplied(t *testing.T) {
 	var conns atomic.Int32
 	address := serveRaw(t, func(n int, c net.Conn, r *bufio.Reader) {
 		conns.Store(int32(n))
@@ -117,10 +116,10 @@
 	assert.Equal(t, conns.Load(), int32(2))
 }
 
-// Symptom: an upstream reads the head of one request as the body of another.
-// Sequence: it answers a long request before it has read it, and reads on later.
-// Cause: the connection is used again while a body is still due on it.
-func TestAnEarlyAnswerLeavesItsConnectionUnused(t *testing.T) {
+// Guards against an upstream reading the head of one request as the body of another:
+// it answers a long request before it has read the body, and the connection is
+// reused while part of the body is still to be sent.
+func TestAConnectionIsNotReusedAfterAnEarlyAnswer(t *testing.T) {
 	const long = 4 << 20
 	var conns atomic.Int32
 	address := serveRaw(t, func(n int, c net.Conn, r *bufio.Reader) {
@@ -133,7 +132,7 @@
 		_, _ = io.WriteString(c, ok)
 		time.Sleep(50 * time.Millisecond)
 		got, err := io.ReadAll(req.Body)
-		assert.Check(t, err != nil || strings.Count(string(got), "\x00") == long, "the rest of the body is the body's")
+		assert.Check(t, err != nil || strings.Count(string(got), "\x00") == long, "the remainder of the body contains no other request")
 	})
 	c := conn.New(conn.Config{})
 	assert.Equal(t, roundTrip(t, c, address, long), "ok")
@@ -141,11 +140,10 @@
 	assert.Equal(t, conns.Load(), int32(2))
 }
 
-// Symptom: a request that its host has given up on is run; its caller is told
-// nothing of whether it was.
-// Sequence: a request's time ends just before it is sent on a pooled connection.
-// Cause: that its time is over is noticed while the request is being written.
-func TestNothingIsSentAfterItsTime(t *testing.T) {
+// Guards against a request running after its host has abandoned it, with an unknown
+// outcome for the caller: its context ends just before it is sent on a pooled
+// connection, and this is noticed only while the request is being written.
+func TestNothingIsSentAfterTheContextEnds(t *testing.T) {
 	var received atomic.Int32
 	address := serveRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
@@ -159,7 +157,7 @@
 	c := conn.New(conn.Config{Dialer: conn.NewDialer()})
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	for range 200 { // whether its write or the end comes first is chance
+	for range 200 { // whether the write or the end of the context comes first is random
 		assert.Equal(t, roundTrip(t, c, address, 0), "ok")
 		_, err := c.Do(ended, &conn.Request{Address: address, Method: "POST", Target: "/", Header: http.Header{}})
 		assert.Equal(t, fault.From(fault.StepDispatch, err).Outcome, outcome.NotRun)
