--- a/node/upstream/view/load.go
+++ b/node/upstream/view/load.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// maxRecentDeltas bounds the dispatches remembered for one upstream; the oldest
-// are forgotten first. It covers 200 requests a second over a lag of 5 s.
+// maxRecentDeltas bounds the deltas kept for one upstream; the oldest are dropped
+// first. It covers 200 requests a second over a report lag of 5 s.
 const maxRecentDeltas = 2048
 
-// delta is one own dispatch (+1) or completion (-1).
+// delta is one dispatch (+1) or completion (-1) of an attempt of this host.
 type delta struct {
 	at time.Time
 	by int8
 }
 
-// deltas are the host's own dispatches and completions, oldest first, that the
-// newest known load does not yet show.
+// deltas are this host's dispatches and completions, oldest first, that the newest
+// known load of an upstream does not include yet.
 type deltas []delta
 
 func (d *deltas) add(at time.Time, by int8) {
@@ -27,7 +27,7 @@
 	*d = append(*d, delta{at, by})
 }
 
-// dropUntil forgets what a load taken at the given time already shows.
+// dropUntil drops the deltas that a load taken at the given time already includes.
 func (d *deltas) dropUntil(taken time.Time) {
 	i := 0
 	for i < len(*d) && !(*d)[i].at.After(taken) {
@@ -36,25 +36,25 @@
 	*d = append((*d)[:0], (*d)[i:]...)
 }
 
-// count returns the dispatches and the completions.
-func (d deltas) count() (begun, done int) {
+// count returns the numbers of dispatches and of completions.
+func (d deltas) count() (dispatched, completed int) {
 	for _, x := range d {
 		if x.by > 0 {
-			begun++
+			dispatched++
 		} else {
-			done++
+			completed++
 		}
 	}
-	return begun, done
+	return dispatched, completed
 }
 
-// load is what an answer's head tells of its upstream.
+// load is an upstream's load as an answer's HeaderLoad states it.
 type load struct {
 	running, waiting int
 	takenMs          int64
 }
 
-// parseLoad reads "running waiting sequence taken_ms".
+// parseLoad parses "running waiting sequence taken_ms" and reports whether text is well-formed.
 func parseLoad(text string) (load, bool) {
 	f := strings.Fields(text)
 	if len(f) != 4 {
--- a/node/upstream/view/pace.go
+++ b/node/upstream/view/pace.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// stepTimeValidity is how long an observed pace holds: an engine's batch, and its
-	// pace with it, changes within seconds.
+	// stepTimeValidity is how long an observed step time is used: an engine's batch,
+	// and with it the step time, changes within seconds.
 	stepTimeValidity = 2 * time.Second
-	// stepWeight is the part that one sample has in the mean pace; with a
-	// sample from each stream every few steps, it follows within a second.
+	// stepWeight is the weight of one sample in the moving average of the step time;
+	// with a sample from each stream every few steps, the average follows within a second.
 	stepWeight = 0.2
-	// prefillWeight is the part that one sample has in the mean prefill, which
-	// depends on prompts and hardly on load.
+	// prefillWeight is the weight of one sample in the moving averages of the prefill
+	// time, which depends on prompts and hardly on load, and of the answer length.
 	prefillWeight = 0.05
 )
 
-// ObserveStepTime takes the time of one decoding step that a stream showed.
+// ObserveStepTime records the time of one decoding step, as measured on a stream.
 func (v *View) ObserveStepTime(upstream string, step time.Duration) {
 	s := v.lockState(upstream)
 	if s == nil {
@@ -30,8 +30,8 @@
 	v.dirty.Store(true)
 }
 
-// ObserveFirstToken takes the time from an attempt's dispatch to its first token, of one
-// that found a free place in the batch.
+// ObserveFirstToken records the time from an attempt's dispatch to its first token,
+// for an attempt that did not have to wait for a place in the batch.
 func (v *View) ObserveFirstToken(upstream string, first time.Duration) {
 	s := v.lockState(upstream)
 	if s == nil {
@@ -45,7 +45,7 @@
 	s.prefillMs += prefillWeight * (ms - s.prefillMs)
 }
 
-// ObserveAnswerLength takes the length of an answer that the upstream gave.
+// ObserveAnswerLength records the length of an answer of the upstream, in tokens.
 func (v *View) ObserveAnswerLength(upstream string, tokens int) {
 	s := v.lockState(upstream)
 	if s == nil {
--- a/node/upstream/view/reports.go
+++ b/node/upstream/view/reports.go
@@ -7,22 +7,24 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// disconnectedAfter is how long an upstream must not have been heard of before it
-// counts as lost: several reports, so that one lost does not move models.
+// disconnectedAfter is the time since an upstream was last seen after which it counts
+// as disconnected: several report intervals, so that one lost report does not cause
+// models to be moved.
 const disconnectedAfter = 10 * time.Second
 
-// ownReportPrecedence is how long a report that this host read itself goes before what
-// peers say of the same process.
+// ownReportPrecedence is how long a report that this host received itself takes
+// precedence over peers' reports of the same incarnation.
 const ownReportPrecedence = 5 * time.Second
 
-// ReceivedReport is the newest report of an upstream that this host read itself.
+// ReceivedReport is the newest report that this host received from an upstream itself.
 type ReceivedReport struct {
 	Report       engineapi.Report
-	Read         time.Time
-	Disconnected bool // not heard of for lostAfter
+	Read         time.Time // when it was received
+	Disconnected bool      // the upstream was not seen for disconnectedAfter
 }
 
-// Reports returns the newest reports of a pool's upstreams.
+// Reports returns the newest report of each upstream of a pool that has reported to
+// this host in its current incarnation.
 func (v *View) Reports(pool string) []ReceivedReport {
 	now := v.now()
 	v.mu.RLock()
@@ -39,14 +41,16 @@
 	return out
 }
 
-// ApplyPeerReport takes what peers say of an upstream's newest process.
-func (v *View) ApplyPeerReport(upstream, incarnation string, leaving bool, ready map[route.ModelKey]bool) {
+// ApplyPeerReport applies what peers report of an upstream's newest incarnation: that
+// it is draining, and the models that are ready there. The models are ignored while
+// this host's own report takes precedence, see ownReportPrecedence.
+func (v *View) ApplyPeerReport(upstream, incarnation string, draining bool, ready map[route.ModelKey]bool) {
 	s := v.lockState(upstream)
 	if s == nil {
 		return
 	}
 	defer s.mu.Unlock()
-	if leaving {
+	if draining {
 		s.draining[incarnation] = true
 	}
 	own := s.report.Incarnation == incarnation && v.now().Sub(s.lastReported) < ownReportPrecedence
@@ -59,9 +63,9 @@
 	v.markTopologyChanged()
 }
 
-// MarkRestarted takes an upstream's own word, on an attempt meant for its process
-// from, that the process to runs there now. It counts only while from is the
-// process known: a refusal that arrives late must not bring an older one back.
+// MarkRestarted records that an upstream refused an attempt meant for its incarnation
+// from, because it now runs as the incarnation to. It applies only while from is the
+// known incarnation: a late refusal must not restore an older one.
 func (v *View) MarkRestarted(upstream, from, to string) {
 	s := v.lockState(upstream)
 	if s == nil {
@@ -72,11 +76,12 @@
 		return
 	}
 	s.resetForIncarnation(engineapi.Report{Upstream: upstream, Incarnation: to})
-	s.ready = map[route.ModelKey]bool{} // its memory is empty until it reports
+	s.ready = map[route.ModelKey]bool{} // nothing counts as resident until it reports
 	v.markTopologyChanged()
 }
 
-// resetForIncarnation forgets what held for a former process.
+// resetForIncarnation sets the report of a new incarnation and discards what was known
+// of the former one.
 func (s *upstreamState) resetForIncarnation(r engineapi.Report) {
 	s.report = r
 	s.offsetSet, s.loadAt, s.lastReported = false, time.Time{}, time.Time{}
--- a/node/upstream/view/snapshot.go
+++ b/node/upstream/view/snapshot.go
@@ -6,9 +6,9 @@
 	"peridotpier.example/core/route"
 )
 
-// Snapshot returns the present picture for routing. It is rebuilt when
-// something changed and the last one is old enough for its size, so that the
-// cost a request stays small with many upstreams.
+// Snapshot returns the current snapshot for routing, which callers must not modify.
+// It is rebuilt when the view has changed and the last snapshot is old enough for
+// its size, so that the cost for each request stays small with many upstreams.
 func (v *View) Snapshot() *route.Snapshot {
 	old := v.snap.Load()
 	if old != nil && !v.dirty.Load() {
@@ -31,9 +31,9 @@
 	return s
 }
 
-// build copies the states. The indexes are kept from old unless residents or
-// the set of upstreams changed.
-func (v *View) build(now time.Time, old *route.Snapshot, topo bool) *route.Snapshot {
+// build copies the states into a new snapshot. It reuses the indexes of old unless
+// topologyChanged is set: residents, states or the set of upstreams changed.
+func (v *View) build(now time.Time, old *route.Snapshot, topologyChanged bool) *route.Snapshot {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	s := &route.Snapshot{Taken: now, Endpoints: make([]route.Endpoint, len(v.names))}
@@ -44,7 +44,7 @@
 		st.mu.Unlock()
 		s.Endpoints[i].DistanceMs = v.distance(v.dataCentre, s.Endpoints[i].DataCentre)
 	}
-	if !topo && old != nil && len(old.Endpoints) == len(s.Endpoints) {
+	if !topologyChanged && old != nil && len(old.Endpoints) == len(s.Endpoints) {
 		s.ByModel, s.ByPool = old.ByModel, old.ByPool
 		return s
 	}
--- a/node/upstream/view/view.go
+++ b/node/upstream/view/view.go
@@ -1,6 +1,6 @@
-// Package view is what one host knows of the upstreams: their lagging
-// reports, corrected by the host's own dispatches, by what rode on answers
-// and by what peers say. Readers get immutable snapshots.
+// Package view keeps one host's view of the upstreams: their reports, which lag,
+// corrected by the host's own dispatches, by the load stated on answers and by
+// peers' reports. Readers get immutable snapshots.
 package view
 
 import (
@@ -15,59 +15,60 @@
 
 const (
 	// downDuration is how long an upstream that could not be reached gets no new
-	// work unless a report or an answer shows it alive sooner.
+	// requests, unless a report or an answer arrives from it sooner.
 	downDuration = 2 * time.Second
-	// rebuildIntervalPerEndpoint bounds the cost of snapshots: one is rebuilt at most once in
-	// this time for each endpoint in it (350 endpoints: every 1.75 ms).
+	// rebuildIntervalPerEndpoint bounds the cost of snapshots: the least time between
+	// two rebuilds, for each endpoint in the snapshot (1.75 ms for 350 endpoints).
 	rebuildIntervalPerEndpoint = 5 * time.Microsecond
 	// maxPrefixes bounds the prefix hints kept for one upstream.
 	maxPrefixes = 4096
 )
 
-// View holds the upstreams' states, each under its own lock.
+// View holds the states of the upstreams, each with its own lock. It is safe for
+// concurrent use.
 type View struct {
 	dataCentre string // this host's data centre
 	now        func() time.Time
-	mu         sync.RWMutex // guards the map, not the states; taken before a state's lock
-	states     map[string]*upstreamState
-	names      []string
+	mu         sync.RWMutex              // guards states and names, not the states themselves; taken before a state's lock
+	states     map[string]*upstreamState // by name
+	names      []string                  // of the upstreams, in the order of the configuration
 	distance   func(from, to string) float64
 
-	dirty           atomic.Bool
+	dirty           atomic.Bool // something changed since the last snapshot
 	topologyChanged atomic.Bool // residents, states or the set of upstreams changed
 	snap            atomic.Pointer[route.Snapshot]
 	rebuildMu       sync.Mutex
 }
 
-// upstreamState is one upstream.
+// upstreamState is what the host knows of one upstream.
 type upstreamState struct {
 	mu               sync.Mutex
 	cfg              config.Upstream
 	isService        bool
 	report           engineapi.Report
-	takenAt          time.Time // this host's time at which the report was taken, as estimated
-	offset           time.Duration
+	takenAt          time.Time     // estimated time at which the report was taken, on this host's clock
+	offset           time.Duration // see estimateTaken
 	offsetSet        bool
 	running          int
 	waiting          int
-	loadAt           time.Time
-	draining         map[string]bool // incarnations that are leaving: never undone
+	loadAt           time.Time       // when running and waiting were current
+	draining         map[string]bool // incarnations that are draining; never reset
 	downUntil        time.Time
-	lastReported     time.Time // when this host read a report itself
-	lastSeen         time.Time // when it last had a word from the upstream
+	lastReported     time.Time // when this host last received a report itself
+	lastSeen         time.Time // when this host last received a report or an answer
 	inFlight         int
 	sinceLoad        deltas // own dispatches and completions since loadAt
-	peerDispatched   int
+	peerDispatched   int    // see SetPeerDispatched
 	ready            map[route.ModelKey]bool
 	prefixes         map[uint64]bool
-	stepMs           float64   // time of one decoding step, as streams showed it
-	stepAt           time.Time // when it was last seen
-	meanAnswerTokens float64   // mean length of its answers
-	prefillMs        float64   // time to the first token where no queue was expected
+	stepMs           float64   // mean time of one decoding step, as measured on streams
+	stepAt           time.Time // when stepMs was last updated
+	meanAnswerTokens float64   // mean length of the answers
+	prefillMs        float64   // mean time to the first token when no queue was expected
 }
 
-// New makes an empty view for a host in the given data centre; distance gives
-// the round trip between data centres in milliseconds.
+// New returns an empty view for a host in the given data centre. distance returns
+// the round-trip time between two data centres in milliseconds; nil means 0.
 func New(dataCentre string, now func() time.Time, distance func(from, to string) float64) *View {
 	if distance == nil {
 		distance = func(string, string) float64 { return 0 }
@@ -77,12 +78,12 @@
 	return v
 }
 
-// Configure takes the set of upstreams from a configuration. What is known of
-// those that stay is kept.
+// Configure replaces the set of upstreams by that of a configuration. It keeps the
+// state of each upstream that remains at its address.
 func (v *View) Configure(x *config.Index) {
-	service := map[string]bool{}
+	isService := map[string]bool{}
 	for _, p := range x.Pools {
-		service[p.Name] = p.Kind == config.KindService
+		isService[p.Name] = p.Kind == config.KindService
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -94,7 +95,7 @@
 			s = &upstreamState{draining: map[string]bool{}, prefixes: map[uint64]bool{}}
 		}
 		s.mu.Lock()
-		s.cfg, s.isService = u, service[u.Pool]
+		s.cfg, s.isService = u, isService[u.Pool]
 		s.mu.Unlock()
 		next[u.Name] = s
 		v.names = append(v.names, u.Name)
@@ -119,8 +120,10 @@
 	return s
 }
 
-// ApplyReport takes an upstream's own report, received at time at. Reports of an
-// older incarnation's sequence or out of order are dropped.
+// ApplyReport applies an upstream's own report, received at the given time. It
+// returns false and drops the report if the upstream is not configured, or if a
+// report of the same incarnation with this sequence number or a later one was
+// applied before.
 func (v *View) ApplyReport(r engineapi.Report, at time.Time) bool {
 	s := v.lockState(r.Upstream)
 	if s == nil {
@@ -158,10 +161,10 @@
 	return true
 }
 
-// estimateTaken keeps the smallest difference seen between this host's clock
-// and the upstream's: the one with the least lag in it. Reports alone would
-// not do, since all of them may be late by the same time; the stamps that ride
-// on answers are as old as the way back only.
+// estimateTaken keeps the smallest observed difference between this host's clock and
+// the upstream's, which is the one with the least lag in it. Reports alone are not
+// enough, since all of them may be late by the same time; the time stamps on answers
+// lag only by the transit time of the answer.
 func (s *upstreamState) estimateTaken(takenMs int64, at time.Time) {
 	off := at.Sub(time.UnixMilli(takenMs))
 	if !s.offsetSet || off < s.offset {
@@ -181,8 +184,8 @@
 	return true
 }
 
-// readyModels lists what can be answered: ready models, and ready adapters whose
-// base model is ready too.
+// readyModels returns the models that can answer requests: ready base models, and
+// ready adapters whose base model is ready too.
 func readyModels(residents []engineapi.Resident) map[route.ModelKey]bool {
 	ready := map[route.ModelKey]bool{}
 	for _, r := range residents {
@@ -198,7 +201,7 @@
 	return ready
 }
 
-// AttemptStarted counts an attempt sent to an upstream; Finished undoes it.
+// AttemptStarted counts an attempt sent to an upstream; AttemptFinished undoes it.
 func (v *View) AttemptStarted(upstream string) {
 	if s := v.lockState(upstream); s != nil {
 		s.inFlight++
@@ -220,7 +223,8 @@
 	}
 }
 
-// ObserveAnswer takes what rode on an answer's head: the incarnation and the load.
+// ObserveAnswer applies the incarnation and the load stated in the head of an answer.
+// The load is ignored if it is malformed or of an incarnation other than the known one.
 func (v *View) ObserveAnswer(upstream, incarnation, load string) {
 	s := v.lockState(upstream)
 	if s == nil {
@@ -239,8 +243,8 @@
 	v.dirty.Store(true)
 }
 
-// MarkDraining marks an incarnation of an upstream as leaving, for good. An empty
-// incarnation stands for the one now known. It answers whether that was news.
+// MarkDraining marks an incarnation of an upstream as draining, permanently. An empty
+// incarnation means the one currently known. It reports whether the mark is new.
 func (v *View) MarkDraining(upstream, incarnation string) bool {
 	s := v.lockState(upstream)
 	if s == nil {
@@ -256,7 +260,8 @@
 	return first
 }
 
-// MarkDown keeps new work from an upstream that could not be reached, for a while.
+// MarkDown excludes an upstream that could not be reached from new requests for
+// downDuration.
 func (v *View) MarkDown(upstream string) {
 	if s := v.lockState(upstream); s != nil {
 		s.downUntil = v.now().Add(downDuration)
@@ -265,8 +270,8 @@
 	}
 }
 
-// MarkNotReady takes an upstream's refusal to answer for a model as word that the
-// model is not resident there, until its next report.
+// MarkNotReady records that a model is not resident at an upstream, which refused a
+// request for it. The upstream's next report of changed residents replaces the mark.
 func (v *View) MarkNotReady(upstream string, key route.ModelKey) {
 	if s := v.lockState(upstream); s != nil {
 		next := make(map[route.ModelKey]bool, len(s.ready))
@@ -281,7 +286,7 @@
 	}
 }
 
-// ObserveCacheEvent takes a cache event as a hint.
+// ObserveCacheEvent applies a cache event, which is a hint only: events may be lost.
 func (v *View) ObserveCacheEvent(upstream string, e engineapi.CacheEvent) {
 	if s := v.lockState(upstream); s != nil {
 		next := make(map[uint64]bool, len(s.prefixes)+1)
@@ -297,8 +302,8 @@
 	}
 }
 
-// SetPeerDispatched takes how many attempts the peers together have in flight at an
-// upstream beyond what its report shows.
+// SetPeerDispatched sets how many attempts the peers together have in flight at an
+// upstream beyond those that its report includes.
 func (v *View) SetPeerDispatched(upstream string, attempts int) {
 	if s := v.lockState(upstream); s != nil {
 		s.peerDispatched = attempts
@@ -307,7 +312,7 @@
 	}
 }
 
-// Incarnation returns the incarnation now known of an upstream.
+// Incarnation returns the known incarnation of an upstream; "" if none is known.
 func (v *View) Incarnation(upstream string) string {
 	s := v.lockState(upstream)
 	if s == nil {
