--- a/node/upstream/orders/orders.go
+++ b/node/upstream/orders/orders.go
@@ -1,4 +1,4 @@
-// Package orders sends a planner's orders to engines.
+// Package orders sends the orders of a planner to engines.
 package orders
 
 import (
@@ -12,21 +12,22 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-const maxAnswerBytes = 64 << 10 // bound of the answer to an order
+const maxAnswerBytes = 64 << 10 // bounds the answer to an order
 
-// Sender sends orders. Address finds an upstream's present address.
+// Sender sends orders to upstreams.
 type Sender struct {
 	client  *conn.Client
-	address func(upstream string) (string, bool)
+	address func(upstream string) (string, bool) // see New
 }
 
-// New makes a Sender.
+// New returns a Sender; address returns the current address of an upstream, and
+// false if the upstream is not configured.
 func New(c *conn.Client, address func(upstream string) (string, bool)) *Sender {
 	return &Sender{client: c, address: address}
 }
 
-// Send sends one order. An error with the outcome NotRun means that it never
-// left; any other error leaves it in doubt.
+// Send sends one order. An error with the outcome NotRun means that it was never
+// sent; after any other error the order is unconfirmed: it may have been applied.
 func (s *Sender) Send(ctx context.Context, upstream string, o engineapi.Order) (engineapi.OrderAnswer, error) {
 	var a engineapi.OrderAnswer
 	address, ok := s.address(upstream)
--- a/node/upstream/poll/poll.go
+++ b/node/upstream/poll/poll.go
@@ -1,4 +1,4 @@
-// Package poll asks upstreams for their reports and cache events.
+// Package poll polls upstreams for their reports and cache events.
 package poll
 
 import (
@@ -23,39 +23,41 @@
 )
 
 const (
-	// requestTimeout bounds one question; a slower report would be stale anyway.
+	// requestTimeout bounds one request; a slower report would be stale anyway.
 	requestTimeout = 2 * time.Second
-	// maxReportBytes bounds a report; one with 500 residents takes some 60 KB.
+	// maxReportBytes bounds a response; a report with 500 residents takes about 60 KB.
 	maxReportBytes = 1 << 20
-	// jitter spreads the questions of many hosts over the interval.
+	// jitter is the range of the random variation of an interval, as a share of it; it
+	// spreads the requests of many hosts over the interval.
 	jitter = 0.2
-	// maxPooledInterval is the pace above which no connection is kept.
+	// maxPooledInterval is the polling interval above which no connection is kept.
 	maxPooledInterval = 2 * time.Second
-	// maxConcurrentStartup bounds the questions under way when a host starts.
+	// maxConcurrentStartup bounds the concurrent requests of PollAll.
 	maxConcurrentStartup = 32
 )
 
-// Sink takes what upstreams tell; node/upstream/view implements it.
+// Sink receives the reports and cache events of upstreams; node/upstream/view
+// implements it.
 type Sink interface {
 	ApplyReport(r engineapi.Report, at time.Time) bool
 	ObserveCacheEvent(upstream string, e engineapi.CacheEvent)
 	MarkDown(upstream string)
 }
 
-// Target is one upstream to ask, and how often.
+// Target is one upstream to poll, and how often.
 type Target struct {
 	config.Upstream
 	Interval    time.Duration
-	CacheEvents bool // ask for cache events too
+	CacheEvents bool // poll for cache events too
 }
 
-// Poller asks each upstream that it is assigned.
+// Poller polls each upstream that it is assigned, in a goroutine of its own.
 type Poller struct {
 	client *conn.Client
-	sparse *conn.Client // for questions too far apart to keep a connection for
+	sparse *conn.Client // for intervals above maxPooledInterval
 	sink   Sink
 	log    *event.Log
-	// Fresh, when set before Run, is told of every report that was news.
+	// OnReport, when set before Run, is called for every report that the sink applied.
 	OnReport func(r engineapi.Report, at time.Time)
 
 	mu      sync.Mutex
@@ -65,14 +67,14 @@
 }
 
 type target struct {
-	mu          sync.Mutex // guards ask, which Assign may change
+	mu          sync.Mutex // guards assigned, which Assign may change
 	assigned    Target
 	cancel      context.CancelFunc
-	incarnation string // incarnation that the last report came from
-	lastEvent   uint64 // last cache event seen of that process
+	incarnation string // of the last report
+	lastEvent   uint64 // sequence number of the last cache event of that incarnation
 	residents   []engineapi.Resident
 	digest      string // of residents
-	failing     bool
+	failing     bool   // the last request failed, which is logged already
 }
 
 func (t *target) current() Target {
@@ -81,15 +83,15 @@
 	return t.assigned
 }
 
-// New makes a Poller. The connections of client are used for questions that
-// follow each other closely; sparse must not keep connections for long.
+// New returns a Poller. It uses client for upstreams with short polling intervals,
+// and sparse, which must not keep connections for long, for the others.
 func New(client, sparse *conn.Client, sink Sink, log *event.Log) *Poller {
 	return &Poller{client: client, sparse: sparse, sink: sink, log: log, targets: map[string]*target{}}
 }
 
-// clientFor chooses the connections for a pace. A fleet's hosts each ask some
-// twenty upstreams every few seconds: connections kept between would cost every
-// upstream and host more than they save.
+// clientFor returns the client for a polling interval. In a fleet each host polls
+// some twenty upstreams every few seconds: connections kept between two polls would
+// cost every upstream and host more than they save.
 func (p *Poller) clientFor(every time.Duration) *conn.Client {
 	if every > maxPooledInterval {
 		return p.sparse
@@ -97,7 +99,7 @@
 	return p.client
 }
 
-// Run asks until ctx ends, and waits for what it started.
+// Run polls until ctx ends, then waits for the goroutines that it started.
 func (p *Poller) Run(ctx context.Context) error {
 	p.mu.Lock()
 	p.runCtx = ctx
@@ -110,7 +112,7 @@
 	return nil
 }
 
-// Assign replaces the set of upstreams to ask.
+// Assign replaces the set of upstreams to poll.
 func (p *Poller) Assign(targets []Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,7 +141,7 @@
 	p.targets = next
 }
 
-// start needs p.mu.
+// start starts polling t if Run was called and its context has not ended. p.mu is held.
 func (p *Poller) start(t *target) {
 	if p.runCtx.Err() != nil {
 		return
@@ -149,10 +151,10 @@
 	p.wg.Go(func() { p.pollLoop(ctx, t) })
 }
 
-// pollLoop asks one upstream at a jittered pace.
+// pollLoop polls one upstream at jittered intervals until ctx ends.
 func (p *Poller) pollLoop(ctx context.Context, t *target) {
-	// The first question comes at a random moment of the interval: hosts that
-	// start together must not go on asking together.
+	// The first request is sent at a random time within the interval, so that hosts
+	// that start together do not keep polling at the same times.
 	timer := time.NewTimer(time.Duration(rand.Float64() * float64(t.current().Interval)))
 	defer timer.Stop()
 	for {
@@ -179,7 +181,7 @@
 		return
 	}
 	if r.Upstream != u.Name {
-		// Another upstream has taken over the address; its word is not this one's.
+		// Another upstream uses the address now; its report must not be applied to this one.
 		p.recordFailure(ctx, t, u, fault.Unknown(fault.StepDispatch, u.Address, fault.CodeUpstreamFailed, "report is of %q", r.Upstream))
 		return
 	}
@@ -200,8 +202,8 @@
 	}
 }
 
-// recordFailure logs the first failure of a row, and takes a refused connection as a
-// sign that the upstream is down.
+// recordFailure logs the first of consecutive failures, and marks the upstream as down
+// if the request could not be sent, as when its connection was refused.
 func (p *Poller) recordFailure(ctx context.Context, t *target, u Target, err error) {
 	if ctx.Err() != nil {
 		return
@@ -215,7 +217,7 @@
 	}
 }
 
-// pollEvents takes cache events as hints; a failure is not worth a word.
+// pollEvents polls for cache events. They are hints only, so a failure is not logged.
 func (p *Poller) pollEvents(ctx context.Context, t *target, u Target) {
 	var list []engineapi.CacheEvent
 	if p.get(ctx, u, engineapi.PathEvents, "after="+strconv.FormatUint(t.lastEvent, 10), &list) != nil {
@@ -250,8 +252,8 @@
 	return json.Unmarshal(data, out)
 }
 
-// PollAll asks every assigned upstream once, so that a host that has just
-// started does not refuse what it could serve.
+// PollAll polls every assigned upstream once, so that a host that has just started
+// does not refuse requests that it could serve.
 func (p *Poller) PollAll(ctx context.Context) {
 	p.mu.Lock()
 	targets := make([]Target, 0, len(p.targets))
@@ -264,5 +266,5 @@
 	for _, u := range targets {
 		g.Go(func() error { p.pollReport(ctx, &target{assigned: u}, u); return nil })
 	}
-	_ = g.Wait() // ask keeps its failures to itself
+	_ = g.Wait() // always nil: pollReport handles its failures itself
 }
