--- a/node/host/callers.go
+++ b/node/host/callers.go
@@ -15,10 +15,10 @@
 	"peridotpier.example/node/event"
 )
 
-// Bounds of a caller's connection that hold under every configuration.
+// Bounds of a caller's connection that do not depend on the configuration.
 const (
-	maxHeadBytes = 64 << 10 // bytes of a request's head
-	headTimeout  = 5 * time.Second
+	maxHeadBytes = 64 << 10        // of the head of a request
+	headTimeout  = 5 * time.Second // for reading the head of a request
 )
 
 // callerServer serves the callers' connections.
@@ -37,15 +37,16 @@
 	return c
 }
 
-// trackRequests keeps the connection's account of its handlers.
+// trackRequests wraps h so that the connection's track records its requests.
 func (c *callerServer) trackRequests(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c.serveTracked(h, r.Context().Value(connKey{}).(*callerConn).track, w, r)
 	})
 }
 
-// serveTracked tells track of a request's begin and end. A handler that panics ends
-// its connection, as the HTTP server has it; the log then names the request.
+// serveTracked serves a request with h and records in track when the handler starts
+// and ends. If the handler panics, serveTracked logs the panic with the request's id
+// and aborts the connection.
 func (c *callerServer) serveTracked(h http.Handler, track *connTrack, w http.ResponseWriter, r *http.Request) {
 	returned := false
 	track.begin(r.Header)
@@ -60,15 +61,15 @@
 	returned = true
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 func withConn(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, drain.Underlying(nc))
 }
 
-// disconnectReason says how the connection of a request ended; "": it has not, or that
-// is not known.
+// disconnectReason returns why the connection of a request counts as closed; "" if it
+// does not, or if that is not known.
 func disconnectReason(ctx context.Context) string {
 	own, ok := ctx.Value(connKey{}).(*callerConn)
 	if !ok {
@@ -87,26 +88,27 @@
 	nc.(*callerConn).track.setCloseCause(closeReason(why))
 }
 
-// closeExpired closes the connections that were idle for longer than the
-// configuration in force allows, which the server's own fixed bound cannot follow.
+// closeExpired closes the connections that were idle for longer than the current
+// configuration allows. The idle timeout of http.Server is fixed and cannot follow it.
 func (c *callerServer) closeExpired(now time.Time) { c.drain.CloseIdle(now, c.idleTimeout()) }
 
-// drainStep closes the connections without a request and returns how many
+// drainStep closes the connections without a request and returns how many connections
 // have one.
 func (c *callerServer) drainStep() int { return c.drain.DrainStep() }
 
-// closeListener takes no more connections.
+// closeListener stops accepting connections.
 func (c *callerServer) closeListener() { c.drain.CloseListener() }
 
 func (c *callerServer) serve() error { return c.drain.Serve() }
 
-// close ends whatever is left.
+// close closes all remaining connections.
 func (c *callerServer) close() {
 	c.conns.processEnding.Store(true)
 	c.drain.Close()
 }
 
-// callerConn keeps the account of a connection.
+// callerConn is a caller's connection that records its reads, writes and close in
+// its track.
 type callerConn struct {
 	net.Conn
 	track *connTrack
@@ -135,7 +137,7 @@
 	return nil, errors.ErrUnsupported
 }
 
-// CloseWrite tells the other side that nothing follows.
+// CloseWrite closes the sending direction, if the connection supports it.
 func (c *callerConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -153,7 +155,7 @@
 	return err
 }
 
-// callerListener makes the connections that it accepts callerConns.
+// callerListener wraps the connections that it accepts in callerConns.
 type callerListener struct {
 	net.Listener
 	conns *connLog
@@ -168,7 +170,7 @@
 	return &callerConn{Conn: nc, track: l.conns.track(nc.RemoteAddr().String())}, nil
 }
 
-// serverErrorLog passes on what the HTTP server has to say.
+// serverErrorLog is an io.Writer that turns the HTTP server's log lines into events.
 type serverErrorLog struct{ log *event.Log }
 
 // Write implements io.Writer.
--- a/node/host/callers_bench_test.go
+++ b/node/host/callers_bench_test.go
@@ -15,8 +15,8 @@
 	"peridotpier.example/node/metrics"
 )
 
-// BenchmarkRequests is what a request costs on a connection that is kept, with
-// a handler that does nothing.
+// BenchmarkRequests measures a request on a persistent connection, with a handler
+// that does nothing.
 func BenchmarkRequests(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
@@ -43,8 +43,8 @@
 func (nullConn) Read(p []byte) (int, error)  { return len(p), nil }
 func (nullConn) Write(p []byte) (int, error) { return len(p), nil }
 
-// BenchmarkConnection is what the connection's wrapper adds to a request: two
-// reads, a write, the handler and the change to idle.
+// BenchmarkConnection measures the overhead of callerConn for a request: two reads, a
+// write, the handler and the change to idle.
 func BenchmarkConnection(b *testing.B) {
 	c := &callerServer{conns: newConnLog(event.NewLog(nil), metrics.New(), nil)}
 	own := &callerConn{Conn: nullConn{}, track: c.conns.track("a")}
--- a/node/host/callers_test.go
+++ b/node/host/callers_test.go
@@ -20,10 +20,10 @@
 	"peridotpier.example/node/metrics"
 )
 
-// testID is the header that the tests' requests carry their id in.
+// testID is the header with a test request's id.
 const testID = "Test-Id"
 
-// rig is a callers' listener with a handler of the test's.
+// rig is a callerServer with a handler of the test, and what it logs and counts.
 type rig struct {
 	t       *testing.T
 	ln      net.Listener
@@ -74,7 +74,7 @@
 	return resp
 }
 
-// waitForCounts waits for the connections to be as wanted.
+// waitForCounts waits until the counts of connections are as wanted.
 func (r *rig) waitForCounts(want connCounts) {
 	poll.WaitOn(r.t, func(poll.LogT) poll.Result {
 		if n := r.callers.conns.counts(); n != want {
@@ -84,7 +84,7 @@
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(5*time.Second))
 }
 
-// hasAnsweringConn says whether a handler has returned and its answer is not written.
+// hasAnsweringConn reports whether a handler has returned whose answer is not written.
 func (r *rig) hasAnsweringConn() bool {
 	r.callers.conns.mu.Lock()
 	defer r.callers.conns.mu.Unlock()
@@ -96,7 +96,7 @@
 	return false
 }
 
-// waitForMetric waits for a line of the metrics.
+// waitForMetric waits until the metrics contain a line.
 func (r *rig) waitForMetric(line string) {
 	poll.WaitOn(r.t, func(poll.LogT) poll.Result {
 		var text strings.Builder
@@ -108,7 +108,7 @@
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(5*time.Second))
 }
 
-// onlyLine returns the fields of the only line about a connection.
+// onlyLine returns the fields of the only log line about a connection.
 func (r *rig) onlyLine() map[string]any {
 	found := r.lines.FilterMessage(event.CallerClosed.Name).All()
 	assert.Equal(r.t, len(found), 1, "%v", found)
@@ -120,7 +120,8 @@
 	assert.Equal(r.t, len(found), 0, "%v", found)
 }
 
-// assertFields compares the fields that do not depend on time.
+// assertFields checks that the wanted fields, which must not depend on time, have
+// their values.
 func assertFields(t *testing.T, got map[string]any, want map[string]any) {
 	t.Helper()
 	for name, v := range want {
@@ -173,7 +174,7 @@
 	r.assertNoLine()
 }
 
-func TestACallerThatGoesIsCountedOnly(t *testing.T) {
+func TestACallerThatDisconnectsIsCountedOnly(t *testing.T) {
 	r := newRig(t, func(_ http.ResponseWriter, q *http.Request) {
 		<-q.Context().Done()
 		panic(http.ErrAbortHandler)
@@ -187,9 +188,8 @@
 	r.assertNoLine()
 }
 
-// Symptom: a caller gets no answer, and the host's log has nothing of it.
-// Sequence: part of a head is read; the process ends.
-// Cause: whatever has no handler is closed without a line.
+// Guards against a caller getting no answer without a log line about it: the process
+// ends when part of a request's head was read, before a handler was started.
 func TestAHalfReadRequestAtTheEndIsLogged(t *testing.T) {
 	r := newRig(t, ok)
 	fresh := r.dial()
@@ -204,9 +204,8 @@
 	assert.NilError(t, fresh.Close())
 }
 
-// Symptom: a caller gets no answer, and no line names its request.
-// Sequence: the process ends while the request's handler runs.
-// Cause: the close of its connection is not logged.
+// Guards against a caller getting no answer without a log line that names its request:
+// the process ends, and closes the connection, while the request's handler runs.
 func TestARequestCutAtTheEndIsLogged(t *testing.T) {
 	end := make(chan struct{})
 	r := newRig(t, func(http.ResponseWriter, *http.Request) { <-end })
@@ -220,12 +219,10 @@
 	r.waitForMetric("caller_connections_closed_unanswered_total.end 1")
 }
 
-// Symptom: a caller gets no answer, and the request counts as served.
-// Sequence: its handler returns; the process ends before the server has
-// written the answer.
-// Cause: what a handler returned is not yet with the caller.
+// Guards against a request counting as served whose caller gets no answer: the process
+// ends after the handler has returned and before the server has written the answer.
 func TestAnAnswerThatIsNotWrittenAtTheEndIsLogged(t *testing.T) {
-	near, far := net.Pipe() // nobody reads at the far end, so that the answer waits to be written
+	near, far := net.Pipe() // the far end is not read, so that the write of the answer blocks
 	go func() { _, _ = io.WriteString(far, get("a")) }()
 	r := newRigAt(t, &oneConn{conn: near, done: make(chan struct{})}, ok)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -239,11 +236,11 @@
 	assertFields(t, r.onlyLine(), map[string]any{"reason": "end", "phase": "answering", "unanswered": true, "written_bytes": 0, "request": "a"})
 }
 
-// Symptom: a refused caller sees its connection reset instead of the answer.
-// Sequence: a request is refused at its head; its body is not read; the
-// process ends while the server waits before it closes the connection.
-// Cause: bytes that nobody read make the close a reset.
-func TestARefusalBesideABodyAtTheEndIsLogged(t *testing.T) {
+// Guards against a refused caller seeing a connection reset instead of the answer,
+// without a log line: a request is refused because of its head and its body is not
+// read; the process ends while the server waits before it closes the connection, and
+// the unread bytes turn the close into a reset.
+func TestARefusalWithAnUnreadBodyAtTheEndIsLogged(t *testing.T) {
 	r := newRig(t, ok)
 	track := r.callers.conns.track("a")
 	track.didRead(4096, 100, nil)
@@ -282,7 +279,7 @@
 	assertFields(t, found[1].ContextMap(), map[string]any{"reason": "stop", "phase": "late_begun", "read_bytes": 40, "unanswered": true, "request": "a"})
 }
 
-func TestAByteBeforeTheAnswerIsOfTheNextRequest(t *testing.T) {
+func TestAByteReadBeforeTheAnswerBelongsToTheNextRequest(t *testing.T) {
 	r := newRig(t, ok)
 	track := r.callers.conns.track("a")
 	track.didRead(4096, 100, nil)
@@ -305,7 +302,7 @@
 	assert.Assert(t, l.allowLine(8))
 }
 
-// oneConn is a listener that has one connection.
+// oneConn is a listener that accepts one connection.
 type oneConn struct {
 	conn net.Conn
 	done chan struct{}
@@ -331,9 +328,8 @@
 
 func (l *oneConn) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Symptom: a caller gets no answer; the log has a stack, and no request's id.
-// Sequence: the handler of a request panics.
-// Cause: only the HTTP server's complaint tells, which knows of no requests.
+// Guards against a panic of a handler being logged with a stack but without the
+// request's id, as the HTTP server logs it.
 func TestAPanicIsLoggedWithItsRequest(t *testing.T) {
 	r := newRig(t, func(_ http.ResponseWriter, q *http.Request) { panic("secret of " + q.Header.Get(testID)) })
 	c := r.dial()
@@ -358,10 +354,10 @@
 	assert.Equal(t, r.lines.FilterMessage(event.HandlerPanicked.Name).Len(), 0)
 }
 
-// Symptom: a request ends without an answer, as if its caller had left, who has not.
-// Sequence: a bound is set for reads; it passes while the server reads ahead.
-// Cause: the server takes any error of that read for the caller's end.
-func TestWhyAConnectionCountsAsEnded(t *testing.T) {
+// Guards against a request ending without an answer because its caller counts as
+// disconnected, who is not: a read deadline passes while the server reads ahead, and
+// the server treats any error of that read as the caller's disconnect.
+func TestTheReasonWhyAConnectionCountsAsClosed(t *testing.T) {
 	for want, h := range map[string]http.HandlerFunc{
 		"read_bound": func(w http.ResponseWriter, q *http.Request) {
 			_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(time.Millisecond))
@@ -397,11 +393,10 @@
 	}
 }
 
-// Symptom: a connection is closed though its request had arrived; a refused caller
-// waits for the end of its connection.
-// Sequence: the connection's account lies between the socket and who asks it.
-// Cause: what the socket can do is not passed on.
-func TestAnAccountedConnectionDoesWhatItsSocketDoes(t *testing.T) {
+// Guards against a connection being closed although its request has arrived, and
+// against a refused caller waiting for the end of its connection: both occur if
+// callerConn hides the methods SyscallConn and CloseWrite of its socket.
+func TestACallerConnForwardsTheMethodsOfItsSocket(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/node/host/connlog.go
+++ b/node/host/connlog.go
@@ -12,53 +12,53 @@
 	"peridotpier.example/node/metrics"
 )
 
-// closeReason says who ended a caller's connection, and why.
+// closeReason is why a caller's connection was closed, and by which side.
 type closeReason string
 
 const (
 	closedIdle    closeReason = "idle"    // idle for longer than the configuration allows
 	closedStop    closeReason = "stop"    // idle while the host stops
 	closedEnd     closeReason = "end"     // still open when the process ends
-	closedCaller  closeReason = "caller"  // the other side closed it, or it broke
-	closedLate    closeReason = "late"    // what was awaited of a request did not come in time
-	closedStuck   closeReason = "stuck"   // the other side did not take an answer in time
-	closedAborted closeReason = "aborted" // its handler ended without a whole answer
-	closedLast    closeReason = "last"    // its answer said that it was the last one
-	closedServer  closeReason = "server"  // anything else that the HTTP server ends
-	// closedReadBound is not of a close: the read that notices a caller's end, while a
-	// handler runs, found its time over, and the caller counts as gone.
+	closedCaller  closeReason = "caller"  // closed by the caller, or broken
+	closedLate    closeReason = "late"    // the caller did not send the expected part of a request in time
+	closedStuck   closeReason = "stuck"   // the caller did not read an answer in time
+	closedAborted closeReason = "aborted" // the handler ended without a complete answer
+	closedLast    closeReason = "last"    // closed by the HTTP server after an answer, as with "Connection: close"
+	closedServer  closeReason = "server"  // closed by the HTTP server for any other reason
+	// closedReadBound is not the reason of a close: the read that detects a disconnected
+	// caller while a handler runs timed out, and the caller counts as disconnected.
 	closedReadBound closeReason = "read_bound"
 )
 
-// connPhase is what a caller's connection is doing.
+// connPhase is the phase of a request that a caller's connection is in.
 type connPhase string
 
 const (
-	phaseNew       connPhase = "new"        // not a byte has come
-	phaseIdle      connPhase = "idle"       // nothing has come since the last answer
-	phaseReading   connPhase = "reading"    // bytes of a request have come, its handler has not begun
-	phaseHandling  connPhase = "handling"   // its handler runs
-	phaseAnswering connPhase = "answering"  // its handler has returned, the server writes the rest
-	phaseLateRead  connPhase = "late_read"  // bytes came out of a connection that was closed already
-	phaseLateBegun connPhase = "late_begun" // a handler began with a request of such a connection
+	phaseNew       connPhase = "new"        // no byte was received
+	phaseIdle      connPhase = "idle"       // no byte was received since the last answer
+	phaseReading   connPhase = "reading"    // bytes of a request were received, its handler has not started
+	phaseHandling  connPhase = "handling"   // the handler is running
+	phaseAnswering connPhase = "answering"  // the handler has returned, the server writes the remainder of the answer
+	phaseLateRead  connPhase = "late_read"  // bytes were read after the connection was closed
+	phaseLateBegun connPhase = "late_begun" // a handler started after the connection was closed
 )
 
-// maxConnLinesPerSecond is how many lines of connections are written in a second: a
-// tenth of what the log's sink takes, so that other lines keep their room.
+// maxConnLinesPerSecond bounds the log lines about connections: a tenth of what the
+// log's sink accepts, so that there is room for other lines.
 const maxConnLinesPerSecond = 500
 
 // connLog counts the callers' connections and logs those that this host closes
-// with a request under way. It decides nothing.
+// during a request. It observes only: no connection is closed because of it.
 type connLog struct {
 	log           *event.Log
 	metrics       *metrics.Set
-	idOf          func(http.Header) string // reads the id of a request
-	processEnding atomic.Bool              // the process ends: what is open is closed
+	idOf          func(http.Header) string // returns the id of a request with this head
+	processEnding atomic.Bool              // the process is terminating and closes all open connections
 
 	mu     sync.Mutex
 	open   map[*connTrack]struct{}
-	second int64 // in which lines were written last, of the Unix time
-	lines  int   // written in it
+	second int64 // Unix time of the last line in seconds
+	lines  int   // requested in that second
 }
 
 func newConnLog(log *event.Log, set *metrics.Set, idOf func(http.Header) string) *connLog {
@@ -68,12 +68,12 @@
 	return l
 }
 
-// connCounts are the connections that are open.
+// connCounts counts the open connections.
 type connCounts struct {
 	open       int
-	underWay   int // something of a request has come that is not answered
-	unanswered int // of those under way, the ones with a whole head
-	new        int // not a byte has come
+	underWay   int // part of a request was received and its answer is not complete
+	unanswered int // of underWay, those whose request has a complete head and no answer yet
+	new        int // no byte was received
 }
 
 func (l *connLog) counts() connCounts {
@@ -96,7 +96,7 @@
 	return n
 }
 
-// track begins the account of a connection that was accepted.
+// track starts to track an accepted connection from the given remote address.
 func (l *connLog) track(from string) *connTrack {
 	t := &connTrack{log: l, from: from, phaseSince: time.Now()}
 	l.metrics.Count(metrics.CallersAccepted, 1)
@@ -106,7 +106,8 @@
 	return t
 }
 
-// recordClosed accounts for a connection that was closed in the state s.
+// recordClosed counts a connection that was closed in the state s, and logs it if
+// s.shouldLog.
 func (l *connLog) recordClosed(t *connTrack, s connState) {
 	l.mu.Lock()
 	delete(l.open, t)
@@ -120,7 +121,8 @@
 	}
 }
 
-// recordLate accounts for bytes or a request of a connection that was closed before.
+// recordLate counts and logs bytes or a request received on a connection after its
+// close, except where the caller closed it: these are not logged.
 func (l *connLog) recordLate(t *connTrack, s connState) {
 	if s.unanswered {
 		l.metrics.CountKind(metrics.CallersUnanswered, string(s.reason), 1)
@@ -144,15 +146,16 @@
 		zap.Int("requests", s.requests), zap.Int("answers", s.answers), zap.String("caller", t.from))
 }
 
-// panicked logs the panic of a handler, if it is not the usual way to end an
-// answer that is not whole.
+// panicked logs the panic of a handler, unless it is http.ErrAbortHandler, the usual
+// way to abort an answer.
 func (l *connLog) panicked(head http.Header, v any) {
 	if v != http.ErrAbortHandler {
 		l.log.Panic(l.idOf(head), v)
 	}
 }
 
-// allowLine takes one of the lines that a second has.
+// allowLine reports whether another line may be logged in the given second, and
+// counts it.
 func (l *connLog) allowLine(second int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/node/host/conntrack.go
+++ b/node/host/conntrack.go
@@ -8,53 +8,53 @@
 	"time"
 )
 
-// connTrack is the account of one caller's connection: what was read and
-// answered, and who closes it.
+// connTrack tracks one caller's connection: its phase, what was read and written, and
+// why it is closed. It is safe for concurrent use.
 type connTrack struct {
 	log  *connLog
-	from string // address of the other side
+	from string // address of the caller
 
 	mu          sync.Mutex
-	requests    int // begun by a handler
-	answers     int // after which the connection was idle
+	requests    int // requests whose handler has started
+	answers     int // answers after which the connection was idle
 	read        int64
-	readAhead   int64 // bytes of the next request that came before the answer was done
-	written     int64 // since the first byte of the request
+	readAhead   int64 // bytes of the next request that were read before the answer was complete
+	written     int64 // bytes since the first byte of the request
 	writing     bool
-	anyRead     bool // a byte has come at all
+	anyRead     bool // a byte was read since the connection was accepted
 	handling    bool
-	returned    bool // the handler has, and the connection is not idle yet
+	returned    bool // the handler has returned, and the connection is not idle yet
 	aborted     bool // the handler panicked
 	head        http.Header
-	firstByteAt time.Time // when the first byte of the request came
+	firstByteAt time.Time // when the first byte of the request was read
 	phaseSince  time.Time // when the phase changed
 
-	peerClosed        bool // the other side has closed, or the connection is broken
-	readTimedOut      bool // a read found its time over
-	writeTimedOut     bool // a write found its time over
-	aheadReadTimedOut bool // the read beside a handler found its time over
+	peerClosed        bool // the caller closed the connection, or it broke
+	readTimedOut      bool // a read timed out
+	writeTimedOut     bool // a write timed out
+	aheadReadTimedOut bool // a read of aheadReadSize timed out while a handler ran
 
-	closeCause   closeReason // that was asked for
+	closeCause   closeReason // set by setCloseCause, else by close
 	isClosed     bool
-	lateRecorded bool
+	lateRecorded bool // bytes read after the close were recorded
 }
 
-// connState is a connection's state at one moment.
+// connState is the state of a connection at one time.
 type connState struct {
 	reason     closeReason
 	phase      connPhase
-	unanswered bool // the head of a request was whole and its answer was not written
+	unanswered bool // the head of a request was complete and its answer was not written
 	read       int64
 	written    int64
 	requests   int
 	answers    int
-	head       http.Header // of the request under way; nil: none
+	head       http.Header // of the current request; nil if there is none
 	age        time.Duration
 	inPhase    time.Duration
 }
 
-// shouldLog says whether this host ended a connection with something under way.
-// A caller that goes is counted only, as are the ends that follow an answer.
+// shouldLog reports whether this host closed the connection during a request. A close
+// by the caller, or after an answer, is only counted.
 func (s *connState) shouldLog() bool {
 	switch {
 	case s.reason == closedCaller, s.reason == closedLast:
@@ -65,11 +65,11 @@
 	return s.phase == phaseHandling || s.phase == phaseAnswering
 }
 
-// aheadReadSize is the size of the reads by which the HTTP server notices, while a
-// handler runs, that the caller is gone. What they bring is of the next request.
+// aheadReadSize is the size, in bytes, of the reads by which the HTTP server detects a
+// disconnected caller while a handler runs. What they return belongs to the next request.
 const aheadReadSize = 1
 
-// didRead notes what a read of up to size bytes brought.
+// didRead records the result of a read of up to size bytes.
 func (t *connTrack) didRead(size, n int, err error) {
 	t.mu.Lock()
 	if n > 0 {
@@ -81,7 +81,7 @@
 		t.peerClosed = true
 	case size > aheadReadSize:
 		t.readTimedOut = true
-	case t.handling: // else the server has ended the read, as it needs no more of it
+	case t.handling: // otherwise the server has ended the read, which it no longer needs
 		t.aheadReadTimedOut = true
 	}
 	if n <= 0 || !t.isClosed || t.lateRecorded {
@@ -95,7 +95,7 @@
 	t.log.recordLate(t, s)
 }
 
-// recordRead counts n bytes that were read.
+// recordRead records n bytes returned by a read of up to size bytes.
 func (t *connTrack) recordRead(size int, n int64) {
 	t.anyRead = true
 	if t.read+t.readAhead == 0 {
@@ -108,7 +108,7 @@
 	}
 	t.read += n
 	if t.handling {
-		t.written = 0 // an interim answer that asked for the body
+		t.written = 0 // it was an interim answer that asked for the body
 	}
 }
 
@@ -132,7 +132,7 @@
 	}
 }
 
-// begin notes that a handler begins with the request of that head.
+// begin records that a handler starts with a request of the given head.
 func (t *connTrack) begin(head http.Header) {
 	t.mu.Lock()
 	t.requests++
@@ -147,14 +147,14 @@
 	t.log.recordLate(t, s)
 }
 
-// end notes that the handler has returned, or panicked.
+// end records that the handler has returned, or panicked if returned is false.
 func (t *connTrack) end(returned bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.handling, t.returned, t.aborted, t.phaseSince = false, true, !returned, time.Now()
 }
 
-// idle notes that the answer is written and the next request awaited.
+// idle records that the answer is written and the connection waits for the next request.
 func (t *connTrack) idle() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -166,7 +166,8 @@
 	}
 }
 
-// setCloseCause names the reason of the close that follows. The first one counts.
+// setCloseCause sets the reason of the close that follows. Only the first call has an
+// effect.
 func (t *connTrack) setCloseCause(r closeReason) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -175,7 +176,8 @@
 	}
 }
 
-// close notes that this side closes the connection; ok is false when it did so before.
+// close records that this side closes the connection and returns its state; ok is false
+// if it was closed before.
 func (t *connTrack) close() (s connState, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -187,7 +189,7 @@
 	return t.state(), true
 }
 
-// reason says why the connection is closed now.
+// reason returns why the connection is closed now.
 func (t *connTrack) reason() closeReason {
 	switch {
 	case t.closeCause != "":
@@ -208,7 +210,7 @@
 	return closedServer
 }
 
-// endedBy says why a request's connection counts as ended; "": it does not.
+// endedBy returns why a request's connection counts as closed; "" if it does not.
 func (t *connTrack) endedBy() closeReason {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/host/countedtable.go
+++ b/node/host/countedtable.go
@@ -7,8 +7,8 @@
 	"peridotpier.example/node/store"
 )
 
-// countedTable counts the calls of the platform's table, which are those for the
-// lease and for what is barred.
+// countedTable counts the calls to the platform's table, which are made for the lease
+// and for barred requests.
 type countedTable struct {
 	store.Table
 	set *metrics.Set
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -29,7 +29,7 @@
 	"peridotpier.example/node/upstream/conn"
 )
 
-// Platform is what the host speaks to through an adapter.
+// Platform holds the interfaces to the platform, which an adapter implements.
 type Platform struct {
 	Source follow.Source
 	Table  store.Table
@@ -37,16 +37,16 @@
 	Orders coordinator.OrderClient
 }
 
-// Deps are what a Host is made of.
+// Deps are the dependencies of a Host.
 type Deps struct {
 	Settings       *Settings
 	Platform       Platform
-	Client         *conn.Client // towards upstreams
+	Client         *conn.Client // to upstreams
 	Log            *event.Log
 	Metrics        *metrics.Set
-	DroppedLines   func() int64              // lines that the log had no room for; nil: none
-	ReloadSettings func() (*Settings, error) // the settings file, on SIGHUP
-	ReloadSignal   <-chan struct{}
+	DroppedLines   func() int64              // returns the number of lines that the log dropped for lack of room; nil means none
+	ReloadSettings func() (*Settings, error) // reads the settings file again
+	ReloadSignal   <-chan struct{}           // receives a value on SIGHUP
 }
 
 // Host is one entry host.
@@ -66,17 +66,17 @@
 	callers        *callerServer
 	ready          *http.Server
 	metrics        *http.Server
-	draining       atomic.Bool   // callers should go elsewhere
-	closing        atomic.Bool   // requests are not taken any more
-	abortRequests  func()        // ends the requests that are under way
+	draining       atomic.Bool   // the host is stopping, and callers should use another one
+	closing        atomic.Bool   // new requests are rejected
+	abortRequests  func()        // aborts the current requests
 	releaseWaiting func()        // ends the long waits of requests
-	listed         chan struct{} // closed when the upstreams were read once
+	listed         chan struct{} // closed once the list of upstreams was received
 	listOnce       atomic.Bool
-	stopped        chan struct{} // closed when the stop is over
+	stopped        chan struct{} // closed when the stop is complete
 	started        time.Time
 }
 
-// New puts a host together and opens its listeners.
+// New returns a host whose listener for callers is open; Run opens the others.
 func New(d Deps) (*Host, error) {
 	set := d.Settings
 	h := &Host{deps: d, settings: set, log: d.Log, config: follow.NewActiveConfig(d.Log), listed: make(chan struct{}), stopped: make(chan struct{}), started: time.Now()}
@@ -85,33 +85,34 @@
 	h.config.OnChange(h.announce)
 	h.controlPath()
 	policy := budget.Policy{Ratio: set.Bounds.RepeatRatio, Slack: set.Bounds.RepeatSlack, Window: seconds(set.Bounds.RepeatWindowS)}
-	ending, giveUp := context.WithCancel(context.Background())
-	h.abortRequests = giveUp
-	leaving, leave := context.WithCancel(context.Background())
-	h.releaseWaiting = leave
+	aborted, abortRequests := context.WithCancel(context.Background())
+	h.abortRequests = abortRequests
+	released, releaseWaiting := context.WithCancel(context.Background())
+	h.releaseWaiting = releaseWaiting
 	h.guard = quarantine.NewGuard(quarantine.GuardDeps{Connected: h.link.Linked, Log: d.Log, Metrics: d.Metrics})
 	h.link.Quarantine = h.guard
 	h.crashes = quarantine.NewCrashDetector(quarantine.CrashDetectorDeps{NotListening: d.Client.NotListening, OnCrash: h.recordCrash, Log: d.Log, Metrics: d.Metrics})
-	h.gate = gate.New(gate.Deps{HoldsLimited: leaving, Stopping: ending, Config: h.config, Fleet: h.fleet, Client: d.Client, Codec: d.Platform.Codec, Coordinator: h.link, TeamLimits: h.link, CrashRecorder: h.crashes, PoisonGuard: h.guard,
+	h.gate = gate.New(gate.Deps{HoldsLimited: released, Stopping: aborted, Config: h.config, Fleet: h.fleet, Client: d.Client, Codec: d.Platform.Codec, Coordinator: h.link, TeamLimits: h.link, CrashRecorder: h.crashes, PoisonGuard: h.guard,
 		RetryBudget: gate.NewRetryBudget(policy, h.link.Hosts), Log: d.Log, Metrics: d.Metrics, Draining: h.draining.Load, RejectsNew: h.closing.Load, DisconnectReason: disconnectReason})
 	h.limitMemory()
 	return h, h.listen()
 }
 
-// maxRelayAgeShare is the part of the time in which a leaving upstream may still
-// get work for which a relay of the store's changes is trusted without news.
+// maxRelayAgeShare is the share of Bounds.DrainMs, in which a draining upstream may
+// still get requests, for which a store relay is used without an update.
 const maxRelayAgeShare = 0.6
 
-// massRemovalGraceShare is the part of the time in which a leaving upstream may still
-// get work for which upstreams are used whose entries vanish in great number.
+// massRemovalGraceShare is the share of Bounds.DrainMs, in which a draining upstream may
+// still get requests, for which upstreams stay in use whose entries are removed in
+// large numbers.
 const massRemovalGraceShare = 0.6
 
-// memoryShare is the part of the machine's memory that the runtime aims at.
-// The rest covers what it does not count: sockets' buffers and stacks in use.
+// memoryShare is the share of Limits.MemoryMB that the Go runtime aims at. The
+// remainder covers what the runtime does not count: socket buffers and stacks in use.
 const memoryShare = 0.6
 
-// limitMemory keeps the process from being ended by force: past the limit the
-// collector works harder instead of the heap growing on.
+// limitMemory prevents the process from being killed for its memory use: above the
+// limit the garbage collector runs more often, so that the heap grows less.
 func (h *Host) limitMemory() {
 	debug.SetMemoryLimit(int64(float64(h.settings.Limits.MemoryMB) * memoryShare * (1 << 20)))
 }
@@ -128,23 +129,25 @@
 	return nil
 }
 
-// adminHeadTimeout is how long the head of a request for a page of the host's own may take.
+// adminHeadTimeout bounds the time for reading the head of a request for one of the
+// host's own pages.
 const adminHeadTimeout = 2 * time.Second
 
 const (
-	// leaseName is the lease of the host that gives orders.
+	// leaseName is the name of the coordinator lease.
 	leaseName = "coordinator"
-	// leaseTTL bounds how long nobody gives orders after their giver was lost.
-	// At a renewal every 0.5 s it costs two calls of the store a second.
+	// leaseTTL bounds the time without a coordinator after the lease holder was lost.
+	// With a renewal every 0.5 s the lease costs two calls to the store a second.
 	leaseTTL = 1500 * time.Millisecond
-	// leaseTryTimeout bounds one try of a renewal: several fit into a term, also when
-	// the store takes a quarter of a second.
+	// leaseTryTimeout bounds one try of a renewal: several tries fit into leaseTTL, even
+	// if the store takes a quarter of a second to answer.
 	leaseTryTimeout = 400 * time.Millisecond
-	// maxOrderTransit is how long the last order of a former holder may be on its way.
+	// maxOrderTransit is how long the last order of a former lease holder may be in transit.
 	maxOrderTransit = 100 * time.Millisecond
 )
 
-// controlPath puts together what acts for the whole deployment.
+// controlPath creates the parts that coordinate the deployment: the lease, the
+// follower, the coordinator and the link to it.
 func (h *Host) controlPath() {
 	set, d := h.settings, h.deps
 	table := countedTable{d.Platform.Table, d.Metrics}
@@ -166,12 +169,12 @@
 	h.link = coordinator.NewLink(coordinator.LinkConfig{Host: set.Host, DataCentre: set.DataCentre, Address: set.Peers, Seeds: set.Seeds, HasSpareCapacity: func(hosts int) bool { return hasSpareCapacity(set.Limits, hosts) }}, h.coord, conn.NewDialer().DialContext, d.Log)
 }
 
-// Run serves until ctx ends, then stops without cutting anything off within
-// the grace that the platform gives.
+// Run serves until ctx ends, then stops gracefully: it aborts no request before the
+// grace period of the platform is over.
 func (h *Host) Run(ctx context.Context) error {
 	h.log.Emit(event.HostStarting, zap.String("host", h.settings.Host), zap.String("data_centre", h.settings.DataCentre),
 		zap.String("callers", h.settings.Callers), zap.String("store", h.settings.Store), zap.Strings("seeds", h.settings.Seeds))
-	// What serves requests outlives ctx by the time that the stop takes.
+	// The parts that serve requests continue after ctx ends, until the stop is complete.
 	work, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	var g run.Group
@@ -204,7 +207,7 @@
 	g.Add(func() error { return f(ctx) }, func(error) { cancel() })
 }
 
-// serve adds a small server of the host's own pages.
+// serve adds the server of one of the host's own pages to g.
 func (h *Host) serve(g *run.Group, s *http.Server, address string) {
 	g.Add(func() error {
 		ln, err := net.Listen("tcp", address)
@@ -215,7 +218,7 @@
 	}, func(error) { _ = s.Close() })
 }
 
-// servePeers adds the listener for other hosts.
+// servePeers adds the listener for other hosts to g.
 func (h *Host) servePeers(g *run.Group) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error {
@@ -227,31 +230,34 @@
 	}, func(error) { cancel() })
 }
 
-// whileServing lets f end with the stop signal without ending the process: the
-// lease is handed over at once, the requests under way are finished.
+// whileServing returns a function that runs f, and then waits until the stop is
+// complete. f thus ends at the stop signal without ending the process: the lease is
+// handed over at once, while the current requests are finished.
 func (h *Host) whileServing(f func(context.Context) error) func(context.Context) error {
 	return func(ctx context.Context) error {
-		_ = f(ctx) // it ends with ctx only
+		_ = f(ctx) // f ends only with ctx
 		<-h.stopped
 		return nil
 	}
 }
 
 const (
-	// ampleCores, ampleLinkMbps and ampleMemoryMB are what a host should have that
-	// acts for all, in any case and for each host: its work grows with their number.
-	// The one that acts for 986 takes 0.00037 cores and 0.26 MB a host.
+	// The minCoordinator constants are the resources that an acting coordinator should
+	// have, in any case and for each host: its work grows with the number of hosts.
+	// The acting coordinator of 986 hosts takes 0.00037 cores and 0.26 MB for each host.
 	minCoordinatorCores           = 0.35
 	minCoordinatorCoresPerHost    = 0.0006
 	minCoordinatorLinkMbps        = 50
 	minCoordinatorLinkMbpsPerHost = 0.1
 	minCoordinatorMemoryMBPerHost = 0.4
-	// campaignDelayLowCapacity is how long one with less waits before it campaigns.
+	// campaignDelayLowCapacity is how long a host with less waits before it campaigns
+	// for the lease.
 	campaignDelayLowCapacity   = 800 * time.Millisecond
 	campaignDelaySpareCapacity = 40 * time.Millisecond
 )
 
-// campaignDelay lets hosts with more to spare take the lease first.
+// campaignDelay returns how long this host waits before it campaigns for the lease;
+// hosts with spare capacity go first.
 func (h *Host) campaignDelay() time.Duration {
 	if !h.link.HasSpareCapacity() {
 		return campaignDelayLowCapacity
@@ -259,8 +265,8 @@
 	return campaignDelaySpareCapacity
 }
 
-// hasSpareCapacity says whether a host of these limits has enough to spare to act for a number
-// of hosts. What a limit does not say is not bounded.
+// hasSpareCapacity reports whether a host with these limits has enough capacity to
+// coordinate the given number of hosts. A limit of 0 means unlimited.
 func hasSpareCapacity(l Limits, hosts int) bool {
 	n := float64(hosts)
 	return (l.Cores == 0 || l.usualCores() >= max(minCoordinatorCores, minCoordinatorCoresPerHost*n)) &&
@@ -268,10 +274,12 @@
 		(l.MemoryMB == 0 || float64(l.MemoryMB) >= minCoordinatorMemoryMBPerHost*n)
 }
 
-// peerFetchDelay is how long the store may take at the start before peers are asked.
+// peerFetchDelay is how long a starting host waits for the store before it asks peers,
+// and between two such requests.
 const peerFetchDelay = time.Second
 
-// fetchFromPeers asks peers for what this host needs while the store is away.
+// fetchFromPeers fetches the configuration and the upstreams from peers while the store
+// gives this host no configuration.
 func (h *Host) fetchFromPeers(ctx context.Context) error {
 	for pace.Sleep(ctx, peerFetchDelay) {
 		if h.config.Current() != nil {
@@ -292,28 +300,30 @@
 	}
 }
 
-// isReady says whether the balancer should send callers here.
+// isReady reports whether the balancer should send callers to this host.
 func (h *Host) isReady() bool {
 	return h.config.Current() != nil && h.listOnce.Load() && !h.draining.Load()
 }
 
-// announce has the other hosts told, if this one acts for them, that there is
-// something new for each of them.
+// announce wakes the coordinator so that, if this host is the acting one, it publishes
+// the new state to all hosts.
 func (h *Host) announce() { h.coord.Announce() }
 
-// announceUrgent has the host that acts for all told at once what this one found out.
+// announceUrgent reports what this host observed to the acting coordinator without
+// delay, and publishes it if this host is the acting one.
 func (h *Host) announceUrgent() {
 	h.link.ReportSoon()
 	h.coord.Announce()
 }
 
-// recordCrash notes that an upstream ended under requests of this host.
+// recordCrash records that an upstream crashed while it ran requests of this host, and
+// reports this to the acting coordinator without delay.
 func (h *Host) recordCrash(upstream string, at time.Time, ran []poison.Fingerprint) {
 	h.guard.RecordCrash(upstream, at, ran)
 	h.link.ReportSoon()
 }
 
-// logReady logs when the host has what it needs.
+// logReady logs when the host has both a configuration and the list of upstreams.
 func (h *Host) logReady(ctx context.Context) error {
 	for _, c := range []<-chan struct{}{h.config.FirstApplied(), h.listed} {
 		select {
@@ -328,10 +338,10 @@
 }
 
 const (
-	// checkInterval is how often the host looks for silent upstreams: a fraction of
-	// the silence that it looks for.
+	// checkInterval is how often the host checks for unresponsive upstreams: a fraction
+	// of the time after which an upstream counts as unresponsive.
 	checkInterval = 100 * time.Millisecond
-	// idleCheckInterval is the same while nothing is under way.
+	// idleCheckInterval is the interval of the same checks while none is pending.
 	idleCheckInterval = 500 * time.Millisecond
 )
 
@@ -348,7 +358,7 @@
 	return ctx.Err()
 }
 
-// waitForCheck waits for the next look; it says no when ctx ends.
+// waitForCheck waits until the next checks are due. It returns false when ctx ends.
 func (h *Host) waitForCheck(ctx context.Context) bool {
 	wake := h.fleet.ChecksNeeded()
 	if h.fleet.HasPendingChecks() {
@@ -357,7 +367,8 @@
 	return pace.SleepOrWake(ctx, idleCheckInterval, wake) && pace.Sleep(ctx, checkInterval)
 }
 
-// logDropped logs that lines were dropped since it was called last.
+// logDropped logs how many log lines were dropped beyond the given count of the last
+// call, and returns the new count.
 func (h *Host) logDropped(before int64) int64 {
 	if h.deps.DroppedLines == nil {
 		return 0
@@ -369,7 +380,7 @@
 	return now
 }
 
-// callerIdleTimeout is how long a caller's connection may stay idle.
+// callerIdleTimeout returns how long a caller's connection may stay idle.
 func (h *Host) callerIdleTimeout() time.Duration {
 	if t := h.config.Current(); t != nil && t.Config.Limits.IdleTimeout > 0 {
 		return t.Config.Limits.IdleTimeout
@@ -377,5 +388,5 @@
 	return defaultIdleTimeout
 }
 
-// defaultIdleTimeout holds until a configuration says otherwise.
+// defaultIdleTimeout applies as long as no configuration sets a timeout.
 const defaultIdleTimeout = 30 * time.Second
--- a/node/host/pages.go
+++ b/node/host/pages.go
@@ -6,7 +6,7 @@
 	"github.com/labstack/echo/v5"
 )
 
-// readinessPage tells the balancer whether to send callers here.
+// readinessPage answers the balancer whether to send callers to this host.
 func (h *Host) readinessPage() http.Handler {
 	e := echo.New()
 	e.GET("/*", func(c *echo.Context) error {
@@ -18,8 +18,8 @@
 	return e
 }
 
-// metricsPage shows the counters and histograms, a line each, what is held against
-// requests, what upstreams ask for, and whom this host goes by.
+// metricsPage serves the counters and histograms, one on each line, and the pages of
+// quarantined requests, of upstreams with restrictions and of this host's status.
 func (h *Host) metricsPage() http.Handler {
 	e := echo.New()
 	e.GET("/metrics", func(c *echo.Context) error {
--- a/node/host/quarantine.go
+++ b/node/host/quarantine.go
@@ -9,21 +9,21 @@
 	"peridotpier.example/core/poison"
 )
 
-// QuarantinePath is where a host lists what is held against requests, and below
-// which a bar is ended by DELETE and the digest.
+// QuarantinePath is the path where a host lists suspected and barred requests. DELETE of
+// a digest below it ends a bar.
 const QuarantinePath = "/quarantine"
 
-// QuarantinedRequest is one request that is suspected of ending upstreams, or barred for
-// it, as the page has it.
+// QuarantinedRequest is one request that is suspected of crashing upstreams, or barred
+// because of it, as listed by the page.
 type QuarantinedRequest struct {
-	Content string `json:"content"` // digest, as logs have it
+	Content string `json:"content"` // digest of the request, as in logs
 	State   string `json:"state"`   // suspected or barred
-	ForMs   int64  `json:"for_ms"`  // until the bar ends
-	Crashes int    `json:"crashes"` // upstreams that ended while it ran there, lately
+	ForMs   int64  `json:"for_ms"`  // time until the bar ends
+	Crashes int    `json:"crashes"` // recent crashes of upstreams while the request ran there
 	Bars    int    `json:"bars"`    // how often it was barred
 }
 
-// addQuarantinePage adds the page to e.
+// addQuarantinePage adds the page of quarantined requests to e.
 func (h *Host) addQuarantinePage(e *echo.Echo) {
 	e.GET(QuarantinePath, func(c *echo.Context) error {
 		out := []QuarantinedRequest{}
--- a/node/host/settings.go
+++ b/node/host/settings.go
@@ -1,5 +1,5 @@
-// Package host runs one entry host of a routed deployment: its listeners, the
-// data path, what keeps it up to date, and a stop that cuts nothing off.
+// Package host runs one entry host of a routed deployment: its listeners, the data
+// path, the parts that follow the store and the coordinator, and a graceful stop.
 package host
 
 import (
@@ -11,36 +11,37 @@
 	"peridotpier.example/core/config"
 )
 
-// Settings are read from a JSON file at the start and on SIGHUP. Keys that are
-// not known are passed over: a platform may add some.
+// Settings are the settings of a host, read from a JSON file at the start and on
+// SIGHUP. Unknown keys are ignored: a platform may add some.
 type Settings struct {
 	Host       string   `json:"host"`
 	DataCentre string   `json:"data_centre"`
 	Callers    string   `json:"callers"`   // IP:port where callers are served
-	Readiness  string   `json:"readiness"` // IP:port where the balancer asks
+	Readiness  string   `json:"readiness"` // IP:port of the balancer's health checks
 	Peers      string   `json:"peers"`     // IP:port for other entry hosts
-	Metrics    string   `json:"metrics"`   // IP:port of counters and histograms
+	Metrics    string   `json:"metrics"`   // IP:port of metrics and status pages; "" for none
 	Store      string   `json:"store"`     // IP:port of the platform's store
-	Seeds      []string `json:"seeds"`     // peers' addresses of a few hosts, perhaps stale
+	Seeds      []string `json:"seeds"`     // peer addresses of a few hosts, possibly stale
 	LogLevel   string   `json:"log_level"`
-	// NoModelMoves keeps models where they are, to measure what moves gain.
+	// NoModelMoves keeps models where they are, to measure the benefit of moves.
 	NoModelMoves bool   `json:"no_model_moves"`
 	Limits       Limits `json:"limits"`
 	Bounds       Bounds `json:"bounds"`
-	FirstStart   bool   `json:"first_start"` // the whole deployment starts for the first time: nobody calls yet
+	FirstStart   bool   `json:"first_start"` // the whole deployment starts for the first time and has no callers yet
 }
 
-// Limits are what the machine gives to the process.
+// Limits are the resources that the process may use. 0 means unlimited, except for
+// MemoryMB, which then takes its default.
 type Limits struct {
 	MemoryMB int     `json:"memory_mb"`
 	Cores    float64 `json:"cores"` // share of the processor, in cores
-	// CoreSpeed is how many times as fast the processor is as the deployment's
-	// usual one; 0: as fast.
+	// CoreSpeed is the speed of a core relative to the deployment's usual processor;
+	// 0 means the same speed.
 	CoreSpeed float64 `json:"core_speed"`
 	LinkMbps  float64 `json:"link_mbps"`
 }
 
-// usualCores is the share of the processor in usual cores; 0: not bounded.
+// usualCores returns Cores in cores of the usual processor; 0 means unlimited.
 func (l *Limits) usualCores() float64 {
 	if l.CoreSpeed == 0 {
 		return l.Cores
@@ -48,21 +49,22 @@
 	return l.Cores * l.CoreSpeed
 }
 
-// Bounds are the times and shares that the platform's users hold the system to.
+// Bounds are the times and shares that the system must keep to, as required by the
+// platform's users.
 type Bounds struct {
-	GraceS         float64 `json:"grace_s"`          // from the stop signal to the end by force
-	DrainMs        float64 `json:"drain_ms"`         // until a leaving upstream gets no more
-	LapseMs        float64 `json:"lapse_ms"`         // until an entry that ran out is back
-	RepeatRatio    float64 `json:"repeat_ratio"`     // sends beyond the first, for each request
-	RepeatSlack    float64 `json:"repeat_slack"`     // and beyond that, over all hosts
-	RepeatWindowS  float64 `json:"repeat_window_s"`  // in any span of this length
-	LeaseMs        float64 `json:"lease_ms"`         // between the orders of two holders
-	CeilingWindowS float64 `json:"ceiling_window_s"` // loads from the weight store are counted in any span of this length
+	GraceS         float64 `json:"grace_s"`          // from the stop signal until the process is killed
+	DrainMs        float64 `json:"drain_ms"`         // after which a draining upstream gets no more requests
+	LapseMs        float64 `json:"lapse_ms"`         // until the expired entry of a live upstream is registered again
+	RepeatRatio    float64 `json:"repeat_ratio"`     // retries for each request
+	RepeatSlack    float64 `json:"repeat_slack"`     // retries beyond RepeatRatio, over all hosts
+	RepeatWindowS  float64 `json:"repeat_window_s"`  // length of any time span to which the bounds on retries apply
+	LeaseMs        float64 `json:"lease_ms"`         // between the orders of two lease holders
+	CeilingWindowS float64 `json:"ceiling_window_s"` // length of any time span in which loads from the weight store are counted
 	CeilingOver    float64 `json:"ceiling_over"`     // factor on the weight store's rate
-	LimitSlack     float64 `json:"limit_slack"`      // by which a team's limit may be missed over all hosts, in what it counts; 0: not at all
+	LimitSlack     float64 `json:"limit_slack"`      // by how much a team may exceed its limit over all hosts, in the limit's unit; 0 means not at all
 }
 
-// Parse reads settings and says everything that is wrong with them.
+// Parse parses settings, fills in the defaults and returns all faults found.
 func Parse(data []byte) (*Settings, []config.Fault) {
 	var s Settings
 	if err := json.Unmarshal(data, &s); err != nil {
@@ -72,7 +74,7 @@
 	return &s, s.check()
 }
 
-// Defaults of what a settings file may leave out.
+// Defaults of the settings that a file may leave out.
 const (
 	defaultGraceS         = 10.0
 	defaultDrainMs        = 2000.0
@@ -152,7 +154,7 @@
 	return faults
 }
 
-// ownAddressCount is how many of the addresses in check are the host's own or the
+// ownAddressCount is the number of addresses in check that are the host's own or the
 // store's: all but the seeds.
 const ownAddressCount = 5
 
@@ -173,7 +175,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// changedKeys names the keys that differ and take effect at the next start only.
+// changedKeys returns the keys that differ in next and take effect only at the next start.
 func (s *Settings) changedKeys(next *Settings) []string {
 	var out []string
 	for _, v := range []struct {
--- a/node/host/status.go
+++ b/node/host/status.go
@@ -8,29 +8,29 @@
 	"peridotpier.example/node/metrics"
 )
 
-// StatusPath is where a host shows whom it goes by and what it and the others tell
-// each other.
+// StatusPath is the path where a host shows its coordinator, the state that it uses and
+// the counts of calls and bytes between hosts.
 const StatusPath = "/status"
 
-// Status is what the page has.
+// Status is the content of the page.
 type Status struct {
 	Host          string           `json:"host"`
 	DataCentre    string           `json:"data_centre"`
 	Ready         bool             `json:"ready"`
-	Coordinator   string           `json:"coordinator"` // address of the host that acts for all; empty: none is known
+	Coordinator   string           `json:"coordinator"` // address of the acting coordinator; empty if none is known
 	HoldsLease    bool             `json:"holds"`       // this host holds the lease
-	Acting        bool             `json:"acts"`        // this host acts for all
-	Hosts         int              `json:"hosts"`       // that share the allowance of repeats
-	ReportMs      int64            `json:"report_ms"`   // between two reports of this host that bring nothing new
+	Acting        bool             `json:"acts"`        // this host is the acting coordinator
+	Hosts         int              `json:"hosts"`       // number of hosts that share the retry budget
+	ReportMs      int64            `json:"report_ms"`   // time between two reports of this host without changes
 	Upstreams     int              `json:"upstreams"`
-	ListVersion   uint64           `json:"list_version"` // of the store, that the list of upstreams is of
+	ListVersion   uint64           `json:"list_version"` // version of the store that the list of upstreams corresponds to
 	Configuration uint64           `json:"configuration"`
-	PeerCalls     map[string]int64 `json:"peer_calls"`  // that others made of this host, by kind
-	PeerBytes     map[string]int64 `json:"peer_bytes"`  // of reports to this host, and of its answers by field
-	StoreCalls    map[string]int64 `json:"store_calls"` // of this host, by table and reason
+	PeerCalls     map[string]int64 `json:"peer_calls"`  // calls of other hosts to this one, by kind
+	PeerBytes     map[string]int64 `json:"peer_bytes"`  // bytes of reports to this host, and of its answers by field
+	StoreCalls    map[string]int64 `json:"store_calls"` // calls of this host to the store, by table and reason
 }
 
-// addStatusPage adds the page to e.
+// addStatusPage adds the status page to e.
 func (h *Host) addStatusPage(e *echo.Echo) {
 	e.GET(StatusPath, func(c *echo.Context) error {
 		s := Status{Host: h.settings.Host, DataCentre: h.settings.DataCentre, Ready: h.isReady(), Coordinator: h.link.CoordinatorAddress(),
--- a/node/host/stop.go
+++ b/node/host/stop.go
@@ -12,22 +12,24 @@
 )
 
 const (
-	// balancerNotice is how long the balancer goes on sending new connections
-	// after the host says that it is not ready: two questions a second apart,
-	// and the way of the last connection.
+	// balancerNotice is how long the balancer goes on sending new connections after
+	// the host reports that it is not ready: two health checks a second apart, and
+	// the transit time of the last connection.
 	balancerNotice = 2500 * time.Millisecond
-	// stopCheckInterval is how often the stop looks whether it is over.
+	// stopCheckInterval is how often a stop checks whether requests are left.
 	stopCheckInterval = 50 * time.Millisecond
-	// stopReserve is kept of the grace for the last writes and the end of the process.
+	// stopReserve is the part of the grace period that is kept for the last writes and
+	// the end of the process.
 	stopReserve = 700 * time.Millisecond
-	// finalAnswerTimeout is how long the last answers may take to be written.
+	// finalAnswerTimeout is how long the last answers may take to be written after
+	// the remaining requests were aborted.
 	finalAnswerTimeout = 250 * time.Millisecond
 )
 
-// stopOn waits for ctx to end and stops the host. Callers are still served
-// while the balancer takes the host out; closing at once would cut off what is
-// on its way. Requests under way are finished as long as the grace allows.
-// When work ends first, something that the host cannot do without has failed.
+// stopOn waits for ctx to end and stops the host. Callers are still served until the
+// balancer has removed the host; closing at once would cut off connections in transit.
+// Current requests are finished as long as the grace period allows. If work ends
+// first, an essential part of the host has failed, and stopOn returns.
 func (h *Host) stopOn(ctx, work context.Context) error {
 	defer close(h.stopped)
 	select {
@@ -37,7 +39,7 @@
 	}
 	began := time.Now()
 	h.draining.Store(true)
-	h.fleet.WakeChecks() // those who wait are let go by the next look
+	h.fleet.WakeChecks() // the next check releases the waiting requests
 	h.log.Emit(event.HostStopping, zap.Int("active", h.callers.drain.Active()))
 	grace := seconds(h.settings.Bounds.GraceS) - stopReserve
 	wait := context.WithoutCancel(ctx)
@@ -55,7 +57,8 @@
 	return nil
 }
 
-// logStopped logs what the end of the process finds open.
+// logStopped logs how long the stop took, and the requests and connections that are
+// still open.
 func (h *Host) logStopped(took time.Duration) {
 	n := h.callers.conns.counts()
 	h.deps.Metrics.Observe(metrics.ShutdownTime, "host", took)
@@ -63,8 +66,9 @@
 		zap.Int("open", n.open), zap.Int("under_way", n.underWay), zap.Int("unanswered", n.unanswered), zap.Int("new", n.new))
 }
 
-// handleReloads reads the settings again when told to. What is in use since the
-// start stays: addresses cannot change under open connections.
+// handleReloads reads the settings again on each reload signal and logs which keys
+// changed. The settings in use since the start stay in use: addresses cannot change
+// under open connections.
 func (h *Host) handleReloads(ctx context.Context) error {
 	for {
 		select {
--- a/node/host/upstreams.go
+++ b/node/host/upstreams.go
@@ -7,22 +7,23 @@
 	"github.com/labstack/echo/v5"
 )
 
-// UpstreamsPath is where a host lists the upstreams that ask for something on their answers.
+// UpstreamsPath is the path where a host lists the upstreams with restrictions that they
+// signalled on their answers.
 const UpstreamsPath = "/upstreams"
 
-// RestrictedUpstream is one of them, as the page has it.
+// RestrictedUpstream is one upstream with restrictions, as listed by the page.
 type RestrictedUpstream struct {
 	Upstream    string   `json:"upstream"`
 	Service     string   `json:"service"`
 	Draining    bool     `json:"leaving"`
-	Limit       *float64 `json:"limit_per_s,omitempty"` // requests from all hosts together; left out: none
-	BackoffMs   int64    `json:"rest_ms"`               // until it takes something of this host again
-	InSlowStart bool     `json:"slow_start"`            // after a rest requests come back little by little
-	SinceMs     int64    `json:"since_ms"`              // since limit or leaving was heard of first; 0: never
-	Source      string   `json:"source"`                // who heard that
+	Limit       *float64 `json:"limit_per_s,omitempty"` // requests per second from all hosts together; left out if there is no limit
+	BackoffMs   int64    `json:"rest_ms"`               // time until it accepts requests of this host again
+	InSlowStart bool     `json:"slow_start"`            // the request rate rises gradually after a backoff
+	SinceMs     int64    `json:"since_ms"`              // time since the limit or the draining was first observed; 0 if never
+	Source      string   `json:"source"`                // which source reported the limit or the draining
 }
 
-// addUpstreamsPage adds the page to e.
+// addUpstreamsPage adds the page of upstreams with restrictions to e.
 func (h *Host) addUpstreamsPage(e *echo.Echo) {
 	e.GET(UpstreamsPath, func(c *echo.Context) error {
 		out := []RestrictedUpstream{}
--- a/node/upstream/engineapi/engineapi.go
+++ b/node/upstream/engineapi/engineapi.go
@@ -36,7 +36,7 @@
 
 // Values of HeaderRefused.
 const (
-	RefusedDraining      = "leaving"    // the upstream is draining: this incarnation accepts no new requests again
+	RefusedDraining      = "leaving"    // the upstream is draining: this incarnation accepts no new requests any more
 	RefusedNotLoaded     = "not_loaded" // the model or adapter is not resident
 	RefusedQueueFull     = "full"       // the queue is full
 	RefusedAttemptClosed = "settled"    // this attempt id was reported unseen, cancelled or refused before
