--- a/node/settings/check.go
+++ b/node/settings/check.go
@@ -12,7 +12,7 @@
 	"peridotpier.example/core/config"
 )
 
-// check returns every impossible value.
+// check returns a fault for each invalid value.
 func (s *Settings) check() []config.Fault {
 	var out []config.Fault
 	add := func(ok bool, path, format string, args ...any) {
@@ -36,6 +36,8 @@
 	return out
 }
 
+// checkListener checks a listener. If mutual is set and the listener uses TLS, it must
+// name the authorities of client certificates.
 func checkListener(path string, l Listener, mutual bool) []config.Fault {
 	var out []config.Fault
 	if _, err := netip.ParseAddrPort(l.Address); err != nil {
@@ -53,7 +55,8 @@
 	return out
 }
 
-// isBaseURL accepts only an IP number, since hosts have no name service to rely on.
+// isBaseURL reports whether text is a URL http://IP:port. Host names are not accepted,
+// since hosts cannot rely on a name service.
 func isBaseURL(text string) bool {
 	u, err := url.Parse(text)
 	if err != nil || u.Scheme != "http" || u.Path != "" {
--- a/node/settings/settings.go
+++ b/node/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings is what one process is told at its start: its name, its
-// data centre, its addresses, where the platform is, its keys and its bounds.
-// docs/settings.md describes the file.
+// Package settings reads the settings file of one process: its name, its data centre,
+// its addresses, those of the platform, its keys and its bounds. docs/settings.md
+// describes the file.
 package settings
 
 import (
@@ -10,7 +10,7 @@
 	"peridotpier.example/core/config"
 )
 
-// Settings is one host's settings file.
+// Settings are the contents of one host's settings file.
 type Settings struct {
 	Host       string   `json:"host"`
 	DataCentre string   `json:"data_centre"`
@@ -26,47 +26,47 @@
 // Listener is one address that the host listens on.
 type Listener struct {
 	Address string `json:"address"` // IP:port
-	TLS     *TLS   `json:"tls"`     // absent: plain TCP
+	TLS     *TLS   `json:"tls"`     // nil for plain TCP
 }
 
-// TLS names the files of a listener's or dialler's certificate. They are read
-// again when they change.
+// TLS names the certificate files of a listener or dialler. The files are read again
+// when they change.
 type TLS struct {
 	Certificate string `json:"certificate"` // PEM file: own certificate, then intermediates
 	Key         string `json:"key"`         // PEM file
-	Authorities string `json:"authorities"` // PEM file: who may sign the other side; "" only for callers
+	Authorities string `json:"authorities"` // PEM file: authorities that may sign the peer's certificate; "" only for callers
 }
 
-// Operator is the operators' listener and who may use it.
+// Operator is the listener for operators and the keys of those who may use it.
 type Operator struct {
 	Address   string        `json:"address"` // IP:port
 	TLS       *TLS          `json:"tls"`
 	Operators []OperatorKey `json:"operators"`
 }
 
-// Listener returns where operators are served.
+// Listener returns the listener for operators.
 func (o Operator) Listener() Listener { return Listener{o.Address, o.TLS} }
 
-// OperatorKey is one operator's key, held hashed.
+// OperatorKey is one operator's key, stored as a hash.
 type OperatorKey struct {
-	Name    string `json:"name"`     // stands in the audit trail
+	Name    string `json:"name"`     // recorded in the audit trail
 	KeyHash string `json:"key_hash"` // SHA-256, hex
 }
 
-// Platform tells where the platform's services are.
+// Platform holds the base URLs of the platform's services.
 type Platform struct {
 	Table     string `json:"table"` // http://IP:port
 	Objects   string `json:"objects"`
 	Hosts     string `json:"hosts"`
 	Weights   string `json:"weights"`
-	TimeoutMs int    `json:"timeout_ms"` // of one call; 0: 2000
+	TimeoutMs int    `json:"timeout_ms"` // of one call; 0 means 2000
 }
 
 // Keys are secrets shared by the hosts of a site.
 type Keys struct {
-	// Resume signs resume tokens: the first signs, all are accepted.
+	// Resume are the keys of resume tokens: the first one signs, all are accepted.
 	Resume []KeyFile `json:"resume"`
-	// PrefixSalt makes prefix hashes meaningless to engines.
+	// PrefixSalt is the file of the salt that makes prefix hashes meaningless to engines.
 	PrefixSalt string `json:"prefix_salt_file"`
 }
 
@@ -76,48 +76,48 @@
 	File string `json:"file"`
 }
 
-// Bounds limit what the host does; zero values take the defaults.
+// Bounds are limits and intervals of the host; zero values take the defaults.
 type Bounds struct {
-	DrainSeconds        int     `json:"drain_s"`              // longest graceful shutdown after the balancer's wait
-	BalancerWaitSeconds int     `json:"balancer_wait_s"`      // how long the balancer goes on sending after "not ready"
-	SilenceMs           int     `json:"silence_ms"`           // an exchange this long without a byte is looked into
-	ReportEveryMs       int     `json:"report_every_ms"`      // between two questions for an upstream's report
-	HeaderBytes         int     `json:"header_bytes"`         // largest head of a caller's request
+	DrainSeconds        int     `json:"drain_s"`              // maximum duration of a graceful shutdown after the balancer's wait
+	BalancerWaitSeconds int     `json:"balancer_wait_s"`      // how long the balancer goes on sending connections after "not ready"
+	SilenceMs           int     `json:"silence_ms"`           // time without a byte after which an exchange is probed
+	ReportEveryMs       int     `json:"report_every_ms"`      // interval between two polls for an upstream's report
+	HeaderBytes         int     `json:"header_bytes"`         // maximum size of the head of a caller's request
 	RetryShare          float64 `json:"retry_share"`          // retries as a share of requests
-	ConfigPollSeconds   int     `json:"configuration_poll_s"` // mean time between two looks at the configuration
+	ConfigPollSeconds   int     `json:"configuration_poll_s"` // mean interval between two polls of the configuration
 }
 
 // The defaults of Bounds.
 const (
-	defaultDrain        = 60       // s; the longest ordinary stream
-	defaultBalancerWait = 3        // s; a balancer's two health checks
+	defaultDrain        = 60       // s; duration of the longest ordinary stream
+	defaultBalancerWait = 3        // s; duration of two health checks of the balancer
 	defaultSilence      = 2000     // ms
 	defaultReportEvery  = 1000     // ms; reports lag by seconds anyway
-	defaultHeaderBytes  = 16 << 10 // keys, tokens and the usual headers take under 4 KB
+	defaultHeaderBytes  = 16 << 10 // keys, tokens and the usual headers take less than 4 KB
 	defaultRetryShare   = 0.1
-	defaultConfigPoll   = 5 // s; a third of the 16 s that a change may take
-	defaultTimeout      = 2000
+	defaultConfigPoll   = 5    // s; a third of the 16 s that a change may take
+	defaultTimeout      = 2000 // ms
 )
 
-// Drain returns the bound of a graceful shutdown.
+// Drain returns the maximum duration of a graceful shutdown.
 func (b Bounds) Drain() time.Duration { return time.Duration(b.DrainSeconds) * time.Second }
 
-// BalancerWait returns how long to go on serving after "not ready".
+// BalancerWait returns how long the host goes on serving after it answers "not ready".
 func (b Bounds) BalancerWait() time.Duration {
 	return time.Duration(b.BalancerWaitSeconds) * time.Second
 }
 
-// IdleBeforeProbe returns after how long without a byte an exchange is looked into.
+// IdleBeforeProbe returns the time without a byte after which an exchange is probed.
 func (b Bounds) IdleBeforeProbe() time.Duration { return time.Duration(b.SilenceMs) * time.Millisecond }
 
-// ReportEvery returns the time between two questions for a report.
+// ReportEvery returns the interval between two polls for an upstream's report.
 func (b Bounds) ReportEvery() time.Duration { return time.Duration(b.ReportEveryMs) * time.Millisecond }
 
-// ConfigPoll returns the mean time between two looks at the configuration.
+// ConfigPoll returns the mean interval between two polls of the configuration.
 func (b Bounds) ConfigPoll() time.Duration { return time.Duration(b.ConfigPollSeconds) * time.Second }
 
-// Parse reads a settings file, fills in the defaults and checks it. It
-// returns every fault with its path.
+// Parse parses a settings file, fills in the defaults and checks the values. It
+// returns either the settings or all faults, each with its path.
 func Parse(data []byte) (*Settings, []config.Fault) {
 	s := &Settings{}
 	faults := config.ParseStrict(data, s)
@@ -131,7 +131,7 @@
 	return s, nil
 }
 
-// SetDefaults fills in what was left out.
+// SetDefaults sets the values that were left out to their defaults.
 func (s *Settings) SetDefaults() {
 	b := &s.Bounds
 	for _, d := range []struct {
--- a/node/settings/settings_test.go
+++ b/node/settings/settings_test.go
@@ -18,10 +18,9 @@
 	return string(data)
 }
 
-// Symptom: a host does not start with the example that the page shows, or its
-// TLS is silently left out.
-// Sequence: a field is renamed, or an object that may be absent is refused.
-// Cause: page, example and reader are kept apart.
+// Guards against a host that does not start with the documented example, or that
+// silently ignores its TLS: a field is renamed, or an optional object is refused, while
+// the page, the example and the parser are maintained separately.
 func TestTheExampleIsReadAndThePageNamesItsFields(t *testing.T) {
 	set, faults := settings.Parse([]byte(example(t)))
 	assert.Equal(t, len(faults), 0, "%v", faults)
