--- a/cmd/internal/endtoend/main_test.go
+++ b/cmd/internal/endtoend/main_test.go
@@ -80,7 +80,7 @@
 // fleet is two entry hosts of Kathmandu.
 type fleet struct {
 	t   *testing.T
-	run *local.Running
+	run *local.RunningSite
 }
 
 func newFleet(t *testing.T) *fleet {
--- a/cmd/internal/endtoend/pierctl_test.go
+++ b/cmd/internal/endtoend/pierctl_test.go
@@ -55,7 +55,7 @@
 	var a operatorapi.Applied
 	f.pierctl(0, "apply", file, "--parent", "1", "--wait", "60s").exits(0).into(&a)
 	assert.Equal(t, a.Head.Version, uint64(2))
-	var e operatorapi.Everywhere
+	var e operatorapi.Rollout
 	f.pierctl(1, "status", "--everywhere").exits(0).into(&e)
 	assert.Equal(t, len(e.Waiting), 0)
 	for _, h := range e.Hosts {
--- a/cmd/internal/exit/exit.go
+++ b/cmd/internal/exit/exit.go
@@ -13,27 +13,27 @@
 
 // Exit codes, as documented in docs/operators/commands.md.
 const (
-	OK       = subcommands.ExitSuccess    // 0
-	Failed   = subcommands.ExitFailure    // 1: it was tried and failed, or a check found faults
-	Usage    = subcommands.ExitUsageError // 2: the command line is wrong
-	Conflict = subcommands.ExitStatus(3)  // 3: another operator was first; look and try again
-	Unknown  = subcommands.ExitStatus(4)  // 4: it may or may not have taken effect; look before trying again
-	Absent   = subcommands.ExitStatus(5)  // 5: there is no such thing
+	OK          = subcommands.ExitSuccess    // 0
+	Failed      = subcommands.ExitFailure    // 1: it was tried and failed, or a check found faults
+	Usage       = subcommands.ExitUsageError // 2: the command line is wrong
+	Conflict    = subcommands.ExitStatus(3)  // 3: another operator was first; look and try again
+	Unconfirmed = subcommands.ExitStatus(4)  // 4: it may or may not have taken effect; look before trying again
+	NotFound    = subcommands.ExitStatus(5)  // 5: there is no such thing
 )
 
 // Error is an error with its exit code and what to do about it.
 type Error struct {
 	Code subcommands.ExitStatus
 	Err  error
-	Do   string
+	Hint string
 }
 
 // Error writes the cause and what to do.
 func (e *Error) Error() string {
-	if e.Do == "" {
+	if e.Hint == "" {
 		return e.Err.Error()
 	}
-	return e.Err.Error() + "; " + e.Do
+	return e.Err.Error() + "; " + e.Hint
 }
 
 // Unwrap returns the cause.
--- a/cmd/internal/operator/client.go
+++ b/cmd/internal/operator/client.go
@@ -34,9 +34,9 @@
 type Flags struct {
 	Node        string
 	KeyFile     string
-	Authorities string
-	Certificate string
-	CertKey     string
+	CAFile      string
+	CertFile    string
+	CertKeyFile string
 	JSON        bool
 }
 
@@ -44,9 +44,9 @@
 func (f *Flags) Set(fs *flag.FlagSet) {
 	fs.StringVar(&f.Node, "node", os.Getenv(EnvNode), "operators' `URL` of any entry host, http(s)://IP:port; default $"+EnvNode)
 	fs.StringVar(&f.KeyFile, "key-file", "", "`file` with the operator's key; default $"+EnvKey)
-	fs.StringVar(&f.Authorities, "authorities", "", "PEM `file` of who may sign the node's certificate")
-	fs.StringVar(&f.Certificate, "certificate", "", "PEM `file` of the operator's own certificate")
-	fs.StringVar(&f.CertKey, "certificate-key", "", "PEM `file` of its key")
+	fs.StringVar(&f.CAFile, "authorities", "", "PEM `file` of who may sign the node's certificate")
+	fs.StringVar(&f.CertFile, "certificate", "", "PEM `file` of the operator's own certificate")
+	fs.StringVar(&f.CertKeyFile, "certificate-key", "", "PEM `file` of its key")
 	fs.BoolVar(&f.JSON, "json", false, "print JSON")
 }
 
@@ -57,10 +57,10 @@
 	http *http.Client
 }
 
-// New makes a client from the flags.
-func (f *Flags) New() (*Client, error) {
+// NewClient makes a client from the flags.
+func (f *Flags) NewClient() (*Client, error) {
 	if f.Node == "" {
-		return nil, &exit.Error{Code: exit.Usage, Err: errors.New("no node given"), Do: "pass --node http://IP:port or set " + EnvNode}
+		return nil, &exit.Error{Code: exit.Usage, Err: errors.New("no node given"), Hint: "pass --node http://IP:port or set " + EnvNode}
 	}
 	u, err := url.Parse(f.Node)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
@@ -75,7 +75,7 @@
 		key = strings.TrimSpace(string(data))
 	}
 	if key == "" {
-		return nil, &exit.Error{Code: exit.Usage, Err: errors.New("no operator's key given"), Do: "pass --key-file FILE or set " + EnvKey}
+		return nil, &exit.Error{Code: exit.Usage, Err: errors.New("no operator's key given"), Hint: "pass --key-file FILE or set " + EnvKey}
 	}
 	conf, err := f.tls()
 	if err != nil {
@@ -86,20 +86,20 @@
 }
 
 func (f *Flags) tls() (*tls.Config, error) {
-	if f.Authorities == "" {
+	if f.CAFile == "" {
 		return nil, nil
 	}
-	pem, err := os.ReadFile(f.Authorities)
+	pem, err := os.ReadFile(f.CAFile)
 	if err != nil {
 		return nil, err
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("%s holds no certificate", f.Authorities)
+		return nil, fmt.Errorf("%s holds no certificate", f.CAFile)
 	}
 	c := &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13}
-	if f.Certificate != "" {
-		own, err := tls.LoadX509KeyPair(f.Certificate, f.CertKey)
+	if f.CertFile != "" {
+		own, err := tls.LoadX509KeyPair(f.CertFile, f.CertKeyFile)
 		if err != nil {
 			return nil, err
 		}
@@ -142,12 +142,12 @@
 func (c *Client) unreachable(method string, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return &exit.Error{Code: exit.Failed, Err: err, Do: "nothing was asked for; try another entry host with --node"}
+		return &exit.Error{Code: exit.Failed, Err: err, Hint: "nothing was asked for; try another entry host with --node"}
 	}
 	if method == http.MethodGet {
-		return &exit.Error{Code: exit.Failed, Err: err, Do: "try another entry host with --node"}
+		return &exit.Error{Code: exit.Failed, Err: err, Hint: "try another entry host with --node"}
 	}
-	return &exit.Error{Code: exit.Unknown, Err: err, Do: "it may or may not have taken effect: look with pierctl status through another entry host before trying again"}
+	return &exit.Error{Code: exit.Unconfirmed, Err: err, Hint: "it may or may not have taken effect: look with pierctl status through another entry host before trying again"}
 }
 
 func refused(status int, data []byte) error {
@@ -162,11 +162,11 @@
 	e := &exit.Error{Code: exit.Failed, Err: errors.New(strings.Join(lines, "\n"))}
 	switch {
 	case p.Outcome == "unknown":
-		e.Code = exit.Unknown
+		e.Code = exit.Unconfirmed
 	case status == http.StatusConflict:
 		e.Code = exit.Conflict
 	case status == http.StatusNotFound:
-		e.Code = exit.Absent
+		e.Code = exit.NotFound
 	}
 	return e
 }
--- a/cmd/peridotpier/host.go
+++ b/cmd/peridotpier/host.go
@@ -54,7 +54,7 @@
 	set, faults := host.Parse(data)
 	if len(faults) > 0 {
 		return nil, &exit.Error{Code: exit.Failed, Err: fmt.Errorf("%s: %s", c.settings, faults[0]),
-			Do: fmt.Sprintf("run peridotpier check --host-settings %s for all %d faults", c.settings, len(faults))}
+			Hint: fmt.Sprintf("run peridotpier check --host-settings %s for all %d faults", c.settings, len(faults))}
 	}
 	return set, nil
 }
--- a/cmd/peridotpier/serve.go
+++ b/cmd/peridotpier/serve.go
@@ -49,7 +49,7 @@
 	set, faults := settings.Parse(data)
 	if len(faults) > 0 {
 		return &exit.Error{Code: exit.Failed, Err: fmt.Errorf("%s: %s", c.settings, faults[0]),
-			Do: fmt.Sprintf("run peridotpier check --settings %s for all %d faults", c.settings, len(faults))}
+			Hint: fmt.Sprintf("run peridotpier check --settings %s for all %d faults", c.settings, len(faults))}
 	}
 	log, err := newLog(set.LogLevel)
 	if err != nil {
--- a/cmd/pierctl/apply.go
+++ b/cmd/pierctl/apply.go
@@ -69,7 +69,7 @@
 	defer cancel()
 	waiting := -1
 	for {
-		var e operatorapi.Everywhere
+		var e operatorapi.Rollout
 		if err := c.Call(ctx, http.MethodGet, "/v1/everywhere", nil, nil, &e); err == nil && e.Version >= version {
 			if waiting = len(e.Waiting); waiting == 0 {
 				return nil
@@ -77,8 +77,8 @@
 		}
 		select {
 		case <-ctx.Done():
-			return &exit.Error{Code: exit.Unknown, Err: fmt.Errorf("version %d was accepted, but %d hosts have not confirmed it within %s", version, waiting, most),
-				Do: "see pierctl status --everywhere"}
+			return &exit.Error{Code: exit.Unconfirmed, Err: fmt.Errorf("version %d was accepted, but %d hosts have not confirmed it within %s", version, waiting, most),
+				Hint: "see pierctl status --everywhere"}
 		case <-time.After(waitEach):
 		}
 	}
--- a/cmd/pierctl/bench.go
+++ b/cmd/pierctl/bench.go
@@ -48,9 +48,9 @@
 func (c *benchCommand) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.site, "site", "kathmandu", "built-in `site` or site file")
 	f.StringVar(&c.cfg.Policy, "policy", bench.Product, "`policy` to run")
-	f.DurationVar(&c.cfg.Length, "for", time.Minute, "`length` of the traffic")
+	f.DurationVar(&c.cfg.Duration, "for", time.Minute, "`length` of the traffic")
 	f.Uint64Var(&c.cfg.Seed, "seed", 1, "seed of the traffic")
-	f.Float64Var(&c.cfg.Load, "load", 1, "`factor` on the site's demand")
+	f.Float64Var(&c.cfg.LoadFactor, "load", 1, "`factor` on the site's demand")
 	f.StringVar(&c.cfg.Faults, "faults", "", "course of `faults`")
 	f.StringVar(&c.compare, "compare", "", "`policies` to compare, separated by commas")
 	f.StringVar(&c.seeds, "seeds", "1,2,3", "`seeds` of a comparison")
@@ -61,7 +61,7 @@
 
 func (c *benchCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	seeds, err := parseSeeds(c.seeds)
-	if f.NArg() > 0 || c.cfg.Length <= 0 || c.cfg.Load <= 0 || err != nil {
+	if f.NArg() > 0 || c.cfg.Duration <= 0 || c.cfg.LoadFactor <= 0 || err != nil {
 		fmt.Fprint(os.Stderr, c.Usage())
 		return exit.Usage
 	}
@@ -97,18 +97,18 @@
 }
 
 func (c *benchCommand) runOne(ctx context.Context) (sound bool, err error) {
-	r, err := bench.Do(ctx, c.cfg)
+	r, err := bench.RunPolicy(ctx, c.cfg)
 	if err != nil {
 		return false, err
 	}
 	if c.oracle {
 		bound := c.cfg
 		bound.Policy = bench.Oracle
-		o, err := bench.Do(ctx, bound)
+		o, err := bench.RunPolicy(ctx, bound)
 		if err != nil {
 			return false, err
 		}
-		r.Oracle = &o.Attainment
+		r.OracleAttainment = &o.Attainment
 	}
 	if c.plot != "" {
 		if err := r.Plot(c.plot); err != nil {
@@ -116,15 +116,15 @@
 		}
 	}
 	if c.json {
-		return r.Sound(), json.NewEncoder(os.Stdout).Encode(r)
+		return r.InvariantsHold(), json.NewEncoder(os.Stdout).Encode(r)
 	}
 	printRun(os.Stdout, r)
-	return r.Sound(), nil
+	return r.InvariantsHold(), nil
 }
 
 func (c *benchCommand) runComparison(ctx context.Context, seeds []uint64) (sound bool, err error) {
 	result, err := bench.Compare(ctx, c.cfg, strings.Split(c.compare, ","), seeds, func(r *bench.Run) {
-		fmt.Fprintf(os.Stderr, "\rseed %d %-12s attainment %.4f urgent %.4f moves %d%20s\n", r.Seed, r.Policy, r.Attainment, r.UrgentAttainment, r.Moves, "")
+		fmt.Fprintf(os.Stderr, "\rseed %d %-12s attainment %.4f urgent %.4f moves %d%20s\n", r.Seed, r.Policy, r.Attainment, r.UrgentAttainment, r.ModelLoads, "")
 	})
 	if err != nil {
 		return false, err
@@ -135,7 +135,7 @@
 		}
 	}
 	sound = true
-	for _, row := range result.Rows {
+	for _, row := range result.Summaries {
 		if row.Policy == bench.Product {
 			sound = row.Sound
 		}
@@ -150,17 +150,17 @@
 func printRun(w io.Writer, r *bench.Run) {
 	printReport(w, r.Report)
 	fmt.Fprintf(w, "  urgent answered in time %.4f, history %s\n", r.UrgentAttainment, r.History)
-	if r.Oracle != nil {
-		fmt.Fprintf(w, "  oracle's attainment %.4f\n", *r.Oracle)
+	if r.OracleAttainment != nil {
+		fmt.Fprintf(w, "  oracle's attainment %.4f\n", *r.OracleAttainment)
 	}
 }
 
 func printComparison(w io.Writer, c *bench.Comparison) {
 	fmt.Fprintf(w, "%s, seeds %v; mean (least to most) over seeds\n", c.Site, c.Seeds)
-	for _, r := range c.Rows {
+	for _, r := range c.Summaries {
 		fmt.Fprintf(w, "%-12s per accelerator %s ratio %s attainment %s urgent %s moves %s ratio %s unreachable %s overcommits %s sound %v\n", r.Policy,
-			spread(r.PerAccelerator, 1), spread(r.Ratio, 3), spread(r.Attainment, 4), spread(r.Urgent, 4), spread(r.Moves, 1),
-			spread(r.MoveRatio, 2), spread(r.Unreachable, 1), spread(r.Overcommits, 1), r.Sound)
+			spread(r.AttainmentPerAccelerator, 1), spread(r.AttainmentRatio, 3), spread(r.Attainment, 4), spread(r.UrgentAttainment, 4), spread(r.Moves, 1),
+			spread(r.MoveRatio, 2), spread(r.UnreachableModels, 1), spread(r.Overcommits, 1), r.Sound)
 	}
 }
 
--- a/cmd/pierctl/claims.go
+++ b/cmd/pierctl/claims.go
@@ -56,9 +56,9 @@
 	}
 	cfg := claimbench.DesignSize(claimbench.Mode(c.mode))
 	if c.quiet {
-		cfg = claimbench.Today(cfg.Mode)
+		cfg = claimbench.QuietSite(cfg.Mode)
 	}
-	cfg.Kill, cfg.Duration, cfg.Seed = c.kill, c.length, c.seed
+	cfg.KillWriter, cfg.Duration, cfg.Seed = c.kill, c.length, c.seed
 	r, err := claimbench.Run(ctx, cfg)
 	if err != nil {
 		return exit.Print(os.Stderr, c.json, err)
@@ -77,11 +77,11 @@
 func printClaims(w io.Writer, r claimbench.Report) {
 	fmt.Fprintf(w, "%s, %d hosts, %d requests/s for %s, seed %d\n", r.Config.Mode, r.Config.Hosts, r.Config.Rate, r.Config.Duration, r.Config.Seed)
 	fmt.Fprintf(w, "  offered %d: completed %d, refused %d, repeats %d; ran twice %d, unsettled %d\n",
-		r.Offered, r.Completed, r.Refused, r.Repeated, r.Duplicates, r.Unsettled)
+		r.Offered, r.Completed, r.Refused, r.Repeated, r.Duplicates, r.Pending)
 	fmt.Fprintf(w, "  %.0f claims/s with %.0f commits/s, %.0f%% of %.0f writes/s; %d commits limited\n",
-		r.PerSecond, r.Commits, 100*r.BudgetShare, r.Config.WritesPerSecond, r.Limited)
-	fmt.Fprintf(w, "  claim p50 %.1f ms, p99 %.1f ms; end p99 %.1f ms\n", r.ClaimP50Ms, r.ClaimP99Ms, r.SettleP99Ms)
-	if r.Config.Kill {
+		r.ClaimsPerSecond, r.CommitsPerSecond, 100*r.BudgetShare, r.Config.WritesPerSecond, r.LimitedCommits)
+	fmt.Fprintf(w, "  claim p50 %.1f ms, p99 %.1f ms; end p99 %.1f ms\n", r.ClaimP50Ms, r.ClaimP99Ms, r.CompleteP99Ms)
+	if r.Config.KillWriter {
 		fmt.Fprintf(w, "  after the death of a writer: %.0f ms to the next claim there, of it %.0f ms reading\n", r.RecoveryMs, r.OpenMs)
 	}
 }
--- a/cmd/pierctl/compare.go
+++ b/cmd/pierctl/compare.go
@@ -63,10 +63,10 @@
 	if err != nil {
 		return err
 	}
-	pairs, left := compare.Pairs(before, after)
+	pairs, left := compare.MatchPairs(before, after)
 	rows, err := compare.Compare(pairs)
 	if err != nil {
-		return fmt.Errorf("%w: before on %s, after on %s", err, compare.Sites(before), compare.Sites(after))
+		return fmt.Errorf("%w: before on %s, after on %s", err, compare.SiteNames(before), compare.SiteNames(after))
 	}
 	c.print(rows, left)
 	if c.plot == "" {
@@ -84,7 +84,7 @@
 		_ = json.NewEncoder(os.Stdout).Encode(map[string]any{"rows": rows, "unpaired": left})
 		return
 	}
-	fmt.Println(compare.Head)
+	fmt.Println(compare.TableHead)
 	for _, r := range rows {
 		fmt.Println(r)
 	}
--- a/cmd/pierctl/demo.go
+++ b/cmd/pierctl/demo.go
@@ -81,11 +81,11 @@
 	if !c.json {
 		printIntroduction(os.Stdout, s, r, c.curl(), c.pierctl())
 	}
-	d := local.Drive{Policy: "peridot", Length: c.length, Progress: showProgress}
+	d := local.DriveOptions{Policy: "peridot", Length: c.length, Progress: showProgress}
 	if c.length == 0 {
 		d.Length = untilInterrupted
 	} else {
-		d.Script = local.Ordinary(c.length)
+		d.Script = local.RoutineScript(c.length)
 	}
 	rep, err := r.Drive(ctx, d)
 	if c.length == 0 && errors.Is(err, context.Canceled) {
@@ -96,8 +96,8 @@
 
 // writeCertificates writes the authority's certificate to a file, and beside it
 // the certificate and key of an operator.
-func writeCertificates(ca string, r *local.Running) error {
-	certificate, key, err := r.Authority.Issue("operator", pki.Address("127.0.0.1"))
+func writeCertificates(ca string, r *local.RunningSite) error {
+	certificate, key, err := r.Authority.Issue("operator", pki.WithIPAddress("127.0.0.1"))
 	if err != nil {
 		return err
 	}
--- a/cmd/pierctl/drive.go
+++ b/cmd/pierctl/drive.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return local.Report{}, err
 	}
-	return local.Against{Site: s, Layout: l, Seed: c.seed, Length: c.length, Progress: showProgress}.Run(ctx)
+	return local.RemoteRun{Site: s, Layout: l, Seed: c.seed, Length: c.length, Progress: showProgress}.Run(ctx)
 }
 
 // finish makes a run, prints its report and turns it into an exit code.
@@ -78,7 +78,7 @@
 	} else {
 		printReport(os.Stdout, rep)
 	}
-	if !rep.Sound() {
+	if !rep.InvariantsHold() {
 		return exit.Failed
 	}
 	return exit.OK
@@ -86,5 +86,5 @@
 
 // showProgress keeps one line on standard error up to date.
 func showProgress(p load.Progress) {
-	fmt.Fprintf(os.Stderr, "\r%5.0fs  sent %6d  answered %6d  in time %6d ", p.Elapsed.Seconds(), p.Sent, p.Finished, p.Met)
+	fmt.Fprintf(os.Stderr, "\r%5.0fs  sent %6d  answered %6d  in time %6d ", p.Elapsed.Seconds(), p.Sent, p.Finished, p.MetDeadline)
 }
--- a/cmd/pierctl/fleet.go
+++ b/cmd/pierctl/fleet.go
@@ -103,7 +103,7 @@
 		runs = append(runs, r)
 	}
 	if len(runs) > 1 {
-		c.print(local.Slopes(runs))
+		c.print(local.FitSlopes(runs))
 	}
 	if c.plot == "" {
 		return nil
@@ -120,7 +120,7 @@
 	if upstreams == 0 {
 		upstreams = upstreamsPerNode * nodes
 	}
-	return local.RunFleet(ctx, local.FleetOptions{Nodes: nodes, Upstreams: upstreams, Steady: c.steady, Changes: c.changes,
+	return local.RunFleet(ctx, local.FleetOptions{Nodes: nodes, Upstreams: upstreams, SteadyDuration: c.steady, ChangeCount: c.changes,
 		Progress: func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }})
 }
 
--- a/cmd/pierctl/hostpage.go
+++ b/cmd/pierctl/hostpage.go
@@ -86,7 +86,7 @@
 	}
 	switch {
 	case resp.StatusCode == http.StatusNotFound:
-		return nil, &exit.Error{Code: exit.Absent, Err: fmt.Errorf("%s: %s", address, bytes.TrimSpace(data)), Do: "list what there is"}
+		return nil, &exit.Error{Code: exit.NotFound, Err: fmt.Errorf("%s: %s", address, bytes.TrimSpace(data)), Hint: "list what there is"}
 	case resp.StatusCode >= http.StatusBadRequest:
 		return nil, fmt.Errorf("%s answers %d: %s", address, resp.StatusCode, data)
 	}
--- a/cmd/pierctl/operate.go
+++ b/cmd/pierctl/operate.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return exit.Usage
 	}
-	c, err := o.New()
+	c, err := o.NewClient()
 	if err != nil {
 		return exit.Print(os.Stderr, o.JSON, err)
 	}
--- a/cmd/pierctl/preset.go
+++ b/cmd/pierctl/preset.go
@@ -78,7 +78,7 @@
 			}, nil
 		}
 	}
-	return nil, nil, &exit.Error{Code: exit.Absent, Err: fmt.Errorf("there is no preset %q", name), Do: "pierctl preset list shows them"}
+	return nil, nil, &exit.Error{Code: exit.NotFound, Err: fmt.Errorf("there is no preset %q", name), Hint: "pierctl preset list shows them"}
 }
 
 func presetDryRun(ctx context.Context, c *operator.Client, name string) (any, func(), error) {
--- a/cmd/pierctl/print.go
+++ b/cmd/pierctl/print.go
@@ -11,10 +11,10 @@
 
 // printIntroduction shows how to use a running site by hand. Its lines work
 // as they stand.
-func printIntroduction(w io.Writer, s *site.Site, r *local.Running, curl, pierctl string) {
+func printIntroduction(w io.Writer, s *site.Site, r *local.RunningSite, curl, pierctl string) {
 	d := &s.Deployment
 	team := d.Teams[len(d.Teams)-1]
-	key := s.Key(team.Name)
+	key := s.TeamKey(team.Name)
 	hosts := r.Addresses()
 	base := "http://" + hosts[len(hosts)-1]
 	if r.Authority != nil {
@@ -41,11 +41,11 @@
 	fmt.Fprintf(w, "\n%s, policy %s, seed %d, %.0f s\n", r.Site, r.Policy, r.Seed, r.Seconds)
 	fmt.Fprintf(w, "  requests %d: completed %d, not run %d, unknown %d\n", r.Requests, r.Completed, r.NotRun, r.Unknown)
 	fmt.Fprintf(w, "  lost %d, doubled %d, cut %d, crossed %d, not run but ran %d, overcommits %d, unreachable models %d\n",
-		r.Lost, r.Doubled, r.Cut, r.Crossed, r.FalseNotRun, r.Overcommits, r.UnreachableModels)
+		r.Lost, r.Duplicated, r.Truncated, r.Mismatched, r.FalseNotRun, r.Overcommits, r.UnreachableModels)
 	fmt.Fprintf(w, "  attainment %.4f (bound %.4f), per accelerator %.1f on %d, moves %d\n",
-		r.Attainment, r.Bound, r.AttainmentPerAccelerator, r.Accelerators, r.Moves)
+		r.Attainment, r.AttainmentBound, r.AttainmentPerAccelerator, r.Accelerators, r.ModelLoads)
 	if len(r.Presets) > 0 {
 		fmt.Fprintf(w, "  presets put in force: %s\n", strings.Join(r.Presets, ", "))
 	}
-	fmt.Fprintf(w, "  first token p50 %.1f ms, p95 %.1f ms, p99 %.1f ms\n", r.FirstMs.P50, r.FirstMs.P95, r.FirstMs.P99)
+	fmt.Fprintf(w, "  first token p50 %.1f ms, p95 %.1f ms, p99 %.1f ms\n", r.FirstTokenMs.P50, r.FirstTokenMs.P95, r.FirstTokenMs.P99)
 }
--- a/cmd/pierctl/standin.go
+++ b/cmd/pierctl/standin.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	o, err := local.StartOutside(ctx, local.OutsideOptions{Site: s, Seed: c.seed, Hosts: c.hosts, Listen: c.listen, Dir: c.dir})
+	o, err := local.StartStandInServer(ctx, local.StandInServerOptions{Site: s, Seed: c.seed, Hosts: c.hosts, Listen: c.listen, Dir: c.dir})
 	if err != nil {
 		return err
 	}
--- a/cmd/pierctl/status.go
+++ b/cmd/pierctl/status.go
@@ -40,7 +40,7 @@
 }
 
 func statusEverywhere(ctx context.Context, c *operator.Client) (any, func(), error) {
-	var e operatorapi.Everywhere
+	var e operatorapi.Rollout
 	if err := c.Call(ctx, http.MethodGet, "/v1/everywhere", nil, nil, &e); err != nil {
 		return nil, nil, err
 	}
@@ -57,12 +57,12 @@
 
 func printStatus(s operatorapi.Status) {
 	fmt.Printf("%s in %s: ready %t, draining %t, up %.0f s\n", s.Host, s.DataCentre, s.Ready, s.Draining, s.UptimeSeconds)
-	fmt.Printf("configuration version %d (%s), preset %s; %d requests in flight, %d claims unsettled\n", s.Version, s.Standing, s.Preset, s.InFlight, s.Unsettled)
+	fmt.Printf("configuration version %d (%s), preset %s; %d requests in flight, %d claims unsettled\n", s.Version, s.Freshness, s.Preset, s.InFlight, s.UnresolvedClaims)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "UPSTREAM\tPOOL\tDATA CENTRE\tSTATE\tRUNNING\tWAITING\tREPORT AGE\tREADY")
 	for _, u := range s.Upstreams {
 		state := "live"
-		if u.Leaving {
+		if u.Draining {
 			state = "leaving"
 		} else if u.Down {
 			state = "down"
--- a/node/callerapi/api.go
+++ b/node/callerapi/api.go
@@ -50,7 +50,7 @@
 	Host       string // name, part of request ids
 	PrefixSalt string // secret shared by the hosts, so that prefix hashes tell an engine nothing
 	// BodyBound is how long a caller may take to send a body; 0: the default.
-	BodyBound time.Duration
+	BodyTimeout time.Duration
 }
 
 // Admission lets a request in or refuses it.
@@ -84,15 +84,15 @@
 	Decode(s, team string, now time.Time) (token.Token, error)
 }
 
-// InForce tells what is in force on this host; *query.ConfigReader implements it.
-type InForce interface {
+// ConfigSource tells what is in force on this host; *query.ConfigReader implements it.
+type ConfigSource interface {
 	Current() (*query.State, bool)
 	Freshness() revision.Freshness
 }
 
 // Deps are what the interface works with.
 type Deps struct {
-	Config     InForce
+	Config     ConfigSource
 	Admission  Admission
 	Claims     Claims
 	Dispatcher *dispatch.Dispatcher
@@ -113,8 +113,8 @@
 
 // New makes the interface.
 func New(cfg Config, deps Deps) *API {
-	if cfg.BodyBound == 0 {
-		cfg.BodyBound = bodyBound
+	if cfg.BodyTimeout == 0 {
+		cfg.BodyTimeout = bodyBound
 	}
 	a := &API{cfg: cfg, deps: deps, echo: echo.New()}
 	e := a.echo
@@ -141,7 +141,7 @@
 func (a *API) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer a.tellPanic(w)
 	if r.ContentLength != 0 {
-		setReadBound(w, time.Now().Add(a.cfg.BodyBound))
+		setReadBound(w, time.Now().Add(a.cfg.BodyTimeout))
 	}
 	a.echo.ServeHTTP(w, r)
 }
--- a/node/claim/claim_test.go
+++ b/node/claim/claim_test.go
@@ -87,7 +87,7 @@
 					m.settle(t)
 					assert.NilError(t, history.Check(m.c.hist))
 					n := m.c.hist.Count()
-					assert.Equal(t, n.Doubled+n.Cut+n.Crossed+n.FalseNo+n.Lost, 0, "%+v", n)
+					assert.Equal(t, n.Duplicated+n.Truncated+n.Mismatched+n.FalseNotRun+n.Lost, 0, "%+v", n)
 				})
 			})
 		})
@@ -281,7 +281,7 @@
 		c.advance(other)
 		c.advance(other)
 		assert.NilError(t, history.Check(c.hist))
-		assert.Equal(t, c.hist.Count().Doubled, 0)
+		assert.Equal(t, c.hist.Count().Duplicated, 0)
 	})
 }
 
@@ -330,14 +330,14 @@
 		caught func(*cluster) bool
 	}{
 		{"no condition on the claim", func(tb store.Table) store.Table { return &mutant{Table: tb, noConds: true} },
-			two, func(c *cluster) bool { return history.Check(c.hist) != nil && c.hist.Count().Doubled == 1 }},
+			two, func(c *cluster) bool { return history.Check(c.hist) != nil && c.hist.Count().Duplicated == 1 }},
 		{"lost answer taken for success", func(tb store.Table) store.Table { return &mutant{Table: tb, doubtOK: true} },
 			func(c *cluster) { c.table.set(func(f *faults) { f.drop = 2 }); two(c) },
-			func(c *cluster) bool { return history.Check(c.hist) != nil && c.hist.Count().Doubled == 1 }},
+			func(c *cluster) bool { return history.Check(c.hist) != nil && c.hist.Count().Duplicated == 1 }},
 		{"lost answer taken for failure", func(tb store.Table) store.Table {
 			return &mutant{Table: tb, doubtAs: store.ErrUnavailable}
 		}, func(c *cluster) { c.table.set(func(f *faults) { f.lose = 1 }); two(c) },
-			func(c *cluster) bool { return c.hist.Count().FalseBusy == 1 }},
+			func(c *cluster) bool { return c.hist.Count().FalseInProgress == 1 }},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -348,7 +348,7 @@
 				m.run(sound)
 				assert.NilError(t, history.Check(sound.hist))
 				n := sound.hist.Count()
-				assert.Equal(t, n.Doubled+n.FalseBusy, 0)
+				assert.Equal(t, n.Duplicated+n.FalseInProgress, 0)
 			})
 		})
 	}
--- a/node/claim/fate.go
+++ b/node/claim/fate.go
@@ -38,10 +38,10 @@
 		}
 	}
 	if !settled {
-		s.deps.Log.Emit(event.ClaimFateUntold, zap.String(event.FieldPeer, row.Route.Upstream), zap.String("attempt", row.Route.Attempt), zap.Error(err))
+		s.deps.Log.Emit(event.ClaimOutcomeUnknown, zap.String(event.FieldPeer, row.Route.Upstream), zap.String("attempt", row.Route.Attempt), zap.Error(err))
 		return seen, fault.Unknown(fault.StepClaim, row.Route.Upstream, fault.CodeOutcomeUnknown, "the attempt's fate cannot be learned").WithRetryAfter(progressMost)
 	}
-	s.deps.Log.Emit(event.ClaimSettledByFate, zap.String(event.FieldPeer, row.Route.Upstream), zap.String("state", string(next.State)))
+	s.deps.Log.Emit(event.ClaimResolvedByUpstream, zap.String(event.FieldPeer, row.Route.Upstream), zap.String("state", string(next.State)))
 	return seen, nil
 }
 
--- a/node/claim/settle.go
+++ b/node/claim/settle.go
@@ -139,10 +139,10 @@
 
 func (s *Store) enqueue(st *settlement, cause error) error {
 	if !s.queue.push(st) {
-		s.deps.Log.Emit(event.ClaimSettleDropped, zap.String("claim", st.id), zap.Error(cause))
+		s.deps.Log.Emit(event.ClaimOutcomeDropped, zap.String("claim", st.id), zap.Error(cause))
 		return ErrQueueFull
 	}
-	s.deps.Log.Emit(event.ClaimSettleDeferred, zap.String("claim", st.id), zap.Error(cause))
+	s.deps.Log.Emit(event.ClaimOutcomeDeferred, zap.String("claim", st.id), zap.Error(cause))
 	return nil
 }
 
--- a/node/claim/sim_test.go
+++ b/node/claim/sim_test.go
@@ -123,7 +123,7 @@
 	if e.fenced[r.route.Attempt] || r.route.Incarnation != e.incarnation() || e.attempts[r.route.Attempt] != nil {
 		return false
 	}
-	x := e.hist.Begin(history.Execution{Call: r.call, Key: r.key, Attempt: r.route.Attempt})
+	x := e.hist.Begin(history.Execution{InvocationID: r.call, Key: r.key, Attempt: r.route.Attempt})
 	e.hist.Finish(x, r.route.Attempt)
 	e.attempts[r.route.Attempt] = x
 	return true
@@ -274,7 +274,7 @@
 func (c *cluster) told(call string, err error) {
 	e := fault.From(fault.StepClaim, err)
 	if e.Code == fault.CodeInProgress {
-		c.hist.ToldBusy(call)
+		c.hist.AnsweredInProgress(call)
 		return
 	}
 	c.hist.Answered(call, e.Outcome, "")
@@ -350,7 +350,7 @@
 		if f.host != host {
 			continue
 		}
-		c.hist.Left(f.call)
+		c.hist.CallerLeft(f.call)
 		c.land(f)
 		if f.stage == sent && arrivesLate {
 			c.engine.arrive(f)
--- a/node/claim/sweep.go
+++ b/node/claim/sweep.go
@@ -82,7 +82,7 @@
 	}
 	w.advance(rows)
 	if len(txn.Writes) > 0 || kept > 0 {
-		w.store.deps.Log.Emit(event.ClaimsSwept, zap.Int("deleted", len(txn.Writes)), zap.Int("kept", kept))
+		w.store.deps.Log.Emit(event.ClaimsExpired, zap.Int("deleted", len(txn.Writes)), zap.Int("kept", kept))
 	}
 	return len(txn.Writes), len(rows) < sweepPage, nil
 }
--- a/node/coordinator/adapters.go
+++ b/node/coordinator/adapters.go
@@ -133,7 +133,7 @@
 		u.book.MarkAdapterReady(o.Model, o.Adapter, u.c.now())
 		u.mu.Unlock()
 		u.c.changed(u)
-		u.c.deps.Log.Emit(event.OrderDone, u.fields(o, zap.Duration("took", u.c.cfg.AdapterLoadTime))...)
+		u.c.deps.Log.Emit(event.OrderCompleted, u.fields(o, zap.Duration("took", u.c.cfg.AdapterLoadTime))...)
 	})
 }
 
--- a/node/coordinator/coordinator.go
+++ b/node/coordinator/coordinator.go
@@ -245,7 +245,7 @@
 	}
 	c.begins.Notify()
 	c.beginCounts(c.now())
-	c.deps.Log.Emit(event.StandingIn, zap.Duration("store_age", c.deps.Feed.StoreAge()))
+	c.deps.Log.Emit(event.ActingCoordinator, zap.Duration("store_age", c.deps.Feed.StoreAge()))
 }
 
 // beginCounts forgets what this host counted when it acted before: others have
--- a/node/coordinator/link.go
+++ b/node/coordinator/link.go
@@ -295,7 +295,7 @@
 	if was == address {
 		l.moved.Notify()
 		l.own.deps.Fleet.SetUncoordinated()
-		l.log.Emit(event.CoordinatorOff, zap.String(event.FieldPeer, address), zap.Error(err))
+		l.log.Emit(event.CoordinatorLost, zap.String(event.FieldPeer, address), zap.Error(err))
 	}
 }
 
@@ -327,6 +327,6 @@
 	if acted && !l.own.Acting() {
 		l.own.announce() // those that go by this host find out whom it goes by
 	}
-	l.log.Emit(event.CoordinatorMet, zap.String(event.FieldPeer, address), zap.Uint32("hosts", s.Hosts))
+	l.log.Emit(event.CoordinatorLinked, zap.String(event.FieldPeer, address), zap.Uint32("hosts", s.Hosts))
 	return true
 }
--- a/node/coordinator/move.go
+++ b/node/coordinator/move.go
@@ -50,7 +50,7 @@
 		u.mu.Unlock()
 		c.changed(u)
 		if err != nil {
-			c.deps.Log.Emit(event.MoveEnded, zap.String(event.FieldPeer, m.Upstream), zap.String("unload", m.Unload),
+			c.deps.Log.Emit(event.MoveEndedEarly, zap.String(event.FieldPeer, m.Upstream), zap.String("unload", m.Unload),
 				zap.String("load", m.Load), zap.Error(err))
 		}
 	}()
--- a/node/dispatch/attempt.go
+++ b/node/dispatch/attempt.go
@@ -148,7 +148,7 @@
 func (a *attempt) check(resp *conn.Response) error {
 	if got := resp.Header.Get(engineapi.HeaderAttempt); got != a.id {
 		a.d.deps.Metrics.Add(metrics.Mismatched, a.ep.DataCentre, a.ep.Upstream, 1)
-		a.d.deps.Log.Emit(event.AnswerCrossed, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("attempt", a.id), zap.String("got", got))
+		a.d.deps.Log.Emit(event.AnswerMismatched, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("attempt", a.id), zap.String("got", got))
 		return fault.Unknown(fault.StepDispatch, a.ep.Upstream, fault.CodeUpstreamFailed, "answer for attempt %q: %w", got, errForeign)
 	}
 	inc := resp.Header.Get(engineapi.HeaderIncarnation)
@@ -172,7 +172,7 @@
 	switch why {
 	case engineapi.RefusedDraining:
 		if a.d.deps.View.MarkDraining(a.ep.Upstream, a.sent.get()) {
-			a.d.deps.Log.Emit(event.UpstreamLeaving, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("incarnation", a.sent.get()), zap.String("source", "refusal"))
+			a.d.deps.Log.Emit(event.UpstreamDraining, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("incarnation", a.sent.get()), zap.String("source", "refusal"))
 		}
 	case engineapi.RefusedAttemptClosed:
 		// The watchdog asked for the fate before the attempt arrived.
--- a/node/dispatch/relay.go
+++ b/node/dispatch/relay.go
@@ -165,7 +165,7 @@
 	if err != nil {
 		if errors.Is(err, errForeign) {
 			a.d.deps.Metrics.Add(metrics.Mismatched, a.ep.DataCentre, a.ep.Upstream, 1)
-			a.d.deps.Log.Emit(event.AnswerCrossed, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("attempt", a.id))
+			a.d.deps.Log.Emit(event.AnswerMismatched, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("attempt", a.id))
 		}
 		return used, a.broken(err)
 	}
--- a/node/dispatch/watchdog.go
+++ b/node/dispatch/watchdog.go
@@ -115,7 +115,7 @@
 		return false
 	}
 	a.d.deps.Client.Retire(a.ep.Address)
-	a.d.deps.Log.Emit(event.ConnectionSilent, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("attempt", a.id),
+	a.d.deps.Log.Emit(event.ConnectionUnresponsive, zap.String(event.FieldPeer, a.ep.Upstream), zap.String("attempt", a.id),
 		zap.String("state", string(f.State)), zap.Int64("position", a.watch.position.Load()))
 	return true
 }
--- a/node/event/catalogue.go
+++ b/node/event/catalogue.go
@@ -11,9 +11,9 @@
 
 // Process events.
 var (
-	ProcessReady   = Event{1001, "process_ready", zapcore.InfoLevel, "The host serves callers."}
-	ProcessDrain   = Event{1002, "process_drain", zapcore.InfoLevel, "The host takes no new requests and finishes those in flight."}
-	ProcessStopped = Event{1003, "process_stopped", zapcore.InfoLevel, "The host has stopped; cut says how many requests it cut off (0 on a graceful shutdown), open how many callers' connections end with the process, active those of them with a request, new those without a byte, idle_closed how many the shutdown closed while idle."}
+	ProcessReady    = Event{1001, "process_ready", zapcore.InfoLevel, "The host serves callers."}
+	ProcessDraining = Event{1002, "process_drain", zapcore.InfoLevel, "The host takes no new requests and finishes those in flight."}
+	ProcessStopped  = Event{1003, "process_stopped", zapcore.InfoLevel, "The host has stopped; cut says how many requests it cut off (0 on a graceful shutdown), open how many callers' connections end with the process, active those of them with a request, new those without a byte, idle_closed how many the shutdown closed while idle."}
 )
 
 // All lists every event; docs/EVENTS.md is checked against it.
@@ -38,4 +38,4 @@
 	return all
 }
 
-var processEvents = []Event{ProcessReady, ProcessDrain, ProcessStopped}
+var processEvents = []Event{ProcessReady, ProcessDraining, ProcessStopped}
--- a/node/event/upstream.go
+++ b/node/event/upstream.go
@@ -4,16 +4,16 @@
 
 // Events of upstreams' reports.
 var (
-	UpstreamSeen    = Event{1902, "upstream_seen", zapcore.InfoLevel, "The platform lists an upstream that this host did not know."}
-	UpstreamsSeen   = Event{1909, "upstreams_seen", zapcore.InfoLevel, "The platform lists count upstreams that this host did not know, too many for a line each."}
-	UpstreamResting = Event{1903, "upstream_resting", zapcore.WarnLevel, "An upstream gets no requests for a moment; why says what its answers showed (silent, failures, or how an exchange broke). After that single requests try it."}
-	UpstreamLapsed  = Event{1904, "upstream_lapsed", zapcore.WarnLevel, "Entries of several upstreams vanished together, as after a store outage; they are used a little longer, in case they come back."}
-	UpstreamEnded   = Event{1906, "upstream_ended", zapcore.WarnLevel, "An upstream's process ended while requests of this host were under way there: its address refuses connections. under_way are the digests of what they were; one that stands in many such lines ends upstreams."}
-	UpstreamLimited = Event{1907, "upstream_limited", zapcore.InfoLevel, "An upstream names another limit than before for all hosts together, in requests a second; per_second below 0: none any more. source says who heard it."}
-	UpstreamAsked   = Event{1908, "upstream_asked_rest", zapcore.InfoLevel, "An upstream turned a request of this host away and asked it to send nothing for for_ms."}
-	UpstreamBack    = Event{1905, "upstream_back", zapcore.InfoLevel, "The entry of an upstream that had vanished is back."}
+	UpstreamListed       = Event{1902, "upstream_seen", zapcore.InfoLevel, "The platform lists an upstream that this host did not know."}
+	UpstreamsListed      = Event{1909, "upstreams_seen", zapcore.InfoLevel, "The platform lists count upstreams that this host did not know, too many for a line each."}
+	UpstreamExcluded     = Event{1903, "upstream_resting", zapcore.WarnLevel, "An upstream gets no requests for a moment; why says what its answers showed (silent, failures, or how an exchange broke). After that single requests try it."}
+	UpstreamMassRemoval  = Event{1904, "upstream_lapsed", zapcore.WarnLevel, "Entries of several upstreams vanished together, as after a store outage; they are used a little longer, in case they come back."}
+	UpstreamTerminated   = Event{1906, "upstream_ended", zapcore.WarnLevel, "An upstream's process ended while requests of this host were under way there: its address refuses connections. under_way are the digests of what they were; one that stands in many such lines ends upstreams."}
+	UpstreamLimitChanged = Event{1907, "upstream_limited", zapcore.InfoLevel, "An upstream names another limit than before for all hosts together, in requests a second; per_second below 0: none any more. source says who heard it."}
+	UpstreamBackoff      = Event{1908, "upstream_asked_rest", zapcore.InfoLevel, "An upstream turned a request of this host away and asked it to send nothing for for_ms."}
+	UpstreamReturned     = Event{1905, "upstream_back", zapcore.InfoLevel, "The entry of an upstream that had vanished is back."}
 
 	ReportFailed = Event{1901, "report_failed", zapcore.WarnLevel, "An upstream did not give its report; said once until it does again. If it lasts, look at the upstream and the network to it."}
 )
 
-var upstreamEvents = []Event{ReportFailed, UpstreamSeen, UpstreamsSeen, UpstreamResting, UpstreamLapsed, UpstreamBack, UpstreamEnded, UpstreamLimited, UpstreamAsked}
+var upstreamEvents = []Event{ReportFailed, UpstreamListed, UpstreamsListed, UpstreamExcluded, UpstreamMassRemoval, UpstreamReturned, UpstreamTerminated, UpstreamLimitChanged, UpstreamBackoff}
--- a/node/fleet/entry.go
+++ b/node/fleet/entry.go
@@ -166,7 +166,7 @@
 	e.reindexLocked()
 	if e.gone && u.State == deploy.Ready {
 		e.gone, e.leaving, e.useUntil = false, e.signal.Draining, time.Time{} // what its process said itself stays
-		e.fleet.deps.Log.Emit(event.UpstreamBack, zap.String(event.FieldPeer, u.ID))
+		e.fleet.deps.Log.Emit(event.UpstreamReturned, zap.String(event.FieldPeer, u.ID))
 	}
 	if u.State == deploy.Draining {
 		e.leaveLocked("its own word")
@@ -203,7 +203,7 @@
 	e.fleet.watch(e)
 	if hold > 0 && !e.leaving {
 		e.useUntil = now.Add(hold)
-		e.fleet.deps.Log.Emit(event.UpstreamLapsed, zap.String(event.FieldPeer, e.id), zap.Duration("used_for", hold))
+		e.fleet.deps.Log.Emit(event.UpstreamMassRemoval, zap.String(event.FieldPeer, e.id), zap.Duration("used_for", hold))
 		return true
 	}
 	e.leaveLocked("entry removed")
@@ -217,7 +217,7 @@
 		return
 	}
 	e.leaving = true
-	e.fleet.deps.Log.Emit(event.UpstreamLeaving, zap.String(event.FieldPeer, e.id), zap.String("source", why))
+	e.fleet.deps.Log.Emit(event.UpstreamDraining, zap.String(event.FieldPeer, e.id), zap.String("source", why))
 }
 
 // forgetAfter is how long a vanished upstream is remembered: its requests may
@@ -237,7 +237,7 @@
 	}
 	if e.health.IsUnresponsive(e.fleet.cfg.Health, now, e.readingLocked(now)) && e.restLocked(now) {
 		e.abortMovableLocked()
-		e.fleet.deps.Log.Emit(event.UpstreamResting, zap.String(event.FieldPeer, e.id), zap.String("why", "silent"), zap.Int("outstanding", e.own.Requests))
+		e.fleet.deps.Log.Emit(event.UpstreamExcluded, zap.String(event.FieldPeer, e.id), zap.String("why", "silent"), zap.Int("outstanding", e.own.Requests))
 	}
 	if e.own.Requests == 0 && !e.gone && !e.signal.Limit.Stated {
 		e.fleet.watched.remove(e)
--- a/node/fleet/exchange.go
+++ b/node/fleet/exchange.go
@@ -136,7 +136,7 @@
 		x.e.restedLocked(resting)
 	})
 	if resting {
-		x.e.fleet.deps.Log.Emit(event.UpstreamResting, zap.String(event.FieldPeer, x.e.ID()), zap.String("why", why))
+		x.e.fleet.deps.Log.Emit(event.UpstreamExcluded, zap.String(event.FieldPeer, x.e.ID()), zap.String("why", why))
 	}
 }
 
@@ -146,7 +146,7 @@
 	var resting bool
 	x.end(func() { resting = x.e.restLocked(x.e.fleet.deps.Now()) })
 	if resting {
-		x.e.fleet.deps.Log.Emit(event.UpstreamResting, zap.String(event.FieldPeer, x.e.ID()), zap.String("why", "absent"))
+		x.e.fleet.deps.Log.Emit(event.UpstreamExcluded, zap.String(event.FieldPeer, x.e.ID()), zap.String("why", "absent"))
 	}
 }
 
--- a/node/fleet/fleet.go
+++ b/node/fleet/fleet.go
@@ -201,12 +201,12 @@
 
 func (f *Fleet) logSeen(seen []*Entry) {
 	if len(seen) > seenMost {
-		f.deps.Log.Emit(event.UpstreamsSeen, zap.Int("count", len(seen)))
+		f.deps.Log.Emit(event.UpstreamsListed, zap.Int("count", len(seen)))
 		return
 	}
 	for _, e := range seen {
 		u, _ := e.Description()
-		f.deps.Log.Emit(event.UpstreamSeen, zap.String(event.FieldPeer, u.ID), zap.String("service", u.Service),
+		f.deps.Log.Emit(event.UpstreamListed, zap.String(event.FieldPeer, u.ID), zap.String("service", u.Service),
 			zap.String("address", u.Address), zap.Int64("born_ms", u.Born), zap.Int("residents", len(u.Residents)))
 	}
 }
@@ -384,7 +384,7 @@
 	}
 	for i, failing := range health.Outliers(f.cfg.Health, shares, all) {
 		if failing && entries[i].rest(now) {
-			f.deps.Log.Emit(event.UpstreamResting, zap.String(event.FieldPeer, entries[i].ID()),
+			f.deps.Log.Emit(event.UpstreamExcluded, zap.String(event.FieldPeer, entries[i].ID()),
 				zap.String("why", "failures"), zap.Float64("share", shares[i]))
 		}
 	}
--- a/node/fleet/signalled.go
+++ b/node/fleet/signalled.go
@@ -54,7 +54,7 @@
 	}
 	e.mu.Unlock()
 	if limited {
-		e.fleet.deps.Log.Emit(event.UpstreamLimited, zap.String(event.FieldPeer, e.id), zap.Float64("per_second", logged(now.Limit)),
+		e.fleet.deps.Log.Emit(event.UpstreamLimitChanged, zap.String(event.FieldPeer, e.id), zap.Float64("per_second", logged(now.Limit)),
 			zap.Float64("was", logged(was.Limit)), zap.String("source", source))
 	}
 	if changed {
--- a/node/follow/feed.go
+++ b/node/follow/feed.go
@@ -62,7 +62,7 @@
 			pause.Reset()
 			pace.Sleep(ctx, f.least()-time.Since(began))
 		case errors.Is(err, store.ErrHistoryLost):
-			f.deps.Log.Emit(event.FeedReread, zap.String("table", d.name), zap.Uint64("after", d.progress.at.Load()))
+			f.deps.Log.Emit(event.FeedReloaded, zap.String("table", d.name), zap.Uint64("after", d.progress.at.Load()))
 			d.reread = true
 		default:
 			f.lost(ctx, d, err)
@@ -197,7 +197,7 @@
 	if d.lostAt.IsZero() {
 		return
 	}
-	f.deps.Log.Emit(event.StoreRegained, zap.String("table", d.name), zap.Duration("away", time.Since(d.lostAt)))
+	f.deps.Log.Emit(event.StoreRecovered, zap.String("table", d.name), zap.Duration("away", time.Since(d.lostAt)))
 	d.lostAt = time.Time{}
 	if d.back != nil {
 		d.back()
--- a/node/gate/attempt.go
+++ b/node/gate/attempt.go
@@ -138,7 +138,7 @@
 	switch {
 	case facts.AttemptID != "" && facts.AttemptID != q.facts.AttemptID:
 		// Bytes of another request's answer: whatever follows is not ours either.
-		q.g.deps.Log.Emit(event.AnswerCrossed, q.id(), zap.String(event.FieldPeer, e.ID()), zap.String("answers", facts.AttemptID))
+		q.g.deps.Log.Emit(event.AnswerMismatched, q.id(), zap.String(event.FieldPeer, e.ID()), zap.String("answers", facts.AttemptID))
 		return q.distrust(x, resp, "crossed")
 	case resp.Status < 300 && (!facts.Sealed || facts.AttemptID == ""):
 		return q.distrust(x, resp, "unsealed")
--- a/node/gate/gate.go
+++ b/node/gate/gate.go
@@ -358,7 +358,7 @@
 		return false
 	}
 	if q.ctx.Err() == nil && q.maybe < max(q.route.Attempts, 1) && (q.mayGoOn(res) || q.resumeLater(res)) {
-		q.g.deps.Log.Emit(event.RequestAgain, q.id(), zap.String("why", res.why), zap.String(event.FieldPeer, q.last),
+		q.g.deps.Log.Emit(event.RequestRetried, q.id(), zap.String("why", res.why), zap.String(event.FieldPeer, q.last),
 			zap.Int("sends", q.sends), zap.Bool("not_run", res.notRun), q.paused())
 		q.g.deps.Metrics.Count(metrics.Retries, 1)
 		q.lost = q.lost || !res.notRun
--- a/node/gate/log_test.go
+++ b/node/gate/log_test.go
@@ -99,7 +99,7 @@
 	c := send(t, address, "GET / HTTP/1.1\r\nHost: example.com\r\n\r\n")
 	<-reached
 	assert.NilError(t, c.Close())
-	fields := last(t, lines, event.RequestLeft)
+	fields := last(t, lines, event.RequestAbandoned)
 	assert.Equal(t, fields["why"], "stop")
 	assert.Equal(t, fields["ended"], "connection")
 	assert.Equal(t, fmt.Sprint(fields["sends"]), "1")
@@ -129,7 +129,7 @@
 	send(t, address, "GET / HTTP/1.1\r\nHost: example.com\r\n\r\n")
 	<-reached
 	end()
-	fields := last(t, lines, event.RequestBroken)
+	fields := last(t, lines, event.RequestInterrupted)
 	assert.Equal(t, fields["ended"], "stopping")
 	assert.Equal(t, fields["started"], false)
 }
--- a/node/gate/pick.go
+++ b/node/gate/pick.go
@@ -204,7 +204,7 @@
 		return
 	}
 	q.waitsFor = p.Reason
-	q.g.deps.Log.Emit(event.RequestWaits, q.id(), q.routeName(), q.modelName(), zap.Stringer("why", p.Reason), zap.Int("among", p.among),
+	q.g.deps.Log.Emit(event.RequestQueued, q.id(), q.routeName(), q.modelName(), zap.Stringer("why", p.Reason), zap.Int("among", p.among),
 		zap.Int64("for_ms", most.Milliseconds()))
 }
 
@@ -303,11 +303,11 @@
 	}
 	ctx, cancel := context.WithTimeout(q.ctx, adapterHold)
 	defer cancel()
-	d.Log.Emit(event.AdapterAsked, q.id(), zap.String(event.FieldPeer, p.home.ID()),
+	d.Log.Emit(event.AdapterRequested, q.id(), zap.String(event.FieldPeer, p.home.ID()),
 		zap.String("model", q.ask.Model), zap.String("adapter", q.ask.Adapter))
 	err := d.Coordinator.LoadAdapter(ctx, p.home.ID(), q.ask.Model, q.ask.Adapter)
 	if err != nil {
-		d.Log.Emit(event.RequestWaits, q.id(), zap.String("why", "adapter"), zap.Error(err))
+		d.Log.Emit(event.RequestQueued, q.id(), zap.String("why", "adapter"), zap.Error(err))
 		return q.giveUpUnbegun(p.Reason)
 	}
 	return true
--- a/node/gate/refuse.go
+++ b/node/gate/refuse.go
@@ -85,7 +85,7 @@
 // promised: the status is none of those that say "not run".
 func (q *request) fail(status int, why string) {
 	d := &q.g.deps
-	d.Log.Emit(event.RequestBroken, q.id(), q.routeName(), zap.String("why", why), zap.String(event.FieldPeer, q.last),
+	d.Log.Emit(event.RequestInterrupted, q.id(), q.routeName(), zap.String("why", why), zap.String(event.FieldPeer, q.last),
 		zap.Int("sends", q.sends), zap.Int64("took_ms", d.Now().Sub(q.start).Milliseconds()), zap.Bool("started", q.started),
 		zap.Int64("relayed_bytes", q.relayed), zap.NamedError("write_error", q.writeErr), q.ended(), q.barredBy(),
 		zap.Stringer("content", q.content.Fingerprint().Digest))
@@ -119,7 +119,7 @@
 // left notes a caller that went away; nobody is there to be answered.
 func (q *request) left() {
 	now := q.g.deps.Now()
-	q.g.deps.Log.Emit(event.RequestLeft, q.id(), q.routeName(), zap.String(event.FieldPeer, q.last), zap.String("why", q.leftWhy()),
+	q.g.deps.Log.Emit(event.RequestAbandoned, q.id(), q.routeName(), zap.String(event.FieldPeer, q.last), zap.String("why", q.leftWhy()),
 		zap.Int64("took_ms", now.Sub(q.start).Milliseconds()), zap.Int64("left_ms", q.deadline.Sub(now).Milliseconds()),
 		zap.Int("sends", q.sends), zap.Bool("started", q.started), zap.Int64("relayed_bytes", q.relayed),
 		zap.NamedError("write_error", q.writeErr), q.ended())
--- a/node/gate/signals.go
+++ b/node/gate/signals.go
@@ -31,7 +31,7 @@
 	if a.Backoff > 0 {
 		e.StartBackoff(a.Backoff)
 		q.g.deps.Metrics.Add(metrics.BackoffsRequested, q.service.Name, e.ID(), 1)
-		q.g.deps.Log.Emit(event.UpstreamAsked, q.id(), zap.String(event.FieldPeer, e.ID()), zap.Int64("for_ms", a.Backoff.Milliseconds()))
+		q.g.deps.Log.Emit(event.UpstreamBackoff, q.id(), zap.String(event.FieldPeer, e.ID()), zap.Int64("for_ms", a.Backoff.Milliseconds()))
 	}
 }
 
--- a/node/gate/turn.go
+++ b/node/gate/turn.go
@@ -94,7 +94,7 @@
 	}
 	p = picked{Decision: balance.Decision{PredictedWait: t.Predicted}, among: len(d.Fleet.EntriesOfService(q.service.Name)),
 		load: t.InFlight, waiting: t.PendingPromptTokens, cached: t.CachedTokens, turn: t}
-	d.Log.Emit(event.TurnGiven, q.id(), zap.String(event.FieldPeer, t.Upstream), zap.Int64("waited_ms", d.Now().Sub(now).Milliseconds()),
+	d.Log.Emit(event.PermitGranted, q.id(), zap.String(event.FieldPeer, t.Upstream), zap.Int64("waited_ms", d.Now().Sub(now).Milliseconds()),
 		zap.Int("load", t.InFlight), zap.Int("waiting", t.PendingPromptTokens), zap.Int("cached", t.CachedTokens))
 	return e, p, true
 }
--- a/node/host/callers.go
+++ b/node/host/callers.go
@@ -175,6 +175,6 @@
 
 // Write implements io.Writer.
 func (c serverErrorLog) Write(p []byte) (int, error) {
-	c.log.Emit(event.ConnectionComplaint, zap.ByteString("text", p), zap.String("where", "callers"))
+	c.log.Emit(event.ConnectionError, zap.ByteString("text", p), zap.String("where", "callers"))
 	return len(p), nil
 }
--- a/node/host/callers_test.go
+++ b/node/host/callers_test.go
@@ -110,13 +110,13 @@
 
 // onlyLine returns the fields of the only log line about a connection.
 func (r *rig) onlyLine() map[string]any {
-	found := r.lines.FilterMessage(event.CallerClosed.Name).All()
+	found := r.lines.FilterMessage(event.CallerConnectionClosed.Name).All()
 	assert.Equal(r.t, len(found), 1, "%v", found)
 	return found[0].ContextMap()
 }
 
 func (r *rig) assertNoLine() {
-	found := r.lines.FilterMessage(event.CallerClosed.Name).All()
+	found := r.lines.FilterMessage(event.CallerConnectionClosed.Name).All()
 	assert.Equal(r.t, len(found), 0, "%v", found)
 }
 
@@ -273,7 +273,7 @@
 	track.didRead(4096, 20, nil)
 	track.didRead(4096, 20, nil)
 	track.begin(http.Header{testID: {"a"}})
-	found := r.lines.FilterMessage(event.CallerClosed.Name).All()
+	found := r.lines.FilterMessage(event.CallerConnectionClosed.Name).All()
 	assert.Equal(t, len(found), 2)
 	assertFields(t, found[0].ContextMap(), map[string]any{"reason": "stop", "phase": "late_read", "read_bytes": 20, "unanswered": false})
 	assertFields(t, found[1].ContextMap(), map[string]any{"reason": "stop", "phase": "late_begun", "read_bytes": 40, "unanswered": true, "request": "a"})
@@ -343,7 +343,7 @@
 	assert.Equal(t, fields["request"], "a")
 	assert.Equal(t, fields["value"], "string")
 	assert.Assert(t, strings.Contains(fmt.Sprint(fields["stack"]), "TestAPanicIsLoggedWithItsRequest"))
-	assert.Equal(t, r.lines.FilterMessage(event.ConnectionComplaint.Name).Len(), 0)
+	assert.Equal(t, r.lines.FilterMessage(event.ConnectionError.Name).Len(), 0)
 }
 
 func TestAnAbortedRequestIsNoPanic(t *testing.T) {
--- a/node/host/connlog.go
+++ b/node/host/connlog.go
@@ -140,7 +140,7 @@
 	if s.head != nil {
 		id = zap.String("request", l.idOf(s.head))
 	}
-	l.log.Emit(event.CallerClosed, id, zap.String("reason", string(s.reason)), zap.String("phase", string(s.phase)),
+	l.log.Emit(event.CallerConnectionClosed, id, zap.String("reason", string(s.reason)), zap.String("phase", string(s.phase)),
 		zap.Bool("unanswered", s.unanswered), zap.Int64("read_bytes", s.read), zap.Int64("written_bytes", s.written),
 		zap.Int64("age_ms", s.age.Milliseconds()), zap.Int64("phase_ms", s.inPhase.Milliseconds()),
 		zap.Int("requests", s.requests), zap.Int("answers", s.answers), zap.String("caller", t.from))
--- a/node/host/stop.go
+++ b/node/host/stop.go
@@ -77,10 +77,10 @@
 		case <-h.deps.ReloadSignal:
 			next, err := h.deps.ReloadSettings()
 			if err != nil {
-				h.log.Emit(event.SettingsBad, zap.Error(err))
+				h.log.Emit(event.SettingsUnusable, zap.Error(err))
 				continue
 			}
-			h.log.Emit(event.SettingsReread, zap.Strings("changed", h.settings.changedKeys(next)))
+			h.log.Emit(event.SettingsReloaded, zap.Strings("changed", h.settings.changedKeys(next)))
 		}
 	}
 }
--- a/node/keys/handshake_test.go
+++ b/node/keys/handshake_test.go
@@ -82,22 +82,22 @@
 func TestWrongCertificatesAreRefusedOnBothSides(t *testing.T) {
 	stranger, err := pki.New("stranger")
 	assert.NilError(t, err)
-	here := pki.Address("127.0.0.1")
+	here := pki.WithIPAddress("127.0.0.1")
 	for _, c := range []struct {
 		name           string
 		ca             func(b *bench) *pki.Authority
-		changes        []pki.Change
+		changes        []pki.CertificateOption
 		client, server string // what the other side says of it
 	}{
-		{"unknown authority", func(*bench) *pki.Authority { return stranger }, []pki.Change{here}, "unknown authority", "unknown authority"},
-		{"expired", func(b *bench) *pki.Authority { return b.ca }, []pki.Change{here, pki.Expired}, "expired", "expired"},
-		{"another address", func(b *bench) *pki.Authority { return b.ca }, []pki.Change{pki.Address("127.0.0.9")}, "127.0.0.9", "127.0.0.9"},
+		{"unknown authority", func(*bench) *pki.Authority { return stranger }, []pki.CertificateOption{here}, "unknown authority", "unknown authority"},
+		{"expired", func(b *bench) *pki.Authority { return b.ca }, []pki.CertificateOption{here, pki.WithExpiredValidity}, "expired", "expired"},
+		{"another address", func(b *bench) *pki.Authority { return b.ca }, []pki.CertificateOption{pki.WithIPAddress("127.0.0.9")}, "127.0.0.9", "127.0.0.9"},
 		{"no address, as an operator's", func(b *bench) *pki.Authority { return b.ca }, nil, "doesn't contain any IP SANs", "doesn't contain any IP SANs"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBench(t)
 			good := b.load()
-			pair, err := c.ca(b).Pair("wrong", c.changes...)
+			pair, err := c.ca(b).KeyPair("wrong", c.changes...)
 			assert.NilError(t, err)
 			conf := &tls.Config{Certificates: []tls.Certificate{pair}, InsecureSkipVerify: true,
 				GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &pair, nil }}
@@ -158,7 +158,7 @@
 	b.files.Put(caFile, append(b.ca.PEM(), next.PEM()...))
 	moved.Reload()
 	behind.Reload()
-	c, k, err := next.Issue("host", pki.Address("127.0.0.1"))
+	c, k, err := next.Issue("host", pki.WithIPAddress("127.0.0.1"))
 	assert.NilError(t, err)
 	b.files.Put(certFile, c)
 	b.files.Put(keyFile, k)
--- a/node/keys/identity.go
+++ b/node/keys/identity.go
@@ -173,5 +173,5 @@
 		return
 	}
 	id.warned = now
-	log.Emit(event.CertificateEnding, zap.String("what", id.name+".tls"), zap.Time("ends", m.cert.Leaf.NotAfter))
+	log.Emit(event.CertificateExpiring, zap.String("what", id.name+".tls"), zap.Time("ends", m.cert.Leaf.NotAfter))
 }
--- a/node/keys/keys_test.go
+++ b/node/keys/keys_test.go
@@ -44,7 +44,7 @@
 	assert.NilError(t, err)
 	core, logs := observer.New(zapcore.DebugLevel)
 	b := &bench{t: t, ca: ca, files: pki.NewFiles(), logs: logs, log: event.NewLog(zap.New(core))}
-	b.issue(b.files, ca, pki.Address("127.0.0.1"))
+	b.issue(b.files, ca, pki.WithIPAddress("127.0.0.1"))
 	b.files.Put(resumeFile, []byte(strings.Repeat("r", 32)))
 	b.files.Put(saltFile, []byte(strings.Repeat("s", 32)))
 	own := &settings.TLS{Certificate: certFile, Key: keyFile, Authorities: caFile}
@@ -53,7 +53,7 @@
 	return b
 }
 
-func (b *bench) issue(files *pki.Files, ca *pki.Authority, changes ...pki.Change) {
+func (b *bench) issue(files *pki.Files, ca *pki.Authority, changes ...pki.CertificateOption) {
 	b.t.Helper()
 	c, k, err := ca.Issue("host", changes...)
 	assert.NilError(b.t, err)
@@ -85,7 +85,7 @@
 func TestWhatCannotBeUsedLeavesTheOldInForce(t *testing.T) {
 	other, err := pki.New("other")
 	assert.NilError(t, err)
-	otherCert, _, err := other.Issue("host", pki.Address("127.0.0.1"))
+	otherCert, _, err := other.Issue("host", pki.WithIPAddress("127.0.0.1"))
 	assert.NilError(t, err)
 	for _, c := range []struct {
 		name  string
@@ -94,8 +94,8 @@
 	}{
 		{"certificate without its key", func(b *bench) { b.files.Put(certFile, otherCert) }, 1005},
 		{"no PEM", func(b *bench) { b.files.Put(keyFile, []byte("half a fi")) }, 1005},
-		{"expired", func(b *bench) { b.issue(b.files, b.ca, pki.Address("127.0.0.1"), pki.Expired) }, 1005},
-		{"another host's", func(b *bench) { b.issue(b.files, b.ca, pki.Address("127.0.0.2")) }, 1005},
+		{"expired", func(b *bench) { b.issue(b.files, b.ca, pki.WithIPAddress("127.0.0.1"), pki.WithExpiredValidity) }, 1005},
+		{"another host's", func(b *bench) { b.issue(b.files, b.ca, pki.WithIPAddress("127.0.0.2")) }, 1005},
 		{"no authorities", func(b *bench) { b.files.Put(caFile, nil) }, 1005},
 		{"short resume key", func(b *bench) { b.files.Put(resumeFile, []byte("short")) }, 1005},
 		{"missing", func(b *bench) { b.files.Remove(keyFile) }, 1005},
@@ -118,7 +118,7 @@
 			_, err = r.Decode(signed, "a", time.Now())
 			assert.NilError(t, err)
 			if c.event != 0 {
-				b.issue(b.files, b.ca, pki.Address("127.0.0.1"))
+				b.issue(b.files, b.ca, pki.WithIPAddress("127.0.0.1"))
 				b.files.Put(resumeFile, []byte(strings.Repeat("n", 32)))
 				r.Reload()
 				assert.DeepEqual(t, b.events(), []int{1004, 1004}) // keys.resume and peer.tls
--- a/node/lease/lease.go
+++ b/node/lease/lease.go
@@ -203,7 +203,7 @@
 		return retryPause
 	}
 	l.hold(&decide.Held{Rows: decide.Rows{Grant: v, Heartbeat: v}, Record: d.Next, TTLStart: from})
-	l.log.Emit(event.LeaseTaken, zap.Uint64("epoch", d.Next.Epoch))
+	l.log.Emit(event.LeaseAcquired, zap.Uint64("epoch", d.Next.Epoch))
 	return 0
 }
 
@@ -283,7 +283,7 @@
 	_, err := store.CommitResolved(ctx, l.deps.Table, store.Txn{Op: uuid.NewString(),
 		Conds: l.conds(held.Rows), Writes: []store.Write{{Key: l.grantKey(), Value: free.Encode()}}})
 	if err != nil {
-		l.log.Emit(event.LeaseKept, zap.Error(err))
+		l.log.Emit(event.LeaseReleaseFailed, zap.Error(err))
 		return
 	}
 	l.log.Emit(event.LeaseReleased, zap.Uint64("epoch", held.Record.Epoch))
@@ -305,7 +305,7 @@
 	}
 	record, err := decide.Decode(value)
 	if err != nil {
-		l.log.Emit(event.LeaseCorrupt, zap.Error(err))
+		l.log.Emit(event.LeaseRecordCorrupt, zap.Error(err))
 	}
 	return at, record, err
 }
--- a/node/lease/lease_test.go
+++ b/node/lease/lease_test.go
@@ -151,13 +151,13 @@
 			time.AfterFunc(p.at+p.last, func() { gates[p.node].set(false) })
 		}
 		if s.outage > 0 {
-			time.AfterFunc(runFor/3, func() { tb.Faults.OutageFor(s.outage) })
+			time.AfterFunc(runFor/3, func() { tb.Faults.StartOutage(s.outage) })
 		}
 		wg.Wait()
 		for _, g := range gates {
 			g.set(false)
 		}
-		tb.Settle()
+		tb.WaitLateEffects()
 	})
 	return h
 }
@@ -209,7 +209,7 @@
 		s := script{
 			seed: rapid.Uint64().Draw(rt, "seed"),
 			faults: standin.Settings{LostAnswers: share.Draw(rt, "lost answers"), LostRequests: share.Draw(rt, "lost requests"),
-				LateEffects: share.Draw(rt, "late effects"), LateBy: time.Duration(rapid.SampledFrom([]int{10, 3000, 15000}).Draw(rt, "late ms")) * time.Millisecond,
+				LateEffects: share.Draw(rt, "late effects"), LateEffectDelay: time.Duration(rapid.SampledFrom([]int{10, 3000, 15000}).Draw(rt, "late ms")) * time.Millisecond,
 				Delay: time.Duration(rapid.SampledFrom([]int{0, 5, 300, 1500}).Draw(rt, "delay ms")) * time.Millisecond},
 			skew:   rapid.SampledFrom([]float64{-0.0099, 0, 0.0099}).Draw(rt, "skew"),
 			outage: time.Duration(rapid.IntRange(0, 30).Draw(rt, "outage s")) * time.Second,
@@ -246,7 +246,7 @@
 		_, ok = b.Term()
 		assert.Assert(t, !ok, "a renewed lease is not taken")
 
-		tb.Faults.OutageFor(time.Minute)
+		tb.Faults.StartOutage(time.Minute)
 		time.Sleep(policy.TTL)
 		assert.ErrorIs(t, a.Check(first.Epoch, 0), lease.ErrNotHeld)
 		time.Sleep(time.Minute + 2*policy.TTL)
@@ -310,7 +310,7 @@
 		wg.Go(func() { _ = a.Run(ctx) })
 		synctest.Wait()
 		assert.Assert(t, !a.Lapsed(), "it is held")
-		tb.Faults.OutageFor(3 * policy.TTL)
+		tb.Faults.StartOutage(3 * policy.TTL)
 		time.Sleep(2 * policy.TTL)
 		_, ok := a.Term()
 		assert.Assert(t, !ok && a.Lapsed())
--- a/node/operatorapi/api.go
+++ b/node/operatorapi/api.go
@@ -41,7 +41,7 @@
 	// Status tells the state of this host.
 	Status() Status
 	// Everywhere tells which hosts have which version in force.
-	Everywhere(ctx context.Context) (Everywhere, error)
+	Rollout(ctx context.Context) (Rollout, error)
 	// FindRequest and CancelRequest look on every host.
 	FindRequest(ctx context.Context, id string) (inflight.Request, bool, error)
 	CancelRequest(ctx context.Context, id string) (bool, error)
--- a/node/operatorapi/handlers.go
+++ b/node/operatorapi/handlers.go
@@ -27,7 +27,7 @@
 func (a *API) status(c *call) error { return c.JSON(http.StatusOK, a.deps.Site.Status()) }
 
 func (a *API) everywhere(c *call) error {
-	e, err := a.deps.Site.Everywhere(c.ctx())
+	e, err := a.deps.Site.Rollout(c.ctx())
 	if err != nil {
 		return err
 	}
--- a/node/operatorapi/types.go
+++ b/node/operatorapi/types.go
@@ -12,21 +12,21 @@
 
 // Status is the state of one host.
 type Status struct {
-	Host          string          `json:"host"`
-	DataCentre    string          `json:"data_centre"`
-	Incarnation   string          `json:"incarnation"`
-	Ready         bool            `json:"ready"`
-	Draining      bool            `json:"draining"`
-	Version       uint64          `json:"version"` // of the configuration in force here; 0: none
-	Preset        string          `json:"preset"`
-	Standing      string          `json:"standing"` // "confirmed", "unconfirmed" or "urgent_only"
-	InFlight      int             `json:"in_flight"`
-	Upstreams     []Upstream      `json:"upstreams"`
-	Peers         []Peer          `json:"peers"`
-	Leases        []Lease         `json:"leases"`
-	Unsettled     int             `json:"unsettled_claims"` // ends of claims that wait for the platform
-	Metrics       json.RawMessage `json:"-"`
-	UptimeSeconds float64         `json:"uptime_s"`
+	Host             string          `json:"host"`
+	DataCentre       string          `json:"data_centre"`
+	Incarnation      string          `json:"incarnation"`
+	Ready            bool            `json:"ready"`
+	Draining         bool            `json:"draining"`
+	Version          uint64          `json:"version"` // of the configuration in force here; 0: none
+	Preset           string          `json:"preset"`
+	Freshness        string          `json:"standing"` // "confirmed", "unconfirmed" or "urgent_only"
+	InFlight         int             `json:"in_flight"`
+	Upstreams        []Upstream      `json:"upstreams"`
+	Peers            []Peer          `json:"peers"`
+	Leases           []Lease         `json:"leases"`
+	UnresolvedClaims int             `json:"unsettled_claims"` // ends of claims that wait for the platform
+	Metrics          json.RawMessage `json:"-"`
+	UptimeSeconds    float64         `json:"uptime_s"`
 }
 
 // Upstream is one upstream as this host sees it.
@@ -35,7 +35,7 @@
 	Pool        string   `json:"pool"`
 	DataCentre  string   `json:"data_centre"`
 	Incarnation string   `json:"incarnation"`
-	Leaving     bool     `json:"leaving"`
+	Draining    bool     `json:"leaving"`
 	Down        bool     `json:"down"`
 	Running     int      `json:"running"`
 	Waiting     int      `json:"waiting"`
@@ -59,8 +59,8 @@
 	Epoch uint64 `json:"epoch"`
 }
 
-// Everywhere tells where a version is in force.
-type Everywhere struct {
+// Rollout tells where a version is in force.
+type Rollout struct {
 	Version uint64              `json:"version"`
 	Hosts   []query.HostVersion `json:"hosts"`
 	Waiting []query.HostVersion `json:"waiting"` // live hosts that have not confirmed it
@@ -95,17 +95,17 @@
 
 // DryRun is what a switch of preset would do.
 type DryRun struct {
-	Preset string        `json:"preset"`
-	Moves  []Move        `json:"moves"`
-	Bound  time.Duration `json:"bound_ns"` // within which the moves are done
-	AtRest bool          `json:"at_rest"`  // whether nothing more would move after them, at the present demand
-	Pools  int           `json:"pools"`    // that answered
+	Preset    string        `json:"preset"`
+	Moves     []Move        `json:"moves"`
+	Bound     time.Duration `json:"bound_ns"` // within which the moves are done
+	Converged bool          `json:"at_rest"`  // whether nothing more would move after them, at the present demand
+	Pools     int           `json:"pools"`    // that answered
 }
 
 // Add joins another pool's forecast. Pools move side by side, within the
 // weight store's limits, which each bound counts for itself: their sum holds.
 func (d *DryRun) Add(o DryRun) {
-	d.AtRest = (d.AtRest || d.Pools == 0) && o.AtRest
+	d.Converged = (d.Converged || d.Pools == 0) && o.Converged
 	d.Pools += max(o.Pools, 1)
 	d.Moves = append(d.Moves, o.Moves...)
 	d.Bound += o.Bound
--- a/node/planner/act.go
+++ b/node/planner/act.go
@@ -167,7 +167,7 @@
 // of two epochs at one engine.
 func (p *Planner) send(ctx context.Context, t task) sendState {
 	if t.charge.CheckSendWindow(p.deps.Now()) != nil || !p.deps.Lease.Valid(p.books.epoch) {
-		p.deps.Log.Emit(event.OrderHeldBack, zap.String("upstream", t.upstream), zap.String("op", t.charge.Op))
+		p.deps.Log.Emit(event.OrderNotSent, zap.String("upstream", t.upstream), zap.String("op", t.charge.Op))
 		return sendNever
 	}
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
@@ -175,7 +175,7 @@
 	answer, err := p.deps.Orders.Send(ctx, t.upstream, toOrder(t))
 	switch {
 	case err != nil:
-		p.deps.Log.Emit(event.OrderInDoubt, zap.String("upstream", t.upstream), zap.String("op", t.charge.Op), zap.Error(err))
+		p.deps.Log.Emit(event.OrderUnconfirmed, zap.String("upstream", t.upstream), zap.String("op", t.charge.Op), zap.Error(err))
 		return sendDoubt
 	case !answer.Accepted:
 		// Its charge stays: only a report settles it, as a copy may be on its way.
--- a/node/planner/planner.go
+++ b/node/planner/planner.go
@@ -210,7 +210,7 @@
 	}
 	b, err := openBooks(ctx, p.deps.Table, p.cfg.Pool, epoch)
 	if err != nil {
-		p.deps.Log.Emit(event.LedgerUnread, zap.String("pool", p.cfg.Pool), zap.Error(err))
+		p.deps.Log.Emit(event.LedgerReadFailed, zap.String("pool", p.cfg.Pool), zap.Error(err))
 		return false
 	}
 	p.books = b
--- a/node/quarantine/watch.go
+++ b/node/quarantine/watch.go
@@ -163,7 +163,7 @@
 	for i, m := range ran {
 		digests[i] = m.Digest
 	}
-	w.deps.Log.Emit(event.UpstreamEnded, zap.String(event.FieldPeer, upstream), zap.Stringers("under_way", digests),
+	w.deps.Log.Emit(event.UpstreamTerminated, zap.String(event.FieldPeer, upstream), zap.Stringers("under_way", digests),
 		zap.Int64("age_ms", w.deps.Now().Sub(at).Milliseconds()))
 	w.deps.OnCrash(upstream, at, ran)
 }
--- a/node/quarantine/watch_test.go
+++ b/node/quarantine/watch_test.go
@@ -34,7 +34,7 @@
 	w, lines := watched(t, func(a string) bool { return a == "dead" })
 	w.RecordBroken("u", "dead", content("a"))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if lines.FilterMessage(event.UpstreamEnded.Name).Len() == 0 {
+		if lines.FilterMessage(event.UpstreamTerminated.Name).Len() == 0 {
 			return poll.Continue("no line")
 		}
 		return poll.Success()
--- a/node/query/config_test.go
+++ b/node/query/config_test.go
@@ -125,7 +125,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		share := rapid.SampledFrom([]float64{0, 0.2, 0.4})
 		faults := standin.Settings{LostAnswers: share.Draw(rt, "answers"), LostRequests: share.Draw(rt, "requests") / 2,
-			LateEffects: share.Draw(rt, "late") / 2, LateBy: 300 * time.Millisecond, Delay: 10 * time.Millisecond}
+			LateEffects: share.Draw(rt, "late") / 2, LateEffectDelay: 300 * time.Millisecond, Delay: 10 * time.Millisecond}
 		var mu sync.Mutex
 		var history []porcupine.Operation
 		var last uint64
@@ -153,7 +153,7 @@
 				})
 			}
 			wg.Wait()
-			s.table.Settle()
+			s.table.WaitLateEffects()
 			s.table.Faults.Set(standin.Settings{})
 			page, err := query.NewAuditReader(query.Deps{Table: s.table, Objects: s.objects}).Page(t.Context(), 0, 100)
 			assert.NilError(t, err)
--- a/node/server/claims.go
+++ b/node/server/claims.go
@@ -73,7 +73,7 @@
 		}
 	}()
 	if err := c.store.Drain(ctx); err != nil {
-		c.log.Emit(event.ClaimSettleDropped, zap.Int("count", c.unsettled()), zap.Error(err))
+		c.log.Emit(event.ClaimOutcomeDropped, zap.Int("count", c.unsettled()), zap.Error(err))
 	}
 }
 
--- a/node/server/listener.go
+++ b/node/server/listener.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen for %s", name)
 	}
-	head := s.cfg.HeadBound
+	head := s.cfg.HeadTimeout
 	if head == 0 {
 		head = headBound
 	}
@@ -109,6 +109,6 @@
 		line = "panic"
 		fields = append(fields, zap.String("stack", stack))
 	}
-	c.s.log.Emit(event.ConnectionComplaint, append(fields, zap.String("reason", line))...)
+	c.s.log.Emit(event.ConnectionError, append(fields, zap.String("reason", line))...)
 	return len(p), nil
 }
--- a/node/server/mesh.go
+++ b/node/server/mesh.go
@@ -22,7 +22,7 @@
 func (s *Server) newMesh(address string) *peer.Mesh {
 	set := s.cfg.Settings
 	return peer.New(peer.Config{Self: member.Host{Name: set.Host, Address: address, DataCentre: set.DataCentre, Process: s.incarnation},
-		HeartbeatInterval: s.cfg.Heartbeat, HostListInterval: s.cfg.HostList},
+		HeartbeatInterval: s.cfg.HeartbeatInterval, HostListInterval: s.cfg.HostListInterval},
 		peer.Deps{Hosts: s.cfg.Platform.Hosts, Config: s.config, Requests: s.requests, CancelCause: dispatch.ErrCancelled,
 			Dial: s.dialPeer, Log: s.log, OnUpstreamChange: s.heardOfUpstream, OnHostsChange: s.reconcileSoon,
 			Usage: &peer.UsageExchange{Own: s.ownSums, OnTotals: s.othersSums}, Forecast: s.forecast, Claims: s.claims.rows})
--- a/node/server/planning.go
+++ b/node/server/planning.go
@@ -141,7 +141,7 @@
 func (s *Server) assignUpstreams(c *config.Config, live []member.Host) {
 	every := s.cfg.Settings.Bounds.ReportEvery()
 	var out []poll.Target
-	if len(c.Upstreams) <= directMost || s.cfg.Policy.Direct {
+	if len(c.Upstreams) <= directMost || s.cfg.Policy.DirectPolling {
 		for _, u := range c.Upstreams {
 			out = append(out, poll.Target{Upstream: u, Interval: every, CacheEvents: true})
 		}
@@ -201,7 +201,7 @@
 }
 
 func toDryRun(preset string, f place.Forecast) operatorapi.DryRun {
-	d := operatorapi.DryRun{Preset: preset, Bound: f.Bound, AtRest: f.Converged}
+	d := operatorapi.DryRun{Preset: preset, Bound: f.Bound, Converged: f.Converged}
 	for _, m := range f.Moves {
 		d.Moves = append(d.Moves, operatorapi.Move{Kind: string(m.Change.Kind), Model: m.Change.Artifact.Model, Adapter: m.Change.Artifact.Adapter,
 			Upstream: m.Upstream, Reason: string(m.Reason)})
--- a/node/server/run.go
+++ b/node/server/run.go
@@ -67,7 +67,7 @@
 	s.phase.Store(phaseDraining)
 	s.mesh.Announce(member.Draining)
 	s.reconcileSoon() // leases move to others now, not when this host is gone
-	s.log.Emit(event.ProcessDrain, zap.Int("in_flight", s.requests.LiveCount()))
+	s.log.Emit(event.ProcessDraining, zap.Int("in_flight", s.requests.LiveCount()))
 	if !s.wait(s.cfg.Settings.Bounds.BalancerWait()) {
 		return nil
 	}
--- a/node/server/server.go
+++ b/node/server/server.go
@@ -46,8 +46,8 @@
 	// PeerDialer opens connections to other entry hosts; nil: a net.Dialer.
 	PeerDialer conn.Dialer
 	// Heartbeat and HostList pace the links between hosts; 0: the defaults.
-	Heartbeat time.Duration
-	HostList  time.Duration
+	HeartbeatInterval time.Duration
+	HostListInterval  time.Duration
 	// Demand sets how fast the demand that placement follows forgets; the zero
 	// value is the default.
 	Demand demand.Config
@@ -56,22 +56,22 @@
 	ClaimGrace time.Duration
 	// HeadBound and BodyBound are how long a caller may take to send the head
 	// and the body of a request; 0: the defaults.
-	HeadBound time.Duration
-	BodyBound time.Duration
+	HeadTimeout time.Duration
+	BodyTimeout time.Duration
 	// Distance is the round trip between data centres in milliseconds; nil: none known.
-	Distance func(from, to string) float64
+	RoundTripMs func(from, to string) float64
 }
 
 // Policy replaces decisions, for baselines that the product's own are measured
 // against. The zero value is the product's.
 type Policy struct {
 	Picker        route.Picker // nil: the product's
-	OpenAdmission bool         // everything is let in at once
+	AdmitAll      bool         // everything is let in at once
 	NoPlanner     bool         // models stay where they are
 	ForwardClaims bool         // claims go through few hosts in small fleets too
-	Direct        bool         // each host asks every upstream itself, however many there are
+	DirectPolling bool         // each host asks every upstream itself, however many there are
 	// Demand, when set, is told of requests for a model that no upstream holds.
-	Demand func(pool string, key route.ModelKey)
+	NotifyDemand func(pool string, key route.ModelKey)
 }
 
 // Platform is what the platform gives.
@@ -144,14 +144,14 @@
 // dataPath puts together what a request goes through.
 func (s *Server) dataPath() {
 	set := s.cfg.Settings
-	s.view = view.New(set.DataCentre, time.Now, s.cfg.Distance)
+	s.view = view.New(set.DataCentre, time.Now, s.cfg.RoundTripMs)
 	s.poller = poll.New(s.client, s.sparse, s.view, s.log)
 	picker := s.cfg.Policy.Picker
 	if picker == nil {
 		picker = route.New(route.Config{})
 	}
 	s.dispatch = dispatch.New(dispatch.Config{IdleBeforeProbe: set.Bounds.IdleBeforeProbe(), RetryShare: set.Bounds.RetryShare},
-		dispatch.Deps{View: s.view, Picker: picker, Client: s.client, Log: s.log, Metrics: s.metrics, NotifyDemand: s.cfg.Policy.Demand})
+		dispatch.Deps{View: s.view, Picker: picker, Client: s.client, Log: s.log, Metrics: s.metrics, NotifyDemand: s.cfg.Policy.NotifyDemand})
 	s.poller.OnReport = s.tellReport
 	s.demand = demand.New(s.cfg.Demand)
 	s.admit = admission.New(admission.Config{Hosts: 1})
@@ -197,8 +197,8 @@
 // listen opens the listeners.
 func (s *Server) listen() error {
 	set := s.cfg.Settings
-	api := callerapi.New(callerapi.Config{Host: set.Host, PrefixSalt: s.cfg.Keys.PrefixSalt(), BodyBound: s.cfg.BodyBound}, callerapi.Deps{
-		Config: s.config, Admission: admitter{c: s.admit, open: s.cfg.Policy.OpenAdmission}, Claims: s.claims,
+	api := callerapi.New(callerapi.Config{Host: set.Host, PrefixSalt: s.cfg.Keys.PrefixSalt(), BodyTimeout: s.cfg.BodyTimeout}, callerapi.Deps{
+		Config: s.config, Admission: admitter{c: s.admit, open: s.cfg.Policy.AdmitAll}, Claims: s.claims,
 		Dispatcher: s.dispatch, Demand: s.demand, Tokens: s.cfg.Keys, Requests: s.requests, Metrics: s.metrics, Log: s.log, Now: time.Now})
 	var err error
 	if s.callers, err = s.newListener("callers", set.Caller.Address, api, s.cfg.Keys.CallerListener); err != nil {
--- a/node/server/status.go
+++ b/node/server/status.go
@@ -18,8 +18,8 @@
 func (s *Server) Status() operatorapi.Status {
 	phase := s.phase.Load()
 	out := operatorapi.Status{Host: s.cfg.Settings.Host, DataCentre: s.cfg.Settings.DataCentre, Incarnation: s.incarnation,
-		Ready: phase == phaseReady, Draining: phase == phaseDraining, Standing: s.config.Freshness().String(),
-		InFlight: s.requests.LiveCount(), Unsettled: s.claims.unsettled(), UptimeSeconds: time.Since(s.started).Seconds()}
+		Ready: phase == phaseReady, Draining: phase == phaseDraining, Freshness: s.config.Freshness().String(),
+		InFlight: s.requests.LiveCount(), UnresolvedClaims: s.claims.unsettled(), UptimeSeconds: time.Since(s.started).Seconds()}
 	if st, ok := s.config.Current(); ok {
 		out.Version, out.Preset = st.Version, st.Preset.Name
 	}
@@ -38,7 +38,7 @@
 
 func upstreamStatus(e *route.Endpoint) operatorapi.Upstream {
 	u := operatorapi.Upstream{Name: e.Upstream, Pool: e.Pool, DataCentre: e.DataCentre, Incarnation: e.Incarnation,
-		Leaving: e.Draining, Down: e.Down, Running: e.Running, Waiting: e.Waiting, ReportAgeMs: e.ReportAge.Milliseconds(), Ready: []string{}}
+		Draining: e.Draining, Down: e.Down, Running: e.Running, Waiting: e.Waiting, ReportAgeMs: e.ReportAge.Milliseconds(), Ready: []string{}}
 	for k := range e.Ready {
 		name := k.Model
 		if k.Adapter != "" {
@@ -50,9 +50,9 @@
 	return u
 }
 
-// Everywhere implements operatorapi.Site.
-func (s *Server) Everywhere(ctx context.Context) (operatorapi.Everywhere, error) {
-	out := operatorapi.Everywhere{Version: s.version(), Hosts: []query.HostVersion{}}
+// Rollout implements operatorapi.Site.
+func (s *Server) Rollout(ctx context.Context) (operatorapi.Rollout, error) {
+	out := operatorapi.Rollout{Version: s.version(), Hosts: []query.HostVersion{}}
 	heard := query.NewVersionTracker(nil)
 	versions := s.mesh.ConfigVersions(ctx)
 	for host, version := range versions {
--- a/node/server/watch.go
+++ b/node/server/watch.go
@@ -19,11 +19,11 @@
 // PollSoon lets the host look at the configuration now.
 func (s *Server) PollSoon() { s.config.PollSoon() }
 
-// Members are the entry hosts that count as alive, this one included.
-func (s *Server) Members() []member.Host { return s.mesh.LiveHosts() }
+// LiveHosts are the entry hosts that count as alive, this one included.
+func (s *Server) LiveHosts() []member.Host { return s.mesh.LiveHosts() }
 
-// KnowsLeaving says whether this host gives an upstream no new work because it leaves.
-func (s *Server) KnowsLeaving(upstream string) bool {
+// IsUpstreamDraining says whether this host gives an upstream no new work because it leaves.
+func (s *Server) IsUpstreamDraining(upstream string) bool {
 	snap := s.view.Snapshot()
 	for i := range snap.Endpoints {
 		if snap.Endpoints[i].Upstream == upstream {
--- a/standin/answer/answer.go
+++ b/standin/answer/answer.go
@@ -16,9 +16,9 @@
 // The faults that Verify finds.
 var (
 	// ErrCut: the text is a true beginning of the answer, but not all of it.
-	ErrCut = errors.New("answer is cut off")
+	ErrTruncated = errors.New("answer is cut off")
 	// ErrCrossed: the text is no part of the answer to this prompt.
-	ErrCrossed = errors.New("answer belongs to another prompt")
+	ErrMismatched = errors.New("answer belongs to another prompt")
 )
 
 // A mark uses only characters that JSON and URLs leave as they are.
@@ -86,8 +86,8 @@
 	case text == want:
 		return nil
 	case strings.HasPrefix(want, text):
-		return ErrCut
+		return ErrTruncated
 	default:
-		return ErrCrossed
+		return ErrMismatched
 	}
 }
--- a/standin/answer/answer_test.go
+++ b/standin/answer/answer_test.go
@@ -20,9 +20,9 @@
 		text := answer.For(prompt, tokens).Text()
 		assert.NilError(t, answer.Verify(prompt, tokens, text))
 		cut := rapid.IntRange(0, len(text)-1).Draw(t, "cut")
-		assert.ErrorIs(t, answer.Verify(prompt, tokens, text[:cut]), answer.ErrCut)
+		assert.ErrorIs(t, answer.Verify(prompt, tokens, text[:cut]), answer.ErrTruncated)
 		if prompt != other {
-			assert.ErrorIs(t, answer.Verify(other, tokens, text), answer.ErrCrossed)
+			assert.ErrorIs(t, answer.Verify(other, tokens, text), answer.ErrMismatched)
 		}
 	})
 }
--- a/standin/attempts/attempts.go
+++ b/standin/attempts/attempts.go
@@ -44,28 +44,28 @@
 	return a, known
 }
 
-// Dropped says that an attempt which is no longer known was here.
-func (l *Log[T]) Dropped(id string) bool {
+// WasDropped says that an attempt which is no longer known was here.
+func (l *Log[T]) WasDropped(id string) bool {
 	_, dropped := l.forgotten[xxhash.Sum64String(id)]
 	return dropped
 }
 
-// Settle returns a known attempt, or remembers never for an id that never was
+// FindOrAdd returns a known attempt, or remembers never for an id that never was
 // here, so that it cannot run when it arrives later. ok is false when nobody
 // can tell any more whether it was here.
-func (l *Log[T]) Settle(id string, never T) (a T, ok bool) {
+func (l *Log[T]) FindOrAdd(id string, never T) (a T, ok bool) {
 	if a, known := l.byID[id]; known {
 		return a, true
 	}
-	if l.amnesia || l.Dropped(id) {
+	if l.amnesia || l.WasDropped(id) {
 		return a, false
 	}
 	l.Add(id, never)
 	return never, true
 }
 
-// Newest calls visit from the newest attempt to the oldest until it returns false.
-func (l *Log[T]) Newest(visit func(T) bool) {
+// VisitNewestFirst calls visit from the newest attempt to the oldest until it returns false.
+func (l *Log[T]) VisitNewestFirst(visit func(T) bool) {
 	for i := 1; i <= len(l.ring); i++ {
 		id := l.ring[(l.head-i+len(l.ring))%len(l.ring)]
 		if id == "" {
--- a/standin/bench/bench.go
+++ b/standin/bench/bench.go
@@ -19,27 +19,27 @@
 
 // Config of one run.
 type Config struct {
-	Site     *site.Site
-	Policy   string
-	Seed     uint64
-	Length   time.Duration
-	Faults   string  // a scenario's name, see site.Scenarios; "": none
-	Load     float64 // the site's demand is multiplied by this; 0: 1
-	Progress func(load.Progress)
-	Log      *zap.Logger
+	Site       *site.Site
+	Policy     string
+	Seed       uint64
+	Duration   time.Duration
+	Faults     string  // a scenario's name, see site.Scenarios; "": none
+	LoadFactor float64 // the site's demand is multiplied by this; 0: 1
+	Progress   func(load.Progress)
+	Log        *zap.Logger
 }
 
 // Run is what one run came to.
 type Run struct {
 	local.Report
-	Load             float64  `json:"load"`
+	LoadFactor       float64  `json:"load"`
 	UrgentAttainment float64  `json:"urgent_attainment"` // share of urgent requests answered whole and in time
-	Oracle           *float64 `json:"oracle_attainment,omitempty"`
+	OracleAttainment *float64 `json:"oracle_attainment,omitempty"`
 	Series           Series   `json:"-"`
 }
 
-// Do carries out one run.
-func Do(ctx context.Context, c Config) (*Run, error) {
+// RunPolicy carries out one run.
+func RunPolicy(ctx context.Context, c Config) (*Run, error) {
 	p, err := findPolicy(c.Policy)
 	if err != nil {
 		return nil, err
@@ -48,13 +48,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.Load == 0 {
-		c.Load = 1
+	if c.LoadFactor == 0 {
+		c.LoadFactor = 1
 	}
-	s := c.Site.Scaled(c.Load)
+	s := c.Site.WithScaledDemand(c.LoadFactor)
 	l := newLRU()
 	r, err := local.Start(ctx, local.Options{Site: s, Seed: c.Seed, Policy: p.decisions(l), Oracle: p.oracle,
-		Demand: windows(c.Length), Log: c.Log})
+		Demand: windows(c.Duration), Log: c.Log})
 	if err != nil {
 		return nil, eris.Wrapf(err, "start the site under policy %s", c.Policy)
 	}
@@ -62,12 +62,12 @@
 	if p.onDemand {
 		defer l.attend(r)()
 	}
-	out := &Run{Load: c.Load}
-	out.Report, err = r.Drive(ctx, local.Drive{Policy: c.Policy, Faults: c.Faults, Length: c.Length, Progress: c.Progress,
-		Script: func(ctx context.Context, r *local.Running) error {
-			return caused(faults.Run(ctx, r.Targets(), c.Length))
+	out := &Run{LoadFactor: c.LoadFactor}
+	out.Report, err = r.Drive(ctx, local.DriveOptions{Policy: c.Policy, Scenario: c.Faults, Length: c.Duration, Progress: c.Progress,
+		Script: func(ctx context.Context, r *local.RunningSite) error {
+			return caused(faults.Run(ctx, r.FaultTargets(), c.Duration))
 		},
-		Results: func(res *load.Result) { out.Series = seriesOf(res, c.Length) }})
+		OnResult: func(res *load.Result) { out.Series = seriesOf(res, c.Duration) }})
 	out.UrgentAttainment = out.ByClass["urgent"].Attainment
 	return out, err
 }
@@ -77,7 +77,7 @@
 	var errs []error
 	for _, f := range steps {
 		if f.Err != nil {
-			errs = append(errs, eris.Wrap(f.Err, f.What))
+			errs = append(errs, eris.Wrap(f.Err, f.Description))
 		}
 	}
 	return errors.Join(errs...)
--- a/standin/bench/bench_test.go
+++ b/standin/bench/bench_test.go
@@ -16,7 +16,7 @@
 )
 
 func run(policy string, seed uint64, met float64, moves int) *Run {
-	return &Run{Report: local.Report{Policy: policy, Seed: seed, AttainmentPerAccelerator: met, Moves: moves, History: "ok"}}
+	return &Run{Report: local.Report{Policy: policy, Seed: seed, AttainmentPerAccelerator: met, ModelLoads: moves, History: "ok"}}
 }
 
 // Symptom: a policy looks good against a baseline that had an easier seed.
@@ -28,7 +28,7 @@
 		run(Product, 2, 240, 3), run("round-robin", 2, 100, 0), run("lru", 2, 200, 30),
 	}}
 	row := c.row(Product)
-	assert.Equal(t, row.Ratio, Spread{1.2, 1.2, 1.2})
+	assert.Equal(t, row.AttainmentRatio, Spread{1.2, 1.2, 1.2})
 	assert.Equal(t, row.MoveRatio.Max, 0.2)
 	assert.Equal(t, row.MoveRatio.Min, 0.1)
 	assert.Assert(t, row.Sound)
@@ -57,7 +57,7 @@
 	r := run(Product, 1, 120, 2)
 	r.Series = seriesOf(&load.Result{}, time.Minute)
 	c := &Comparison{Runs: []*Run{r}}
-	c.Rows = []Row{c.row(Product)}
+	c.Summaries = []PolicySummary{c.row(Product)}
 	for _, plot := range []func(string) error{r.Plot, c.Plot} {
 		name := filepath.Join(t.TempDir(), "p.svg")
 		assert.NilError(t, plot(name))
--- a/standin/bench/compare.go
+++ b/standin/bench/compare.go
@@ -24,17 +24,17 @@
 	return Spread{sum / float64(len(xs)), slices.Min(xs), slices.Max(xs)}
 }
 
-// Row is one policy over all seeds.
-type Row struct {
-	Policy         string `json:"policy"`
-	PerAccelerator Spread `json:"attainment_per_accelerator"`
-	Attainment     Spread `json:"attainment"`
-	Urgent         Spread `json:"urgent_attainment"`
-	Moves          Spread `json:"moves"`
-	Unreachable    Spread `json:"unreachable_models"`
-	Overcommits    Spread `json:"overcommits"`
+// PolicySummary is one policy over all seeds.
+type PolicySummary struct {
+	Policy                   string `json:"policy"`
+	AttainmentPerAccelerator Spread `json:"attainment_per_accelerator"`
+	Attainment               Spread `json:"attainment"`
+	UrgentAttainment         Spread `json:"urgent_attainment"`
+	Moves                    Spread `json:"moves"`
+	UnreachableModels        Spread `json:"unreachable_models"`
+	Overcommits              Spread `json:"overcommits"`
 	// Ratio is attainment per accelerator over the best baseline's on the same seed.
-	Ratio Spread `json:"attainment_ratio"`
+	AttainmentRatio Spread `json:"attainment_ratio"`
 	// MoveRatio is moves over those of the baseline that moves least but
 	// does move; 0 when no baseline moves anything.
 	MoveRatio Spread `json:"move_ratio"`
@@ -43,10 +43,10 @@
 
 // Comparison is several policies on the same seeds.
 type Comparison struct {
-	Site  string   `json:"site"`
-	Seeds []uint64 `json:"seeds"`
-	Rows  []Row    `json:"policies"`
-	Runs  []*Run   `json:"runs"`
+	Site      string          `json:"site"`
+	Seeds     []uint64        `json:"seeds"`
+	Summaries []PolicySummary `json:"policies"`
+	Runs      []*Run          `json:"runs"`
 }
 
 // Compare runs the policies one after the other for each seed in turn, so that
@@ -61,7 +61,7 @@
 	for _, seed := range seeds {
 		for _, name := range names {
 			c.Policy, c.Seed = name, seed
-			r, err := Do(ctx, c)
+			r, err := RunPolicy(ctx, c)
 			if err != nil {
 				return nil, err
 			}
@@ -72,12 +72,12 @@
 		}
 	}
 	for _, name := range names {
-		out.Rows = append(out.Rows, out.row(name))
+		out.Summaries = append(out.Summaries, out.row(name))
 	}
 	return out, nil
 }
 
-func (c *Comparison) row(policy string) Row {
+func (c *Comparison) row(policy string) PolicySummary {
 	var own []*Run
 	for _, r := range c.Runs {
 		if r.Policy == policy {
@@ -91,15 +91,15 @@
 		}
 		return spreadOf(xs)
 	}
-	row := Row{Policy: policy, Sound: !slices.ContainsFunc(own, func(r *Run) bool { return !r.Sound() })}
-	row.PerAccelerator = over(func(r *Run) float64 { return r.AttainmentPerAccelerator })
+	row := PolicySummary{Policy: policy, Sound: !slices.ContainsFunc(own, func(r *Run) bool { return !r.InvariantsHold() })}
+	row.AttainmentPerAccelerator = over(func(r *Run) float64 { return r.AttainmentPerAccelerator })
 	row.Attainment = over(func(r *Run) float64 { return r.Attainment })
-	row.Urgent = over(func(r *Run) float64 { return r.UrgentAttainment })
-	row.Moves = over(func(r *Run) float64 { return float64(r.Moves) })
-	row.Unreachable = over(func(r *Run) float64 { return float64(r.UnreachableModels) })
+	row.UrgentAttainment = over(func(r *Run) float64 { return r.UrgentAttainment })
+	row.Moves = over(func(r *Run) float64 { return float64(r.ModelLoads) })
+	row.UnreachableModels = over(func(r *Run) float64 { return float64(r.UnreachableModels) })
 	row.Overcommits = over(func(r *Run) float64 { return float64(r.Overcommits) })
-	row.Ratio = over(func(r *Run) float64 { return ratio(r.AttainmentPerAccelerator, c.bestAttainment(r.Seed)) })
-	row.MoveRatio = over(func(r *Run) float64 { return ratio(float64(r.Moves), c.fewestMoves(r.Seed)) })
+	row.AttainmentRatio = over(func(r *Run) float64 { return ratio(r.AttainmentPerAccelerator, c.bestAttainment(r.Seed)) })
+	row.MoveRatio = over(func(r *Run) float64 { return ratio(float64(r.ModelLoads), c.fewestMoves(r.Seed)) })
 	return row
 }
 
@@ -125,8 +125,8 @@
 func (c *Comparison) fewestMoves(seed uint64) float64 {
 	fewest := math.Inf(1)
 	for _, r := range c.Runs {
-		if r.Seed == seed && baseline(r.Policy) && r.Moves > 0 {
-			fewest = min(fewest, float64(r.Moves))
+		if r.Seed == seed && baseline(r.Policy) && r.ModelLoads > 0 {
+			fewest = min(fewest, float64(r.ModelLoads))
 		}
 	}
 	if math.IsInf(fewest, 1) {
--- a/standin/bench/lru.go
+++ b/standin/bench/lru.go
@@ -79,7 +79,7 @@
 }
 
 // attend runs the controller until the returned function is called.
-func (l *lru) attend(r *local.Running) (stop func()) {
+func (l *lru) attend(r *local.RunningSite) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var loads sync.WaitGroup
 	c := &controller{l: l, r: r, client: conn.New(conn.Config{})}
@@ -105,7 +105,7 @@
 // that no two reserve the same memory.
 type controller struct {
 	l      *lru
-	r      *local.Running
+	r      *local.RunningSite
 	client *conn.Client
 	orders *orders.Sender
 	serial int
@@ -155,7 +155,7 @@
 // and not being loaded.
 func (c *controller) wanting(model string) bool {
 	for _, e := range c.r.Upstreams.Engines {
-		t := e.Truth()
+		t := e.ActualState()
 		for _, r := range t.Residents {
 			if r.Model != model || r.Adapter != "" {
 				continue
@@ -173,7 +173,7 @@
 func (c *controller) choose(model string, need int) (engine string, victims []string) {
 	var bestUse time.Time
 	for _, e := range c.r.Upstreams.Engines {
-		t := e.Truth()
+		t := e.ActualState()
 		if slices.ContainsFunc(t.Residents, func(r engineapi.Resident) bool { return r.Model == model }) {
 			continue
 		}
@@ -215,7 +215,7 @@
 		return false
 	}
 	for {
-		if t := e.Truth(); t.MemoryMB-t.UsedMB >= need {
+		if t := e.ActualState(); t.MemoryMB-t.UsedMB >= need {
 			return true
 		}
 		select {
--- a/standin/bench/plot.go
+++ b/standin/bench/plot.go
@@ -47,9 +47,9 @@
 	bottom := newPlot("", "moves")
 	var names []string
 	var met, moves plotter.Values
-	for _, row := range c.Rows {
+	for _, row := range c.Summaries {
 		names = append(names, row.Policy)
-		met, moves = append(met, row.PerAccelerator.Mean), append(moves, row.Moves.Mean)
+		met, moves = append(met, row.AttainmentPerAccelerator.Mean), append(moves, row.Moves.Mean)
 	}
 	for p, values := range map[*plot.Plot]plotter.Values{top: met, bottom: moves} {
 		bars, err := plotter.NewBarChart(values, vg.Points(barWidth))
--- a/standin/bench/policy.go
+++ b/standin/bench/policy.go
@@ -35,7 +35,7 @@
 func policies() []policy {
 	static := func(pick func() route.Picker) func(*lru) server.Policy {
 		return func(*lru) server.Policy {
-			return server.Policy{Picker: pick(), OpenAdmission: true, NoPlanner: true}
+			return server.Policy{Picker: pick(), AdmitAll: true, NoPlanner: true}
 		}
 	}
 	return []policy{
@@ -44,7 +44,7 @@
 		{name: "round-robin", decide: static(route.NewRoundRobin)},
 		{name: "least-load", decide: static(route.NewLeastReported)},
 		{name: "lru", onDemand: true, decide: func(l *lru) server.Policy {
-			return server.Policy{Picker: l.picker(route.NewLeastReported()), OpenAdmission: true, NoPlanner: true, Demand: l.ask}
+			return server.Policy{Picker: l.picker(route.NewLeastReported()), AdmitAll: true, NoPlanner: true, NotifyDemand: l.ask}
 		}},
 	}
 }
--- a/standin/bench/series.go
+++ b/standin/bench/series.go
@@ -25,13 +25,13 @@
 	sent, met := make([]int, seriesPoints), make([]int, seriesPoints)
 	first := make([][]time.Duration, seriesPoints)
 	for _, v := range r.Invocations {
-		i := min(int(v.Arrival.At*seriesPoints/length), seriesPoints-1)
+		i := min(int(v.Arrival.Offset*seriesPoints/length), seriesPoints-1)
 		sent[i]++
-		if v.Met() {
+		if v.MetDeadline() {
 			met[i]++
 		}
-		if v.First > 0 && v.Arrival.Source.Model != "" {
-			first[i] = append(first[i], v.First)
+		if v.TimeToFirstToken > 0 && v.Arrival.Source.Model != "" {
+			first[i] = append(first[i], v.TimeToFirstToken)
 		}
 	}
 	out := make(Series, seriesPoints)
--- a/standin/claimbench/bench.go
+++ b/standin/claimbench/bench.go
@@ -33,16 +33,16 @@
 	Mode            Mode          `json:"mode"`
 	Hosts           int           `json:"hosts"`
 	Writers         int           `json:"writers"` // batchers, or owned ranges
-	Window          time.Duration `json:"window_ns"`
+	BatchInterval   time.Duration `json:"window_ns"`
 	Rate            int           `json:"rate"`    // requests a second
-	Repeats         float64       `json:"repeats"` // share that arrives a second time, at another host, at once
+	RepeatShare     float64       `json:"repeats"` // share that arrives a second time, at another host, at once
 	Duration        time.Duration `json:"duration_ns"`
-	Execution       time.Duration `json:"execution_ns"` // mean time the upstream takes; half to one and a half of it
+	MeanExecution   time.Duration `json:"execution_ns"` // mean time the upstream takes; half to one and a half of it
 	WritesPerSecond float64       `json:"writes_per_second"`
 	Latency         time.Duration `json:"latency_ns"` // of one call to the table service
-	Hop             time.Duration `json:"hop_ns"`     // to the host of a writer
-	Kill            bool          `json:"kill"`       // the first writer's host, at half time
-	Detect          time.Duration `json:"detect_ns"`  // until others see that a host died
+	HopLatency      time.Duration `json:"hop_ns"`     // to the host of a writer
+	KillWriter      bool          `json:"kill"`       // the first writer's host, at half time
+	DetectionDelay  time.Duration `json:"detect_ns"`  // until others see that a host died
 	LeaseTTL        time.Duration `json:"lease_ttl_ns"`
 	Seed            uint64        `json:"seed"`
 }
@@ -50,36 +50,36 @@
 // DesignSize is the load of the design size, where 1 in 5 of 7,500 requests a
 // second may not be repeated, on a table that takes 300 writes a second.
 func DesignSize(m Mode) Config {
-	return Config{Mode: m, Hosts: 420, Writers: 8, Window: 60 * time.Millisecond, Rate: 1500, Repeats: 0.05,
-		Duration: 10 * time.Second, Execution: 100 * time.Millisecond, WritesPerSecond: 300, Latency: 2 * time.Millisecond,
-		Hop: time.Millisecond, Detect: time.Second, LeaseTTL: 3 * time.Second, Seed: 1}
+	return Config{Mode: m, Hosts: 420, Writers: 8, BatchInterval: 60 * time.Millisecond, Rate: 1500, RepeatShare: 0.05,
+		Duration: 10 * time.Second, MeanExecution: 100 * time.Millisecond, WritesPerSecond: 300, Latency: 2 * time.Millisecond,
+		HopLatency: time.Millisecond, DetectionDelay: time.Second, LeaseTTL: 3 * time.Second, Seed: 1}
 }
 
-// Today is a quiet site of today: 7 entry hosts, each writing for itself.
-func Today(m Mode) Config {
+// QuietSite is a quiet site of today: 7 entry hosts, each writing for itself.
+func QuietSite(m Mode) Config {
 	c := DesignSize(m)
-	c.Hosts, c.Writers, c.Rate, c.Window, c.Hop = 7, 7, 20, 50*time.Millisecond, 0
+	c.Hosts, c.Writers, c.Rate, c.BatchInterval, c.HopLatency = 7, 7, 20, 50*time.Millisecond, 0
 	return c
 }
 
 // Report is what was measured.
 type Report struct {
-	Config      Config  `json:"config"`
-	Offered     int     `json:"offered"`
-	Completed   int     `json:"completed"` // claimed, executed and answered
-	Refused     int     `json:"refused"`   // not run, since no claim could be written
-	Repeated    int     `json:"repeated"`  // told in progress or replayed: the other of two with one key ran
-	Duplicates  int     `json:"duplicates"`
-	Unsettled   int     `json:"unsettled"` // still deferred at the end
-	PerSecond   float64 `json:"claims_per_second"`
-	Commits     float64 `json:"commits_per_second"`
-	BudgetShare float64 `json:"write_budget_share"`
-	Limited     int     `json:"commits_limited"`
-	ClaimP50Ms  float64 `json:"claim_p50_ms"`
-	ClaimP99Ms  float64 `json:"claim_p99_ms"`
-	SettleP99Ms float64 `json:"settle_p99_ms"`
-	RecoveryMs  float64 `json:"recovery_ms"` // from the kill to the first claim by the dead writer's successor
-	OpenMs      float64 `json:"open_ms"`     // of it, reading a range's log
+	Config           Config  `json:"config"`
+	Offered          int     `json:"offered"`
+	Completed        int     `json:"completed"` // claimed, executed and answered
+	Refused          int     `json:"refused"`   // not run, since no claim could be written
+	Repeated         int     `json:"repeated"`  // told in progress or replayed: the other of two with one key ran
+	Duplicates       int     `json:"duplicates"`
+	Pending          int     `json:"unsettled"` // still deferred at the end
+	ClaimsPerSecond  float64 `json:"claims_per_second"`
+	CommitsPerSecond float64 `json:"commits_per_second"`
+	BudgetShare      float64 `json:"write_budget_share"`
+	LimitedCommits   int     `json:"commits_limited"`
+	ClaimP50Ms       float64 `json:"claim_p50_ms"`
+	ClaimP99Ms       float64 `json:"claim_p99_ms"`
+	CompleteP99Ms    float64 `json:"settle_p99_ms"`
+	RecoveryMs       float64 `json:"recovery_ms"` // from the kill to the first claim by the dead writer's successor
+	OpenMs           float64 `json:"open_ms"`     // of it, reading a range's log
 }
 
 // maxLatency is the largest time that the histograms hold, in microseconds.
@@ -87,7 +87,7 @@
 
 type bench struct {
 	cfg    Config
-	table  *Limited
+	table  *RateLimitedTable
 	fleet  *fleet
 	stores []*claim.Store
 	mu     sync.Mutex
@@ -101,7 +101,7 @@
 
 // Run measures.
 func Run(ctx context.Context, cfg Config) (Report, error) {
-	b := &bench{cfg: cfg, table: NewLimited(cfg.WritesPerSecond, cfg.Latency), runs: map[string]int{},
+	b := &bench{cfg: cfg, table: NewRateLimitedTable(cfg.WritesPerSecond, cfg.Latency), runs: map[string]int{},
 		claims: hdrhistogram.New(1, maxLatency, 3), settle: hdrhistogram.New(1, maxLatency, 3)}
 	b.report.Config = cfg
 	ctx, cancel := context.WithCancel(ctx)
@@ -114,7 +114,7 @@
 	start, commits := time.Now(), b.table.Commits()
 	b.load(ctx, start)
 	took := time.Since(start).Seconds()
-	b.report.Commits = float64(b.table.Commits()-commits) / took
+	b.report.CommitsPerSecond = float64(b.table.Commits()-commits) / took
 	b.work.Wait()
 	b.finish(took)
 	return b.report, ctx.Err()
@@ -142,14 +142,14 @@
 		if elapsed >= b.cfg.Duration {
 			return
 		}
-		if b.cfg.Kill && b.killed.Load() == 0 && elapsed >= b.cfg.Duration/2 {
+		if b.cfg.KillWriter && b.killed.Load() == 0 && elapsed >= b.cfg.Duration/2 {
 			b.killed.Store(time.Now().UnixNano())
 			go b.fleet.kill(ctx)
 		}
 		for ; n < int(elapsed.Seconds()*float64(b.cfg.Rate)); n++ {
 			key, host := fmt.Sprint("key", n), rnd.IntN(b.cfg.Hosts)
 			b.start(ctx, host, key, false)
-			if rnd.Float64() < b.cfg.Repeats {
+			if rnd.Float64() < b.cfg.RepeatShare {
 				b.start(ctx, (host+1)%b.cfg.Hosts, key, true)
 			}
 		}
@@ -179,7 +179,7 @@
 		return
 	}
 	b.granted(key, begin)
-	time.Sleep(time.Duration((0.5 + rand.Float64()) * float64(b.cfg.Execution)))
+	time.Sleep(time.Duration((0.5 + rand.Float64()) * float64(b.cfg.MeanExecution)))
 	settling := time.Now()
 	_ = grant.Complete(ctx, claim.Answer{Status: 200, Body: []byte(`{"stored":true}`)})
 	b.mu.Lock()
@@ -217,11 +217,11 @@
 	}
 	for _, s := range b.stores {
 		n, _ := s.Pending()
-		r.Unsettled += n
+		r.Pending += n
 	}
 	const ms = 1000.0
-	r.PerSecond, r.BudgetShare = float64(r.Completed)/took, r.Commits/b.cfg.WritesPerSecond
+	r.ClaimsPerSecond, r.BudgetShare = float64(r.Completed)/took, r.CommitsPerSecond/b.cfg.WritesPerSecond
 	r.ClaimP50Ms, r.ClaimP99Ms = float64(b.claims.ValueAtQuantile(50))/ms, float64(b.claims.ValueAtQuantile(99))/ms
-	r.SettleP99Ms = float64(b.settle.ValueAtQuantile(99)) / ms
-	r.Limited, r.OpenMs = b.table.LimitedCount(), b.fleet.openMs()
+	r.CompleteP99Ms = float64(b.settle.ValueAtQuantile(99)) / ms
+	r.LimitedCommits, r.OpenMs = b.table.LimitedCommits(), b.fleet.openMs()
 }
--- a/standin/claimbench/bench_test.go
+++ b/standin/claimbench/bench_test.go
@@ -14,8 +14,8 @@
 	for _, m := range []Mode{Rows, Batched, Ranges} {
 		t.Run(string(m), func(t *testing.T) {
 			cfg := DesignSize(m)
-			cfg.Rate, cfg.Duration, cfg.Kill = 100, 300*time.Millisecond, true
-			cfg.Hosts, cfg.Execution, cfg.LeaseTTL, cfg.Detect = 5, 10*time.Millisecond, 50*time.Millisecond, 20*time.Millisecond
+			cfg.Rate, cfg.Duration, cfg.KillWriter = 100, 300*time.Millisecond, true
+			cfg.Hosts, cfg.MeanExecution, cfg.LeaseTTL, cfg.DetectionDelay = 5, 10*time.Millisecond, 50*time.Millisecond, 20*time.Millisecond
 			r, err := Run(context.Background(), cfg)
 			assert.NilError(t, err)
 			assert.Equal(t, r.Offered, r.Completed+r.Refused+r.Repeated)
@@ -36,7 +36,7 @@
 			b.Run(name, func(b *testing.B) {
 				for b.Loop() {
 					cfg := DesignSize(m)
-					cfg.Kill = kill
+					cfg.KillWriter = kill
 					r, err := Run(b.Context(), cfg)
 					assert.NilError(b, err)
 					publish(b, r)
@@ -51,7 +51,7 @@
 func BenchmarkAlone(b *testing.B) {
 	for b.Loop() {
 		cfg := DesignSize(Batched)
-		cfg.Writers, cfg.Hop = cfg.Hosts, 0
+		cfg.Writers, cfg.HopLatency = cfg.Hosts, 0
 		r, err := Run(b.Context(), cfg)
 		assert.NilError(b, err)
 		publish(b, r)
@@ -63,7 +63,7 @@
 	for _, m := range []Mode{Rows, Batched, Ranges} {
 		b.Run(string(m), func(b *testing.B) {
 			for b.Loop() {
-				r, err := Run(b.Context(), Today(m))
+				r, err := Run(b.Context(), QuietSite(m))
 				assert.NilError(b, err)
 				publish(b, r)
 			}
@@ -72,16 +72,16 @@
 }
 
 func publish(b *testing.B, r Report) {
-	b.ReportMetric(r.PerSecond, "claims/s")
-	b.ReportMetric(r.Commits, "commits/s")
+	b.ReportMetric(r.ClaimsPerSecond, "claims/s")
+	b.ReportMetric(r.CommitsPerSecond, "commits/s")
 	b.ReportMetric(100*r.BudgetShare, "%budget")
 	b.ReportMetric(r.ClaimP50Ms, "p50-ms")
 	b.ReportMetric(r.ClaimP99Ms, "p99-ms")
-	b.ReportMetric(r.SettleP99Ms, "settle-p99-ms")
+	b.ReportMetric(r.CompleteP99Ms, "settle-p99-ms")
 	b.ReportMetric(r.RecoveryMs, "recovery-ms")
 	b.ReportMetric(r.OpenMs, "open-ms")
 	b.ReportMetric(float64(r.Refused), "refused")
 	b.ReportMetric(float64(r.Duplicates), "duplicates")
-	b.ReportMetric(float64(r.Limited), "limited")
+	b.ReportMetric(float64(r.LimitedCommits), "limited")
 	b.ReportMetric(0, "ns/op")
 }
--- a/standin/claimbench/fleet.go
+++ b/standin/claimbench/fleet.go
@@ -14,7 +14,7 @@
 // fleet is the writers of all hosts, as every host reaches them.
 type fleet struct {
 	cfg     Config
-	table   *Limited
+	table   *RateLimitedTable
 	grouped *claim.RangeRouter // only splits keys
 	mu      sync.RWMutex
 	writers []*writer
@@ -35,7 +35,7 @@
 func (e epoch) Epoch() uint64 { return uint64(e) }
 func (e epoch) Valid() bool   { return true }
 
-func newFleet(ctx context.Context, cfg Config, tb *Limited) (*fleet, error) {
+func newFleet(ctx context.Context, cfg Config, tb *RateLimitedTable) (*fleet, error) {
 	f := &fleet{cfg: cfg, table: tb, grouped: claim.NewRangeRouter(max(cfg.Writers, 1), nil)}
 	for i := range cfg.Writers {
 		w, err := f.open(ctx, i, 1)
@@ -52,13 +52,13 @@
 	switch f.cfg.Mode {
 	case Batched:
 		cfg := claim.DefaultBatchConfig()
-		cfg.Interval = f.cfg.Window
+		cfg.Interval = f.cfg.BatchInterval
 		b := claim.NewBatcher(cfg, w.table)
 		w.records = claim.NewRows(b)
 		go func() { _ = b.Run(ctx) }()
 	case Ranges:
 		cfg := claim.DefaultRangeConfig()
-		cfg.Interval = f.cfg.Window
+		cfg.Interval = f.cfg.BatchInterval
 		r, err := claim.OpenRange(ctx, cfg, claim.RangeDeps{Table: w.table, Lease: e, Log: event.NewLog(nil), Now: time.Now}, i)
 		if err != nil {
 			return nil, err
@@ -90,7 +90,7 @@
 	f.writers[0].table.dead.Store(true)
 	f.killAt = time.Now()
 	f.mu.Unlock()
-	wait := f.cfg.Detect
+	wait := f.cfg.DetectionDelay
 	if f.cfg.Mode == Ranges {
 		wait = f.cfg.LeaseTTL
 	}
@@ -131,7 +131,7 @@
 // Read implements claim.Forwarder.
 func (f *fleet) Read(ctx context.Context, _ int, key string) (claim.VersionedRow, error) {
 	w := f.writer(key)
-	time.Sleep(f.cfg.Hop)
+	time.Sleep(f.cfg.HopLatency)
 	if !f.alive(w) {
 		return claim.VersionedRow{}, store.ErrUnavailable
 	}
@@ -141,7 +141,7 @@
 // Swap implements claim.Forwarder.
 func (f *fleet) Swap(ctx context.Context, _ int, key string, v uint64, row *coreclaim.Row) (claim.VersionedRow, error) {
 	w := f.writer(key)
-	time.Sleep(f.cfg.Hop)
+	time.Sleep(f.cfg.HopLatency)
 	if !f.alive(w) {
 		return claim.VersionedRow{}, store.ErrUnavailable
 	}
--- a/standin/claimbench/limited.go
+++ b/standin/claimbench/limited.go
@@ -13,9 +13,9 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// Limited is a table service that refuses commits over a rate and takes its
+// RateLimitedTable is a table service that refuses commits over a rate and takes its
 // time for each call.
-type Limited struct {
+type RateLimitedTable struct {
 	*standin.Table
 	limit   *rate.Limiter
 	latency time.Duration
@@ -26,14 +26,14 @@
 // burstShare is how much of a second's writes the service takes at once.
 const burstShare = 0.1
 
-// NewLimited makes an empty table service.
-func NewLimited(writesPerSecond float64, latency time.Duration) *Limited {
-	return &Limited{Table: standin.NewTable(), latency: latency,
+// NewRateLimitedTable makes an empty table service.
+func NewRateLimitedTable(writesPerSecond float64, latency time.Duration) *RateLimitedTable {
+	return &RateLimitedTable{Table: standin.NewTable(), latency: latency,
 		limit: rate.NewLimiter(rate.Limit(writesPerSecond), int(writesPerSecond*burstShare))}
 }
 
 // Commit implements store.Table.
-func (l *Limited) Commit(ctx context.Context, t store.Txn) (uint64, error) {
+func (l *RateLimitedTable) Commit(ctx context.Context, t store.Txn) (uint64, error) {
 	time.Sleep(l.latency)
 	if !l.limit.Allow() {
 		l.limited.Add(1)
@@ -44,22 +44,22 @@
 }
 
 // Get implements store.Table.
-func (l *Limited) Get(ctx context.Context, keys ...string) ([]store.Row, error) {
+func (l *RateLimitedTable) Get(ctx context.Context, keys ...string) ([]store.Row, error) {
 	time.Sleep(l.latency)
 	return l.Table.Get(ctx, keys...)
 }
 
 // List implements store.Table.
-func (l *Limited) List(ctx context.Context, prefix, after string, limit int) ([]store.Row, error) {
+func (l *RateLimitedTable) List(ctx context.Context, prefix, after string, limit int) ([]store.Row, error) {
 	time.Sleep(l.latency)
 	return l.Table.List(ctx, prefix, after, limit)
 }
 
 // Commits is how many commits the service took.
-func (l *Limited) Commits() int64 { return l.commits.Load() }
+func (l *RateLimitedTable) Commits() int64 { return l.commits.Load() }
 
-// LimitedCount is how many it refused for their rate.
-func (l *Limited) LimitedCount() int { return int(l.limited.Load()) }
+// LimitedCommits is how many it refused for their rate.
+func (l *RateLimitedTable) LimitedCommits() int { return int(l.limited.Load()) }
 
 func isStoreDown(err error) bool {
 	var e *fault.Error
--- a/standin/compare/compare.go
+++ b/standin/compare/compare.go
@@ -14,14 +14,14 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Play is one day played with one way.
-type Play struct {
-	Entry   string // of the journal
-	Site    string
-	Day     string // its name and what it is made of, digested
-	Seed    int64
-	Small   bool // a small twin of the deployment
-	Figures []Figure
+// Run is one day played with one way.
+type Run struct {
+	EntryID   string // of the journal
+	Site      string
+	Day       string // its name and what it is made of, digested
+	Seed      int64
+	SmallTwin bool // a small twin of the deployment
+	Figures   []Figure
 }
 
 // Figure is one number of a play.
@@ -37,15 +37,15 @@
 	small     bool
 }
 
-func (p *Play) key() key { return key{p.Site, p.Day, p.Seed, p.Small} }
+func (p *Run) key() key { return key{p.Site, p.Day, p.Seed, p.SmallTwin} }
 
 // Pair is one day played with both ways.
-type Pair struct{ Before, After Play }
+type Pair struct{ Before, After Run }
 
-// Pairs matches plays of the same day, in the order in which they were played,
+// MatchPairs matches plays of the same day, in the order in which they were played,
 // and counts those that have no match.
-func Pairs(before, after []Play) (pairs []Pair, left int) {
-	waiting := map[key][]Play{}
+func MatchPairs(before, after []Run) (pairs []Pair, left int) {
+	waiting := map[key][]Run{}
 	for _, p := range before {
 		waiting[p.key()] = append(waiting[p.key()], p)
 	}
@@ -82,26 +82,26 @@
 
 // Row is the difference in one figure on one deployment: after less before.
 type Row struct {
-	Site    string  `json:"site"`
-	Figure  string  `json:"figure"`
-	Pairs   int     `json:"pairs"`
-	Before  float64 `json:"before"` // mean
-	Mean    float64 `json:"difference"`
-	Error   float64 `json:"standard_error"`
-	Bound   float64 `json:"bound"` // the difference counts beyond this
-	Verdict Verdict `json:"verdict"`
+	Site            string  `json:"site"`
+	Figure          string  `json:"figure"`
+	Pairs           int     `json:"pairs"`
+	MeanBefore      float64 `json:"before"` // mean
+	MeanDifference  float64 `json:"difference"`
+	Error           float64 `json:"standard_error"`
+	ConfidenceBound float64 `json:"bound"` // the difference counts beyond this
+	Verdict         Verdict `json:"verdict"`
 }
 
 // AllSites names the rows over all deployments.
 const AllSites = "all"
 
-// ErrNothing says that no day was played with both ways.
-var ErrNothing = eris.New("no day was played with both ways")
+// ErrNoPairs says that no day was played with both ways.
+var ErrNoPairs = eris.New("no day was played with both ways")
 
 // Compare works the rows out, by deployment and over all.
 func Compare(pairs []Pair) ([]Row, error) {
 	if len(pairs) == 0 {
-		return nil, ErrNothing
+		return nil, ErrNoPairs
 	}
 	bySite := map[string][]Pair{}
 	for _, p := range pairs {
@@ -147,7 +147,7 @@
 	rows := make([]Row, len(names))
 	for i, name := range names {
 		rows[i] = row(differences[name])
-		rows[i].Site, rows[i].Figure, rows[i].Before = site, name, befores[name]/float64(len(differences[name]))
+		rows[i].Site, rows[i].Figure, rows[i].MeanBefore = site, name, befores[name]/float64(len(differences[name]))
 	}
 	return rows
 }
@@ -157,7 +157,7 @@
 	n := float64(len(all))
 	r := Row{Pairs: len(all)}
 	for _, d := range all {
-		r.Mean += d / n
+		r.MeanDifference += d / n
 	}
 	if len(all) < leastPairs {
 		r.Verdict = TooFew
@@ -165,14 +165,14 @@
 	}
 	squares := 0.0
 	for _, d := range all {
-		squares += (d - r.Mean) * (d - r.Mean)
+		squares += (d - r.MeanDifference) * (d - r.MeanDifference)
 	}
 	r.Error = math.Sqrt(squares / (n - 1) / n)
-	r.Bound = r.Error * distuv.StudentsT{Sigma: 1, Nu: n - 1}.Quantile((1+confidence)/2)
+	r.ConfidenceBound = r.Error * distuv.StudentsT{Sigma: 1, Nu: n - 1}.Quantile((1+confidence)/2)
 	switch {
-	case math.Abs(r.Mean) <= r.Bound:
+	case math.Abs(r.MeanDifference) <= r.ConfidenceBound:
 		r.Verdict = NoDifference
-	case r.Mean > 0:
+	case r.MeanDifference > 0:
 		r.Verdict = Higher
 	default:
 		r.Verdict = Lower
@@ -180,8 +180,8 @@
 	return r
 }
 
-// Sites names the deployments of plays.
-func Sites(plays []Play) string {
+// SiteNames names the deployments of plays.
+func SiteNames(plays []Run) string {
 	var names []string
 	for i := range plays {
 		names = append(names, plays[i].Site)
@@ -192,8 +192,8 @@
 
 // String is a row as a line of a table.
 func (r Row) String() string {
-	return fmt.Sprintf("| %s | %s | %d | %.4f | %+.4f | %.4f | %s |", r.Site, r.Figure, r.Pairs, r.Before, r.Mean, r.Error, r.Verdict)
+	return fmt.Sprintf("| %s | %s | %d | %.4f | %+.4f | %.4f | %s |", r.Site, r.Figure, r.Pairs, r.MeanBefore, r.MeanDifference, r.Error, r.Verdict)
 }
 
-// Head is the head of a table of rows.
-const Head = "| site | figure | pairs | before | difference | standard error | verdict |\n| --- | --- | --- | --- | --- | --- | --- |"
+// TableHead is the head of a table of rows.
+const TableHead = "| site | figure | pairs | before | difference | standard error | verdict |\n| --- | --- | --- | --- | --- | --- | --- |"
--- a/standin/compare/compare_test.go
+++ b/standin/compare/compare_test.go
@@ -33,7 +33,7 @@
 	assert.NilError(t, err)
 	a, err := Read(fs, []string{after})
 	assert.NilError(t, err)
-	pairs, _ := Pairs(b, a)
+	pairs, _ := MatchPairs(b, a)
 	rows, err := Compare(pairs)
 	assert.NilError(t, err)
 	return rows
@@ -95,10 +95,10 @@
 	assert.NilError(t, err)
 	other, err := Read(journal("other", map[string][]float64{"b": {0.8}}), []string{"b"})
 	assert.NilError(t, err)
-	pairs, left := Pairs(a, other)
+	pairs, left := MatchPairs(a, other)
 	assert.Equal(t, left, 2)
 	_, err = Compare(pairs)
-	assert.ErrorIs(t, err, ErrNothing)
+	assert.ErrorIs(t, err, ErrNoPairs)
 }
 
 // Of plays that differ by their draws alone, about one in twenty shows a difference.
@@ -121,11 +121,11 @@
 // Every play is in one pair at most, and none is lost.
 func TestPairsTakeEachPlayOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		plays := rapid.SliceOf(rapid.Custom(func(t *rapid.T) Play {
-			return Play{Site: rapid.SampledFrom([]string{"s", "t"}).Draw(t, "site"), Seed: rapid.Int64Range(0, 3).Draw(t, "seed")}
+		plays := rapid.SliceOf(rapid.Custom(func(t *rapid.T) Run {
+			return Run{Site: rapid.SampledFrom([]string{"s", "t"}).Draw(t, "site"), Seed: rapid.Int64Range(0, 3).Draw(t, "seed")}
 		}))
 		before, after := plays.Draw(t, "before"), plays.Draw(t, "after")
-		pairs, left := Pairs(before, after)
+		pairs, left := MatchPairs(before, after)
 		assert.Equal(t, 2*len(pairs)+left, len(before)+len(after))
 		for _, p := range pairs {
 			assert.Equal(t, p.Before.key(), p.After.key())
@@ -135,7 +135,7 @@
 
 func TestThePlotHasEachDeployment(t *testing.T) {
 	var w bytes.Buffer
-	assert.NilError(t, Plot(&w, []Row{{Site: "taipei", Figure: "worth", Mean: 0.01, Bound: 0.02}, {Site: "other", Figure: "served"}}, "worth"))
+	assert.NilError(t, Plot(&w, []Row{{Site: "taipei", Figure: "worth", MeanDifference: 0.01, ConfidenceBound: 0.02}, {Site: "other", Figure: "served"}}, "worth"))
 	assert.Assert(t, strings.Contains(w.String(), "taipei") && !strings.Contains(w.String(), ">other<"))
 	assert.ErrorIs(t, Plot(&w, nil, "worth"), ErrNoRows)
 }
--- a/standin/compare/journal.go
+++ b/standin/compare/journal.go
@@ -69,14 +69,14 @@
 
 // Read returns the plays of the journal's entries that match one of the names,
 // oldest first. Entries of runs that were broken off have none.
-func Read(journal fs.FS, names []string) ([]Play, error) {
+func Read(journal fs.FS, names []string) ([]Run, error) {
 	files, err := fs.Glob(journal, "*.json")
 	if err != nil {
 		return nil, eris.Wrap(err, "list journal")
 	}
 	slices.Sort(files)
 	found := make(map[string]bool, len(names))
-	var plays []Play
+	var plays []Run
 	for _, file := range files {
 		e, err := read(journal, file)
 		if err != nil {
@@ -120,12 +120,12 @@
 	return e, nil
 }
 
-func (e *entry) plays() []Play {
-	out := make([]Play, 0, len(e.Days))
+func (e *entry) plays() []Run {
+	out := make([]Run, 0, len(e.Days))
 	for i := range e.Days {
 		d := &e.Days[i]
-		out = append(out, Play{Entry: e.ID, Site: e.Site, Day: d.Name + " " + d.Day, Seed: d.Seed,
-			Small: d.Small != nil && *d.Small, Figures: d.figures()})
+		out = append(out, Run{EntryID: e.ID, Site: e.Site, Day: d.Name + " " + d.Day, Seed: d.Seed,
+			SmallTwin: d.Small != nil && *d.Small, Figures: d.figures()})
 	}
 	return out
 }
--- a/standin/compare/plot.go
+++ b/standin/compare/plot.go
@@ -31,8 +31,8 @@
 		if r.Figure != figure {
 			continue
 		}
-		b.XYs = append(b.XYs, plotter.XY{X: r.Mean, Y: float64(len(names))})
-		b.XErrors = append(b.XErrors, struct{ Low, High float64 }{r.Bound, r.Bound})
+		b.XYs = append(b.XYs, plotter.XY{X: r.MeanDifference, Y: float64(len(names))})
+		b.XErrors = append(b.XErrors, struct{ Low, High float64 }{r.ConfidenceBound, r.ConfidenceBound})
 		names = append(names, r.Site)
 	}
 	if len(names) == 0 {
--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -42,27 +42,27 @@
 	Fencing     config.Fencing
 
 	MaxBatch  int
-	QueueMax  int
+	MaxQueue  int
 	MaxTokens int
 
-	TokenTime       time.Duration            // one step of one stream alone; 0: as fast as possible
-	TokenTimes      map[string]time.Duration // by model, in place of TokenTime
-	BatchSlope      float64                  // share of the step time that each further stream adds
-	PrefillPerToken time.Duration            // prompt token that is not in the prefix cache
-	PrefillChunk    int                      // prompt tokens in one step at most
-	PrefixSlots     int                      // prefixes that the cache holds; 0: no cache
-	PrefixSaved     float64                  // share of a prompt's tokens that a cached prefix saves
+	TokenTime        time.Duration            // one step of one stream alone; 0: as fast as possible
+	TokenTimes       map[string]time.Duration // by model, in place of TokenTime
+	BatchSlope       float64                  // share of the step time that each further stream adds
+	PrefillPerToken  time.Duration            // prompt token that is not in the prefix cache
+	PrefillChunk     int                      // prompt tokens in one step at most
+	PrefixSlots      int                      // prefixes that the cache holds; 0: no cache
+	PrefixSavedShare float64                  // share of a prompt's tokens that a cached prefix saves
 
-	ReportEvery time.Duration // 0: each report is taken when it is asked for
-	ReportLag   time.Duration // how old the newest report served is at least
-	EventLag    time.Duration // cache events are published that late
-	EventLoss   float64       // share of cache events never published
+	ReportInterval time.Duration // 0: each report is taken when it is asked for
+	ReportLag      time.Duration // how old the newest report served is at least
+	EventLag       time.Duration // cache events are published that late
+	EventLoss      float64       // share of cache events never published
 
-	ResumeFor   time.Duration // how long an attempt without a reader goes on
-	FlushTokens int           // tokens a write; 0: 1, or defaultFlushFast when tokens cost no time
-	AttemptLog  int
-	RecordMax   int
-	Seed        uint64
+	ResumeWindow   time.Duration // how long an attempt without a reader goes on
+	FlushTokens    int           // tokens a write; 0: 1, or defaultFlushFast when tokens cost no time
+	AttemptLogSize int
+	MaxRecords     int
+	Seed           uint64
 }
 
 func (c Config) withDefaults() Config {
@@ -70,11 +70,11 @@
 		c.Listen = "127.0.0.1:0"
 	}
 	setDefault(&c.MaxBatch, defaultMaxBatch)
-	setDefault(&c.QueueMax, defaultQueueMax)
+	setDefault(&c.MaxQueue, defaultQueueMax)
 	setDefault(&c.MaxTokens, defaultMaxTokens)
-	setDefault(&c.AttemptLog, defaultAttemptLog)
-	setDefault(&c.RecordMax, defaultRecordMax)
-	setDefault(&c.ResumeFor, defaultResumeFor)
+	setDefault(&c.AttemptLogSize, defaultAttemptLog)
+	setDefault(&c.MaxRecords, defaultRecordMax)
+	setDefault(&c.ResumeWindow, defaultResumeFor)
 	setDefault(&c.PrefillChunk, defaultChunk)
 	if c.FlushTokens == 0 {
 		c.FlushTokens = 1
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -69,7 +69,7 @@
 	e.srv = &http.Server{Handler: e.Handler(), ReadHeaderTimeout: 10 * time.Second}
 	e.reset()
 	e.loops.Go(e.stepLoop)
-	if cfg.ReportEvery > 0 {
+	if cfg.ReportInterval > 0 {
 		e.loops.Go(e.reportLoop)
 	}
 	return e, nil
@@ -80,7 +80,7 @@
 func (e *Engine) reset() {
 	e.incarnation, e.reborn, e.born = uuid.NewString(), make(chan struct{}), time.Now()
 	e.leaving, e.role, e.epoch, e.lastOps, e.residents = false, roleServe, 0, nil, nil
-	e.attempts = attempts.New[*attempt](e.cfg.AttemptLog)
+	e.attempts = attempts.New[*attempt](e.cfg.AttemptLogSize)
 	e.batch = batch{}
 	e.reports, e.sequence = nil, 0
 	e.prefixes = newPrefixCache(e.cfg.PrefixSlots)
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -108,12 +108,12 @@
 // it: the events go on after the position that the host has, without a gap.
 func TestCutStreamResumes(t *testing.T) {
 	e := start(t, engine.Config{TokenTime: 50 * time.Microsecond})
-	e.CutStream(5)
+	e.CutStreamsAfter(5)
 	prompt := answer.Mark("team", "i1")
 	text, pos, whole := events(t, chat(t, e, "a1", prompt, 40, true).Body, "a1", 0)
 	assert.Assert(t, !whole)
 	assert.Equal(t, pos, 5)
-	e.CutStream(0)
+	e.CutStreamsAfter(0)
 	resp := do(t, "GET", "http://"+e.Addr()+"/engine/v1/attempts/a1/stream?after=5", "", nil)
 	rest, _, whole := events(t, resp.Body, "a1", pos)
 	assert.Assert(t, whole)
--- a/standin/engine/fate.go
+++ b/standin/engine/fate.go
@@ -13,7 +13,7 @@
 func (e *Engine) serveFate(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	e.mu.Lock()
-	a, _ := e.attempts.Settle(id, never(id))
+	a, _ := e.attempts.FindOrAdd(id, never(id))
 	inc := e.incarnation
 	e.mu.Unlock()
 	e.stamp(w.Header())
@@ -46,7 +46,7 @@
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	e.mu.Lock()
-	a, _ := e.attempts.Settle(id, never(id))
+	a, _ := e.attempts.FindOrAdd(id, never(id))
 	if a != nil {
 		e.finish(a, fateCancelled)
 	}
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -22,9 +22,9 @@
 	mute       int
 }
 
-// Leave makes the engine refuse new work for the rest of its incarnation and
+// Drain makes the engine refuse new work for the rest of its incarnation and
 // finish what it has.
-func (e *Engine) Leave() {
+func (e *Engine) Drain() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = true
@@ -38,7 +38,7 @@
 	e.reset()
 	e.mu.Unlock()
 	if e.ln != nil {
-		e.ln.Sever()
+		e.ln.CloseConnections()
 	}
 }
 
@@ -50,7 +50,7 @@
 	default:
 		close(e.reborn)
 	}
-	e.attempts.Newest(func(a *attempt) bool {
+	e.attempts.VisitNewestFirst(func(a *attempt) bool {
 		e.finish(a, fateDied)
 		return true
 	})
@@ -63,16 +63,16 @@
 // Thaw lets new connections work again after Freeze(true).
 func (e *Engine) Thaw() { e.ln.Thaw() }
 
-// Cross makes a share of answers carry another attempt's id and content.
-func (e *Engine) Cross(share float64) {
+// MismatchAnswers makes a share of answers carry another attempt's id and content.
+func (e *Engine) MismatchAnswers(share float64) {
 	e.faults.mu.Lock()
 	defer e.faults.mu.Unlock()
 	e.faults.cross = share
 }
 
-// CutStream breaks each stream's connection after n more events; the attempt
+// CutStreamsAfter breaks each stream's connection after n more events; the attempt
 // goes on and can be resumed. 0 stops it.
-func (e *Engine) CutStream(n int) { e.faults.cutAfter.Store(int32(n)) }
+func (e *Engine) CutStreamsAfter(n int) { e.faults.cutAfter.Store(int32(n)) }
 
 // DropOrders loses the next n orders.
 func (e *Engine) DropOrders(n int) {
@@ -159,10 +159,10 @@
 		return a
 	}
 	out := a
-	e.attempts.Newest(func(other *attempt) bool {
+	e.attempts.VisitNewestFirst(func(other *attempt) bool {
 		if other != a && other.done != nil {
 			out = other
-			e.records.Crossed++
+			e.records.Mismatched++
 		}
 		return out == a
 	})
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -130,7 +130,7 @@
 	defer e.mu.Unlock()
 	if known, _ := e.attempts.Find(a.id); known != nil && known.done == nil {
 		return nil, &refusal{http.StatusServiceUnavailable, engineapi.RefusedAttemptClosed, "attempt id is settled as not run"}
-	} else if known != nil || e.attempts.Dropped(a.id) {
+	} else if known != nil || e.attempts.WasDropped(a.id) {
 		// No promise here: the first request under this id may be running.
 		return nil, &refusal{status: http.StatusConflict, text: "attempt id was used before"}
 	}
@@ -153,7 +153,7 @@
 		return &refusal{http.StatusServiceUnavailable, engineapi.RefusedDraining, "engine is leaving"}
 	case res == nil:
 		return &refusal{http.StatusServiceUnavailable, engineapi.RefusedNotLoaded, "model is not loaded"}
-	case e.batch.waitingCount() >= e.cfg.QueueMax:
+	case e.batch.waitingCount() >= e.cfg.MaxQueue:
 		return &refusal{http.StatusTooManyRequests, engineapi.RefusedQueueFull, "queue is full"}
 	}
 	a.key, a.on = res.key, res
@@ -191,7 +191,7 @@
 
 // abandon starts the clock of an attempt whose caller's connection is gone.
 func (e *Engine) abandon(a *attempt, reader chan struct{}) {
-	a.detach(reader, e.cfg.ResumeFor, func() { e.cancel(a) })
+	a.detach(reader, e.cfg.ResumeWindow, func() { e.cancel(a) })
 }
 
 func (e *Engine) cancel(a *attempt) {
@@ -210,7 +210,7 @@
 	}
 	a.on.users--
 	e.settleModel(a.key.Model)
-	e.records.addExecution(a, e.incarnation, e.cfg.RecordMax)
+	e.records.addExecution(a, e.incarnation, e.cfg.MaxRecords)
 }
 
 const jsonType = "application/json"
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -48,7 +48,7 @@
 	ans := engineapi.OrderAnswer{Incarnation: e.incarnation}
 	ans.Reason = e.objection(o)
 	ans.Accepted = ans.Reason == ""
-	e.records.addOrder(o, ans, e.cfg.RecordMax)
+	e.records.addOrder(o, ans, e.cfg.MaxRecords)
 	if !ans.Accepted {
 		return ans
 	}
--- a/standin/engine/orders_test.go
+++ b/standin/engine/orders_test.go
@@ -106,9 +106,9 @@
 		_, _ = order(e, load("o1", 1, "a", 60))
 		time.Sleep(time.Second)
 		_, _ = order(e, unload("o2", 1, "a"))
-		assert.Equal(t, e.Truth().UsedMB, 0)
+		assert.Equal(t, e.ActualState().UsedMB, 0)
 		time.Sleep(time.Minute)
-		assert.Equal(t, e.Truth().UsedMB, 60)
+		assert.Equal(t, e.ActualState().UsedMB, 60)
 		assert.Equal(t, e.Records().Loads, 2)
 	})
 }
@@ -132,17 +132,17 @@
 		defer e.Close()
 		_, _ = order(e, load("o1", 1, "a", 50))
 		time.Sleep(time.Minute)
-		assert.Equal(t, e.Truth().Residents[0].State, engineapi.StateLoading)
-		assert.Equal(t, e.Truth().UsedMB, 50)
+		assert.Equal(t, e.ActualState().Residents[0].State, engineapi.StateLoading)
+		assert.Equal(t, e.ActualState().UsedMB, 50)
 	})
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Config{MemoryMB: 100, MBPerSecond: 10, Weights: &grants{}})
 		defer e.Close()
 		_, _ = order(e, load("o1", 1, "a", 50))
 		time.Sleep(4900 * time.Millisecond)
-		assert.Equal(t, e.Truth().Residents[0].State, engineapi.StateLoading)
+		assert.Equal(t, e.ActualState().Residents[0].State, engineapi.StateLoading)
 		time.Sleep(200 * time.Millisecond)
-		assert.Equal(t, e.Truth().Residents[0].State, engineapi.StateReady)
+		assert.Equal(t, e.ActualState().Residents[0].State, engineapi.StateReady)
 	})
 }
 
@@ -150,7 +150,7 @@
 // old as the lag says, however often it asks.
 func TestReportsLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEngine(t, engine.Config{MemoryMB: 100, ReportEvery: time.Second, ReportLag: 5 * time.Second})
+		e := newEngine(t, engine.Config{MemoryMB: 100, ReportInterval: time.Second, ReportLag: 5 * time.Second})
 		defer e.Close()
 		time.Sleep(10*time.Second + time.Millisecond)
 		_, _ = order(e, load("o1", 1, "a", 50))
@@ -201,7 +201,7 @@
 // that nobody's answer holds a place in the batch for ever.
 func TestStreamWithoutReaderIsCancelledInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEngine(t, engine.Config{TokenTime: 10 * time.Millisecond, ResumeFor: 2 * time.Second})
+		e := newEngine(t, engine.Config{TokenTime: 10 * time.Millisecond, ResumeWindow: 2 * time.Second})
 		defer e.Close()
 		e.Preload("m", "", "v1", 1)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -212,9 +212,9 @@
 		time.Sleep(time.Second)
 		cancel()
 		time.Sleep(1900 * time.Millisecond)
-		assert.Equal(t, e.Truth().Running, 1)
+		assert.Equal(t, e.ActualState().Running, 1)
 		time.Sleep(200 * time.Millisecond)
-		assert.Equal(t, e.Truth().Running, 0)
+		assert.Equal(t, e.ActualState().Running, 0)
 		var a engineapi.Attempt
 		call(e, "GET", "/engine/v1/attempts/a1", nil, &a)
 		assert.Equal(t, a.State, engineapi.AttemptCancelled)
@@ -236,9 +236,9 @@
 		o := unload("o1", 1, "m")
 		o.Version = "v1"
 		_, _ = order(e, o)
-		assert.Equal(t, e.Truth().UsedMB, 55)
+		assert.Equal(t, e.ActualState().UsedMB, 55)
 		time.Sleep(time.Second)
-		assert.Equal(t, e.Truth().UsedMB, 0)
+		assert.Equal(t, e.ActualState().UsedMB, 0)
 		assert.Equal(t, e.Records().Executions[0].State, engineapi.AttemptCompleted)
 	})
 }
@@ -247,7 +247,7 @@
 // and must take them as hints. A cached prefix shortens the prompt's time.
 func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEngine(t, engine.Config{PrefillPerToken: time.Millisecond, PrefixSlots: 2, PrefixSaved: 0.9,
+		e := newEngine(t, engine.Config{PrefillPerToken: time.Millisecond, PrefixSlots: 2, PrefixSavedShare: 0.9,
 			EventLag: time.Second, EventLoss: 0.5, Seed: 1})
 		defer e.Close()
 		e.Preload("m", "", "v1", 1)
--- a/standin/engine/prefix.go
+++ b/standin/engine/prefix.go
@@ -59,7 +59,7 @@
 		return a.prompt
 	}
 	e.records.PrefixHits++
-	return a.prompt - int(float64(a.prompt)*e.cfg.PrefixSaved)
+	return a.prompt - int(float64(a.prompt)*e.cfg.PrefixSavedShare)
 }
 
 // publish numbers a cache event; a lost one leaves its gap. The caller holds mu.
--- a/standin/engine/records.go
+++ b/standin/engine/records.go
@@ -12,15 +12,15 @@
 // Records are the engine's own account of what it did, over all of its
 // incarnations. Proofs join them with callers' records.
 type Records struct {
-	Executions   []Execution
-	Orders       []OrderRecord
-	Overcommits  []Overcommit
-	Loads        int // models that began to load by order
-	AdapterLoads int
-	Unloads      int
-	PrefixHits   int
-	Crossed      int // answers that were crossed on purpose
-	Dropped      int // executions and orders over the bound, not kept
+	Executions     []Execution
+	Orders         []OrderRecord
+	Overcommits    []Overcommit
+	Loads          int // models that began to load by order
+	AdapterLoads   int
+	Unloads        int
+	PrefixHits     int
+	Mismatched     int // answers that were crossed on purpose
+	DroppedRecords int // executions and orders over the bound, not kept
 }
 
 // Execution is one attempt that was taken and what became of it.
@@ -56,7 +56,7 @@
 
 func (r *Records) addExecution(a *attempt, incarnation string, most int) {
 	if len(r.Executions) >= most {
-		r.Dropped++
+		r.DroppedRecords++
 		return
 	}
 	a.mu.Lock()
@@ -67,7 +67,7 @@
 
 func (r *Records) addOrder(o engineapi.Order, ans engineapi.OrderAnswer, most int) {
 	if len(r.Orders) >= most {
-		r.Dropped++
+		r.DroppedRecords++
 		return
 	}
 	r.Orders = append(r.Orders, OrderRecord{At: time.Now(), Order: o, Answer: ans})
@@ -83,9 +83,9 @@
 	r.Orders = slices.Clone(r.Orders)
 	r.Overcommits = slices.Clone(r.Overcommits)
 	open := Records{}
-	e.attempts.Newest(func(a *attempt) bool {
+	e.attempts.VisitNewestFirst(func(a *attempt) bool {
 		if a.done != nil && a.fate != fateRefused && !a.ended() {
-			open.addExecution(a, e.incarnation, e.cfg.RecordMax)
+			open.addExecution(a, e.incarnation, e.cfg.MaxRecords)
 			open.Executions[len(open.Executions)-1].Ended = time.Time{}
 		}
 		return true
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -14,7 +14,7 @@
 const lastOpsMax = 64
 
 func (e *Engine) reportLoop() {
-	tick := time.NewTicker(e.cfg.ReportEvery)
+	tick := time.NewTicker(e.cfg.ReportInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -60,7 +60,7 @@
 func (e *Engine) Report() engineapi.Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.cfg.ReportEvery == 0 {
+	if e.cfg.ReportInterval == 0 {
 		e.takeReport()
 	}
 	newest := e.reports[0]
@@ -72,9 +72,9 @@
 	return newest
 }
 
-// Truth is the engine's state now, without lag; nothing of the system may
+// ActualState is the engine's state now, without lag; nothing of the system may
 // read it, only an oracle that shows how far the system is from it.
-func (e *Engine) Truth() engineapi.Report {
+func (e *Engine) ActualState() engineapi.Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.describe(e.sequence)
--- a/standin/history/history.go
+++ b/standin/history/history.go
@@ -17,25 +17,25 @@
 
 // Invocation is one request as its caller saw it.
 type Invocation struct {
-	Call    string // unique to the invocation
-	Key     string // idempotency key with its team; "": the request may be repeated
-	Start   int64  // of the history's clock
-	End     int64
-	Outcome outcome.Outcome
-	Answer  string // of a completed one: its bytes or their hash
-	Open    bool   // no answer came
-	Gone    bool   // the caller left, or was told by a broken connection; no answer was due
-	Busy    bool   // told that another is in progress
+	ID         string // unique to the invocation
+	Key        string // idempotency key with its team; "": the request may be repeated
+	Start      int64  // of the history's clock
+	End        int64
+	Outcome    outcome.Outcome
+	Answer     string // of a completed one: its bytes or their hash
+	Unanswered bool   // no answer came
+	CallerGone bool   // the caller left, or was told by a broken connection; no answer was due
+	InProgress bool   // told that another is in progress
 }
 
 // Execution is one attempt as its upstream carried it out, in part or in whole.
 type Execution struct {
-	Call    string // the invocation it was for, if the upstream can tell
-	Key     string
-	Attempt string
-	Start   int64
-	End     int64 // 0: never ended
-	Answer  string
+	InvocationID string // the invocation it was for, if the upstream can tell
+	Key          string
+	Attempt      string
+	Start        int64
+	End          int64 // 0: never ended
+	Answer       string
 }
 
 // History collects both sides. It is safe for use by many goroutines.
@@ -56,7 +56,7 @@
 
 // Invoke records that a caller sends a request.
 func (h *History) Invoke(call, key string) {
-	inv := &Invocation{Call: call, Key: key, Start: h.Now(), Open: true}
+	inv := &Invocation{ID: call, Key: key, Start: h.Now(), Unanswered: true}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.calls[call] = inv
@@ -65,16 +65,16 @@
 
 // Answered records what the caller was told.
 func (h *History) Answered(call string, o outcome.Outcome, answer string) {
-	h.end(call, func(i *Invocation) { i.Outcome, i.Answer, i.Open = o, answer, false })
+	h.end(call, func(i *Invocation) { i.Outcome, i.Answer, i.Unanswered = o, answer, false })
 }
 
-// ToldBusy records that the caller was told to come back.
-func (h *History) ToldBusy(call string) {
-	h.end(call, func(i *Invocation) { i.Busy, i.Open = true, false })
+// AnsweredInProgress records that the caller was told to come back.
+func (h *History) AnsweredInProgress(call string) {
+	h.end(call, func(i *Invocation) { i.InProgress, i.Unanswered = true, false })
 }
 
-// Left records that the caller is gone, or that its connection broke.
-func (h *History) Left(call string) { h.end(call, func(i *Invocation) { i.Gone = true }) }
+// CallerLeft records that the caller is gone, or that its connection broke.
+func (h *History) CallerLeft(call string) { h.end(call, func(i *Invocation) { i.CallerGone = true }) }
 
 func (h *History) end(call string, set func(*Invocation)) {
 	h.mu.Lock()
@@ -102,17 +102,17 @@
 
 // Counts are plain counts over a history, for reports.
 type Counts struct {
-	Requests  int `json:"requests"`
-	Completed int `json:"completed"`
-	NotRun    int `json:"not_run"`
-	Unknown   int `json:"unknown"`
-	Busy      int `json:"in_progress"`
-	Lost      int `json:"lost"`       // no answer, and the caller was there
-	Doubled   int `json:"doubled"`    // executions of a key beyond its first
-	Cut       int `json:"cut"`        // told completed with a beginning of the true answer only
-	Crossed   int `json:"crossed"`    // told completed with an answer that no execution for it gave
-	FalseNo   int `json:"false_no"`   // told not run, and an upstream ran that very invocation
-	FalseBusy int `json:"false_busy"` // told in progress after every other invocation had ended as not run
+	Requests        int `json:"requests"`
+	Completed       int `json:"completed"`
+	NotRun          int `json:"not_run"`
+	Unknown         int `json:"unknown"`
+	InProgress      int `json:"in_progress"`
+	Lost            int `json:"lost"`       // no answer, and the caller was there
+	Duplicated      int `json:"doubled"`    // executions of a key beyond its first
+	Truncated       int `json:"cut"`        // told completed with a beginning of the true answer only
+	Mismatched      int `json:"crossed"`    // told completed with an answer that no execution for it gave
+	FalseNotRun     int `json:"false_no"`   // told not run, and an upstream ran that very invocation
+	FalseInProgress int `json:"false_busy"` // told in progress after every other invocation had ended as not run
 }
 
 // Count counts.
@@ -123,17 +123,17 @@
 	byKey, byCall := h.index()
 	for key, execs := range byKey {
 		if key != "" {
-			c.Doubled += len(execs) - 1
+			c.Duplicated += len(execs) - 1
 		}
 	}
 	for _, i := range h.order {
-		execs := byCall[i.Call]
+		execs := byCall[i.ID]
 		if i.Key != "" {
 			execs = byKey[i.Key]
 		}
-		c.add(i, execs, byCall[i.Call])
-		if i.Busy && h.falseBusy(i) {
-			c.FalseBusy++
+		c.add(i, execs, byCall[i.ID])
+		if i.InProgress && h.falseBusy(i) {
+			c.FalseInProgress++
 		}
 	}
 	return c
@@ -143,8 +143,8 @@
 	byKey, byCall = map[string][]*Execution{}, map[string][]*Execution{}
 	for _, e := range h.execs {
 		byKey[e.Key] = append(byKey[e.Key], e)
-		if e.Call != "" {
-			byCall[e.Call] = append(byCall[e.Call], e)
+		if e.InvocationID != "" {
+			byCall[e.InvocationID] = append(byCall[e.InvocationID], e)
 		}
 	}
 	return byKey, byCall
@@ -152,18 +152,18 @@
 
 func (c *Counts) add(i *Invocation, sources, own []*Execution) {
 	switch {
-	case i.Gone:
-	case i.Open:
+	case i.CallerGone:
+	case i.Unanswered:
 		c.Lost++
-	case i.Busy:
-		c.Busy++
+	case i.InProgress:
+		c.InProgress++
 	case i.Outcome == outcome.Completed:
 		c.Completed++
 		c.judge(i, sources)
 	case i.Outcome == outcome.NotRun:
 		c.NotRun++
 		if len(own) > 0 {
-			c.FalseNo++
+			c.FalseNotRun++
 		}
 	default:
 		c.Unknown++
@@ -179,9 +179,9 @@
 		cut = cut || strings.HasPrefix(e.Answer, i.Answer)
 	}
 	if cut {
-		c.Cut++
+		c.Truncated++
 	} else {
-		c.Crossed++
+		c.Mismatched++
 	}
 }
 
@@ -191,7 +191,7 @@
 		if o == i || o.Key != i.Key || o.Start > i.End {
 			continue
 		}
-		ended := !o.Open && !o.Gone && (o.Busy || o.Outcome == outcome.NotRun)
+		ended := !o.Unanswered && !o.CallerGone && (o.InProgress || o.Outcome == outcome.NotRun)
 		if !ended || o.End > i.Start {
 			return false
 		}
@@ -213,7 +213,7 @@
 		if end == 0 {
 			end = never
 		}
-		ops[e.Key] = append(ops[e.Key], porcupine.Operation{ClientId: n, Input: event{ran, e.Call}, Call: e.Start, Output: e.Answer, Return: end})
+		ops[e.Key] = append(ops[e.Key], porcupine.Operation{ClientId: n, Input: event{ran, e.InvocationID}, Call: e.Start, Output: e.Answer, Return: end})
 	}
 	for n, i := range h.order {
 		if op, ok := told(i); ok {
@@ -229,12 +229,12 @@
 	return nil
 }
 
-// Of makes a history of calls and executions that were recorded elsewhere, all
+// FromRecords makes a history of calls and executions that were recorded elsewhere, all
 // by one clock.
-func Of(calls []Invocation, runs []Execution) *History {
+func FromRecords(calls []Invocation, runs []Execution) *History {
 	h := New()
 	for i := range calls {
-		h.calls[calls[i].Call] = &calls[i]
+		h.calls[calls[i].ID] = &calls[i]
 		h.order = append(h.order, &calls[i])
 	}
 	for i := range runs {
--- a/standin/history/history_test.go
+++ b/standin/history/history_test.go
@@ -11,7 +11,7 @@
 // run records an invocation that executes with an answer.
 func run(h *History, call, key, answer string) {
 	h.Invoke(call, key)
-	h.Finish(h.Begin(Execution{Call: call, Key: key, Attempt: call}), answer)
+	h.Finish(h.Begin(Execution{InvocationID: call, Key: key, Attempt: call}), answer)
 }
 
 func TestCheck(t *testing.T) {
@@ -32,42 +32,42 @@
 			h.Answered("c1", outcome.Unknown, "")
 			run(h, "c2", "k", "abc")
 			h.Answered("c2", outcome.Completed, "abc")
-		}, false, Counts{Requests: 2, Completed: 1, Unknown: 1, Doubled: 1}},
+		}, false, Counts{Requests: 2, Completed: 1, Unknown: 1, Duplicated: 1}},
 		{"not run, but ran", func(h *History) {
 			run(h, "c1", "k", "abc")
 			h.Answered("c1", outcome.NotRun, "")
-		}, false, Counts{Requests: 1, NotRun: 1, FalseNo: 1}},
+		}, false, Counts{Requests: 1, NotRun: 1, FalseNotRun: 1}},
 		{"not run, then ran after all", func(h *History) {
 			h.Invoke("c1", "k")
 			h.Answered("c1", outcome.NotRun, "")
-			h.Begin(Execution{Call: "c1", Key: "k", Attempt: "late"})
-		}, false, Counts{Requests: 1, NotRun: 1, FalseNo: 1}},
+			h.Begin(Execution{InvocationID: "c1", Key: "k", Attempt: "late"})
+		}, false, Counts{Requests: 1, NotRun: 1, FalseNotRun: 1}},
 		{"another's answer", func(h *History) {
 			run(h, "c1", "k", "abc")
 			h.Answered("c1", outcome.Completed, "xyz")
-		}, false, Counts{Requests: 1, Completed: 1, Crossed: 1}},
+		}, false, Counts{Requests: 1, Completed: 1, Mismatched: 1}},
 		{"half an answer", func(h *History) {
 			run(h, "c1", "k", "abc")
 			h.Answered("c1", outcome.Completed, "ab")
-		}, false, Counts{Requests: 1, Completed: 1, Cut: 1}},
+		}, false, Counts{Requests: 1, Completed: 1, Truncated: 1}},
 		{"answered before it ran", func(h *History) {
 			h.Invoke("c1", "k")
 			h.Answered("c1", outcome.Completed, "abc")
-			h.Finish(h.Begin(Execution{Call: "c1", Key: "k"}), "abc")
+			h.Finish(h.Begin(Execution{InvocationID: "c1", Key: "k"}), "abc")
 		}, false, Counts{Requests: 1, Completed: 1}},
 		{"unknown explains anything", func(h *History) {
 			run(h, "c1", "k", "abc")
 			h.Answered("c1", outcome.Unknown, "")
 			h.Invoke("c2", "k")
-			h.Left("c2")
+			h.CallerLeft("c2")
 		}, true, Counts{Requests: 2, Unknown: 1}},
 		{"in progress while nobody is at it", func(h *History) {
 			h.Invoke("c1", "k")
 			h.Answered("c1", outcome.NotRun, "")
 			h.Invoke("c2", "k")
-			h.ToldBusy("c2")
+			h.AnsweredInProgress("c2")
 			h.Invoke("c3", "k")
-		}, true, Counts{Requests: 3, NotRun: 1, Busy: 1, FalseBusy: 1, Lost: 1}},
+		}, true, Counts{Requests: 3, NotRun: 1, InProgress: 1, FalseInProgress: 1, Lost: 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := New()
--- a/standin/history/register.go
+++ b/standin/history/register.go
@@ -40,12 +40,12 @@
 func told(i *Invocation) (porcupine.Operation, bool) {
 	op := porcupine.Operation{Call: i.Start, Return: i.End, Output: i.Answer}
 	switch {
-	case i.Key == "" || i.Open || i.Gone || i.Busy:
+	case i.Key == "" || i.Unanswered || i.CallerGone || i.InProgress:
 		return op, false
 	case i.Outcome == outcome.Completed:
-		op.Input = event{completed, i.Call}
+		op.Input = event{completed, i.ID}
 	case i.Outcome == outcome.NotRun:
-		op.Input = event{notRun, i.Call}
+		op.Input = event{notRun, i.ID}
 	default:
 		return op, false
 	}
--- a/standin/load/caller.go
+++ b/standin/load/caller.go
@@ -55,7 +55,7 @@
 // caller carries one invocation out.
 type caller struct {
 	client  *http.Client
-	entries Entries
+	entries EntryBalancer
 	inv     *Invocation
 	text    []byte // the answer's text so far
 	prompt  string
@@ -73,7 +73,7 @@
 	if src.Kind == KindOnce {
 		v.Key = "k-" + v.Arrival.ID
 	}
-	v.Called = time.Now()
+	v.Started = time.Now()
 	for n := 0; n < triesMax || n < triesMost && v.wordless() && len(c.text) == 0; n++ {
 		wait, again := c.try(ctx)
 		if !again || !sleep(ctx, wait) {
@@ -97,7 +97,7 @@
 		t.Lost = true // no entry host to send it to
 		return retryPause, true
 	}
-	t.Entry = req.URL.Host
+	t.EntryHost = req.URL.Host
 	resp, err := c.client.Do(req)
 	if err != nil {
 		t.Lost = true
@@ -144,7 +144,7 @@
 func (c *caller) request(ctx context.Context) (req *http.Request, resumed bool, err error) {
 	last := ""
 	if n := len(c.inv.Tries); n > 0 {
-		last = c.inv.Tries[n-1].Entry
+		last = c.inv.Tries[n-1].EntryHost
 	}
 	host, err := c.entries.Next(last)
 	if err != nil {
@@ -176,7 +176,7 @@
 
 func (c *caller) setHeaders(req *http.Request) {
 	src := c.inv.Arrival.Source
-	req.Header.Set("Authorization", "Bearer "+src.Key)
+	req.Header.Set("Authorization", "Bearer "+src.APIKey)
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(headerClass, src.Class.String())
 	left := src.Deadline - time.Since(c.inv.Intended)
@@ -224,13 +224,13 @@
 	case len(c.text) == 0 && !c.done:
 		v.Verdict = VerdictNone
 	case err == nil && c.done:
-		v.Verdict = VerdictWhole
-	case err == answer.ErrCrossed:
-		v.Verdict = VerdictCrossed
+		v.Verdict = VerdictComplete
+	case err == answer.ErrMismatched:
+		v.Verdict = VerdictMismatched
 	case !c.done && ctx.Err() != nil && time.Since(c.lastAt) < stillComing:
-		v.Verdict = VerdictLeft
+		v.Verdict = VerdictAbandoned
 	case c.done || v.Tries[len(v.Tries)-1].Lost:
-		v.Verdict = VerdictCut
+		v.Verdict = VerdictTruncated
 	}
 }
 
@@ -242,12 +242,12 @@
 	a := c.inv.Arrival
 	var got service.Answer
 	if json.Unmarshal(c.text, &got) != nil {
-		return VerdictCut
+		return VerdictTruncated
 	}
 	if got.Team != a.Source.Team || got.Invocation != a.ID || got.Digest != service.Digest(c.body) {
-		return VerdictCrossed
+		return VerdictMismatched
 	}
-	return VerdictWhole
+	return VerdictComplete
 }
 
 func sleep(ctx context.Context, d time.Duration) bool {
--- a/standin/load/demand.go
+++ b/standin/load/demand.go
@@ -24,10 +24,10 @@
 
 // The kinds of call.
 const (
-	KindStream  Kind = "stream"  // a generation, streamed
-	KindWhole   Kind = "whole"   // a generation in one answer
-	KindService Kind = "service" // a service call that may be repeated
-	KindOnce    Kind = "once"    // a service call that may not: it carries an idempotency key
+	KindStream       Kind = "stream"  // a generation, streamed
+	KindNonStreaming Kind = "whole"   // a generation in one answer
+	KindService      Kind = "service" // a service call that may be repeated
+	KindOnce         Kind = "once"    // a service call that may not: it carries an idempotency key
 )
 
 // Point is a demand at a time; between two points it changes evenly.
@@ -40,7 +40,7 @@
 type Burst struct {
 	AtSeconds  float64 `json:"at_s"`
 	ForSeconds float64 `json:"for_s"`
-	Times      float64 `json:"times"`
+	Factor     float64 `json:"times"`
 }
 
 // Curve is demand over time.
@@ -65,7 +65,7 @@
 	}
 	for _, b := range c.Bursts {
 		if s >= b.AtSeconds && s < b.AtSeconds+b.ForSeconds {
-			rate *= b.Times
+			rate *= b.Factor
 		}
 	}
 	return rate
@@ -78,7 +78,7 @@
 		top = math.Max(top, p.PerSecond)
 	}
 	for _, b := range c.Bursts {
-		top *= math.Max(b.Times, 1)
+		top *= math.Max(b.Factor, 1)
 	}
 	return top
 }
@@ -99,7 +99,7 @@
 // Source is one team's calls of one kind.
 type Source struct {
 	Team        string
-	Key         string // API key
+	APIKey      string // API key
 	Kind        Kind
 	Class       class.Class
 	Deadline    time.Duration // for the whole answer
@@ -116,7 +116,7 @@
 // Arrival is one call and the time, since the start, at which it is sent.
 type Arrival struct {
 	ID          string
-	At          time.Duration
+	Offset      time.Duration
 	Source      *Source
 	Tokens      int
 	PromptBytes int
@@ -129,7 +129,7 @@
 	for i := range sources {
 		plan = append(plan, sources[i].arrivals(seed, uint64(i), length)...)
 	}
-	sort.SliceStable(plan, func(i, j int) bool { return plan[i].At < plan[j].At })
+	sort.SliceStable(plan, func(i, j int) bool { return plan[i].Offset < plan[j].Offset })
 	for i := range plan {
 		plan[i].ID = strconv.FormatUint(seed, 36) + "-" + strconv.Itoa(i)
 	}
@@ -153,7 +153,7 @@
 		if rng.Float64()*top >= s.Curve.At(at) {
 			continue
 		}
-		a := Arrival{At: at, Source: s, Tokens: max(s.Tokens.draw(rng), 1), PromptBytes: s.PromptBytes.draw(rng)}
+		a := Arrival{Offset: at, Source: s, Tokens: max(s.Tokens.draw(rng), 1), PromptBytes: s.PromptBytes.draw(rng)}
 		if s.Prefixes > 0 {
 			a.Prefix = 1 + int(math.Floor(math.Pow(rng.Float64(), 2)*float64(s.Prefixes))) // some are far more common than others
 		}
--- a/standin/load/load_test.go
+++ b/standin/load/load_test.go
@@ -74,7 +74,7 @@
 }
 
 func source(kind load.Kind) load.Source {
-	return load.Source{Team: "crew", Key: "key", Kind: kind, Class: class.Standard, Deadline: 20 * time.Second, Model: "m",
+	return load.Source{Team: "crew", APIKey: "key", Kind: kind, Class: class.Standard, Deadline: 20 * time.Second, Model: "m",
 		Tokens: load.Range{Min: 20, Max: 40}, PromptBytes: load.Range{Min: 50, Max: 400},
 		Service: "ledger", Method: "POST", Path: "/records",
 		Curve: load.Curve{Points: []load.Point{{AtSeconds: 0, PerSecond: 200}}}}
@@ -90,7 +90,7 @@
 }
 
 func TestHealthyRunIsWhole(t *testing.T) {
-	c := newSite(t).run(t, source(load.KindStream), source(load.KindWhole), source(load.KindService), source(load.KindOnce))
+	c := newSite(t).run(t, source(load.KindStream), source(load.KindNonStreaming), source(load.KindService), source(load.KindOnce))
 	assert.Equal(t, c.Completed, c.Requests)
 	assert.Equal(t, c.Attainment, 1.0)
 }
@@ -134,23 +134,23 @@
 // first has a cut answer, and nothing may count it as completed.
 func TestBrokenStreamsAreResumedOrCut(t *testing.T) {
 	st := newSite(t)
-	st.e.CutStream(10)
+	st.e.CutStreamsAfter(10)
 	short := source(load.KindStream)
 	c := st.run(t, short)
 	assert.Equal(t, c.Completed, c.Requests)
 	assert.Assert(t, c.Retries >= c.Requests)
-	st.e.CutStream(1)
+	st.e.CutStreamsAfter(1)
 	c = st.run(t, short)
-	assert.Equal(t, c.Cut, c.Requests)
+	assert.Equal(t, c.Truncated, c.Requests)
 }
 
 // An engine mixes up two answers: one caller gets text that belongs to another.
 func TestCrossedAnswersAreSeen(t *testing.T) {
 	st := newSite(t)
-	st.e.Cross(0.5)
-	c := st.run(t, source(load.KindStream), source(load.KindWhole))
-	assert.Assert(t, c.Crossed > 0)
-	assert.Equal(t, c.Crossed+c.Completed, c.Requests)
+	st.e.MismatchAnswers(0.5)
+	c := st.run(t, source(load.KindStream), source(load.KindNonStreaming))
+	assert.Assert(t, c.Mismatched > 0)
+	assert.Equal(t, c.Mismatched+c.Completed, c.Requests)
 }
 
 // An entry host loses the answer to a call that may not be repeated and runs
@@ -168,7 +168,7 @@
 	}
 	c := st.run(t, source(load.KindOnce))
 	assert.Equal(t, c.Completed, c.Requests)
-	assert.Equal(t, c.Doubled, c.Requests)
+	assert.Equal(t, c.Duplicated, c.Requests)
 }
 
 // An entry host answers "not run" although the call ran.
@@ -185,16 +185,16 @@
 }
 
 func TestPlanFollowsSeedAndCurve(t *testing.T) {
-	s := source(load.KindWhole)
+	s := source(load.KindNonStreaming)
 	s.Curve = load.Curve{Points: []load.Point{{AtSeconds: 0, PerSecond: 10}, {AtSeconds: 100, PerSecond: 100}},
-		Bursts: []load.Burst{{AtSeconds: 50, ForSeconds: 2, Times: 10}}}
+		Bursts: []load.Burst{{AtSeconds: 50, ForSeconds: 2, Factor: 10}}}
 	plan := load.Plan(1, 100*time.Second, []load.Source{s})
 	assert.Assert(t, reflect.DeepEqual(plan, load.Plan(1, 100*time.Second, []load.Source{s})))
 	assert.Assert(t, !reflect.DeepEqual(plan, load.Plan(2, 100*time.Second, []load.Source{s})))
 	burst := 0
 	for i, a := range plan {
-		assert.Assert(t, i == 0 || plan[i-1].At <= a.At)
-		if a.At >= 50*time.Second && a.At < 52*time.Second {
+		assert.Assert(t, i == 0 || plan[i-1].Offset <= a.Offset)
+		if a.Offset >= 50*time.Second && a.Offset < 52*time.Second {
 			burst++
 		}
 	}
--- a/standin/load/omission_test.go
+++ b/standin/load/omission_test.go
@@ -61,7 +61,7 @@
 		assert.Equal(t, len(res.Invocations), len(plan))
 		stalled := 0
 		for _, v := range res.Invocations {
-			at := v.Arrival.At
+			at := v.Arrival.Offset
 			if at <= time.Second || at >= 3*time.Second {
 				continue
 			}
@@ -81,7 +81,7 @@
 	for _, c := range []struct {
 		tokenTime time.Duration
 		verdict   load.Verdict
-	}{{time.Second, load.VerdictLeft}, {time.Hour, load.VerdictNone}, {0, load.VerdictCut}} {
+	}{{time.Second, load.VerdictAbandoned}, {time.Hour, load.VerdictNone}, {0, load.VerdictTruncated}} {
 		synctest.Test(t, func(t *testing.T) {
 			p := &pipes{conns: make(chan net.Conn), done: make(chan struct{})}
 			e, err := engine.New(engine.Config{Name: "e1", TokenTime: c.tokenTime})
--- a/standin/load/read.go
+++ b/standin/load/read.go
@@ -20,7 +20,7 @@
 			c.token = t
 		}
 		return c.readStream(resp.Body)
-	case KindWhole:
+	case KindNonStreaming:
 		return nil, c.readWhole(resp.Body)
 	default:
 		body, err := io.ReadAll(io.LimitReader(resp.Body, answerMax))
@@ -95,7 +95,7 @@
 		return nil
 	}
 	c.text = append(c.text, ch.Choices[0].Delta.Content...)
-	if now := time.Now(); c.inv.First == 0 {
+	if now := time.Now(); c.inv.TimeToFirstToken == 0 {
 		c.firstToken()
 	} else {
 		c.inv.gaps = append(c.inv.gaps, now.Sub(c.lastAt))
@@ -106,7 +106,7 @@
 
 func (c *caller) firstToken() {
 	c.lastAt = time.Now()
-	if c.inv.First == 0 {
-		c.inv.First = c.lastAt.Sub(c.inv.Intended)
+	if c.inv.TimeToFirstToken == 0 {
+		c.inv.TimeToFirstToken = c.lastAt.Sub(c.inv.Intended)
 	}
 }
--- a/standin/load/record.go
+++ b/standin/load/record.go
@@ -11,42 +11,42 @@
 
 // The verdicts.
 const (
-	VerdictNone    Verdict = ""        // no answer to check
-	VerdictWhole   Verdict = "whole"   // all of it, and the caller's own
-	VerdictCut     Verdict = "cut"     // ended early without a word
-	VerdictCrossed Verdict = "crossed" // not the answer to this call
-	VerdictLeft    Verdict = "left"    // still coming when the caller lost patience
+	VerdictNone       Verdict = ""        // no answer to check
+	VerdictComplete   Verdict = "whole"   // all of it, and the caller's own
+	VerdictTruncated  Verdict = "cut"     // ended early without a word
+	VerdictMismatched Verdict = "crossed" // not the answer to this call
+	VerdictAbandoned  Verdict = "left"    // still coming when the caller lost patience
 )
 
 // Try is one request on the wire; an invocation may need several.
 type Try struct {
-	Entry    string
-	Sent     time.Time
-	Returned time.Time
-	Status   int
-	Code     string
-	Outcome  outcome.Outcome
-	Lost     bool // the connection ended without a word on the outcome
-	Resumed  bool // went on with a stream that had broken off
+	EntryHost string
+	Sent      time.Time
+	Returned  time.Time
+	Status    int
+	Code      string
+	Outcome   outcome.Outcome
+	Lost      bool // the connection ended without a word on the outcome
+	Resumed   bool // went on with a stream that had broken off
 }
 
 // Invocation is one call of a caller from its first try to its last word.
 type Invocation struct {
-	Arrival  Arrival
-	Key      string // idempotency key; "" when none
-	Intended time.Time
-	Called   time.Time
-	Returned time.Time
-	Tries    []Try
-	Status   int
-	Code     string // of the error that it ended with
-	Outcome  outcome.Outcome
-	Verdict  Verdict
-	Digest   uint64        // of the answer's text
-	First    time.Duration // to the first token, from Intended; 0: none came
-	Total    time.Duration // to the last byte, from Intended
-	Skipped  bool          // not sent: the generator was at its bound
-	gaps     []time.Duration
+	Arrival          Arrival
+	Key              string // idempotency key; "" when none
+	Intended         time.Time
+	Started          time.Time
+	Returned         time.Time
+	Tries            []Try
+	Status           int
+	Code             string // of the error that it ended with
+	Outcome          outcome.Outcome
+	Verdict          Verdict
+	Digest           uint64        // of the answer's text
+	TimeToFirstToken time.Duration // to the first token, from Intended; 0: none came
+	Total            time.Duration // to the last byte, from Intended
+	Skipped          bool          // not sent: the generator was at its bound
+	gaps             []time.Duration
 }
 
 // Lost says that the caller never got a word on what became of its call.
@@ -54,13 +54,13 @@
 	return !v.Skipped && v.Verdict == VerdictNone && v.wordless()
 }
 
-// Met says that the answer came whole and within the class's deadline.
-func (v *Invocation) Met() bool {
-	return v.Verdict == VerdictWhole && v.Total <= v.Arrival.Source.Deadline
+// MetDeadline says that the answer came whole and within the class's deadline.
+func (v *Invocation) MetDeadline() bool {
+	return v.Verdict == VerdictComplete && v.Total <= v.Arrival.Source.Deadline
 }
 
-// SurelyNotRun says that the caller was told "not run" on every one of its tries.
-func (v *Invocation) SurelyNotRun() bool {
+// AllTriesNotRun says that the caller was told "not run" on every one of its tries.
+func (v *Invocation) AllTriesNotRun() bool {
 	for _, t := range v.Tries {
 		if t.Outcome != outcome.NotRun {
 			return false
@@ -74,7 +74,7 @@
 	switch {
 	case v.Skipped:
 		return "skipped"
-	case v.Verdict == VerdictWhole:
+	case v.Verdict == VerdictComplete:
 		return "late"
 	case v.Verdict != VerdictNone:
 		return string(v.Verdict)
--- a/standin/load/result.go
+++ b/standin/load/result.go
@@ -22,14 +22,14 @@
 
 // Latency holds the times of one class, in microseconds.
 type Latency struct {
-	First *hdrhistogram.Histogram // to the first token
-	Gap   *hdrhistogram.Histogram // between tokens
-	Total *hdrhistogram.Histogram
+	FirstToken *hdrhistogram.Histogram // to the first token
+	InterToken *hdrhistogram.Histogram // between tokens
+	Total      *hdrhistogram.Histogram
 }
 
 func newLatency() Latency {
 	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(histMin, histMax, histDigits) }
-	return Latency{First: h(), Gap: h(), Total: h()}
+	return Latency{FirstToken: h(), InterToken: h(), Total: h()}
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
@@ -57,14 +57,14 @@
 	defer r.mu.Unlock()
 	r.Invocations = append(r.Invocations, v)
 	l := &r.Latency[v.Arrival.Source.Class]
-	if v.First > 0 {
-		record(l.First, v.First)
+	if v.TimeToFirstToken > 0 {
+		record(l.FirstToken, v.TimeToFirstToken)
 	}
-	if v.Verdict == VerdictWhole {
+	if v.Verdict == VerdictComplete {
 		record(l.Total, v.Total)
 	}
 	for _, g := range v.gaps {
-		record(l.Gap, g)
+		record(l.InterToken, g)
 	}
 	v.gaps = nil
 }
@@ -84,32 +84,32 @@
 
 // ClassCounts are the figures of one class.
 type ClassCounts struct {
-	Requests   int       `json:"requests"`
-	Met        int       `json:"met"`
-	Attainment float64   `json:"attainment"`
-	FirstMs    Quantiles `json:"first_token_ms"`
-	GapMs      Quantiles `json:"inter_token_ms"`
-	TotalMs    Quantiles `json:"total_ms"`
+	Requests     int       `json:"requests"`
+	Met          int       `json:"met"`
+	Attainment   float64   `json:"attainment"`
+	FirstTokenMs Quantiles `json:"first_token_ms"`
+	InterTokenMs Quantiles `json:"inter_token_ms"`
+	TotalMs      Quantiles `json:"total_ms"`
 }
 
 // Counts are the figures of a run, from callers' and stand-ins' records alone.
 type Counts struct {
-	Requests    int                    `json:"requests"`
-	Completed   int                    `json:"completed"`
-	NotRun      int                    `json:"not_run"`
-	Unknown     int                    `json:"unknown"`
-	Lost        int                    `json:"lost"`
-	Doubled     int                    `json:"doubled"`
-	Cut         int                    `json:"cut"`
-	Crossed     int                    `json:"crossed"`
-	FalseNotRun int                    `json:"not_run_but_ran"`
-	Left        int                    `json:"left"`    // the caller lost patience while the answer was still coming
-	Skipped     int                    `json:"skipped"` // not sent, the generator was at its bound; counts as not met
-	Retries     int                    `json:"retries"`
-	Attainment  float64                `json:"attainment"`
-	FirstMs     Quantiles              `json:"first_token_ms"`
-	ByClass     map[string]ClassCounts `json:"by_class"`
-	Missed      map[string]int         `json:"missed"` // requests that were not met, by class and how they ended
+	Requests     int                    `json:"requests"`
+	Completed    int                    `json:"completed"`
+	NotRun       int                    `json:"not_run"`
+	Unknown      int                    `json:"unknown"`
+	Lost         int                    `json:"lost"`
+	Duplicated   int                    `json:"doubled"`
+	Truncated    int                    `json:"cut"`
+	Mismatched   int                    `json:"crossed"`
+	FalseNotRun  int                    `json:"not_run_but_ran"`
+	Abandoned    int                    `json:"left"`    // the caller lost patience while the answer was still coming
+	Skipped      int                    `json:"skipped"` // not sent, the generator was at its bound; counts as not met
+	Retries      int                    `json:"retries"`
+	Attainment   float64                `json:"attainment"`
+	FirstTokenMs Quantiles              `json:"first_token_ms"`
+	ByClass      map[string]ClassCounts `json:"by_class"`
+	Missed       map[string]int         `json:"missed"` // requests that were not met, by class and how they ended
 }
 
 // Effect is one execution as an upstream stand-in recorded it.
@@ -145,8 +145,8 @@
 func ServiceEffects(name string, rec []service.Execution) []Effect {
 	var out []Effect
 	for _, x := range rec {
-		out = append(out, Effect{Invocation: x.Invocation, Team: x.Team, Attempt: x.Attempt, Key: x.Key,
-			Upstream: name, Start: x.Started, End: x.Ended, Answer: x.Answer, Once: true})
+		out = append(out, Effect{Invocation: x.Invocation, Team: x.Team, Attempt: x.Attempt, Key: x.IdempotencyKey,
+			Upstream: name, Start: x.Started, End: x.Ended, Answer: x.AnswerDigest, Once: true})
 	}
 	return out
 }
@@ -166,7 +166,7 @@
 		c.add(v, ran[v.Arrival.ID])
 		k := &byClass[v.Arrival.Source.Class]
 		k.Requests++
-		if v.Met() {
+		if v.MetDeadline() {
 			k.Met++
 			met++
 		} else {
@@ -177,12 +177,12 @@
 	first := hdrhistogram.New(histMin, histMax, histDigits)
 	for i := range byClass {
 		k, l := &byClass[i], r.Latency[i]
-		first.Merge(l.First)
+		first.Merge(l.FirstToken)
 		k.Attainment = share(k.Met, k.Requests)
-		k.FirstMs, k.GapMs, k.TotalMs = QuantilesOf(l.First), QuantilesOf(l.Gap), QuantilesOf(l.Total)
+		k.FirstTokenMs, k.InterTokenMs, k.TotalMs = QuantilesOf(l.FirstToken), QuantilesOf(l.InterToken), QuantilesOf(l.Total)
 		c.ByClass[class.Class(i).String()] = *k
 	}
-	c.FirstMs = QuantilesOf(first)
+	c.FirstTokenMs = QuantilesOf(first)
 	return c
 }
 
@@ -191,14 +191,14 @@
 	switch {
 	case v.Skipped:
 		c.Skipped++
-	case v.Verdict == VerdictWhole:
+	case v.Verdict == VerdictComplete:
 		c.Completed++
-	case v.Verdict == VerdictCut:
-		c.Cut++
-	case v.Verdict == VerdictCrossed:
-		c.Crossed++
-	case v.Verdict == VerdictLeft:
-		c.Left++
+	case v.Verdict == VerdictTruncated:
+		c.Truncated++
+	case v.Verdict == VerdictMismatched:
+		c.Mismatched++
+	case v.Verdict == VerdictAbandoned:
+		c.Abandoned++
 	case v.Lost():
 		c.Lost++
 	case v.Outcome == outcome.NotRun:
@@ -207,9 +207,9 @@
 		c.Unknown++
 	}
 	if v.Key != "" && ran > 1 {
-		c.Doubled++
+		c.Duplicated++
 	}
-	if v.SurelyNotRun() && ran > 0 {
+	if v.AllTriesNotRun() && ran > 0 {
 		c.FalseNotRun++
 	}
 }
--- a/standin/load/run.go
+++ b/standin/load/run.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Entries is the platform's balancer as callers see it.
-type Entries interface {
+// EntryBalancer is the platform's balancer as callers see it.
+type EntryBalancer interface {
 	// Next names an entry host, another than last where there is one.
 	Next(last string) (string, error)
 }
 
-// ErrNoEntry says that the balancer knows no entry host.
-var ErrNoEntry = errors.New("no entry host in the balancer")
+// ErrNoEntryHost says that the balancer knows no entry host.
+var ErrNoEntryHost = errors.New("no entry host in the balancer")
 
 // Balancer hands out entry hosts in turn.
 type Balancer struct {
@@ -39,7 +39,7 @@
 func (b *Balancer) Next(last string) (string, error) {
 	hosts := *b.hosts.Load()
 	if len(hosts) == 0 {
-		return "", ErrNoEntry
+		return "", ErrNoEntryHost
 	}
 	n := uint64(len(hosts))
 	host := hosts[b.turn.Add(1)%n]
@@ -58,30 +58,30 @@
 
 // Config describes a run.
 type Config struct {
-	Plan     []Arrival
-	Entries  Entries
-	Dial     func(ctx context.Context, network, address string) (net.Conn, error) // nil: plain; else adds distance
-	InFlight int                                                                  // invocations at once at most; more are recorded as skipped
-	Patience time.Duration                                                        // after its deadline a caller waits that long for a word
-	Progress func(Progress)                                                       // called about once a second; nil: not
+	Plan           []Arrival
+	Entries        EntryBalancer
+	Dial           func(ctx context.Context, network, address string) (net.Conn, error) // nil: plain; else adds distance
+	MaxInFlight    int                                                                  // invocations at once at most; more are recorded as skipped
+	MaxOverdueWait time.Duration                                                        // after its deadline a caller waits that long for a word
+	Progress       func(Progress)                                                       // called about once a second; nil: not
 }
 
 // Progress is where a run stands.
 type Progress struct {
-	Elapsed  time.Duration
-	Sent     int
-	Finished int
-	Met      int
+	Elapsed     time.Duration
+	Sent        int
+	Finished    int
+	MetDeadline int
 }
 
 // Run sends the plan and returns when every invocation has had its last word
 // or ctx ended.
 func Run(ctx context.Context, cfg Config) *Result {
-	if cfg.InFlight == 0 {
-		cfg.InFlight = defaultInFlight
+	if cfg.MaxInFlight == 0 {
+		cfg.MaxInFlight = defaultInFlight
 	}
-	if cfg.Patience == 0 {
-		cfg.Patience = defaultPatience
+	if cfg.MaxOverdueWait == 0 {
+		cfg.MaxOverdueWait = defaultPatience
 	}
 	transport := &http.Transport{DialContext: cfg.Dial, MaxIdleConnsPerHost: idlePerHost, DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -105,7 +105,7 @@
 	var calls sync.WaitGroup
 	shown := r.start
 	for i, a := range r.cfg.Plan {
-		intended := r.start.Add(a.At)
+		intended := r.start.Add(a.Offset)
 		if wait := time.Until(intended); wait > 0 && !sleep(ctx, wait) {
 			break
 		}
@@ -114,7 +114,7 @@
 			r.cfg.Progress(Progress{now.Sub(r.start), i, int(r.finished.Load()), int(r.met.Load())})
 		}
 		v := &Invocation{Arrival: a, Intended: intended}
-		if int(r.inFlight.Load()) >= r.cfg.InFlight {
+		if int(r.inFlight.Load()) >= r.cfg.MaxInFlight {
 			v.Skipped = true
 			r.result.add(v)
 			continue
@@ -127,16 +127,16 @@
 }
 
 func (r *runner) call(run context.Context, v *Invocation) {
-	ctx, cancel := context.WithDeadline(run, v.Intended.Add(v.Arrival.Source.Deadline+r.cfg.Patience))
+	ctx, cancel := context.WithDeadline(run, v.Intended.Add(v.Arrival.Source.Deadline+r.cfg.MaxOverdueWait))
 	defer cancel()
 	c := &caller{client: r.client, entries: r.cfg.Entries, inv: v}
 	c.run(ctx)
 	r.inFlight.Add(-1)
-	if run.Err() != nil && v.Verdict != VerdictWhole {
+	if run.Err() != nil && v.Verdict != VerdictComplete {
 		return // the callers were called off; that is nobody's fault and no measurement
 	}
 	r.finished.Add(1)
-	if v.Met() {
+	if v.MetDeadline() {
 		r.met.Add(1)
 	}
 	r.result.add(v)
--- a/standin/local/badinput_test.go
+++ b/standin/local/badinput_test.go
@@ -70,12 +70,12 @@
 		r.ca, err = pki.New("test")
 		assert.NilError(t, err)
 	}
-	r.path = newPath(t, engine.Config{TokenTime: slow.TokenTime, ResumeFor: 50 * time.Millisecond}, func(c *local.NodeConfig) {
+	r.path = newPath(t, engine.Config{TokenTime: slow.TokenTime, ResumeWindow: 50 * time.Millisecond}, func(c *local.NodeConfig) {
 		c.Settings.Bounds.ReportEveryMs = int((24 * time.Hour).Milliseconds()) // no questions but the first: they keep connections of their own
 		c.Dialer, c.HeadBound, c.BodyBound = &r.dialer, 250*time.Millisecond, 250*time.Millisecond
 		if secure {
-			c.Files = local.Files()
-			assert.NilError(t, local.Secure(c.Settings, c.Files, r.ca))
+			c.Files = local.NewKeyFiles()
+			assert.NilError(t, local.EnableTLS(c.Settings, c.Files, r.ca))
 		}
 	})
 	tr := &http.Transport{DisableKeepAlives: true}
@@ -98,7 +98,7 @@
 		if r.ca == nil {
 			return c
 		}
-		secure := tls.Client(c, &tls.Config{RootCAs: r.ca.Pool(), ServerName: "127.0.0.1"})
+		secure := tls.Client(c, &tls.Config{RootCAs: r.ca.CertPool(), ServerName: "127.0.0.1"})
 		if err = secure.Handshake(); err == nil {
 			return secure
 		}
@@ -214,7 +214,7 @@
 // quiet waits until nothing runs, here or at the engine.
 func (r *rough) quiet() poll.Check {
 	return func(poll.LogT) poll.Result {
-		if here, there := r.node.Status().InFlight, r.eng.Truth().Running; here+there > 0 {
+		if here, there := r.node.Status().InFlight, r.eng.ActualState().Running; here+there > 0 {
 			return poll.Continue("%d requests in flight, %d attempts run", here, there)
 		}
 		return poll.Success()
--- a/standin/local/check.go
+++ b/standin/local/check.go
@@ -25,13 +25,13 @@
 		if e.Key == "" {
 			continue
 		}
-		x := history.Execution{Call: e.Invocation, Key: e.Team + "/" + e.Key, Attempt: e.Attempt, Start: e.Start.UnixNano(), Answer: digest(e.Answer)}
+		x := history.Execution{InvocationID: e.Invocation, Key: e.Team + "/" + e.Key, Attempt: e.Attempt, Start: e.Start.UnixNano(), Answer: digest(e.Answer)}
 		if !e.End.IsZero() {
 			x.End = e.End.UnixNano()
 		}
 		runs = append(runs, x)
 	}
-	if err := history.Check(history.Of(calls, runs)); err != nil {
+	if err := history.Check(history.FromRecords(calls, runs)); err != nil {
 		return err.Error()
 	}
 	return historyOK
@@ -40,12 +40,12 @@
 // invocation is a call with all of its tries under one key. It claims "not
 // run" only when each of them did: one that got no word may have run.
 func invocation(v *load.Invocation) history.Invocation {
-	i := history.Invocation{Call: v.Arrival.ID, Key: v.Arrival.Source.Team + "/" + v.Key, Start: v.Called.UnixNano(), End: v.Returned.UnixNano(),
+	i := history.Invocation{ID: v.Arrival.ID, Key: v.Arrival.Source.Team + "/" + v.Key, Start: v.Started.UnixNano(), End: v.Returned.UnixNano(),
 		Outcome: outcome.Unknown}
 	switch {
-	case v.Verdict == load.VerdictWhole:
+	case v.Verdict == load.VerdictComplete:
 		i.Outcome, i.Answer = outcome.Completed, digest(v.Digest)
-	case v.SurelyNotRun():
+	case v.AllTriesNotRun():
 		i.Outcome = outcome.NotRun
 	}
 	return i
--- a/standin/local/drive.go
+++ b/standin/local/drive.go
@@ -16,8 +16,8 @@
 	"peridotpier.example/standin/site"
 )
 
-// Against is one run of a site's demand against hosts in processes of their own.
-type Against struct {
+// RemoteRun is one run of a site's demand against hosts in processes of their own.
+type RemoteRun struct {
 	Site     *site.Site
 	Layout   *Layout
 	Seed     uint64
@@ -27,13 +27,13 @@
 
 // Run waits until all hosts are ready, sends one call that may not be repeated
 // twice, then the demand, and counts by the callers' and the stand-ins' records.
-func (a Against) Run(ctx context.Context) (Report, error) {
+func (a RemoteRun) Run(ctx context.Context) (Report, error) {
 	plan, err := a.Site.Plan(a.Seed, a.Length)
 	if err != nil {
 		return Report{}, err
 	}
 	b := NewReadyBalancer(a.Layout)
-	if err := b.AwaitAll(ctx); err != nil {
+	if err := b.AwaitAllReady(ctx); err != nil {
 		return Report{}, eris.Wrap(err, "wait for the hosts")
 	}
 	if err := a.twice(ctx, b); err != nil {
@@ -48,7 +48,7 @@
 		return Report{}, err
 	}
 	rep := Report{Site: a.Layout.Site, Policy: "peridot", Seed: a.Seed, Seconds: a.Length.Seconds(), EntryHosts: len(a.Layout.Entries),
-		Accelerators: a.Site.Accelerators(), Counts: result.Count(rec.Effects), History: check(result, rec.Effects), Bound: a.Site.Bound(plan)}
+		Accelerators: a.Site.Accelerators(), Counts: result.Count(rec.Effects), History: check(result, rec.Effects), AttainmentBound: a.Site.AttainmentBound(plan)}
 	rep.AddRecords(rec)
 	rep.perAccelerator()
 	return rep, nil
@@ -56,7 +56,7 @@
 
 // twice sends a call that may not be repeated through two hosts under one key
 // and checks that it ran once and was answered alike.
-func (a Against) twice(ctx context.Context, b load.Entries) error {
+func (a RemoteRun) twice(ctx context.Context, b load.EntryBalancer) error {
 	if len(a.Site.Deployment.Services) == 0 {
 		return nil
 	}
@@ -84,7 +84,7 @@
 	return nil
 }
 
-func (a Against) once(ctx context.Context, url string) (replayed bool, body string, err error) {
+func (a RemoteRun) once(ctx context.Context, url string) (replayed bool, body string, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader("one box of zips"))
 	if err != nil {
 		return false, "", err
--- a/standin/local/faults_test.go
+++ b/standin/local/faults_test.go
@@ -50,7 +50,7 @@
 	p := newPath(t, engine.Config{})
 	body := fmt.Sprintf(chat, true, 40)
 	_, _, unbroken := p.do("POST", "/v1/chat/completions", teamKey, body)
-	p.eng.CutStream(7)
+	p.eng.CutStreamsAfter(7)
 	status, _, broken := p.do("POST", "/v1/chat/completions", teamKey, body)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, broken, unbroken)
@@ -90,13 +90,13 @@
 		own = append(own, text)
 	}
 	assert.Assert(t, own[0] != own[1])
-	p.eng.Cross(0.5)
+	p.eng.MismatchAnswers(0.5)
 	for i := range 8 {
 		status, _, got := p.do("POST", "/v1/chat/completions", teamKey, bodies[i%2])
 		assert.Equal(t, status, http.StatusOK)
 		assert.Equal(t, got, own[i%2])
 	}
-	assert.Assert(t, p.eng.Records().Crossed > 0, "nothing was crossed: the test shows nothing")
+	assert.Assert(t, p.eng.Records().Mismatched > 0, "nothing was crossed: the test shows nothing")
 }
 
 // Symptom: a stream that lost its engine looks complete.
@@ -146,7 +146,7 @@
 // Cause: the platform's list and the reports lag behind the upstream's own word.
 func TestALeavingUpstreamsRefusalCountsAtOnce(t *testing.T) {
 	p := newPath(t, engine.Config{})
-	p.eng.Leave()
+	p.eng.Drain()
 	for range 2 {
 		status, h, body := p.do("POST", "/v1/chat/completions", teamKey, fmt.Sprintf(chat, false, 5))
 		assert.Equal(t, status, http.StatusServiceUnavailable, body)
@@ -239,7 +239,7 @@
 // running waits until the engine runs n attempts.
 func (p *path) running(n int) poll.Check {
 	return func(poll.LogT) poll.Result {
-		if got := p.eng.Truth().Running; got != n {
+		if got := p.eng.ActualState().Running; got != n {
 			return poll.Continue("%d attempts run, not %d", got, n)
 		}
 		return poll.Success()
--- a/standin/local/fleet.go
+++ b/standin/local/fleet.go
@@ -32,17 +32,17 @@
 
 // FleetOptions size a fleet.
 type FleetOptions struct {
-	Nodes     int
-	Upstreams int
-	Steady    time.Duration // how long the steady state is measured
-	Changes   int           // changes of preset to time
-	Progress  func(format string, args ...any)
+	Nodes          int
+	Upstreams      int
+	SteadyDuration time.Duration // how long the steady state is measured
+	ChangeCount    int           // changes of preset to time
+	Progress       func(format string, args ...any)
 }
 
 // Fleet is a number of nodes without traffic, before upstreams that only report.
 type Fleet struct {
 	opt     FleetOptions
-	sources *Sources
+	sources *ReportOnlyUpstreams
 	cfg     *config.Config
 	table   *fake.Table
 	objects *fake.Objects
@@ -54,26 +54,26 @@
 
 // FleetReport is what a fleet cost and how fast it was.
 type FleetReport struct {
-	Nodes             int       `json:"nodes"`
-	Upstreams         int       `json:"upstreams"`
-	DocumentBytes     int       `json:"document_bytes"`
-	StartSeconds      float64   `json:"start_s"`                // until every node was ready
-	LinkSeconds       float64   `json:"members_known_s"`        // after that, until every node knew every other
-	PeerBytes         float64   `json:"peer_bytes_s_node"`      // sent and received between hosts
-	PollBytes         float64   `json:"poll_bytes_s_node"`      // with upstreams
-	TableReads        float64   `json:"table_reads_s"`          // of all nodes together
-	TableWrites       float64   `json:"table_writes_s"`         // of all nodes together
-	ReportsAsked      float64   `json:"reports_s"`              // of all nodes together
-	CPU               float64   `json:"cpu_share_node"`         // of a core, with the stand-ins' part
-	HeapKB            float64   `json:"heap_kb_node"`           // live heap and stacks
-	InForce           Quantiles `json:"in_force_ms"`            // from the change's acceptance, over nodes and changes
-	Document          Quantiles `json:"document_in_force_ms"`   // the same for a new document
-	Leaving           Quantiles `json:"leaving_known_ms"`       // from the upstream's report, over nodes
-	KilledKnown       Quantiles `json:"killed_known_ms"`        // a tenth killed at once, over survivors
-	InForceAfterKill  Quantiles `json:"in_force_after_kill_ms"` // a change right after that
-	InForceAfterCut   Quantiles `json:"in_force_after_cut_ms"`  // in a data centre that was cut off, from its return
-	InForceAfterStore Quantiles `json:"in_force_after_store_ms"`
-	ServedInOutage    bool      `json:"ready_through_store_outage"`
+	Nodes                         int       `json:"nodes"`
+	Upstreams                     int       `json:"upstreams"`
+	DocumentBytes                 int       `json:"document_bytes"`
+	StartSeconds                  float64   `json:"start_s"`                // until every node was ready
+	MembersKnownSeconds           float64   `json:"members_known_s"`        // after that, until every node knew every other
+	PeerBytes                     float64   `json:"peer_bytes_s_node"`      // sent and received between hosts
+	PollBytes                     float64   `json:"poll_bytes_s_node"`      // with upstreams
+	TableReads                    float64   `json:"table_reads_s"`          // of all nodes together
+	TableWrites                   float64   `json:"table_writes_s"`         // of all nodes together
+	ReportsServed                 float64   `json:"reports_s"`              // of all nodes together
+	CPUShare                      float64   `json:"cpu_share_node"`         // of a core, with the stand-ins' part
+	HeapKB                        float64   `json:"heap_kb_node"`           // live heap and stacks
+	PresetInForce                 Quantiles `json:"in_force_ms"`            // from the change's acceptance, over nodes and changes
+	DocumentInForce               Quantiles `json:"document_in_force_ms"`   // the same for a new document
+	DrainingKnown                 Quantiles `json:"leaving_known_ms"`       // from the upstream's report, over nodes
+	KilledKnown                   Quantiles `json:"killed_known_ms"`        // a tenth killed at once, over survivors
+	PresetInForceAfterKill        Quantiles `json:"in_force_after_kill_ms"` // a change right after that
+	PresetInForceAfterCut         Quantiles `json:"in_force_after_cut_ms"`  // in a data centre that was cut off, from its return
+	PresetInForceAfterStoreOutage Quantiles `json:"in_force_after_store_ms"`
+	ReadyThroughStoreOutage       bool      `json:"ready_through_store_outage"`
 }
 
 // Quantiles are in milliseconds.
@@ -101,14 +101,14 @@
 	}
 	f := &Fleet{opt: opt, peers: newNetwork(), polls: newNetwork()}
 	var err error
-	if f.sources, err = StartSources(opt.Upstreams, fleetResidents); err != nil {
+	if f.sources, err = StartReportOnlyUpstreams(opt.Upstreams, fleetResidents); err != nil {
 		return nil, err
 	}
 	f.cfg = f.config()
 	f.table = fake.NewTableWith(fake.NewFaults(1, nil))
 	f.objects = fake.NewObjects(fake.NewFaults(1, nil))
 	f.hosts = fake.NewHosts(fake.NewFaults(1, nil))
-	if err := Apply(ctx, f.table, f.objects, f.cfg); err != nil {
+	if err := ApplyConfig(ctx, f.table, f.objects, f.cfg); err != nil {
 		f.Close()
 		return nil, err
 	}
@@ -329,7 +329,7 @@
 	var r syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r) // fails only for a bad argument
 	return usage{at: time.Now(), cpu: time.Duration(r.Utime.Nano() + r.Stime.Nano()), peers: f.peers.bytes.Load(), polls: f.polls.bytes.Load(),
-		reads: f.table.Faults.Reads(), writes: f.table.Faults.Writes(), asked: f.sources.Asked()}
+		reads: f.table.Faults.Reads(), writes: f.table.Faults.Writes(), asked: f.sources.ReportsServed()}
 }
 
 // liveMemory is the heap in use and the stacks, after a collection.
--- a/standin/local/fleetrun.go
+++ b/standin/local/fleetrun.go
@@ -31,12 +31,12 @@
 	}
 	r.DocumentBytes = len(doc)
 	ready := time.Now()
-	f.until(ctx, f.live(), func(n *Node) bool { return len(n.Members()) == opt.Nodes })
-	r.LinkSeconds = time.Since(ready).Seconds()
-	f.opt.Progress("%d nodes know one another after %.1f s", opt.Nodes, r.LinkSeconds)
+	f.until(ctx, f.live(), func(n *Node) bool { return len(n.LiveHosts()) == opt.Nodes })
+	r.MembersKnownSeconds = time.Since(ready).Seconds()
+	f.opt.Progress("%d nodes know one another after %.1f s", opt.Nodes, r.MembersKnownSeconds)
 	f.steady(ctx, &r)
 	r.HeapKB = (liveMemory() - before) / 1024 / float64(opt.Nodes)
-	f.opt.Progress("steady: %.0f + %.0f B/s, %.2f%% of a core, %.0f KB a node", r.PeerBytes, r.PollBytes, 100*r.CPU, r.HeapKB)
+	f.opt.Progress("steady: %.0f + %.0f B/s, %.2f%% of a core, %.0f KB a node", r.PeerBytes, r.PollBytes, 100*r.CPUShare, r.HeapKB)
 	for _, step := range []func(context.Context, *FleetReport) error{f.presets, f.document, f.leaving, f.outage, f.cutOff, f.kill} {
 		if err := step(ctx, &r); err != nil {
 			return r, err
@@ -47,22 +47,22 @@
 
 // steady measures what the fleet costs when nothing happens.
 func (f *Fleet) steady(ctx context.Context, r *FleetReport) {
-	pause(ctx, f.opt.Steady/3) // what starting caused settles
+	pause(ctx, f.opt.SteadyDuration/3) // what starting caused settles
 	a := f.usage()
-	pause(ctx, f.opt.Steady)
+	pause(ctx, f.opt.SteadyDuration)
 	b := f.usage()
 	seconds, nodes := b.at.Sub(a.at).Seconds(), float64(f.opt.Nodes)
 	r.PeerBytes = 2 * float64(b.peers-a.peers) / seconds / nodes // each byte is sent by one node and received by another
 	r.PollBytes = float64(b.polls-a.polls) / seconds / nodes
 	r.TableReads = float64(b.reads-a.reads) / seconds
 	r.TableWrites = float64(b.writes-a.writes) / seconds
-	r.ReportsAsked = float64(b.asked-a.asked) / seconds
-	r.CPU = (b.cpu - a.cpu).Seconds() / seconds / nodes
+	r.ReportsServed = float64(b.asked-a.asked) / seconds
+	r.CPUShare = (b.cpu - a.cpu).Seconds() / seconds / nodes
 }
 
 func (f *Fleet) presets(ctx context.Context, r *FleetReport) error {
 	var all []time.Duration
-	for range f.opt.Changes {
+	for range f.opt.ChangeCount {
 		t, err := f.change(ctx, f.live())
 		if err != nil {
 			return err
@@ -70,8 +70,8 @@
 		all = append(all, t...)
 		pause(ctx, time.Second)
 	}
-	r.InForce = quantiles(all)
-	f.opt.Progress("preset in force everywhere: p50 %.0f ms, p99 %.0f ms, max %.0f ms", r.InForce.P50, r.InForce.P99, r.InForce.Max)
+	r.PresetInForce = quantiles(all)
+	f.opt.Progress("preset in force everywhere: p50 %.0f ms, p99 %.0f ms, max %.0f ms", r.PresetInForce.P50, r.PresetInForce.P99, r.PresetInForce.Max)
 	return nil
 }
 
@@ -86,35 +86,35 @@
 		head, err := command.NewConfiguration(command.Deps{Table: f.table, Objects: f.objects}).Apply(ctx, command.ApplyRequest{Author: "fleet", Parent: st.Version, Document: doc})
 		return head.Version, err
 	})
-	r.Document = quantiles(t)
-	f.opt.Progress("document of %d bytes in force everywhere: p50 %.0f ms, max %.0f ms", len(doc), r.Document.P50, r.Document.Max)
+	r.DocumentInForce = quantiles(t)
+	f.opt.Progress("document of %d bytes in force everywhere: p50 %.0f ms, max %.0f ms", len(doc), r.DocumentInForce.P50, r.DocumentInForce.Max)
 	return err
 }
 
 func (f *Fleet) leaving(ctx context.Context, r *FleetReport) error {
 	var all []time.Duration
-	for i := range f.opt.Changes {
+	for i := range f.opt.ChangeCount {
 		src := f.sources.list[(i*97+13)%len(f.sources.list)]
 		src.leaving.Store(true)
-		all = append(all, f.until(ctx, f.live(), func(n *Node) bool { return n.KnowsLeaving(src.Name) })...)
+		all = append(all, f.until(ctx, f.live(), func(n *Node) bool { return n.IsUpstreamDraining(src.Name) })...)
 	}
-	r.Leaving = quantiles(all)
-	f.opt.Progress("leaving upstream known: p50 %.0f ms, p99 %.0f ms, max %.0f ms", r.Leaving.P50, r.Leaving.P99, r.Leaving.Max)
+	r.DrainingKnown = quantiles(all)
+	f.opt.Progress("leaving upstream known: p50 %.0f ms, p99 %.0f ms, max %.0f ms", r.DrainingKnown.P50, r.DrainingKnown.P99, r.DrainingKnown.Max)
 	return nil
 }
 
 // outage takes the table service away and times a change after its return.
 func (f *Fleet) outage(ctx context.Context, r *FleetReport) error {
-	f.table.Faults.OutageFor(outageFor)
-	r.ServedInOutage = true
+	f.table.Faults.StartOutage(outageFor)
+	r.ReadyThroughStoreOutage = true
 	for end := time.Now().Add(outageFor); time.Now().Before(end) && pause(ctx, time.Second); {
 		for _, n := range f.live() {
-			r.ServedInOutage = r.ServedInOutage && n.Ready()
+			r.ReadyThroughStoreOutage = r.ReadyThroughStoreOutage && n.Ready()
 		}
 	}
 	t, err := f.change(ctx, f.live())
-	r.InForceAfterStore = quantiles(t)
-	f.opt.Progress("after a store outage: ready throughout %t, in force max %.0f ms", r.ServedInOutage, r.InForceAfterStore.Max)
+	r.PresetInForceAfterStoreOutage = quantiles(t)
+	f.opt.Progress("after a store outage: ready throughout %t, in force max %.0f ms", r.ReadyThroughStoreOutage, r.PresetInForceAfterStoreOutage.Max)
 	return err
 }
 
@@ -140,9 +140,9 @@
 	st, _ := outside[0].State()
 	f.peers.Cut("")
 	t, err := f.await(ctx, inside, st.Version, time.Now())
-	r.InForceAfterCut = quantiles(t)
-	f.until(ctx, f.live(), func(n *Node) bool { return len(n.Members()) == f.opt.Nodes })
-	f.opt.Progress("data centre back: in force max %.0f ms", r.InForceAfterCut.Max)
+	r.PresetInForceAfterCut = quantiles(t)
+	f.until(ctx, f.live(), func(n *Node) bool { return len(n.LiveHosts()) == f.opt.Nodes })
+	f.opt.Progress("data centre back: in force max %.0f ms", r.PresetInForceAfterCut.Max)
 	return err
 }
 
@@ -162,9 +162,9 @@
 	if err != nil {
 		return err
 	}
-	r.InForceAfterKill = quantiles(t)
-	r.KilledKnown = quantiles(f.until(ctx, left, func(n *Node) bool { return len(n.Members()) == f.opt.Nodes-killed }))
-	f.opt.Progress("%d nodes killed: known max %.0f ms, change in force max %.0f ms", killed, r.KilledKnown.Max, r.InForceAfterKill.Max)
+	r.PresetInForceAfterKill = quantiles(t)
+	r.KilledKnown = quantiles(f.until(ctx, left, func(n *Node) bool { return len(n.LiveHosts()) == f.opt.Nodes-killed }))
+	f.opt.Progress("%d nodes killed: known max %.0f ms, change in force max %.0f ms", killed, r.KilledKnown.Max, r.PresetInForceAfterKill.Max)
 	return nil
 }
 
--- a/standin/local/history_test.go
+++ b/standin/local/history_test.go
@@ -62,7 +62,7 @@
 
 // watch records the upstreams' side.
 func (tr *trial) watch(e service.Execution) func([]byte) {
-	x := tr.history.Begin(history.Execution{Call: e.Tag, Key: e.Key, Attempt: e.Attempt})
+	x := tr.history.Begin(history.Execution{InvocationID: e.Tag, Key: e.IdempotencyKey, Attempt: e.Attempt})
 	return func(answer []byte) { tr.history.Finish(x, string(answer)) }
 }
 
@@ -96,11 +96,11 @@
 	r := noteVia(context.Background(), n, key, "Accept-Language", id, callerapi.HeaderDeadline, "400")
 	switch {
 	case r.err != nil:
-		tr.history.Left(id)
+		tr.history.CallerLeft(id)
 	case r.status == 200:
 		tr.history.Answered(id, outcome.Completed, r.body)
 	case r.code == string(fault.CodeInProgress):
-		tr.history.ToldBusy(id)
+		tr.history.AnsweredInProgress(id)
 	case r.outcome == "not_run":
 		tr.history.Answered(id, outcome.NotRun, "")
 	default:
@@ -142,12 +142,12 @@
 	set := func(change func(*fake.Settings)) { tr.tbl.Faults.Update(change) }
 	script := []func(){
 		func() { tr.svc.LoseAnswers(3); tr.more[1].LoseRequests(3) },
-		func() { tr.svc.Cross(0.4); tr.more[1].Cross(0.4) },
+		func() { tr.svc.MismatchAnswers(0.4); tr.more[1].MismatchAnswers(0.4) },
 		func() { tr.more[1].CutAnswers(3); set(func(s *fake.Settings) { s.LostAnswers = 0.3 }) },
 		func() { n := tr.leave(0); tr.traps["n1"].set(n.Kill, nil) }, // between claim and dispatch, if a call is still under way
 		func() { set(func(s *fake.Settings) { s.LostAnswers, s.LostRequests = 0, 0.3 }) },
 		func() {
-			set(func(s *fake.Settings) { s.LostRequests, s.LateEffects, s.LateBy = 0, 0.3, 30*time.Millisecond })
+			set(func(s *fake.Settings) { s.LostRequests, s.LateEffects, s.LateEffectDelay = 0, 0.3, 30*time.Millisecond })
 		},
 		func() { tr.svc.Restart() },
 		func() { set(func(s *fake.Settings) { *s = fake.Settings{} }); tr.join() },
@@ -157,7 +157,7 @@
 		func() { tr.svc.Freeze(false); tr.more[1].LoseAnswers(3) },
 		func() { tr.join() },
 		func() { tr.more[1].Restart(); tr.svc.LoseAnswers(3) },
-		func() { tr.more[1].Leave() },
+		func() { tr.more[1].Drain() },
 	}
 	if tr.taken < len(script) {
 		script[tr.taken]()
@@ -182,12 +182,12 @@
 	counts := tr.history.Count()
 	t.Logf("%d of %d keys answered; %+v", done.Load(), trialCallers*trialKeys, counts)
 	assert.NilError(t, history.Check(tr.history))
-	assert.Equal(t, counts.Doubled+counts.Crossed+counts.Cut+counts.FalseNo+counts.Lost, 0, "%+v", counts)
+	assert.Equal(t, counts.Duplicated+counts.Mismatched+counts.Truncated+counts.FalseNotRun+counts.Lost, 0, "%+v", counts)
 	assert.Assert(t, done.Load() > trialCallers*trialKeys/2, "the faults left nothing to check")
 	assert.Equal(t, tr.taken, 15, "the script was not played to its end")
 	for _, s := range tr.more {
 		for _, e := range s.Executions() {
-			assert.Equal(t, e.Meant, e.Incarnation)
+			assert.Equal(t, e.ForIncarnation, e.Incarnation)
 		}
 	}
 }
--- a/standin/local/hostwatch.go
+++ b/standin/local/hostwatch.go
@@ -18,12 +18,12 @@
 
 // watchHosts keeps the platform's list of hosts true until ctx ends: it shows
 // those entry hosts which take callers' connections.
-func (o *Outside) watchHosts(ctx context.Context) {
+func (o *StandInServer) watchHosts(ctx context.Context) {
 	var shown []store.Host
 	for {
 		if now := o.present(ctx); !slices.Equal(now, shown) {
 			shown = now
-			o.Hosts.Set(append(o.Upstreams.Hosts(), now...)...)
+			o.HostList.Set(append(o.Upstreams.Hosts(), now...)...)
 		}
 		if !pause(ctx, hostCheckEvery) {
 			return
@@ -32,7 +32,7 @@
 }
 
 // present are the entry hosts that take connections.
-func (o *Outside) present(ctx context.Context) []store.Host {
+func (o *StandInServer) present(ctx context.Context) []store.Host {
 	var out []store.Host
 	dialer := net.Dialer{Timeout: hostCheckBound}
 	for _, e := range o.Layout.Entries {
--- a/standin/local/layout.go
+++ b/standin/local/layout.go
@@ -71,7 +71,7 @@
 
 // writeSecrets writes the keys that all hosts share.
 func writeSecrets(dir string) error {
-	for name, secret := range map[string]string{ResumeKeyFile: ResumeSecret, SaltFile: SaltSecret, operatorKeyFile: OperatorKey} {
+	for name, secret := range map[string]string{ResumeKeyFile: ResumeSecret, PrefixSaltFile: PrefixSaltSecret, operatorKeyFile: OperatorKey} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(secret), 0o600); err != nil {
 			return eris.Wrap(err, "write key")
 		}
@@ -91,7 +91,7 @@
 	set.Caller.Address, set.Operator.Address, set.Peer.Address = e.Caller, e.Operator, e.Peer
 	set.Platform = settings.Platform{Table: platformURL, Objects: platformURL, Hosts: platformURL, Weights: platformURL}
 	set.Keys = settings.Keys{Resume: []settings.KeyFile{{ID: "k1", File: filepath.Join(dir, ResumeKeyFile)}},
-		PrefixSalt: filepath.Join(dir, SaltFile)}
+		PrefixSalt: filepath.Join(dir, PrefixSaltFile)}
 	set.SetDefaults()
 	return e, writeJSON(e.Settings, set)
 }
--- a/standin/local/node.go
+++ b/standin/local/node.go
@@ -37,7 +37,7 @@
 		Operator: settings.Operator{Address: AnyPort, Operators: []settings.OperatorKey{{Name: "bench", KeyHash: keyHash(OperatorKey)}}},
 		Peer:     settings.Listener{Address: AnyPort},
 		Platform: settings.Platform{Table: platform, Objects: platform, Hosts: platform, Weights: platform},
-		Keys:     settings.Keys{Resume: []settings.KeyFile{{ID: "k1", File: ResumeKeyFile}}, PrefixSalt: SaltFile},
+		Keys:     settings.Keys{Resume: []settings.KeyFile{{ID: "k1", File: ResumeKeyFile}}, PrefixSalt: PrefixSaltFile},
 	}
 	s.SetDefaults()
 	return s
@@ -46,24 +46,24 @@
 // The files in memory that Settings names, and the secrets in them, which all
 // local nodes share.
 const (
-	ResumeKeyFile = "resume-k1"
-	SaltFile      = "prefix-salt"
-	ResumeSecret  = "local resume key of 32 bytes or more"
-	SaltSecret    = "local salt of 32 bytes or more.."
+	ResumeKeyFile    = "resume-k1"
+	PrefixSaltFile   = "prefix-salt"
+	ResumeSecret     = "local resume key of 32 bytes or more"
+	PrefixSaltSecret = "local salt of 32 bytes or more.."
 )
 
-// Files returns the files that Settings names.
-func Files() *pki.Files {
+// NewKeyFiles returns the files that Settings names.
+func NewKeyFiles() *pki.Files {
 	f := pki.NewFiles()
 	f.Put(ResumeKeyFile, []byte(ResumeSecret))
-	f.Put(SaltFile, []byte(SaltSecret))
+	f.Put(PrefixSaltFile, []byte(PrefixSaltSecret))
 	return f
 }
 
-// Secure gives a node a certificate for all its listeners: adds the files and
+// EnableTLS gives a node a certificate for all its listeners: adds the files and
 // names them in its settings.
-func Secure(set *settings.Settings, files *pki.Files, a *pki.Authority) error {
-	certificate, key, err := a.Issue(set.Host, pki.Address("127.0.0.1"))
+func EnableTLS(set *settings.Settings, files *pki.Files, a *pki.Authority) error {
+	certificate, key, err := a.Issue(set.Host, pki.WithIPAddress("127.0.0.1"))
 	if err != nil {
 		return err
 	}
@@ -118,7 +118,7 @@
 // NewNode opens a node's listeners; Start runs it.
 func NewNode(cfg NodeConfig) (*Node, error) {
 	if cfg.Files == nil {
-		cfg.Files = Files()
+		cfg.Files = NewKeyFiles()
 	}
 	ring, err := keys.Load(keys.Config{Settings: cfg.Settings}, keys.Deps{Files: cfg.Files, Log: event.NewLog(cfg.Log)})
 	if err != nil {
@@ -126,8 +126,8 @@
 	}
 	g := newGate()
 	s, err := server.New(server.Config{Settings: cfg.Settings, Keys: ring, Platform: g.platform(cfg.Platform),
-		Policy: cfg.Policy, Dialer: g.through(cfg.Dialer), Distance: cfg.Distance, Demand: cfg.Demand, PeerDialer: g.through(cfg.PeerDialer), Log: cfg.Log,
-		ClaimGrace: cfg.ClaimGrace, HeadBound: cfg.HeadBound, BodyBound: cfg.BodyBound})
+		Policy: cfg.Policy, Dialer: g.through(cfg.Dialer), RoundTripMs: cfg.Distance, Demand: cfg.Demand, PeerDialer: g.through(cfg.PeerDialer), Log: cfg.Log,
+		ClaimGrace: cfg.ClaimGrace, HeadTimeout: cfg.HeadBound, BodyTimeout: cfg.BodyBound})
 	if err != nil {
 		return nil, err
 	}
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// Apply puts the first version of a configuration in force.
-func Apply(ctx context.Context, tb store.Table, objects store.Objects, c *config.Config) error {
+// ApplyConfig puts the first version of a configuration in force.
+func ApplyConfig(ctx context.Context, tb store.Table, objects store.Objects, c *config.Config) error {
 	doc, err := json.Marshal(c)
 	if err != nil {
 		return err
--- a/standin/local/once_test.go
+++ b/standin/local/once_test.go
@@ -97,7 +97,7 @@
 	assert.Equal(t, r.status, http.StatusOK, r.body)
 	ran := p.svc.Executions()
 	assert.Equal(t, len(ran), 1)
-	assert.Equal(t, ran[0].Meant, ran[0].Incarnation, "the claim names another process than the one that ran it")
+	assert.Equal(t, ran[0].ForIncarnation, ran[0].Incarnation, "the claim names another process than the one that ran it")
 }
 
 // Symptom: a note is packed twice, or its key is held for ever, after the death
@@ -235,7 +235,7 @@
 // unsettled waits until n ends of claims wait on the first node.
 func (p *path) unsettled(n int) poll.Check {
 	return func(poll.LogT) poll.Result {
-		if got := p.node.Status().Unsettled; got != n {
+		if got := p.node.Status().UnresolvedClaims; got != n {
 			return poll.Continue("%d ends of claims wait, not %d", got, n)
 		}
 		return poll.Success()
@@ -352,7 +352,7 @@
 // Cause: a refusal of an attempt is taken for the end of the call.
 func TestCallsGoElsewhereWhenAnInstanceLeaves(t *testing.T) {
 	p := newPathOf(t, &path{answerBytes: 1 << 20, services: 2}, slow)
-	p.svc.Leave()
+	p.svc.Drain()
 	for _, key := range []string{"k1", "k2", "k3", "k4", "k5", "k6"} {
 		r := noteVia(t.Context(), p.node, key)
 		assert.Equal(t, r.status, http.StatusOK, r.body)
--- a/standin/local/operate.go
+++ b/standin/local/operate.go
@@ -14,13 +14,13 @@
 )
 
 // OperatorAddresses are the operators' listeners of the hosts that run.
-func (r *Running) OperatorAddresses() []string {
+func (r *RunningSite) OperatorAddresses() []string {
 	return r.addresses(func(n *Node) string { return n.OperatorAddress() })
 }
 
 // OperatorURL is where operators find the last host, the one that stays
 // longest when hosts leave in turn.
-func (r *Running) OperatorURL() string {
+func (r *RunningSite) OperatorURL() string {
 	all := r.OperatorAddresses()
 	scheme := "http://"
 	if r.Authority != nil {
@@ -30,7 +30,7 @@
 }
 
 // switchPreset puts the preset after the one in force in force, as an operator would.
-func (r *Running) switchPreset(ctx context.Context) error {
+func (r *RunningSite) switchPreset(ctx context.Context) error {
 	client, err := r.operator()
 	if err != nil {
 		return err
@@ -58,11 +58,11 @@
 }
 
 // operator is an HTTP client with an operator's certificate where one is needed.
-func (r *Running) operator() (*http.Client, error) {
+func (r *RunningSite) operator() (*http.Client, error) {
 	if r.Authority == nil {
 		return &http.Client{Transport: &http.Transport{}}, nil
 	}
-	certificate, key, err := r.Authority.Issue("operator", pki.Address("127.0.0.1"))
+	certificate, key, err := r.Authority.Issue("operator", pki.WithIPAddress("127.0.0.1"))
 	if err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "operator's certificate")
 	}
-	return &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: r.Authority.Pool(),
+	return &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: r.Authority.CertPool(),
 		Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13}}}, nil
 }
 
