--- a/standin/local/outside.go
+++ b/standin/local/outside.go
@@ -17,10 +17,10 @@
 	"peridotpier.example/standin/site"
 )
 
-// Outside is all of a site but its entry hosts, for hosts that are processes
+// StandInServer is all of a site but its entry hosts, for hosts that are processes
 // of their own: the platform's services over HTTP, the upstreams, and a folder
 // with what the hosts need to start.
-type Outside struct {
+type StandInServer struct {
 	*StandIns
 	Layout Layout
 
@@ -28,11 +28,11 @@
 	server  *http.Server
 	stop    context.CancelFunc
 	watched chan struct{}
-	ask     chan chan site.Truth // one answer each
+	ask     chan chan site.GroundTruth // one answer each
 }
 
-// OutsideOptions say what to start.
-type OutsideOptions struct {
+// StandInServerOptions say what to start.
+type StandInServerOptions struct {
 	Site   *site.Site
 	Seed   uint64
 	Hosts  int    // entry hosts to write settings for; 0: as the site says
@@ -51,9 +51,9 @@
 	Moves             int
 }
 
-// StartOutside starts the stand-ins, puts the site's configuration in force
+// StartStandInServer starts the stand-ins, puts the site's configuration in force
 // and writes the folder.
-func StartOutside(ctx context.Context, opt OutsideOptions) (*Outside, error) {
+func StartStandInServer(ctx context.Context, opt StandInServerOptions) (*StandInServer, error) {
 	if opt.Hosts == 0 {
 		opt.Hosts = opt.Site.EntryHosts
 	}
@@ -68,12 +68,12 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "listen for the platform's services")
 	}
-	in, err := startStandIns(opt.Site, site.Options{Seed: opt.Seed})
+	in, err := startStandIns(opt.Site, site.StartOptions{Seed: opt.Seed})
 	if err != nil {
 		_ = ln.Close()
 		return nil, err
 	}
-	o := &Outside{StandIns: in, site: opt.Site, watched: make(chan struct{}), ask: make(chan chan site.Truth)}
+	o := &StandInServer{StandIns: in, site: opt.Site, watched: make(chan struct{}), ask: make(chan chan site.GroundTruth)}
 	if err := o.write(ctx, dir, "http://"+ln.Addr().String(), opt.Hosts); err != nil {
 		_ = ln.Close()
 		in.Upstreams.Close()
@@ -84,11 +84,11 @@
 }
 
 // serve starts the platform's services and the watch over hosts.
-func (o *Outside) serve(ctx context.Context, ln net.Listener) {
+func (o *StandInServer) serve(ctx context.Context, ln net.Listener) {
 	ctx, o.stop = context.WithCancel(ctx)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+RecordsPath, o.records)
-	mux.Handle("/", fake.Handler(fake.Services{Table: o.Table, Objects: o.Objects, Hosts: o.Hosts, Weights: o.Weights}))
+	mux.Handle("/", fake.Handler(fake.Services{Table: o.Table, Objects: o.Objects, Hosts: o.HostList, Weights: o.Weights}))
 	o.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute}
 	go func() { _ = o.server.Serve(ln) }() // ends with Close
 	var watches sync.WaitGroup
@@ -101,8 +101,8 @@
 }
 
 // write puts the configuration in force and writes what the hosts need.
-func (o *Outside) write(ctx context.Context, dir, base string, hosts int) error {
-	if err := Apply(ctx, o.Table, o.Objects, &o.Upstreams.Config); err != nil {
+func (o *StandInServer) write(ctx context.Context, dir, base string, hosts int) error {
+	if err := ApplyConfig(ctx, o.Table, o.Objects, &o.Upstreams.Config); err != nil {
 		return err
 	}
 	if err := writeSecrets(dir); err != nil {
@@ -111,7 +111,7 @@
 	teams := o.site.Deployment.Teams
 	team := teams[len(teams)-1].Name
 	o.Layout = Layout{Site: o.site.Deployment.Site, StandIns: base, OperatorKey: filepath.Join(dir, operatorKeyFile),
-		Team: team, TeamKey: o.site.Key(team)}
+		Team: team, TeamKey: o.site.TeamKey(team)}
 	for _, e := range o.Upstreams.Engines {
 		o.Layout.Engines = append(o.Layout.Engines, e.Addr())
 	}
@@ -127,10 +127,10 @@
 
 // watchTruth watches the upstreams' true state; each question for the records
 // ends one stretch of watching and begins the next.
-func (o *Outside) watchTruth(ctx context.Context) {
+func (o *StandInServer) watchTruth(ctx context.Context) {
 	for ctx.Err() == nil {
 		stretch, end := context.WithCancel(ctx)
-		sum := make(chan site.Truth, 1)
+		sum := make(chan site.GroundTruth, 1)
 		go func() { sum <- o.Upstreams.Monitor(stretch) }()
 		select {
 		case reply := <-o.ask:
@@ -143,8 +143,8 @@
 	}
 }
 
-func (o *Outside) records(w http.ResponseWriter, r *http.Request) {
-	reply := make(chan site.Truth, 1)
+func (o *StandInServer) records(w http.ResponseWriter, r *http.Request) {
+	reply := make(chan site.GroundTruth, 1)
 	select {
 	case o.ask <- reply:
 	case <-o.watched:
@@ -156,11 +156,11 @@
 	t := <-reply
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(Records{Effects: o.Upstreams.Effects(), Overcommits: len(t.Overcommits),
-		UnreachableModels: t.Unreachable(&o.Upstreams.Config), Moves: t.Moves}) // the reader may be gone
+		UnreachableModels: t.UnreachableModels(&o.Upstreams.Config), Moves: t.ModelLoads}) // the reader may be gone
 }
 
 // Close stops the stand-ins.
-func (o *Outside) Close() {
+func (o *StandInServer) Close() {
 	o.stop()
 	<-o.watched
 	_ = o.server.Close()
@@ -187,6 +187,6 @@
 
 // AddRecords completes a report whose hosts and stand-ins were other processes.
 func (r *Report) AddRecords(rec *Records) {
-	r.Overcommits, r.Moves, r.Unreachable = rec.Overcommits, rec.Moves, rec.UnreachableModels
+	r.Overcommits, r.ModelLoads, r.Unreachable = rec.Overcommits, rec.Moves, rec.UnreachableModels
 	r.UnreachableModels = len(rec.UnreachableModels)
 }
--- a/standin/local/path_test.go
+++ b/standin/local/path_test.go
@@ -71,14 +71,14 @@
 	assert.NilError(t, p.eng.Start())
 	p.eng.Preload("m", "", "v1", 10)
 	for i := range p.services {
-		s, err := service.New(service.Config{Name: fmt.Sprint("s", i+1), Time: p.serviceTime, Seed: uint64(i), Watch: p.watch})
+		s, err := service.New(service.Config{Name: fmt.Sprint("s", i+1), DefaultDuration: p.serviceTime, Seed: uint64(i), OnExecution: p.watch})
 		assert.NilError(t, err)
 		assert.NilError(t, s.Start())
 		t.Cleanup(s.Close)
 		p.more = append(p.more, s)
 	}
 	p.svc = p.more[0]
-	assert.NilError(t, local.Apply(t.Context(), p.tbl, p.obj, p.config()))
+	assert.NilError(t, local.ApplyConfig(t.Context(), p.tbl, p.obj, p.config()))
 	p.node = p.startNode("n1")
 	p.base = "http://" + p.node.CallerAddress()
 	t.Cleanup(func() {
--- a/standin/local/ready.go
+++ b/standin/local/ready.go
@@ -26,8 +26,8 @@
 	return &ReadyBalancer{Balancer: load.NewBalancer(), layout: l, client: &http.Client{Timeout: time.Second}}
 }
 
-// Look asks every host once and returns how many are ready.
-func (b *ReadyBalancer) Look(ctx context.Context) int {
+// Refresh asks every host once and returns how many are ready.
+func (b *ReadyBalancer) Refresh(ctx context.Context) int {
 	var ready []string
 	for _, e := range b.layout.Entries {
 		if b.ready(ctx, e.Operator) {
@@ -41,18 +41,18 @@
 // Run keeps looking until ctx ends.
 func (b *ReadyBalancer) Run(ctx context.Context) {
 	for pause(ctx, readyEvery) {
-		b.Look(ctx)
+		b.Refresh(ctx)
 	}
 }
 
 // awaitMost is how long hosts may take to be ready; a few seconds are usual.
 const awaitMost = 30 * time.Second
 
-// AwaitAll waits until every host of the layout is ready.
-func (b *ReadyBalancer) AwaitAll(ctx context.Context) error {
+// AwaitAllReady waits until every host of the layout is ready.
+func (b *ReadyBalancer) AwaitAllReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, awaitMost)
 	defer cancel()
-	for b.Look(ctx) < len(b.layout.Entries) {
+	for b.Refresh(ctx) < len(b.layout.Entries) {
 		if !pause(ctx, readyEvery) {
 			return ctx.Err()
 		}
--- a/standin/local/report.go
+++ b/standin/local/report.go
@@ -26,47 +26,47 @@
 	Overcommits              int      `json:"overcommits"`
 	UnreachableModels        int      `json:"unreachable_models"`
 	Unreachable              []string `json:"unreachable,omitempty"`
-	Moves                    int      `json:"moves"`
+	ModelLoads               int      `json:"moves"`
 	AttainmentPerAccelerator float64  `json:"attainment_per_accelerator"` // requests that met their deadline whole, for each accelerator
-	Bound                    float64  `json:"attainment_bound"`           // that no policy can exceed on this plan
+	AttainmentBound          float64  `json:"attainment_bound"`           // that no policy can exceed on this plan
 	History                  string   `json:"history"`                    // "ok", or what of the calls that may not be repeated cannot be explained
 	TableWrites              int64    `json:"table_writes"`
 	TableReads               int64    `json:"table_reads"`
 	Presets                  []string `json:"presets,omitempty"` // put in force during the run
 }
 
-// Sound says whether nothing happened that must never happen.
-func (r Report) Sound() bool {
-	return r.Lost == 0 && r.Doubled == 0 && r.Cut == 0 && r.Crossed == 0 && r.FalseNotRun == 0 &&
+// InvariantsHold says whether nothing happened that must never happen.
+func (r Report) InvariantsHold() bool {
+	return r.Lost == 0 && r.Duplicated == 0 && r.Truncated == 0 && r.Mismatched == 0 && r.FalseNotRun == 0 &&
 		r.Overcommits == 0 && r.UnreachableModels == 0 && r.History == historyOK
 }
 
-// Drive is one run's traffic and what happens during it.
-type Drive struct {
+// DriveOptions is one run's traffic and what happens during it.
+type DriveOptions struct {
 	Policy   string // its name, for the report
-	Faults   string
+	Scenario string
 	Length   time.Duration
 	Progress func(load.Progress)
 	// Script, when set, runs beside the traffic until its context ends.
 	Script Script
 	// Results, when set, is shown what the callers saw.
-	Results func(*load.Result)
+	OnResult func(*load.Result)
 }
 
 // Drive sends the site's demand through the entry hosts and counts.
-func (r *Running) Drive(ctx context.Context, d Drive) (Report, error) {
+func (r *RunningSite) Drive(ctx context.Context, d DriveOptions) (Report, error) {
 	plan, err := r.opt.Site.Plan(r.opt.Seed, d.Length)
 	if err != nil {
 		return Report{}, err
 	}
 	side, stop := context.WithCancel(ctx)
 	defer stop()
-	truth := make(chan site.Truth, 1)
+	truth := make(chan site.GroundTruth, 1)
 	go func() { truth <- r.Upstreams.Monitor(side) }()
 	scripted := make(chan error, 1)
 	go func() {
 		if d.Script == nil {
-			d.Script = func(context.Context, *Running) error { return nil }
+			d.Script = func(context.Context, *RunningSite) error { return nil }
 		}
 		scripted <- d.Script(side, r)
 	}()
@@ -75,13 +75,13 @@
 	if err := <-scripted; err != nil && ctx.Err() == nil && !errors.Is(err, context.Canceled) {
 		return Report{}, eris.Wrap(err, "what was to happen in the run did not")
 	}
-	if d.Results != nil {
-		d.Results(result)
+	if d.OnResult != nil {
+		d.OnResult(result)
 	}
 	effects := r.Upstreams.Effects()
-	rep := Report{Site: r.opt.Site.Deployment.Site, Policy: d.Policy, Seed: r.opt.Seed, Faults: d.Faults, Seconds: d.Length.Seconds(),
+	rep := Report{Site: r.opt.Site.Deployment.Site, Policy: d.Policy, Seed: r.opt.Seed, Faults: d.Scenario, Seconds: d.Length.Seconds(),
 		EntryHosts: r.opt.Hosts, Accelerators: r.opt.Site.Accelerators(), Counts: result.Count(effects), History: check(result, effects),
-		Bound: r.opt.Site.Bound(plan), TableWrites: r.Table.Faults.Writes(), TableReads: r.Table.Faults.Reads()}
+		AttainmentBound: r.opt.Site.AttainmentBound(plan), TableWrites: r.Table.Faults.Writes(), TableReads: r.Table.Faults.Reads()}
 	rep.addTruth(<-truth, &r.Upstreams.Config)
 	rep.perAccelerator()
 	rep.Presets = r.presets
@@ -95,8 +95,8 @@
 	r.AttainmentPerAccelerator = r.Attainment * float64(r.Requests) / float64(max(r.Accelerators, 1))
 }
 
-func (r *Report) addTruth(t site.Truth, c *config.Config) {
-	r.Overcommits, r.Moves = len(t.Overcommits), t.Moves
-	r.Unreachable = t.Unreachable(c)
+func (r *Report) addTruth(t site.GroundTruth, c *config.Config) {
+	r.Overcommits, r.ModelLoads = len(t.Overcommits), t.ModelLoads
+	r.Unreachable = t.UnreachableModels(c)
 	r.UnreachableModels = len(r.Unreachable)
 }
--- a/standin/local/resume_test.go
+++ b/standin/local/resume_test.go
@@ -58,7 +58,7 @@
 func TestAConnectionThatGoesSilentBeforeTheRestIsReplaced(t *testing.T) {
 	d := &hushed{}
 	// The engine gives a stream up that nobody reads for long.
-	p := newPath(t, engine.Config{TokenTime: 5 * time.Millisecond, ResumeFor: 5 * time.Second}, func(c *local.NodeConfig) { c.Dialer = d })
+	p := newPath(t, engine.Config{TokenTime: 5 * time.Millisecond, ResumeWindow: 5 * time.Second}, func(c *local.NodeConfig) { c.Dialer = d })
 	const tokens = 1200 // not done by the time at which the engine gives up
 	body := fmt.Sprintf(chat, true, tokens)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/standin/local/script.go
+++ b/standin/local/script.go
@@ -10,13 +10,13 @@
 )
 
 // Script is what happens beside the traffic of a run.
-type Script func(ctx context.Context, r *Running) error
+type Script func(ctx context.Context, r *RunningSite) error
 
-// Ordinary is a run of the given length with an ordinary day's changes: the
+// RoutineScript is a run of the given length with an ordinary day's changes: the
 // first entry host leaves gracefully and another takes its place, and an
 // operator puts another preset in force through a host that stays.
-func Ordinary(length time.Duration) Script {
-	return func(ctx context.Context, r *Running) error {
+func RoutineScript(length time.Duration) Script {
+	return func(ctx context.Context, r *RunningSite) error {
 		if !pause(ctx, length/3) {
 			return nil
 		}
--- a/standin/local/secrets_test.go
+++ b/standin/local/secrets_test.go
@@ -36,15 +36,15 @@
 	ca, err := pki.New("test")
 	assert.NilError(t, err)
 	core, logs := observer.New(zapcore.DebugLevel)
-	v := &vault{ca: ca, files: local.Files(), logs: logs}
+	v := &vault{ca: ca, files: local.NewKeyFiles(), logs: logs}
 	v.path = newPath(t, slow, func(c *local.NodeConfig) {
 		c.Files, c.Log = v.files, zap.New(core)
-		assert.NilError(t, local.Secure(c.Settings, c.Files, ca))
+		assert.NilError(t, local.EnableTLS(c.Settings, c.Files, ca))
 	})
-	own, err := ca.Pair("operator")
+	own, err := ca.KeyPair("operator")
 	assert.NilError(t, err)
 	client := func(certs ...tls.Certificate) *http.Client {
-		return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{RootCAs: ca.Pool(), Certificates: certs}}}
+		return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{RootCAs: ca.CertPool(), Certificates: certs}}}
 	}
 	v.callers, v.operator = client(), client(own)
 	return v
@@ -76,7 +76,7 @@
 	const brokenKey, newKey, newSecret = "broken resume key", "key-of-a-after-rotation", "new resume key of 32 bytes and more"
 	secrets := map[string]string{"team's key": teamKey, "other team's key": otherKey, "operator's key": local.OperatorKey,
 		"mistyped key": wrongKey, "mistyped operator's key": wrongOperator, "key pasted for its hash": pasted,
-		"resume key": local.ResumeSecret, "broken resume key": brokenKey, "new resume key": newSecret, "salt": local.SaltSecret,
+		"resume key": local.ResumeSecret, "broken resume key": brokenKey, "new resume key": newSecret, "salt": local.PrefixSaltSecret,
 		"new team key": newKey, "team's key hash": hash(teamKey), "new team key's hash": hash(newKey)}
 	private, err := v.files.Read("certificate-key")
 	assert.NilError(t, err)
--- a/standin/local/site.go
+++ b/standin/local/site.go
@@ -34,8 +34,8 @@
 	Hosts int
 }
 
-// Running is a site that runs: stand-ins and nodes.
-type Running struct {
+// RunningSite is a site that runs: stand-ins and nodes.
+type RunningSite struct {
 	*StandIns
 	opt       Options
 	Balancer  *load.Balancer
@@ -51,11 +51,11 @@
 const balancerWait = time.Second
 
 // Start starts the platform, the upstreams and all entry hosts.
-func Start(ctx context.Context, opt Options) (*Running, error) {
+func Start(ctx context.Context, opt Options) (*RunningSite, error) {
 	if opt.Hosts == 0 {
 		opt.Hosts = opt.Site.EntryHosts
 	}
-	r := &Running{opt: opt}
+	r := &RunningSite{opt: opt}
 	if opt.TLS {
 		var err error
 		if r.Authority, err = pki.New(opt.Site.Deployment.Site); err != nil {
@@ -63,10 +63,10 @@
 		}
 	}
 	var err error
-	if r.StandIns, err = startStandIns(opt.Site, site.Options{Seed: opt.Seed, Oracle: opt.Oracle}); err != nil {
+	if r.StandIns, err = startStandIns(opt.Site, site.StartOptions{Seed: opt.Seed, Oracle: opt.Oracle}); err != nil {
 		return nil, err
 	}
-	if err := Apply(ctx, r.Table, r.Objects, &r.Upstreams.Config); err != nil {
+	if err := ApplyConfig(ctx, r.Table, r.Objects, &r.Upstreams.Config); err != nil {
 		r.Upstreams.Close()
 		return nil, err
 	}
@@ -90,9 +90,9 @@
 
 // startNodes starts the hosts of a site that was there before: its platform
 // lists them already, however late it lists changes.
-func (r *Running) startNodes(ctx context.Context) error {
-	r.Hosts.SetLag(0)
-	defer r.Hosts.SetLag(time.Duration(r.opt.Site.Store.HostListLagMs) * time.Millisecond)
+func (r *RunningSite) startNodes(ctx context.Context) error {
+	r.HostList.SetLag(0)
+	defer r.HostList.SetLag(time.Duration(r.opt.Site.Store.HostListLagMs) * time.Millisecond)
 	r.list()
 	for _, n := range r.nodes {
 		n.Start()
@@ -105,25 +105,25 @@
 	return nil
 }
 
-func (r *Running) newNode(i int) (*Node, error) {
+func (r *RunningSite) newNode(i int) (*Node, error) {
 	dc := r.opt.Site.EntryDataCentre(i)
 	set := Settings(hostName(i), dc)
 	set.Bounds.BalancerWaitSeconds = int(balancerWait / time.Second)
-	files := Files()
+	files := NewKeyFiles()
 	if r.Authority != nil {
-		if err := Secure(set, files, r.Authority); err != nil {
+		if err := EnableTLS(set, files, r.Authority); err != nil {
 			return nil, err
 		}
 	}
 	return NewNode(NodeConfig{Settings: set, Files: files, Policy: r.opt.Policy, Dialer: r.Upstreams.Dialer(dc), Demand: r.opt.Demand, Log: r.opt.Log,
-		Platform: server.Platform{Table: r.Table, Objects: r.Objects, Hosts: r.Hosts, Weights: r.Weights},
+		Platform: server.Platform{Table: r.Table, Objects: r.Objects, Hosts: r.HostList, Weights: r.Weights},
 		Distance: func(from, to string) float64 {
 			return float64(r.opt.Site.RoundTrip(from, to)) / float64(time.Millisecond)
 		}})
 }
 
 // list brings the platform's list of hosts up to date; hosts read it late.
-func (r *Running) list() {
+func (r *RunningSite) list() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	hosts := r.Upstreams.Hosts()
@@ -133,15 +133,15 @@
 				Role: store.RoleEntry, State: store.HostLive})
 		}
 	}
-	r.Hosts.Set(hosts...)
+	r.HostList.Set(hosts...)
 }
 
 // Addresses are the callers' listeners of the hosts that the balancer knows.
-func (r *Running) Addresses() []string {
+func (r *RunningSite) Addresses() []string {
 	return r.addresses(func(n *Node) string { return n.CallerAddress() })
 }
 
-func (r *Running) addresses(of func(*Node) string) []string {
+func (r *RunningSite) addresses(of func(*Node) string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
@@ -154,7 +154,7 @@
 }
 
 // take removes a host from those that run.
-func (r *Running) take(host int) *Node {
+func (r *RunningSite) take(host int) *Node {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if host < 0 || host >= len(r.nodes) {
@@ -166,7 +166,7 @@
 }
 
 // Kill ends one host without a word; the balancer notices a second later.
-func (r *Running) Kill(host int) {
+func (r *RunningSite) Kill(host int) {
 	if n := r.take(host); n != nil {
 		n.Kill()
 		r.list()
@@ -176,7 +176,7 @@
 
 // Stop shuts one host down gracefully; the balancer stops sending to it
 // somewhat before it stops taking requests.
-func (r *Running) Stop(host int) error {
+func (r *RunningSite) Stop(host int) error {
 	n := r.take(host)
 	if n == nil {
 		return nil
@@ -187,7 +187,7 @@
 }
 
 // Replace starts a new host in the place of one that ended.
-func (r *Running) Replace(ctx context.Context, host int) error {
+func (r *RunningSite) Replace(ctx context.Context, host int) error {
 	n, err := r.newNode(host)
 	if err != nil {
 		return err
@@ -205,7 +205,7 @@
 }
 
 // Dialer opens callers' connections at their distance from the entry hosts.
-func (r *Running) Dialer() *wire.Dialer {
+func (r *RunningSite) Dialer() *wire.Dialer {
 	centre := map[string]string{}
 	for i, n := range r.nodes {
 		if n != nil {
@@ -219,12 +219,12 @@
 
 // DialCallers opens callers' connections like Dialer, with TLS where the site
 // runs with it.
-func (r *Running) DialCallers() func(ctx context.Context, network, address string) (net.Conn, error) {
+func (r *RunningSite) DialCallers() func(ctx context.Context, network, address string) (net.Conn, error) {
 	dial := r.Dialer().DialContext
 	if r.Authority == nil {
 		return dial
 	}
-	trusted := r.Authority.Pool()
+	trusted := r.Authority.CertPool()
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
 		if err != nil {
@@ -241,7 +241,7 @@
 }
 
 // Close ends everything; requests in flight are finished first.
-func (r *Running) Close() {
+func (r *RunningSite) Close() {
 	var wg sync.WaitGroup
 	for i := range r.nodes {
 		if n := r.take(i); n != nil {
--- a/standin/local/slopes.go
+++ b/standin/local/slopes.go
@@ -14,11 +14,11 @@
 
 // Slope is how one figure grows with the number of hosts, by least squares.
 type Slope struct {
-	Figure  string    `json:"figure"`
-	Base    float64   `json:"base"`
-	PerHost float64   `json:"per_host"`
-	Design  float64   `json:"at_420_hosts"` // extrapolated
-	Values  []float64 `json:"values"`
+	Figure       string    `json:"figure"`
+	Base         float64   `json:"base"`
+	PerHost      float64   `json:"per_host"`
+	AtDesignSize float64   `json:"at_420_hosts"` // extrapolated
+	Values       []float64 `json:"values"`
 }
 
 // designHosts is the size that the design is for.
@@ -31,17 +31,17 @@
 }{
 	{"peer bytes/s a host", func(r FleetReport) float64 { return r.PeerBytes }},
 	{"report bytes/s a host", func(r FleetReport) float64 { return r.PollBytes }},
-	{"share of a core a host", func(r FleetReport) float64 { return r.CPU }},
+	{"share of a core a host", func(r FleetReport) float64 { return r.CPUShare }},
 	{"live memory a host, KB", func(r FleetReport) float64 { return r.HeapKB }},
 	{"table reads/s in all", func(r FleetReport) float64 { return r.TableReads }},
 	{"table writes/s in all", func(r FleetReport) float64 { return r.TableWrites }},
-	{"preset in force, p99 ms", func(r FleetReport) float64 { return r.InForce.P99 }},
-	{"document in force, p99 ms", func(r FleetReport) float64 { return r.Document.P99 }},
-	{"leaving known, p99 ms", func(r FleetReport) float64 { return r.Leaving.P99 }},
+	{"preset in force, p99 ms", func(r FleetReport) float64 { return r.PresetInForce.P99 }},
+	{"document in force, p99 ms", func(r FleetReport) float64 { return r.DocumentInForce.P99 }},
+	{"leaving known, p99 ms", func(r FleetReport) float64 { return r.DrainingKnown.P99 }},
 }
 
-// Slopes fits each figure over fleets of different sizes.
-func Slopes(runs []FleetReport) []Slope {
+// FitSlopes fits each figure over fleets of different sizes.
+func FitSlopes(runs []FleetReport) []Slope {
 	var out []Slope
 	for _, f := range figures {
 		s := Slope{Figure: f.name}
@@ -56,7 +56,7 @@
 			s.PerHost = (n*sxy - sx*sy) / d
 		}
 		s.Base = (sy - s.PerHost*sx) / n
-		s.Design = s.Base + designHosts*s.PerHost
+		s.AtDesignSize = s.Base + designHosts*s.PerHost
 		out = append(out, s)
 	}
 	return out
@@ -71,7 +71,7 @@
 	p.Y.Label.Text = "share of the figure's largest value"
 	p.Y.Min, p.Y.Max = 0, 1.05
 	p.Legend.Top = true
-	for i, s := range Slopes(runs) {
+	for i, s := range FitSlopes(runs) {
 		most := 0.0
 		for _, v := range s.Values {
 			most = max(most, v)
--- a/standin/local/sources.go
+++ b/standin/local/sources.go
@@ -13,16 +13,16 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// Sources are upstreams that do nothing but report: the load of a large
+// ReportOnlyUpstreams are upstreams that do nothing but report: the load of a large
 // fleet's control path without its engines.
-type Sources struct {
+type ReportOnlyUpstreams struct {
 	began time.Time
-	list  []*Source
-	byAdr map[string]*Source
+	list  []*ReportOnlyUpstream
+	byAdr map[string]*ReportOnlyUpstream
 }
 
-// Source is one of them.
-type Source struct {
+// ReportOnlyUpstream is one of them.
+type ReportOnlyUpstream struct {
 	Name    string
 	ln      net.Listener
 	server  *http.Server
@@ -32,16 +32,16 @@
 	asked   atomic.Int64
 }
 
-// StartSources opens n listeners on loopback. Residents gives what each holds.
-func StartSources(n int, residents func(i int) []engineapi.Resident) (*Sources, error) {
-	s := &Sources{began: time.Now(), byAdr: map[string]*Source{}}
+// StartReportOnlyUpstreams opens n listeners on loopback. Residents gives what each holds.
+func StartReportOnlyUpstreams(n int, residents func(i int) []engineapi.Resident) (*ReportOnlyUpstreams, error) {
+	s := &ReportOnlyUpstreams{began: time.Now(), byAdr: map[string]*ReportOnlyUpstream{}}
 	for i := range n {
 		ln, err := net.Listen("tcp", AnyPort)
 		if err != nil {
 			s.Close()
 			return nil, err
 		}
-		src := &Source{Name: fmt.Sprintf("up-%04d", i), ln: ln}
+		src := &ReportOnlyUpstream{Name: fmt.Sprintf("up-%04d", i), ln: ln}
 		src.report = engineapi.Report{Upstream: src.Name, Incarnation: src.Name + "-1", Role: "serve", MaxBatch: 16, MemoryMB: 80_000,
 			Residents: residents(i)}
 		for _, r := range src.report.Residents {
@@ -59,7 +59,7 @@
 	return s, nil
 }
 
-func (s *Sources) serve(w http.ResponseWriter, r *http.Request, src *Source) {
+func (s *ReportOnlyUpstreams) serve(w http.ResponseWriter, r *http.Request, src *ReportOnlyUpstream) {
 	src.asked.Add(1)
 	src.mu.Lock()
 	src.report.Sequence++
@@ -74,8 +74,8 @@
 	_, _ = w.Write(data) // the node may be gone
 }
 
-// Asked is the number of reports given so far.
-func (s *Sources) Asked() int64 {
+// ReportsServed is the number of reports given so far.
+func (s *ReportOnlyUpstreams) ReportsServed() int64 {
 	var n int64
 	for _, src := range s.list {
 		n += src.asked.Load()
@@ -84,7 +84,7 @@
 }
 
 // Close stops all.
-func (s *Sources) Close() {
+func (s *ReportOnlyUpstreams) Close() {
 	for _, src := range s.list {
 		_ = src.server.Shutdown(context.Background())
 	}
--- a/standin/local/standins.go
+++ b/standin/local/standins.go
@@ -12,13 +12,13 @@
 type StandIns struct {
 	Table     *fake.Table
 	Objects   *fake.Objects
-	Hosts     *fake.Hosts
+	HostList  *fake.Hosts
 	Weights   *fake.Weights
 	Upstreams *site.Upstreams
 }
 
 // startStandIns starts them with the limits and lags that the site states.
-func startStandIns(s *site.Site, opt site.Options) (*StandIns, error) {
+func startStandIns(s *site.Site, opt site.StartOptions) (*StandIns, error) {
 	seed := opt.Seed
 	in := &StandIns{Table: fake.NewTableWith(fake.NewFaults(seed, nil)), Objects: fake.NewObjects(fake.NewFaults(seed, nil))}
 	in.Table.Faults.Set(fake.Settings{WritesPerSecond: s.Store.WritesPerSecond, ReadsPerSecond: s.Store.ReadsPerSecond,
@@ -30,7 +30,7 @@
 	if in.Upstreams, err = s.Start(opt); err != nil {
 		return nil, err
 	}
-	in.Hosts = fake.NewHosts(fake.NewFaults(seed, nil), in.Upstreams.Hosts()...)
-	in.Hosts.SetLag(time.Duration(s.Store.HostListLagMs) * time.Millisecond)
+	in.HostList = fake.NewHosts(fake.NewFaults(seed, nil), in.Upstreams.Hosts()...)
+	in.HostList.SetLag(time.Duration(s.Store.HostListLagMs) * time.Millisecond)
 	return in, nil
 }
--- a/standin/local/targets.go
+++ b/standin/local/targets.go
@@ -7,13 +7,13 @@
 	"peridotpier.example/standin/site"
 )
 
-// Targets are what a scenario of faults acts on.
-func (r *Running) Targets() site.Targets {
-	return site.Targets{Upstreams: r.Upstreams, Nodes: hosts{r}, Store: stores{r}}
+// FaultTargets are what a scenario of faults acts on.
+func (r *RunningSite) FaultTargets() site.Targets {
+	return site.Targets{Upstreams: r.Upstreams, Hosts: hosts{r}, Store: stores{r}}
 }
 
 // hosts lets scenarios act on the entry hosts.
-type hosts struct{ r *Running }
+type hosts struct{ r *RunningSite }
 
 // Kill implements site.Nodes.
 func (h hosts) Kill(host int) error {
@@ -28,12 +28,12 @@
 func (h hosts) Replace(ctx context.Context, host int) error { return h.r.Replace(ctx, host) }
 
 // stores lets scenarios act on table service and object store together.
-type stores struct{ r *Running }
+type stores struct{ r *RunningSite }
 
-// OutageFor implements site.StoreFaultsFaults.
-func (s stores) OutageFor(d time.Duration) {
-	s.r.Table.Faults.OutageFor(d)
-	s.r.Objects.Faults.OutageFor(d)
+// StartOutage implements site.StoreFaultsFaults.
+func (s stores) StartOutage(d time.Duration) {
+	s.r.Table.Faults.StartOutage(d)
+	s.r.Objects.Faults.StartOutage(d)
 }
 
 // LoseAnswers implements site.StoreFaultsFaults.
--- a/standin/local/tls_test.go
+++ b/standin/local/tls_test.go
@@ -28,8 +28,8 @@
 	core, logs := observer.New(zapcore.DebugLevel)
 	authority := ours
 	p := newPath(t, engine.Config{}, func(c *local.NodeConfig) {
-		c.Files, c.Log = local.Files(), zap.New(core).With(zap.String("on", c.Settings.Host))
-		assert.NilError(t, local.Secure(c.Settings, c.Files, authority))
+		c.Files, c.Log = local.NewKeyFiles(), zap.New(core).With(zap.String("on", c.Settings.Host))
+		assert.NilError(t, local.EnableTLS(c.Settings, c.Files, authority))
 	})
 	p.hosts.Set(store.Host{Name: "n1", Address: p.node.PeerAddress(), DataCentre: "dc1", Role: store.RoleEntry, State: store.HostLive})
 	second := p.startNode("n2")
--- a/standin/local/writers_test.go
+++ b/standin/local/writers_test.go
@@ -31,8 +31,8 @@
 	p.hosts.Set(list...)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for _, n := range nodes {
-			if len(n.Members()) != len(nodes) {
-				return poll.Continue("%d members", len(n.Members()))
+			if len(n.LiveHosts()) != len(nodes) {
+				return poll.Continue("%d members", len(n.LiveHosts()))
 			}
 		}
 		return poll.Success()
@@ -58,7 +58,7 @@
 	assert.Equal(t, len(answers), keys)
 	ran := map[string]int{}
 	for _, x := range p.svc.Executions() {
-		ran[x.Key]++
+		ran[x.IdempotencyKey]++
 	}
 	assert.Equal(t, len(ran), keys)
 	for key, times := range ran {
--- a/standin/pki/pki.go
+++ b/standin/pki/pki.go
@@ -55,28 +55,28 @@
 // PEM is the authority's certificate.
 func (a *Authority) PEM() []byte { return block("CERTIFICATE", a.cert.Raw) }
 
-// Pool trusts this authority alone.
-func (a *Authority) Pool() *x509.CertPool {
+// CertPool trusts this authority alone.
+func (a *Authority) CertPool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(a.cert)
 	return p
 }
 
-// Change alters a certificate before it is signed.
-type Change func(*x509.Certificate)
+// CertificateOption alters a certificate before it is signed.
+type CertificateOption func(*x509.Certificate)
 
-// Expired lets a certificate's time be over.
-func Expired(c *x509.Certificate) {
+// WithExpiredValidity lets a certificate's time be over.
+func WithExpiredValidity(c *x509.Certificate) {
 	c.NotBefore, c.NotAfter = c.NotBefore.Add(-life), c.NotBefore
 }
 
-// Address names an IP number in the certificate.
-func Address(ip string) Change {
+// WithIPAddress names an IP number in the certificate.
+func WithIPAddress(ip string) CertificateOption {
 	return func(c *x509.Certificate) { c.IPAddresses = append(c.IPAddresses, net.ParseIP(ip)) }
 }
 
 // Issue makes a key and signs its certificate; both in PEM.
-func (a *Authority) Issue(name string, changes ...Change) (certificate, key []byte, err error) {
+func (a *Authority) Issue(name string, changes ...CertificateOption) (certificate, key []byte, err error) {
 	own, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, eris.Wrap(err, "make a key")
@@ -93,8 +93,8 @@
 	return block("CERTIFICATE", der), block("PRIVATE KEY", raw), eris.Wrap(err, "encode a key")
 }
 
-// Pair is Issue's result in the form that a dialler needs.
-func (a *Authority) Pair(name string, changes ...Change) (tls.Certificate, error) {
+// KeyPair is Issue's result in the form that a dialler needs.
+func (a *Authority) KeyPair(name string, changes ...CertificateOption) (tls.Certificate, error) {
 	c, k, err := a.Issue(name, changes...)
 	if err != nil {
 		return tls.Certificate{}, err
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -19,7 +19,7 @@
 	LostAnswers     float64       // of writes: took effect, answered ErrInDoubt
 	LostRequests    float64       // of writes: no effect, answered ErrInDoubt
 	LateEffects     float64       // of writes: answered ErrInDoubt, takes effect LateBy later
-	LateBy          time.Duration
+	LateEffectDelay time.Duration
 	WritesPerSecond float64 // 0: no limit
 	ReadsPerSecond  float64 // 0: no limit
 }
@@ -66,8 +66,8 @@
 	}
 }
 
-// OutageFor makes the service unavailable for d from now on.
-func (f *Faults) OutageFor(d time.Duration) {
+// StartOutage makes the service unavailable for d from now on.
+func (f *Faults) StartOutage(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.outUntil = f.now().Add(d)
@@ -118,7 +118,7 @@
 	f.mu.Lock()
 	f.nWrites++
 	delay, err := f.admit(f.writes)
-	drawn, late := f.draw(), f.set.LateBy
+	drawn, late := f.draw(), f.set.LateEffectDelay
 	f.mu.Unlock()
 	return drawn, late, firstError(pause(ctx, delay), err)
 }
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -85,7 +85,7 @@
 func TestLateEffectAfterRetryHasOneEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := standin.NewTable()
-		tb.Faults.Set(standin.Settings{LateEffects: 1, LateBy: time.Minute})
+		tb.Faults.Set(standin.Settings{LateEffects: 1, LateEffectDelay: time.Minute})
 		txn := store.Txn{Op: "a", Writes: []store.Write{{Key: "k", Value: []byte("1")}}}
 		_, err := tb.Commit(t.Context(), txn)
 		assert.ErrorIs(t, err, store.ErrUnconfirmed)
@@ -96,7 +96,7 @@
 		assert.NilError(t, err)
 		_, err = tb.Commit(t.Context(), store.Txn{Op: "b", Writes: []store.Write{{Key: "k", Value: []byte("2")}}})
 		assert.NilError(t, err)
-		tb.Settle()
+		tb.WaitLateEffects()
 		rows, _ = tb.Get(t.Context(), "k")
 		assert.Equal(t, string(rows[0].Value), "2")
 		assert.Assert(t, rows[0].Version > v)
@@ -117,7 +117,7 @@
 	assert.Equal(t, state(), store.HostLive)
 	now = now.Add(30 * time.Second)
 	assert.Equal(t, state(), store.HostDraining)
-	f.OutageFor(time.Minute)
+	f.StartOutage(time.Minute)
 	_, err := h.Hosts(t.Context())
 	assert.ErrorIs(t, err, store.ErrUnavailable)
 	now = now.Add(time.Minute)
--- a/standin/platform/table.go
+++ b/standin/platform/table.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// Settle waits until every late effect has taken place.
-func (t *Table) Settle() { t.late.Wait() }
+// WaitLateEffects waits until every late effect has taken place.
+func (t *Table) WaitLateEffects() { t.late.Wait() }
 
 // commit applies txn once: a repeated operation id gets the first answer.
 func (t *Table) commit(txn store.Txn) (uint64, error) {
--- a/standin/service/call.go
+++ b/standin/service/call.go
@@ -75,13 +75,13 @@
 	switch {
 	case found && (known.state == engineapi.AttemptUnseen || known.state == engineapi.AttemptRefused):
 		return nil, http.StatusServiceUnavailable, engineapi.RefusedAttemptClosed
-	case found || s.attempts.Dropped(c.id):
+	case found || s.attempts.WasDropped(c.id):
 		return nil, http.StatusConflict, "" // the first call under this id may be running
 	case c.meant != "" && c.meant != s.incarnation:
 		status, header = http.StatusServiceUnavailable, engineapi.RefusedRestarted
 	case s.leaving:
 		status, header = http.StatusServiceUnavailable, engineapi.RefusedDraining
-	case s.waiting >= s.cfg.QueueMax:
+	case s.waiting >= s.cfg.MaxQueue:
 		status, header = http.StatusTooManyRequests, engineapi.RefusedQueueFull
 	}
 	s.attempts.Add(c.id, c)
@@ -145,12 +145,12 @@
 	c.cancel = nil
 	s.running++
 	team, inv := mark(r, body)
-	e := Execution{Attempt: c.id, Incarnation: s.incarnation, Meant: c.meant, Key: r.Header.Get("Idempotency-Key"),
+	e := Execution{Attempt: c.id, Incarnation: s.incarnation, ForIncarnation: c.meant, IdempotencyKey: r.Header.Get("Idempotency-Key"),
 		Team: team, Invocation: inv, Method: r.Method, Path: r.URL.Path, Tag: r.Header.Get("Accept-Language"), Started: time.Now()}
-	if s.cfg.Watch != nil {
-		c.ended = s.cfg.Watch(e)
+	if s.cfg.OnExecution != nil {
+		c.ended = s.cfg.OnExecution(e)
 	}
-	if len(s.executions) >= s.cfg.RecordMax {
+	if len(s.executions) >= s.cfg.MaxRecords {
 		s.dropped++
 		return -1, true
 	}
@@ -180,7 +180,7 @@
 		c.ended(out)
 	}
 	if index >= 0 {
-		s.executions[index].Ended, s.executions[index].Answer = time.Now(), xxhash.Sum64(out)
+		s.executions[index].Ended, s.executions[index].AnswerDigest = time.Now(), xxhash.Sum64(out)
 	}
 	return true
 }
@@ -216,7 +216,7 @@
 func (s *Service) serveFate(w http.ResponseWriter, r *http.Request, cancel bool) {
 	id := r.PathValue("id")
 	s.mu.Lock()
-	c, ok := s.attempts.Settle(id, &call{id: id, state: engineapi.AttemptUnseen})
+	c, ok := s.attempts.FindOrAdd(id, &call{id: id, state: engineapi.AttemptUnseen})
 	var d engineapi.Attempt
 	if ok {
 		if cancel && c.cancel != nil {
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -34,43 +34,43 @@
 
 // Route says how long calls to a part of the service take; the first match counts.
 type Route struct {
-	Method string // "*" for any
-	Prefix string // of the path below the service
-	Time   time.Duration
+	Method   string // "*" for any
+	Prefix   string // of the path below the service
+	Duration time.Duration
 }
 
 // Config describes one instance of a plain service.
 type Config struct {
-	Name        string
-	Listen      string // IP:port, port 0 for any; "" is 127.0.0.1:0
-	Routes      []Route
-	Time        time.Duration // where no route matches
-	MaxBatch    int           // calls at once
-	QueueMax    int           // calls that wait
-	ReportEvery time.Duration // 0: each report is taken when it is asked for
-	ReportLag   time.Duration
-	AttemptLog  int
-	RecordMax   int
-	Seed        uint64
+	Name            string
+	Listen          string // IP:port, port 0 for any; "" is 127.0.0.1:0
+	Routes          []Route
+	DefaultDuration time.Duration // where no route matches
+	MaxConcurrent   int           // calls at once
+	MaxQueue        int           // calls that wait
+	ReportInterval  time.Duration // 0: each report is taken when it is asked for
+	ReportLag       time.Duration
+	AttemptLogSize  int
+	MaxRecords      int
+	Seed            uint64
 	// Watch, when set, is told of each execution as it begins, and the function
 	// that it returns, of its answer. Both must not call the service.
-	Watch func(Execution) (ended func(answer []byte))
+	OnExecution func(Execution) (ended func(answer []byte))
 }
 
 // Execution is one call that took effect or was cut short by the process's end.
 type Execution struct {
-	Attempt     string
-	Incarnation string
-	Meant       string // incarnation that it was meant for; "": any
-	Key         string // Idempotency-Key as it arrived; "" when the host kept it to itself
-	Team        string // from the body's or query's mark
-	Invocation  string
-	Tag         string // Accept-Language, by which a test tells equal calls apart
-	Method      string
-	Path        string
-	Started     time.Time
-	Ended       time.Time // zero: runs, or died with the process
-	Answer      uint64    // xxhash of the answer's body; 0 until it ended
+	Attempt        string
+	Incarnation    string
+	ForIncarnation string // incarnation that it was meant for; "": any
+	IdempotencyKey string // Idempotency-Key as it arrived; "" when the host kept it to itself
+	Team           string // from the body's or query's mark
+	Invocation     string
+	Tag            string // Accept-Language, by which a test tells equal calls apart
+	Method         string
+	Path           string
+	Started        time.Time
+	Ended          time.Time // zero: runs, or died with the process
+	AnswerDigest   uint64    // xxhash of the answer's body; 0 until it ended
 }
 
 // Service is one instance of a plain service.
@@ -111,7 +111,7 @@
 	for _, d := range []struct {
 		v *int
 		d int
-	}{{&cfg.MaxBatch, defaultMaxBatch}, {&cfg.QueueMax, defaultQueueMax}, {&cfg.AttemptLog, defaultAttemptLog}, {&cfg.RecordMax, defaultRecordMax}} {
+	}{{&cfg.MaxConcurrent, defaultMaxBatch}, {&cfg.MaxQueue, defaultQueueMax}, {&cfg.AttemptLogSize, defaultAttemptLog}, {&cfg.MaxRecords, defaultRecordMax}} {
 		if *d.v == 0 {
 			*d.v = d.d
 		}
@@ -120,7 +120,7 @@
 	s.life, s.stop = context.WithCancel(context.Background())
 	s.srv = &http.Server{Handler: s.Handler(), ReadHeaderTimeout: 10 * time.Second}
 	s.reset()
-	if cfg.ReportEvery > 0 {
+	if cfg.ReportInterval > 0 {
 		s.loops.Go(s.reportLoop)
 	}
 	return s, nil
@@ -130,8 +130,8 @@
 	s.incarnation, s.born, s.leaving = uuid.NewString(), time.Now(), false
 	s.reborn, s.die = context.WithCancel(s.life)
 	s.running, s.waiting = 0, 0
-	s.places = make(chan struct{}, s.cfg.MaxBatch)
-	s.attempts = attempts.New[*call](s.cfg.AttemptLog)
+	s.places = make(chan struct{}, s.cfg.MaxConcurrent)
+	s.attempts = attempts.New[*call](s.cfg.AttemptLogSize)
 	s.reports, s.sequence = nil, 0
 	s.takeReport()
 }
@@ -180,10 +180,10 @@
 func (s *Service) duration(method, path string) time.Duration {
 	for _, r := range s.cfg.Routes {
 		if (r.Method == "*" || r.Method == method) && strings.HasPrefix(path, r.Prefix) {
-			return r.Time
+			return r.Duration
 		}
 	}
-	return s.cfg.Time
+	return s.cfg.DefaultDuration
 }
 
 // Executions returns a copy of the record of what ran, over all incarnations.
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -57,7 +57,7 @@
 	assert.Equal(t, ans.Digest, service.Digest([]byte(body)))
 	runs := s.Executions()
 	assert.Equal(t, len(runs), 1)
-	assert.Equal(t, runs[0].Key, "k1")
+	assert.Equal(t, runs[0].IdempotencyKey, "k1")
 }
 
 // The request is lost before it ran; its host asks, is told "unseen", and the
--- a/standin/service/state.go
+++ b/standin/service/state.go
@@ -45,8 +45,8 @@
 // CutAnswers breaks the connection of the next n calls in the middle of the answer.
 func (s *Service) CutAnswers(n int) { s.faults.set(&s.faults.cutAnswers, n) }
 
-// Cross makes a share of answers carry another call's id and content.
-func (s *Service) Cross(share float64) {
+// MismatchAnswers makes a share of answers carry another call's id and content.
+func (s *Service) MismatchAnswers(share float64) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
 	s.faults.cross = share
@@ -59,8 +59,8 @@
 // Thaw lets new connections work again after Freeze(true).
 func (s *Service) Thaw() { s.ln.Thaw() }
 
-// Leave makes the service refuse new calls for the rest of its incarnation.
-func (s *Service) Leave() {
+// Drain makes the service refuse new calls for the rest of its incarnation.
+func (s *Service) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
@@ -73,7 +73,7 @@
 	s.reset()
 	s.mu.Unlock()
 	if s.ln != nil {
-		s.ln.Sever()
+		s.ln.CloseConnections()
 	}
 }
 
@@ -87,7 +87,7 @@
 		return c
 	}
 	out := c
-	s.attempts.Newest(func(other *call) bool {
+	s.attempts.VisitNewestFirst(func(other *call) bool {
 		if other != c && other.state == engineapi.AttemptCompleted {
 			out = other
 		}
@@ -97,7 +97,7 @@
 }
 
 func (s *Service) reportLoop() {
-	tick := time.NewTicker(s.cfg.ReportEvery)
+	tick := time.NewTicker(s.cfg.ReportInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -117,7 +117,7 @@
 	s.sequence++
 	s.reports = append(s.reports, engineapi.Report{Upstream: s.cfg.Name, Incarnation: s.incarnation, Sequence: s.sequence,
 		TakenMs: time.Since(s.born).Milliseconds(), Draining: s.leaving, Role: roleService,
-		Running: s.running, Waiting: s.waiting, MaxBatch: s.cfg.MaxBatch})
+		Running: s.running, Waiting: s.waiting, MaxBatch: s.cfg.MaxConcurrent})
 	for len(s.reports) > 1 && s.old(s.reports[1]) {
 		s.reports = s.reports[1:]
 	}
@@ -129,7 +129,7 @@
 
 func (s *Service) serveReport(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	if s.cfg.ReportEvery == 0 {
+	if s.cfg.ReportInterval == 0 {
 		s.takeReport()
 	}
 	newest := s.reports[0]
--- a/standin/site/bench_test.go
+++ b/standin/site/bench_test.go
@@ -23,12 +23,12 @@
 
 func direct(b *testing.B, name string, length time.Duration) {
 	s := builtIn(b, name)
-	u, err := s.Start(site.Options{Seed: 1})
+	u, err := s.Start(site.StartOptions{Seed: 1})
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer u.Close()
-	entry := httptest.NewServer(u.Direct())
+	entry := httptest.NewServer(u.DirectHandler())
 	defer entry.Close()
 	plan, err := s.Plan(1, length)
 	if err != nil {
@@ -39,6 +39,6 @@
 	c := res.Count(u.Effects())
 	b.ReportMetric(c.Attainment, "attainment")
 	b.ReportMetric(c.ByClass["urgent"].Attainment, "urgent")
-	b.ReportMetric(s.Bound(plan), "bound")
+	b.ReportMetric(s.AttainmentBound(plan), "bound")
 	b.ReportMetric(float64(len(plan))/length.Seconds(), "requests/s")
 }
--- a/standin/site/bound.go
+++ b/standin/site/bound.go
@@ -10,13 +10,13 @@
 // bytesPerToken is what a stand-in engine takes a prompt's token to be.
 const bytesPerToken = 4
 
-// Bound is an upper bound on the attainment of any policy on a plan. It grants
+// AttainmentBound is an upper bound on the attainment of any policy on a plan. It grants
 // everything that no policy can have: all engines as one, every model ready on
 // it, batches always full, prompts cached, no distance. A request can then be
 // late only if it takes longer than its deadline when alone, or if the work of
 // all requests together is more than the engines can do before the last
 // deadline; of those, the smallest are taken first.
-func (s *Site) Bound(plan []load.Arrival) float64 {
+func (s *Site) AttainmentBound(plan []load.Arrival) float64 {
 	if len(plan) == 0 {
 		return 1
 	}
@@ -35,7 +35,7 @@
 		}
 		full := token.Seconds() * (1 + s.Engines.BatchSlope*float64(batch-1)) / float64(batch)
 		work = append(work, full*float64(a.Tokens)+prefill.Seconds())
-		end = max(end, a.At+a.Source.Deadline)
+		end = max(end, a.Offset+a.Source.Deadline)
 	}
 	slices.Sort(work)
 	left := float64(engines) * end.Seconds()
@@ -62,7 +62,7 @@
 func (s *Site) prefill(a load.Arrival) time.Duration {
 	saved := 0.0
 	if a.Prefix > 0 {
-		saved = s.Engines.PrefixSaved
+		saved = s.Engines.PrefixSavedShare
 	}
 	tokens := float64(a.PromptBytes) / bytesPerToken * (1 - saved)
 	return time.Duration(tokens * float64(s.Engines.PrefillUsToken) * float64(time.Microsecond))
--- a/standin/site/demand.go
+++ b/standin/site/demand.go
@@ -71,7 +71,7 @@
 }
 
 func (s *Site) spread(l *Line, t *config.Team, teamIndex int, stretch float64, length time.Duration) ([]load.Source, error) {
-	src := load.Source{Team: t.Name, Key: s.Key(t.Name), Kind: l.Kind, Class: l.Class, Deadline: s.deadline(l),
+	src := load.Source{Team: t.Name, APIKey: s.TeamKey(t.Name), Kind: l.Kind, Class: l.Class, Deadline: s.deadline(l),
 		Tokens: l.Tokens, PromptBytes: l.PromptBytes, Prefixes: l.Prefixes, Service: l.Service, Method: l.Method, Path: l.Path}
 	if l.Kind == load.KindService || l.Kind == load.KindOnce {
 		src.Path = splitPath(l.Path)
@@ -167,8 +167,8 @@
 	return sum / swingSamples
 }
 
-// Scaled is the site with its demand multiplied.
-func (s *Site) Scaled(by float64) *Site {
+// WithScaledDemand is the site with its demand multiplied.
+func (s *Site) WithScaledDemand(by float64) *Site {
 	out := *s
 	out.Demand.Lines = slices.Clone(s.Demand.Lines)
 	for i := range out.Demand.Lines {
--- a/standin/site/direct.go
+++ b/standin/site/direct.go
@@ -13,11 +13,11 @@
 	"peridotpier.example/standin/engine"
 )
 
-// Direct is an entry host that can't exist: it knows each engine's true state
+// DirectHandler is an entry host that can't exist: it knows each engine's true state
 // without lag and hands requests over without a network, to the holder with
 // the least load. Beside a routing policy over the same placement it shows
 // what lag and distance cost; it also calibrates demand.
-func (u *Upstreams) Direct() http.Handler {
+func (u *Upstreams) DirectHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+engineapi.PathChat, u.directGeneration)
 	mux.HandleFunc("/v1/services/{service}/{path...}", u.directCall)
@@ -41,7 +41,7 @@
 		directError(w, http.StatusServiceUnavailable, "no_upstream")
 		return
 	}
-	if most := u.Site.Engines.QueueMax; most > 0 && e.Truth().Waiting >= most {
+	if most := u.Site.Engines.MaxQueue; most > 0 && e.ActualState().Waiting >= most {
 		directError(w, http.StatusServiceUnavailable, "overloaded")
 		return
 	}
@@ -60,7 +60,7 @@
 	var best *engine.Engine
 	least := 0
 	for _, e := range u.Engines {
-		r := e.Truth()
+		r := e.ActualState()
 		if load := r.Running + r.Waiting; serves(&r, name) && (best == nil || load < least) {
 			best, least = e, load
 		}
--- a/standin/site/monitor.go
+++ b/standin/site/monitor.go
@@ -13,21 +13,21 @@
 // seconds that a load takes, so that no gap is missed.
 const monitorEvery = 50 * time.Millisecond
 
-// Truth is what was true of the upstreams during a run, from their own state
+// GroundTruth is what was true of the upstreams during a run, from their own state
 // and records alone.
-type Truth struct {
-	Overcommits []engine.Overcommit
-	Moves       int // models loaded by order
-	Adapters    int // adapters loaded by order
+type GroundTruth struct {
+	Overcommits  []engine.Overcommit
+	ModelLoads   int // models loaded by order
+	AdapterLoads int // adapters loaded by order
 	// Gaps is, by model, the longest time without a ready replica.
-	Gaps map[string]time.Duration
+	LongestGaps map[string]time.Duration
 }
 
-// Unreachable lists the models which must be ready at all times and were not.
-func (t Truth) Unreachable(c *config.Config) []string {
+// UnreachableModels lists the models which must be ready at all times and were not.
+func (t GroundTruth) UnreachableModels(c *config.Config) []string {
 	var out []string
 	for _, m := range c.Models {
-		if t.Gaps[m.Name] > time.Duration(m.MaxOnDemandSeconds)*time.Second {
+		if t.LongestGaps[m.Name] > time.Duration(m.MaxOnDemandSeconds)*time.Second {
 			out = append(out, m.Name)
 		}
 	}
@@ -35,8 +35,8 @@
 }
 
 // Monitor looks at the engines' true state until ctx ends.
-func (u *Upstreams) Monitor(ctx context.Context) Truth {
-	t := Truth{Gaps: map[string]time.Duration{}}
+func (u *Upstreams) Monitor(ctx context.Context) GroundTruth {
+	t := GroundTruth{LongestGaps: map[string]time.Duration{}}
 	since := map[string]time.Time{} // when a model was last seen ready
 	began := time.Now()
 	for _, m := range u.Config.Models {
@@ -51,7 +51,7 @@
 			if ready[m.Name] {
 				since[m.Name] = now
 			}
-			t.Gaps[m.Name] = max(t.Gaps[m.Name], now.Sub(since[m.Name]))
+			t.LongestGaps[m.Name] = max(t.LongestGaps[m.Name], now.Sub(since[m.Name]))
 		}
 		select {
 		case <-tick.C:
@@ -65,7 +65,7 @@
 func (u *Upstreams) ready() map[string]bool {
 	out := map[string]bool{}
 	for _, e := range u.Engines {
-		r := e.Truth()
+		r := e.ActualState()
 		for _, res := range r.Residents {
 			if res.Adapter == "" && res.State == engineapi.StateReady && !r.Draining {
 				out[res.Model] = true
@@ -75,11 +75,11 @@
 	return out
 }
 
-func (u *Upstreams) sum(t *Truth) {
+func (u *Upstreams) sum(t *GroundTruth) {
 	for _, e := range u.Engines {
 		r := e.Records()
 		t.Overcommits = append(t.Overcommits, r.Overcommits...)
-		t.Moves += r.Loads
-		t.Adapters += r.AdapterLoads
+		t.ModelLoads += r.Loads
+		t.AdapterLoads += r.AdapterLoads
 	}
 }
--- a/standin/site/nodes.go
+++ b/standin/site/nodes.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// Nodes are the entry hosts under test, however they are run, by host number.
-type Nodes interface {
+// HostController are the entry hosts under test, however they are run, by host number.
+type HostController interface {
 	// Kill ends one host without a word.
 	Kill(host int) error
 	// Stop shuts one host down gracefully and returns when it has ended.
--- a/standin/site/scenario.go
+++ b/standin/site/scenario.go
@@ -13,7 +13,7 @@
 // StoreFaults is the platform's table service and object store, which can be made to fail.
 type StoreFaults interface {
 	// OutageFor makes them unavailable for a while.
-	OutageFor(d time.Duration)
+	StartOutage(d time.Duration)
 	// LoseAnswers makes a share of the writes take effect and be answered as in doubt.
 	LoseAnswers(share float64)
 }
@@ -22,7 +22,7 @@
 // need them are then left out.
 type Targets struct {
 	Upstreams *Upstreams
-	Nodes     Nodes
+	Hosts     HostController
 	Store     StoreFaults
 }
 
@@ -41,25 +41,25 @@
 
 // Fault is one step that was taken, for a run's record.
 type Fault struct {
-	At   time.Duration
-	What string
-	Err  error
+	At          time.Duration
+	Description string
+	Err         error
 }
 
-// All names the faults that a site must stand together.
-const All = "all"
+// AllScenarios names the faults that a site must stand together.
+const AllScenarios = "all"
 
 // together are the scenarios that All stands for.
 var together = []string{"kill", "store", "answers", "silent", "crossed"}
 
 // Scenarios lists the names that FindScenario knows.
-func Scenarios() []string { return append(slices.Sorted(maps.Keys(scenarios())), All) }
+func Scenarios() []string { return append(slices.Sorted(maps.Keys(scenarios())), AllScenarios) }
 
 // FindScenario finds a scenario by its name; several names joined by "+" run together.
 func FindScenario(name string) (Scenario, error) {
 	out := Scenario{Name: name}
 	known := scenarios()
-	if name == All {
+	if name == AllScenarios {
 		name = strings.Join(together, "+")
 	}
 	for _, part := range strings.Split(name, "+") {
@@ -85,7 +85,7 @@
 			timer.Stop()
 			return done
 		}
-		done = append(done, Fault{At: time.Since(began), What: st.what, Err: st.do(ctx, t, length)})
+		done = append(done, Fault{At: time.Since(began), Description: st.what, Err: st.do(ctx, t, length)})
 	}
 	return done
 }
@@ -108,9 +108,9 @@
 			{0.60, "engine 1 restarts with empty memory", engineAt(1, func(i int, t Targets) { t.Upstreams.Engines[i].Restart() })},
 		},
 		"leave": {
-			{0.40, "engine 0 leaves", engineAt(0, func(i int, t Targets) { t.Upstreams.Engines[i].Leave() })},
+			{0.40, "engine 0 leaves", engineAt(0, func(i int, t Targets) { t.Upstreams.Engines[i].Drain() })},
 			{0.70, "service 0 leaves", func(_ context.Context, t Targets, _ time.Duration) error {
-				t.Upstreams.Services[0].Leave()
+				t.Upstreams.Services[0].Drain()
 				return nil
 			}},
 		},
@@ -119,11 +119,11 @@
 			{0.60, "open connections to all engines and services go silent", freezeAll},
 		},
 		"crossed": {
-			{0.20, "one answer in fifty is crossed", engines(func(i int, t Targets) { t.Upstreams.Engines[i].Cross(0.02) })},
-			{0.80, "answers are no longer crossed", engines(func(i int, t Targets) { t.Upstreams.Engines[i].Cross(0) })},
+			{0.20, "one answer in fifty is crossed", engines(func(i int, t Targets) { t.Upstreams.Engines[i].MismatchAnswers(0.02) })},
+			{0.80, "answers are no longer crossed", engines(func(i int, t Targets) { t.Upstreams.Engines[i].MismatchAnswers(0) })},
 		},
 		"cut": {
-			{0.20, "streams break after 20 events", engines(func(i int, t Targets) { t.Upstreams.Engines[i].CutStream(20) })},
+			{0.20, "streams break after 20 events", engines(func(i int, t Targets) { t.Upstreams.Engines[i].CutStreamsAfter(20) })},
 			{0.50, "streams hold again; 20 answers of each service are lost", loseAnswers},
 		},
 		"store":   {{0.30, "the store is down for 20 s", storeOutage}},
@@ -176,7 +176,7 @@
 
 func loseAnswers(_ context.Context, t Targets, _ time.Duration) error {
 	for _, e := range t.Upstreams.Engines {
-		e.CutStream(0)
+		e.CutStreamsAfter(0)
 	}
 	for _, s := range t.Upstreams.Services {
 		s.LoseAnswers(20)
@@ -189,7 +189,7 @@
 
 func storeOutage(_ context.Context, t Targets, length time.Duration) error {
 	if t.Store != nil {
-		t.Store.OutageFor(min(outage, length/3))
+		t.Store.StartOutage(min(outage, length/3))
 	}
 	return nil
 }
@@ -208,19 +208,19 @@
 
 func killHost(host int) action {
 	return func(_ context.Context, t Targets, _ time.Duration) error {
-		if t.Nodes == nil {
+		if t.Hosts == nil {
 			return nil
 		}
-		return t.Nodes.Kill(host)
+		return t.Hosts.Kill(host)
 	}
 }
 
 func replaceHost(host int) action {
 	return func(ctx context.Context, t Targets, _ time.Duration) error {
-		if t.Nodes == nil {
+		if t.Hosts == nil {
 			return nil
 		}
-		return t.Nodes.Replace(ctx, host)
+		return t.Hosts.Replace(ctx, host)
 	}
 }
 
@@ -231,8 +231,8 @@
 }
 
 func stopHost(ctx context.Context, t Targets, _ time.Duration) error {
-	if t.Nodes == nil {
+	if t.Hosts == nil {
 		return nil
 	}
-	return t.Nodes.Stop(ctx, 1)
+	return t.Hosts.Stop(ctx, 1)
 }
--- a/standin/site/scenario_test.go
+++ b/standin/site/scenario_test.go
@@ -17,20 +17,20 @@
 
 // Every scenario must do to the upstreams what its steps say, in their order.
 func TestScenariosTakeTheirSteps(t *testing.T) {
-	u, err := builtIn(t, "kathmandu").Start(site.Options{Seed: 1})
+	u, err := builtIn(t, "kathmandu").Start(site.StartOptions{Seed: 1})
 	assert.NilError(t, err)
 	defer u.Close()
-	before := u.Engines[0].Truth().Incarnation
+	before := u.Engines[0].ActualState().Incarnation
 	for _, name := range site.Scenarios() {
 		s, err := site.FindScenario(name)
 		assert.NilError(t, err)
 		for i, f := range s.Run(t.Context(), site.Targets{Upstreams: u}, time.Millisecond) {
-			assert.NilError(t, f.Err, "%s: step %d: %s", name, i, f.What)
+			assert.NilError(t, f.Err, "%s: step %d: %s", name, i, f.Description)
 		}
 	}
-	after := u.Engines[0].Truth()
+	after := u.Engines[0].ActualState()
 	assert.Assert(t, after.Incarnation != before)
 	assert.Equal(t, len(after.Residents), 0)
 	assert.Assert(t, !after.Draining) // "restart" comes after "leave", and a new process doesn't leave
-	assert.Assert(t, u.Engines[2].Truth().Incarnation != "")
+	assert.Assert(t, u.Engines[2].ActualState().Incarnation != "")
 }
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -49,28 +49,28 @@
 // Engines states how the site's model engines behave. Their names, memory,
 // batch, fencing and the models' speeds stand in the deployment.
 type Engines struct {
-	MBPerSecond     int     `json:"mb_per_second"`      // one load's speed
-	UnloadMs        int     `json:"unload_ms"`          // until memory is free
-	BatchSlope      float64 `json:"batch_slope"`        // share of the step time that each further stream adds
-	PrefillUsToken  int     `json:"prefill_us_token"`   // microseconds for one prompt token
-	PrefixSlots     int     `json:"prefix_slots"`       // cached prefixes
-	PrefixSaved     float64 `json:"prefix_saved"`       // share of prefill that a cached prefix saves
-	QueueMax        int     `json:"queue_max"`          // waiting requests
-	ReportEveryMs   int     `json:"report_every_ms"`    // of reports
-	ReportLagMs     int     `json:"report_lag_ms"`      // how late reports are
-	EventLagMs      int     `json:"event_lag_ms"`       // of cache events
-	EventLoss       float64 `json:"event_loss"`         // share of cache events that never come
-	ResumeForMs     int     `json:"resume_for_ms"`      // how long a stream without a reader goes on
-	OrdersLateBound int     `json:"orders_late_max_ms"` // how late an order may come that is given up as lost
+	MBPerSecond      int     `json:"mb_per_second"`      // one load's speed
+	UnloadMs         int     `json:"unload_ms"`          // until memory is free
+	BatchSlope       float64 `json:"batch_slope"`        // share of the step time that each further stream adds
+	PrefillUsToken   int     `json:"prefill_us_token"`   // microseconds for one prompt token
+	PrefixSlots      int     `json:"prefix_slots"`       // cached prefixes
+	PrefixSavedShare float64 `json:"prefix_saved"`       // share of prefill that a cached prefix saves
+	MaxQueue         int     `json:"queue_max"`          // waiting requests
+	ReportIntervalMs int     `json:"report_every_ms"`    // of reports
+	ReportLagMs      int     `json:"report_lag_ms"`      // how late reports are
+	EventLagMs       int     `json:"event_lag_ms"`       // of cache events
+	EventLoss        float64 `json:"event_loss"`         // share of cache events that never come
+	ResumeWindowMs   int     `json:"resume_for_ms"`      // how long a stream without a reader goes on
+	OrderMaxDelayMs  int     `json:"orders_late_max_ms"` // how late an order may come that is given up as lost
 }
 
 // Service states how the instances of one plain service behave.
 type Service struct {
-	Name          string         `json:"name"` // as in the deployment
-	Ms            int            `json:"ms"`   // time of a call that no route names
-	ReportEveryMs int            `json:"report_every_ms"`
-	ReportLagMs   int            `json:"report_lag_ms"`
-	Routes        []ServiceRoute `json:"routes"`
+	Name             string         `json:"name"` // as in the deployment
+	Ms               int            `json:"ms"`   // time of a call that no route names
+	ReportIntervalMs int            `json:"report_every_ms"`
+	ReportLagMs      int            `json:"report_lag_ms"`
+	Routes           []ServiceRoute `json:"routes"`
 }
 
 // ServiceRoute states how long calls to a part of a service take.
@@ -133,9 +133,9 @@
 		}
 	}
 	for _, t := range s.Deployment.Teams {
-		sum := sha256.Sum256([]byte(s.Key(t.Name)))
+		sum := sha256.Sum256([]byte(s.TeamKey(t.Name)))
 		if !slices.Contains(t.KeyHashes, hex.EncodeToString(sum[:])) {
-			fault("deployment: team %q does not accept the key %q", t.Name, s.Key(t.Name))
+			fault("deployment: team %q does not accept the key %q", t.Name, s.TeamKey(t.Name))
 		}
 	}
 	for i, svc := range s.Services {
@@ -149,8 +149,8 @@
 	return errors.Join(errs...)
 }
 
-// Key is a team's API key.
-func (s *Site) Key(team string) string { return s.KeyPrefix + team }
+// TeamKey is a team's API key.
+func (s *Site) TeamKey(team string) string { return s.KeyPrefix + team }
 
 // RoundTrip is the distance between two places; within one it is 0.
 func (s *Site) RoundTrip(from, to string) time.Duration {
--- a/standin/site/site_test.go
+++ b/standin/site/site_test.go
@@ -87,12 +87,12 @@
 func TestStartPlacesEverythingWithinMemory(t *testing.T) {
 	for _, name := range []string{"taipei", "kathmandu"} {
 		s := builtIn(t, name)
-		u, err := s.Start(site.Options{Seed: 1})
+		u, err := s.Start(site.StartOptions{Seed: 1})
 		assert.NilError(t, err)
 		defer u.Close()
 		ready := map[string]bool{}
 		for _, e := range u.Engines {
-			r := e.Truth()
+			r := e.ActualState()
 			assert.Assert(t, r.UsedMB <= r.MemoryMB)
 			assert.Equal(t, len(e.Records().Overcommits), 0)
 			for _, res := range r.Residents {
@@ -116,12 +116,12 @@
 	s := builtIn(t, "kathmandu")
 	plan, err := s.Plan(1, time.Minute)
 	assert.NilError(t, err)
-	assert.Equal(t, s.Bound(plan), 1.0)
+	assert.Equal(t, s.AttainmentBound(plan), 1.0)
 	var many []load.Arrival
 	for range 100 {
 		many = append(many, plan...)
 	}
-	assert.Assert(t, s.Bound(many) < 0.9)
+	assert.Assert(t, s.AttainmentBound(many) < 0.9)
 }
 
 // The site files repeat the deployments of examples/; were the two to drift
--- a/standin/site/upstreams.go
+++ b/standin/site/upstreams.go
@@ -14,15 +14,15 @@
 	"peridotpier.example/standin/wire"
 )
 
-// Options of starting a site's upstreams.
-type Options struct {
+// StartOptions of starting a site's upstreams.
+type StartOptions struct {
 	Seed    uint64
 	Weights engine.Weights // nil: loads need no grant
 	// Oracle makes every report true and immediate: what a policy reaches then
 	// is the upper bound of what it could reach with lagged reports.
 	Oracle bool
 	// Empty leaves out the initial placement, for policies that load on demand.
-	Empty bool
+	SkipPlacement bool
 }
 
 // Upstreams are a site's engines and plain services, running on loopback.
@@ -36,7 +36,7 @@
 }
 
 // Start starts all upstreams of the site.
-func (s *Site) Start(opt Options) (*Upstreams, error) {
+func (s *Site) Start(opt StartOptions) (*Upstreams, error) {
 	u := &Upstreams{Site: s, Config: s.Deployment, began: time.Now(), centre: map[string]string{}}
 	u.Config.Upstreams = slices.Clone(s.Deployment.Upstreams)
 	kinds := map[string]config.PoolKind{}
@@ -57,7 +57,7 @@
 		}
 		u.centre[up.Address] = up.DataCentre
 	}
-	if opt.Empty {
+	if opt.SkipPlacement {
 		return u, nil
 	}
 	if err := u.place(); err != nil {
@@ -67,16 +67,16 @@
 	return u, nil
 }
 
-func (u *Upstreams) startEngine(up *config.Upstream, opt Options, index uint64) error {
+func (u *Upstreams) startEngine(up *config.Upstream, opt StartOptions, index uint64) error {
 	c := u.Site.Engines
 	cfg := engine.Config{Name: up.Name, MemoryMB: up.MemoryMB, MBPerSecond: c.MBPerSecond, Weights: opt.Weights,
-		UnloadTime: ms(c.UnloadMs), Fencing: up.Fencing, MaxBatch: up.MaxBatch, QueueMax: c.QueueMax,
+		UnloadTime: ms(c.UnloadMs), Fencing: up.Fencing, MaxBatch: up.MaxBatch, MaxQueue: c.MaxQueue,
 		TokenTimes: u.Site.tokenTimes(), BatchSlope: c.BatchSlope,
-		PrefillPerToken: time.Duration(c.PrefillUsToken) * time.Microsecond, PrefixSlots: c.PrefixSlots, PrefixSaved: c.PrefixSaved,
-		ReportEvery: ms(c.ReportEveryMs), ReportLag: ms(c.ReportLagMs), EventLag: ms(c.EventLagMs), EventLoss: c.EventLoss,
-		ResumeFor: ms(c.ResumeForMs), FlushTokens: 1, Seed: opt.Seed*1000 + index}
+		PrefillPerToken: time.Duration(c.PrefillUsToken) * time.Microsecond, PrefixSlots: c.PrefixSlots, PrefixSavedShare: c.PrefixSavedShare,
+		ReportInterval: ms(c.ReportIntervalMs), ReportLag: ms(c.ReportLagMs), EventLag: ms(c.EventLagMs), EventLoss: c.EventLoss,
+		ResumeWindow: ms(c.ResumeWindowMs), FlushTokens: 1, Seed: opt.Seed*1000 + index}
 	if opt.Oracle {
-		cfg.ReportEvery, cfg.ReportLag, cfg.EventLag, cfg.EventLoss = 0, 0, 0, 0
+		cfg.ReportInterval, cfg.ReportLag, cfg.EventLag, cfg.EventLoss = 0, 0, 0, 0
 	}
 	e, err := engine.New(cfg)
 	if err != nil {
@@ -104,19 +104,19 @@
 	return out
 }
 
-func (u *Upstreams) startService(up *config.Upstream, opt Options, index uint64) error {
-	cfg := service.Config{Name: up.Name, MaxBatch: up.MaxBatch, Seed: opt.Seed*1000 + index}
+func (u *Upstreams) startService(up *config.Upstream, opt StartOptions, index uint64) error {
+	cfg := service.Config{Name: up.Name, MaxConcurrent: up.MaxBatch, Seed: opt.Seed*1000 + index}
 	for _, c := range u.Site.Services {
 		if c.Name != u.serviceOf(up.Pool) {
 			continue
 		}
-		cfg.Time, cfg.ReportEvery, cfg.ReportLag = ms(c.Ms), ms(c.ReportEveryMs), ms(c.ReportLagMs)
+		cfg.DefaultDuration, cfg.ReportInterval, cfg.ReportLag = ms(c.Ms), ms(c.ReportIntervalMs), ms(c.ReportLagMs)
 		for _, r := range c.Routes {
-			cfg.Routes = append(cfg.Routes, service.Route{Method: r.Method, Prefix: r.Prefix, Time: ms(r.Ms)})
+			cfg.Routes = append(cfg.Routes, service.Route{Method: r.Method, Prefix: r.Prefix, Duration: ms(r.Ms)})
 		}
 	}
 	if opt.Oracle {
-		cfg.ReportEvery, cfg.ReportLag = 0, 0
+		cfg.ReportInterval, cfg.ReportLag = 0, 0
 	}
 	svc, err := service.New(cfg)
 	if err != nil {
--- a/standin/speed/parts.go
+++ b/standin/speed/parts.go
@@ -20,19 +20,19 @@
 	if err != nil {
 		return err
 	}
-	rep.IdleMB, rep.IdleStreams = before.residentKB/1024, cfg.Streams
+	rep.IdleMB, rep.IdleStreams = before.residentKB/1024, cfg.IdleStreams
 	streams, stop := context.WithCancel(ctx)
 	f := &flow{caller: c, address: cfg.Layout.Entries[1].Caller, model: modelIdle, tokens: 1000}
-	f.start(streams, cfg.Streams)
+	f.start(streams, cfg.IdleStreams)
 	defer f.wg.Wait()
 	defer stop()
-	for f.opened.Load() < int64(cfg.Streams) && f.failed() == nil {
+	for f.opened.Load() < int64(cfg.IdleStreams) && f.failed() == nil {
 		if !pace.Sleep(ctx, settle/10) {
 			return ctx.Err()
 		}
 	}
 	after, err := collected(ctx, cfg, c)
-	n := float64(cfg.Streams)
+	n := float64(cfg.IdleStreams)
 	rep.StackKBPerIdleStream = (after.stacksKB - before.stacksKB) / n
 	rep.KBPerIdleStream = (after.usedKB - before.usedKB) / n
 	rep.ResidentKBPerIdleStream = (after.residentKB - before.residentKB) / n
@@ -59,39 +59,39 @@
 }
 
 // relay measures one core's relaying through the first host.
-func relay(ctx context.Context, cfg Config, f *flow, streams int) (Relayed, error) {
+func relay(ctx context.Context, cfg Config, f *flow, streams int) (Throughput, error) {
 	ctx, stop := context.WithCancel(ctx)
 	f.caller, f.address = newCaller(cfg.Layout), cfg.Layout.Entries[0].Caller
 	f.start(ctx, streams)
 	defer f.wg.Wait()
 	defer stop()
 	if !pace.Sleep(ctx, settle) {
-		return Relayed{}, ctx.Err()
+		return Throughput{}, ctx.Err()
 	}
-	cpu, err := processorTime(cfg.OneCore)
+	cpu, err := processorTime(cfg.OneCorePID)
 	if err != nil {
-		return Relayed{}, err
+		return Throughput{}, err
 	}
 	began, seen := time.Now(), f.seen.Load()
-	if !pace.Sleep(ctx, cfg.Length) {
-		return Relayed{}, ctx.Err()
+	if !pace.Sleep(ctx, cfg.Duration) {
+		return Throughput{}, ctx.Err()
 	}
 	took, seen := time.Since(began), f.seen.Load()-seen
-	after, err := processorTime(cfg.OneCore)
+	after, err := processorTime(cfg.OneCorePID)
 	if err == nil {
 		err = f.failed()
 	}
-	return Relayed{Streams: streams, TokensPerSecond: float64(seen) / took.Seconds(), CPUShare: (after - cpu).Seconds() / took.Seconds()}, err
+	return Throughput{Streams: streams, TokensPerSecond: float64(seen) / took.Seconds(), CPUShare: (after - cpu).Seconds() / took.Seconds()}, err
 }
 
 func measurePaced(ctx context.Context, cfg Config, rep *Report) (err error) {
 	const tokens = 2000 // 20 s: longer than the measurement
-	rep.Paced, err = relay(ctx, cfg, &flow{model: modelPaced, tokens: tokens}, cfg.Paced)
+	rep.Paced, err = relay(ctx, cfg, &flow{model: modelPaced, tokens: tokens}, cfg.PacedStreams)
 	return err
 }
 
 func measureFast(ctx context.Context, cfg Config, rep *Report) (err error) {
-	rep.Fast, err = relay(ctx, cfg, &flow{model: modelFast, tokens: 4000}, cfg.Fast)
+	rep.Fast, err = relay(ctx, cfg, &flow{model: modelFast, tokens: 4000}, cfg.FastStreams)
 	return err
 }
 
@@ -104,9 +104,9 @@
 	for _, f := range []*first{direct, host} {
 		f.times = hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 	}
-	gap := time.Second / time.Duration(2*cfg.Rate)
-	n := int(cfg.Length.Seconds()) * 2 * cfg.Rate
-	warm := int(settle.Seconds()) * 2 * cfg.Rate
+	gap := time.Second / time.Duration(2*cfg.RequestsPerSecond)
+	n := int(cfg.Duration.Seconds()) * 2 * cfg.RequestsPerSecond
+	warm := int(settle.Seconds()) * 2 * cfg.RequestsPerSecond
 	began := time.Now()
 	var wg sync.WaitGroup
 	for i := range warm + n {
--- a/standin/speed/proc.go
+++ b/standin/speed/proc.go
@@ -27,7 +27,7 @@
 
 // memoryOf asks the second host, and the system about it.
 func memoryOf(ctx context.Context, cfg Config, c *caller) (memory, error) {
-	resident, err := residentKB(cfg.Free)
+	resident, err := residentKB(cfg.UnrestrictedPID)
 	if err != nil {
 		return memory{}, err
 	}
--- a/standin/speed/speed.go
+++ b/standin/speed/speed.go
@@ -22,14 +22,14 @@
 
 // Config says what to measure.
 type Config struct {
-	Layout  *local.Layout // its first host runs with GOMAXPROCS=1, its second as it likes
-	OneCore int           // process id of the first host
-	Free    int           // process id of the second
-	Length  time.Duration // of each part
-	Rate    int           // requests a second for the time to the first byte
-	Streams int           // idle streams
-	Paced   int           // paced streams, of 100 tokens a second each
-	Fast    int           // fast streams at once
+	Layout            *local.Layout // its first host runs with GOMAXPROCS=1, its second as it likes
+	OneCorePID        int           // process id of the first host
+	UnrestrictedPID   int           // process id of the second
+	Duration          time.Duration // of each part
+	RequestsPerSecond int           // requests a second for the time to the first byte
+	IdleStreams       int           // idle streams
+	PacedStreams      int           // paced streams, of 100 tokens a second each
+	FastStreams       int           // fast streams at once
 }
 
 // Report is what was measured.
@@ -39,16 +39,16 @@
 	KBPerIdleStream         float64        `json:"kb_per_idle_stream"`       // live heap and stacks that each adds
 	StackKBPerIdleStream    float64        `json:"stack_kb_per_idle_stream"` // part of it
 	ResidentKBPerIdleStream float64        `json:"rss_kb_per_idle_stream"`   // resident memory, garbage and all
-	Rate                    int            `json:"requests_per_second"`      // of the times below
+	RequestsPerSecond       int            `json:"requests_per_second"`      // of the times below
 	DirectMs                load.Quantiles `json:"direct_first_byte_ms"`     // engine called without a host
 	HostMs                  load.Quantiles `json:"host_first_byte_ms"`       // through a host, in the same run
 	AddedMs                 load.Quantiles `json:"added_first_byte_ms"`      // difference of the quantiles
-	Paced                   Relayed        `json:"paced"`                    // each token on its own, in time
-	Fast                    Relayed        `json:"fast"`                     // as many as the host can
+	Paced                   Throughput     `json:"paced"`                    // each token on its own, in time
+	Fast                    Throughput     `json:"fast"`                     // as many as the host can
 }
 
-// Relayed is what a host on one core relayed.
-type Relayed struct {
+// Throughput is what a host on one core relayed.
+type Throughput struct {
 	Streams         int     `json:"streams"`
 	TokensPerSecond float64 `json:"tokens_per_second"`
 	CPUShare        float64 `json:"cpu_share"` // of the host's one core
@@ -60,10 +60,10 @@
 		return Report{}, eris.New("two entry hosts are needed")
 	}
 	b := local.NewReadyBalancer(cfg.Layout)
-	if err := b.AwaitAll(ctx); err != nil {
+	if err := b.AwaitAllReady(ctx); err != nil {
 		return Report{}, eris.Wrap(err, "wait for the hosts")
 	}
-	rep := Report{Rate: cfg.Rate}
+	rep := Report{RequestsPerSecond: cfg.RequestsPerSecond}
 	for _, part := range []func(context.Context, Config, *Report) error{measureMemory, measureFirstByte, measurePaced, measureFast} {
 		if err := part(ctx, cfg, &rep); err != nil {
 			return rep, err
--- a/standin/wire/wire.go
+++ b/standin/wire/wire.go
@@ -56,8 +56,8 @@
 	l.freeze = false
 }
 
-// Sever closes every accepted connection, as when a process dies.
-func (l *Listener) Sever() {
+// CloseConnections closes every accepted connection, as when a process dies.
+func (l *Listener) CloseConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
--- a/standin/wire/wire_test.go
+++ b/standin/wire/wire_test.go
@@ -20,7 +20,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	l := wire.NewListener(ln)
-	t.Cleanup(func() { _ = l.Close(); l.Sever() })
+	t.Cleanup(func() { _ = l.Close(); l.CloseConnections() })
 	go func() {
 		for {
 			c, err := l.Accept()
