--- a/node/host/callers_test.go
+++ b/node/host/callers_test.go
@@ -20,14 +20,14 @@
 	"peridotpier.example/node/metrics"
 )
 
-// testID is the header that the tests' requests carry their id in.
+// testID is the header with a test request's id.
 const testID = "Test-Id"
 
-// rig is a callers' listener with a handler of the test's.
+// rig is a callerServer with a handler of the test, and what it logs and counts.
 type rig struct {
 	t       *testing.T
 	ln      net.Listener
-	callers *callers
+	callers *callerServer
 	lines   *observer.ObservedLogs
 	set     *metrics.Set
 }
@@ -42,7 +42,7 @@
 	core, lines := observer.New(zap.DebugLevel)
 	r := &rig{t: t, ln: ln, lines: lines, set: metrics.New()}
 	conns := newConnLog(event.NewLog(zap.New(core)), r.set, func(h http.Header) string { return h.Get(testID) })
-	r.callers = newCallers(ln, h, func() time.Duration { return 0 }, conns)
+	r.callers = newCallerServer(ln, h, func() time.Duration { return 0 }, conns)
 	served := make(chan error, 1)
 	go func() { served <- r.callers.serve() }()
 	t.Cleanup(func() {
@@ -74,8 +74,8 @@
 	return resp
 }
 
-// until waits for the connections to be as wanted.
-func (r *rig) until(want connCounts) {
+// waitForCounts waits until the counts of connections are as wanted.
+func (r *rig) waitForCounts(want connCounts) {
 	poll.WaitOn(r.t, func(poll.LogT) poll.Result {
 		if n := r.callers.conns.counts(); n != want {
 			return poll.Continue("is %+v", n)
@@ -84,8 +84,8 @@
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(5*time.Second))
 }
 
-// answering says whether a handler has returned and its answer is not written.
-func (r *rig) answering() bool {
+// hasAnsweringConn reports whether a handler has returned whose answer is not written.
+func (r *rig) hasAnsweringConn() bool {
 	r.callers.conns.mu.Lock()
 	defer r.callers.conns.mu.Unlock()
 	for t := range r.callers.conns.open {
@@ -96,8 +96,8 @@
 	return false
 }
 
-// counted waits for a line of the metrics.
-func (r *rig) counted(line string) {
+// waitForMetric waits until the metrics contain a line.
+func (r *rig) waitForMetric(line string) {
 	poll.WaitOn(r.t, func(poll.LogT) poll.Result {
 		var text strings.Builder
 		r.set.WriteText(&text)
@@ -108,20 +108,21 @@
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(5*time.Second))
 }
 
-// one returns the fields of the only line about a connection.
-func (r *rig) one() map[string]any {
+// onlyLine returns the fields of the only log line about a connection.
+func (r *rig) onlyLine() map[string]any {
 	found := r.lines.FilterMessage(event.CallerConnectionClosed.Name).All()
 	assert.Equal(r.t, len(found), 1, "%v", found)
 	return found[0].ContextMap()
 }
 
-func (r *rig) silent() {
+func (r *rig) assertNoLine() {
 	found := r.lines.FilterMessage(event.CallerConnectionClosed.Name).All()
 	assert.Equal(r.t, len(found), 0, "%v", found)
 }
 
-// is compares the fields that do not depend on time.
-func is(t *testing.T, got map[string]any, want map[string]any) {
+// assertFields checks that the wanted fields, which must not depend on time, have
+// their values.
+func assertFields(t *testing.T, got map[string]any, want map[string]any) {
 	t.Helper()
 	for name, v := range want {
 		assert.Equal(t, fmt.Sprint(got[name]), fmt.Sprint(v), "%s of %v", name, got)
@@ -135,17 +136,17 @@
 	c := r.dial()
 	r.send(c, get("a"))
 	r.answer(c)
-	r.until(connCounts{open: 1})
+	r.waitForCounts(connCounts{open: 1})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		r.callers.sweep(time.Now())
+		r.callers.closeExpired(time.Now())
 		if r.callers.conns.counts().open > 0 {
 			return poll.Continue("open")
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond))
-	r.counted("caller_connections_accepted_total 1")
-	r.counted("caller_connections_closed_total.idle 1")
-	r.silent()
+	r.waitForMetric("caller_connections_accepted_total 1")
+	r.waitForMetric("caller_connections_closed_total.idle 1")
+	r.assertNoLine()
 }
 
 func TestTheStopClosesIdleConnections(t *testing.T) {
@@ -154,14 +155,14 @@
 	r.send(c, get("a"))
 	r.answer(c)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		r.callers.closeIdle()
+		r.callers.drainStep()
 		if r.callers.conns.counts().open > 0 {
 			return poll.Continue("open")
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond))
-	r.counted("caller_connections_closed_total.stop 1")
-	r.silent()
+	r.waitForMetric("caller_connections_closed_total.stop 1")
+	r.assertNoLine()
 }
 
 func TestALastAnswerIsCountedOnly(t *testing.T) {
@@ -169,81 +170,77 @@
 	c := r.dial()
 	r.send(c, get("a"))
 	r.answer(c)
-	r.counted("caller_connections_closed_total.last 1")
-	r.silent()
+	r.waitForMetric("caller_connections_closed_total.last 1")
+	r.assertNoLine()
 }
 
-func TestACallerThatGoesIsCountedOnly(t *testing.T) {
+func TestACallerThatDisconnectsIsCountedOnly(t *testing.T) {
 	r := newRig(t, func(_ http.ResponseWriter, q *http.Request) {
 		<-q.Context().Done()
 		panic(http.ErrAbortHandler)
 	})
 	c := r.dial()
 	r.send(c, get("a"))
-	r.until(connCounts{open: 1, underWay: 1, unanswered: 1})
+	r.waitForCounts(connCounts{open: 1, underWay: 1, unanswered: 1})
 	assert.NilError(t, c.Close())
-	r.counted("caller_connections_closed_total.caller 1")
-	r.counted("caller_connections_closed_unanswered_total.caller 1")
-	r.silent()
+	r.waitForMetric("caller_connections_closed_total.caller 1")
+	r.waitForMetric("caller_connections_closed_unanswered_total.caller 1")
+	r.assertNoLine()
 }
 
-// Symptom: a caller gets no answer, and the host's log has nothing of it.
-// Sequence: part of a head is read; the process ends.
-// Cause: whatever has no handler is closed without a line.
+// Guards against a caller getting no answer without a log line about it: the process
+// ends when part of a request's head was read, before a handler was started.
 func TestAHalfReadRequestAtTheEndIsLogged(t *testing.T) {
 	r := newRig(t, ok)
 	fresh := r.dial()
 	c := r.dial()
 	r.send(c, "GET / HT")
-	r.until(connCounts{open: 2, underWay: 1, new: 1})
+	r.waitForCounts(connCounts{open: 2, underWay: 1, new: 1})
 	r.callers.close()
-	r.until(connCounts{})
-	is(t, r.one(), map[string]any{"reason": "end", "phase": "reading", "read_bytes": 8, "unanswered": false, "requests": 0, "request": nil,
+	r.waitForCounts(connCounts{})
+	assertFields(t, r.onlyLine(), map[string]any{"reason": "end", "phase": "reading", "read_bytes": 8, "unanswered": false, "requests": 0, "request": nil,
 		"caller": c.LocalAddr()})
-	r.counted("caller_connections_closed_total.end 2")
+	r.waitForMetric("caller_connections_closed_total.end 2")
 	assert.NilError(t, fresh.Close())
 }
 
-// Symptom: a caller gets no answer, and no line names its request.
-// Sequence: the process ends while the request's handler runs.
-// Cause: the close of its connection is not logged.
+// Guards against a caller getting no answer without a log line that names its request:
+// the process ends, and closes the connection, while the request's handler runs.
 func TestARequestCutAtTheEndIsLogged(t *testing.T) {
 	end := make(chan struct{})
 	r := newRig(t, func(http.ResponseWriter, *http.Request) { <-end })
 	defer close(end)
 	c := r.dial()
 	r.send(c, get("a"))
-	r.until(connCounts{open: 1, underWay: 1, unanswered: 1})
+	r.waitForCounts(connCounts{open: 1, underWay: 1, unanswered: 1})
 	r.callers.close()
-	is(t, r.one(), map[string]any{"reason": "end", "phase": "handling", "unanswered": true, "requests": 1, "answers": 0, "request": "a",
+	assertFields(t, r.onlyLine(), map[string]any{"reason": "end", "phase": "handling", "unanswered": true, "requests": 1, "answers": 0, "request": "a",
 		"written_bytes": 0, "read_bytes": len(get("a"))})
-	r.counted("caller_connections_closed_unanswered_total.end 1")
+	r.waitForMetric("caller_connections_closed_unanswered_total.end 1")
 }
 
-// Symptom: a caller gets no answer, and the request counts as served.
-// Sequence: its handler returns; the process ends before the server has
-// written the answer.
-// Cause: what a handler returned is not yet with the caller.
+// Guards against a request counting as served whose caller gets no answer: the process
+// ends after the handler has returned and before the server has written the answer.
 func TestAnAnswerThatIsNotWrittenAtTheEndIsLogged(t *testing.T) {
-	near, far := net.Pipe() // nobody reads at the far end, so that the answer waits to be written
+	near, far := net.Pipe() // the far end is not read, so that the write of the answer blocks
 	go func() { _, _ = io.WriteString(far, get("a")) }()
 	r := newRigAt(t, &oneConn{conn: near, done: make(chan struct{})}, ok)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if !r.answering() {
+		if !r.hasAnsweringConn() {
 			return poll.Continue("not answered yet")
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond))
-	r.until(connCounts{open: 1, underWay: 1, unanswered: 1})
+	r.waitForCounts(connCounts{open: 1, underWay: 1, unanswered: 1})
 	r.callers.close()
-	is(t, r.one(), map[string]any{"reason": "end", "phase": "answering", "unanswered": true, "written_bytes": 0, "request": "a"})
+	assertFields(t, r.onlyLine(), map[string]any{"reason": "end", "phase": "answering", "unanswered": true, "written_bytes": 0, "request": "a"})
 }
 
-// Symptom: a refused caller sees its connection reset instead of the answer.
-// Sequence: a request is refused at its head; its body is not read; the
-// process ends while the server waits before it closes the connection.
-// Cause: bytes that nobody read make the close a reset.
-func TestARefusalBesideABodyAtTheEndIsLogged(t *testing.T) {
+// Guards against a refused caller seeing a connection reset instead of the answer,
+// without a log line: a request is refused because of its head and its body is not
+// read; the process ends while the server waits before it closes the connection, and
+// the unread bytes turn the close into a reset.
+func TestARefusalWithAnUnreadBodyAtTheEndIsLogged(t *testing.T) {
 	r := newRig(t, ok)
 	track := r.callers.conns.track("a")
 	track.didRead(4096, 100, nil)
@@ -251,61 +248,61 @@
 	track.end(true)
 	track.willWrite()
 	track.didWrite(150, nil)
-	r.callers.conns.ending.Store(true)
+	r.callers.conns.processEnding.Store(true)
 	s, _ := track.close()
-	r.callers.conns.closed(track, s)
-	is(t, r.one(), map[string]any{"reason": "end", "phase": "answering", "unanswered": false, "read_bytes": 100, "written_bytes": 150, "request": "a"})
+	r.callers.conns.recordClosed(track, s)
+	assertFields(t, r.onlyLine(), map[string]any{"reason": "end", "phase": "answering", "unanswered": false, "read_bytes": 100, "written_bytes": 150, "request": "a"})
 }
 
 func TestAnAbortedRequestIsLogged(t *testing.T) {
 	r := newRig(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	c := r.dial()
 	r.send(c, get("a"))
-	r.counted("caller_connections_closed_unanswered_total.aborted 1")
-	is(t, r.one(), map[string]any{"reason": "aborted", "phase": "answering", "unanswered": true, "request": "a"})
+	r.waitForMetric("caller_connections_closed_unanswered_total.aborted 1")
+	assertFields(t, r.onlyLine(), map[string]any{"reason": "aborted", "phase": "answering", "unanswered": true, "request": "a"})
 }
 
 func TestBytesOfAClosedConnectionAreLogged(t *testing.T) {
 	r := newRig(t, ok)
 	track := r.callers.conns.track("a")
-	track.closeFor(closedStop)
+	track.setCloseCause(closedStop)
 	s, first := track.close()
 	assert.Assert(t, first)
-	r.callers.conns.closed(track, s)
-	r.silent()
+	r.callers.conns.recordClosed(track, s)
+	r.assertNoLine()
 	track.didRead(4096, 20, nil)
 	track.didRead(4096, 20, nil)
 	track.begin(http.Header{testID: {"a"}})
 	found := r.lines.FilterMessage(event.CallerConnectionClosed.Name).All()
 	assert.Equal(t, len(found), 2)
-	is(t, found[0].ContextMap(), map[string]any{"reason": "stop", "phase": "late_read", "read_bytes": 20, "unanswered": false})
-	is(t, found[1].ContextMap(), map[string]any{"reason": "stop", "phase": "late_begun", "read_bytes": 40, "unanswered": true, "request": "a"})
+	assertFields(t, found[0].ContextMap(), map[string]any{"reason": "stop", "phase": "late_read", "read_bytes": 20, "unanswered": false})
+	assertFields(t, found[1].ContextMap(), map[string]any{"reason": "stop", "phase": "late_begun", "read_bytes": 40, "unanswered": true, "request": "a"})
 }
 
-func TestAByteBeforeTheAnswerIsOfTheNextRequest(t *testing.T) {
+func TestAByteReadBeforeTheAnswerBelongsToTheNextRequest(t *testing.T) {
 	r := newRig(t, ok)
 	track := r.callers.conns.track("a")
 	track.didRead(4096, 100, nil)
 	track.begin(http.Header{testID: {"a"}})
-	track.didRead(aheadRead, 1, nil)
+	track.didRead(aheadReadSize, 1, nil)
 	track.end(true)
 	track.idle()
-	track.closeFor(closedIdle)
+	track.setCloseCause(closedIdle)
 	s, _ := track.close()
-	r.callers.conns.closed(track, s)
-	is(t, r.one(), map[string]any{"reason": "idle", "phase": "reading", "read_bytes": 1, "unanswered": false, "request": nil, "answers": 1})
+	r.callers.conns.recordClosed(track, s)
+	assertFields(t, r.onlyLine(), map[string]any{"reason": "idle", "phase": "reading", "read_bytes": 1, "unanswered": false, "request": nil, "answers": 1})
 }
 
 func TestLinesOfConnectionsAreBounded(t *testing.T) {
 	l := newConnLog(event.NewLog(nil), metrics.New(), nil)
-	for range connLinesMost {
-		assert.Assert(t, l.mayWrite(7))
+	for range maxConnLinesPerSecond {
+		assert.Assert(t, l.allowLine(7))
 	}
-	assert.Assert(t, !l.mayWrite(7))
-	assert.Assert(t, l.mayWrite(8))
+	assert.Assert(t, !l.allowLine(7))
+	assert.Assert(t, l.allowLine(8))
 }
 
-// oneConn is a listener that has one connection.
+// oneConn is a listener that accepts one connection.
 type oneConn struct {
 	conn net.Conn
 	done chan struct{}
@@ -331,16 +328,15 @@
 
 func (l *oneConn) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Symptom: a caller gets no answer; the log has a stack, and no request's id.
-// Sequence: the handler of a request panics.
-// Cause: only the HTTP server's complaint tells, which knows of no requests.
+// Guards against a panic of a handler being logged with a stack but without the
+// request's id, as the HTTP server logs it.
 func TestAPanicIsLoggedWithItsRequest(t *testing.T) {
 	r := newRig(t, func(_ http.ResponseWriter, q *http.Request) { panic("secret of " + q.Header.Get(testID)) })
 	c := r.dial()
 	r.send(c, get("a"))
 	_, err := io.ReadAll(c)
 	assert.NilError(t, err, "the connection ends without an answer")
-	r.counted("caller_connections_closed_unanswered_total.aborted 1")
+	r.waitForMetric("caller_connections_closed_unanswered_total.aborted 1")
 	found := r.lines.FilterMessage(event.HandlerPanicked.Name).All()
 	assert.Equal(t, len(found), 1)
 	fields := found[0].ContextMap()
@@ -354,14 +350,14 @@
 	r := newRig(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	c := r.dial()
 	r.send(c, get("a"))
-	r.counted("caller_connections_closed_total.aborted 1")
+	r.waitForMetric("caller_connections_closed_total.aborted 1")
 	assert.Equal(t, r.lines.FilterMessage(event.HandlerPanicked.Name).Len(), 0)
 }
 
-// Symptom: a request ends without an answer, as if its caller had left, who has not.
-// Sequence: a bound is set for reads; it passes while the server reads ahead.
-// Cause: the server takes any error of that read for the caller's end.
-func TestWhyAConnectionCountsAsEnded(t *testing.T) {
+// Guards against a request ending without an answer because its caller counts as
+// disconnected, who is not: a read deadline passes while the server reads ahead, and
+// the server treats any error of that read as the caller's disconnect.
+func TestTheReasonWhyAConnectionCountsAsClosed(t *testing.T) {
 	for want, h := range map[string]http.HandlerFunc{
 		"read_bound": func(w http.ResponseWriter, q *http.Request) {
 			_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(time.Millisecond))
@@ -381,7 +377,7 @@
 			got := make(chan string, 1)
 			r := newRig(t, func(w http.ResponseWriter, q *http.Request) {
 				h(w, q)
-				got <- connGone(q.Context())
+				got <- disconnectReason(q.Context())
 			})
 			c := r.dial()
 			r.send(c, get("a"))
@@ -389,7 +385,7 @@
 			case "caller":
 				assert.NilError(t, c.Close())
 			case "end":
-				r.until(connCounts{open: 1, underWay: 1, unanswered: 1})
+				r.waitForCounts(connCounts{open: 1, underWay: 1, unanswered: 1})
 				r.callers.close()
 			}
 			assert.Equal(t, <-got, want)
@@ -397,11 +393,10 @@
 	}
 }
 
-// Symptom: a connection is closed though its request had arrived; a refused caller
-// waits for the end of its connection.
-// Sequence: the connection's account lies between the socket and who asks it.
-// Cause: what the socket can do is not passed on.
-func TestAnAccountedConnectionDoesWhatItsSocketDoes(t *testing.T) {
+// Guards against a connection being closed although its request has arrived, and
+// against a refused caller waiting for the end of its connection: both occur if
+// callerConn hides the methods SyscallConn and CloseWrite of its socket.
+func TestACallerConnForwardsTheMethodsOfItsSocket(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
