--- a/node/callerapi/api.go
+++ b/node/callerapi/api.go
@@ -36,13 +36,13 @@
 
 // Bounds of what a caller may ask for.
 const (
-	// deadlineMost bounds a caller's own deadline; a resume token lives as long.
-	deadlineMost = 10 * time.Minute
-	// keyMost bounds an idempotency key, in bytes.
-	keyMost = 255
-	// holdMost is the largest body that is held whole, so that it can be sent
+	// maxDeadline bounds a caller's own deadline; a resume token lives as long.
+	maxDeadline = 10 * time.Minute
+	// maxKeyBytes bounds an idempotency key, in bytes.
+	maxKeyBytes = 255
+	// maxBufferedBody is the largest body that is held whole, so that it can be sent
 	// again; larger ones are passed on as they come, to one upstream only.
-	holdMost = 1 << 20
+	maxBufferedBody = 1 << 20
 )
 
 // Config is what the interface needs to know of its host.
@@ -114,21 +114,21 @@
 // New makes the interface.
 func New(cfg Config, deps Deps) *API {
 	if cfg.BodyTimeout == 0 {
-		cfg.BodyTimeout = bodyBound
+		cfg.BodyTimeout = bodyTimeout
 	}
 	a := &API{cfg: cfg, deps: deps, echo: echo.New()}
 	e := a.echo
-	e.HTTPErrorHandler = a.problem
-	e.POST("/v1/chat/completions", a.signedIn(a.generate))
-	e.POST("/v1/completions", a.signedIn(a.generate))
-	e.GET("/v1/models", a.signedIn(a.models))
-	e.GET("/v1/models/:model", a.signedIn(a.model))
-	e.Any("/v1/services/:service", a.signedIn(a.service))
-	e.Any("/v1/services/:service/*", a.signedIn(a.service))
-	e.GET("/v1/requests", a.signedIn(a.requests))
-	e.GET("/v1/requests/:id", a.signedIn(a.request))
-	e.DELETE("/v1/requests/:id", a.signedIn(a.cancel))
-	e.GET("/v1/requests/:id/stream", a.signedIn(a.resume))
+	e.HTTPErrorHandler = a.writeProblem
+	e.POST("/v1/chat/completions", a.authenticated(a.generate))
+	e.POST("/v1/completions", a.authenticated(a.generate))
+	e.GET("/v1/models", a.authenticated(a.models))
+	e.GET("/v1/models/:model", a.authenticated(a.model))
+	e.Any("/v1/services/:service", a.authenticated(a.service))
+	e.Any("/v1/services/:service/*", a.authenticated(a.service))
+	e.GET("/v1/requests", a.authenticated(a.requests))
+	e.GET("/v1/requests/:id", a.authenticated(a.request))
+	e.DELETE("/v1/requests/:id", a.authenticated(a.cancel))
+	e.GET("/v1/requests/:id/stream", a.authenticated(a.resume))
 	return a
 }
 
@@ -139,16 +139,16 @@
 // a body that drips would keep its connection and goroutine for good, though
 // the caller was refused. It is lifted once the body is there.
 func (a *API) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	defer a.tellPanic(w)
+	defer a.logPanic(w)
 	if r.ContentLength != 0 {
-		setReadBound(w, time.Now().Add(a.cfg.BodyTimeout))
+		setReadDeadline(w, time.Now().Add(a.cfg.BodyTimeout))
 	}
 	a.echo.ServeHTTP(w, r)
 }
 
-// tellPanic logs the panic of a handler with its request's id. The connection
+// logPanic logs the panic of a handler with its request's id. The connection
 // is broken off as the HTTP server has it.
-func (a *API) tellPanic(w http.ResponseWriter) {
+func (a *API) logPanic(w http.ResponseWriter) {
 	v := recover()
 	if v == nil {
 		return
--- a/node/callerapi/auth.go
+++ b/node/callerapi/auth.go
@@ -13,15 +13,15 @@
 
 const bearer = "Bearer "
 
-// signedIn finds the caller's team before anything of the request is read.
-func (a *API) signedIn(h func(*call) error) echo.HandlerFunc {
+// authenticated finds the caller's team before anything of the request is read.
+func (a *API) authenticated(h func(*call) error) echo.HandlerFunc {
 	return func(c *echo.Context) error {
 		a.deps.Metrics.Count(metrics.Requests, 1)
 		id := inflight.NewID(a.cfg.Host)
 		c.Response().Header().Set(HeaderRequestID, id)
 		state, ok := a.deps.Config.Current()
 		if !ok {
-			return fault.NotRun(fault.StepConfig, "", fault.CodeStoreUnavailable, "no configuration is in force on this host yet").WithRetryAfter(retryNoConfig)
+			return fault.NotRun(fault.StepConfig, "", fault.CodeStoreUnavailable, "no configuration is in force on this host yet").WithRetryAfter(noConfigRetryAfter)
 		}
 		key, ok := strings.CutPrefix(c.Request().Header.Get(echo.HeaderAuthorization), bearer)
 		if !ok || key == "" {
--- a/node/callerapi/body.go
+++ b/node/callerapi/body.go
@@ -12,70 +12,70 @@
 	"peridotpier.example/core/fault"
 )
 
-// bodyBound is how long a caller may take to send a body that is held whole.
+// bodyTimeout is how long a caller may take to send a body that is held whole.
 // Slower ones are given up, so that dripping bodies do not fill the host.
-const bodyBound = 30 * time.Second
+const bodyTimeout = 30 * time.Second
 
-// setReadBound bounds what is still to be read of a request; the zero time
+// setReadDeadline bounds what is still to be read of a request; the zero time
 // lifts the bound.
-func setReadBound(w http.ResponseWriter, until time.Time) {
+func setReadDeadline(w http.ResponseWriter, until time.Time) {
 	_ = http.NewResponseController(w).SetReadDeadline(until) // unsupported in tests without a connection
 }
 
 // readBody reads a body of up to most bytes whole.
-func readBody(c *call, most int64) ([]byte, error) {
+func readBody(c *call, maxBytes int64) ([]byte, error) {
 	r := c.Request()
-	if r.ContentLength > most {
-		return nil, tooLarge(most)
+	if r.ContentLength > maxBytes {
+		return nil, tooLarge(maxBytes)
 	}
 	var buf bytes.Buffer
 	if r.ContentLength > 0 {
 		buf.Grow(int(r.ContentLength) + bytes.MinRead)
 	}
-	if _, err := buf.ReadFrom(io.LimitReader(r.Body, most+1)); err != nil {
+	if _, err := buf.ReadFrom(io.LimitReader(r.Body, maxBytes+1)); err != nil {
 		var tooBig *http.MaxBytesError
 		if errors.As(err, &tooBig) {
-			return nil, tooLarge(most)
+			return nil, tooLarge(maxBytes)
 		}
 		return nil, fault.NotRun(fault.StepParse, callerPeer, fault.CodeBadRequest, "read body: %w", err)
 	}
-	if int64(buf.Len()) > most {
-		return nil, tooLarge(most)
+	if int64(buf.Len()) > maxBytes {
+		return nil, tooLarge(maxBytes)
 	}
 	// Whole: the connection is now read only to notice that the caller is gone,
 	// which must not end with the bound of the body.
-	setReadBound(c.Response(), time.Time{})
+	setReadDeadline(c.Response(), time.Time{})
 	return buf.Bytes(), nil
 }
 
-func tooLarge(most int64) error {
-	return fault.NotRun(fault.StepParse, "", fault.CodeRequestTooLarge, "body is larger than %d bytes", most)
+func tooLarge(maxBytes int64) error {
+	return fault.NotRun(fault.StepParse, "", fault.CodeRequestTooLarge, "body is larger than %d bytes", maxBytes)
 }
 
-// terms are what a caller asks for in headers.
-type terms struct {
+// requestOptions are what a caller asks for in headers.
+type requestOptions struct {
 	class    class.Class
 	deadline time.Time
 	key      string // idempotency key; "" for none
 }
 
-func (a *API) terms(c *call) (terms, error) {
+func (a *API) parseOptions(c *call) (requestOptions, error) {
 	h := c.Request().Header
 	cl, err := class.Parse(h.Get(HeaderClass))
 	if err != nil {
-		return terms{}, fault.NotRun(fault.StepParse, "", fault.CodeBadRequest, "%s: %w", HeaderClass, err)
+		return requestOptions{}, fault.NotRun(fault.StepParse, "", fault.CodeBadRequest, "%s: %w", HeaderClass, err)
 	}
-	left := time.Duration(c.state.Index.Rule(cl).DeadlineMs) * time.Millisecond
+	timeout := time.Duration(c.state.Index.Rule(cl).DeadlineMs) * time.Millisecond
 	if text := h.Get(HeaderDeadline); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 64)
-		if err != nil || ms <= 0 || ms > deadlineMost.Milliseconds() {
-			return terms{}, fault.NotRun(fault.StepParse, "", fault.CodeBadRequest, "%s: %q is not a number of milliseconds from 1 to %d", HeaderDeadline, text, deadlineMost.Milliseconds())
+		if err != nil || ms <= 0 || ms > maxDeadline.Milliseconds() {
+			return requestOptions{}, fault.NotRun(fault.StepParse, "", fault.CodeBadRequest, "%s: %q is not a number of milliseconds from 1 to %d", HeaderDeadline, text, maxDeadline.Milliseconds())
 		}
-		left = time.Duration(ms) * time.Millisecond
+		timeout = time.Duration(ms) * time.Millisecond
 	}
 	key := h.Get(HeaderIdempotencyKey)
-	if len(key) > keyMost {
-		return terms{}, fault.NotRun(fault.StepParse, "", fault.CodeBadRequest, "%s is longer than %d bytes", HeaderIdempotencyKey, keyMost)
+	if len(key) > maxKeyBytes {
+		return requestOptions{}, fault.NotRun(fault.StepParse, "", fault.CodeBadRequest, "%s is longer than %d bytes", HeaderIdempotencyKey, maxKeyBytes)
 	}
-	return terms{class: cl, deadline: a.deps.Now().Add(left), key: key}, nil
+	return requestOptions{class: cl, deadline: a.deps.Now().Add(timeout), key: key}, nil
 }
--- a/node/callerapi/fuzz_test.go
+++ b/node/callerapi/fuzz_test.go
@@ -33,34 +33,36 @@
 
 const fuzzKey = "key"
 
-// alone is a host without upstreams: all that it lets through ends as refused
+// emptyHost is a host without upstreams: all that it lets through ends as refused
 // for want of one, and shows what it was taken for.
-type alone struct {
+type emptyHost struct {
 	dispatch.View
 	index  *config.Index
 	claims int
 }
 
-func (a *alone) Current() (*query.State, bool)                                 { return &query.State{Index: a.index}, true }
-func (*alone) Freshness() revision.Freshness                                   { return revision.Confirmed }
-func (*alone) Admit(context.Context, AdmitRequest) (release func(), err error) { return func() {}, nil }
-func (*alone) Begin(place.Key)                                                 {}
-func (*alone) End(place.Key, bool)                                             {}
-func (*alone) Snapshot() *route.Snapshot                                       { return &route.Snapshot{} }
+func (a *emptyHost) Current() (*query.State, bool) { return &query.State{Index: a.index}, true }
+func (*emptyHost) Freshness() revision.Freshness   { return revision.Confirmed }
+func (*emptyHost) Admit(context.Context, AdmitRequest) (release func(), err error) {
+	return func() {}, nil
+}
+func (*emptyHost) Begin(place.Key)           {}
+func (*emptyHost) End(place.Key, bool)       {}
+func (*emptyHost) Snapshot() *route.Snapshot { return &route.Snapshot{} }
 
 type noGrant struct{ dispatch.Grant }
 
 func (noGrant) Release(context.Context) error { return nil }
 
-func (a *alone) Claim(context.Context, nodeclaim.Request) (dispatch.Grant, *nodeclaim.Answer, error) {
+func (a *emptyHost) Claim(context.Context, nodeclaim.Request) (dispatch.Grant, *nodeclaim.Answer, error) {
 	a.claims++
 	return noGrant{}, nil, nil
 }
 
-func newAlone(t testing.TB) (*API, *alone, *token.Keys) {
+func newEmptyHost(t testing.TB) (*API, *emptyHost, *token.Keys) {
 	t.Helper()
 	sum := sha256.Sum256([]byte(fuzzKey))
-	a := &alone{index: config.NewIndex(&config.Config{
+	a := &emptyHost{index: config.NewIndex(&config.Config{
 		Teams:    []config.Team{{Name: "a", KeyHashes: []string{hex.EncodeToString(sum[:])}, Models: []string{"m"}, Services: []string{"s"}}},
 		Pools:    []config.Pool{{Name: "lm", Kind: config.KindEngine}, {Name: "svc", Kind: config.KindService}},
 		Models:   []config.Model{{Name: "m", Pool: "lm"}},
@@ -79,7 +81,7 @@
 // and body. Every answer must be a typed one of the kind that says that
 // nothing ran, and no path may get past the rule of what may not be repeated.
 func FuzzCaller(f *testing.F) {
-	api, site, keys := newAlone(f)
+	api, host, keys := newEmptyHost(f)
 	resume, err := keys.Encode(token.Token{Team: "a", Request: "r", Attempt: "a", Upstream: "gone", Expires: time.Now().Add(time.Hour).Unix()})
 	assert.NilError(f, err)
 	f.Add("POST", "/v1/chat/completions", []byte(`{"model":"m","stream":true,"messages":[{"role":"user","content":"x"}]}`), "urgent", "1000", "k", "")
@@ -90,37 +92,37 @@
 	f.Add("GET", "/v1/services/s//notes/", []byte(nil), "", "", "", "")
 	f.Add("GET", "/v1/requests/TOKEN/stream", []byte(nil), "", "", "", "7")
 	f.Add("GET", "/v1/requests/TOKEN/stream", []byte(nil), "", "", "", "-7")
-	f.Fuzz(func(t *testing.T, method, at string, body []byte, class, deadline, key, last string) {
-		at = strings.Replace(at, "TOKEN", resume, 1)
+	f.Fuzz(func(t *testing.T, method, target string, body []byte, class, deadline, key, lastEventID string) {
+		target = strings.Replace(target, "TOKEN", resume, 1)
 		r := httptest.NewRequest("POST", "/", bytes.NewReader(body)).WithContext(t.Context())
-		r.Method, r.URL = method, &url.URL{Path: at}
+		r.Method, r.URL = method, &url.URL{Path: target}
 		for name, v := range map[string]string{"Authorization": "Bearer " + fuzzKey, HeaderClass: class, HeaderDeadline: deadline,
-			HeaderIdempotencyKey: key, headerLastEvent: last} {
+			HeaderIdempotencyKey: key, headerLastEvent: lastEventID} {
 			if v != "" {
 				r.Header.Set(name, v)
 			}
 		}
-		site.claims = 0
+		host.claims = 0
 		w := httptest.NewRecorder()
 		api.ServeHTTP(w, r)
-		judge(t, w, method, at)
-		below, service := strings.CutPrefix(at, "/v1/services/s/")
-		if service && method == "GET" && strings.HasPrefix(path.Clean("/"+below), "/notes") && w.Code == http.StatusServiceUnavailable {
-			assert.Assert(t, site.claims > 0, "GET %q was taken as one that may be repeated", at)
+		checkAnswer(t, w, method, target)
+		rest, service := strings.CutPrefix(target, "/v1/services/s/")
+		if service && method == "GET" && strings.HasPrefix(path.Clean("/"+rest), "/notes") && w.Code == http.StatusServiceUnavailable {
+			assert.Assert(t, host.claims > 0, "GET %q was taken as one that may be repeated", target)
 		}
 	})
 }
 
-// judge checks an answer's form.
-func judge(t *testing.T, w *httptest.ResponseRecorder, method, at string) {
+// checkAnswer checks an answer's form.
+func checkAnswer(t *testing.T, w *httptest.ResponseRecorder, method, target string) {
 	t.Helper()
 	if w.Code < http.StatusBadRequest || method == http.MethodHead {
-		assert.Assert(t, w.Code == http.StatusOK || w.Code == http.StatusNoContent || method == http.MethodHead || method == http.MethodOptions, "%s %q: %d", method, at, w.Code)
+		assert.Assert(t, w.Code == http.StatusOK || w.Code == http.StatusNoContent || method == http.MethodHead || method == http.MethodOptions, "%s %q: %d", method, target, w.Code)
 		return
 	}
 	var p Problem
-	assert.NilError(t, json.Unmarshal(w.Body.Bytes(), &p), "%s %q: %d %s", method, at, w.Code, w.Body)
-	resumed := strings.HasSuffix(at, "/stream")
+	assert.NilError(t, json.Unmarshal(w.Body.Bytes(), &p), "%s %q: %d %s", method, target, w.Code, w.Body)
+	resumed := strings.HasSuffix(target, "/stream")
 	assert.Assert(t, p.Error.Outcome == "not_run" || resumed && p.Error.Outcome == "unknown", "%s", w.Body)
 	assert.Assert(t, p.Error.Code != "internal" && p.Error.Message != "", "%s", w.Body)
 	assert.Assert(t, w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") != "", "%s", w.Body)
--- a/node/callerapi/generate.go
+++ b/node/callerapi/generate.go
@@ -24,9 +24,9 @@
 // as a team's standing instructions.
 const prefixBytes = 512
 
-// generation is what of a request body concerns its way to an engine. All
+// generationRequest is what of a request body concerns its way to an engine. All
 // else passes through as it stands.
-type generation struct {
+type generationRequest struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
 	Messages json.RawMessage `json:"messages"`
@@ -38,15 +38,15 @@
 
 // generate serves both kinds of completion.
 func (a *API) generate(c *call) error {
-	t, err := a.terms(c)
+	t, err := a.parseOptions(c)
 	if err != nil {
 		return err
 	}
-	body, err := readBody(c, min(c.state.Index.Limits.BodyBytes, holdMost))
+	body, err := readBody(c, min(c.state.Index.Limits.BodyBytes, maxBufferedBody))
 	if err != nil {
 		return err
 	}
-	var g generation
+	var g generationRequest
 	if err := json.Unmarshal(body, &g); err != nil {
 		return fault.NotRun(fault.StepParse, "", fault.CodeBadRequest, "body is not a JSON request: %w", err)
 	}
@@ -63,14 +63,14 @@
 		w.IdleStepMs = 1000 / float64(target.TokensPerSecond)
 	}
 	if t.key != "" {
-		a.claimed(c, w, t.key, body)
+		a.requireClaim(c, w, t.key, body)
 	}
 	return a.serve(c, w, g.Model)
 }
 
 // prefix hashes the beginning of a prompt, salted by team: two teams' equal
 // prompts must not look equal, or one could learn the other's by timing.
-func (a *API) prefix(team, model string, g *generation) uint64 {
+func (a *API) prefix(team, model string, g *generationRequest) uint64 {
 	text := g.Messages
 	if text == nil {
 		text = g.Prompt
@@ -82,8 +82,8 @@
 	return d.Sum64()
 }
 
-// claimed marks a request as one that may not be repeated.
-func (a *API) claimed(c *call, w *dispatch.Work, key string, body []byte) {
+// requireClaim marks a request as one that may not be repeated.
+func (a *API) requireClaim(c *call, w *dispatch.Work, key string, body []byte) {
 	w.Repeatable = false
 	w.MaxRetainedBytes = c.state.Index.Limits.AnswerBytes
 	r := nodeclaim.Request{Team: w.Team, Key: key, BodyHash: hashRequest(w, body), Deadline: w.Deadline}
@@ -112,7 +112,7 @@
 		ctx = context.WithoutCancel(ctx)
 	}
 	ctx, entry := a.deps.Requests.Begin(ctx, inflight.Request{ID: c.id, Team: w.Team, Target: target, Class: w.Class, Started: a.deps.Now()})
-	err := a.counted(ctx, c, w, entry, target)
+	err := a.countDemand(ctx, c, w, entry, target)
 	state, code := outcome.Completed, ""
 	if err != nil {
 		f := fault.From(fault.StepDispatch, err)
@@ -122,22 +122,22 @@
 	entry.End(state.String(), code)
 	switch {
 	case err == nil:
-		a.count(outcome.Completed)
+		a.countOutcome(outcome.Completed)
 	case handedOver:
 		a.handOver(c)
 	}
 	return err
 }
 
-// counted keeps the demand that the planners follow. What was refused for want
+// countDemand keeps the demand that the planners follow. What was refused for want
 // of a replica or of room counts too: it is what another replica is for.
-func (a *API) counted(ctx context.Context, c *call, w *dispatch.Work, e *inflight.Entry, target string) error {
+func (a *API) countDemand(ctx context.Context, c *call, w *dispatch.Work, e *inflight.Entry, target string) error {
 	if w.PlainService {
-		return a.admitted(ctx, c, w, e, target)
+		return a.admitAndDispatch(ctx, c, w, e, target)
 	}
 	k := place.Key{Model: w.Key.Model, Adapter: w.Key.Adapter}
 	a.deps.Demand.Begin(k)
-	err := a.admitted(ctx, c, w, e, target)
+	err := a.admitAndDispatch(ctx, c, w, e, target)
 	refused := false
 	if err != nil {
 		f := fault.From(fault.StepDispatch, err)
@@ -147,9 +147,9 @@
 	return err
 }
 
-func (a *API) admitted(ctx context.Context, c *call, w *dispatch.Work, e *inflight.Entry, target string) error {
-	if standing := a.deps.Config.Freshness(); !standing.Admits(w.Class) {
-		return fault.NotRun(fault.StepConfig, "", fault.CodeStoreUnavailable, "this host has not known for long whether its configuration is the newest (%s): it takes urgent requests only", standing).WithRetryAfter(retryNoConfig)
+func (a *API) admitAndDispatch(ctx context.Context, c *call, w *dispatch.Work, e *inflight.Entry, target string) error {
+	if freshness := a.deps.Config.Freshness(); !freshness.Admits(w.Class) {
+		return fault.NotRun(fault.StepConfig, "", fault.CodeStoreUnavailable, "this host has not known for long whether its configuration is the newest (%s): it takes urgent requests only", freshness).WithRetryAfter(noConfigRetryAfter)
 	}
 	release, err := a.deps.Admission.Admit(ctx, AdmitRequest{Team: w.Team, Class: w.Class, Pool: w.Pool, Deadline: w.Deadline})
 	if err != nil {
--- a/node/callerapi/message.go
+++ b/node/callerapi/message.go
@@ -12,11 +12,11 @@
 	"peridotpier.example/node/event"
 )
 
-// texts are what callers are told of failures behind this host. Their causes
+// failureTexts are what callers are told of failures behind this host. Their causes
 // name upstreams' and the platform's addresses, which are no business of
 // callers and would end up in their logs; operators find them in this host's
 // log under the request's id.
-var texts = map[fault.Code]map[outcome.Outcome]string{
+var failureTexts = map[fault.Code]map[outcome.Outcome]string{
 	fault.CodeUpstreamFailed: {
 		outcome.NotRun:  "no upstream could be reached; the request did not run",
 		outcome.Unknown: "the upstream failed before its answer was whole; the request may have run",
@@ -44,17 +44,17 @@
 // message is the caller's view of a fault: its own text where this host wrote
 // all of it, else the text of its code.
 func message(f *fault.Error) string {
-	if f.Err != nil && (written(f) || f.Step == fault.StepParse && !network(f.Err)) {
+	if f.Err != nil && (isOwnText(f) || f.Step == fault.StepParse && !isNetworkError(f.Err)) {
 		return f.Err.Error()
 	}
-	if t := texts[f.Code][f.Outcome]; t != "" {
+	if t := failureTexts[f.Code][f.Outcome]; t != "" {
 		return t
 	}
 	return "the request failed at step " + string(f.Step) + ": " + string(f.Code)
 }
 
-// written says whether a fault's text holds no other error's.
-func written(f *fault.Error) bool {
+// isOwnText says whether a fault's text holds no other error's.
+func isOwnText(f *fault.Error) bool {
 	if f.Peer != "" {
 		return false
 	}
@@ -62,15 +62,15 @@
 	return !joined && errors.Unwrap(f.Err) == nil
 }
 
-func network(err error) bool {
+func isNetworkError(err error) bool {
 	var n net.Error
 	return errors.As(err, &n)
 }
 
-// report logs a failure that the caller cannot be told all about.
-func (a *API) report(c *echo.Context, f *fault.Error) {
-	behind := f.Outcome == outcome.Unknown && f.Code != fault.CodeInProgress || f.Code == fault.CodeUpstreamFailed || f.Code == fault.CodeInternal
-	if !behind || f.Step == fault.StepParse || f.Peer == callerPeer {
+// logFailure logs a failure that the caller cannot be told all about.
+func (a *API) logFailure(c *echo.Context, f *fault.Error) {
+	internal := f.Outcome == outcome.Unknown && f.Code != fault.CodeInProgress || f.Code == fault.CodeUpstreamFailed || f.Code == fault.CodeInternal
+	if !internal || f.Step == fault.StepParse || f.Peer == callerPeer {
 		return
 	}
 	a.deps.Log.Emit(event.RequestFailed, zap.String("request", c.Response().Header().Get(HeaderRequestID)),
--- a/node/callerapi/panic_test.go
+++ b/node/callerapi/panic_test.go
@@ -14,24 +14,24 @@
 	"peridotpier.example/node/event"
 )
 
-// faulty is an admission that panics.
-type faulty struct{ with any }
+// panickingAdmission is an admission that panics.
+type panickingAdmission struct{ value any }
 
-func (f faulty) Admit(context.Context, AdmitRequest) (func(), error) { panic(f.with) }
+func (f panickingAdmission) Admit(context.Context, AdmitRequest) (func(), error) { panic(f.value) }
 
 // Symptom: a caller gets no answer; the log has a stack, and no request's id.
 // Sequence: the handler of a request panics.
 // Cause: only the HTTP server's complaint tells, which knows of no requests.
 func TestAPanicIsLoggedWithItsRequest(t *testing.T) {
-	api, _, _ := newAlone(t)
+	api, _, _ := newEmptyHost(t)
 	core, lines := observer.New(zap.DebugLevel)
 	api.deps.Log = event.NewLog(zap.New(core))
-	call := func(with any) (ended any, id string) {
-		api.deps.Admission = faulty{with}
+	call := func(value any) (panicked any, id string) {
+		api.deps.Admission = panickingAdmission{value}
 		r := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(`{"model":"m"}`))
 		r.Header.Set("Authorization", "Bearer "+fuzzKey)
 		w := httptest.NewRecorder()
-		defer func() { ended, id = recover(), w.Header().Get(HeaderRequestID) }()
+		defer func() { panicked, id = recover(), w.Header().Get(HeaderRequestID) }()
 		api.ServeHTTP(w, r)
 		return nil, ""
 	}
--- a/node/callerapi/problem.go
+++ b/node/callerapi/problem.go
@@ -15,8 +15,8 @@
 	"peridotpier.example/node/metrics"
 )
 
-// retryNoConfig is when to ask a host again that has just started.
-const retryNoConfig = time.Second
+// noConfigRetryAfter is when to ask a host again that has just started.
+const noConfigRetryAfter = time.Second
 
 // Problem is an error as a caller sees it: the OpenAI shape, and what is
 // known of the request's execution.
@@ -89,18 +89,18 @@
 	return fault.From(fault.StepDispatch, err)
 }
 
-// problem writes an error. Where the answer has begun, its end must not look
+// writeProblem writes an error. Where the answer has begun, its end must not look
 // clean: a stream gets the error as its last event, and in every case the
 // connection is broken off.
-func (a *API) problem(c *echo.Context, err error) {
+func (a *API) writeProblem(c *echo.Context, err error) {
 	f := asFault(err)
-	a.count(f.Outcome)
-	a.report(c, f)
+	a.countOutcome(f.Outcome)
+	a.logFailure(c, f)
 	r, _ := echo.UnwrapResponse(c.Response())
-	body := a.describe(c, f)
+	body := a.problemBody(c, f)
 	if r != nil && r.Committed {
 		if isStream(c.Response().Header()) {
-			a.lastEvent(c, body)
+			a.writeErrorEvent(c, body)
 		}
 		panic(http.ErrAbortHandler)
 	}
@@ -112,14 +112,14 @@
 	_ = c.JSON(statusOf(f.Code), body) // the caller may be gone
 }
 
-func (a *API) describe(c *echo.Context, f *fault.Error) Problem {
+func (a *API) problemBody(c *echo.Context, f *fault.Error) Problem {
 	status := statusOf(f.Code)
 	return Problem{ProblemDetail{Message: message(f), Type: typeOf(status), Code: string(f.Code), Outcome: f.Outcome.String(),
 		Step: string(f.Step), RequestID: c.Response().Header().Get(HeaderRequestID)}}
 }
 
-// lastEvent tells the caller of a stream why it ends without its end marker.
-func (a *API) lastEvent(c *echo.Context, p Problem) {
+// writeErrorEvent tells the caller of a stream why it ends without its end marker.
+func (a *API) writeErrorEvent(c *echo.Context, p Problem) {
 	data, err := json.Marshal(p)
 	if err != nil {
 		return
@@ -130,7 +130,7 @@
 	}
 }
 
-func (a *API) count(o outcome.Outcome) {
+func (a *API) countOutcome(o outcome.Outcome) {
 	switch o {
 	case outcome.NotRun:
 		a.deps.Metrics.Count(metrics.NotRun, 1)
--- a/node/callerapi/requests.go
+++ b/node/callerapi/requests.go
@@ -13,24 +13,24 @@
 	"peridotpier.example/node/inflight"
 )
 
-const listMost = 100 // requests in one list
+const maxListed = 100 // requests in one list
 
 // requests lists the team's own requests on this host.
 func (a *API) requests(c *call) error {
-	return c.JSON(http.StatusOK, map[string]any{"object": "list", "data": a.deps.Requests.List(c.team.Name, listMost)})
+	return c.JSON(http.StatusOK, map[string]any{"object": "list", "data": a.deps.Requests.List(c.team.Name, maxListed)})
 }
 
 func (a *API) request(c *call) error {
 	q, ok := a.deps.Requests.Get(c.Param("id"), c.team.Name)
 	if !ok {
-		return unknownRequest()
+		return requestNotFound()
 	}
 	return c.JSON(http.StatusOK, q)
 }
 
-// unknownRequest does not repeat the id: it may be a resume token, and errors
+// requestNotFound does not repeat the id: it may be a resume token, and errors
 // end up in callers' logs.
-func unknownRequest() error {
+func requestNotFound() error {
 	return fault.NotRun(fault.StepParse, "", fault.CodeNotFound, "this host knows no such request of your team")
 }
 
@@ -43,11 +43,11 @@
 	}
 	t, err := a.deps.Tokens.Decode(id, c.team.Name, a.deps.Now())
 	if err != nil {
-		return unknownRequest()
+		return requestNotFound()
 	}
 	u, ok := c.state.Index.Upstream(t.Upstream)
 	if !ok {
-		return unknownRequest()
+		return requestNotFound()
 	}
 	a.deps.Requests.Cancel(t.Request, c.team.Name, dispatch.ErrCancelled)
 	if err := a.deps.Dispatcher.UpstreamClient().Cancel(c.ctx(), u.Address, t.Attempt); err != nil {
@@ -73,12 +73,12 @@
 	if !ok {
 		return fault.Unknown(fault.StepResume, t.Upstream, fault.CodeOutcomeUnknown, "the upstream of this stream is gone")
 	}
-	return a.resumed(c, t, dispatch.Resumption{Attempt: t.Attempt, Upstream: t.Upstream, Address: u.Address,
+	return a.resumeStream(c, t, dispatch.Resumption{Attempt: t.Attempt, Upstream: t.Upstream, Address: u.Address,
 		DataCentre: u.DataCentre, Incarnation: t.Incarnation, After: after})
 }
 
-func (a *API) resumed(c *call, t token.Token, r dispatch.Resumption) error {
-	deadline := a.deps.Now().Add(deadlineMost)
+func (a *API) resumeStream(c *call, t token.Token, r dispatch.Resumption) error {
+	deadline := a.deps.Now().Add(maxDeadline)
 	ctx, entry := a.deps.Requests.Begin(c.ctx(), inflight.Request{ID: c.id, Team: c.team.Name, Target: t.Model, Started: a.deps.Now()})
 	w := &dispatch.Work{RequestID: t.Request, Team: t.Team, Stream: true, Deadline: deadline}
 	err := a.deps.Dispatcher.Resume(ctx, w, r, a.newSink(c, entry, t.Model, true, deadline))
--- a/node/callerapi/service.go
+++ b/node/callerapi/service.go
@@ -14,14 +14,14 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// passedOn are a caller's headers that plain services get. The team's key is
+// forwardedHeaders are a caller's headers that plain services get. The team's key is
 // not among them, nor anything that names the connection. The idempotency key
 // is passed on as the service's own safeguard.
-var passedOn = []string{"Content-Type", "Accept", "Accept-Language", "If-None-Match", "If-Modified-Since", HeaderIdempotencyKey}
+var forwardedHeaders = []string{"Content-Type", "Accept", "Accept-Language", "If-None-Match", "If-Modified-Since", HeaderIdempotencyKey}
 
 // service passes a call on to a plain service.
 func (a *API) service(c *call) error {
-	t, err := a.terms(c)
+	t, err := a.parseOptions(c)
 	if err != nil {
 		return err
 	}
@@ -37,18 +37,18 @@
 	}
 	w := &dispatch.Work{RequestID: c.id, Team: c.team.Name, Class: t.class, Pool: s.Pool, PlainService: true,
 		Method: r.Method, Path: strings.TrimSuffix(engineapi.PathService, "/") + path, Query: r.URL.RawQuery,
-		Header: passOn(r.Header), Deadline: t.deadline, Repeatable: s.Repeatable(r.Method, path)}
+		Header: forwardHeaders(r.Header), Deadline: t.deadline, Repeatable: s.Repeatable(r.Method, path)}
 	w.Header.Set(engineapi.HeaderTeam, c.team.Name)
 	if !w.Repeatable && t.key == "" {
 		return fault.NotRun(fault.StepParse, "", fault.CodeIdempotencyKeyRequired, "%s %s may not be repeated: send an %s", r.Method, path, HeaderIdempotencyKey)
 	}
-	if err := a.takeBody(c, w); err != nil {
+	if err := a.attachBody(c, w); err != nil {
 		return err
 	}
 	if !w.Repeatable {
-		a.claimed(c, w, t.key, w.Body)
+		a.requireClaim(c, w, t.key, w.Body)
 	}
-	return blame(a.serve(c, w, name), c.state.Index.Limits.BodyBytes)
+	return attributeBodyError(a.serve(c, w, name), c.state.Index.Limits.BodyBytes)
 }
 
 // servicePath is the path below a service. It must be in its shortest form:
@@ -67,9 +67,9 @@
 	return p, nil
 }
 
-// blame names the caller's own body as the cause where it was; the outcome
+// attributeBodyError names the caller's own body as the cause where it was; the outcome
 // stays what was found.
-func blame(err error, most int64) error {
+func attributeBodyError(err error, maxBytes int64) error {
 	var tooBig *http.MaxBytesError
 	var body *conn.BodyError
 	if !errors.As(err, &body) {
@@ -78,31 +78,31 @@
 	f := &fault.Error{Step: fault.StepParse, Peer: callerPeer, Code: fault.CodeBadRequest,
 		Outcome: fault.From(fault.StepParse, err).Outcome, Err: fmt.Errorf("read body: %w", body.Err)}
 	if errors.As(err, &tooBig) {
-		f.Code, f.Err = fault.CodeRequestTooLarge, fmt.Errorf("body is larger than %d bytes", most)
+		f.Code, f.Err = fault.CodeRequestTooLarge, fmt.Errorf("body is larger than %d bytes", maxBytes)
 	}
 	return f
 }
 
-// takeBody holds a small body, or any of a request that may not be repeated,
+// attachBody holds a small body, or any of a request that may not be repeated,
 // whole; others are passed on as they come, bounded by size.
-func (a *API) takeBody(c *call, w *dispatch.Work) error {
-	r, most := c.Request(), c.state.Index.Limits.BodyBytes
-	if r.ContentLength > most {
-		return tooLarge(most)
+func (a *API) attachBody(c *call, w *dispatch.Work) error {
+	r, maxBytes := c.Request(), c.state.Index.Limits.BodyBytes
+	if r.ContentLength > maxBytes {
+		return tooLarge(maxBytes)
 	}
-	if w.Repeatable && (r.ContentLength < 0 || r.ContentLength > holdMost) {
-		setReadBound(c.Response(), w.Deadline)
-		w.BodyStream, w.BodyLength = http.MaxBytesReader(c.Response(), r.Body, most), r.ContentLength
+	if w.Repeatable && (r.ContentLength < 0 || r.ContentLength > maxBufferedBody) {
+		setReadDeadline(c.Response(), w.Deadline)
+		w.BodyStream, w.BodyLength = http.MaxBytesReader(c.Response(), r.Body, maxBytes), r.ContentLength
 		return nil
 	}
-	body, err := readBody(c, most)
+	body, err := readBody(c, maxBytes)
 	w.Body = body
 	return err
 }
 
-func passOn(from http.Header) http.Header {
+func forwardHeaders(from http.Header) http.Header {
 	h := http.Header{}
-	for _, k := range passedOn {
+	for _, k := range forwardedHeaders {
 		if v, ok := from[k]; ok {
 			h[k] = v
 		}
--- a/node/callerapi/sink.go
+++ b/node/callerapi/sink.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// writeBound is how long a caller may leave an answer unread before its
+	// writeTimeout is how long a caller may leave an answer unread before its
 	// connection is given up; otherwise a stalled caller holds an engine's slot.
-	writeBound = 30 * time.Second
-	// writeBoundEach is how often the bound is pushed on; doing it for each
+	writeTimeout = 30 * time.Second
+	// writeDeadlineInterval is how often the bound is pushed on; doing it for each
 	// token would cost more than the token.
-	writeBoundEach = 5 * time.Second
+	writeDeadlineInterval = 5 * time.Second
 )
 
 // sink hands an answer to a caller.
 type sink struct {
-	w       http.ResponseWriter
-	rc      *http.ResponseController
-	api     *API
-	call    *call
-	entry   *inflight.Entry
-	target  string
-	stream  bool
-	expires time.Time
-	bounded time.Time // when the write bound was set last
-	flushed bool      // once at least
+	w             http.ResponseWriter
+	rc            *http.ResponseController
+	api           *API
+	call          *call
+	entry         *inflight.Entry
+	target        string
+	stream        bool
+	expires       time.Time
+	deadlineSetAt time.Time // when the write bound was set last
+	flushed       bool      // once at least
 }
 
 func (a *API) newSink(c *call, e *inflight.Entry, target string, stream bool, deadline time.Time) *sink {
@@ -39,39 +39,39 @@
 
 // WriteHead implements dispatch.Sink.
 func (s *sink) WriteHead(h dispatch.Head) {
-	to := s.w.Header()
+	header := s.w.Header()
 	for k, v := range h.Header {
-		to[k] = v
+		header[k] = v
 	}
 	if h.Attempt == "" {
-		to.Set(HeaderReplayed, "true")
+		header.Set(HeaderReplayed, "true")
 	} else {
 		s.entry.RecordDispatch(h.Upstream, h.Attempt)
 	}
 	if s.stream && h.Attempt != "" {
-		to["X-Accel-Buffering"] = []string{"no"}
+		header["X-Accel-Buffering"] = []string{"no"}
 		t, err := s.api.deps.Tokens.Encode(token.Token{Team: s.call.team.Name, Request: s.call.id, Attempt: h.Attempt,
 			Upstream: h.Upstream, Incarnation: h.Incarnation, Model: s.target, Expires: s.expires.Unix() + 1})
 		if err == nil { // without it the stream goes on, but cannot be resumed elsewhere
-			to.Set(HeaderResume, t)
+			header.Set(HeaderResume, t)
 		}
 	}
-	s.bound()
+	s.extendWriteDeadline()
 	s.w.WriteHeader(h.Status)
 }
 
-func (s *sink) bound() {
+func (s *sink) extendWriteDeadline() {
 	now := s.api.deps.Now()
-	if now.Sub(s.bounded) < writeBoundEach {
+	if now.Sub(s.deadlineSetAt) < writeDeadlineInterval {
 		return
 	}
-	s.bounded = now
-	_ = s.rc.SetWriteDeadline(now.Add(writeBound)) // unsupported in tests without a connection
+	s.deadlineSetAt = now
+	_ = s.rc.SetWriteDeadline(now.Add(writeTimeout)) // unsupported in tests without a connection
 }
 
 // Write implements dispatch.Sink.
 func (s *sink) Write(p []byte) error {
-	s.bound()
+	s.extendWriteDeadline()
 	_, err := s.w.Write(p)
 	return err
 }
--- a/node/event/sink.go
+++ b/node/event/sink.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// sinkLines is how many lines may wait to be written: about half a second
+	// maxQueuedLines is how many lines may wait to be written: about half a second
 	// of a busy host.
-	sinkLines = 4096
-	// sinkBytes is how much is written at once.
-	sinkBytes = 32 << 10
-	// sinkPause gathers lines between two writes: a write for each line would
+	maxQueuedLines = 4096
+	// maxWriteBytes is how much is written at once.
+	maxWriteBytes = 32 << 10
+	// gatherPause gathers lines between two writes: a write for each line would
 	// wake the process for every request once more.
-	sinkPause = 20 * time.Millisecond
-	// sinkFlush bounds the wait for the last lines at the end.
-	sinkFlush = 500 * time.Millisecond
+	gatherPause = 20 * time.Millisecond
+	// flushTimeout bounds the wait for the last lines at the end.
+	flushTimeout = 500 * time.Millisecond
 )
 
 // Sink writes log lines without ever making their writer wait: when the
@@ -33,7 +33,7 @@
 
 // NewSink writes to out from a goroutine that lives as long as the process.
 func NewSink(out io.Writer) *Sink {
-	s := &Sink{out: out, lines: make(chan []byte, sinkLines), flush: make(chan chan struct{})}
+	s := &Sink{out: out, lines: make(chan []byte, maxQueuedLines), flush: make(chan chan struct{})}
 	go s.run()
 	return s
 }
@@ -55,7 +55,7 @@
 	select {
 	case s.flush <- done:
 		<-done
-	case <-time.After(sinkFlush):
+	case <-time.After(flushTimeout):
 	}
 	return nil
 }
@@ -64,33 +64,33 @@
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
 func (s *Sink) run() {
-	buf := make([]byte, 0, sinkBytes)
+	buf := make([]byte, 0, maxWriteBytes)
 	for {
 		select {
 		case line := <-s.lines:
 			buf = s.gather(append(buf[:0], line...))
-			_, _ = s.out.Write(buf)   // there is nowhere else to say that the log cannot be written
-			if len(buf) < sinkBytes { // else there is more to write at once
-				time.Sleep(sinkPause)
+			_, _ = s.out.Write(buf)       // there is nowhere else to say that the log cannot be written
+			if len(buf) < maxWriteBytes { // else there is more to write at once
+				time.Sleep(gatherPause)
 			}
 		case done := <-s.flush:
-			s.last(buf)
+			s.flushQueued(buf)
 			close(done)
 		}
 	}
 }
 
-// last writes what waits, within the bound of the end: others may go on writing lines.
-func (s *Sink) last(buf []byte) {
-	end := time.Now().Add(sinkFlush)
-	for buf = s.gather(buf[:0]); len(buf) > 0 && time.Now().Before(end); buf = s.gather(buf[:0]) {
+// flushQueued writes what waits, within the bound of the end: others may go on writing lines.
+func (s *Sink) flushQueued(buf []byte) {
+	deadline := time.Now().Add(flushTimeout)
+	for buf = s.gather(buf[:0]); len(buf) > 0 && time.Now().Before(deadline); buf = s.gather(buf[:0]) {
 		_, _ = s.out.Write(buf)
 	}
 }
 
 // gather adds the lines that already wait.
 func (s *Sink) gather(buf []byte) []byte {
-	for len(buf) < sinkBytes {
+	for len(buf) < maxWriteBytes {
 		select {
 		case line := <-s.lines:
 			buf = append(buf, line...)
--- a/node/event/sink_test.go
+++ b/node/event/sink_test.go
@@ -15,14 +15,14 @@
 	"peridotpier.example/node/event"
 )
 
-// stuck is a reader of the log that takes nothing until it is let go.
-type stuck struct {
+// blockedWriter is a reader of the log that takes nothing until it is let go.
+type blockedWriter struct {
 	gate chan struct{}
 	mu   sync.Mutex
 	buf  bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.gate
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,14 +33,14 @@
 // Sequence: whoever reads the log stops reading; requests go on being logged.
 // Cause: a log line waits for its reader.
 func TestAFullLogDropsAndCountsInsteadOfBlocking(t *testing.T) {
-	out := &stuck{gate: make(chan struct{})}
+	out := &blockedWriter{gate: make(chan struct{})}
 	sink := event.NewSink(out)
 	log := event.NewJSON(sink, zapcore.InfoLevel)
-	began := time.Now()
+	start := time.Now()
 	for range 20_000 {
 		log.Emit(event.RequestServed, zap.String("request", "r"))
 	}
-	assert.Assert(t, time.Since(began) < 5*time.Second)
+	assert.Assert(t, time.Since(start) < 5*time.Second)
 	assert.Assert(t, sink.Dropped() > 10_000, "%d", sink.Dropped())
 	close(out.gate)
 	log.Sync()
@@ -54,27 +54,27 @@
 // Sequence: more lines come than are written at once; they do so for longer.
 // Cause: the pause that gathers lines is made after full writes too.
 func TestAQuickReaderGetsEveryLine(t *testing.T) {
-	const each, rounds, bound = 2000, 10, 2 * time.Second // with a pause after each write: over 3 s
-	out := &stuck{gate: make(chan struct{})}
+	const perRound, rounds, maxElapsed = 2000, 10, 2 * time.Second // with a pause after each write: over 3 s
+	out := &blockedWriter{gate: make(chan struct{})}
 	close(out.gate)
 	sink := event.NewSink(out)
 	log := event.NewJSON(sink, zapcore.InfoLevel)
-	began := time.Now()
+	start := time.Now()
 	for round := range rounds {
-		for range each {
+		for range perRound {
 			log.Emit(event.RequestServed, zap.String("request", strings.Repeat("r", 200)))
 		}
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
 			out.mu.Lock()
 			defer out.mu.Unlock()
-			if n := bytes.Count(out.buf.Bytes(), []byte{'\n'}); n < (round+1)*each {
+			if n := bytes.Count(out.buf.Bytes(), []byte{'\n'}); n < (round+1)*perRound {
 				return poll.Continue("%d lines, %d dropped", n, sink.Dropped())
 			}
 			return poll.Success()
 		}, poll.WithDelay(time.Millisecond))
 	}
 	assert.Equal(t, sink.Dropped(), int64(0))
-	assert.Assert(t, time.Since(began) < bound, "%v", time.Since(began))
+	assert.Assert(t, time.Since(start) < maxElapsed, "%v", time.Since(start))
 }
 
 // Symptom: the last lines of a process are missing, with no count of them.
@@ -84,7 +84,7 @@
 func TestTheLastLinesAreAllWritten(t *testing.T) {
 	const lines = 2000
 	for range 8 { // the sink takes lines and the end in any order
-		out := &stuck{gate: make(chan struct{})}
+		out := &blockedWriter{gate: make(chan struct{})}
 		sink := event.NewSink(out)
 		log := event.NewJSON(sink, zapcore.InfoLevel)
 		for range lines {
@@ -105,7 +105,7 @@
 // BenchmarkRequestLines is what the log costs a request: the line of its send
 // and that of its end.
 func BenchmarkRequestLines(b *testing.B) {
-	out := &stuck{gate: make(chan struct{})}
+	out := &blockedWriter{gate: make(chan struct{})}
 	close(out.gate)
 	log := event.NewJSON(event.NewSink(out), zapcore.InfoLevel)
 	b.ReportAllocs()
--- a/node/operatorapi/api.go
+++ b/node/operatorapi/api.go
@@ -22,8 +22,8 @@
 	"peridotpier.example/node/settings"
 )
 
-// documentMost bounds an applied configuration, as docs/configuration.md says.
-const documentMost = 8 << 20
+// maxDocumentBytes bounds an applied configuration, as docs/configuration.md says.
+const maxDocumentBytes = 8 << 20
 
 // Changes are the commands; *command.Configuration implements them.
 type Changes interface {
@@ -78,20 +78,20 @@
 		}
 	}
 	e := a.echo
-	e.HTTPErrorHandler = a.problem
+	e.HTTPErrorHandler = a.writeProblem
 	e.GET("/healthz", func(c *echo.Context) error { return c.String(http.StatusOK, "alive\n") })
 	e.GET("/readyz", a.ready)
-	e.GET("/debug/vars", a.signedIn(a.vars))
-	e.GET("/v1/status", a.signedIn(a.status))
-	e.GET("/v1/everywhere", a.signedIn(a.everywhere))
-	e.GET("/v1/configuration", a.signedIn(a.configuration))
-	e.POST("/v1/configuration", a.signedIn(a.apply))
-	e.GET("/v1/presets", a.signedIn(a.presets))
-	e.POST("/v1/presets/:preset", a.signedIn(a.usePreset))
-	e.GET("/v1/audit", a.signedIn(a.audit))
-	e.GET("/v1/requests", a.signedIn(a.requests))
-	e.GET("/v1/requests/:id", a.signedIn(a.request))
-	e.DELETE("/v1/requests/:id", a.signedIn(a.cancel))
+	e.GET("/debug/vars", a.authenticated(a.vars))
+	e.GET("/v1/status", a.authenticated(a.status))
+	e.GET("/v1/everywhere", a.authenticated(a.everywhere))
+	e.GET("/v1/configuration", a.authenticated(a.configuration))
+	e.POST("/v1/configuration", a.authenticated(a.apply))
+	e.GET("/v1/presets", a.authenticated(a.presets))
+	e.POST("/v1/presets/:preset", a.authenticated(a.usePreset))
+	e.GET("/v1/audit", a.authenticated(a.audit))
+	e.GET("/v1/requests", a.authenticated(a.requests))
+	e.GET("/v1/requests/:id", a.authenticated(a.request))
+	e.DELETE("/v1/requests/:id", a.authenticated(a.cancel))
 	return a
 }
 
@@ -108,7 +108,7 @@
 
 const bearer = "Bearer "
 
-func (a *API) signedIn(h func(*call) error) echo.HandlerFunc {
+func (a *API) authenticated(h func(*call) error) echo.HandlerFunc {
 	return func(c *echo.Context) error {
 		key, ok := strings.CutPrefix(c.Request().Header.Get(echo.HeaderAuthorization), bearer)
 		name, known := a.keys[apikey.HashOf(key)]
--- a/node/operatorapi/handlers.go
+++ b/node/operatorapi/handlers.go
@@ -20,8 +20,8 @@
 
 // Pages of lists.
 const (
-	pageDefault = 50
-	pageMost    = 500
+	defaultPage = 50
+	maxPage     = 500
 )
 
 func (a *API) status(c *call) error { return c.JSON(http.StatusOK, a.deps.Site.Status()) }
@@ -47,11 +47,11 @@
 }
 
 func (a *API) apply(c *call) error {
-	parent, err := number(c, "parent")
+	parent, err := queryNumber(c, "parent")
 	if err != nil {
 		return err
 	}
-	doc, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, documentMost))
+	doc, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, maxDocumentBytes))
 	if err != nil {
 		return problemError{http.StatusBadRequest, Problem{Code: "bad_request", Message: "read the document: " + err.Error()}}
 	}
@@ -59,12 +59,12 @@
 	if err != nil {
 		return err
 	}
-	a.changed(c, head.Version)
+	a.recordChange(c, head.Version)
 	return c.JSON(http.StatusOK, Applied{head})
 }
 
-// changed takes a change in force here at once, and from here on by peers.
-func (a *API) changed(c *call, version uint64) {
+// recordChange takes a change in force here at once, and from here on by peers.
+func (a *API) recordChange(c *call, version uint64) {
 	a.deps.Log.Emit(event.OperatorChanged, zap.String("operator", c.operator), zap.Uint64("version", version))
 	a.deps.Config.PollSoon()
 }
@@ -86,7 +86,7 @@
 		}
 		return c.JSON(http.StatusOK, d)
 	}
-	parent, err := number(c, "parent")
+	parent, err := queryNumber(c, "parent")
 	if err != nil {
 		return err
 	}
@@ -98,23 +98,23 @@
 	if err != nil {
 		return err
 	}
-	a.changed(c, head.Version)
+	a.recordChange(c, head.Version)
 	return c.JSON(http.StatusOK, Applied{head})
 }
 
 func (a *API) audit(c *call) error {
-	before, err := number(c, "before")
+	before, err := queryNumber(c, "before")
 	if err != nil {
 		return err
 	}
-	limit, err := number(c, "limit")
+	limit, err := queryNumber(c, "limit")
 	if err != nil {
 		return err
 	}
 	if limit == 0 {
-		limit = pageDefault
+		limit = defaultPage
 	}
-	limit = min(limit, pageMost)
+	limit = min(limit, maxPage)
 	entries, err := a.deps.Audit.Page(c.ctx(), before, int(limit))
 	if err != nil {
 		return err
@@ -127,7 +127,7 @@
 }
 
 func (a *API) requests(c *call) error {
-	return c.JSON(http.StatusOK, RequestList{a.deps.Requests.List(inflight.AllTeams, pageMost)})
+	return c.JSON(http.StatusOK, RequestList{a.deps.Requests.List(inflight.AllTeams, maxPage)})
 }
 
 func (a *API) request(c *call) error {
@@ -153,8 +153,8 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-// number reads a query parameter; absent is 0.
-func number(c *call, name string) (uint64, error) {
+// queryNumber reads a query parameter; absent is 0.
+func queryNumber(c *call, name string) (uint64, error) {
 	text := c.QueryParam(name)
 	if text == "" {
 		return 0, nil
@@ -179,19 +179,19 @@
 	return problemError{http.StatusNotFound, Problem{Code: "not_found", Message: message}}
 }
 
-func (a *API) problem(c *echo.Context, err error) {
-	status, p := describe(err)
+func (a *API) writeProblem(c *echo.Context, err error) {
+	status, p := problemOf(err)
 	_ = c.JSON(status, p) // the operator may be gone
 }
 
-func describe(err error) (int, Problem) {
-	var own problemError
+func problemOf(err error) (int, Problem) {
+	var typed problemError
 	var coded echo.HTTPStatusCoder
 	var invalid *command.InvalidError
 	var conflict *command.ConflictError
 	switch {
-	case errors.As(err, &own):
-		return own.status, own.problem
+	case errors.As(err, &typed):
+		return typed.status, typed.problem
 	case errors.As(err, &invalid):
 		return http.StatusUnprocessableEntity, Problem{Code: "invalid", Message: "the configuration has faults", Faults: invalid.Faults}
 	case errors.As(err, &conflict):
--- a/node/server/admit.go
+++ b/node/server/admit.go
@@ -9,13 +9,13 @@
 
 // admitter lets the callers' interface use the admission controller.
 type admitter struct {
-	c    *admission.Controller
-	open bool // lets everything in at once
+	c        *admission.Controller
+	admitAll bool // lets everything in at once
 }
 
 // Admit implements callerapi.Admission.
 func (a admitter) Admit(ctx context.Context, r callerapi.AdmitRequest) (func(), error) {
-	if a.open {
+	if a.admitAll {
 		return func() {}, nil
 	}
 	t, err := a.c.Admit(ctx, admission.Request{Team: r.Team, Class: r.Class, Pool: r.Pool, Deadline: r.Deadline})
--- a/node/server/claims.go
+++ b/node/server/claims.go
@@ -20,11 +20,11 @@
 
 // claims lets the callers' interface use the claim store.
 type claims struct {
-	store  *nodeclaim.Store
-	batch  *nodeclaim.Batcher
-	rows   *nodeclaim.Rows // over batch; for this host and for others
-	log    *event.Log
-	killed <-chan struct{}
+	store   *nodeclaim.Store
+	batcher *nodeclaim.Batcher
+	rows    *nodeclaim.Rows // over batch; for this host and for others
+	log     *event.Log
+	killed  <-chan struct{}
 }
 
 func newClaims(s *Server) *claims {
@@ -36,18 +36,18 @@
 		cfg.Grace = s.cfg.ClaimGrace
 	}
 	store := nodeclaim.New(cfg, nodeclaim.Deps{
-		Records: claimRecords{s, rows}, Objects: p.Objects, Attempts: fates{s}, Log: s.log,
+		Records: claimRecords{s, rows}, Objects: p.Objects, Attempts: attemptQuerier{s}, Log: s.log,
 		Owner: claim.Owner{Host: s.cfg.Settings.Host, Incarnation: s.incarnation}, Now: time.Now})
 	s.metrics.SetFunc(metrics.UnresolvedClaims, func() any { n, _ := store.Pending(); return n })
 	s.metrics.SetFunc(metrics.UnresolvedClaimBytes, func() any { _, bytes := store.Pending(); return bytes })
-	return &claims{store: store, batch: batch, rows: rows, log: s.log, killed: s.killed}
+	return &claims{store: store, batcher: batch, rows: rows, log: s.log, killed: s.killed}
 }
 
-// drainBound is how long a host that has shut down otherwise goes on writing
+// claimDrainTimeout is how long a host that has shut down otherwise goes on writing
 // the ends of claims: through a short outage of the table service, but not so
 // long that the host's replacement waits for it. What is left then is as if
 // the host had died: a repeat is settled by the upstream's word.
-const drainBound = 10 * time.Second
+const claimDrainTimeout = 10 * time.Second
 
 // run settles what could not be settled at once. At the end of ctx, which
 // comes after the last request, it writes what still waits.
@@ -55,7 +55,7 @@
 	batching, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var g errgroup.Group
-	g.Go(func() error { return c.batch.Run(batching) })
+	g.Go(func() error { return c.batcher.Run(batching) })
 	_ = c.store.Run(ctx) // ends with ctx only
 	c.drain(batching)
 	stop()
@@ -63,7 +63,7 @@
 }
 
 func (c *claims) drain(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, drainBound)
+	ctx, cancel := context.WithTimeout(ctx, claimDrainTimeout)
 	defer cancel()
 	go func() {
 		select {
@@ -73,18 +73,18 @@
 		}
 	}()
 	if err := c.store.Drain(ctx); err != nil {
-		c.log.Emit(event.ClaimOutcomeDropped, zap.Int("count", c.unsettled()), zap.Error(err))
+		c.log.Emit(event.ClaimOutcomeDropped, zap.Int("count", c.unresolved()), zap.Error(err))
 	}
 }
 
-// unsettled is the number of ends of claims that wait for the platform.
-func (c *claims) unsettled() int {
+// unresolved is the number of ends of claims that wait for the platform.
+func (c *claims) unresolved() int {
 	n, _ := c.store.Pending()
 	return n
 }
 
-// limit puts a configuration's limits in force.
-func (c *claims) limit(l config.Limits) {
+// setLimits puts a configuration's limits in force.
+func (c *claims) setLimits(l config.Limits) {
 	c.store.SetLimits(nodeclaim.Limits{TTL: time.Duration(l.ClaimTTLSeconds) * time.Second, MaxAnswerBytes: int(l.AnswerBytes)})
 }
 
@@ -97,16 +97,16 @@
 	return g, a, err
 }
 
-// fates asks upstreams by name for the fate of attempts.
-type fates struct{ s *Server }
+// attemptQuerier asks upstreams by name for the fate of attempts.
+type attemptQuerier struct{ s *Server }
 
-var errUpstreamGone = errors.New("upstream is not in the configuration any more")
+var errUpstreamRemoved = errors.New("upstream is not in the configuration any more")
 
 // QueryAttempt implements claim.Fates.
-func (f fates) QueryAttempt(ctx context.Context, upstream, attempt string) (engineapi.Attempt, error) {
+func (f attemptQuerier) QueryAttempt(ctx context.Context, upstream, attempt string) (engineapi.Attempt, error) {
 	address, ok := f.s.addressOf(upstream)
 	if !ok {
-		return engineapi.Attempt{}, fault.Unknown(fault.StepClaim, upstream, fault.CodeOutcomeUnknown, "%w", errUpstreamGone)
+		return engineapi.Attempt{}, fault.Unknown(fault.StepClaim, upstream, fault.CodeOutcomeUnknown, "%w", errUpstreamRemoved)
 	}
 	return f.s.dispatch.UpstreamClient().AttemptOutcome(ctx, address, attempt)
 }
--- a/node/server/claimwriters.go
+++ b/node/server/claimwriters.go
@@ -19,8 +19,8 @@
 	// writes a second. If each of 420 hosts merged its own, 212 claims a
 	// second were measured in place of 1,500.
 	claimWriters = 7
-	// ownWriterMost is the largest fleet in which each host writes its own.
-	ownWriterMost = claimWriters
+	// maxOwnWriterHosts is the largest fleet in which each host writes its own.
+	maxOwnWriterHosts = claimWriters
 )
 
 // claimRecords keeps claims in rows of the table service, through the host
@@ -35,7 +35,7 @@
 
 // writer is the host that merges the changes of a key; false: this one.
 func (r claimRecords) writer(key string) (member.Host, bool) {
-	if r.s.siteHosts.Load() <= ownWriterMost && !r.s.cfg.Policy.ForwardClaims {
+	if r.s.siteHosts.Load() <= maxOwnWriterHosts && !r.s.cfg.Policy.ForwardClaims {
 		return member.Host{}, false // without a look at the hosts, on the path of each claim
 	}
 	live := r.s.mesh.LiveHosts()
@@ -53,13 +53,13 @@
 
 // Swap implements claim.Records.
 func (r claimRecords) Swap(ctx context.Context, key string, version uint64, row *claim.Row) (nodeclaim.VersionedRow, error) {
-	w, other := r.writer(key)
-	if !other {
+	w, isRemote := r.writer(key)
+	if !isRemote {
 		return r.own.Swap(ctx, key, version, row)
 	}
-	seen, err := r.s.mesh.SwapClaim(ctx, w, key, version, row)
+	written, err := r.s.mesh.SwapClaim(ctx, w, key, version, row)
 	if err == nil || errors.Is(err, store.ErrConflict) {
-		return seen, err
+		return written, err
 	}
 	return r.own.Swap(ctx, key, version, row)
 }
--- a/node/server/connstates.go
+++ b/node/server/connstates.go
@@ -14,40 +14,40 @@
 type connStates struct {
 	metrics *metrics.Set
 
-	mu       sync.Mutex
-	by       map[net.Conn]http.ConnState
-	stopping bool
-	idle     int // closed while idle since the stop began
+	mu         sync.Mutex
+	states     map[net.Conn]http.ConnState
+	stopping   bool
+	idleClosed int // closed while idle since the stop began
 }
 
 func newConnStates(set *metrics.Set) *connStates {
-	c := &connStates{metrics: set, by: map[net.Conn]http.ConnState{}}
+	c := &connStates{metrics: set, states: map[net.Conn]http.ConnState{}}
 	set.SetFunc(metrics.CallersOpen, func() any { return c.counts().open })
 	set.SetFunc(metrics.CallersActive, func() any { return c.counts().active })
 	return c
 }
 
-// changed is the hook of the HTTP server.
-func (c *connStates) changed(nc net.Conn, to http.ConnState) {
+// onStateChange is the hook of the HTTP server.
+func (c *connStates) onStateChange(nc net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	was := c.by[nc]
-	switch to {
+	prev := c.states[nc]
+	switch state {
 	case http.StateNew:
 		c.metrics.Count(metrics.CallersAccepted, 1)
 	case http.StateClosed, http.StateHijacked:
-		c.metrics.CountKind(metrics.CallersClosed, was.String(), 1)
-		if c.stopping && was == http.StateIdle {
-			c.idle++
+		c.metrics.CountKind(metrics.CallersClosed, prev.String(), 1)
+		if c.stopping && prev == http.StateIdle {
+			c.idleClosed++
 		}
-		delete(c.by, nc)
+		delete(c.states, nc)
 		return
 	}
-	c.by[nc] = to
+	c.states[nc] = state
 }
 
-// stop notes that the listener is about to be shut down.
-func (c *connStates) stop() {
+// markStopping notes that the listener is about to be shut down.
+func (c *connStates) markStopping() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stopping = true
@@ -55,17 +55,17 @@
 
 // stateCounts are the connections of a listener.
 type stateCounts struct {
-	open   int
-	active int // a request is being read or answered
-	new    int // not a byte has come
-	idle   int // closed while idle since the stop began
+	open       int
+	active     int // a request is being read or answered
+	new        int // not a byte has come
+	idleClosed int // closed while idle since the stop began
 }
 
 func (c *connStates) counts() stateCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := stateCounts{open: len(c.by), idle: c.idle}
-	for _, s := range c.by {
+	n := stateCounts{open: len(c.states), idleClosed: c.idleClosed}
+	for _, s := range c.states {
 		switch s {
 		case http.StateActive:
 			n.active++
@@ -78,5 +78,5 @@
 
 // fields tell what the end of the process finds.
 func (n stateCounts) fields() []zap.Field {
-	return []zap.Field{zap.Int("open", n.open), zap.Int("active", n.active), zap.Int("new", n.new), zap.Int("idle_closed", n.idle)}
+	return []zap.Field{zap.Int("open", n.open), zap.Int("active", n.active), zap.Int("new", n.new), zap.Int("idle_closed", n.idleClosed)}
 }
--- a/node/server/connstates_test.go
+++ b/node/server/connstates_test.go
@@ -22,16 +22,16 @@
 func TestTheStopTellsWhatItFindsOpen(t *testing.T) {
 	set := metrics.New()
 	states := newConnStates(set)
-	goOn := make(chan struct{})
+	release := make(chan struct{})
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/wait" {
-			<-goOn
+			<-release
 		}
 	}))
-	srv.Config.ConnState = states.changed
+	srv.Config.ConnState = states.onStateChange
 	srv.Start()
 	defer srv.Close()
-	defer close(goOn)
+	defer close(release)
 	dial := func(send string) {
 		c, err := net.Dial("tcp", srv.Listener.Addr().String())
 		assert.NilError(t, err)
@@ -53,13 +53,13 @@
 	until(stateCounts{open: 2, new: 1})
 	dial("GET /wait HTTP/1.1\r\nHost: a\r\n\r\n")
 	until(stateCounts{open: 3, active: 1, new: 1})
-	states.stop()
+	states.markStopping()
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
 		_ = srv.Config.Shutdown(t.Context())
 	}()
-	until(stateCounts{open: 2, active: 1, new: 1, idle: 1})
+	until(stateCounts{open: 2, active: 1, new: 1, idleClosed: 1})
 	var text strings.Builder
 	set.WriteText(&text)
 	for _, line := range []string{"caller_connections_accepted_total 3\n", "caller_connections_closed_total.idle 1\n", "caller_connections_open 2\n"} {
--- a/node/server/listener.go
+++ b/node/server/listener.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// headBound is how long the other side may take to send the head of a request.
-	headBound = 10 * time.Second
-	// operatorBound is how long an operator's whole request may take to arrive;
+	// headTimeout is how long the other side may take to send the head of a request.
+	headTimeout = 10 * time.Second
+	// operatorReadTimeout is how long an operator's whole request may take to arrive;
 	// 8 MB of configuration in it need 2 Mbit/s.
-	operatorBound = 30 * time.Second
-	// idleBound is how long an idle connection is kept; above the pools of
+	operatorReadTimeout = 30 * time.Second
+	// idleTimeout is how long an idle connection is kept; above the pools of
 	// usual clients and balancers, so that these close first and never meet a
 	// connection that the host is just closing.
-	idleBound = 90 * time.Second
+	idleTimeout = 90 * time.Second
 )
 
 // listener is one HTTP listener with its server.
@@ -42,18 +42,18 @@
 	}
 	head := s.cfg.HeadTimeout
 	if head == 0 {
-		head = headBound
+		head = headTimeout
 	}
-	l := &listener{name: name, ln: ln, server: &http.Server{Handler: s.lastAnswers(h), ReadHeaderTimeout: head,
-		IdleTimeout: idleBound, MaxHeaderBytes: s.cfg.Settings.Bounds.HeaderBytes,
-		ErrorLog: log.New(complaints{s, name}, "", 0)}}
+	l := &listener{name: name, ln: ln, server: &http.Server{Handler: s.closeWhenDraining(h), ReadHeaderTimeout: head,
+		IdleTimeout: idleTimeout, MaxHeaderBytes: s.cfg.Settings.Bounds.HeaderBytes,
+		ErrorLog: log.New(errorLog{s, name}, "", 0)}}
 	l.conns = drain.New(drain.Config{Listener: ln, Secure: secure, Server: l.server})
 	return l, nil
 }
 
-// lastAnswers asks callers of a host that stops to go elsewhere for their next
+// closeWhenDraining asks callers of a host that stops to go elsewhere for their next
 // request: their connections are closed as soon as they have none.
-func (s *Server) lastAnswers(h http.Handler) http.Handler {
+func (s *Server) closeWhenDraining(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.phase.Load() == phaseDraining {
 			w.Header().Set("Connection", "close")
@@ -62,12 +62,12 @@
 	})
 }
 
-// watch has f told of the states of connections, too. Before serve.
-func (l *listener) watch(f func(net.Conn, http.ConnState)) {
-	also := l.server.ConnState
-	l.server.ConnState = func(nc net.Conn, to http.ConnState) {
-		f(nc, to)
-		also(nc, to)
+// addStateHook has f told of the states of connections, too. Before serve.
+func (l *listener) addStateHook(f func(net.Conn, http.ConnState)) {
+	prev := l.server.ConnState
+	l.server.ConnState = func(nc net.Conn, state http.ConnState) {
+		f(nc, state)
+		prev(nc, state)
 	}
 }
 
@@ -82,28 +82,28 @@
 // close ends whatever is left.
 func (l *listener) close() { l.conns.Close() }
 
-// complaints turns lines of the HTTP server into numbered events.
-type complaints struct {
+// errorLog turns lines of the HTTP server into numbered events.
+type errorLog struct {
 	s     *Server
 	where string
 }
 
 // How the HTTP server's lines begin.
 const (
-	handshakeLine = "http: TLS handshake error from "
-	panicLine     = "http: panic serving "
+	handshakePrefix = "http: TLS handshake error from "
+	panicPrefix     = "http: panic serving "
 )
 
 // Write implements io.Writer; it gets one line a call, a panic with its stack.
-func (c complaints) Write(p []byte) (int, error) {
+func (c errorLog) Write(p []byte) (int, error) {
 	line := strings.TrimSpace(string(p))
-	if rest, ok := strings.CutPrefix(line, handshakeLine); ok {
+	if rest, ok := strings.CutPrefix(line, handshakePrefix); ok {
 		peer, reason, _ := strings.Cut(rest, ": ")
 		c.s.cfg.Keys.LogRefused(c.where, peer, reason)
 		return len(p), nil
 	}
 	fields := []zap.Field{zap.String("where", c.where)}
-	if strings.HasPrefix(line, panicLine) {
+	if strings.HasPrefix(line, panicPrefix) {
 		// The value of a panic may hold parts of a request; the stack does not.
 		_, stack, _ := strings.Cut(line, "\n")
 		line = "panic"
--- a/node/server/listener_test.go
+++ b/node/server/listener_test.go
@@ -20,13 +20,13 @@
 	"peridotpier.example/node/settings"
 )
 
-// readsOf counts the reads of a listener's only connection.
-type readsOf struct {
+// countedListener counts the reads of a listener's only connection.
+type countedListener struct {
 	net.Listener
 	begun, ended atomic.Int64
 }
 
-func (l *readsOf) Accept() (net.Conn, error) {
+func (l *countedListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -36,7 +36,7 @@
 
 type countedConn struct {
 	net.Conn
-	l *readsOf
+	l *countedListener
 }
 
 // NetConn is the connection below.
@@ -48,18 +48,18 @@
 	return c.Conn.Read(p)
 }
 
-// stoppable is a listener that a test stops.
-type stoppable struct {
+// stoppableListener is a listener that a test stops.
+type stoppableListener struct {
 	t     *testing.T
-	reads *readsOf
+	reads *countedListener
 	l     *listener
 	dial  func(address string) (net.Conn, error)
 	idle  chan struct{}
 }
 
-func newStoppable(t *testing.T, secured bool) *stoppable {
+func newStoppableListener(t *testing.T, secured bool) *stoppableListener {
 	t.Helper()
-	s := &stoppable{t: t, reads: &readsOf{}, idle: make(chan struct{}, 10),
+	s := &stoppableListener{t: t, reads: &countedListener{}, idle: make(chan struct{}, 10),
 		dial: func(address string) (net.Conn, error) { return net.Dial("tcp", address) }}
 	secure := func(ln net.Listener) net.Listener {
 		s.reads.Listener = ln
@@ -101,7 +101,7 @@
 }
 
 // sendRead sends bytes and waits until the server has them and reads on.
-func (s *stoppable) sendRead(c net.Conn, text string) {
+func (s *stoppableListener) sendRead(c net.Conn, text string) {
 	s.t.Helper()
 	before := s.reads.ended.Load()
 	_, err := io.WriteString(c, text)
@@ -135,15 +135,15 @@
 	t.Parallel()
 	const request = "GET / HTTP/1.1\r\nHost: site.example\r\n\r\n"
 	for _, secured := range []bool{false, true} {
-		for _, kept := range []bool{false, true} {
-			t.Run(fmt.Sprintf("secured %v, kept %v", secured, kept), func(t *testing.T) {
-				s := newStoppable(t, secured)
+		for _, reused := range []bool{false, true} {
+			t.Run(fmt.Sprintf("secured %v, kept %v", secured, reused), func(t *testing.T) {
+				s := newStoppableListener(t, secured)
 				c, err := s.dial(s.l.address())
 				assert.NilError(t, err)
 				defer func() { _ = c.Close() }()
 				_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 				answers := bufio.NewReader(c)
-				if kept {
+				if reused {
 					_, err = io.WriteString(c, request)
 					assert.NilError(t, err)
 					answered(t, answers)
@@ -152,7 +152,7 @@
 				s.sendRead(c, request[:20])
 				drained := make(chan error, 1)
 				go func() { drained <- s.l.drain(t.Context()) }()
-				s.closed()
+				s.waitClosed()
 				_, err = io.WriteString(c, request[20:])
 				assert.NilError(t, err)
 				answered(t, answers)
@@ -162,8 +162,8 @@
 	}
 }
 
-// closed waits until the listener takes no more connections and the first look is over.
-func (s *stoppable) closed() {
+// waitClosed waits until the listener takes no more connections and the first look is over.
+func (s *stoppableListener) waitClosed() {
 	s.t.Helper()
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
 		ctx, cancel := context.WithTimeout(s.t.Context(), time.Second)
--- a/node/server/mesh.go
+++ b/node/server/mesh.go
@@ -24,8 +24,8 @@
 	return peer.New(peer.Config{Self: member.Host{Name: set.Host, Address: address, DataCentre: set.DataCentre, Process: s.incarnation},
 		HeartbeatInterval: s.cfg.HeartbeatInterval, HostListInterval: s.cfg.HostListInterval},
 		peer.Deps{Hosts: s.cfg.Platform.Hosts, Config: s.config, Requests: s.requests, CancelCause: dispatch.ErrCancelled,
-			Dial: s.dialPeer, Log: s.log, OnUpstreamChange: s.heardOfUpstream, OnHostsChange: s.reconcileSoon,
-			Usage: &peer.UsageExchange{Own: s.ownSums, OnTotals: s.othersSums}, Forecast: s.forecast, Claims: s.claims.rows})
+			Dial: s.dialPeer, Log: s.log, OnUpstreamChange: s.applyUpstreamChange, OnHostsChange: s.reconcileSoon,
+			Usage: &peer.UsageExchange{Own: s.ownUsage, OnTotals: s.applyPeerUsage}, Forecast: s.forecast, Claims: s.claims.rows})
 }
 
 // dialPeer opens a connection to a peer.
@@ -52,8 +52,8 @@
 	return &net.TCPAddr{IP: own.IP, Zone: own.Zone}
 }
 
-// heardOfUpstream takes peers' words on upstreams into the view.
-func (s *Server) heardOfUpstream(u member.Upstream) {
+// applyUpstreamChange takes peers' words on upstreams into the view.
+func (s *Server) applyUpstreamChange(u member.Upstream) {
 	ready := map[route.ModelKey]bool{}
 	for _, r := range u.Residents {
 		model, adapter, _ := strings.Cut(r, "/")
@@ -62,13 +62,13 @@
 	s.view.ApplyPeerReport(u.Name, u.Incarnation, u.Draining, ready)
 }
 
-// tellReport passes on what a report changed.
-func (s *Server) tellReport(r engineapi.Report, at time.Time) {
-	seen := uint64(at.UnixMilli())
+// publishReport passes on what a report changed.
+func (s *Server) publishReport(r engineapi.Report, at time.Time) {
+	firstSeen := uint64(at.UnixMilli())
 	if cur, ok := s.mesh.CurrentUpstream(r.Upstream); ok && cur.Incarnation == r.Incarnation {
-		seen = cur.FirstSeenMs
+		firstSeen = cur.FirstSeenMs
 	}
-	s.mesh.ReportUpstream(member.Upstream{Name: r.Upstream, Incarnation: r.Incarnation, FirstSeenMs: seen, Sequence: r.Sequence,
+	s.mesh.ReportUpstream(member.Upstream{Name: r.Upstream, Incarnation: r.Incarnation, FirstSeenMs: firstSeen, Sequence: r.Sequence,
 		Draining: r.Draining, Residents: readyNames(r.Residents)})
 }
 
@@ -91,14 +91,14 @@
 
 // The kinds of sums over all hosts, as prefixes of their keys.
 const (
-	teamSum   = "t:"
-	demandSum = "d:"
+	teamUsagePrefix   = "t:"
+	demandUsagePrefix = "d:"
 )
 
-// ownSums are this host's parts: the use of its teams, and the demand by model.
+// ownUsage are this host's parts: the use of its teams, and the demand by model.
 // A host that plans asks for every model of its pools, so that it hears of
 // those that only others are asked for.
-func (s *Server) ownSums() []peer.UsageEntry {
+func (s *Server) ownUsage() []peer.UsageEntry {
 	st, ok := s.config.Current()
 	if !ok {
 		return nil
@@ -109,35 +109,35 @@
 			continue
 		}
 		if rps, concurrent := s.admit.TeamUsage(t.Name); rps > 0 || concurrent > 0 {
-			out = append(out, peer.UsageEntry{Key: teamSum + t.Name, A: rps, B: concurrent})
+			out = append(out, peer.UsageEntry{Key: teamUsagePrefix + t.Name, A: rps, B: concurrent})
 		}
 	}
-	own := s.demand.Means()
+	demand := s.demand.Means()
 	for _, k := range s.plannedKeys() {
-		if _, ok := own[k]; !ok {
-			own[k] = place.Demand{}
+		if _, ok := demand[k]; !ok {
+			demand[k] = place.Demand{}
 		}
 	}
-	for k, d := range own {
-		out = append(out, peer.UsageEntry{Key: demandSum + k.Model + "/" + k.Adapter, A: d.Short, B: d.Long})
+	for k, d := range demand {
+		out = append(out, peer.UsageEntry{Key: demandUsagePrefix + k.Model + "/" + k.Adapter, A: d.Short, B: d.Long})
 	}
 	return out
 }
 
-// othersSums takes what the other hosts have.
-func (s *Server) othersSums(hosts int, sums []peer.UsageEntry) {
+// applyPeerUsage takes what the other hosts have.
+func (s *Server) applyPeerUsage(hosts int, sums []peer.UsageEntry) {
 	demand := map[place.Key]place.Demand{}
 	for _, sum := range sums {
-		if team, ok := strings.CutPrefix(sum.Key, teamSum); ok {
+		if team, ok := strings.CutPrefix(sum.Key, teamUsagePrefix); ok {
 			s.admit.SetPeerTeamUsage(team, sum.A, sum.B, hosts)
 			continue
 		}
-		if name, ok := strings.CutPrefix(sum.Key, demandSum); ok {
+		if name, ok := strings.CutPrefix(sum.Key, demandUsagePrefix); ok {
 			model, adapter, _ := strings.Cut(name, "/")
 			demand[place.Key{Model: model, Adapter: adapter}] = place.Demand{Short: sum.A, Long: sum.B}
 		}
 	}
-	s.others.merge(demand)
+	s.peerDemand.merge(demand)
 }
 
 // forecast answers a peer what a preset would move in this host's pools.
--- a/node/server/planning.go
+++ b/node/server/planning.go
@@ -14,30 +14,32 @@
 	"peridotpier.example/node/upstream/poll"
 )
 
-// actNeeds is the lease time that an act must have left when it begins: the
+// minLeaseRemaining is the lease time that an act must have left when it begins: the
 // bound of one order or commit.
-const actNeeds = 3 * time.Second
+const minLeaseRemaining = 3 * time.Second
 
-// term lets a planner ask for its lease.
-type term struct{ l *lease.Lease }
+// leaseTerm lets a planner ask for its lease.
+type leaseTerm struct{ l *lease.Lease }
 
 // Epoch implements planner.Lease.
-func (t term) Epoch() uint64 {
+func (t leaseTerm) Epoch() uint64 {
 	now, _ := t.l.Term()
 	return now.Epoch
 }
 
 // Valid implements planner.Lease.
-func (t term) Valid(epoch uint64) bool { return epoch != 0 && t.l.Check(epoch, actNeeds) == nil }
+func (t leaseTerm) Valid(epoch uint64) bool {
+	return epoch != 0 && t.l.Check(epoch, minLeaseRemaining) == nil
+}
 
-// plannerSite is what a planner reads of this host.
-type plannerSite struct {
+// plannerInputs is what a planner reads of this host.
+type plannerInputs struct {
 	s    *Server
 	pool string
 }
 
 // Reports implements planner.Site.
-func (p plannerSite) Reports() []planner.ObservedReport {
+func (p plannerInputs) Reports() []planner.ObservedReport {
 	var out []planner.ObservedReport
 	for _, r := range p.s.view.Reports(p.pool) {
 		out = append(out, planner.ObservedReport{Report: r.Report, Read: r.Read, Down: r.Disconnected})
@@ -46,7 +48,7 @@
 }
 
 // View implements planner.Site.
-func (p plannerSite) View() planner.View {
+func (p plannerInputs) View() planner.View {
 	st, ok := p.s.config.Current()
 	if !ok {
 		return planner.View{Config: &config.Config{}}
@@ -57,26 +59,26 @@
 // siteDemand is the demand on all hosts.
 func (s *Server) siteDemand() map[place.Key]place.Demand {
 	out := s.demand.Means()
-	for k, d := range s.others.all() {
+	for k, d := range s.peerDemand.all() {
 		own := out[k]
 		out[k] = place.Demand{Short: own.Short + d.Short, Long: own.Long + d.Long}
 	}
 	return out
 }
 
-// othersDemand is the other hosts' demand as last heard.
-type othersDemand struct {
+// peerDemand is the other hosts' demand as last heard.
+type peerDemand struct {
 	mu   sync.Mutex
 	keys map[place.Key]place.Demand
 }
 
-func (o *othersDemand) merge(heard map[place.Key]place.Demand) {
+func (o *peerDemand) merge(reported map[place.Key]place.Demand) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.keys == nil {
 		o.keys = map[place.Key]place.Demand{}
 	}
-	for k, d := range heard {
+	for k, d := range reported {
 		if d == (place.Demand{}) {
 			delete(o.keys, k)
 			continue
@@ -85,7 +87,7 @@
 	}
 }
 
-func (o *othersDemand) all() map[place.Key]place.Demand {
+func (o *peerDemand) all() map[place.Key]place.Demand {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	out := make(map[place.Key]place.Demand, len(o.keys))
@@ -97,7 +99,7 @@
 
 // plannedKeys are the models and adapters of the pools that this host plans.
 func (s *Server) plannedKeys() []place.Key {
-	pools := s.planned()
+	pools := s.plannedPools()
 	st, ok := s.config.Current()
 	if !ok || len(pools) == 0 {
 		return nil
@@ -120,35 +122,35 @@
 
 // The pace of questions where the hosts share the upstreams out.
 const (
-	// watchedPerSecond bounds one host's questions to upstreams that it
+	// watchedPollsPerSecond bounds one host's questions to upstreams that it
 	// watches, about 450 bytes each.
-	watchedPerSecond = 4
-	// watchedMost is the longest time between two: an upstream that leaves
+	watchedPollsPerSecond = 4
+	// maxWatchedInterval is the longest time between two: an upstream that leaves
 	// gets no new work after five seconds, of which spreading the word takes
 	// some tenths.
-	watchedMost = 4500 * time.Millisecond
-	// watchedShare is the most upstreams that a host's share can come to in a
+	maxWatchedInterval = 4500 * time.Millisecond
+	// maxWatchedUpstreams is the most upstreams that a host's share can come to in a
 	// fleet that fits its upstreams. Above it the host takes itself for nearly
 	// alone, as when the platform's list is empty, and must keep its pace all
 	// the more: all hosts may be in the same case.
-	watchedShare = 64
-	// plannedEvery is the pace in pools that the host plans.
-	plannedEvery = 5 * time.Second
+	maxWatchedUpstreams = 64
+	// plannedInterval is the pace in pools that the host plans.
+	plannedInterval = 5 * time.Second
 )
 
 // assignUpstreams chooses the upstreams that this host asks itself: all of a
 // small site, else those that it watches and those of the pools that it plans.
 func (s *Server) assignUpstreams(c *config.Config, live []member.Host) {
-	every := s.cfg.Settings.Bounds.ReportEvery()
+	interval := s.cfg.Settings.Bounds.ReportEvery()
 	var out []poll.Target
-	if len(c.Upstreams) <= directMost || s.cfg.Policy.DirectPolling {
+	if len(c.Upstreams) <= maxDirectUpstreams || s.cfg.Policy.DirectPolling {
 		for _, u := range c.Upstreams {
-			out = append(out, poll.Target{Upstream: u, Interval: every, CacheEvents: true})
+			out = append(out, poll.Target{Upstream: u, Interval: interval, CacheEvents: true})
 		}
 		s.poller.Assign(out)
 		return
 	}
-	planned, watchers := s.planned(), member.NewAssignment(s.cfg.Settings.Host, live)
+	planned, watchers := s.plannedPools(), member.NewAssignment(s.cfg.Settings.Host, live)
 	watched := 0
 	for _, u := range c.Upstreams {
 		switch {
@@ -156,12 +158,12 @@
 			watched++
 			out = append(out, poll.Target{Upstream: u})
 		case planned[u.Pool] != nil:
-			out = append(out, poll.Target{Upstream: u, Interval: plannedEvery})
+			out = append(out, poll.Target{Upstream: u, Interval: plannedInterval})
 		}
 	}
-	pace := max(every, time.Duration(watched)*time.Second/watchedPerSecond)
-	if watched <= watchedShare {
-		pace = min(pace, watchedMost)
+	pace := max(interval, time.Duration(watched)*time.Second/watchedPollsPerSecond)
+	if watched <= maxWatchedUpstreams {
+		pace = min(pace, maxWatchedInterval)
 	}
 	for i := range out {
 		if out[i].Interval == 0 {
@@ -188,16 +190,16 @@
 	if !ok {
 		return operatorapi.DryRun{}, false
 	}
-	out, any := operatorapi.DryRun{Preset: preset}, false
-	for _, pl := range s.planned() {
+	out, found := operatorapi.DryRun{Preset: preset}, false
+	for _, pl := range s.plannedPools() {
 		f, ok := pl.DryRun(*p)
 		if !ok {
 			continue
 		}
-		any = true
+		found = true
 		out.Add(toDryRun(preset, f))
 	}
-	return out, any
+	return out, found
 }
 
 func toDryRun(preset string, f place.Forecast) operatorapi.DryRun {
--- a/node/server/roles.go
+++ b/node/server/roles.go
@@ -22,15 +22,15 @@
 	// follows it. If all did, their reading of its row would grow with the
 	// fleet times the pools.
 	campaigners = 2
-	// reconcileEach is how often roles and watches are looked at when nothing
+	// reconcileInterval is how often roles and watches are looked at when nothing
 	// calls for it.
-	reconcileEach = 5 * time.Second
-	// reconcileWait is how long a look waits for more of what called for it.
-	reconcileWait = 200 * time.Millisecond
-	// directMost is how many upstreams a host asks itself, all of them; above
+	reconcileInterval = 5 * time.Second
+	// reconcileDelay is how long a look waits for more of what called for it.
+	reconcileDelay = 200 * time.Millisecond
+	// maxDirectUpstreams is how many upstreams a host asks itself, all of them; above
 	// that the hosts share them out and tell one another what changed.
-	directMost   = 32
-	plannerLease = "planner/"
+	maxDirectUpstreams = 32
+	plannerLease       = "planner/"
 )
 
 // role is one lease that this host campaigns for, and what runs under it.
@@ -58,8 +58,8 @@
 // manageRoles campaigns for the leases that fall on this host and keeps the
 // set of upstreams that it asks, until ctx ends; then it hands all over.
 func (s *Server) manageRoles(ctx context.Context) error {
-	defer s.endRoles()
-	tick := time.NewTicker(reconcileEach)
+	defer s.stopRoles()
+	tick := time.NewTicker(reconcileInterval)
 	defer tick.Stop()
 	for {
 		s.reconcileRoles(ctx)
@@ -70,7 +70,7 @@
 		case <-s.reconcile:
 			// Changes come in swarms, as when a data centre is cut off: one look
 			// after the first few serves them all.
-			pace.Sleep(ctx, reconcileWait)
+			pace.Sleep(ctx, reconcileDelay)
 		}
 	}
 }
@@ -91,20 +91,20 @@
 	}
 	wanted[command.AuditLease] = func() *role { return s.startArchiver(ctx) }
 	wanted[nodeclaim.SweeperLeaseName] = func() *role { return s.startSweeper(ctx) }
-	campaigns := s.campaigns(live)
+	campaigns := s.campaignFilter(live)
 	for name := range wanted {
 		if !campaigns(name) {
 			delete(wanted, name)
 		}
 	}
-	s.swapRoles(wanted)
+	s.updateRoles(wanted)
 	s.assignUpstreams(st.Index.Config, live)
-	s.setHosts(len(live))
+	s.setSiteHosts(len(live))
 }
 
-// campaigns says for which leases this host is among the first. A draining
+// campaignFilter says for which leases this host is among the first. A draining
 // host campaigns for none, so that its leases move before it ends.
-func (s *Server) campaigns(live []member.Host) func(name string) bool {
+func (s *Server) campaignFilter(live []member.Host) func(name string) bool {
 	if s.phase.Load() == phaseDraining {
 		return func(string) bool { return false }
 	}
@@ -112,7 +112,7 @@
 	return func(name string) bool { return w.IsAmongFirst(name, campaigners) }
 }
 
-func (s *Server) swapRoles(wanted map[string]func() *role) {
+func (s *Server) updateRoles(wanted map[string]func() *role) {
 	s.roles.mu.Lock()
 	defer s.roles.mu.Unlock()
 	for name, r := range s.roles.byID {
@@ -128,8 +128,8 @@
 	}
 }
 
-// endRoles hands the leases over and waits for what ran under them.
-func (s *Server) endRoles() {
+// stopRoles hands the leases over and waits for what ran under them.
+func (s *Server) stopRoles() {
 	s.roles.mu.Lock()
 	defer s.roles.mu.Unlock()
 	for _, r := range s.roles.byID {
@@ -165,9 +165,9 @@
 	})
 }
 
-// settleWindows is how many short windows of demand pass before what a move
+// moveCooldownWindows is how many short windows of demand pass before what a move
 // did shows in them.
-const settleWindows = 4
+const moveCooldownWindows = 4
 
 func (s *Server) startSweeper(ctx context.Context) *role {
 	return s.startRole(ctx, nodeclaim.SweeperLeaseName, func(l *lease.Lease, _ *role) func(context.Context) error {
@@ -181,8 +181,8 @@
 func (s *Server) startPlanner(ctx context.Context, pool string) *role {
 	return s.startRole(ctx, plannerLease+pool, func(l *lease.Lease, r *role) func(context.Context) error {
 		r.pool = pool
-		r.planner = planner.New(planner.Config{Pool: pool, MoveCooldown: settleWindows * s.cfg.Demand.Short}, planner.Deps{Lease: term{l}, Table: s.cfg.Platform.Table,
-			Weights: s.cfg.Platform.Weights, Orders: s.orders, Inputs: plannerSite{s, pool}, Log: s.log})
+		r.planner = planner.New(planner.Config{Pool: pool, MoveCooldown: moveCooldownWindows * s.cfg.Demand.Short}, planner.Deps{Lease: leaseTerm{l}, Table: s.cfg.Platform.Table,
+			Weights: s.cfg.Platform.Weights, Orders: s.orders, Inputs: plannerInputs{s, pool}, Log: s.log})
 		return r.planner.Run
 	})
 }
@@ -200,8 +200,8 @@
 	return out
 }
 
-// planned lists the pools that this host plans now.
-func (s *Server) planned() map[string]*planner.Planner {
+// plannedPools lists the pools that this host plans now.
+func (s *Server) plannedPools() map[string]*planner.Planner {
 	s.roles.mu.Lock()
 	defer s.roles.mu.Unlock()
 	out := map[string]*planner.Planner{}
--- a/node/server/run.go
+++ b/node/server/run.go
@@ -11,15 +11,15 @@
 	"peridotpier.example/node/event"
 )
 
-// handOverBound is how long streams get to tell their callers where to go on.
-const handOverBound = 2 * time.Second
+// handOverTimeout is how long streams get to tell their callers where to go on.
+const handOverTimeout = 2 * time.Second
 
-// operatorsBound is how long operators' last requests may take: all but changes
+// operatorDrainTimeout is how long operators' last requests may take: all but changes
 // of the configuration take milliseconds, and those one write of the platform's table.
-const operatorsBound = 2 * time.Second
+const operatorDrainTimeout = 2 * time.Second
 
-// farewell is how long the last word to the other hosts gets to leave.
-const farewell = 100 * time.Millisecond
+// announceDelay is how long the last word to the other hosts gets to leave.
+const announceDelay = 100 * time.Millisecond
 
 // Run serves until ctx ends, then shuts down gracefully.
 func (s *Server) Run(ctx context.Context) error {
@@ -34,7 +34,7 @@
 	background(s.admit.Run)
 	background(s.claims.run)
 	background(s.config.Run)
-	background(s.follow)
+	background(s.applyConfigs)
 	background(s.demand.Run)
 	background(s.mesh.Run)
 	background(func(ctx context.Context) error { return s.mesh.Serve(ctx, s.peerLn) })
@@ -48,17 +48,17 @@
 			return nil
 		}, func(error) { l.close() })
 	}
-	g.Add(func() error { return s.untilDrained(ctx) }, func(error) { stopWork() })
+	g.Add(func() error { return s.drainOnStop(ctx) }, func(error) { stopWork() })
 	err := g.Run()
 	s.client.Close()
 	return err
 }
 
-// untilDrained waits for the order to stop, then says "not ready", goes on
+// drainOnStop waits for the order to stop, then says "not ready", goes on
 // serving while the balancer has not seen it, stops taking requests, and waits
 // for those in flight. Taking none from the first moment would refuse what the
 // balancer still sends; a listener closed too early would cut it off.
-func (s *Server) untilDrained(ctx context.Context) error {
+func (s *Server) drainOnStop(ctx context.Context) error {
 	select {
 	case <-s.killed:
 		return nil
@@ -68,22 +68,22 @@
 	s.mesh.Announce(member.Draining)
 	s.reconcileSoon() // leases move to others now, not when this host is gone
 	s.log.Emit(event.ProcessDraining, zap.Int("in_flight", s.requests.LiveCount()))
-	if !s.wait(s.cfg.Settings.Bounds.BalancerWait()) {
+	if !s.sleep(s.cfg.Settings.Bounds.BalancerWait()) {
 		return nil
 	}
-	bound, cancel := context.WithTimeout(context.Background(), s.cfg.Settings.Bounds.Drain())
+	drainCtx, cancel := context.WithTimeout(context.Background(), s.cfg.Settings.Bounds.Drain())
 	defer cancel()
 	cut := 0
-	s.conns.stop()
-	if err := s.callers.drain(bound); err != nil {
+	s.conns.markStopping()
+	if err := s.callers.drain(drainCtx); err != nil {
 		cut = s.requests.HandOver()
-		last, cancelLast := context.WithTimeout(context.Background(), handOverBound)
+		handOverCtx, cancelLast := context.WithTimeout(context.Background(), handOverTimeout)
 		defer cancelLast()
-		_ = s.callers.drain(last) // what is still open then is closed by Run
+		_ = s.callers.drain(handOverCtx) // what is still open then is closed by Run
 	}
 	s.drainOperators()
 	s.mesh.Announce(member.Terminated)
-	s.wait(farewell)
+	s.sleep(announceDelay)
 	s.log.Emit(event.ProcessStopped, append(s.conns.counts().fields(), zap.Int("cut", cut))...)
 	return nil
 }
@@ -91,13 +91,13 @@
 // drainOperators finishes the requests of operators, who may ask until the last
 // caller has its answer.
 func (s *Server) drainOperators() {
-	bound, cancel := context.WithTimeout(context.Background(), operatorsBound)
+	drainCtx, cancel := context.WithTimeout(context.Background(), operatorDrainTimeout)
 	defer cancel()
-	_ = s.operators.drain(bound) // what is still open then is closed by Run
+	_ = s.operators.drain(drainCtx) // what is still open then is closed by Run
 }
 
-// wait lets d pass; false: the host was killed meanwhile.
-func (s *Server) wait(d time.Duration) bool {
+// sleep lets d pass; false: the host was killed meanwhile.
+func (s *Server) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/node/server/secured_test.go
+++ b/node/server/secured_test.go
@@ -14,12 +14,12 @@
 // Cause: the handshake's bytes count as a request's.
 func TestAnUnusedSecuredConnectionHoldsNoStop(t *testing.T) {
 	t.Parallel()
-	s := newStoppable(t, true)
+	s := newStoppableListener(t, true)
 	c, err := s.dial(s.l.address())
 	assert.NilError(t, err)
 	defer func() { _ = c.Close() }()
 	time.Sleep(100 * time.Millisecond)
-	began := time.Now()
+	start := time.Now()
 	assert.NilError(t, s.l.drain(t.Context()))
-	assert.Assert(t, time.Since(began) < time.Second, "the stop took %v", time.Since(began))
+	assert.Assert(t, time.Since(start) < time.Second, "the stop took %v", time.Since(start))
 }
--- a/node/server/server.go
+++ b/node/server/server.go
@@ -84,38 +84,38 @@
 
 // Server is one node.
 type Server struct {
-	cfg         Config
-	incarnation string
-	started     time.Time
-	log         *event.Log
-	metrics     *metrics.Set
-	requests    *inflight.Registry
-	client      *conn.Client
-	sparse      *conn.Client
-	view        *view.View
-	poller      *poll.Poller
-	config      *query.ConfigReader
-	dispatch    *dispatch.Dispatcher
-	admit       *admission.Controller
-	claims      *claims
-	orders      *orders.Sender
-	demand      *demand.Tracker
-	others      othersDemand
-	mesh        *peer.Mesh
-	peerLn      net.Listener
-	roles       roles
-	reconcile   chan struct{}
-	siteHosts   atomic.Int32 // entry hosts that share the upstreams
-	callers     *listener
-	conns       *connStates // of callers
-	operators   *listener
-	phase       atomic.Int32
-	kill        sync.Once
-	killed      chan struct{}
+	cfg              Config
+	incarnation      string
+	started          time.Time
+	log              *event.Log
+	metrics          *metrics.Set
+	requests         *inflight.Registry
+	client           *conn.Client
+	infrequentClient *conn.Client
+	view             *view.View
+	poller           *poll.Poller
+	config           *query.ConfigReader
+	dispatch         *dispatch.Dispatcher
+	admit            *admission.Controller
+	claims           *claims
+	orders           *orders.Sender
+	demand           *demand.Tracker
+	peerDemand       peerDemand
+	mesh             *peer.Mesh
+	peerLn           net.Listener
+	roles            roles
+	reconcile        chan struct{}
+	siteHosts        atomic.Int32 // entry hosts that share the upstreams
+	callers          *listener
+	conns            *connStates // of callers
+	operators        *listener
+	phase            atomic.Int32
+	kill             sync.Once
+	killed           chan struct{}
 }
 
-// sparseIdle is how long connections are kept that are used every few seconds.
-const sparseIdle = 100 * time.Millisecond
+// infrequentMaxIdle is how long connections are kept that are used every few seconds.
+const infrequentMaxIdle = 100 * time.Millisecond
 
 // The phases of a node's life.
 const (
@@ -128,11 +128,11 @@
 func New(cfg Config) (*Server, error) {
 	s := &Server{cfg: cfg, incarnation: uuid.NewString(), started: time.Now(), log: event.NewLog(cfg.Log),
 		metrics: metrics.New(), requests: inflight.New(), client: conn.New(conn.Config{Dialer: cfg.Dialer}),
-		sparse: conn.New(conn.Config{Dialer: cfg.Dialer, MaxIdleTime: sparseIdle}),
-		killed: make(chan struct{}), reconcile: make(chan struct{}, 1), roles: roles{byID: map[string]*role{}}}
+		infrequentClient: conn.New(conn.Config{Dialer: cfg.Dialer, MaxIdleTime: infrequentMaxIdle}),
+		killed:           make(chan struct{}), reconcile: make(chan struct{}, 1), roles: roles{byID: map[string]*role{}}}
 	s.siteHosts.Store(1)
-	s.dataPath()
-	if err := s.controlPath(); err != nil {
+	s.buildDataPath()
+	if err := s.buildControlPath(); err != nil {
 		return nil, err
 	}
 	if err := s.listen(); err != nil {
@@ -141,29 +141,29 @@
 	return s, nil
 }
 
-// dataPath puts together what a request goes through.
-func (s *Server) dataPath() {
+// buildDataPath puts together what a request goes through.
+func (s *Server) buildDataPath() {
 	set := s.cfg.Settings
 	s.view = view.New(set.DataCentre, time.Now, s.cfg.RoundTripMs)
-	s.poller = poll.New(s.client, s.sparse, s.view, s.log)
+	s.poller = poll.New(s.client, s.infrequentClient, s.view, s.log)
 	picker := s.cfg.Policy.Picker
 	if picker == nil {
 		picker = route.New(route.Config{})
 	}
 	s.dispatch = dispatch.New(dispatch.Config{IdleBeforeProbe: set.Bounds.IdleBeforeProbe(), RetryShare: set.Bounds.RetryShare},
 		dispatch.Deps{View: s.view, Picker: picker, Client: s.client, Log: s.log, Metrics: s.metrics, NotifyDemand: s.cfg.Policy.NotifyDemand})
-	s.poller.OnReport = s.tellReport
+	s.poller.OnReport = s.publishReport
 	s.demand = demand.New(s.cfg.Demand)
 	s.admit = admission.New(admission.Config{Hosts: 1})
 	s.claims = newClaims(s)
 }
 
-// controlPath puts together what runs beside the requests.
-func (s *Server) controlPath() error {
+// buildControlPath puts together what runs beside the requests.
+func (s *Server) buildControlPath() error {
 	s.config = query.NewConfigReader(s.cfg.Settings.Bounds.ConfigPoll(),
 		query.Deps{Table: s.cfg.Platform.Table, Objects: s.cfg.Platform.Objects, Log: s.log})
 	s.metrics.SetFunc(metrics.InFlight, func() any { return s.requests.LiveCount() })
-	s.metrics.SetFunc(metrics.ConfigVersion, func() any { return s.version() })
+	s.metrics.SetFunc(metrics.ConfigVersion, func() any { return s.configVersion() })
 	s.orders = orders.New(s.client, s.addressOf)
 	ln, err := net.Listen("tcp", s.cfg.Settings.Peer.Address)
 	if err != nil {
@@ -187,7 +187,7 @@
 	return u.Address, true
 }
 
-func (s *Server) version() uint64 {
+func (s *Server) configVersion() uint64 {
 	if st, ok := s.config.Current(); ok {
 		return st.Version
 	}
@@ -198,14 +198,14 @@
 func (s *Server) listen() error {
 	set := s.cfg.Settings
 	api := callerapi.New(callerapi.Config{Host: set.Host, PrefixSalt: s.cfg.Keys.PrefixSalt(), BodyTimeout: s.cfg.BodyTimeout}, callerapi.Deps{
-		Config: s.config, Admission: admitter{c: s.admit, open: s.cfg.Policy.AdmitAll}, Claims: s.claims,
+		Config: s.config, Admission: admitter{c: s.admit, admitAll: s.cfg.Policy.AdmitAll}, Claims: s.claims,
 		Dispatcher: s.dispatch, Demand: s.demand, Tokens: s.cfg.Keys, Requests: s.requests, Metrics: s.metrics, Log: s.log, Now: time.Now})
 	var err error
 	if s.callers, err = s.newListener("callers", set.Caller.Address, api, s.cfg.Keys.CallerListener); err != nil {
 		return err
 	}
 	s.conns = newConnStates(s.metrics)
-	s.callers.watch(s.conns.changed)
+	s.callers.addStateHook(s.conns.onStateChange)
 	deps := command.Deps{Table: s.cfg.Platform.Table, Objects: s.cfg.Platform.Objects, Log: s.log}
 	ops := operatorapi.New(operatorapi.Deps{Operators: set.Operator.Operators, Changes: command.NewConfiguration(deps),
 		Audit:  query.NewAuditReader(query.Deps{Table: s.cfg.Platform.Table, Objects: s.cfg.Platform.Objects}),
@@ -214,7 +214,7 @@
 		_ = s.callers.ln.Close()
 		return err
 	}
-	s.operators.server.ReadTimeout = operatorBound
+	s.operators.server.ReadTimeout = operatorReadTimeout
 	return nil
 }
 
--- a/node/server/status.go
+++ b/node/server/status.go
@@ -19,7 +19,7 @@
 	phase := s.phase.Load()
 	out := operatorapi.Status{Host: s.cfg.Settings.Host, DataCentre: s.cfg.Settings.DataCentre, Incarnation: s.incarnation,
 		Ready: phase == phaseReady, Draining: phase == phaseDraining, Freshness: s.config.Freshness().String(),
-		InFlight: s.requests.LiveCount(), UnresolvedClaims: s.claims.unsettled(), UptimeSeconds: time.Since(s.started).Seconds()}
+		InFlight: s.requests.LiveCount(), UnresolvedClaims: s.claims.unresolved(), UptimeSeconds: time.Since(s.started).Seconds()}
 	if st, ok := s.config.Current(); ok {
 		out.Version, out.Preset = st.Version, st.Preset.Name
 	}
@@ -52,26 +52,26 @@
 
 // Rollout implements operatorapi.Site.
 func (s *Server) Rollout(ctx context.Context) (operatorapi.Rollout, error) {
-	out := operatorapi.Rollout{Version: s.version(), Hosts: []query.HostVersion{}}
-	heard := query.NewVersionTracker(nil)
+	out := operatorapi.Rollout{Version: s.configVersion(), Hosts: []query.HostVersion{}}
+	tracker := query.NewVersionTracker(nil)
 	versions := s.mesh.ConfigVersions(ctx)
 	for host, version := range versions {
 		if version == 0 {
 			continue
 		}
-		heard.Record(host, version)
+		tracker.Record(host, version)
 		out.Hosts = append(out.Hosts, query.HostVersion{Host: host, Version: version, At: time.Now()})
 	}
 	sort.Slice(out.Hosts, func(i, j int) bool { return out.Hosts[i].Host < out.Hosts[j].Host })
-	out.Waiting = heard.HostsBelow(out.Version, expected(s.mesh.ListedHosts(), versions))
+	out.Waiting = tracker.HostsBelow(out.Version, requiredHosts(s.mesh.ListedHosts(), versions))
 	return out, nil
 }
 
-// expected are the hosts that must have confirmed a version before it is in
+// requiredHosts are the hosts that must have confirmed a version before it is in
 // force everywhere: those that the platform lists as live, even if no peer has
 // heard of them, and those that peers know, since the list shows a new host
 // only seconds after it began to serve.
-func expected(listed []store.Host, known map[string]uint64) []store.Host {
+func requiredHosts(listed []store.Host, known map[string]uint64) []store.Host {
 	for host := range known {
 		if !slices.ContainsFunc(listed, func(h store.Host) bool { return h.Name == host }) {
 			listed = append(listed, store.Host{Name: host, Role: store.RoleEntry, State: store.HostLive})
--- a/node/server/status_test.go
+++ b/node/server/status_test.go
@@ -19,12 +19,12 @@
 		{Name: "gone", Role: store.RoleEntry, State: store.HostDraining},
 		{Name: "engine", Role: store.RoleUpstream, State: store.HostLive}}
 	versions := map[string]uint64{"a": 2, "new": 1, "silent": 0}
-	heard := query.NewVersionTracker(nil)
+	tracker := query.NewVersionTracker(nil)
 	for host, v := range versions {
-		heard.Record(host, v)
+		tracker.Record(host, v)
 	}
 	var waiting []string
-	for _, h := range heard.HostsBelow(2, expected(listed, versions)) {
+	for _, h := range tracker.HostsBelow(2, requiredHosts(listed, versions)) {
 		waiting = append(waiting, h.Host)
 	}
 	assert.DeepEqual(t, waiting, []string{"new", "silent"})
