--- a/node/callerapi/message_test.go
+++ b/node/callerapi/message_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestCallersSeeWhatThisHostHasToSay(t *testing.T) {
+func TestCallersSeeTheErrorsThatThisHostWrote(t *testing.T) {
 	for _, f := range []*fault.Error{
 		fault.NotRun(fault.StepParse, "", fault.CodeBadRequest, "body is not a JSON request: %w", errors.New("offset 3")),
 		fault.NotRun(fault.StepRoute, "", fault.CodeOverloaded, "every upstream of pool lm is busy"),
--- a/node/callerapi/page_test.go
+++ b/node/callerapi/page_test.go
@@ -13,7 +13,7 @@
 // Symptom: a caller gets a code, and the page does not say what to do on it.
 // Sequence: a code is added, or its status changes.
 // Cause: page and code are kept apart.
-func TestThePageSaysWhatToDoOnEachCode(t *testing.T) {
+func TestThePageExplainsEachCode(t *testing.T) {
 	data, err := os.ReadFile("../../docs/callers.md")
 	assert.NilError(t, err)
 	page := string(data)
--- a/node/event/panic_test.go
+++ b/node/event/panic_test.go
@@ -15,7 +15,7 @@
 // Symptom: a log shows part of a request's body.
 // Sequence: a handler panics with a value that it made of the request.
 // Cause: the value is written as it is.
-func TestAPanicsValueIsWrittenIfItIsTheRuntimesOnly(t *testing.T) {
+func TestOnlyTheRuntimesPanicValuesAreLogged(t *testing.T) {
 	core, lines := observer.New(zap.DebugLevel)
 	log := event.NewLog(zap.New(core))
 	for _, v := range []any{"secret", fmt.Errorf("secret"), []byte("secret")} {
--- a/node/server/connstates_test.go
+++ b/node/server/connstates_test.go
@@ -19,7 +19,7 @@
 // Sequence: a host stops with an idle connection, one with a request and one
 // without a byte.
 // Cause: only the requests that were cut off are counted.
-func TestTheStopTellsWhatItFindsOpen(t *testing.T) {
+func TestShutdownReportsOpenConnections(t *testing.T) {
 	set := metrics.New()
 	states := newConnStates(set)
 	release := make(chan struct{})
--- a/node/server/listener_test.go
+++ b/node/server/listener_test.go
@@ -131,7 +131,7 @@
 // Cause: the HTTP server's Shutdown closes a connection that had an answer as
 // idle until the next head is whole, and drops a request whose head it has just
 // read. The evidence is the end of the connection where the answer should be.
-func TestAStopServesWhatIsBeingRead(t *testing.T) {
+func TestAShutdownServesARequestThatIsBeingRead(t *testing.T) {
 	t.Parallel()
 	const request = "GET / HTTP/1.1\r\nHost: site.example\r\n\r\n"
 	for _, secured := range []bool{false, true} {
--- a/node/server/secured_test.go
+++ b/node/server/secured_test.go
@@ -12,7 +12,7 @@
 // Sequence: a caller opens a connection in advance, as HTTP clients do; its
 // handshake is done; it sends nothing; the listener is drained.
 // Cause: the handshake's bytes count as a request's.
-func TestAnUnusedSecuredConnectionHoldsNoStop(t *testing.T) {
+func TestAnUnusedTLSConnectionDoesNotDelayAShutdown(t *testing.T) {
 	t.Parallel()
 	s := newStoppableListener(t, true)
 	c, err := s.dial(s.l.address())
--- a/node/server/status_test.go
+++ b/node/server/status_test.go
@@ -14,7 +14,7 @@
 // Sequence: a host starts and links with others; a change is made before the
 // platform's list shows the host.
 // Cause: only listed hosts were waited for.
-func TestAHostThatTheListLacksIsWaitedFor(t *testing.T) {
+func TestAnUnlistedHostIsWaitedFor(t *testing.T) {
 	listed := []store.Host{{Name: "a", Role: store.RoleEntry, State: store.HostLive},
 		{Name: "gone", Role: store.RoleEntry, State: store.HostDraining},
 		{Name: "engine", Role: store.RoleUpstream, State: store.HostLive}}
