--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -152,7 +152,7 @@
 try "an attempt whose answer has begun" node/gate/attempt.go \
   'if !l.stay() {' 'if false {' ./node/gate -run 'LargeAnswer'
 try "last lines of the log" node/event/sink.go \
-  'len(buf) > 0 && time.Now().Before(deadline); buf = s.gather(buf[:0])' 'len(buf) > 0 && time.Now().Before(end); buf = nil' ./node/event
+  'len(buf) > 0 && time.Now().Before(deadline); buf = s.gather(buf[:0])' 'len(buf) > 0 && time.Now().Before(deadline); buf = nil' ./node/event
 try "kinds that may run again" node/gate/gate.go \
   'case !res.notRun && !q.mayRunAgain():' 'case false:' ./node/gate
 try "entries that ran out with the store" node/fleet/fleet.go \
