--- a/node/server/admit.go
+++ b/node/server/admit.go
@@ -7,10 +7,10 @@
 	"peridotpier.example/node/callerapi"
 )
 
-// admitter lets the callers' interface use the admission controller.
+// admitter adapts the admission controller to callerapi.Admission.
 type admitter struct {
 	c        *admission.Controller
-	admitAll bool // lets everything in at once
+	admitAll bool // admits every request at once
 }
 
 // Admit implements callerapi.Admission.
--- a/node/server/claims.go
+++ b/node/server/claims.go
@@ -18,11 +18,11 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// claims lets the callers' interface use the claim store.
+// claims adapts the claim store to callerapi.Claims and runs its background work.
 type claims struct {
 	store   *nodeclaim.Store
 	batcher *nodeclaim.Batcher
-	rows    *nodeclaim.Rows // over batch; for this host and for others
+	rows    *nodeclaim.Rows // writes through batcher, for this host and for others
 	log     *event.Log
 	killed  <-chan struct{}
 }
@@ -43,14 +43,15 @@
 	return &claims{store: store, batcher: batch, rows: rows, log: s.log, killed: s.killed}
 }
 
-// claimDrainTimeout is how long a host that has shut down otherwise goes on writing
-// the ends of claims: through a short outage of the table service, but not so
-// long that the host's replacement waits for it. What is left then is as if
-// the host had died: a repeat is settled by the upstream's word.
+// claimDrainTimeout bounds how long a host that has otherwise shut down keeps
+// writing the outcomes of claims: long enough for a short outage of the table
+// service, but not so long that the host's replacement waits for it. Outcomes
+// not written by then are left as after a crash: a repeat of the request is
+// resolved by asking the upstream.
 const claimDrainTimeout = 10 * time.Second
 
-// run settles what could not be settled at once. At the end of ctx, which
-// comes after the last request, it writes what still waits.
+// run writes the outcomes of claims that could not be written at once. When
+// ctx ends, which is after the last request, it drains those still pending.
 func (c *claims) run(ctx context.Context) error {
 	batching, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -67,7 +68,7 @@
 	defer cancel()
 	go func() {
 		select {
-		case <-c.killed: // a dead process writes nothing
+		case <-c.killed: // Kill simulates a crash: a dead process writes nothing
 			cancel()
 		case <-ctx.Done():
 		}
@@ -77,13 +78,13 @@
 	}
 }
 
-// unresolved is the number of ends of claims that wait for the platform.
+// unresolved returns how many outcomes of claims are not yet written to the platform.
 func (c *claims) unresolved() int {
 	n, _ := c.store.Pending()
 	return n
 }
 
-// setLimits puts a configuration's limits in force.
+// setLimits applies the limits of a configuration.
 func (c *claims) setLimits(l config.Limits) {
 	c.store.SetLimits(nodeclaim.Limits{TTL: time.Duration(l.ClaimTTLSeconds) * time.Second, MaxAnswerBytes: int(l.AnswerBytes)})
 }
@@ -97,12 +98,12 @@
 	return g, a, err
 }
 
-// attemptQuerier asks upstreams by name for the fate of attempts.
+// attemptQuerier asks upstreams, given by name, for the outcome of attempts.
 type attemptQuerier struct{ s *Server }
 
 var errUpstreamRemoved = errors.New("upstream is not in the configuration any more")
 
-// QueryAttempt implements claim.Fates.
+// QueryAttempt implements claim.AttemptQuerier.
 func (f attemptQuerier) QueryAttempt(ctx context.Context, upstream, attempt string) (engineapi.Attempt, error) {
 	address, ok := f.s.addressOf(upstream)
 	if !ok {
--- a/node/server/claimwriters.go
+++ b/node/server/claimwriters.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// claimWriters is how many hosts of a fleet merge all hosts' claims into
-	// commits: at 20 commits a second each they take less than half of 300
-	// writes a second. If each of 420 hosts merged its own, 212 claims a
-	// second were measured in place of 1,500.
+	// claimWriters is how many hosts of a fleet batch the claims of all hosts
+	// into commits: at 20 commits a second each they use less than half of 300
+	// writes a second. When each of 420 hosts batched its own claims, 212 claims
+	// a second were measured instead of 1,500.
 	claimWriters = 7
-	// maxOwnWriterHosts is the largest fleet in which each host writes its own.
+	// maxOwnWriterHosts is the largest fleet in which each host writes its own claims.
 	maxOwnWriterHosts = claimWriters
 )
 
-// claimRecords keeps claims in rows of the table service, through the host
-// that merges the changes of a key's range. Rows keep their own conditions, so
-// that any host may write any of them: when the writer cannot be reached, the
-// host writes itself, and a change whose answer was lost is recognised in the
-// row by its operation id.
+// claimRecords stores claims in rows of the table service, through the host
+// that batches the changes of a key's range. Each row has its own write
+// condition, so any host may write any row: when the writer cannot be reached,
+// this host writes the row itself, and a change whose answer was lost is
+// recognised in the row by its operation id.
 type claimRecords struct {
 	s   *Server
 	own *nodeclaim.Rows
 }
 
-// writer is the host that merges the changes of a key; false: this one.
+// writer returns the host that batches the changes of a key; false means this host.
 func (r claimRecords) writer(key string) (member.Host, bool) {
 	if r.s.siteHosts.Load() <= maxOwnWriterHosts && !r.s.cfg.Policy.ForwardClaims {
-		return member.Host{}, false // without a look at the hosts, on the path of each claim
+		return member.Host{}, false // avoids listing the hosts, on the path of each claim
 	}
 	live := r.s.mesh.LiveHosts()
 	if len(live) == 0 {
@@ -48,7 +48,7 @@
 
 // Read implements claim.Records.
 func (r claimRecords) Read(ctx context.Context, key string) (nodeclaim.VersionedRow, error) {
-	return r.own.Read(ctx, key) // reads are not merged: any host may make them
+	return r.own.Read(ctx, key) // reads are not batched: any host may make them
 }
 
 // Swap implements claim.Records.
--- a/node/server/configure.go
+++ b/node/server/configure.go
@@ -13,9 +13,9 @@
 	"peridotpier.example/node/query"
 )
 
-// applyConfigs puts each configuration that comes in force into effect on this
-// host. The host is ready once it has one and has asked its upstreams: before
-// that it would refuse what it could serve.
+// applyConfigs applies each new configuration in force to this host, until ctx
+// ends. The host becomes ready once it has a configuration and has polled its
+// upstreams: before that it would refuse requests that it could serve.
 func (s *Server) applyConfigs(ctx context.Context) error {
 	var seen uint64
 	for {
@@ -39,12 +39,13 @@
 	}
 }
 
-// hostListTimeout is how long a starting host waits for the platform's list of hosts.
-// Without it each host of a fleet would take itself for the only one, and ask
-// every upstream at once; with the platform down it serves without.
+// hostListTimeout bounds how long a starting host waits for the platform's list
+// of hosts. Without the list each host of a fleet would treat itself as the only
+// one and poll every upstream at once. When the platform is down, the host
+// serves without the list.
 const hostListTimeout = 3 * time.Second
 
-// Ready says whether the host serves callers.
+// Ready reports whether the host serves callers.
 func (s *Server) Ready() bool { return s.phase.Load() == phaseReady }
 
 func (s *Server) configure(st *query.State) {
@@ -56,14 +57,14 @@
 	s.reconfigureAdmission(st)
 }
 
-// reconfigureAdmission sets this host's share of what all hosts may use together.
+// reconfigureAdmission sets this host's share of the limits that all hosts share.
 func (s *Server) reconfigureAdmission(st *query.State) {
 	hosts := int(s.siteHosts.Load())
 	s.admit.Reconfigure(admission.Config{Preset: *st.Preset, Classes: st.Index.Classes, Teams: st.Index.Teams,
 		Slots: hostSlots(st.Index.Config, hosts), Hosts: hosts})
 }
 
-// setSiteHosts takes the number of hosts that share the upstreams.
+// setSiteHosts sets the number of hosts that share the upstreams.
 func (s *Server) setSiteHosts(n int) {
 	if old := s.siteHosts.Swap(int32(max(n, 1))); int(old) != n {
 		if st, ok := s.config.Current(); ok {
@@ -72,7 +73,7 @@
 	}
 }
 
-// hostSlots is this host's share of each pool's places.
+// hostSlots returns this host's share of each pool's batch slots.
 func hostSlots(c *config.Config, hosts int) map[string]int {
 	places := map[string]int{}
 	for _, u := range c.Upstreams {
--- a/node/server/connstates.go
+++ b/node/server/connstates.go
@@ -10,7 +10,7 @@
 	"peridotpier.example/node/metrics"
 )
 
-// connStates follows the connections of a listener. It decides nothing.
+// connStates tracks the connections of a listener, for metrics and logs only.
 type connStates struct {
 	metrics *metrics.Set
 
@@ -27,7 +27,7 @@
 	return c
 }
 
-// onStateChange is the hook of the HTTP server.
+// onStateChange is an http.Server.ConnState hook.
 func (c *connStates) onStateChange(nc net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,18 +46,18 @@
 	c.states[nc] = state
 }
 
-// markStopping notes that the listener is about to be shut down.
+// markStopping records that the listener is about to be shut down.
 func (c *connStates) markStopping() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stopping = true
 }
 
-// stateCounts are the connections of a listener.
+// stateCounts are the numbers of a listener's connections by state.
 type stateCounts struct {
 	open       int
 	active     int // a request is being read or answered
-	new        int // not a byte has come
+	new        int // no byte has been received
 	idleClosed int // closed while idle since the stop began
 }
 
@@ -76,7 +76,7 @@
 	return n
 }
 
-// fields tell what the end of the process finds.
+// fields returns the counts as fields of the event ProcessStopped.
 func (n stateCounts) fields() []zap.Field {
 	return []zap.Field{zap.Int("open", n.open), zap.Int("active", n.active), zap.Int("new", n.new), zap.Int("idle_closed", n.idleClosed)}
 }
--- a/node/server/connstates_test.go
+++ b/node/server/connstates_test.go
@@ -15,9 +15,10 @@
 	"peridotpier.example/node/metrics"
 )
 
-// Symptom: after a restart nobody can say what became of its connections.
+// Symptom: after a restart the log does not show what became of the host's
+// connections.
 // Sequence: a host stops with an idle connection, one with a request and one
-// without a byte.
+// on which no byte was received.
 // Cause: only the requests that were cut off are counted.
 func TestShutdownReportsOpenConnections(t *testing.T) {
 	set := metrics.New()
--- a/node/server/listener.go
+++ b/node/server/listener.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// headTimeout is how long the other side may take to send the head of a request.
+	// headTimeout bounds the time a client may take to send the head of a request.
 	headTimeout = 10 * time.Second
-	// operatorReadTimeout is how long an operator's whole request may take to arrive;
-	// 8 MB of configuration in it need 2 Mbit/s.
+	// operatorReadTimeout bounds the time an operator's entire request may take to
+	// arrive; 8 MB of configuration need 2 Mbit/s to arrive within it.
 	operatorReadTimeout = 30 * time.Second
-	// idleTimeout is how long an idle connection is kept; above the pools of
-	// usual clients and balancers, so that these close first and never meet a
-	// connection that the host is just closing.
+	// idleTimeout is how long an idle connection is kept. It is longer than in the
+	// connection pools of usual clients and load balancers, so that these close
+	// first and never send a request on a connection that the host is closing.
 	idleTimeout = 90 * time.Second
 )
 
@@ -51,8 +51,8 @@
 	return l, nil
 }
 
-// closeWhenDraining asks callers of a host that stops to go elsewhere for their next
-// request: their connections are closed as soon as they have none.
+// closeWhenDraining wraps h so that each answer of a draining host closes its
+// connection: callers send their next request to another host.
 func (s *Server) closeWhenDraining(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.phase.Load() == phaseDraining {
@@ -62,7 +62,8 @@
 	})
 }
 
-// addStateHook has f told of the states of connections, too. Before serve.
+// addStateHook adds f to the hooks that are called when a connection changes its
+// state. It must be called before serve.
 func (l *listener) addStateHook(f func(net.Conn, http.ConnState)) {
 	prev := l.server.ConnState
 	l.server.ConnState = func(nc net.Conn, state http.ConnState) {
@@ -76,25 +77,26 @@
 // serve serves until the server is closed.
 func (l *listener) serve() error { return eris.Wrapf(l.conns.Serve(), "serve %s", l.name) }
 
-// drain takes no more connections and waits until no request is under way, or ctx ends.
+// drain stops accepting connections and waits until no request is in progress, or ctx ends.
 func (l *listener) drain(ctx context.Context) error { return l.conns.Drain(ctx) }
 
-// close ends whatever is left.
+// close closes the listener and all connections that are left.
 func (l *listener) close() { l.conns.Close() }
 
-// errorLog turns lines of the HTTP server into numbered events.
+// errorLog is an io.Writer that turns the log lines of an HTTP server into numbered events.
 type errorLog struct {
 	s     *Server
 	where string
 }
 
-// How the HTTP server's lines begin.
+// Prefixes of the HTTP server's log lines.
 const (
 	handshakePrefix = "http: TLS handshake error from "
 	panicPrefix     = "http: panic serving "
 )
 
-// Write implements io.Writer; it gets one line a call, a panic with its stack.
+// Write implements io.Writer. Each call gets one log entry; that of a panic
+// includes its stack.
 func (c errorLog) Write(p []byte) (int, error) {
 	line := strings.TrimSpace(string(p))
 	if rest, ok := strings.CutPrefix(line, handshakePrefix); ok {
--- a/node/server/listener_test.go
+++ b/node/server/listener_test.go
@@ -20,7 +20,7 @@
 	"peridotpier.example/node/settings"
 )
 
-// countedListener counts the reads of a listener's only connection.
+// countedListener counts the reads of its only connection.
 type countedListener struct {
 	net.Listener
 	begun, ended atomic.Int64
@@ -39,7 +39,7 @@
 	l *countedListener
 }
 
-// NetConn is the connection below.
+// NetConn returns the underlying connection.
 func (c *countedConn) NetConn() net.Conn { return c.Conn }
 
 func (c *countedConn) Read(p []byte) (int, error) {
@@ -48,7 +48,7 @@
 	return c.Conn.Read(p)
 }
 
-// stoppableListener is a listener that a test stops.
+// stoppableListener is a listener that a test drains.
 type stoppableListener struct {
 	t     *testing.T
 	reads *countedListener
@@ -100,7 +100,7 @@
 	return s
 }
 
-// sendRead sends bytes and waits until the server has them and reads on.
+// sendRead sends text and waits until the server has read it and reads again.
 func (s *stoppableListener) sendRead(c net.Conn, text string) {
 	s.t.Helper()
 	before := s.reads.ended.Load()
@@ -124,13 +124,14 @@
 	assert.Equal(t, string(text), "ok")
 }
 
-// Symptom: a caller's connection ends without an answer though its whole
+// Symptom: a caller's connection ends without an answer although its entire
 // request was read.
 // Sequence: the head of a request is being read, on a new connection or on one
-// that had an answer; the listener is drained; the rest of the head comes.
-// Cause: the HTTP server's Shutdown closes a connection that had an answer as
-// idle until the next head is whole, and drops a request whose head it has just
-// read. The evidence is the end of the connection where the answer should be.
+// that has had an answer; the listener is drained; the rest of the head arrives.
+// Cause: the HTTP server's Shutdown treats a connection that has had an answer
+// as idle until the next head is complete, and closes it; it also drops a
+// request whose head it has just read. The test sees the connection end in
+// place of the answer.
 func TestAShutdownServesARequestThatIsBeingRead(t *testing.T) {
 	t.Parallel()
 	const request = "GET / HTTP/1.1\r\nHost: site.example\r\n\r\n"
@@ -162,7 +163,8 @@
 	}
 }
 
-// waitClosed waits until the listener takes no more connections and the first look is over.
+// waitClosed waits until the listener accepts no more connections, and long enough
+// for the drain to check the open ones once.
 func (s *stoppableListener) waitClosed() {
 	s.t.Helper()
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
--- a/node/server/mesh.go
+++ b/node/server/mesh.go
@@ -18,7 +18,7 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// newMesh puts this host's part of the net of hosts together.
+// newMesh creates this host's end of the mesh that links all hosts.
 func (s *Server) newMesh(address string) *peer.Mesh {
 	set := s.cfg.Settings
 	return peer.New(peer.Config{Self: member.Host{Name: set.Host, Address: address, DataCentre: set.DataCentre, Process: s.incarnation},
@@ -41,9 +41,10 @@
 	return s.cfg.Keys.SecurePeerConn(ctx, c, address)
 }
 
-// peerSource is the address that connections to peers come from. With TLS it
-// is the listener's own, which the certificate holds: on a host with several
-// addresses the system may choose another, and the peer would refuse it.
+// peerSource returns the local address for connections to peers; nil lets the
+// system choose. With TLS it is the address of the peer listener, which the
+// certificate names: on a host with several addresses the system may choose
+// another one, and the peer would refuse it.
 func (s *Server) peerSource() net.Addr {
 	own, ok := s.peerLn.Addr().(*net.TCPAddr)
 	if !ok || own.IP.IsUnspecified() || !s.cfg.Keys.PeersUseTLS() {
@@ -52,7 +53,7 @@
 	return &net.TCPAddr{IP: own.IP, Zone: own.Zone}
 }
 
-// applyUpstreamChange takes peers' words on upstreams into the view.
+// applyUpstreamChange applies a peer's report of an upstream to the view.
 func (s *Server) applyUpstreamChange(u member.Upstream) {
 	ready := map[route.ModelKey]bool{}
 	for _, r := range u.Residents {
@@ -62,7 +63,7 @@
 	s.view.ApplyPeerReport(u.Name, u.Incarnation, u.Draining, ready)
 }
 
-// publishReport passes on what a report changed.
+// publishReport passes what an upstream reported to the mesh, which publishes changes.
 func (s *Server) publishReport(r engineapi.Report, at time.Time) {
 	firstSeen := uint64(at.UnixMilli())
 	if cur, ok := s.mesh.CurrentUpstream(r.Upstream); ok && cur.Incarnation == r.Incarnation {
@@ -72,7 +73,8 @@
 		Draining: r.Draining, Residents: readyNames(r.Residents)})
 }
 
-// readyNames lists what a report shows as ready, in a fixed order.
+// readyNames returns the models and adapters that a report shows as ready, in a
+// fixed order and without duplicates.
 func readyNames(residents []engineapi.Resident) []string {
 	var out []string
 	for _, r := range residents {
@@ -89,15 +91,15 @@
 	return slices.Compact(out)
 }
 
-// The kinds of sums over all hosts, as prefixes of their keys.
+// Key prefixes of the kinds of usage that are summed over all hosts.
 const (
 	teamUsagePrefix   = "t:"
 	demandUsagePrefix = "d:"
 )
 
-// ownUsage are this host's parts: the use of its teams, and the demand by model.
-// A host that plans asks for every model of its pools, so that it hears of
-// those that only others are asked for.
+// ownUsage returns this host's usage by its teams and its demand by model. A host
+// that plans includes every model of its pools, so that it also receives the
+// demand for models that only other hosts have requests for.
 func (s *Server) ownUsage() []peer.UsageEntry {
 	st, ok := s.config.Current()
 	if !ok {
@@ -124,7 +126,7 @@
 	return out
 }
 
-// applyPeerUsage takes what the other hosts have.
+// applyPeerUsage applies the usage and the demand of the other hosts.
 func (s *Server) applyPeerUsage(hosts int, sums []peer.UsageEntry) {
 	demand := map[place.Key]place.Demand{}
 	for _, sum := range sums {
@@ -140,7 +142,8 @@
 	s.peerDemand.merge(demand)
 }
 
-// forecast answers a peer what a preset would move in this host's pools.
+// forecast returns, encoded for a peer, the moves that a switch to a preset would
+// make in the pools that this host plans.
 func (s *Server) forecast(_ context.Context, preset string) ([]byte, error) {
 	d, ok := s.ownForecast(preset)
 	if !ok {
--- a/node/server/planning.go
+++ b/node/server/planning.go
@@ -14,11 +14,11 @@
 	"peridotpier.example/node/upstream/poll"
 )
 
-// minLeaseRemaining is the lease time that an act must have left when it begins: the
-// bound of one order or commit.
+// minLeaseRemaining is how much of the lease must remain when an order or a
+// commit begins: the bound on the duration of one of them.
 const minLeaseRemaining = 3 * time.Second
 
-// leaseTerm lets a planner ask for its lease.
+// leaseTerm adapts a lease to planner.Lease.
 type leaseTerm struct{ l *lease.Lease }
 
 // Epoch implements planner.Lease.
@@ -32,13 +32,13 @@
 	return epoch != 0 && t.l.Check(epoch, minLeaseRemaining) == nil
 }
 
-// plannerInputs is what a planner reads of this host.
+// plannerInputs implements planner.Inputs for one pool.
 type plannerInputs struct {
 	s    *Server
 	pool string
 }
 
-// Reports implements planner.Site.
+// Reports implements planner.Inputs.
 func (p plannerInputs) Reports() []planner.ObservedReport {
 	var out []planner.ObservedReport
 	for _, r := range p.s.view.Reports(p.pool) {
@@ -47,7 +47,7 @@
 	return out
 }
 
-// View implements planner.Site.
+// View implements planner.Inputs.
 func (p plannerInputs) View() planner.View {
 	st, ok := p.s.config.Current()
 	if !ok {
@@ -56,7 +56,7 @@
 	return planner.View{Config: st.Index.Config, Preset: *st.Preset, Demand: p.s.siteDemand()}
 }
 
-// siteDemand is the demand on all hosts.
+// siteDemand returns the demand on all hosts together.
 func (s *Server) siteDemand() map[place.Key]place.Demand {
 	out := s.demand.Means()
 	for k, d := range s.peerDemand.all() {
@@ -66,7 +66,7 @@
 	return out
 }
 
-// peerDemand is the other hosts' demand as last heard.
+// peerDemand is the last reported demand of the other hosts.
 type peerDemand struct {
 	mu   sync.Mutex
 	keys map[place.Key]place.Demand
@@ -97,7 +97,7 @@
 	return out
 }
 
-// plannedKeys are the models and adapters of the pools that this host plans.
+// plannedKeys returns the models and adapters of the pools that this host plans.
 func (s *Server) plannedKeys() []place.Key {
 	pools := s.plannedPools()
 	st, ok := s.config.Current()
@@ -120,26 +120,27 @@
 	return out
 }
 
-// The pace of questions where the hosts share the upstreams out.
+// Polling intervals and limits where the upstreams are divided among the hosts.
 const (
-	// watchedPollsPerSecond bounds one host's questions to upstreams that it
+	// watchedPollsPerSecond bounds one host's polls of the upstreams that it
 	// watches, about 450 bytes each.
 	watchedPollsPerSecond = 4
-	// maxWatchedInterval is the longest time between two: an upstream that leaves
-	// gets no new work after five seconds, of which spreading the word takes
-	// some tenths.
+	// maxWatchedInterval is the longest time between two polls of an upstream:
+	// a draining upstream must get no new work after five seconds, and telling
+	// all hosts takes some tenths of a second.
 	maxWatchedInterval = 4500 * time.Millisecond
-	// maxWatchedUpstreams is the most upstreams that a host's share can come to in a
-	// fleet that fits its upstreams. Above it the host takes itself for nearly
-	// alone, as when the platform's list is empty, and must keep its pace all
-	// the more: all hosts may be in the same case.
+	// maxWatchedUpstreams is the largest share of upstreams that one host has
+	// in a fleet sized for its upstreams. A host with more knows hardly any other
+	// host, as when the platform's list is empty. It must then stay within
+	// watchedPollsPerSecond, without maxWatchedInterval: all hosts may be in the
+	// same state.
 	maxWatchedUpstreams = 64
-	// plannedInterval is the pace in pools that the host plans.
+	// plannedInterval is the polling interval in pools that the host plans.
 	plannedInterval = 5 * time.Second
 )
 
-// assignUpstreams chooses the upstreams that this host asks itself: all of a
-// small site, else those that it watches and those of the pools that it plans.
+// assignUpstreams chooses the upstreams that this host polls: all of them in a
+// small site, otherwise those that it watches and those of the pools it plans.
 func (s *Server) assignUpstreams(c *config.Config, live []member.Host) {
 	interval := s.cfg.Settings.Bounds.ReportEvery()
 	var out []poll.Target
@@ -173,14 +174,15 @@
 	s.poller.Assign(out)
 }
 
-// errNoConfig is the answer while nothing is in force.
+// errNoConfig is the answer while no configuration is in force.
 var errNoConfig = fault.NotRun(fault.StepConfig, "", fault.CodeNotFound, "no configuration is in force; apply one first")
 
 func errNoPreset(name string) error {
 	return fault.NotRun(fault.StepConfig, "", fault.CodeNotFound, "there is no preset %q", name)
 }
 
-// ownForecast tells what a preset would move in the pools that this host plans.
+// ownForecast returns the moves that a switch to a preset would make in the
+// pools that this host plans; false if it plans none that can be forecast.
 func (s *Server) ownForecast(preset string) (operatorapi.DryRun, bool) {
 	st, ok := s.config.Current()
 	if !ok {
--- a/node/server/roles.go
+++ b/node/server/roles.go
@@ -18,17 +18,19 @@
 )
 
 const (
-	// campaigners is how many hosts ask for one lease: the holder and one that
-	// follows it. If all did, their reading of its row would grow with the
-	// fleet times the pools.
+	// campaigners is how many hosts campaign for one lease: the holder and one
+	// successor. If all hosts did, the reads of lease rows would grow with the
+	// number of hosts times the number of pools.
 	campaigners = 2
-	// reconcileInterval is how often roles and watches are looked at when nothing
-	// calls for it.
+	// reconcileInterval is how often roles and polled upstreams are reconciled
+	// when no change triggers it.
 	reconcileInterval = 5 * time.Second
-	// reconcileDelay is how long a look waits for more of what called for it.
+	// reconcileDelay is how long to wait for further changes after one that
+	// triggered a reconciliation.
 	reconcileDelay = 200 * time.Millisecond
-	// maxDirectUpstreams is how many upstreams a host asks itself, all of them; above
-	// that the hosts share them out and tell one another what changed.
+	// maxDirectUpstreams is the largest number of upstreams at which each host
+	// polls all of them; above it the upstreams are divided among the hosts,
+	// which publish changes to one another.
 	maxDirectUpstreams = 32
 	plannerLease       = "planner/"
 )
@@ -42,7 +44,7 @@
 	done    chan struct{}
 }
 
-// roles are those of this host, by lease name.
+// roles are the roles of this host, by lease name.
 type roles struct {
 	mu   sync.Mutex
 	byID map[string]*role
@@ -55,8 +57,8 @@
 	}
 }
 
-// manageRoles campaigns for the leases that fall on this host and keeps the
-// set of upstreams that it asks, until ctx ends; then it hands all over.
+// manageRoles campaigns for the leases that fall to this host and maintains the
+// set of upstreams that it polls, until ctx ends; then it releases the leases.
 func (s *Server) manageRoles(ctx context.Context) error {
 	defer s.stopRoles()
 	tick := time.NewTicker(reconcileInterval)
@@ -68,8 +70,8 @@
 			return nil
 		case <-tick.C:
 		case <-s.reconcile:
-			// Changes come in swarms, as when a data centre is cut off: one look
-			// after the first few serves them all.
+			// Changes come in bursts, as when a data centre is cut off: one
+			// reconciliation shortly after the first change covers them all.
 			pace.Sleep(ctx, reconcileDelay)
 		}
 	}
@@ -78,7 +80,7 @@
 func (s *Server) reconcileRoles(ctx context.Context) {
 	st, ok := s.config.Current()
 	if !ok || s.phase.Load() == phaseStarting {
-		return // a host that knows no other yet would campaign for every lease
+		return // a host that does not know any other host yet would campaign for every lease
 	}
 	live := s.mesh.LiveHosts()
 	wanted := map[string]func() *role{}
@@ -102,8 +104,9 @@
 	s.setSiteHosts(len(live))
 }
 
-// campaignFilter says for which leases this host is among the first. A draining
-// host campaigns for none, so that its leases move before it ends.
+// campaignFilter returns a function that reports whether this host campaigns for
+// a lease: whether it is among the first hosts for its name. A draining host
+// campaigns for none, so that its leases move before it terminates.
 func (s *Server) campaignFilter(live []member.Host) func(name string) bool {
 	if s.phase.Load() == phaseDraining {
 		return func(string) bool { return false }
@@ -128,7 +131,8 @@
 	}
 }
 
-// stopRoles hands the leases over and waits for what ran under them.
+// stopRoles stops all roles, waits until nothing runs under their leases any
+// more, and releases the leases.
 func (s *Server) stopRoles() {
 	s.roles.mu.Lock()
 	defer s.roles.mu.Unlock()
@@ -140,7 +144,7 @@
 	}
 }
 
-// startRole campaigns for a lease and runs what build makes beside it.
+// startRole campaigns for a lease and runs beside it the function that build returns.
 func (s *Server) startRole(ctx context.Context, name string, build func(*lease.Lease, *role) func(context.Context) error) *role {
 	l := lease.New(lease.Config{Name: name, Holder: s.cfg.Settings.Host + "/" + s.incarnation}, lease.Deps{Table: s.cfg.Platform.Table, Log: s.log})
 	ctx, cancel := context.WithCancel(ctx)
@@ -152,7 +156,7 @@
 	go func() {
 		defer close(r.done)
 		_ = act(ctx) // logs its own failures
-		release()    // given back only when nothing acts under it any more
+		release()    // the lease is released only when nothing acts under it any more
 		held.Wait()
 	}()
 	return r
@@ -165,8 +169,8 @@
 	})
 }
 
-// moveCooldownWindows is how many short windows of demand pass before what a move
-// did shows in them.
+// moveCooldownWindows is how many short demand windows pass before they show the
+// effect of a move.
 const moveCooldownWindows = 4
 
 func (s *Server) startSweeper(ctx context.Context) *role {
@@ -187,7 +191,7 @@
 	})
 }
 
-// leaseStatus lists the leases that this host holds or wants.
+// leaseStatus lists the leases that this host holds or campaigns for.
 func (s *Server) leaseStatus() []operatorapi.Lease {
 	s.roles.mu.Lock()
 	defer s.roles.mu.Unlock()
@@ -200,7 +204,7 @@
 	return out
 }
 
-// plannedPools lists the pools that this host plans now.
+// plannedPools returns the planners of the pools that this host plans now, by pool.
 func (s *Server) plannedPools() map[string]*planner.Planner {
 	s.roles.mu.Lock()
 	defer s.roles.mu.Unlock()
--- a/node/server/run.go
+++ b/node/server/run.go
@@ -11,14 +11,15 @@
 	"peridotpier.example/node/event"
 )
 
-// handOverTimeout is how long streams get to tell their callers where to go on.
+// handOverTimeout bounds how long streams get to tell their callers where to resume.
 const handOverTimeout = 2 * time.Second
 
-// operatorDrainTimeout is how long operators' last requests may take: all but changes
-// of the configuration take milliseconds, and those one write of the platform's table.
+// operatorDrainTimeout bounds how long the last requests of operators may take:
+// changes of the configuration take one write to the platform's table, all
+// others take milliseconds.
 const operatorDrainTimeout = 2 * time.Second
 
-// announceDelay is how long the last word to the other hosts gets to leave.
+// announceDelay is how long the last announcement gets to reach the other hosts.
 const announceDelay = 100 * time.Millisecond
 
 // Run serves until ctx ends, then shuts down gracefully.
@@ -44,7 +45,7 @@
 			if err := l.serve(); err != nil {
 				return err
 			}
-			<-work.Done() // a listener that is shut down must not end the others
+			<-work.Done() // a listener that is shut down must not stop the others
 			return nil
 		}, func(error) { l.close() })
 	}
@@ -54,10 +55,10 @@
 	return err
 }
 
-// drainOnStop waits for the order to stop, then says "not ready", goes on
-// serving while the balancer has not seen it, stops taking requests, and waits
-// for those in flight. Taking none from the first moment would refuse what the
-// balancer still sends; a listener closed too early would cut it off.
+// drainOnStop waits until ctx ends, then reports "not ready", keeps serving until
+// the load balancer has seen it, stops accepting requests, and waits for those in
+// flight. Refusing requests from the first moment would fail those that the
+// balancer still sends; closing the listener too early would cut them off.
 func (s *Server) drainOnStop(ctx context.Context) error {
 	select {
 	case <-s.killed:
@@ -66,7 +67,7 @@
 	}
 	s.phase.Store(phaseDraining)
 	s.mesh.Announce(member.Draining)
-	s.reconcileSoon() // leases move to others now, not when this host is gone
+	s.reconcileSoon() // leases move to other hosts now, not when this host has terminated
 	s.log.Emit(event.ProcessDraining, zap.Int("in_flight", s.requests.LiveCount()))
 	if !s.sleep(s.cfg.Settings.Bounds.BalancerWait()) {
 		return nil
@@ -88,15 +89,15 @@
 	return nil
 }
 
-// drainOperators finishes the requests of operators, who may ask until the last
-// caller has its answer.
+// drainOperators finishes the requests of operators, whose listener stays open
+// until the last caller has its answer.
 func (s *Server) drainOperators() {
 	drainCtx, cancel := context.WithTimeout(context.Background(), operatorDrainTimeout)
 	defer cancel()
 	_ = s.operators.drain(drainCtx) // what is still open then is closed by Run
 }
 
-// sleep lets d pass; false: the host was killed meanwhile.
+// sleep waits for d; it returns false at once when the host is killed.
 func (s *Server) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -108,8 +109,8 @@
 	}
 }
 
-// Kill ends the host without a word to anyone, as the death of its process
-// would: connections break, nothing is handed over.
+// Kill stops the host without notifying anyone, as a crash of its process would:
+// connections break, nothing is handed over.
 func (s *Server) Kill() {
 	s.kill.Do(func() {
 		close(s.killed)
--- a/node/server/secured_test.go
+++ b/node/server/secured_test.go
@@ -7,11 +7,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: a stop lasts for seconds though no request is under way, and hands
-// over requests that had time enough.
+// Symptom: a shutdown takes seconds although no request is in progress, and
+// hands over requests that had enough time to finish.
 // Sequence: a caller opens a connection in advance, as HTTP clients do; its
-// handshake is done; it sends nothing; the listener is drained.
-// Cause: the handshake's bytes count as a request's.
+// handshake completes; it sends nothing; the listener is drained.
+// Cause: the bytes of the handshake are counted as those of a request.
 func TestAnUnusedTLSConnectionDoesNotDelayAShutdown(t *testing.T) {
 	t.Parallel()
 	s := newStoppableListener(t, true)
--- a/node/server/server.go
+++ b/node/server/server.go
@@ -1,5 +1,5 @@
-// Package server puts a node together: listeners, the data path, and what
-// runs beside it. Everything it starts it also stops, in the order that a
+// Package server assembles a node: its listeners, the data path and the
+// background tasks. It stops everything that it starts, in the order that a
 // graceful shutdown needs.
 package server
 
@@ -34,47 +34,50 @@
 	"peridotpier.example/node/upstream/view"
 )
 
-// Config is what a node is made of.
+// Config is the configuration of a node.
 type Config struct {
 	Settings *settings.Settings
 	Keys     *keys.Ring
 	Platform Platform
 	Log      *zap.Logger
 	Policy   Policy
-	// Dialer opens connections to upstreams; nil: a net.Dialer.
+	// Dialer opens connections to upstreams; nil means a net.Dialer.
 	Dialer conn.Dialer
-	// PeerDialer opens connections to other entry hosts; nil: a net.Dialer.
+	// PeerDialer opens connections to other entry hosts; nil means a net.Dialer.
 	PeerDialer conn.Dialer
-	// Heartbeat and HostList pace the links between hosts; 0: the defaults.
+	// HeartbeatInterval and HostListInterval are the intervals of heartbeats to
+	// other hosts and of reads of the platform's list of hosts; 0 means the defaults.
 	HeartbeatInterval time.Duration
 	HostListInterval  time.Duration
-	// Demand sets how fast the demand that placement follows forgets; the zero
-	// value is the default.
+	// Demand sets the time constants of the mean demand that placement follows; the
+	// zero value means the defaults.
 	Demand demand.Config
-	// ClaimGrace is how long after a request's deadline others look after its
-	// claim; 0: the default.
+	// ClaimGrace is how long after a request's deadline other hosts wait before they
+	// resolve its claim; 0 means the default.
 	ClaimGrace time.Duration
-	// HeadBound and BodyBound are how long a caller may take to send the head
-	// and the body of a request; 0: the defaults.
+	// HeadTimeout and BodyTimeout bound the time a caller may take to send the
+	// head and the body of a request; 0 means the defaults.
 	HeadTimeout time.Duration
 	BodyTimeout time.Duration
-	// Distance is the round trip between data centres in milliseconds; nil: none known.
+	// RoundTripMs returns the round-trip time between two data centres in
+	// milliseconds; nil means that none is known.
 	RoundTripMs func(from, to string) float64
 }
 
-// Policy replaces decisions, for baselines that the product's own are measured
-// against. The zero value is the product's.
+// Policy replaces decisions of the product, for baselines that it is measured
+// against. The zero value keeps all of the product's decisions.
 type Policy struct {
-	Picker        route.Picker // nil: the product's
-	AdmitAll      bool         // everything is let in at once
-	NoPlanner     bool         // models stay where they are
-	ForwardClaims bool         // claims go through few hosts in small fleets too
-	DirectPolling bool         // each host asks every upstream itself, however many there are
-	// Demand, when set, is told of requests for a model that no upstream holds.
+	Picker        route.Picker // nil means the product's
+	AdmitAll      bool         // every request is admitted at once
+	NoPlanner     bool         // models are never moved
+	ForwardClaims bool         // claims go through the claim writers in small fleets too
+	DirectPolling bool         // each host polls every upstream itself, however many there are
+	// NotifyDemand, when set, is called for each request for a model that is
+	// resident at no upstream.
 	NotifyDemand func(pool string, key route.ModelKey)
 }
 
-// Platform is what the platform gives.
+// Platform holds the services that the platform provides.
 type Platform struct {
 	Table   store.Table
 	Objects store.Objects
@@ -114,17 +117,18 @@
 	killed           chan struct{}
 }
 
-// infrequentMaxIdle is how long connections are kept that are used every few seconds.
+// infrequentMaxIdle is how long idle connections are kept that are used only
+// every few seconds.
 const infrequentMaxIdle = 100 * time.Millisecond
 
-// The phases of a node's life.
+// The phases of a node, from start to stop.
 const (
-	phaseStarting int32 = iota // no configuration in force yet, or upstreams not yet asked
+	phaseStarting int32 = iota // no configuration in force yet, or upstreams not yet polled
 	phaseReady
 	phaseDraining
 )
 
-// New puts a node together and opens its listeners.
+// New assembles a node and opens its listeners.
 func New(cfg Config) (*Server, error) {
 	s := &Server{cfg: cfg, incarnation: uuid.NewString(), started: time.Now(), log: event.NewLog(cfg.Log),
 		metrics: metrics.New(), requests: inflight.New(), client: conn.New(conn.Config{Dialer: cfg.Dialer}),
@@ -141,7 +145,7 @@
 	return s, nil
 }
 
-// buildDataPath puts together what a request goes through.
+// buildDataPath creates the components that a request passes through.
 func (s *Server) buildDataPath() {
 	set := s.cfg.Settings
 	s.view = view.New(set.DataCentre, time.Now, s.cfg.RoundTripMs)
@@ -158,7 +162,8 @@
 	s.claims = newClaims(s)
 }
 
-// buildControlPath puts together what runs beside the requests.
+// buildControlPath creates the components that run beside the requests: the
+// configuration reader, the order sender and the peer mesh with its listener.
 func (s *Server) buildControlPath() error {
 	s.config = query.NewConfigReader(s.cfg.Settings.Bounds.ConfigPoll(),
 		query.Deps{Table: s.cfg.Platform.Table, Objects: s.cfg.Platform.Objects, Log: s.log})
@@ -174,7 +179,7 @@
 	return nil
 }
 
-// addressOf finds an upstream's present address.
+// addressOf returns an upstream's address in the configuration in force.
 func (s *Server) addressOf(upstream string) (string, bool) {
 	st, ok := s.config.Current()
 	if !ok {
@@ -194,7 +199,7 @@
 	return 0
 }
 
-// listen opens the listeners.
+// listen opens the listeners for callers and operators.
 func (s *Server) listen() error {
 	set := s.cfg.Settings
 	api := callerapi.New(callerapi.Config{Host: set.Host, PrefixSalt: s.cfg.Keys.PrefixSalt(), BodyTimeout: s.cfg.BodyTimeout}, callerapi.Deps{
@@ -218,11 +223,11 @@
 	return nil
 }
 
-// CallerAddress is where callers are served.
+// CallerAddress returns the address of the callers' listener.
 func (s *Server) CallerAddress() string { return s.callers.address() }
 
-// PeerAddress is where other entry hosts are served.
+// PeerAddress returns the address of the listener for other entry hosts.
 func (s *Server) PeerAddress() string { return s.peerLn.Addr().String() }
 
-// OperatorAddress is where operators are served.
+// OperatorAddress returns the address of the operators' listener.
 func (s *Server) OperatorAddress() string { return s.operators.address() }
--- a/node/server/watch.go
+++ b/node/server/state.go
@@ -7,22 +7,23 @@
 	"peridotpier.example/node/query"
 )
 
-// State returns what is in force on this host.
+// State returns the configuration in force on this host.
 func (s *Server) State() (*query.State, bool) { return s.config.Current() }
 
-// AwaitVersion waits until a configuration version or a later one is in force.
+// AwaitVersion waits until the given configuration version or a later one is in force.
 func (s *Server) AwaitVersion(ctx context.Context, version uint64) error {
 	_, err := s.config.Next(ctx, version-1)
 	return err
 }
 
-// PollSoon lets the host look at the configuration now.
+// PollSoon makes the host check for a new configuration now.
 func (s *Server) PollSoon() { s.config.PollSoon() }
 
-// LiveHosts are the entry hosts that count as alive, this one included.
+// LiveHosts returns the entry hosts that count as alive, this one included.
 func (s *Server) LiveHosts() []member.Host { return s.mesh.LiveHosts() }
 
-// IsUpstreamDraining says whether this host gives an upstream no new work because it leaves.
+// IsUpstreamDraining reports whether this host gives an upstream no new work
+// because the upstream is draining.
 func (s *Server) IsUpstreamDraining(upstream string) bool {
 	snap := s.view.Snapshot()
 	for i := range snap.Endpoints {
--- a/node/server/status.go
+++ b/node/server/status.go
@@ -67,10 +67,10 @@
 	return out, nil
 }
 
-// requiredHosts are the hosts that must have confirmed a version before it is in
-// force everywhere: those that the platform lists as live, even if no peer has
-// heard of them, and those that peers know, since the list shows a new host
-// only seconds after it began to serve.
+// requiredHosts returns the hosts that must have confirmed a version before it is
+// in force everywhere: those that the platform lists as live, even if no peer
+// knows them, and those that peers know, since the list shows a new host only
+// seconds after it began to serve.
 func requiredHosts(listed []store.Host, known map[string]uint64) []store.Host {
 	for host := range known {
 		if !slices.ContainsFunc(listed, func(h store.Host) bool { return h.Name == host }) {
@@ -80,7 +80,7 @@
 	return listed
 }
 
-// FindRequest implements operatorapi.Site. A request's id names its host.
+// FindRequest implements operatorapi.Site. The id of a request names its host.
 func (s *Server) FindRequest(ctx context.Context, id string) (inflight.Request, bool, error) {
 	if q, ok := s.requests.Get(id, inflight.AllTeams); ok {
 		return q, true, nil
