--- a/node/event/catalogue.go
+++ b/node/event/catalogue.go
@@ -2,11 +2,11 @@
 
 import "go.uber.org/zap/zapcore"
 
-// Number ranges, one a subsystem, so that two subsystems never share a number.
+// Each subsystem has its own range of numbers, so that no two events share one.
 //
-//	1000 process   1100 caller API   1200 dispatch and relay   1300 claims
-//	1400 platform  1500 leases       1600 configuration        1700 peers
-//	1800 planner and orders          1900 upstream reports      2000 operators
+//	1000 process   1100 caller API   1200 dispatch and streaming   1300 claims
+//	1400 platform  1500 leases       1600 configuration            1700 peers
+//	1800 planner and orders          1900 upstream reports         2000 operators
 //	2100 routed deployments
 
 // Process events.
--- a/node/event/catalogue_test.go
+++ b/node/event/catalogue_test.go
@@ -11,12 +11,12 @@
 	"peridotpier.example/node/event"
 )
 
-// row is one line of a table of docs/EVENTS.md that begins with a number.
+// row matches a table row of docs/EVENTS.md that begins with a number.
 var row = regexp.MustCompile(`(?m)^\| \d+ \|.*$`)
 
-// Symptom: an operator looks a number up and finds nothing, or another event.
-// Sequence: an event is added, renumbered or reworded; the page is not.
-// Cause: the page and the code are kept by hand.
+// Symptom: an operator looks up an event number and finds nothing, or another event.
+// Sequence: an event is added, renumbered or reworded in the code only.
+// Cause: the page and the code are maintained separately.
 func TestThePageListsExactlyTheEvents(t *testing.T) {
 	page, err := os.ReadFile("../../docs/EVENTS.md")
 	assert.NilError(t, err)
--- a/node/event/dispatch.go
+++ b/node/event/dispatch.go
@@ -2,7 +2,7 @@
 
 import "go.uber.org/zap/zapcore"
 
-// Events of dispatching and relaying.
+// Events of dispatching requests and streaming their answers.
 var (
 	AnswerMismatched       = Event{1201, "answer_crossed", zapcore.ErrorLevel, "An upstream answered under another attempt's id. The answer was dropped and its connection closed. Look at that upstream and at what lies before it."}
 	ConnectionUnresponsive = Event{1202, "connection_silent", zapcore.WarnLevel, "A connection carried nothing although its upstream had more to send. The pool was retired and the exchange taken up on a new connection. Often seen: look for a middle box that forgets connections."}
--- a/node/event/event.go
+++ b/node/event/event.go
@@ -7,15 +7,15 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Event is one kind of thing worth a line in the log.
+// Event is a kind of log entry.
 type Event struct {
 	Number int
 	Name   string
 	Level  zapcore.Level
-	About  string // what it means and what an operator does, for docs/EVENTS.md
+	About  string // meaning of the event and what an operator should do, for docs/EVENTS.md
 }
 
-// Field names that events share.
+// Names of fields that several events use.
 const (
 	FieldEvent = "event"
 	FieldStep  = "step"
@@ -26,7 +26,7 @@
 // Log writes numbered events.
 type Log struct{ z *zap.Logger }
 
-// NewLog writes to z; a nil z discards everything.
+// NewLog returns a log that writes to z; with a nil z it discards everything.
 func NewLog(z *zap.Logger) *Log {
 	if z == nil {
 		z = zap.NewNop()
--- a/node/event/keys.go
+++ b/node/event/keys.go
@@ -2,7 +2,7 @@
 
 import "go.uber.org/zap/zapcore"
 
-// Events of keys and certificates, in the range of the process.
+// Events of keys and certificates, in the number range of the process.
 var (
 	KeysReloaded        = Event{1004, "keys_reloaded", zapcore.InfoLevel, "Changed files of keys or certificates are in force; what says whose."}
 	KeysRefused         = Event{1005, "keys_refused", zapcore.ErrorLevel, "Changed files of keys or certificates cannot be used; those in force stay. Mend the files: the next start of the host would fail."}
--- a/node/event/panic_test.go
+++ b/node/event/panic_test.go
@@ -13,8 +13,8 @@
 )
 
 // Symptom: a log shows part of a request's body.
-// Sequence: a handler panics with a value that it made of the request.
-// Cause: the value is written as it is.
+// Sequence: a handler panics with a value that it built from the request.
+// Cause: the value is logged as it is.
 func TestOnlyTheRuntimesPanicValuesAreLogged(t *testing.T) {
 	core, lines := observer.New(zap.DebugLevel)
 	log := event.NewLog(zap.New(core))
--- a/node/event/sink.go
+++ b/node/event/sink.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// maxQueuedLines is how many lines may wait to be written: about half a second
-	// of a busy host.
+	// maxQueuedLines is how many lines may wait to be written: those of about half
+	// a second on a busy host.
 	maxQueuedLines = 4096
-	// maxWriteBytes is how much is written at once.
+	// maxWriteBytes is how many bytes are gathered for one write; the last line
+	// may exceed it.
 	maxWriteBytes = 32 << 10
-	// gatherPause gathers lines between two writes: a write for each line would
-	// wake the process for every request once more.
+	// gatherPause is the time between two writes in which lines are gathered: one
+	// write per line would wake the process once more for every request.
 	gatherPause = 20 * time.Millisecond
-	// flushTimeout bounds the wait for the last lines at the end.
+	// flushTimeout bounds the time to write the last lines when the process stops.
 	flushTimeout = 500 * time.Millisecond
 )
 
-// Sink writes log lines without ever making their writer wait: when the
-// reader of the log is slower than the host, lines are dropped and counted.
+// Sink writes log lines without ever blocking their writer: when the reader of
+// the log is slower than the host, lines are dropped and counted.
 type Sink struct {
 	out     io.Writer
 	lines   chan []byte
@@ -31,7 +32,8 @@
 	flush   chan chan struct{}
 }
 
-// NewSink writes to out from a goroutine that lives as long as the process.
+// NewSink returns a sink that writes to out from a goroutine that runs until the
+// process ends.
 func NewSink(out io.Writer) *Sink {
 	s := &Sink{out: out, lines: make(chan []byte, maxQueuedLines), flush: make(chan chan struct{})}
 	go s.run()
@@ -48,8 +50,8 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer: it waits, within a bound, until what
-// was written so far is out.
+// Sync implements zapcore.WriteSyncer. It waits until the lines written so far
+// have reached the output; the sink must begin to flush within flushTimeout.
 func (s *Sink) Sync() error {
 	done := make(chan struct{})
 	select {
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// Dropped is how many lines were dropped since the start.
+// Dropped returns how many lines were dropped since the start.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
 func (s *Sink) run() {
@@ -69,8 +71,8 @@
 		select {
 		case line := <-s.lines:
 			buf = s.gather(append(buf[:0], line...))
-			_, _ = s.out.Write(buf)       // there is nowhere else to say that the log cannot be written
-			if len(buf) < maxWriteBytes { // else there is more to write at once
+			_, _ = s.out.Write(buf)       // there is nowhere else to report that the log cannot be written
+			if len(buf) < maxWriteBytes { // otherwise more lines wait, which are written at once
 				time.Sleep(gatherPause)
 			}
 		case done := <-s.flush:
@@ -80,7 +82,8 @@
 	}
 }
 
-// flushQueued writes what waits, within the bound of the end: others may go on writing lines.
+// flushQueued writes the queued lines, for at most flushTimeout: other goroutines
+// may keep adding lines.
 func (s *Sink) flushQueued(buf []byte) {
 	deadline := time.Now().Add(flushTimeout)
 	for buf = s.gather(buf[:0]); len(buf) > 0 && time.Now().Before(deadline); buf = s.gather(buf[:0]) {
@@ -88,7 +91,7 @@
 	}
 }
 
-// gather adds the lines that already wait.
+// gather appends the lines that are already queued, until buf holds maxWriteBytes.
 func (s *Sink) gather(buf []byte) []byte {
 	for len(buf) < maxWriteBytes {
 		select {
@@ -101,7 +104,7 @@
 	return buf
 }
 
-// NewJSON makes a log of JSON lines at a level, written through a sink.
+// NewJSON returns a log that writes JSON lines of at least a level through a sink.
 func NewJSON(s *Sink, level zapcore.Level) *Log {
 	cfg := zap.NewProductionEncoderConfig()
 	cfg.EncodeTime = zapcore.RFC3339NanoTimeEncoder
@@ -109,5 +112,5 @@
 	return NewLog(zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(cfg), s, level)))
 }
 
-// Sync waits until what was written is out.
+// Sync flushes the log, as Sink.Sync does.
 func (l *Log) Sync() { _ = l.z.Sync() }
--- a/node/event/sink_test.go
+++ b/node/event/sink_test.go
@@ -15,7 +15,7 @@
 	"peridotpier.example/node/event"
 )
 
-// blockedWriter is a reader of the log that takes nothing until it is let go.
+// blockedWriter is a log output that blocks until its gate is closed.
 type blockedWriter struct {
 	gate chan struct{}
 	mu   sync.Mutex
@@ -29,9 +29,9 @@
 	return s.buf.Write(p)
 }
 
-// Symptom: requests stand still although upstreams answer.
-// Sequence: whoever reads the log stops reading; requests go on being logged.
-// Cause: a log line waits for its reader.
+// Symptom: requests hang although upstreams answer.
+// Sequence: the reader of the log stops reading; requests are still being logged.
+// Cause: writing a log line waits for the reader.
 func TestAFullLogDropsAndCountsInsteadOfBlocking(t *testing.T) {
 	out := &blockedWriter{gate: make(chan struct{})}
 	sink := event.NewSink(out)
@@ -49,9 +49,9 @@
 	assert.Assert(t, strings.Contains(out.buf.String(), `"request_served"`))
 }
 
-// Symptom: a busy host's log lacks lines, also those of its stop, though its
-// reader is quick.
-// Sequence: more lines come than are written at once; they do so for longer.
+// Symptom: a busy host's log lacks lines, also those of its shutdown, although
+// its reader is fast.
+// Sequence: for some time, lines arrive faster than one write per pause takes them.
 // Cause: the pause that gathers lines is made after full writes too.
 func TestAQuickReaderGetsEveryLine(t *testing.T) {
 	const perRound, rounds, maxElapsed = 2000, 10, 2 * time.Second // with a pause after each write: over 3 s
@@ -77,13 +77,13 @@
 	assert.Assert(t, time.Since(start) < maxElapsed, "%v", time.Since(start))
 }
 
-// Symptom: the last lines of a process are missing, with no count of them.
-// Sequence: the requests under way end together when the process stops; each
+// Symptom: the last lines of a process are missing and are not counted as dropped.
+// Sequence: the requests in progress end together when the process stops; each
 // writes a line.
-// Cause: at the end no more is written than one write takes.
+// Cause: the last flush makes only one write.
 func TestTheLastLinesAreAllWritten(t *testing.T) {
 	const lines = 2000
-	for range 8 { // the sink takes lines and the end in any order
+	for range 8 { // the sink receives lines and the flush in any order
 		out := &blockedWriter{gate: make(chan struct{})}
 		sink := event.NewSink(out)
 		log := event.NewJSON(sink, zapcore.InfoLevel)
@@ -92,7 +92,7 @@
 		}
 		synced := make(chan struct{})
 		go func() { defer close(synced); log.Sync() }()
-		time.Sleep(10 * time.Millisecond) // the end waits when the first write is over
+		time.Sleep(10 * time.Millisecond) // the flush is waiting when the first write completes
 		close(out.gate)
 		<-synced
 		out.mu.Lock()
@@ -102,8 +102,8 @@
 	}
 }
 
-// BenchmarkRequestLines is what the log costs a request: the line of its send
-// and that of its end.
+// BenchmarkRequestLines measures the logging cost of a request: one line when it
+// is sent and one when it ends.
 func BenchmarkRequestLines(b *testing.B) {
 	out := &blockedWriter{gate: make(chan struct{})}
 	close(out.gate)
--- a/node/event/update_test.go
+++ b/node/event/update_test.go
@@ -14,11 +14,11 @@
 	"peridotpier.example/node/event"
 )
 
-// section is a heading of docs/EVENTS.md with the rows of its hundred numbers.
+// section matches a heading of docs/EVENTS.md with the table of its hundred numbers.
 var section = regexp.MustCompile(`(?m)^## (\d+) .*\n\n\| number.*\n\| ---.*\n(?:\|.*\n)*`)
 
-// TestUpdate writes the page anew when called with -update; without it, it does
-// nothing, and the page is checked by the test beside this one.
+// TestUpdate rewrites the page when run with -update. Without the flag it does
+// nothing; TestThePageListsExactlyTheEvents checks the page.
 func TestUpdate(t *testing.T) {
 	if !golden.FlagUpdate() {
 		return
