--- a/node/operatorapi/api.go
+++ b/node/operatorapi/api.go
@@ -1,7 +1,7 @@
-// Package operatorapi is the operators' interface, on a listener of its own:
-// health, readiness and metrics, the state of this host and of the site, and
-// the commands that change the configuration and the preset in force. Every
-// change goes into the audit trail under the operator's name.
+// Package operatorapi implements the HTTP interface for operators, on its own
+// listener: health, readiness and metrics, the state of this host and of the site,
+// and the commands that change the configuration and the preset in force. Every
+// change is recorded in the audit trail under the operator's name.
 package operatorapi
 
 import (
@@ -22,34 +22,36 @@
 	"peridotpier.example/node/settings"
 )
 
-// maxDocumentBytes bounds an applied configuration, as docs/configuration.md says.
+// maxDocumentBytes is the largest configuration that can be applied, as stated in
+// docs/configuration.md.
 const maxDocumentBytes = 8 << 20
 
-// Changes are the commands; *command.Configuration implements them.
+// Changes executes the commands that change the configuration;
+// *command.Configuration implements it.
 type Changes interface {
 	Apply(ctx context.Context, a command.ApplyRequest) (revision.Head, error)
 	UsePreset(ctx context.Context, u command.UsePresetRequest) (revision.Head, error)
 }
 
-// Audit reads the trail of changes; *query.AuditReader implements it.
+// Audit reads the audit trail; *query.AuditReader implements it.
 type Audit interface {
 	Page(ctx context.Context, before uint64, limit int) ([]revision.Entry, error)
 }
 
-// Site answers about all hosts; node/server implements it.
+// Site answers queries about this host and all others; node/server implements it.
 type Site interface {
-	// Status tells the state of this host.
+	// Status returns the state of this host.
 	Status() Status
-	// Everywhere tells which hosts have which version in force.
+	// Rollout returns which hosts have which configuration version in force.
 	Rollout(ctx context.Context) (Rollout, error)
-	// FindRequest and CancelRequest look on every host.
+	// FindRequest and CancelRequest find a request on any host.
 	FindRequest(ctx context.Context, id string) (inflight.Request, bool, error)
 	CancelRequest(ctx context.Context, id string) (bool, error)
-	// DryRun tells what a switch of preset would move.
+	// DryRun returns the moves that a switch to a preset would make.
 	DryRun(ctx context.Context, preset string) (DryRun, error)
 }
 
-// Deps are what the interface works with.
+// Deps are the dependencies of an API.
 type Deps struct {
 	Operators []settings.OperatorKey
 	Changes   Changes
@@ -62,18 +64,18 @@
 	Log       *event.Log
 }
 
-// API serves operators.
+// API is the HTTP handler for operators.
 type API struct {
 	deps Deps
-	keys map[apikey.Hash]string // operators
+	keys map[apikey.Hash]string // name of the operator by the hash of the key
 	echo *echo.Echo
 }
 
-// New makes the interface.
+// New returns an API that serves the operators in deps.
 func New(deps Deps) *API {
 	a := &API{deps: deps, keys: map[apikey.Hash]string{}, echo: echo.New()}
 	for _, o := range deps.Operators {
-		if h, err := apikey.Parse(o.KeyHash); err == nil { // else the settings' check refuses it
+		if h, err := apikey.Parse(o.KeyHash); err == nil { // the check of the settings refuses others
 			a.keys[h] = o.Name
 		}
 	}
@@ -83,7 +85,7 @@
 	e.GET("/readyz", a.ready)
 	e.GET("/debug/vars", a.authenticated(a.vars))
 	e.GET("/v1/status", a.authenticated(a.status))
-	e.GET("/v1/everywhere", a.authenticated(a.everywhere))
+	e.GET("/v1/everywhere", a.authenticated(a.rollout))
 	e.GET("/v1/configuration", a.authenticated(a.configuration))
 	e.POST("/v1/configuration", a.authenticated(a.apply))
 	e.GET("/v1/presets", a.authenticated(a.presets))
@@ -98,7 +100,7 @@
 // ServeHTTP implements http.Handler.
 func (a *API) ServeHTTP(w http.ResponseWriter, r *http.Request) { a.echo.ServeHTTP(w, r) }
 
-// call is a request of a known operator.
+// call is a request of an authenticated operator.
 type call struct {
 	*echo.Context
 	operator string
@@ -120,8 +122,8 @@
 	}
 }
 
-// ready is apart from health: a host that drains or has no configuration is
-// alive, must not be restarted, and must get no new requests.
+// ready is separate from health: a host that is draining or has no configuration
+// is alive and must not be restarted, but must get no new requests.
 func (a *API) ready(c *echo.Context) error {
 	if !a.deps.Ready() {
 		return c.String(http.StatusServiceUnavailable, "not ready\n")
--- a/node/operatorapi/handlers.go
+++ b/node/operatorapi/handlers.go
@@ -18,7 +18,7 @@
 	"peridotpier.example/node/store"
 )
 
-// Pages of lists.
+// Page sizes of lists.
 const (
 	defaultPage = 50
 	maxPage     = 500
@@ -26,7 +26,7 @@
 
 func (a *API) status(c *call) error { return c.JSON(http.StatusOK, a.deps.Site.Status()) }
 
-func (a *API) everywhere(c *call) error {
+func (a *API) rollout(c *call) error {
 	e, err := a.deps.Site.Rollout(c.ctx())
 	if err != nil {
 		return err
@@ -63,7 +63,8 @@
 	return c.JSON(http.StatusOK, Applied{head})
 }
 
-// recordChange takes a change in force here at once, and from here on by peers.
+// recordChange logs an accepted change and makes this host read it at once; peers
+// learn the new version from this host.
 func (a *API) recordChange(c *call, version uint64) {
 	a.deps.Log.Emit(event.OperatorChanged, zap.String("operator", c.operator), zap.Uint64("version", version))
 	a.deps.Config.PollSoon()
@@ -92,7 +93,7 @@
 	}
 	head, err := a.deps.Changes.UsePreset(c.ctx(), command.UsePresetRequest{Author: c.operator, Parent: parent, Preset: preset})
 	var invalid *command.InvalidError
-	if errors.As(err, &invalid) { // the configuration is in force already: only the preset can be at fault
+	if errors.As(err, &invalid) { // the configuration is already in force, so only the preset can be invalid
 		return notFound(fmt.Sprintf("there is no preset %q", preset))
 	}
 	if err != nil {
@@ -153,7 +154,7 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-// queryNumber reads a query parameter; absent is 0.
+// queryNumber returns a numeric query parameter, or 0 if it is absent.
 func queryNumber(c *call, name string) (uint64, error) {
 	text := c.QueryParam(name)
 	if text == "" {
@@ -166,7 +167,7 @@
 	return n, nil
 }
 
-// problemError is an error that already has its form for operators.
+// problemError is an error with the status and the body of its answer.
 type problemError struct {
 	status  int
 	problem Problem
@@ -181,7 +182,7 @@
 
 func (a *API) writeProblem(c *echo.Context, err error) {
 	status, p := problemOf(err)
-	_ = c.JSON(status, p) // the operator may be gone
+	_ = c.JSON(status, p) // the operator may have disconnected
 }
 
 func problemOf(err error) (int, Problem) {
--- a/node/operatorapi/types.go
+++ b/node/operatorapi/types.go
@@ -17,19 +17,19 @@
 	Incarnation      string          `json:"incarnation"`
 	Ready            bool            `json:"ready"`
 	Draining         bool            `json:"draining"`
-	Version          uint64          `json:"version"` // of the configuration in force here; 0: none
+	Version          uint64          `json:"version"` // of the configuration in force here; 0 if there is none
 	Preset           string          `json:"preset"`
 	Freshness        string          `json:"standing"` // "confirmed", "unconfirmed" or "urgent_only"
 	InFlight         int             `json:"in_flight"`
 	Upstreams        []Upstream      `json:"upstreams"`
 	Peers            []Peer          `json:"peers"`
 	Leases           []Lease         `json:"leases"`
-	UnresolvedClaims int             `json:"unsettled_claims"` // ends of claims that wait for the platform
+	UnresolvedClaims int             `json:"unsettled_claims"` // outcomes of claims not yet written to the platform
 	Metrics          json.RawMessage `json:"-"`
 	UptimeSeconds    float64         `json:"uptime_s"`
 }
 
-// Upstream is one upstream as this host sees it.
+// Upstream is the state of one upstream as this host knows it.
 type Upstream struct {
 	Name        string   `json:"name"`
 	Pool        string   `json:"pool"`
@@ -40,10 +40,10 @@
 	Running     int      `json:"running"`
 	Waiting     int      `json:"waiting"`
 	ReportAgeMs int64    `json:"report_age_ms"`
-	Ready       []string `json:"ready"` // models and adapters that it can answer
+	Ready       []string `json:"ready"` // models and adapters that can serve requests
 }
 
-// Peer is one entry host as this host sees it.
+// Peer is the state of one entry host as this host knows it.
 type Peer struct {
 	Host        string `json:"host"`
 	DataCentre  string `json:"data_centre"`
@@ -52,26 +52,27 @@
 	Linked      bool   `json:"linked"`
 }
 
-// Lease is one role that this host holds or wants.
+// Lease is one lease that this host holds or campaigns for.
 type Lease struct {
 	Name  string `json:"name"`
 	Held  bool   `json:"held"`
 	Epoch uint64 `json:"epoch"`
 }
 
-// Rollout tells where a version is in force.
+// Rollout lists the hosts that have confirmed a configuration version, and those
+// that have not.
 type Rollout struct {
 	Version uint64              `json:"version"`
 	Hosts   []query.HostVersion `json:"hosts"`
 	Waiting []query.HostVersion `json:"waiting"` // live hosts that have not confirmed it
 }
 
-// Applied is the answer to a change.
+// Applied is the answer to an accepted change.
 type Applied struct {
 	Head revision.Head `json:"head"`
 }
 
-// Configuration is the document in force.
+// Configuration is the configuration document in force with its head.
 type Configuration struct {
 	Head     revision.Head   `json:"head"`
 	Document json.RawMessage `json:"document"`
@@ -93,17 +94,18 @@
 	Reason   string `json:"reason,omitempty"`
 }
 
-// DryRun is what a switch of preset would do.
+// DryRun is a forecast of what a switch of preset would do.
 type DryRun struct {
 	Preset    string        `json:"preset"`
 	Moves     []Move        `json:"moves"`
-	Bound     time.Duration `json:"bound_ns"` // within which the moves are done
-	Converged bool          `json:"at_rest"`  // whether nothing more would move after them, at the present demand
-	Pools     int           `json:"pools"`    // that answered
+	Bound     time.Duration `json:"bound_ns"` // time within which the moves are done
+	Converged bool          `json:"at_rest"`  // whether nothing more would move after these moves, at the present demand
+	Pools     int           `json:"pools"`    // number of pools that answered
 }
 
-// Add joins another pool's forecast. Pools move side by side, within the
-// weight store's limits, which each bound counts for itself: their sum holds.
+// Add adds the forecast of other pools. Pools move in parallel, within the limits
+// of the weight store. Each bound counts those limits for its own pool only, so
+// the sum of the bounds holds for all of them.
 func (d *DryRun) Add(o DryRun) {
 	d.Converged = (d.Converged || d.Pools == 0) && o.Converged
 	d.Pools += max(o.Pools, 1)
@@ -111,21 +113,22 @@
 	d.Bound += o.Bound
 }
 
-// AuditPage is one page of the trail; Next is the `before` of the next one, 0 at the end.
+// AuditPage is one page of the audit trail. Next is the parameter `before` of the
+// next page, or 0 at the end.
 type AuditPage struct {
 	Entries []revision.Entry `json:"entries"`
 	Next    uint64           `json:"next"`
 }
 
-// RequestList lists live requests of this host.
+// RequestList lists the live requests of this host.
 type RequestList struct {
 	Requests []inflight.Request `json:"requests"`
 }
 
-// Problem is an error as operators get it.
+// Problem is the body of an error answer to an operator.
 type Problem struct {
 	Code    string         `json:"code"`
 	Message string         `json:"message"`
-	Outcome string         `json:"outcome,omitempty"` // "unknown": it may have taken effect
+	Outcome string         `json:"outcome,omitempty"` // "unknown" if the change may have taken effect
 	Faults  []config.Fault `json:"faults,omitempty"`
 }
