--- a/node/callerapi/api.go
+++ b/node/callerapi/api.go
@@ -1,6 +1,7 @@
-// Package callerapi is the callers' interface: an OpenAI-compatible subset for
-// models, plain services below /v1/services, and a caller's own requests. It
-// knows a caller's team by its key and shows it nothing of other teams.
+// Package callerapi implements the HTTP interface for callers: an
+// OpenAI-compatible subset for models, plain services below /v1/services, and the
+// requests of a caller's own team. It identifies the team by its key and shows it
+// nothing of other teams.
 package callerapi
 
 import (
@@ -23,7 +24,7 @@
 	"peridotpier.example/node/query"
 )
 
-// Headers of callers.
+// Headers of callers' requests and of the answers to them.
 const (
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderClass          = "Peridot-Class"
@@ -34,31 +35,33 @@
 	headerLastEvent      = "Last-Event-ID"
 )
 
-// Bounds of what a caller may ask for.
+// Limits on the requests of callers.
 const (
-	// maxDeadline bounds a caller's own deadline; a resume token lives as long.
+	// maxDeadline is the longest deadline that a caller may set; a resume token is
+	// valid until the deadline of its request. A resumed stream gets maxDeadline.
 	maxDeadline = 10 * time.Minute
-	// maxKeyBytes bounds an idempotency key, in bytes.
+	// maxKeyBytes is the largest length of an idempotency key, in bytes.
 	maxKeyBytes = 255
-	// maxBufferedBody is the largest body that is held whole, so that it can be sent
-	// again; larger ones are passed on as they come, to one upstream only.
+	// maxBufferedBody is the size in bytes of the largest body that is buffered,
+	// so that it can be sent again. Larger bodies of services are streamed, to one
+	// upstream only.
 	maxBufferedBody = 1 << 20
 )
 
-// Config is what the interface needs to know of its host.
+// Config is the configuration of an API.
 type Config struct {
-	Host       string // name, part of request ids
-	PrefixSalt string // secret shared by the hosts, so that prefix hashes tell an engine nothing
-	// BodyBound is how long a caller may take to send a body; 0: the default.
+	Host       string // name of the host, part of request ids
+	PrefixSalt string // secret shared by the hosts, so that prefix hashes reveal nothing to an engine
+	// BodyTimeout bounds the time a caller may take to send a body; 0 means the default.
 	BodyTimeout time.Duration
 }
 
-// Admission lets a request in or refuses it.
+// Admission admits a request or refuses it.
 type Admission interface {
 	Admit(ctx context.Context, r AdmitRequest) (release func(), err error)
 }
 
-// AdmitRequest is what admission needs to know.
+// AdmitRequest describes a request to admission.
 type AdmitRequest struct {
 	Team     string
 	Class    class.Class
@@ -66,31 +69,32 @@
 	Deadline time.Time
 }
 
-// Claims claims requests that may not be repeated.
+// Claims claims requests that may run at most once.
 type Claims interface {
 	Claim(ctx context.Context, r nodeclaim.Request) (dispatch.Grant, *nodeclaim.Answer, error)
 }
 
-// Demand counts what is asked for, from arrival to end.
+// Demand counts the requests for each model and adapter, from arrival to end.
 type Demand interface {
 	Begin(k place.Key)
 	End(k place.Key, refused bool)
 }
 
-// Tokens makes and checks resume tokens with the keys in force at the moment;
-// *keys.Ring implements it, and *token.Keys where keys never change.
+// Tokens encodes and verifies resume tokens with the keys in force at the time of
+// the call. *keys.Ring implements it, as does *token.Keys where keys never change.
 type Tokens interface {
 	Encode(t token.Token) (string, error)
 	Decode(s, team string, now time.Time) (token.Token, error)
 }
 
-// ConfigSource tells what is in force on this host; *query.ConfigReader implements it.
+// ConfigSource returns the configuration in force on this host and its freshness;
+// *query.ConfigReader implements it.
 type ConfigSource interface {
 	Current() (*query.State, bool)
 	Freshness() revision.Freshness
 }
 
-// Deps are what the interface works with.
+// Deps are the dependencies of an API.
 type Deps struct {
 	Config     ConfigSource
 	Admission  Admission
@@ -104,14 +108,14 @@
 	Now        func() time.Time
 }
 
-// API serves callers.
+// API is the HTTP handler for callers.
 type API struct {
 	cfg  Config
 	deps Deps
 	echo *echo.Echo
 }
 
-// New makes the interface.
+// New returns an API.
 func New(cfg Config, deps Deps) *API {
 	if cfg.BodyTimeout == 0 {
 		cfg.BodyTimeout = bodyTimeout
@@ -134,10 +138,11 @@
 
 // ServeHTTP implements http.Handler.
 //
-// The body's bound is set before anything is judged, for a refusal does not
-// read the body, and the HTTP server then reads the rest of it: without a bound
-// a body that drips would keep its connection and goroutine for good, though
-// the caller was refused. It is lifted once the body is there.
+// The read deadline of the body is set before anything is checked: a refusal does
+// not read the body, and the HTTP server then reads the rest of it. Without a
+// deadline a body that arrives very slowly would keep its connection and goroutine
+// forever, although the request was refused. The deadline is removed once the
+// body has been read.
 func (a *API) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer a.logPanic(w)
 	if r.ContentLength != 0 {
@@ -146,8 +151,8 @@
 	a.echo.ServeHTTP(w, r)
 }
 
-// logPanic logs the panic of a handler with its request's id. The connection
-// is broken off as the HTTP server has it.
+// logPanic logs the panic of a handler with the id of its request, and panics with
+// http.ErrAbortHandler, so that the HTTP server aborts the connection.
 func (a *API) logPanic(w http.ResponseWriter) {
 	v := recover()
 	if v == nil {
@@ -159,8 +164,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// call is one authenticated request with the configuration that it is wholly
-// judged under, whatever is accepted while it runs.
+// call is an authenticated request with the configuration that applies to all of
+// it, even if a newer one is accepted while it runs.
 type call struct {
 	*echo.Context
 	id    string
--- a/node/callerapi/auth.go
+++ b/node/callerapi/auth.go
@@ -13,7 +13,8 @@
 
 const bearer = "Bearer "
 
-// authenticated finds the caller's team before anything of the request is read.
+// authenticated wraps h: it determines the caller's team before anything but the
+// headers of the request is read.
 func (a *API) authenticated(h func(*call) error) echo.HandlerFunc {
 	return func(c *echo.Context) error {
 		a.deps.Metrics.Count(metrics.Requests, 1)
--- a/node/callerapi/body.go
+++ b/node/callerapi/body.go
@@ -12,17 +12,17 @@
 	"peridotpier.example/core/fault"
 )
 
-// bodyTimeout is how long a caller may take to send a body that is held whole.
-// Slower ones are given up, so that dripping bodies do not fill the host.
+// bodyTimeout bounds the time a caller may take to send a body that is buffered.
+// Slower requests fail, so that slow bodies do not accumulate on the host.
 const bodyTimeout = 30 * time.Second
 
-// setReadDeadline bounds what is still to be read of a request; the zero time
-// lifts the bound.
+// setReadDeadline sets the deadline for reading the rest of a request; the zero
+// time removes it.
 func setReadDeadline(w http.ResponseWriter, until time.Time) {
 	_ = http.NewResponseController(w).SetReadDeadline(until) // unsupported in tests without a connection
 }
 
-// readBody reads a body of up to most bytes whole.
+// readBody reads an entire body of up to maxBytes.
 func readBody(c *call, maxBytes int64) ([]byte, error) {
 	r := c.Request()
 	if r.ContentLength > maxBytes {
@@ -42,8 +42,8 @@
 	if int64(buf.Len()) > maxBytes {
 		return nil, tooLarge(maxBytes)
 	}
-	// Whole: the connection is now read only to notice that the caller is gone,
-	// which must not end with the bound of the body.
+	// The body is complete. From now on the connection is read only to notice that
+	// the caller has disconnected, which must not end with the body's deadline.
 	setReadDeadline(c.Response(), time.Time{})
 	return buf.Bytes(), nil
 }
@@ -52,11 +52,11 @@
 	return fault.NotRun(fault.StepParse, "", fault.CodeRequestTooLarge, "body is larger than %d bytes", maxBytes)
 }
 
-// requestOptions are what a caller asks for in headers.
+// requestOptions are the options that a caller sets in headers.
 type requestOptions struct {
 	class    class.Class
 	deadline time.Time
-	key      string // idempotency key; "" for none
+	key      string // idempotency key; "" if there is none
 }
 
 func (a *API) parseOptions(c *call) (requestOptions, error) {
--- a/node/callerapi/fuzz_test.go
+++ b/node/callerapi/fuzz_test.go
@@ -33,8 +33,8 @@
 
 const fuzzKey = "key"
 
-// emptyHost is a host without upstreams: all that it lets through ends as refused
-// for want of one, and shows what it was taken for.
+// emptyHost is a host without upstreams: each request that it admits is refused
+// because there is no upstream. It counts the claims that were made.
 type emptyHost struct {
 	dispatch.View
 	index  *config.Index
@@ -77,9 +77,9 @@
 		Requests: inflight.New(), Metrics: metrics.New(), Log: event.NewLog(nil), Now: time.Now}), a, keys
 }
 
-// FuzzCaller sends a host whatever a caller may write into its path, headers
-// and body. Every answer must be a typed one of the kind that says that
-// nothing ran, and no path may get past the rule of what may not be repeated.
+// FuzzCaller sends a host arbitrary paths, headers and bodies. Every error must be
+// a typed one whose outcome says that nothing ran, and no path may bypass the rule
+// for requests that may not be repeated.
 func FuzzCaller(f *testing.F) {
 	api, host, keys := newEmptyHost(f)
 	resume, err := keys.Encode(token.Token{Team: "a", Request: "r", Attempt: "a", Upstream: "gone", Expires: time.Now().Add(time.Hour).Unix()})
@@ -113,7 +113,7 @@
 	})
 }
 
-// checkAnswer checks an answer's form.
+// checkAnswer checks the form of an answer.
 func checkAnswer(t *testing.T, w *httptest.ResponseRecorder, method, target string) {
 	t.Helper()
 	if w.Code < http.StatusBadRequest || method == http.MethodHead {
--- a/node/callerapi/generate.go
+++ b/node/callerapi/generate.go
@@ -20,23 +20,24 @@
 	"peridotpier.example/node/inflight"
 )
 
-// prefixBytes of a prompt tell which other prompts share its beginning, such
-// as a team's standing instructions.
+// prefixBytes is how many bytes of a prompt are hashed to find other prompts with
+// the same beginning, such as a team's fixed instructions.
 const prefixBytes = 512
 
-// generationRequest is what of a request body concerns its way to an engine. All
-// else passes through as it stands.
+// generationRequest holds the fields of a request body that affect routing. The
+// body itself is forwarded unchanged.
 type generationRequest struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
 	Messages json.RawMessage `json:"messages"`
 	Prompt   json.RawMessage `json:"prompt"`
-	// The most tokens that the caller wants, in its older and its newer form.
+	// The maximum number of tokens that the caller wants, under the older and the
+	// newer name of the field.
 	MaxTokens           int `json:"max_tokens"`
 	MaxCompletionTokens int `json:"max_completion_tokens"`
 }
 
-// generate serves both kinds of completion.
+// generate serves chat completions and plain completions.
 func (a *API) generate(c *call) error {
 	t, err := a.parseOptions(c)
 	if err != nil {
@@ -68,8 +69,9 @@
 	return a.serve(c, w, g.Model)
 }
 
-// prefix hashes the beginning of a prompt, salted by team: two teams' equal
-// prompts must not look equal, or one could learn the other's by timing.
+// prefix returns a hash of the beginning of a prompt, salted by team: equal prompts
+// of two teams must not have equal hashes, or one team could learn the other's
+// prompts from response times.
 func (a *API) prefix(team, model string, g *generationRequest) uint64 {
 	text := g.Messages
 	if text == nil {
@@ -82,7 +84,8 @@
 	return d.Sum64()
 }
 
-// requireClaim marks a request as one that may not be repeated.
+// requireClaim marks a request as one that may not be repeated, and that is claimed
+// under an idempotency key.
 func (a *API) requireClaim(c *call, w *dispatch.Work, key string, body []byte) {
 	w.Repeatable = false
 	w.MaxRetainedBytes = c.state.Index.Limits.AnswerBytes
@@ -103,12 +106,12 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// serve admits a request, dispatches it and keeps book of it.
+// serve admits a request, dispatches it and records it among the live requests.
 func (a *API) serve(c *call, w *dispatch.Work, target string) error {
 	ctx := c.ctx()
 	if w.Claim != nil {
-		// A claimed request runs to its end when its caller is gone, for the
-		// answer will be asked for again under its key.
+		// A claimed request runs to its end even if its caller disconnects: the
+		// caller may repeat the request with its key to get the answer.
 		ctx = context.WithoutCancel(ctx)
 	}
 	ctx, entry := a.deps.Requests.Begin(ctx, inflight.Request{ID: c.id, Team: w.Team, Target: target, Class: w.Class, Started: a.deps.Now()})
@@ -129,8 +132,9 @@
 	return err
 }
 
-// countDemand keeps the demand that the planners follow. What was refused for want
-// of a replica or of room counts too: it is what another replica is for.
+// countDemand records the demand that the planners follow, and admits and
+// dispatches the request. A request that is refused because there is no replica or
+// no capacity counts too: another replica would serve it.
 func (a *API) countDemand(ctx context.Context, c *call, w *dispatch.Work, e *inflight.Entry, target string) error {
 	if w.PlainService {
 		return a.admitAndDispatch(ctx, c, w, e, target)
--- a/node/callerapi/message.go
+++ b/node/callerapi/message.go
@@ -12,10 +12,10 @@
 	"peridotpier.example/node/event"
 )
 
-// failureTexts are what callers are told of failures behind this host. Their causes
-// name upstreams' and the platform's addresses, which are no business of
-// callers and would end up in their logs; operators find them in this host's
-// log under the request's id.
+// failureTexts are the messages to callers for failures behind this host. The
+// causes of such failures name addresses of upstreams and of the platform, which
+// callers must not see and which would end up in their logs; operators find the
+// causes in this host's log under the request's id.
 var failureTexts = map[fault.Code]map[outcome.Outcome]string{
 	fault.CodeUpstreamFailed: {
 		outcome.NotRun:  "no upstream could be reached; the request did not run",
@@ -41,8 +41,8 @@
 	},
 }
 
-// message is the caller's view of a fault: its own text where this host wrote
-// all of it, else the text of its code.
+// message returns the text of a fault for the caller: the fault's own text where
+// this host wrote all of it, otherwise the text for its code and outcome.
 func message(f *fault.Error) string {
 	if f.Err != nil && (isOwnText(f) || f.Step == fault.StepParse && !isNetworkError(f.Err)) {
 		return f.Err.Error()
@@ -53,7 +53,7 @@
 	return "the request failed at step " + string(f.Step) + ": " + string(f.Code)
 }
 
-// isOwnText says whether a fault's text holds no other error's.
+// isOwnText reports whether the text of a fault contains no other error's text.
 func isOwnText(f *fault.Error) bool {
 	if f.Peer != "" {
 		return false
@@ -67,7 +67,7 @@
 	return errors.As(err, &n)
 }
 
-// logFailure logs a failure that the caller cannot be told all about.
+// logFailure logs a failure whose cause is not sent to the caller.
 func (a *API) logFailure(c *echo.Context, f *fault.Error) {
 	internal := f.Outcome == outcome.Unknown && f.Code != fault.CodeInProgress || f.Code == fault.CodeUpstreamFailed || f.Code == fault.CodeInternal
 	if !internal || f.Step == fault.StepParse || f.Peer == callerPeer {
@@ -77,5 +77,5 @@
 		zap.String("step", string(f.Step)), zap.String(event.FieldPeer, f.Peer), zap.String("outcome", f.Outcome.String()), zap.Error(f))
 }
 
-// callerPeer names the caller as the peer of a fault.
+// callerPeer is the peer of a fault that the caller's connection or body caused.
 const callerPeer = "caller"
--- a/node/callerapi/models.go
+++ b/node/callerapi/models.go
@@ -15,7 +15,7 @@
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	OwnedBy string `json:"owned_by"`
-	Parent  string `json:"parent,omitempty"` // of an adapter: its base model
+	Parent  string `json:"parent,omitempty"` // base model of an adapter
 }
 
 // models lists the models and adapters that the caller's team may use.
--- a/node/callerapi/page_test.go
+++ b/node/callerapi/page_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: a caller gets a code, and the page does not say what to do on it.
+// Symptom: a caller gets a code, and the page does not say what to do about it.
 // Sequence: a code is added, or its status changes.
-// Cause: page and code are kept apart.
+// Cause: the page and the code are maintained separately.
 func TestThePageExplainsEachCode(t *testing.T) {
 	data, err := os.ReadFile("../../docs/callers.md")
 	assert.NilError(t, err)
--- a/node/callerapi/panic_test.go
+++ b/node/callerapi/panic_test.go
@@ -14,14 +14,14 @@
 	"peridotpier.example/node/event"
 )
 
-// panickingAdmission is an admission that panics.
+// panickingAdmission is an Admission that panics with value.
 type panickingAdmission struct{ value any }
 
 func (f panickingAdmission) Admit(context.Context, AdmitRequest) (func(), error) { panic(f.value) }
 
-// Symptom: a caller gets no answer; the log has a stack, and no request's id.
+// Symptom: a caller gets no answer; the log has a stack, but no request id.
 // Sequence: the handler of a request panics.
-// Cause: only the HTTP server's complaint tells, which knows of no requests.
+// Cause: only the HTTP server logs the panic, and it does not know request ids.
 func TestAPanicIsLoggedWithItsRequest(t *testing.T) {
 	api, _, _ := newEmptyHost(t)
 	core, lines := observer.New(zap.DebugLevel)
--- a/node/callerapi/problem.go
+++ b/node/callerapi/problem.go
@@ -15,16 +15,17 @@
 	"peridotpier.example/node/metrics"
 )
 
-// noConfigRetryAfter is when to ask a host again that has just started.
+// noConfigRetryAfter is the Retry-After of a host that has no configuration yet, or
+// whose configuration is too old for the request.
 const noConfigRetryAfter = time.Second
 
-// Problem is an error as a caller sees it: the OpenAI shape, and what is
-// known of the request's execution.
+// Problem is the body of an error answer to a caller: the OpenAI format, extended
+// by what is known about the execution of the request.
 type Problem struct {
 	Error ProblemDetail `json:"error"`
 }
 
-// ProblemDetail is the body of a Problem.
+// ProblemDetail is the content of a Problem.
 type ProblemDetail struct {
 	Message   string `json:"message"`
 	Type      string `json:"type"`
@@ -75,7 +76,7 @@
 	}
 }
 
-// asFault turns any handler's error into a fault.
+// asFault converts the error of any handler to a fault.
 func asFault(err error) *fault.Error {
 	var coded echo.HTTPStatusCoder
 	var f *fault.Error
@@ -89,9 +90,9 @@
 	return fault.From(fault.StepDispatch, err)
 }
 
-// writeProblem writes an error. Where the answer has begun, its end must not look
-// clean: a stream gets the error as its last event, and in every case the
-// connection is broken off.
+// writeProblem answers with an error. If the answer has already begun, it must not
+// appear to end normally: a stream gets the error as its last event, and in every
+// case the connection is aborted.
 func (a *API) writeProblem(c *echo.Context, err error) {
 	f := asFault(err)
 	a.countOutcome(f.Outcome)
@@ -109,7 +110,7 @@
 	if f.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(f.RetryAfter.Seconds()))))
 	}
-	_ = c.JSON(statusOf(f.Code), body) // the caller may be gone
+	_ = c.JSON(statusOf(f.Code), body) // the caller may have disconnected
 }
 
 func (a *API) problemBody(c *echo.Context, f *fault.Error) Problem {
@@ -118,7 +119,8 @@
 		Step: string(f.Step), RequestID: c.Response().Header().Get(HeaderRequestID)}}
 }
 
-// writeErrorEvent tells the caller of a stream why it ends without its end marker.
+// writeErrorEvent sends the caller of a stream the reason why it ends without its
+// end marker.
 func (a *API) writeErrorEvent(c *echo.Context, p Problem) {
 	data, err := json.Marshal(p)
 	if err != nil {
@@ -126,7 +128,7 @@
 	}
 	event := append(append([]byte("event: error\ndata: "), data...), "\n\n"...)
 	if _, err := c.Response().Write(event); err == nil {
-		_ = http.NewResponseController(c.Response()).Flush() // the caller may be gone
+		_ = http.NewResponseController(c.Response()).Flush() // the caller may have disconnected
 	}
 }
 
--- a/node/callerapi/requests.go
+++ b/node/callerapi/requests.go
@@ -13,7 +13,7 @@
 	"peridotpier.example/node/inflight"
 )
 
-const maxListed = 100 // requests in one list
+const maxListed = 100 // maximum number of requests in one list
 
 // requests lists the team's own requests on this host.
 func (a *API) requests(c *call) error {
@@ -28,14 +28,14 @@
 	return c.JSON(http.StatusOK, q)
 }
 
-// requestNotFound does not repeat the id: it may be a resume token, and errors
-// end up in callers' logs.
+// requestNotFound returns an error that does not repeat the id: it may be a resume
+// token, and errors end up in callers' logs.
 func requestNotFound() error {
 	return fault.NotRun(fault.StepParse, "", fault.CodeNotFound, "this host knows no such request of your team")
 }
 
-// cancel ends a request of the team, by its id on the host that serves it or
-// by its resume token on any host.
+// cancel cancels a request of the team, by its id on the host that serves it, or by
+// its resume token on any host.
 func (a *API) cancel(c *call) error {
 	id := c.Param("id")
 	if a.deps.Requests.Cancel(id, c.team.Name, dispatch.ErrCancelled) {
@@ -56,11 +56,11 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-// resume takes a stream up again, whichever host it began on.
+// resume continues a stream, whichever host it began on.
 func (a *API) resume(c *call) error {
 	t, err := a.deps.Tokens.Decode(c.Param("id"), c.team.Name, a.deps.Now())
 	if err != nil {
-		// One answer for all faults: nothing may be learnt by trying.
+		// The answer is the same for every fault of a token, so that guesses reveal nothing.
 		return fault.Unknown(fault.StepResume, "", fault.CodeNotFound, "this resume token is not valid, or no longer")
 	}
 	after := 0
@@ -90,9 +90,9 @@
 	return err
 }
 
-// handOver ends a stream that outlived a graceful shutdown: its caller is told
-// where to take it up, and gets the rest from another host. It returns only
-// when there is no stream to hand over.
+// handOver ends a stream that is still open at the end of a graceful shutdown: its
+// last event tells the caller where to resume it, on another host. It returns only
+// if there is no stream to hand over.
 func (a *API) handOver(c *call) {
 	t := c.Response().Header().Get(HeaderResume)
 	r, _ := echo.UnwrapResponse(c.Response())
@@ -100,7 +100,7 @@
 		return
 	}
 	if _, err := c.Response().Write([]byte("event: handover\ndata: {\"resume\":\"/v1/requests/" + t + "/stream\"}\n\n")); err == nil {
-		_ = http.NewResponseController(c.Response()).Flush() // the caller may be gone
+		_ = http.NewResponseController(c.Response()).Flush() // the caller may have disconnected
 	}
-	panic(http.ErrAbortHandler) // the stream's end must not look clean
+	panic(http.ErrAbortHandler) // the stream must not appear to end normally
 }
--- a/node/callerapi/service.go
+++ b/node/callerapi/service.go
@@ -14,12 +14,12 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// forwardedHeaders are a caller's headers that plain services get. The team's key is
-// not among them, nor anything that names the connection. The idempotency key
-// is passed on as the service's own safeguard.
+// forwardedHeaders are the headers of a caller that are forwarded to plain
+// services. The team's key and headers about the connection are not among them. The
+// idempotency key is forwarded so that the service can use it as a safeguard too.
 var forwardedHeaders = []string{"Content-Type", "Accept", "Accept-Language", "If-None-Match", "If-Modified-Since", HeaderIdempotencyKey}
 
-// service passes a call on to a plain service.
+// service forwards a call to a plain service.
 func (a *API) service(c *call) error {
 	t, err := a.parseOptions(c)
 	if err != nil {
@@ -51,10 +51,10 @@
 	return attributeBodyError(a.serve(c, w, name), c.state.Index.Limits.BodyBytes)
 }
 
-// servicePath is the path below a service. It must be in its shortest form:
+// servicePath returns the path below a service. It must be in its shortest form:
 // an upstream that shortens "/service/../engine/v1/attempts/ID" itself would
 // show one team's stored answer to another, and one that shortens "/x/../notes"
-// would run twice what a rule for "/notes" says may not be repeated.
+// would run twice a request that a rule for "/notes" says may not be repeated.
 func servicePath(u *url.URL, service string) (string, error) {
 	p := "/" + strings.TrimPrefix(strings.TrimPrefix(u.Path, "/v1/services/"+service), "/")
 	short := path.Clean(p)
@@ -67,8 +67,8 @@
 	return p, nil
 }
 
-// attributeBodyError names the caller's own body as the cause where it was; the outcome
-// stays what was found.
+// attributeBodyError returns err as a fault of the caller if reading the caller's
+// body failed, with the same outcome; other errors are returned unchanged.
 func attributeBodyError(err error, maxBytes int64) error {
 	var tooBig *http.MaxBytesError
 	var body *conn.BodyError
@@ -83,8 +83,8 @@
 	return f
 }
 
-// attachBody holds a small body, or any of a request that may not be repeated,
-// whole; others are passed on as they come, bounded by size.
+// attachBody adds the body of a call to w. A small body, or any body of a request
+// that may not be repeated, is buffered; others are streamed, limited in size.
 func (a *API) attachBody(c *call, w *dispatch.Work) error {
 	r, maxBytes := c.Request(), c.state.Index.Limits.BodyBytes
 	if r.ContentLength > maxBytes {
--- a/node/callerapi/sink.go
+++ b/node/callerapi/sink.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// writeTimeout is how long a caller may leave an answer unread before its
-	// connection is given up; otherwise a stalled caller holds an engine's slot.
+	// writeTimeout is how long a caller may leave an answer unread before writing to
+	// it fails; without it a stalled caller would occupy an engine's slot.
 	writeTimeout = 30 * time.Second
-	// writeDeadlineInterval is how often the bound is pushed on; doing it for each
-	// token would cost more than the token.
+	// writeDeadlineInterval is the minimum time between two extensions of the write
+	// deadline; extending it for each token would cost more than the token.
 	writeDeadlineInterval = 5 * time.Second
 )
 
-// sink hands an answer to a caller.
+// sink writes an answer to a caller; it implements dispatch.Sink.
 type sink struct {
 	w             http.ResponseWriter
 	rc            *http.ResponseController
@@ -28,8 +28,8 @@
 	target        string
 	stream        bool
 	expires       time.Time
-	deadlineSetAt time.Time // when the write bound was set last
-	flushed       bool      // once at least
+	deadlineSetAt time.Time // when the write deadline was last set
+	flushed       bool      // whether Flush was called at least once
 }
 
 func (a *API) newSink(c *call, e *inflight.Entry, target string, stream bool, deadline time.Time) *sink {
@@ -52,7 +52,7 @@
 		header["X-Accel-Buffering"] = []string{"no"}
 		t, err := s.api.deps.Tokens.Encode(token.Token{Team: s.call.team.Name, Request: s.call.id, Attempt: h.Attempt,
 			Upstream: h.Upstream, Incarnation: h.Incarnation, Model: s.target, Expires: s.expires.Unix() + 1})
-		if err == nil { // without it the stream goes on, but cannot be resumed elsewhere
+		if err == nil { // without a token the stream continues, but cannot be resumed elsewhere
 			header.Set(HeaderResume, t)
 		}
 	}
@@ -78,9 +78,9 @@
 
 // Flush implements dispatch.Sink.
 //
-// The first flush writes the head, for which net/http needs almost 3 KB of
-// stack on top of what a request already uses. On the request's own goroutine
-// that would double its stack to 16 KB, and a stack in use that deep is never
+// The first flush writes the head, for which net/http needs almost 3 KB of stack
+// in addition to what a request already uses. On the request's own goroutine that
+// would double its stack to 16 KB, and a stack of which so much is in use is never
 // shrunk: 8 KB a stream for as long as it is open. So another goroutine does it.
 func (s *sink) Flush() error {
 	if s.flushed {
