--- a/node/callerapi/problem.go
+++ b/node/callerapi/problem.go
@@ -15,16 +15,17 @@
 	"peridotpier.example/node/metrics"
 )
 
-// retryNoConfig is when to ask a host again that has just started.
-const retryNoConfig = time.Second
+// noConfigRetryAfter is the Retry-After of a host that has no configuration yet, or
+// whose configuration is too old for the request.
+const noConfigRetryAfter = time.Second
 
-// Problem is an error as a caller sees it: the OpenAI shape, and what is
-// known of the request's execution.
+// Problem is the body of an error answer to a caller: the OpenAI format, extended
+// by what is known about the execution of the request.
 type Problem struct {
 	Error ProblemDetail `json:"error"`
 }
 
-// ProblemDetail is the body of a Problem.
+// ProblemDetail is the content of a Problem.
 type ProblemDetail struct {
 	Message   string `json:"message"`
 	Type      string `json:"type"`
@@ -75,7 +76,7 @@
 	}
 }
 
-// asFault turns any handler's error into a fault.
+// asFault converts the error of any handler to a fault.
 func asFault(err error) *fault.Error {
 	var coded echo.HTTPStatusCoder
 	var f *fault.Error
@@ -89,18 +90,18 @@
 	return fault.From(fault.StepDispatch, err)
 }
 
-// problem writes an error. Where the answer has begun, its end must not look
-// clean: a stream gets the error as its last event, and in every case the
-// connection is broken off.
-func (a *API) problem(c *echo.Context, err error) {
+// writeProblem answers with an error. If the answer has already begun, it must not
+// appear to end normally: a stream gets the error as its last event, and in every
+// case the connection is aborted.
+func (a *API) writeProblem(c *echo.Context, err error) {
 	f := asFault(err)
-	a.count(f.Outcome)
-	a.report(c, f)
+	a.countOutcome(f.Outcome)
+	a.logFailure(c, f)
 	r, _ := echo.UnwrapResponse(c.Response())
-	body := a.describe(c, f)
+	body := a.problemBody(c, f)
 	if r != nil && r.Committed {
 		if isStream(c.Response().Header()) {
-			a.lastEvent(c, body)
+			a.writeErrorEvent(c, body)
 		}
 		panic(http.ErrAbortHandler)
 	}
@@ -109,28 +110,29 @@
 	if f.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(f.RetryAfter.Seconds()))))
 	}
-	_ = c.JSON(statusOf(f.Code), body) // the caller may be gone
+	_ = c.JSON(statusOf(f.Code), body) // the caller may have disconnected
 }
 
-func (a *API) describe(c *echo.Context, f *fault.Error) Problem {
+func (a *API) problemBody(c *echo.Context, f *fault.Error) Problem {
 	status := statusOf(f.Code)
 	return Problem{ProblemDetail{Message: message(f), Type: typeOf(status), Code: string(f.Code), Outcome: f.Outcome.String(),
 		Step: string(f.Step), RequestID: c.Response().Header().Get(HeaderRequestID)}}
 }
 
-// lastEvent tells the caller of a stream why it ends without its end marker.
-func (a *API) lastEvent(c *echo.Context, p Problem) {
+// writeErrorEvent sends the caller of a stream the reason why it ends without its
+// end marker.
+func (a *API) writeErrorEvent(c *echo.Context, p Problem) {
 	data, err := json.Marshal(p)
 	if err != nil {
 		return
 	}
 	event := append(append([]byte("event: error\ndata: "), data...), "\n\n"...)
 	if _, err := c.Response().Write(event); err == nil {
-		_ = http.NewResponseController(c.Response()).Flush() // the caller may be gone
+		_ = http.NewResponseController(c.Response()).Flush() // the caller may have disconnected
 	}
 }
 
-func (a *API) count(o outcome.Outcome) {
+func (a *API) countOutcome(o outcome.Outcome) {
 	switch o {
 	case outcome.NotRun:
 		a.deps.Metrics.Count(metrics.NotRun, 1)
--- a/node/event/sink_test.go
+++ b/node/event/sink_test.go
@@ -15,32 +15,32 @@
 	"peridotpier.example/node/event"
 )
 
-// stuck is a reader of the log that takes nothing until it is let go.
-type stuck struct {
+// blockedWriter is a log output that blocks until its gate is closed.
+type blockedWriter struct {
 	gate chan struct{}
 	mu   sync.Mutex
 	buf  bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.gate
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(p)
 }
 
-// Symptom: requests stand still although upstreams answer.
-// Sequence: whoever reads the log stops reading; requests go on being logged.
-// Cause: a log line waits for its reader.
+// Symptom: requests hang although upstreams answer.
+// Sequence: the reader of the log stops reading; requests are still being logged.
+// Cause: writing a log line waits for the reader.
 func TestAFullLogDropsAndCountsInsteadOfBlocking(t *testing.T) {
-	out := &stuck{gate: make(chan struct{})}
+	out := &blockedWriter{gate: make(chan struct{})}
 	sink := event.NewSink(out)
 	log := event.NewJSON(sink, zapcore.InfoLevel)
-	began := time.Now()
+	start := time.Now()
 	for range 20_000 {
 		log.Emit(event.RequestServed, zap.String("request", "r"))
 	}
-	assert.Assert(t, time.Since(began) < 5*time.Second)
+	assert.Assert(t, time.Since(start) < 5*time.Second)
 	assert.Assert(t, sink.Dropped() > 10_000, "%d", sink.Dropped())
 	close(out.gate)
 	log.Sync()
@@ -49,42 +49,42 @@
 	assert.Assert(t, strings.Contains(out.buf.String(), `"request_served"`))
 }
 
-// Symptom: a busy host's log lacks lines, also those of its stop, though its
-// reader is quick.
-// Sequence: more lines come than are written at once; they do so for longer.
+// Symptom: a busy host's log lacks lines, also those of its shutdown, although
+// its reader is fast.
+// Sequence: for some time, lines arrive faster than one write per pause takes them.
 // Cause: the pause that gathers lines is made after full writes too.
 func TestAQuickReaderGetsEveryLine(t *testing.T) {
-	const each, rounds, bound = 2000, 10, 2 * time.Second // with a pause after each write: over 3 s
-	out := &stuck{gate: make(chan struct{})}
+	const perRound, rounds, maxElapsed = 2000, 10, 2 * time.Second // with a pause after each write: over 3 s
+	out := &blockedWriter{gate: make(chan struct{})}
 	close(out.gate)
 	sink := event.NewSink(out)
 	log := event.NewJSON(sink, zapcore.InfoLevel)
-	began := time.Now()
+	start := time.Now()
 	for round := range rounds {
-		for range each {
+		for range perRound {
 			log.Emit(event.RequestServed, zap.String("request", strings.Repeat("r", 200)))
 		}
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
 			out.mu.Lock()
 			defer out.mu.Unlock()
-			if n := bytes.Count(out.buf.Bytes(), []byte{'\n'}); n < (round+1)*each {
+			if n := bytes.Count(out.buf.Bytes(), []byte{'\n'}); n < (round+1)*perRound {
 				return poll.Continue("%d lines, %d dropped", n, sink.Dropped())
 			}
 			return poll.Success()
 		}, poll.WithDelay(time.Millisecond))
 	}
 	assert.Equal(t, sink.Dropped(), int64(0))
-	assert.Assert(t, time.Since(began) < bound, "%v", time.Since(began))
+	assert.Assert(t, time.Since(start) < maxElapsed, "%v", time.Since(start))
 }
 
-// Symptom: the last lines of a process are missing, with no count of them.
-// Sequence: the requests under way end together when the process stops; each
+// Symptom: the last lines of a process are missing and are not counted as dropped.
+// Sequence: the requests in progress end together when the process stops; each
 // writes a line.
-// Cause: at the end no more is written than one write takes.
+// Cause: the last flush makes only one write.
 func TestTheLastLinesAreAllWritten(t *testing.T) {
 	const lines = 2000
-	for range 8 { // the sink takes lines and the end in any order
-		out := &stuck{gate: make(chan struct{})}
+	for range 8 { // the sink receives lines and the flush in any order
+		out := &blockedWriter{gate: make(chan struct{})}
 		sink := event.NewSink(out)
 		log := event.NewJSON(sink, zapcore.InfoLevel)
 		for range lines {
@@ -92,7 +92,7 @@
 		}
 		synced := make(chan struct{})
 		go func() { defer close(synced); log.Sync() }()
-		time.Sleep(10 * time.Millisecond) // the end waits when the first write is over
+		time.Sleep(10 * time.Millisecond) // the flush is waiting when the first write completes
 		close(out.gate)
 		<-synced
 		out.mu.Lock()
@@ -102,10 +102,10 @@
 	}
 }
 
-// BenchmarkRequestLines is what the log costs a request: the line of its send
-// and that of its end.
+// BenchmarkRequestLines measures the logging cost of a request: one line when it
+// is sent and one when it ends.
 func BenchmarkRequestLines(b *testing.B) {
-	out := &stuck{gate: make(chan struct{})}
+	out := &blockedWriter{gate: make(chan struct{})}
 	close(out.gate)
 	log := event.NewJSON(event.NewSink(out), zapcore.InfoLevel)
 	b.ReportAllocs()
--- a/node/server/roles.go
+++ b/node/server/roles.go
@@ -18,19 +18,21 @@
 )
 
 const (
-	// campaigners is how many hosts ask for one lease: the holder and one that
-	// follows it. If all did, their reading of its row would grow with the
-	// fleet times the pools.
+	// campaigners is how many hosts campaign for one lease: the holder and one
+	// successor. If all hosts did, the reads of lease rows would grow with the
+	// number of hosts times the number of pools.
 	campaigners = 2
-	// reconcileEach is how often roles and watches are looked at when nothing
-	// calls for it.
-	reconcileEach = 5 * time.Second
-	// reconcileWait is how long a look waits for more of what called for it.
-	reconcileWait = 200 * time.Millisecond
-	// directMost is how many upstreams a host asks itself, all of them; above
-	// that the hosts share them out and tell one another what changed.
-	directMost   = 32
-	plannerLease = "planner/"
+	// reconcileInterval is how often roles and polled upstreams are reconciled
+	// when no change triggers it.
+	reconcileInterval = 5 * time.Second
+	// reconcileDelay is how long to wait for further changes after one that
+	// triggered a reconciliation.
+	reconcileDelay = 200 * time.Millisecond
+	// maxDirectUpstreams is the largest number of upstreams at which each host
+	// polls all of them; above it the upstreams are divided among the hosts,
+	// which publish changes to one another.
+	maxDirectUpstreams = 32
+	plannerLease       = "planner/"
 )
 
 // role is one lease that this host campaigns for, and what runs under it.
@@ -42,7 +44,7 @@
 	done    chan struct{}
 }
 
-// roles are those of this host, by lease name.
+// roles are the roles of this host, by lease name.
 type roles struct {
 	mu   sync.Mutex
 	byID map[string]*role
@@ -55,11 +57,11 @@
 	}
 }
 
-// manageRoles campaigns for the leases that fall on this host and keeps the
-// set of upstreams that it asks, until ctx ends; then it hands all over.
+// manageRoles campaigns for the leases that fall to this host and maintains the
+// set of upstreams that it polls, until ctx ends; then it releases the leases.
 func (s *Server) manageRoles(ctx context.Context) error {
-	defer s.endRoles()
-	tick := time.NewTicker(reconcileEach)
+	defer s.stopRoles()
+	tick := time.NewTicker(reconcileInterval)
 	defer tick.Stop()
 	for {
 		s.reconcileRoles(ctx)
@@ -68,9 +70,9 @@
 			return nil
 		case <-tick.C:
 		case <-s.reconcile:
-			// Changes come in swarms, as when a data centre is cut off: one look
-			// after the first few serves them all.
-			pace.Sleep(ctx, reconcileWait)
+			// Changes come in bursts, as when a data centre is cut off: one
+			// reconciliation shortly after the first change covers them all.
+			pace.Sleep(ctx, reconcileDelay)
 		}
 	}
 }
@@ -78,7 +80,7 @@
 func (s *Server) reconcileRoles(ctx context.Context) {
 	st, ok := s.config.Current()
 	if !ok || s.phase.Load() == phaseStarting {
-		return // a host that knows no other yet would campaign for every lease
+		return // a host that does not know any other host yet would campaign for every lease
 	}
 	live := s.mesh.LiveHosts()
 	wanted := map[string]func() *role{}
@@ -91,20 +93,21 @@
 	}
 	wanted[command.AuditLease] = func() *role { return s.startArchiver(ctx) }
 	wanted[nodeclaim.SweeperLeaseName] = func() *role { return s.startSweeper(ctx) }
-	campaigns := s.campaigns(live)
+	campaigns := s.campaignFilter(live)
 	for name := range wanted {
 		if !campaigns(name) {
 			delete(wanted, name)
 		}
 	}
-	s.swapRoles(wanted)
+	s.updateRoles(wanted)
 	s.assignUpstreams(st.Index.Config, live)
-	s.setHosts(len(live))
+	s.setSiteHosts(len(live))
 }
 
-// campaigns says for which leases this host is among the first. A draining
-// host campaigns for none, so that its leases move before it ends.
-func (s *Server) campaigns(live []member.Host) func(name string) bool {
+// campaignFilter returns a function that reports whether this host campaigns for
+// a lease: whether it is among the first hosts for its name. A draining host
+// campaigns for none, so that its leases move before it terminates.
+func (s *Server) campaignFilter(live []member.Host) func(name string) bool {
 	if s.phase.Load() == phaseDraining {
 		return func(string) bool { return false }
 	}
@@ -112,7 +115,7 @@
 	return func(name string) bool { return w.IsAmongFirst(name, campaigners) }
 }
 
-func (s *Server) swapRoles(wanted map[string]func() *role) {
+func (s *Server) updateRoles(wanted map[string]func() *role) {
 	s.roles.mu.Lock()
 	defer s.roles.mu.Unlock()
 	for name, r := range s.roles.byID {
@@ -128,8 +131,9 @@
 	}
 }
 
-// endRoles hands the leases over and waits for what ran under them.
-func (s *Server) endRoles() {
+// stopRoles stops all roles, waits until nothing runs under their leases any
+// more, and releases the leases.
+func (s *Server) stopRoles() {
 	s.roles.mu.Lock()
 	defer s.roles.mu.Unlock()
 	for _, r := range s.roles.byID {
@@ -140,7 +144,7 @@
 	}
 }
 
-// startRole campaigns for a lease and runs what build makes beside it.
+// startRole campaigns for a lease and runs beside it the function that build returns.
 func (s *Server) startRole(ctx context.Context, name string, build func(*lease.Lease, *role) func(context.Context) error) *role {
 	l := lease.New(lease.Config{Name: name, Holder: s.cfg.Settings.Host + "/" + s.incarnation}, lease.Deps{Table: s.cfg.Platform.Table, Log: s.log})
 	ctx, cancel := context.WithCancel(ctx)
@@ -152,7 +156,7 @@
 	go func() {
 		defer close(r.done)
 		_ = act(ctx) // logs its own failures
-		release()    // given back only when nothing acts under it any more
+		release()    // the lease is released only when nothing acts under it any more
 		held.Wait()
 	}()
 	return r
@@ -165,9 +169,9 @@
 	})
 }
 
-// settleWindows is how many short windows of demand pass before what a move
-// did shows in them.
-const settleWindows = 4
+// moveCooldownWindows is how many short demand windows pass before they show the
+// effect of a move.
+const moveCooldownWindows = 4
 
 func (s *Server) startSweeper(ctx context.Context) *role {
 	return s.startRole(ctx, nodeclaim.SweeperLeaseName, func(l *lease.Lease, _ *role) func(context.Context) error {
@@ -181,13 +185,13 @@
 func (s *Server) startPlanner(ctx context.Context, pool string) *role {
 	return s.startRole(ctx, plannerLease+pool, func(l *lease.Lease, r *role) func(context.Context) error {
 		r.pool = pool
-		r.planner = planner.New(planner.Config{Pool: pool, MoveCooldown: settleWindows * s.cfg.Demand.Short}, planner.Deps{Lease: term{l}, Table: s.cfg.Platform.Table,
-			Weights: s.cfg.Platform.Weights, Orders: s.orders, Inputs: plannerSite{s, pool}, Log: s.log})
+		r.planner = planner.New(planner.Config{Pool: pool, MoveCooldown: moveCooldownWindows * s.cfg.Demand.Short}, planner.Deps{Lease: leaseTerm{l}, Table: s.cfg.Platform.Table,
+			Weights: s.cfg.Platform.Weights, Orders: s.orders, Inputs: plannerInputs{s, pool}, Log: s.log})
 		return r.planner.Run
 	})
 }
 
-// leaseStatus lists the leases that this host holds or wants.
+// leaseStatus lists the leases that this host holds or campaigns for.
 func (s *Server) leaseStatus() []operatorapi.Lease {
 	s.roles.mu.Lock()
 	defer s.roles.mu.Unlock()
@@ -200,8 +204,8 @@
 	return out
 }
 
-// planned lists the pools that this host plans now.
-func (s *Server) planned() map[string]*planner.Planner {
+// plannedPools returns the planners of the pools that this host plans now, by pool.
+func (s *Server) plannedPools() map[string]*planner.Planner {
 	s.roles.mu.Lock()
 	defer s.roles.mu.Unlock()
 	out := map[string]*planner.Planner{}
--- a/node/server/secured_test.go
+++ b/node/server/secured_test.go
@@ -7,19 +7,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: a stop lasts for seconds though no request is under way, and hands
-// over requests that had time enough.
+// Symptom: a shutdown takes seconds although no request is in progress, and
+// hands over requests that had enough time to finish.
 // Sequence: a caller opens a connection in advance, as HTTP clients do; its
-// handshake is done; it sends nothing; the listener is drained.
-// Cause: the handshake's bytes count as a request's.
-func TestAnUnusedSecuredConnectionHoldsNoStop(t *testing.T) {
+// handshake completes; it sends nothing; the listener is drained.
+// Cause: the bytes of the handshake are counted as those of a request.
+func TestAnUnusedTLSConnectionDoesNotDelayAShutdown(t *testing.T) {
 	t.Parallel()
-	s := newStoppable(t, true)
+	s := newStoppableListener(t, true)
 	c, err := s.dial(s.l.address())
 	assert.NilError(t, err)
 	defer func() { _ = c.Close() }()
 	time.Sleep(100 * time.Millisecond)
-	began := time.Now()
+	start := time.Now()
 	assert.NilError(t, s.l.drain(t.Context()))
-	assert.Assert(t, time.Since(began) < time.Second, "the stop took %v", time.Since(began))
+	assert.Assert(t, time.Since(start) < time.Second, "the stop took %v", time.Since(start))
 }
--- a/node/server/status_test.go
+++ b/node/server/status_test.go
@@ -10,21 +10,21 @@
 )
 
 // Symptom: an operator is told that a change is in force everywhere while a
-// host still serves under the former version.
+// host still serves under the previous version.
 // Sequence: a host starts and links with others; a change is made before the
 // platform's list shows the host.
-// Cause: only listed hosts were waited for.
-func TestAHostThatTheListLacksIsWaitedFor(t *testing.T) {
+// Cause: only listed hosts are waited for.
+func TestAnUnlistedHostIsWaitedFor(t *testing.T) {
 	listed := []store.Host{{Name: "a", Role: store.RoleEntry, State: store.HostLive},
 		{Name: "gone", Role: store.RoleEntry, State: store.HostDraining},
 		{Name: "engine", Role: store.RoleUpstream, State: store.HostLive}}
 	versions := map[string]uint64{"a": 2, "new": 1, "silent": 0}
-	heard := query.NewVersionTracker(nil)
+	tracker := query.NewVersionTracker(nil)
 	for host, v := range versions {
-		heard.Record(host, v)
+		tracker.Record(host, v)
 	}
 	var waiting []string
-	for _, h := range heard.HostsBelow(2, expected(listed, versions)) {
+	for _, h := range tracker.HostsBelow(2, requiredHosts(listed, versions)) {
 		waiting = append(waiting, h.Host)
 	}
 	assert.DeepEqual(t, waiting, []string{"new", "silent"})
