--- a/cmd/internal/operator/client.go
+++ b/cmd/internal/operator/client.go
@@ -77,7 +77,7 @@
 	if key == "" {
 		return nil, &exit.Error{Code: exit.Usage, Err: errors.New("no operator's key given"), Hint: "pass --key-file FILE or set " + EnvKey}
 	}
-	conf, err := f.tls()
+	conf, err := f.tlsConfig()
 	if err != nil {
 		return nil, err
 	}
@@ -85,7 +85,7 @@
 		http: &http.Client{Timeout: callTimeout, Transport: &http.Transport{TLSClientConfig: conf}}}, nil
 }
 
-func (f *Flags) tls() (*tls.Config, error) {
+func (f *Flags) tlsConfig() (*tls.Config, error) {
 	if f.CAFile == "" {
 		return nil, nil
 	}
@@ -121,15 +121,15 @@
 	req.Header.Set("Authorization", "Bearer "+c.key)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return c.unreachable(method, err)
+		return c.connectionError(method, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return c.unreachable(method, err)
+		return c.connectionError(method, err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return refused(resp.StatusCode, data)
+		return responseError(resp.StatusCode, data)
 	}
 	if out == nil || len(data) == 0 {
 		return nil
@@ -137,9 +137,9 @@
 	return json.Unmarshal(data, out)
 }
 
-// unreachable is a lost answer: a read may be made again, a change may have
+// connectionError is a lost answer: a read may be made again, a change may have
 // taken effect, unless no connection was made.
-func (c *Client) unreachable(method string, err error) error {
+func (c *Client) connectionError(method string, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return &exit.Error{Code: exit.Failed, Err: err, Hint: "nothing was asked for; try another entry host with --node"}
@@ -150,7 +150,7 @@
 	return &exit.Error{Code: exit.Unconfirmed, Err: err, Hint: "it may or may not have taken effect: look with pierctl status through another entry host before trying again"}
 }
 
-func refused(status int, data []byte) error {
+func responseError(status int, data []byte) error {
 	var p operatorapi.Problem
 	if json.Unmarshal(data, &p) != nil || p.Message == "" {
 		p = operatorapi.Problem{Message: fmt.Sprintf("status %d: %s", status, data)}
--- a/cmd/peridotpier/check.go
+++ b/cmd/peridotpier/check.go
@@ -16,10 +16,10 @@
 )
 
 type checkCommand struct {
-	settings string
-	host     string
-	config   string
-	json     bool
+	settingsFile     string
+	hostSettingsFile string
+	configFile       string
+	printJSON        bool
 }
 
 func (*checkCommand) Name() string { return "check" }
@@ -31,14 +31,14 @@
 }
 
 func (c *checkCommand) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.settings, "settings", "", "settings `file` of a host")
-	f.StringVar(&c.host, "host-settings", "", "settings `file` of a host on the users' platform")
-	f.StringVar(&c.config, "configuration", "", "deployment configuration `file`")
-	f.BoolVar(&c.json, "json", false, "print faults as JSON")
+	f.StringVar(&c.settingsFile, "settings", "", "settings `file` of a host")
+	f.StringVar(&c.hostSettingsFile, "host-settings", "", "settings `file` of a host on the users' platform")
+	f.StringVar(&c.configFile, "configuration", "", "deployment configuration `file`")
+	f.BoolVar(&c.printJSON, "json", false, "print faults as JSON")
 }
 
 func (c *checkCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if f.NArg() > 0 || c.settings == "" && c.host == "" && c.config == "" {
+	if f.NArg() > 0 || c.settingsFile == "" && c.hostSettingsFile == "" && c.configFile == "" {
 		fmt.Fprint(os.Stderr, c.Usage())
 		return exit.Usage
 	}
@@ -47,16 +47,16 @@
 		name  string
 		parse func([]byte) []config.Fault
 	}{
-		{c.settings, func(b []byte) []config.Fault { _, f := settings.Parse(b); return f }},
-		{c.host, func(b []byte) []config.Fault { _, f := host.Parse(b); return f }},
-		{c.config, func(b []byte) []config.Fault { _, f := config.Parse(b); return f }},
+		{c.settingsFile, func(b []byte) []config.Fault { _, f := settings.Parse(b); return f }},
+		{c.hostSettingsFile, func(b []byte) []config.Fault { _, f := host.Parse(b); return f }},
+		{c.configFile, func(b []byte) []config.Fault { _, f := config.Parse(b); return f }},
 	} {
 		if file.name == "" {
 			continue
 		}
 		data, err := os.ReadFile(file.name)
 		if err != nil {
-			return exit.Print(os.Stderr, c.json, err)
+			return exit.Print(os.Stderr, c.printJSON, err)
 		}
 		for _, f := range file.parse(data) {
 			faults = append(faults, config.Fault{Path: file.name + ": " + f.Path, Problem: f.Problem})
@@ -66,7 +66,7 @@
 }
 
 func (c *checkCommand) print(faults []config.Fault) subcommands.ExitStatus {
-	if c.json {
+	if c.printJSON {
 		_ = json.NewEncoder(os.Stdout).Encode(map[string]any{"faults": faults})
 	} else {
 		for _, f := range faults {
--- a/cmd/peridotpier/serve.go
+++ b/cmd/peridotpier/serve.go
@@ -21,7 +21,7 @@
 	"peridotpier.example/node/store/rest"
 )
 
-type serveCommand struct{ settings string }
+type serveCommand struct{ settingsFile string }
 
 func (*serveCommand) Name() string     { return "serve" }
 func (*serveCommand) Synopsis() string { return "run the node until SIGTERM or SIGINT" }
@@ -30,11 +30,11 @@
 }
 
 func (c *serveCommand) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.settings, "settings", "", "settings `file`")
+	f.StringVar(&c.settingsFile, "settings", "", "settings `file`")
 }
 
 func (c *serveCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if c.settings == "" || f.NArg() > 0 {
+	if c.settingsFile == "" || f.NArg() > 0 {
 		fmt.Fprint(os.Stderr, c.Usage())
 		return exit.Usage
 	}
@@ -42,25 +42,25 @@
 }
 
 func (c *serveCommand) serve(ctx context.Context) error {
-	data, err := os.ReadFile(c.settings)
+	data, err := os.ReadFile(c.settingsFile)
 	if err != nil {
 		return err
 	}
 	set, faults := settings.Parse(data)
 	if len(faults) > 0 {
-		return &exit.Error{Code: exit.Failed, Err: fmt.Errorf("%s: %s", c.settings, faults[0]),
-			Hint: fmt.Sprintf("run peridotpier check --settings %s for all %d faults", c.settings, len(faults))}
+		return &exit.Error{Code: exit.Failed, Err: fmt.Errorf("%s: %s", c.settingsFile, faults[0]),
+			Hint: fmt.Sprintf("run peridotpier check --settings %s for all %d faults", c.settingsFile, len(faults))}
 	}
 	log, err := newLog(set.LogLevel)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = log.Sync() }() // standard error cannot be synced everywhere
-	ring, err := keys.Load(keys.Config{Settings: set, File: c.settings}, keys.Deps{Log: event.NewLog(log)})
+	ring, err := keys.Load(keys.Config{Settings: set, File: c.settingsFile}, keys.Deps{Log: event.NewLog(log)})
 	if err != nil {
 		return err
 	}
-	s, err := server.New(server.Config{Settings: set, Keys: ring, Platform: platformOf(set.Platform), Log: log})
+	s, err := server.New(server.Config{Settings: set, Keys: ring, Platform: newPlatformClients(set.Platform), Log: log})
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	return cfg.Build()
 }
 
-func platformOf(p settings.Platform) server.Platform {
+func newPlatformClients(p settings.Platform) server.Platform {
 	client := func(base string) *rest.Client {
 		return rest.New(rest.Config{BaseURL: base, Timeout: time.Duration(p.TimeoutMs) * time.Millisecond})
 	}
--- a/cmd/peridotpier/version.go
+++ b/cmd/peridotpier/version.go
@@ -17,13 +17,13 @@
 // Version is the release that this tree is on the way to.
 const Version = "0.1.0"
 
-type versionCommand struct{ json bool }
+type versionCommand struct{ printJSON bool }
 
 func (*versionCommand) Name() string     { return "version" }
 func (*versionCommand) Synopsis() string { return "print the version" }
 func (*versionCommand) Usage() string    { return "peridotpier version [--json]\n" }
 func (c *versionCommand) SetFlags(f *flag.FlagSet) {
-	f.BoolVar(&c.json, "json", false, "print JSON")
+	f.BoolVar(&c.printJSON, "json", false, "print JSON")
 }
 
 func (c *versionCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
@@ -35,7 +35,7 @@
 			}
 		}
 	}
-	if c.json {
+	if c.printJSON {
 		_ = json.NewEncoder(os.Stdout).Encode(map[string]string{"version": Version, "revision": revision, "go": runtime.Version(), "platform": runtime.GOOS + "/" + runtime.GOARCH})
 		return exit.OK
 	}
--- a/cmd/pierctl/apply.go
+++ b/cmd/pierctl/apply.go
@@ -17,8 +17,8 @@
 	"peridotpier.example/node/operatorapi"
 )
 
-// waitEach is the pause between two looks at which hosts have a version.
-const waitEach = 500 * time.Millisecond
+// pollInterval is the pause between two looks at which hosts have a version.
+const pollInterval = 500 * time.Millisecond
 
 type applyFlags struct {
 	parent uint64
@@ -28,10 +28,10 @@
 
 func applyCommand() subcommands.Command {
 	var fl applyFlags
-	return &operation{
+	return &operatorCommand{
 		name: "apply", synopsis: "put a deployment configuration in force",
 		usage: "pierctl apply FILE [--parent VERSION] [--preset NAME] [--wait DURATION]\n  Exit 3: another change came first; 4: it may have taken effect, or some host has not confirmed it in time.\n",
-		set: func(f *flag.FlagSet) {
+		setFlags: func(f *flag.FlagSet) {
 			f.Uint64Var(&fl.parent, "parent", 0, "the `version` that FILE was made from; 0: there is none yet")
 			f.StringVar(&fl.preset, "preset", "", "preset to be in force with it; default: the one in force")
 			f.DurationVar(&fl.wait, "wait", 0, "wait that long at most until every host has it in force")
@@ -56,15 +56,15 @@
 		return nil, nil, err
 	}
 	if fl.wait > 0 {
-		if err := everywhere(ctx, c, a.Head.Version, fl.wait); err != nil {
+		if err := awaitEverywhere(ctx, c, a.Head.Version, fl.wait); err != nil {
 			return nil, nil, err
 		}
 	}
 	return a, func() { fmt.Printf("version %d is in force, preset %s\n", a.Head.Version, a.Head.Preset) }, nil
 }
 
-// everywhere waits until every live host has a version in force.
-func everywhere(ctx context.Context, c *operator.Client, version uint64, most time.Duration) error {
+// awaitEverywhere waits until every live host has a version in force.
+func awaitEverywhere(ctx context.Context, c *operator.Client, version uint64, most time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
 	waiting := -1
@@ -79,7 +79,7 @@
 		case <-ctx.Done():
 			return &exit.Error{Code: exit.Unconfirmed, Err: fmt.Errorf("version %d was accepted, but %d hosts have not confirmed it within %s", version, waiting, most),
 				Hint: "see pierctl status --everywhere"}
-		case <-time.After(waitEach):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/cmd/pierctl/audit.go
+++ b/cmd/pierctl/audit.go
@@ -19,10 +19,10 @@
 
 func auditCommand() subcommands.Command {
 	var before, limit uint64
-	return &operation{
+	return &operatorCommand{
 		name: "audit", synopsis: "read the audit trail of changes, newest first",
 		usage: "pierctl audit [--before VERSION] [--limit N]\n",
-		set: func(f *flag.FlagSet) {
+		setFlags: func(f *flag.FlagSet) {
 			f.Uint64Var(&before, "before", 0, "start below this `version`; 0: at the newest")
 			f.Uint64Var(&limit, "limit", 20, "entries in one page")
 		},
@@ -51,7 +51,7 @@
 }
 
 func requestCommand() subcommands.Command {
-	return &operation{
+	return &operatorCommand{
 		name: "request", synopsis: "list, show or cancel callers' requests",
 		usage: "pierctl request list | show ID | cancel ID\n",
 		run: func(ctx context.Context, c *operator.Client, args []string) (any, func(), error) {
--- a/cmd/pierctl/bench.go
+++ b/cmd/pierctl/bench.go
@@ -19,13 +19,13 @@
 )
 
 type benchCommand struct {
-	cfg     bench.Config
-	site    string
-	compare string
-	seeds   string
-	json    bool
-	plot    string
-	oracle  bool
+	cfg        bench.Config
+	site       string
+	policies   string
+	seeds      string
+	printJSON  bool
+	plot       string
+	withOracle bool
 }
 
 func (*benchCommand) Name() string { return "bench" }
@@ -52,10 +52,10 @@
 	f.Uint64Var(&c.cfg.Seed, "seed", 1, "seed of the traffic")
 	f.Float64Var(&c.cfg.LoadFactor, "load", 1, "`factor` on the site's demand")
 	f.StringVar(&c.cfg.Faults, "faults", "", "course of `faults`")
-	f.StringVar(&c.compare, "compare", "", "`policies` to compare, separated by commas")
+	f.StringVar(&c.policies, "compare", "", "`policies` to compare, separated by commas")
 	f.StringVar(&c.seeds, "seeds", "1,2,3", "`seeds` of a comparison")
-	f.BoolVar(&c.oracle, "oracle", false, "run the oracle on the same seed too, as an upper bound")
-	f.BoolVar(&c.json, "json", false, "print one JSON object at the end")
+	f.BoolVar(&c.withOracle, "oracle", false, "run the oracle on the same seed too, as an upper bound")
+	f.BoolVar(&c.printJSON, "json", false, "print one JSON object at the end")
 	f.StringVar(&c.plot, "plot", "", "write a plot to this SVG `file`")
 }
 
@@ -66,17 +66,17 @@
 		return exit.Usage
 	}
 	if c.cfg.Site, err = site.Load(c.site); err != nil {
-		return exit.Print(os.Stderr, c.json, err)
+		return exit.Print(os.Stderr, c.printJSON, err)
 	}
 	c.cfg.Progress = showProgress
 	sound := false
-	if c.compare != "" {
+	if c.policies != "" {
 		sound, err = c.runComparison(ctx, seeds)
 	} else {
 		sound, err = c.runOne(ctx)
 	}
 	if err != nil {
-		return exit.Print(os.Stderr, c.json, err)
+		return exit.Print(os.Stderr, c.printJSON, err)
 	}
 	if !sound {
 		return exit.Failed
@@ -101,7 +101,7 @@
 	if err != nil {
 		return false, err
 	}
-	if c.oracle {
+	if c.withOracle {
 		bound := c.cfg
 		bound.Policy = bench.Oracle
 		o, err := bench.RunPolicy(ctx, bound)
@@ -115,7 +115,7 @@
 			return false, err
 		}
 	}
-	if c.json {
+	if c.printJSON {
 		return r.InvariantsHold(), json.NewEncoder(os.Stdout).Encode(r)
 	}
 	printRun(os.Stdout, r)
@@ -123,7 +123,7 @@
 }
 
 func (c *benchCommand) runComparison(ctx context.Context, seeds []uint64) (sound bool, err error) {
-	result, err := bench.Compare(ctx, c.cfg, strings.Split(c.compare, ","), seeds, func(r *bench.Run) {
+	result, err := bench.Compare(ctx, c.cfg, strings.Split(c.policies, ","), seeds, func(r *bench.Run) {
 		fmt.Fprintf(os.Stderr, "\rseed %d %-12s attainment %.4f urgent %.4f moves %d%20s\n", r.Seed, r.Policy, r.Attainment, r.UrgentAttainment, r.ModelLoads, "")
 	})
 	if err != nil {
@@ -140,7 +140,7 @@
 			sound = row.Sound
 		}
 	}
-	if c.json {
+	if c.printJSON {
 		return sound, json.NewEncoder(os.Stdout).Encode(result)
 	}
 	printComparison(os.Stdout, result)
@@ -159,11 +159,11 @@
 	fmt.Fprintf(w, "%s, seeds %v; mean (least to most) over seeds\n", c.Site, c.Seeds)
 	for _, r := range c.Summaries {
 		fmt.Fprintf(w, "%-12s per accelerator %s ratio %s attainment %s urgent %s moves %s ratio %s unreachable %s overcommits %s sound %v\n", r.Policy,
-			spread(r.AttainmentPerAccelerator, 1), spread(r.AttainmentRatio, 3), spread(r.Attainment, 4), spread(r.UrgentAttainment, 4), spread(r.Moves, 1),
-			spread(r.MoveRatio, 2), spread(r.UnreachableModels, 1), spread(r.Overcommits, 1), r.Sound)
+			formatSpread(r.AttainmentPerAccelerator, 1), formatSpread(r.AttainmentRatio, 3), formatSpread(r.Attainment, 4), formatSpread(r.UrgentAttainment, 4), formatSpread(r.Moves, 1),
+			formatSpread(r.MoveRatio, 2), formatSpread(r.UnreachableModels, 1), formatSpread(r.Overcommits, 1), r.Sound)
 	}
 }
 
-func spread(s bench.Spread, digits int) string {
+func formatSpread(s bench.Spread, digits int) string {
 	return fmt.Sprintf("%.*f (%.*f to %.*f)", digits, s.Mean, digits, s.Min, digits, s.Max)
 }
--- a/cmd/pierctl/claims.go
+++ b/cmd/pierctl/claims.go
@@ -18,12 +18,12 @@
 
 // claimsCommand measures what the claims of requests that may not be repeated cost.
 type claimsCommand struct {
-	mode   string
-	quiet  bool
-	kill   bool
-	length time.Duration
-	seed   uint64
-	json   bool
+	mode       string
+	quietSite  bool
+	killWriter bool
+	duration   time.Duration
+	seed       uint64
+	printJSON  bool
 }
 
 func (*claimsCommand) Name() string { return "claims" }
@@ -41,29 +41,29 @@
 
 func (c *claimsCommand) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.mode, "mode", string(claimbench.Batched), "how claims are kept")
-	f.BoolVar(&c.quiet, "quiet", false, "a quiet site of today in place of the design size")
-	f.BoolVar(&c.kill, "kill", false, "kill a writer at half time")
-	f.DurationVar(&c.length, "for", 10*time.Second, "`length` of the load")
+	f.BoolVar(&c.quietSite, "quiet", false, "a quiet site of today in place of the design size")
+	f.BoolVar(&c.killWriter, "kill", false, "kill a writer at half time")
+	f.DurationVar(&c.duration, "for", 10*time.Second, "`length` of the load")
 	f.Uint64Var(&c.seed, "seed", 1, "seed of the load")
-	f.BoolVar(&c.json, "json", false, "print one JSON object")
+	f.BoolVar(&c.printJSON, "json", false, "print one JSON object")
 }
 
 func (c *claimsCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	modes := []claimbench.Mode{claimbench.Rows, claimbench.Batched, claimbench.Ranges}
-	if f.NArg() > 0 || c.length <= 0 || !slices.Contains(modes, claimbench.Mode(c.mode)) {
+	if f.NArg() > 0 || c.duration <= 0 || !slices.Contains(modes, claimbench.Mode(c.mode)) {
 		fmt.Fprint(os.Stderr, c.Usage())
 		return exit.Usage
 	}
 	cfg := claimbench.DesignSize(claimbench.Mode(c.mode))
-	if c.quiet {
+	if c.quietSite {
 		cfg = claimbench.QuietSite(cfg.Mode)
 	}
-	cfg.KillWriter, cfg.Duration, cfg.Seed = c.kill, c.length, c.seed
+	cfg.KillWriter, cfg.Duration, cfg.Seed = c.killWriter, c.duration, c.seed
 	r, err := claimbench.Run(ctx, cfg)
 	if err != nil {
-		return exit.Print(os.Stderr, c.json, err)
+		return exit.Print(os.Stderr, c.printJSON, err)
 	}
-	if c.json {
+	if c.printJSON {
 		_ = json.NewEncoder(os.Stdout).Encode(r)
 	} else {
 		printClaims(os.Stdout, r)
--- a/cmd/pierctl/compare.go
+++ b/cmd/pierctl/compare.go
@@ -18,7 +18,7 @@
 // compareCommand compares two ways of one decision by the days that both played.
 type compareCommand struct {
 	journal, before, after, plot string
-	json                         bool
+	printJSON                    bool
 }
 
 // Name implements subcommands.Command, as the methods below do.
@@ -39,7 +39,7 @@
 	f.StringVar(&c.before, "before", "", "entries, commits or sources of the one way")
 	f.StringVar(&c.after, "after", "", "those of the other")
 	f.StringVar(&c.plot, "plot", "", "draw the difference in worth into this file (SVG)")
-	f.BoolVar(&c.json, "json", false, "print JSON")
+	f.BoolVar(&c.printJSON, "json", false, "print JSON")
 }
 
 func (c *compareCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -48,7 +48,7 @@
 		return exit.Usage
 	}
 	if err := c.run(); err != nil {
-		return exit.Print(os.Stderr, c.json, err)
+		return exit.Print(os.Stderr, c.printJSON, err)
 	}
 	return exit.OK
 }
@@ -80,7 +80,7 @@
 }
 
 func (c *compareCommand) print(rows []compare.Row, left int) {
-	if c.json {
+	if c.printJSON {
 		_ = json.NewEncoder(os.Stdout).Encode(map[string]any{"rows": rows, "unpaired": left})
 		return
 	}
--- a/cmd/pierctl/demo.go
+++ b/cmd/pierctl/demo.go
@@ -17,12 +17,12 @@
 )
 
 type demoCommand struct {
-	site   string
-	length time.Duration
-	seed   uint64
-	json   bool
-	tls    bool
-	ca     string
+	site      string
+	duration  time.Duration
+	seed      uint64
+	printJSON bool
+	tls       bool
+	ca        string
 }
 
 func (*demoCommand) Name() string { return "demo" }
@@ -45,22 +45,22 @@
 
 func (c *demoCommand) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.site, "site", "kathmandu", "built-in `site` or site file")
-	f.DurationVar(&c.length, "for", 0, "`length` of the traffic; 0: until interrupted")
+	f.DurationVar(&c.duration, "for", 0, "`length` of the traffic; 0: until interrupted")
 	f.Uint64Var(&c.seed, "seed", 1, "seed of the traffic")
 	f.BoolVar(&c.tls, "tls", false, "use TLS, with certificates made in memory")
 	f.StringVar(&c.ca, "ca", "", "with --tls: `file` to write the authority's certificate to")
-	f.BoolVar(&c.json, "json", false, "print one JSON object at the end")
+	f.BoolVar(&c.printJSON, "json", false, "print one JSON object at the end")
 }
 
-// untilInterrupted is the length of the traffic's plan without --for.
-const untilInterrupted = time.Hour
+// interactiveDuration is the length of the traffic's plan without --for.
+const interactiveDuration = time.Hour
 
 func (c *demoCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if f.NArg() > 0 || c.length < 0 || c.ca != "" && !c.tls {
+	if f.NArg() > 0 || c.duration < 0 || c.ca != "" && !c.tls {
 		fmt.Fprint(os.Stderr, c.Usage())
 		return exit.Usage
 	}
-	return finish(ctx, c.run, c.json)
+	return runAndReport(ctx, c.run, c.printJSON)
 }
 
 func (c *demoCommand) run(ctx context.Context) (local.Report, error) {
@@ -78,17 +78,17 @@
 			return local.Report{}, err
 		}
 	}
-	if !c.json {
-		printIntroduction(os.Stdout, s, r, c.curl(), c.pierctl())
+	if !c.printJSON {
+		printIntroduction(os.Stdout, s, r, c.curlLine(), c.pierctlLine())
 	}
-	d := local.DriveOptions{Policy: "peridot", Length: c.length, Progress: showProgress}
-	if c.length == 0 {
-		d.Length = untilInterrupted
+	d := local.DriveOptions{Policy: "peridot", Length: c.duration, Progress: showProgress}
+	if c.duration == 0 {
+		d.Length = interactiveDuration
 	} else {
-		d.Script = local.RoutineScript(c.length)
+		d.Script = local.RoutineScript(c.duration)
 	}
 	rep, err := r.Drive(ctx, d)
-	if c.length == 0 && errors.Is(err, context.Canceled) {
+	if c.duration == 0 && errors.Is(err, context.Canceled) {
 		err = nil // interrupted, as it was meant to be
 	}
 	return rep, err
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	for name, data := range map[string][]byte{ca: r.Authority.PEM(), ca + operatorPEM: certificate, ca + operatorKey: key} {
+	for name, data := range map[string][]byte{ca: r.Authority.PEM(), ca + operatorCertSuffix: certificate, ca + operatorKeySuffix: key} {
 		if err := os.WriteFile(name, data, 0o600); err != nil {
 			return err
 		}
@@ -111,26 +111,26 @@
 
 // What the names of an operator's files end in, after the authority's.
 const (
-	operatorPEM = ".operator.pem"
-	operatorKey = ".operator.key"
+	operatorCertSuffix = ".operator.pem"
+	operatorKeySuffix  = ".operator.key"
 )
 
-// pierctl is how the printed lines operate a host; "" when they cannot, for
+// pierctlLine is how the printed lines operate a host; "" when they cannot, for
 // want of a certificate in a file.
-func (c *demoCommand) pierctl() string {
+func (c *demoCommand) pierctlLine() string {
 	line := local.OperatorKey + " go run ./cmd/pierctl"
 	switch {
 	case !c.tls:
 		return "PIERCTL_KEY=" + line + " %s --node %s"
 	case c.ca != "":
-		return "PIERCTL_KEY=" + line + " %s --node %s --authorities " + c.ca + " --certificate " + c.ca + operatorPEM + " --certificate-key " + c.ca + operatorKey
+		return "PIERCTL_KEY=" + line + " %s --node %s --authorities " + c.ca + " --certificate " + c.ca + operatorCertSuffix + " --certificate-key " + c.ca + operatorKeySuffix
 	default:
 		return ""
 	}
 }
 
-// curl is how the printed lines call a host.
-func (c *demoCommand) curl() string {
+// curlLine is how the printed lines call a host.
+func (c *demoCommand) curlLine() string {
 	switch {
 	case !c.tls:
 		return "curl"
--- a/cmd/pierctl/drive.go
+++ b/cmd/pierctl/drive.go
@@ -18,11 +18,11 @@
 
 // driveCommand sends a site's demand to hosts beside "pierctl standin".
 type driveCommand struct {
-	site   string
-	dir    string
-	length time.Duration
-	seed   uint64
-	json   bool
+	site      string
+	dir       string
+	duration  time.Duration
+	seed      uint64
+	printJSON bool
 }
 
 func (*driveCommand) Name() string { return "drive" }
@@ -42,17 +42,17 @@
 func (c *driveCommand) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.site, "site", "kathmandu", "built-in `site` or site file, as given to standin")
 	f.StringVar(&c.dir, "dir", "", "`folder` that pierctl standin wrote to")
-	f.DurationVar(&c.length, "for", 10*time.Second, "`length` of the traffic")
+	f.DurationVar(&c.duration, "for", 10*time.Second, "`length` of the traffic")
 	f.Uint64Var(&c.seed, "seed", 1, "seed of the traffic")
-	f.BoolVar(&c.json, "json", false, "print one JSON object at the end")
+	f.BoolVar(&c.printJSON, "json", false, "print one JSON object at the end")
 }
 
 func (c *driveCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if f.NArg() > 0 || c.dir == "" || c.length <= 0 {
+	if f.NArg() > 0 || c.dir == "" || c.duration <= 0 {
 		fmt.Fprint(os.Stderr, c.Usage())
 		return exit.Usage
 	}
-	return finish(ctx, c.run, c.json)
+	return runAndReport(ctx, c.run, c.printJSON)
 }
 
 func (c *driveCommand) run(ctx context.Context) (local.Report, error) {
@@ -64,11 +64,11 @@
 	if err != nil {
 		return local.Report{}, err
 	}
-	return local.RemoteRun{Site: s, Layout: l, Seed: c.seed, Length: c.length, Progress: showProgress}.Run(ctx)
+	return local.RemoteRun{Site: s, Layout: l, Seed: c.seed, Length: c.duration, Progress: showProgress}.Run(ctx)
 }
 
-// finish makes a run, prints its report and turns it into an exit code.
-func finish(ctx context.Context, run func(context.Context) (local.Report, error), asJSON bool) subcommands.ExitStatus {
+// runAndReport makes a run, prints its report and turns it into an exit code.
+func runAndReport(ctx context.Context, run func(context.Context) (local.Report, error), asJSON bool) subcommands.ExitStatus {
 	rep, err := run(ctx)
 	if err != nil {
 		return exit.Print(os.Stderr, asJSON, err)
--- a/cmd/pierctl/fleet.go
+++ b/cmd/pierctl/fleet.go
@@ -27,7 +27,7 @@
 	sizes     string
 	plot      string
 	profile   string
-	json      bool
+	printJSON bool
 }
 
 func (*fleetCommand) Name() string { return "fleet" }
@@ -46,7 +46,7 @@
 	f.StringVar(&c.sizes, "sizes", "", "several `numbers` of entry hosts, separated by commas, in place of --nodes")
 	f.StringVar(&c.plot, "plot", "", "with --sizes: write a plot to this SVG `file`")
 	f.StringVar(&c.profile, "profile", "", "write a processor profile of the run to this `file`")
-	f.BoolVar(&c.json, "json", false, "print one JSON object")
+	f.BoolVar(&c.printJSON, "json", false, "print one JSON object")
 }
 
 // upstreamsPerNode is the proportion of the design size, 2,500 to 420.
@@ -57,13 +57,13 @@
 		fmt.Fprint(os.Stderr, c.Usage())
 		return exit.Usage
 	}
-	if err := c.profiled(ctx); err != nil {
-		return exit.Print(os.Stderr, c.json, err)
+	if err := c.runProfiled(ctx); err != nil {
+		return exit.Print(os.Stderr, c.printJSON, err)
 	}
 	return exit.OK
 }
 
-func (c *fleetCommand) profiled(ctx context.Context) error {
+func (c *fleetCommand) runProfiled(ctx context.Context) error {
 	if c.profile == "" {
 		return c.run(ctx)
 	}
@@ -95,7 +95,7 @@
 	}
 	var runs []local.FleetReport
 	for _, n := range sizes {
-		r, err := c.one(ctx, n)
+		r, err := c.runOne(ctx, n)
 		if err != nil {
 			return err
 		}
@@ -115,7 +115,7 @@
 	return errors.Join(local.PlotSlopes(file, runs), file.Close())
 }
 
-func (c *fleetCommand) one(ctx context.Context, nodes int) (local.FleetReport, error) {
+func (c *fleetCommand) runOne(ctx context.Context, nodes int) (local.FleetReport, error) {
 	upstreams := c.upstreams
 	if upstreams == 0 {
 		upstreams = upstreamsPerNode * nodes
@@ -126,7 +126,7 @@
 
 func (c *fleetCommand) print(v any) {
 	enc := json.NewEncoder(os.Stdout)
-	if !c.json {
+	if !c.printJSON {
 		enc.SetIndent("", "  ")
 	}
 	_ = enc.Encode(v)
--- a/cmd/pierctl/hostpage.go
+++ b/cmd/pierctl/hostpage.go
@@ -17,22 +17,22 @@
 	"peridotpier.example/cmd/internal/exit"
 )
 
-// pageBound bounds one call of a host's pages.
-const pageBound = 5 * time.Second
+// pageTimeout bounds one call of a host's pages.
+const pageTimeout = 5 * time.Second
 
-// pageMost bounds a host's answer, in bytes.
-const pageMost = 4 << 20
+// maxPageBytes bounds a host's answer, in bytes.
+const maxPageBytes = 4 << 20
 
 // hostPage is what the commands share that ask a host of a routed deployment, at
 // its metrics address.
 type hostPage struct {
-	address string
-	json    bool
+	address   string
+	printJSON bool
 }
 
 func (p *hostPage) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&p.address, "metrics", "", "metrics address of a host, IP:port")
-	f.BoolVar(&p.json, "json", false, "print JSON")
+	f.BoolVar(&p.printJSON, "json", false, "print JSON")
 }
 
 // execute checks the address and runs the command within the time of one call.
@@ -41,10 +41,10 @@
 		fmt.Fprint(os.Stderr, usage)
 		return exit.Usage
 	}
-	ctx, cancel := context.WithTimeout(ctx, pageBound)
+	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	if err := run(ctx); err != nil {
-		return exit.Print(os.Stderr, p.json, err)
+		return exit.Print(os.Stderr, p.printJSON, err)
 	}
 	return exit.OK
 }
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	if p.json {
+	if p.printJSON {
 		_, err = os.Stdout.Write(data)
 		return err
 	}
@@ -80,7 +80,7 @@
 		return nil, fmt.Errorf("ask %s: %w", address, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, pageMost))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxPageBytes))
 	if err != nil {
 		return nil, fmt.Errorf("answer of %s: %w", address, err)
 	}
--- a/cmd/pierctl/hoststatus.go
+++ b/cmd/pierctl/hoststatus.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	if c.json {
+	if c.printJSON {
 		_, err = os.Stdout.Write(data)
 		return err
 	}
--- a/cmd/pierctl/main.go
+++ b/cmd/pierctl/main.go
@@ -11,23 +11,23 @@
 	"github.com/google/subcommands"
 )
 
-// operating are the commands that call a host.
-func operating() []subcommands.Command {
+// operatorCommands are the commands that call a host.
+func operatorCommands() []subcommands.Command {
 	return []subcommands.Command{presetCommand(), applyCommand(), statusCommand(), auditCommand(), requestCommand(), &quarantineCommand{}, &upstreamsCommand{}, &hostStatusCommand{}}
 }
 
-// trials are the commands that run stand-ins, or against them.
-func trials() []subcommands.Command {
+// trialCommands are the commands that run stand-ins, or against them.
+func trialCommands() []subcommands.Command {
 	return []subcommands.Command{&demoCommand{}, &benchCommand{}, &fleetCommand{}, &claimsCommand{}, &standinCommand{}, &driveCommand{}, &speedCommand{}, &compareCommand{}}
 }
 
 func main() {
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(subcommands.FlagsCommand(), "")
-	for _, c := range operating() {
+	for _, c := range operatorCommands() {
 		subcommands.Register(c, "operating")
 	}
-	for _, c := range trials() {
+	for _, c := range trialCommands() {
 		subcommands.Register(c, "trials")
 	}
 	flag.Parse()
--- a/cmd/pierctl/operate.go
+++ b/cmd/pierctl/operate.go
@@ -13,31 +13,31 @@
 	"peridotpier.example/cmd/internal/operator"
 )
 
-// operation is a subcommand that calls a node.
-type operation struct {
+// operatorCommand is a subcommand that calls a node.
+type operatorCommand struct {
 	operator.Flags
 	name     string
 	synopsis string
 	usage    string
-	set      func(*flag.FlagSet)
+	setFlags func(*flag.FlagSet)
 	// run makes its calls and returns what to print, and how for people.
 	run func(ctx context.Context, c *operator.Client, args []string) (result any, text func(), err error)
 }
 
 // Name implements subcommands.Command, as the methods below do.
-func (o *operation) Name() string     { return o.name }
-func (o *operation) Synopsis() string { return o.synopsis }
-func (o *operation) Usage() string    { return o.usage }
+func (o *operatorCommand) Name() string     { return o.name }
+func (o *operatorCommand) Synopsis() string { return o.synopsis }
+func (o *operatorCommand) Usage() string    { return o.usage }
 
-func (o *operation) SetFlags(f *flag.FlagSet) {
+func (o *operatorCommand) SetFlags(f *flag.FlagSet) {
 	o.Set(f)
-	if o.set != nil {
-		o.set(f)
+	if o.setFlags != nil {
+		o.setFlags(f)
 	}
 }
 
-func (o *operation) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	args, err := interleaved(f)
+func (o *operatorCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+	args, err := parseInterleaved(f)
 	if err != nil {
 		return exit.Usage
 	}
@@ -57,9 +57,9 @@
 	return exit.OK
 }
 
-// interleaved takes flags that stand after the first argument too, so that
+// parseInterleaved takes flags that stand after the first argument too, so that
 // "preset use peak --json" works as people write it.
-func interleaved(f *flag.FlagSet) ([]string, error) {
+func parseInterleaved(f *flag.FlagSet) ([]string, error) {
 	var args []string
 	for f.NArg() > 0 {
 		args = append(args, f.Arg(0))
--- a/cmd/pierctl/page_test.go
+++ b/cmd/pierctl/page_test.go
@@ -16,7 +16,7 @@
 	data, err := os.ReadFile("../../docs/operators/commands.md")
 	assert.NilError(t, err)
 	page := string(data)
-	for _, c := range append(operating(), trials()...) {
+	for _, c := range append(operatorCommands(), trialCommands()...) {
 		assert.Check(t, strings.Contains(page, "| `"+c.Name()), "%s is not named", c.Name())
 		fs := flag.NewFlagSet(c.Name(), flag.ContinueOnError)
 		c.SetFlags(fs)
--- a/cmd/pierctl/preset.go
+++ b/cmd/pierctl/preset.go
@@ -20,10 +20,10 @@
 func presetCommand() subcommands.Command {
 	var dryRun bool
 	var parent uint64
-	return &operation{
+	return &operatorCommand{
 		name: "preset", synopsis: "list, show or switch presets",
 		usage: "pierctl preset list | show [NAME] | use NAME [--dry-run] [--parent VERSION]\n",
-		set: func(f *flag.FlagSet) {
+		setFlags: func(f *flag.FlagSet) {
 			f.BoolVar(&dryRun, "dry-run", false, "with use: only show what would move, and within which time")
 			f.Uint64Var(&parent, "parent", 0, "with use: refuse if another `version` is in force by now; 0: whichever")
 		},
--- a/cmd/pierctl/speed.go
+++ b/cmd/pierctl/speed.go
@@ -17,9 +17,9 @@
 
 // speedCommand measures the data path; scripts/speed.sh starts what it needs.
 type speedCommand struct {
-	cfg  speed.Config
-	dir  string
-	json bool
+	cfg       speed.Config
+	dir       string
+	printJSON bool
 }
 
 func (*speedCommand) Name() string { return "speed" }
@@ -42,7 +42,7 @@
 	f.IntVar(&c.cfg.IdleStreams, "idle-streams", 2000, "idle streams")
 	f.IntVar(&c.cfg.PacedStreams, "paced-streams", 550, "streams of 100 tokens a second each")
 	f.IntVar(&c.cfg.FastStreams, "fast-streams", 64, "streams that are as fast as they can be")
-	f.BoolVar(&c.json, "json", false, "print one JSON object")
+	f.BoolVar(&c.printJSON, "json", false, "print one JSON object")
 }
 
 func (c *speedCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -52,13 +52,13 @@
 	}
 	var err error
 	if c.cfg.Layout, err = local.ReadLayout(c.dir); err != nil {
-		return exit.Print(os.Stderr, c.json, err)
+		return exit.Print(os.Stderr, c.printJSON, err)
 	}
 	rep, err := speed.Run(ctx, c.cfg)
 	if err != nil {
-		return exit.Print(os.Stderr, c.json, err)
+		return exit.Print(os.Stderr, c.printJSON, err)
 	}
-	if c.json {
+	if c.printJSON {
 		_ = json.NewEncoder(os.Stdout).Encode(rep)
 		return exit.OK
 	}
--- a/cmd/pierctl/standin.go
+++ b/cmd/pierctl/standin.go
@@ -17,12 +17,12 @@
 // standinCommand imitates the platform and the upstreams of a site for entry
 // hosts that run as processes of their own.
 type standinCommand struct {
-	site   string
-	dir    string
-	listen string
-	hosts  int
-	seed   uint64
-	json   bool
+	site      string
+	dir       string
+	listen    string
+	hosts     int
+	seed      uint64
+	printJSON bool
 }
 
 func (*standinCommand) Name() string { return "standin" }
@@ -45,7 +45,7 @@
 	f.StringVar(&c.listen, "listen", local.AnyPort, "`address` of the platform's services, IP:port")
 	f.IntVar(&c.hosts, "hosts", 0, "entry hosts to write settings for; 0: as the site says")
 	f.Uint64Var(&c.seed, "seed", 1, "seed of the stand-ins")
-	f.BoolVar(&c.json, "json", false, "print the layout as JSON")
+	f.BoolVar(&c.printJSON, "json", false, "print the layout as JSON")
 }
 
 func (c *standinCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -53,7 +53,7 @@
 		fmt.Fprint(os.Stderr, c.Usage())
 		return exit.Usage
 	}
-	return exit.Print(os.Stderr, c.json, c.run(ctx))
+	return exit.Print(os.Stderr, c.printJSON, c.run(ctx))
 }
 
 func (c *standinCommand) run(ctx context.Context) error {
@@ -66,7 +66,7 @@
 		return err
 	}
 	defer o.Close()
-	if c.json {
+	if c.printJSON {
 		_ = json.NewEncoder(os.Stdout).Encode(o.Layout)
 	} else {
 		printLayout(&o.Layout)
--- a/cmd/pierctl/status.go
+++ b/cmd/pierctl/status.go
@@ -17,10 +17,10 @@
 
 func statusCommand() subcommands.Command {
 	var everywhere bool
-	return &operation{
+	return &operatorCommand{
 		name: "status", synopsis: "show a host's state, or which hosts have which version in force",
 		usage: "pierctl status [--everywhere]\n",
-		set: func(f *flag.FlagSet) {
+		setFlags: func(f *flag.FlagSet) {
 			f.BoolVar(&everywhere, "everywhere", false, "show which hosts have which version in force")
 		},
 		run: func(ctx context.Context, c *operator.Client, args []string) (any, func(), error) {
--- a/cmd/pierctl/upstreams.go
+++ b/cmd/pierctl/upstreams.go
@@ -32,12 +32,12 @@
 
 func (c *upstreamsCommand) run(ctx context.Context) error {
 	return listPage(ctx, &c.hostPage, host.UpstreamsPath, func(u *host.RestrictedUpstream) string {
-		return fmt.Sprintf("%s  %s  %s", u.Upstream, u.Service, asked(u))
+		return fmt.Sprintf("%s  %s  %s", u.Upstream, u.Service, describeRestrictions(u))
 	})
 }
 
-// asked says what one upstream asks for.
-func asked(u *host.RestrictedUpstream) string {
+// describeRestrictions says what one upstream asks for.
+func describeRestrictions(u *host.RestrictedUpstream) string {
 	out := ""
 	if u.Draining {
 		out += "leaves  "
--- a/standin/bench/bench.go
+++ b/standin/bench/bench.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	faults, err := site.FindScenario(orNone(c.Faults))
+	faults, err := site.FindScenario(faultsOrNone(c.Faults))
 	if err != nil {
 		return nil, err
 	}
@@ -53,27 +53,27 @@
 	}
 	s := c.Site.WithScaledDemand(c.LoadFactor)
 	l := newLRU()
-	r, err := local.Start(ctx, local.Options{Site: s, Seed: c.Seed, Policy: p.decisions(l), Oracle: p.oracle,
-		Demand: windows(c.Duration), Log: c.Log})
+	r, err := local.Start(ctx, local.Options{Site: s, Seed: c.Seed, Policy: p.overrides(l), Oracle: p.exactReports,
+		Demand: compressedWindows(c.Duration), Log: c.Log})
 	if err != nil {
 		return nil, eris.Wrapf(err, "start the site under policy %s", c.Policy)
 	}
 	defer r.Close()
-	if p.onDemand {
-		defer l.attend(r)()
+	if p.loadsOnDemand {
+		defer l.startController(r)()
 	}
 	out := &Run{LoadFactor: c.LoadFactor}
 	out.Report, err = r.Drive(ctx, local.DriveOptions{Policy: c.Policy, Scenario: c.Faults, Length: c.Duration, Progress: c.Progress,
 		Script: func(ctx context.Context, r *local.RunningSite) error {
-			return caused(faults.Run(ctx, r.FaultTargets(), c.Duration))
+			return faultErrors(faults.Run(ctx, r.FaultTargets(), c.Duration))
 		},
-		OnResult: func(res *load.Result) { out.Series = seriesOf(res, c.Duration) }})
+		OnResult: func(res *load.Result) { out.Series = newSeries(res, c.Duration) }})
 	out.UrgentAttainment = out.ByClass["urgent"].Attainment
 	return out, err
 }
 
-// caused says which faults could not be caused: a run without them shows nothing.
-func caused(steps []site.Fault) error {
+// faultErrors says which faults could not be caused: a run without them shows nothing.
+func faultErrors(steps []site.Fault) error {
 	var errs []error
 	for _, f := range steps {
 		if f.Err != nil {
@@ -83,7 +83,7 @@
 	return errors.Join(errs...)
 }
 
-func orNone(faults string) string {
+func faultsOrNone(faults string) string {
 	if faults == "" {
 		return "none"
 	}
@@ -93,16 +93,16 @@
 // The windows in which demand is measured, for a site file whose course stands
 // for an hour, and the least that is of use beside loads that take seconds.
 const (
-	courseStandsFor = time.Hour
-	leastShort      = 2 * time.Second
-	leastLong       = 8 * time.Second
+	representedTime = time.Hour
+	minShortWindow  = 2 * time.Second
+	minLongWindow   = 8 * time.Second
 )
 
-// windows compresses the windows of demand as the run compresses the hour.
-func windows(length time.Duration) demand.Config {
+// compressedWindows compresses the windows of demand as the run compresses the hour.
+func compressedWindows(length time.Duration) demand.Config {
 	c := demand.DefaultConfig()
-	by := min(length.Seconds()/courseStandsFor.Seconds(), 1)
-	c.Short = max(time.Duration(by*float64(c.Short)), leastShort)
-	c.Long = max(time.Duration(by*float64(c.Long)), leastLong)
+	by := min(length.Seconds()/representedTime.Seconds(), 1)
+	c.Short = max(time.Duration(by*float64(c.Short)), minShortWindow)
+	c.Long = max(time.Duration(by*float64(c.Long)), minLongWindow)
 	return c
 }
--- a/standin/bench/bench_test.go
+++ b/standin/bench/bench_test.go
@@ -27,7 +27,7 @@
 		run(Product, 1, 120, 2), run("round-robin", 1, 100, 0), run("lru", 1, 50, 10),
 		run(Product, 2, 240, 3), run("round-robin", 2, 100, 0), run("lru", 2, 200, 30),
 	}}
-	row := c.row(Product)
+	row := c.summarise(Product)
 	assert.Equal(t, row.AttainmentRatio, Spread{1.2, 1.2, 1.2})
 	assert.Equal(t, row.MoveRatio.Max, 0.2)
 	assert.Equal(t, row.MoveRatio.Min, 0.1)
@@ -38,26 +38,26 @@
 	l := newLRU()
 	l.touch("e", "old")
 	l.touch("e", "new")
-	l.used["e/old"] = l.used["e/new"].Add(-time.Hour)
+	l.lastUsed["e/old"] = l.lastUsed["e/new"].Add(-time.Hour)
 	c := &controller{l: l}
 	report := &engineapi.Report{Upstream: "e", MemoryMB: 100, Residents: []engineapi.Resident{
 		{Model: "new", State: engineapi.StateReady, MemoryMB: 40}, {Model: "old", State: engineapi.StateReady, MemoryMB: 40},
 		{Model: "old", Adapter: "a", State: engineapi.StateReady, MemoryMB: 5}}}
-	gone, _, ok := c.evict(report, 60)
+	gone, _, ok := c.evictionCandidates(report, 60)
 	assert.Assert(t, ok)
 	assert.DeepEqual(t, gone, []string{"old"})
-	gone, _, ok = c.evict(report, 15)
+	gone, _, ok = c.evictionCandidates(report, 15)
 	assert.Assert(t, ok)
 	assert.Equal(t, len(gone), 0)
-	_, _, ok = c.evict(report, 101)
+	_, _, ok = c.evictionCandidates(report, 101)
 	assert.Assert(t, !ok)
 }
 
 func TestPlotsAreSVG(t *testing.T) {
 	r := run(Product, 1, 120, 2)
-	r.Series = seriesOf(&load.Result{}, time.Minute)
+	r.Series = newSeries(&load.Result{}, time.Minute)
 	c := &Comparison{Runs: []*Run{r}}
-	c.Summaries = []PolicySummary{c.row(Product)}
+	c.Summaries = []PolicySummary{c.summarise(Product)}
 	for _, plot := range []func(string) error{r.Plot, c.Plot} {
 		name := filepath.Join(t.TempDir(), "p.svg")
 		assert.NilError(t, plot(name))
--- a/standin/bench/compare.go
+++ b/standin/bench/compare.go
@@ -13,7 +13,7 @@
 	Max  float64 `json:"max"`
 }
 
-func spreadOf(xs []float64) Spread {
+func newSpread(xs []float64) Spread {
 	if len(xs) == 0 {
 		return Spread{}
 	}
@@ -72,12 +72,12 @@
 		}
 	}
 	for _, name := range names {
-		out.Summaries = append(out.Summaries, out.row(name))
+		out.Summaries = append(out.Summaries, out.summarise(name))
 	}
 	return out, nil
 }
 
-func (c *Comparison) row(policy string) PolicySummary {
+func (c *Comparison) summarise(policy string) PolicySummary {
 	var own []*Run
 	for _, r := range c.Runs {
 		if r.Policy == policy {
@@ -89,7 +89,7 @@
 		for i, r := range own {
 			xs[i] = f(r)
 		}
-		return spreadOf(xs)
+		return newSpread(xs)
 	}
 	row := PolicySummary{Policy: policy, Sound: !slices.ContainsFunc(own, func(r *Run) bool { return !r.InvariantsHold() })}
 	row.AttainmentPerAccelerator = over(func(r *Run) float64 { return r.AttainmentPerAccelerator })
@@ -114,7 +114,7 @@
 func (c *Comparison) bestAttainment(seed uint64) float64 {
 	best := 0.0
 	for _, r := range c.Runs {
-		if r.Seed == seed && baseline(r.Policy) {
+		if r.Seed == seed && isBaseline(r.Policy) {
 			best = max(best, r.AttainmentPerAccelerator)
 		}
 	}
@@ -125,7 +125,7 @@
 func (c *Comparison) fewestMoves(seed uint64) float64 {
 	fewest := math.Inf(1)
 	for _, r := range c.Runs {
-		if r.Seed == seed && baseline(r.Policy) && r.ModelLoads > 0 {
+		if r.Seed == seed && isBaseline(r.Policy) && r.ModelLoads > 0 {
 			fewest = min(fewest, float64(r.ModelLoads))
 		}
 	}
--- a/standin/bench/lru.go
+++ b/standin/bench/lru.go
@@ -22,45 +22,45 @@
 // controller serves all hosts and sees the engines' true memory, which no real
 // one could: the baseline is flattered, not held back.
 type lru struct {
-	mu   sync.Mutex
-	used map[string]time.Time // by engine and model
-	want chan string
+	mu       sync.Mutex
+	lastUsed map[string]time.Time // by engine and model
+	wanted   chan string
 }
 
-// wantMost bounds the requests for models that wait for the controller.
-const wantMost = 256
+// maxWanted bounds the requests for models that wait for the controller.
+const maxWanted = 256
 
-// settleEvery is how often memory that is being freed is looked at.
-const settleEvery = 50 * time.Millisecond
+// memoryPollInterval is how often memory that is being freed is looked at.
+const memoryPollInterval = 50 * time.Millisecond
 
 func newLRU() *lru {
-	return &lru{used: map[string]time.Time{}, want: make(chan string, wantMost)}
+	return &lru{lastUsed: map[string]time.Time{}, wanted: make(chan string, maxWanted)}
 }
 
-// ask takes a node's word that a model is held nowhere.
-func (l *lru) ask(_ string, key route.ModelKey) {
+// requestLoad takes a node's word that a model is held nowhere.
+func (l *lru) requestLoad(_ string, key route.ModelKey) {
 	select {
-	case l.want <- key.Model:
+	case l.wanted <- key.Model:
 	default: // the next request for it asks again
 	}
 }
 
-// picker notes what is used where.
-func (l *lru) picker(p route.Picker) route.Picker { return notingPicker{p, l} }
+// wrapPicker notes what is used where.
+func (l *lru) wrapPicker(p route.Picker) route.Picker { return recordingPicker{p, l} }
 
-type notingPicker struct {
+type recordingPicker struct {
 	route.Picker
 	l *lru
 }
 
 // Pick implements route.Picker.
-func (p notingPicker) Pick(s *route.Snapshot, r *route.Request, src route.Source) route.Decision {
+func (p recordingPicker) Pick(s *route.Snapshot, r *route.Request, src route.Source) route.Decision {
 	d := p.Picker.Pick(s, r, src)
 	if d.Index >= 0 && !r.PlainService {
 		e := &s.Endpoints[d.Index]
 		p.l.touch(e.Upstream, r.Key.Model)
 		if e.Running+e.Waiting >= e.MaxBatch { // it is the least loaded of the holders
-			p.l.ask(r.Pool, r.Key)
+			p.l.requestLoad(r.Pool, r.Key)
 		}
 	}
 	return d
@@ -69,17 +69,17 @@
 func (l *lru) touch(engine, model string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.used[engine+"/"+model] = time.Now()
+	l.lastUsed[engine+"/"+model] = time.Now()
 }
 
-func (l *lru) lastUse(engine, model string) time.Time {
+func (l *lru) lastUsedAt(engine, model string) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.used[engine+"/"+model]
+	return l.lastUsed[engine+"/"+model]
 }
 
-// attend runs the controller until the returned function is called.
-func (l *lru) attend(r *local.RunningSite) (stop func()) {
+// startController runs the controller until the returned function is called.
+func (l *lru) startController(r *local.RunningSite) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var loads sync.WaitGroup
 	c := &controller{l: l, r: r, client: conn.New(conn.Config{})}
@@ -89,8 +89,8 @@
 			select {
 			case <-ctx.Done():
 				return
-			case model := <-l.want:
-				c.bring(ctx, model)
+			case model := <-l.wanted:
+				c.loadModel(ctx, model)
 			}
 		}
 	})
@@ -119,11 +119,11 @@
 	return c.r.Upstreams.Config.Upstreams[i].Address, true
 }
 
-// bring loads a model where the least recently used have to go.
-func (c *controller) bring(ctx context.Context, name string) {
+// loadModel loads a model where the least recently used have to go.
+func (c *controller) loadModel(ctx context.Context, name string) {
 	cfg := &c.r.Upstreams.Config
 	i := slices.IndexFunc(cfg.Models, func(m config.Model) bool { return m.Name == name })
-	if i < 0 || !c.wanting(name) {
+	if i < 0 || !c.needsLoad(name) {
 		return
 	}
 	m, need := cfg.Models[i], cfg.Models[i].MemoryMB
@@ -134,14 +134,14 @@
 			need += a.MemoryMB
 		}
 	}
-	engine, victims := c.choose(name, need)
+	engine, victims := c.chooseEngine(name, need)
 	if engine == "" {
 		return
 	}
 	for _, v := range victims {
 		c.send(ctx, engine, engineapi.Order{Kind: engineapi.OrderUnload, Model: v})
 	}
-	if !c.awaitRoom(ctx, engine, need) {
+	if !c.awaitFreeMemory(ctx, engine, need) {
 		return
 	}
 	c.send(ctx, engine, engineapi.Order{Kind: engineapi.OrderLoad, Model: name, Version: m.Version, MemoryMB: m.MemoryMB})
@@ -151,9 +151,9 @@
 	c.l.touch(engine, name)
 }
 
-// wanting says whether a model is held nowhere, or is full wherever it is held
+// needsLoad says whether a model is held nowhere, or is full wherever it is held
 // and not being loaded.
-func (c *controller) wanting(model string) bool {
+func (c *controller) needsLoad(model string) bool {
 	for _, e := range c.r.Upstreams.Engines {
 		t := e.ActualState()
 		for _, r := range t.Residents {
@@ -168,16 +168,16 @@
 	return true
 }
 
-// choose finds the engine where room can be made by giving up what was used
+// chooseEngine finds the engine where room can be made by giving up what was used
 // longest ago.
-func (c *controller) choose(model string, need int) (engine string, victims []string) {
+func (c *controller) chooseEngine(model string, need int) (engine string, victims []string) {
 	var bestUse time.Time
 	for _, e := range c.r.Upstreams.Engines {
 		t := e.ActualState()
 		if slices.ContainsFunc(t.Residents, func(r engineapi.Resident) bool { return r.Model == model }) {
 			continue
 		}
-		gone, newest, ok := c.evict(&t, need)
+		gone, newest, ok := c.evictionCandidates(&t, need)
 		if ok && (engine == "" || newest.Before(bestUse)) {
 			engine, victims, bestUse = t.Upstream, gone, newest
 		}
@@ -185,8 +185,8 @@
 	return engine, victims
 }
 
-// evict lists an engine's models to give up, and when the last of them was used.
-func (c *controller) evict(t *engineapi.Report, need int) (gone []string, newest time.Time, ok bool) {
+// evictionCandidates lists an engine's models to give up, and when the last of them was used.
+func (c *controller) evictionCandidates(t *engineapi.Report, need int) (gone []string, newest time.Time, ok bool) {
 	free, size := t.MemoryMB, map[string]int{}
 	var models []string
 	for _, r := range t.Residents {
@@ -197,19 +197,19 @@
 		}
 	}
 	slices.SortFunc(models, func(a, b string) int {
-		return cmp.Compare(c.l.lastUse(t.Upstream, a).UnixNano(), c.l.lastUse(t.Upstream, b).UnixNano())
+		return cmp.Compare(c.l.lastUsedAt(t.Upstream, a).UnixNano(), c.l.lastUsedAt(t.Upstream, b).UnixNano())
 	})
 	for _, m := range models {
 		if free >= need {
 			break
 		}
 		free += size[m]
-		gone, newest = append(gone, m), c.l.lastUse(t.Upstream, m)
+		gone, newest = append(gone, m), c.l.lastUsedAt(t.Upstream, m)
 	}
 	return gone, newest, free >= need
 }
 
-func (c *controller) awaitRoom(ctx context.Context, engine string, need int) bool {
+func (c *controller) awaitFreeMemory(ctx context.Context, engine string, need int) bool {
 	e, err := c.r.Upstreams.Engine(engine)
 	if err != nil {
 		return false
@@ -221,7 +221,7 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(settleEvery):
+		case <-time.After(memoryPollInterval):
 		}
 	}
 }
--- a/standin/bench/policy.go
+++ b/standin/bench/policy.go
@@ -18,18 +18,18 @@
 
 // policy is a way of running a site.
 type policy struct {
-	name     string
-	oracle   bool // upstreams report at once and truly
-	onDemand bool // loads what is asked for and finds no place
+	name          string
+	exactReports  bool // upstreams report at once and truly
+	loadsOnDemand bool // loads what is asked for and finds no place
 	// decisions gives a node's replacements; nil: the product's own.
-	decide func(l *lru) server.Policy
+	newOverrides func(l *lru) server.Policy
 }
 
-func (p policy) decisions(l *lru) server.Policy {
-	if p.decide == nil {
+func (p policy) overrides(l *lru) server.Policy {
+	if p.newOverrides == nil {
 		return server.Policy{}
 	}
-	return p.decide(l)
+	return p.newOverrides(l)
 }
 
 func policies() []policy {
@@ -40,11 +40,11 @@
 	}
 	return []policy{
 		{name: Product},
-		{name: Oracle, oracle: true},
-		{name: "round-robin", decide: static(route.NewRoundRobin)},
-		{name: "least-load", decide: static(route.NewLeastReported)},
-		{name: "lru", onDemand: true, decide: func(l *lru) server.Policy {
-			return server.Policy{Picker: l.picker(route.NewLeastReported()), AdmitAll: true, NoPlanner: true, NotifyDemand: l.ask}
+		{name: Oracle, exactReports: true},
+		{name: "round-robin", newOverrides: static(route.NewRoundRobin)},
+		{name: "least-load", newOverrides: static(route.NewLeastReported)},
+		{name: "lru", loadsOnDemand: true, newOverrides: func(l *lru) server.Policy {
+			return server.Policy{Picker: l.wrapPicker(route.NewLeastReported()), AdmitAll: true, NoPlanner: true, NotifyDemand: l.requestLoad}
 		}},
 	}
 }
@@ -58,8 +58,8 @@
 	return out
 }
 
-// baseline says whether a policy is one to be measured against.
-func baseline(name string) bool { return name != Product && name != Oracle }
+// isBaseline says whether a policy is one to be measured against.
+func isBaseline(name string) bool { return name != Product && name != Oracle }
 
 func findPolicy(name string) (policy, error) {
 	all := policies()
--- a/standin/bench/series.go
+++ b/standin/bench/series.go
@@ -21,7 +21,7 @@
 // Series is a run's course over time.
 type Series []Point
 
-func seriesOf(r *load.Result, length time.Duration) Series {
+func newSeries(r *load.Result, length time.Duration) Series {
 	sent, met := make([]int, seriesPoints), make([]int, seriesPoints)
 	first := make([][]time.Duration, seriesPoints)
 	for _, v := range r.Invocations {
--- a/standin/claimbench/bench.go
+++ b/standin/claimbench/bench.go
@@ -82,27 +82,27 @@
 	OpenMs           float64 `json:"open_ms"`     // of it, reading a range's log
 }
 
-// maxLatency is the largest time that the histograms hold, in microseconds.
-const maxLatency = 60_000_000
+// maxLatencyMicros is the largest time that the histograms hold, in microseconds.
+const maxLatencyMicros = 60_000_000
 
 type bench struct {
-	cfg    Config
-	table  *RateLimitedTable
-	fleet  *fleet
-	stores []*claim.Store
-	mu     sync.Mutex
-	report Report
-	claims *hdrhistogram.Histogram
-	settle *hdrhistogram.Histogram
-	runs   map[string]int
-	work   sync.WaitGroup
-	killed atomic.Int64 // Unix nanoseconds; 0: not yet
+	cfg           Config
+	table         *RateLimitedTable
+	fleet         *fleet
+	stores        []*claim.Store
+	mu            sync.Mutex
+	report        Report
+	claimTimes    *hdrhistogram.Histogram
+	completeTimes *hdrhistogram.Histogram
+	executions    map[string]int
+	requests      sync.WaitGroup
+	killedAt      atomic.Int64 // Unix nanoseconds; 0: not yet
 }
 
 // Run measures.
 func Run(ctx context.Context, cfg Config) (Report, error) {
-	b := &bench{cfg: cfg, table: NewRateLimitedTable(cfg.WritesPerSecond, cfg.Latency), runs: map[string]int{},
-		claims: hdrhistogram.New(1, maxLatency, 3), settle: hdrhistogram.New(1, maxLatency, 3)}
+	b := &bench{cfg: cfg, table: NewRateLimitedTable(cfg.WritesPerSecond, cfg.Latency), executions: map[string]int{},
+		claimTimes: hdrhistogram.New(1, maxLatencyMicros, 3), completeTimes: hdrhistogram.New(1, maxLatencyMicros, 3)}
 	b.report.Config = cfg
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -112,10 +112,10 @@
 	}
 	b.startStores(ctx)
 	start, commits := time.Now(), b.table.Commits()
-	b.load(ctx, start)
+	b.generateLoad(ctx, start)
 	took := time.Since(start).Seconds()
 	b.report.CommitsPerSecond = float64(b.table.Commits()-commits) / took
-	b.work.Wait()
+	b.requests.Wait()
 	b.finish(took)
 	return b.report, ctx.Err()
 }
@@ -129,21 +129,21 @@
 	}
 }
 
-// step is how often the load generator starts what is due.
-const step = time.Millisecond
+// loadStep is how often the load generator starts what is due.
+const loadStep = time.Millisecond
 
-// load starts requests at the rate, whatever becomes of those before.
-func (b *bench) load(ctx context.Context, start time.Time) {
+// generateLoad starts requests at the rate, whatever becomes of those before.
+func (b *bench) generateLoad(ctx context.Context, start time.Time) {
 	rnd := rand.New(rand.NewPCG(b.cfg.Seed, 0))
-	tick := time.NewTicker(step)
+	tick := time.NewTicker(loadStep)
 	defer tick.Stop()
 	for n := 0; ctx.Err() == nil; <-tick.C {
 		elapsed := time.Since(start)
 		if elapsed >= b.cfg.Duration {
 			return
 		}
-		if b.cfg.KillWriter && b.killed.Load() == 0 && elapsed >= b.cfg.Duration/2 {
-			b.killed.Store(time.Now().UnixNano())
+		if b.cfg.KillWriter && b.killedAt.Load() == 0 && elapsed >= b.cfg.Duration/2 {
+			b.killedAt.Store(time.Now().UnixNano())
 			go b.fleet.kill(ctx)
 		}
 		for ; n < int(elapsed.Seconds()*float64(b.cfg.Rate)); n++ {
@@ -160,9 +160,9 @@
 	b.mu.Lock()
 	b.report.Offered++
 	b.mu.Unlock()
-	b.work.Add(1)
+	b.requests.Add(1)
 	go func() {
-		defer b.work.Done()
+		defer b.requests.Done()
 		b.request(ctx, b.stores[host], key, repeat)
 	}()
 }
@@ -184,7 +184,7 @@
 	_ = grant.Complete(ctx, claim.Answer{Status: 200, Body: []byte(`{"stored":true}`)})
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	_ = b.settle.RecordValue(time.Since(settling).Microseconds())
+	_ = b.completeTimes.RecordValue(time.Since(settling).Microseconds())
 	b.report.Completed++
 }
 
@@ -192,10 +192,10 @@
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.runs[key]++
-	_ = b.claims.RecordValue(now.Sub(begin).Microseconds())
-	killed := b.killed.Load()
-	if killed != 0 && b.report.RecoveryMs == 0 && begin.UnixNano() > killed && b.fleet.successor(coreclaim.Key("bench", key)) {
+	b.executions[key]++
+	_ = b.claimTimes.RecordValue(now.Sub(begin).Microseconds())
+	killed := b.killedAt.Load()
+	if killed != 0 && b.report.RecoveryMs == 0 && begin.UnixNano() > killed && b.fleet.hasSuccessor(coreclaim.Key("bench", key)) {
 		b.report.RecoveryMs = float64(now.UnixNano()-killed) / float64(time.Millisecond)
 	}
 }
@@ -212,7 +212,7 @@
 
 func (b *bench) finish(took float64) {
 	r := &b.report
-	for _, n := range b.runs {
+	for _, n := range b.executions {
 		r.Duplicates += n - 1
 	}
 	for _, s := range b.stores {
@@ -221,7 +221,7 @@
 	}
 	const ms = 1000.0
 	r.ClaimsPerSecond, r.BudgetShare = float64(r.Completed)/took, r.CommitsPerSecond/b.cfg.WritesPerSecond
-	r.ClaimP50Ms, r.ClaimP99Ms = float64(b.claims.ValueAtQuantile(50))/ms, float64(b.claims.ValueAtQuantile(99))/ms
-	r.CompleteP99Ms = float64(b.settle.ValueAtQuantile(99)) / ms
+	r.ClaimP50Ms, r.ClaimP99Ms = float64(b.claimTimes.ValueAtQuantile(50))/ms, float64(b.claimTimes.ValueAtQuantile(99))/ms
+	r.CompleteP99Ms = float64(b.completeTimes.ValueAtQuantile(99)) / ms
 	r.LimitedCommits, r.OpenMs = b.table.LimitedCommits(), b.fleet.openMs()
 }
--- a/standin/claimbench/fleet.go
+++ b/standin/claimbench/fleet.go
@@ -13,30 +13,30 @@
 
 // fleet is the writers of all hosts, as every host reaches them.
 type fleet struct {
-	cfg     Config
-	table   *RateLimitedTable
-	grouped *claim.RangeRouter // only splits keys
-	mu      sync.RWMutex
-	writers []*writer
-	killAt  time.Time
-	opened  time.Duration
+	cfg       Config
+	table     *RateLimitedTable
+	keyRanges *claim.RangeRouter // only splits keys
+	mu        sync.RWMutex
+	writers   []*writer
+	killAt    time.Time
+	openTime  time.Duration
 }
 
 // writer is one batcher or one owner of a range.
 type writer struct {
-	table   *mortal
-	records claim.Records
-	dead    bool
-	later   bool // took over from the dead one
+	table       *killableTable
+	records     claim.Records
+	dead        bool
+	isSuccessor bool // took over from the dead one
 }
 
-type epoch uint64
+type fixedEpoch uint64
 
-func (e epoch) Epoch() uint64 { return uint64(e) }
-func (e epoch) Valid() bool   { return true }
+func (e fixedEpoch) Epoch() uint64 { return uint64(e) }
+func (e fixedEpoch) Valid() bool   { return true }
 
 func newFleet(ctx context.Context, cfg Config, tb *RateLimitedTable) (*fleet, error) {
-	f := &fleet{cfg: cfg, table: tb, grouped: claim.NewRangeRouter(max(cfg.Writers, 1), nil)}
+	f := &fleet{cfg: cfg, table: tb, keyRanges: claim.NewRangeRouter(max(cfg.Writers, 1), nil)}
 	for i := range cfg.Writers {
 		w, err := f.open(ctx, i, 1)
 		if err != nil {
@@ -47,8 +47,8 @@
 	return f, nil
 }
 
-func (f *fleet) open(ctx context.Context, i int, e epoch) (*writer, error) {
-	w := &writer{table: &mortal{Table: f.table}, later: e > 1}
+func (f *fleet) open(ctx context.Context, i int, e fixedEpoch) (*writer, error) {
+	w := &writer{table: &killableTable{Table: f.table}, isSuccessor: e > 1}
 	switch f.cfg.Mode {
 	case Batched:
 		cfg := claim.DefaultBatchConfig()
@@ -102,27 +102,29 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.writers[0], f.opened = w, time.Since(begin)
+	f.writers[0], f.openTime = w, time.Since(begin)
 }
 
 func (f *fleet) openMs() float64 {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	return float64(f.opened) / float64(time.Millisecond)
+	return float64(f.openTime) / float64(time.Millisecond)
 }
 
-// writer picks the writer of a key.
-func (f *fleet) writer(key string) *writer {
+// writerOf picks the writer of a key.
+func (f *fleet) writerOf(key string) *writer {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	return f.writers[f.grouped.RangeOf(key)]
+	return f.writers[f.keyRanges.RangeOf(key)]
 }
 
-// successor says whether a key's writer took over from the dead one. Rows of
+// hasSuccessor says whether a key's writer took over from the dead one. Rows of
 // their own have no writer to die.
-func (f *fleet) successor(key string) bool { return f.cfg.Mode != Rows && f.writer(key).later }
+func (f *fleet) hasSuccessor(key string) bool {
+	return f.cfg.Mode != Rows && f.writerOf(key).isSuccessor
+}
 
-func (f *fleet) alive(w *writer) bool {
+func (f *fleet) isAlive(w *writer) bool {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return !w.dead
@@ -130,9 +132,9 @@
 
 // Read implements claim.Forwarder.
 func (f *fleet) Read(ctx context.Context, _ int, key string) (claim.VersionedRow, error) {
-	w := f.writer(key)
+	w := f.writerOf(key)
 	time.Sleep(f.cfg.HopLatency)
-	if !f.alive(w) {
+	if !f.isAlive(w) {
 		return claim.VersionedRow{}, store.ErrUnavailable
 	}
 	return w.records.Read(ctx, key)
@@ -140,9 +142,9 @@
 
 // Swap implements claim.Forwarder.
 func (f *fleet) Swap(ctx context.Context, _ int, key string, v uint64, row *coreclaim.Row) (claim.VersionedRow, error) {
-	w := f.writer(key)
+	w := f.writerOf(key)
 	time.Sleep(f.cfg.HopLatency)
-	if !f.alive(w) {
+	if !f.isAlive(w) {
 		return claim.VersionedRow{}, store.ErrUnavailable
 	}
 	return w.records.Swap(ctx, key, v, row)
--- a/standin/claimbench/limited.go
+++ b/standin/claimbench/limited.go
@@ -17,10 +17,10 @@
 // time for each call.
 type RateLimitedTable struct {
 	*standin.Table
-	limit   *rate.Limiter
-	latency time.Duration
-	commits atomic.Int64
-	limited atomic.Int64
+	limit    *rate.Limiter
+	latency  time.Duration
+	commits  atomic.Int64
+	rejected atomic.Int64
 }
 
 // burstShare is how much of a second's writes the service takes at once.
@@ -36,7 +36,7 @@
 func (l *RateLimitedTable) Commit(ctx context.Context, t store.Txn) (uint64, error) {
 	time.Sleep(l.latency)
 	if !l.limit.Allow() {
-		l.limited.Add(1)
+		l.rejected.Add(1)
 		return 0, store.ErrLimited
 	}
 	l.commits.Add(1)
@@ -59,21 +59,21 @@
 func (l *RateLimitedTable) Commits() int64 { return l.commits.Load() }
 
 // LimitedCommits is how many it refused for their rate.
-func (l *RateLimitedTable) LimitedCommits() int { return int(l.limited.Load()) }
+func (l *RateLimitedTable) LimitedCommits() int { return int(l.rejected.Load()) }
 
 func isStoreDown(err error) bool {
 	var e *fault.Error
 	return errors.As(err, &e) && e.Code == fault.CodeStoreUnavailable
 }
 
-// mortal is the table service as a host that may die sees it.
-type mortal struct {
+// killableTable is the table service as a host that may die sees it.
+type killableTable struct {
 	store.Table
 	dead atomic.Bool
 }
 
 // Commit implements store.Table: the dead write nothing.
-func (m *mortal) Commit(ctx context.Context, t store.Txn) (uint64, error) {
+func (m *killableTable) Commit(ctx context.Context, t store.Txn) (uint64, error) {
 	if m.dead.Load() {
 		return 0, store.ErrUnavailable
 	}
--- a/standin/compare/compare.go
+++ b/standin/compare/compare.go
@@ -77,8 +77,8 @@
 // confidence is how sure a verdict must be that the difference is not the draws'.
 const confidence = 0.95
 
-// leastPairs is how many pairs a verdict needs: of two nothing is known of their spread.
-const leastPairs = 3
+// minPairs is how many pairs a verdict needs: of two nothing is known of their spread.
+const minPairs = 3
 
 // Row is the difference in one figure on one deployment: after less before.
 type Row struct {
@@ -118,13 +118,13 @@
 	}
 	var rows []Row
 	for _, s := range sites {
-		rows = append(rows, rowsOf(s, bySite[s])...)
+		rows = append(rows, compareFigures(s, bySite[s])...)
 	}
 	return rows, nil
 }
 
-// rowsOf compares every figure that both plays of some pair have.
-func rowsOf(site string, pairs []Pair) []Row {
+// compareFigures compares every figure that both plays of some pair have.
+func compareFigures(site string, pairs []Pair) []Row {
 	differences, befores := map[string][]float64{}, map[string]float64{}
 	var names []string
 	for _, p := range pairs {
@@ -146,20 +146,20 @@
 	}
 	rows := make([]Row, len(names))
 	for i, name := range names {
-		rows[i] = row(differences[name])
+		rows[i] = newRow(differences[name])
 		rows[i].Site, rows[i].Figure, rows[i].MeanBefore = site, name, befores[name]/float64(len(differences[name]))
 	}
 	return rows
 }
 
-// row is the mean of differences, and whether it can be the draws' alone.
-func row(all []float64) Row {
+// newRow is the mean of differences, and whether it can be the draws' alone.
+func newRow(all []float64) Row {
 	n := float64(len(all))
 	r := Row{Pairs: len(all)}
 	for _, d := range all {
 		r.MeanDifference += d / n
 	}
-	if len(all) < leastPairs {
+	if len(all) < minPairs {
 		r.Verdict = TooFew
 		return r
 	}
--- a/standin/compare/compare_test.go
+++ b/standin/compare/compare_test.go
@@ -27,7 +27,7 @@
 	return files
 }
 
-func compared(t *testing.T, fs fstest.MapFS, before, after string) []Row {
+func compareEntries(t *testing.T, fs fstest.MapFS, before, after string) []Row {
 	t.Helper()
 	b, err := Read(fs, []string{before})
 	assert.NilError(t, err)
@@ -49,7 +49,7 @@
 }
 
 func TestTheSameCodeShowsNoDifference(t *testing.T) {
-	rows := compared(t, journal("s", map[string][]float64{"a": {0.80, 0.60, 0.70, 0.75}, "b": {0.81, 0.59, 0.69, 0.76}}), "a", "b")
+	rows := compareEntries(t, journal("s", map[string][]float64{"a": {0.80, 0.60, 0.70, 0.75}, "b": {0.81, 0.59, 0.69, 0.76}}), "a", "b")
 	for _, figure := range []string{"worth", "served", "whole day", "class 1", "class 3", "price of bytes"} {
 		assert.Equal(t, verdict(rows, figure), NoDifference, figure)
 	}
@@ -58,14 +58,14 @@
 
 // Guards against a difference that is lost among days which differ more from each other.
 func TestAWayThatIsBetterOnEachDayIsHigher(t *testing.T) {
-	rows := compared(t, journal("s", map[string][]float64{"a": {0.80, 0.40, 0.60, 0.20}, "b": {0.82, 0.43, 0.62, 0.22}}), "a", "c-b")
+	rows := compareEntries(t, journal("s", map[string][]float64{"a": {0.80, 0.40, 0.60, 0.20}, "b": {0.82, 0.43, 0.62, 0.22}}), "a", "c-b")
 	assert.Equal(t, verdict(rows, "worth"), Higher)
-	rows = compared(t, journal("s", map[string][]float64{"a": {0.80, 0.40, 0.60, 0.20}, "b": {0.82, 0.43, 0.62, 0.22}}), "b", "a")
+	rows = compareEntries(t, journal("s", map[string][]float64{"a": {0.80, 0.40, 0.60, 0.20}, "b": {0.82, 0.43, 0.62, 0.22}}), "b", "a")
 	assert.Equal(t, verdict(rows, "worth"), Lower)
 }
 
 func TestTwoPairsAreTooFew(t *testing.T) {
-	rows := compared(t, journal("s", map[string][]float64{"a": {0.8, 0.4}, "b": {0.9, 0.5}}), "a", "b")
+	rows := compareEntries(t, journal("s", map[string][]float64{"a": {0.8, 0.4}, "b": {0.9, 0.5}}), "a", "b")
 	assert.Equal(t, verdict(rows, "worth"), TooFew)
 }
 
@@ -111,7 +111,7 @@
 		for i := range all {
 			all[i] = rnd.NormFloat64()
 		}
-		if row(all).Verdict != NoDifference {
+		if newRow(all).Verdict != NoDifference {
 			wrong++
 		}
 	}
--- a/standin/compare/journal.go
+++ b/standin/compare/journal.go
@@ -78,7 +78,7 @@
 	found := make(map[string]bool, len(names))
 	var plays []Run
 	for _, file := range files {
-		e, err := read(journal, file)
+		e, err := readEntry(journal, file)
 		if err != nil {
 			return nil, err
 		}
@@ -93,7 +93,7 @@
 			if e.Edited {
 				return nil, eris.Errorf("entry %s: its sources changed while it was played", e.ID)
 			}
-			plays = append(plays, e.plays()...)
+			plays = append(plays, e.runs()...)
 			break
 		}
 	}
@@ -105,7 +105,7 @@
 	return plays, nil
 }
 
-func read(journal fs.FS, file string) (*entry, error) {
+func readEntry(journal fs.FS, file string) (*entry, error) {
 	data, err := fs.ReadFile(journal, file)
 	if err != nil {
 		return nil, eris.Wrapf(err, "read %s", file)
@@ -120,7 +120,7 @@
 	return e, nil
 }
 
-func (e *entry) plays() []Run {
+func (e *entry) runs() []Run {
 	out := make([]Run, 0, len(e.Days))
 	for i := range e.Days {
 		d := &e.Days[i]
--- a/standin/compare/plot.go
+++ b/standin/compare/plot.go
@@ -14,8 +14,8 @@
 // ErrNoRows says that there is nothing to draw.
 var ErrNoRows = eris.New("no rows to draw")
 
-// bars are rows as points with the bound of what the draws alone can do.
-type bars struct {
+// differenceBars are rows as points with the bound of what the draws alone can do.
+type differenceBars struct {
 	plotter.XYs
 	plotter.XErrors
 }
@@ -25,7 +25,7 @@
 	p := plot.New()
 	p.Title.Text = figure + ", after less before"
 	p.X.Label.Text = "difference; the bars are what the draws alone can do"
-	var b bars
+	var b differenceBars
 	var names []string
 	for _, r := range rows {
 		if r.Figure != figure {
--- a/standin/speed/parts.go
+++ b/standin/speed/parts.go
@@ -16,82 +16,82 @@
 // streams are open through it.
 func measureMemory(ctx context.Context, cfg Config, rep *Report) error {
 	c := newCaller(cfg.Layout)
-	before, err := memoryOf(ctx, cfg, c)
+	before, err := readMemory(ctx, cfg, c)
 	if err != nil {
 		return err
 	}
 	rep.IdleMB, rep.IdleStreams = before.residentKB/1024, cfg.IdleStreams
 	streams, stop := context.WithCancel(ctx)
-	f := &flow{caller: c, address: cfg.Layout.Entries[1].Caller, model: modelIdle, tokens: 1000}
+	f := &streamLoad{caller: c, address: cfg.Layout.Entries[1].Caller, model: modelIdle, tokens: 1000}
 	f.start(streams, cfg.IdleStreams)
 	defer f.wg.Wait()
 	defer stop()
-	for f.opened.Load() < int64(cfg.IdleStreams) && f.failed() == nil {
-		if !pace.Sleep(ctx, settle/10) {
+	for f.opened.Load() < int64(cfg.IdleStreams) && f.firstError() == nil {
+		if !pace.Sleep(ctx, warmUp/10) {
 			return ctx.Err()
 		}
 	}
-	after, err := collected(ctx, cfg, c)
+	after, err := memoryAfterCollections(ctx, cfg, c)
 	n := float64(cfg.IdleStreams)
 	rep.StackKBPerIdleStream = (after.stacksKB - before.stacksKB) / n
 	rep.KBPerIdleStream = (after.usedKB - before.usedKB) / n
 	rep.ResidentKBPerIdleStream = (after.residentKB - before.residentKB) / n
 	if err == nil {
-		err = f.failed()
+		err = f.firstError()
 	}
 	return err
 }
 
-// collected lists models until the host has collected its garbage twice with
+// memoryAfterCollections lists models until the host has collected its garbage twice with
 // the streams open, so that what it holds live is known.
-func collected(ctx context.Context, cfg Config, c *caller) (memory, error) {
-	began, err := memoryOf(ctx, cfg, c)
+func memoryAfterCollections(ctx context.Context, cfg Config, c *caller) (memoryUse, error) {
+	began, err := readMemory(ctx, cfg, c)
 	now := began
 	for err == nil && now.collections < began.collections+2 {
 		for range 500 {
-			if err := c.models(ctx, cfg.Layout.Entries[1].Caller); err != nil {
+			if err := c.listModels(ctx, cfg.Layout.Entries[1].Caller); err != nil {
 				return now, err
 			}
 		}
-		now, err = memoryOf(ctx, cfg, c)
+		now, err = readMemory(ctx, cfg, c)
 	}
 	return now, err
 }
 
-// relay measures one core's relaying through the first host.
-func relay(ctx context.Context, cfg Config, f *flow, streams int) (Throughput, error) {
+// measureThroughput measures one core's relaying through the first host.
+func measureThroughput(ctx context.Context, cfg Config, f *streamLoad, streams int) (Throughput, error) {
 	ctx, stop := context.WithCancel(ctx)
 	f.caller, f.address = newCaller(cfg.Layout), cfg.Layout.Entries[0].Caller
 	f.start(ctx, streams)
 	defer f.wg.Wait()
 	defer stop()
-	if !pace.Sleep(ctx, settle) {
+	if !pace.Sleep(ctx, warmUp) {
 		return Throughput{}, ctx.Err()
 	}
-	cpu, err := processorTime(cfg.OneCorePID)
+	cpu, err := cpuTime(cfg.OneCorePID)
 	if err != nil {
 		return Throughput{}, err
 	}
-	began, seen := time.Now(), f.seen.Load()
+	began, seen := time.Now(), f.events.Load()
 	if !pace.Sleep(ctx, cfg.Duration) {
 		return Throughput{}, ctx.Err()
 	}
-	took, seen := time.Since(began), f.seen.Load()-seen
-	after, err := processorTime(cfg.OneCorePID)
+	took, seen := time.Since(began), f.events.Load()-seen
+	after, err := cpuTime(cfg.OneCorePID)
 	if err == nil {
-		err = f.failed()
+		err = f.firstError()
 	}
 	return Throughput{Streams: streams, TokensPerSecond: float64(seen) / took.Seconds(), CPUShare: (after - cpu).Seconds() / took.Seconds()}, err
 }
 
 func measurePaced(ctx context.Context, cfg Config, rep *Report) (err error) {
 	const tokens = 2000 // 20 s: longer than the measurement
-	rep.Paced, err = relay(ctx, cfg, &flow{model: modelPaced, tokens: tokens}, cfg.PacedStreams)
+	rep.Paced, err = measureThroughput(ctx, cfg, &streamLoad{model: modelPaced, tokens: tokens}, cfg.PacedStreams)
 	return err
 }
 
 func measureFast(ctx context.Context, cfg Config, rep *Report) (err error) {
-	rep.Fast, err = relay(ctx, cfg, &flow{model: modelFast, tokens: 4000}, cfg.FastStreams)
+	rep.Fast, err = measureThroughput(ctx, cfg, &streamLoad{model: modelFast, tokens: 4000}, cfg.FastStreams)
 	return err
 }
 
@@ -99,14 +99,14 @@
 // them, through the second host, each in its own goroutine at its own time.
 func measureFirstByte(ctx context.Context, cfg Config, rep *Report) error {
 	c := newCaller(cfg.Layout)
-	direct := &first{caller: c, addresses: cfg.Layout.Engines}
-	host := &first{caller: c, addresses: []string{cfg.Layout.Entries[1].Caller}}
-	for _, f := range []*first{direct, host} {
+	direct := &firstByteTimer{caller: c, addresses: cfg.Layout.Engines}
+	host := &firstByteTimer{caller: c, addresses: []string{cfg.Layout.Entries[1].Caller}}
+	for _, f := range []*firstByteTimer{direct, host} {
 		f.times = hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 	}
 	gap := time.Second / time.Duration(2*cfg.RequestsPerSecond)
 	n := int(cfg.Duration.Seconds()) * 2 * cfg.RequestsPerSecond
-	warm := int(settle.Seconds()) * 2 * cfg.RequestsPerSecond
+	warm := int(warmUp.Seconds()) * 2 * cfg.RequestsPerSecond
 	began := time.Now()
 	var wg sync.WaitGroup
 	for i := range warm + n {
@@ -119,7 +119,7 @@
 		if i%2 == 1 {
 			f = host
 		}
-		wg.Go(func() { f.one(ctx, i, i >= warm) })
+		wg.Go(func() { f.measure(ctx, i, i >= warm) })
 	}
 	wg.Wait()
 	rep.DirectMs, rep.HostMs = load.QuantilesOf(direct.times), load.QuantilesOf(host.times)
@@ -130,8 +130,8 @@
 	return host.err
 }
 
-// first measures times to the first byte of an answer's body.
-type first struct {
+// firstByteTimer measures times to the first byte of an answer's body.
+type firstByteTimer struct {
 	caller    *caller
 	addresses []string
 	mu        sync.Mutex
@@ -139,9 +139,9 @@
 	err       error
 }
 
-func (f *first) one(ctx context.Context, i int, counts bool) {
+func (f *firstByteTimer) measure(ctx context.Context, i int, counts bool) {
 	began := time.Now()
-	body, err := f.caller.open(ctx, f.addresses[(i/2)%len(f.addresses)], modelFast, 1)
+	body, err := f.caller.openStream(ctx, f.addresses[(i/2)%len(f.addresses)], modelFast, 1)
 	var took time.Duration
 	if err == nil {
 		var b [1]byte
--- a/standin/speed/proc.go
+++ b/standin/speed/proc.go
@@ -17,38 +17,38 @@
 	"peridotpier.example/standin/local"
 )
 
-// memory is what a host takes.
-type memory struct {
+// memoryUse is what a host takes.
+type memoryUse struct {
 	usedKB      float64 // live heap, and stacks
 	stacksKB    float64
 	residentKB  float64
 	collections int64
 }
 
-// memoryOf asks the second host, and the system about it.
-func memoryOf(ctx context.Context, cfg Config, c *caller) (memory, error) {
+// readMemory asks the second host, and the system about it.
+func readMemory(ctx context.Context, cfg Config, c *caller) (memoryUse, error) {
 	resident, err := residentKB(cfg.UnrestrictedPID)
 	if err != nil {
-		return memory{}, err
+		return memoryUse{}, err
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+cfg.Layout.Entries[1].Operator+"/debug/vars", nil)
 	if err != nil {
-		return memory{}, err
+		return memoryUse{}, err
 	}
 	req.Header.Set("Authorization", "Bearer "+local.OperatorKey)
 	resp, err := c.client.Do(req)
 	if err != nil {
-		return memory{}, eris.Wrap(err, "ask for metrics")
+		return memoryUse{}, eris.Wrap(err, "ask for metrics")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	var vars map[metrics.Name]json.RawMessage
 	if err := json.NewDecoder(resp.Body).Decode(&vars); err != nil {
-		return memory{}, eris.Wrap(err, "read metrics")
+		return memoryUse{}, eris.Wrap(err, "read metrics")
 	}
 	var live, stacks, n int64
 	err = errors.Join(json.Unmarshal(vars[metrics.HeapLive], &live), json.Unmarshal(vars[metrics.Stacks], &stacks),
 		json.Unmarshal(vars[metrics.Collections], &n))
-	return memory{usedKB: float64(live+stacks) / 1024, stacksKB: float64(stacks) / 1024, residentKB: resident, collections: n}, err
+	return memoryUse{usedKB: float64(live+stacks) / 1024, stacksKB: float64(stacks) / 1024, residentKB: resident, collections: n}, err
 }
 
 // clockTick is the unit of processor time in /proc, 1/100 s on every Linux.
@@ -71,22 +71,22 @@
 
 // Fields of /proc/PID/stat after the command's name, from 0.
 const (
-	statUser   = 11
-	statSystem = 12
+	statUserField   = 11
+	statSystemField = 12
 )
 
-// processorTime reads how long a process has computed so far.
-func processorTime(pid int) (time.Duration, error) {
+// cpuTime reads how long a process has computed so far.
+func cpuTime(pid int) (time.Duration, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, eris.Wrap(err, "read processor time")
 	}
 	fields := bytes.Fields(data[bytes.LastIndexByte(data, ')')+1:]) // the name may hold spaces
-	if len(fields) <= statSystem {
+	if len(fields) <= statSystemField {
 		return 0, eris.Errorf("process %d shows no processor time", pid)
 	}
 	var sum time.Duration
-	for _, i := range []int{statUser, statSystem} {
+	for _, i := range []int{statUserField, statSystemField} {
 		n, err := strconv.ParseInt(string(fields[i]), 10, 64)
 		if err != nil {
 			return 0, eris.Wrap(err, "read processor time")
--- a/standin/speed/streams.go
+++ b/standin/speed/streams.go
@@ -30,8 +30,8 @@
 	return &caller{key: l.TeamKey, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConns, DisableCompression: true}}}
 }
 
-// open begins a stream.
-func (c *caller) open(ctx context.Context, address, model string, tokens int) (io.ReadCloser, error) {
+// openStream begins a stream.
+func (c *caller) openStream(ctx context.Context, address, model string, tokens int) (io.ReadCloser, error) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"hello"}]}`, model, tokens)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -50,8 +50,8 @@
 	return resp.Body, nil
 }
 
-// models lists the models: a request that an engine has no part in.
-func (c *caller) models(ctx context.Context, address string) error {
+// listModels lists the models: a request that an engine has no part in.
+func (c *caller) listModels(ctx context.Context, address string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/models", nil)
 	if err != nil {
 		return err
@@ -66,13 +66,13 @@
 	return err
 }
 
-// flow is many streams that are kept up at once and counted.
-type flow struct {
+// streamLoad is many streams that are kept up at once and counted.
+type streamLoad struct {
 	caller  *caller
 	address string
 	model   string
 	tokens  int // of each stream; then another follows
-	seen    atomic.Int64
+	events  atomic.Int64
 	opened  atomic.Int64
 	wg      sync.WaitGroup
 	mu      sync.Mutex
@@ -80,11 +80,11 @@
 }
 
 // start keeps n streams up until ctx ends.
-func (f *flow) start(ctx context.Context, n int) {
+func (f *streamLoad) start(ctx context.Context, n int) {
 	for range n {
 		f.wg.Go(func() {
 			for ctx.Err() == nil {
-				if err := f.one(ctx); err != nil && ctx.Err() == nil {
+				if err := f.readStream(ctx); err != nil && ctx.Err() == nil {
 					f.mu.Lock()
 					if f.err == nil {
 						f.err = err
@@ -101,9 +101,9 @@
 
 var eventEnd = []byte("\n\n")
 
-// one reads one stream and counts its events.
-func (f *flow) one(ctx context.Context) error {
-	body, err := f.caller.open(ctx, f.address, f.model, f.tokens)
+// readStream reads one stream and counts its events.
+func (f *streamLoad) readStream(ctx context.Context) error {
+	body, err := f.caller.openStream(ctx, f.address, f.model, f.tokens)
 	if err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 	buf := make([]byte, readBuffer)
 	for {
 		n, err := body.Read(buf)
-		f.seen.Add(int64(bytes.Count(buf[:n], eventEnd)))
+		f.events.Add(int64(bytes.Count(buf[:n], eventEnd)))
 		if err == io.EOF {
 			return nil
 		}
@@ -122,12 +122,12 @@
 	}
 }
 
-// failed returns what went wrong, if anything did.
-func (f *flow) failed() error {
+// firstError returns what went wrong, if anything did.
+func (f *streamLoad) firstError() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.err
 }
 
-// settle is how long streams run before they are measured.
-const settle = 2 * time.Second
+// warmUp is how long streams run before they are measured.
+const warmUp = 2 * time.Second
