--- a/cmd/peridotpier/check.go
+++ b/cmd/peridotpier/check.go
@@ -43,7 +43,7 @@
 		return exit.Usage
 	}
 	faults := []config.Fault{}
-	for _, file := range []struct {
+	for _, input := range []struct {
 		name  string
 		parse func([]byte) []config.Fault
 	}{
@@ -51,15 +51,15 @@
 		{c.hostSettingsFile, func(b []byte) []config.Fault { _, f := host.Parse(b); return f }},
 		{c.configFile, func(b []byte) []config.Fault { _, f := config.Parse(b); return f }},
 	} {
-		if file.name == "" {
+		if input.name == "" {
 			continue
 		}
-		data, err := os.ReadFile(file.name)
+		data, err := os.ReadFile(input.name)
 		if err != nil {
 			return exit.Print(os.Stderr, c.printJSON, err)
 		}
-		for _, f := range file.parse(data) {
-			faults = append(faults, config.Fault{Path: file.name + ": " + f.Path, Problem: f.Problem})
+		for _, f := range input.parse(data) {
+			faults = append(faults, config.Fault{Path: input.name + ": " + f.Path, Problem: f.Problem})
 		}
 	}
 	return c.print(faults)
--- a/cmd/peridotpier/host.go
+++ b/cmd/peridotpier/host.go
@@ -60,8 +60,8 @@
 }
 
 func (c *hostCommand) run(ctx context.Context) error {
-	hangup := make(chan os.Signal, 1)
-	signal.Notify(hangup, syscall.SIGHUP)
+	sighup := make(chan os.Signal, 1)
+	signal.Notify(sighup, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	set, err := c.readSettings()
@@ -76,7 +76,7 @@
 	log := event.NewJSON(sink, level)
 	defer log.Sync()
 	h, err := host.New(host.Deps{Settings: set, Platform: newPlatform(set), Log: log, Metrics: metrics.New(),
-		Client: conn.New(conn.Config{Dialer: conn.NewDialer()}), DroppedLines: sink.Dropped, ReloadSettings: c.readSettings, ReloadSignal: reloadSignals(ctx, hangup)})
+		Client: conn.New(conn.Config{Dialer: conn.NewDialer()}), DroppedLines: sink.Dropped, ReloadSettings: c.readSettings, ReloadSignal: reloadSignals(ctx, sighup)})
 	if err != nil {
 		return err
 	}
@@ -92,7 +92,7 @@
 
 // reloadSignals turns signals into plain notices.
 func reloadSignals(ctx context.Context, signals <-chan os.Signal) <-chan struct{} {
-	out := make(chan struct{}, 1)
+	reload := make(chan struct{}, 1)
 	go func() {
 		for {
 			select {
@@ -100,11 +100,11 @@
 				return
 			case <-signals:
 				select {
-				case out <- struct{}{}:
+				case reload <- struct{}{}:
 				default: // one is waiting, and reads what is there then
 				}
 			}
 		}
 	}()
-	return out
+	return reload
 }
--- a/cmd/pierctl/apply.go
+++ b/cmd/pierctl/apply.go
@@ -64,8 +64,8 @@
 }
 
 // awaitEverywhere waits until every live host has a version in force.
-func awaitEverywhere(ctx context.Context, c *operator.Client, version uint64, most time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, most)
+func awaitEverywhere(ctx context.Context, c *operator.Client, version uint64, maxWait time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, maxWait)
 	defer cancel()
 	waiting := -1
 	for {
@@ -77,7 +77,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return &exit.Error{Code: exit.Unconfirmed, Err: fmt.Errorf("version %d was accepted, but %d hosts have not confirmed it within %s", version, waiting, most),
+			return &exit.Error{Code: exit.Unconfirmed, Err: fmt.Errorf("version %d was accepted, but %d hosts have not confirmed it within %s", version, waiting, maxWait),
 				Hint: "see pierctl status --everywhere"}
 		case <-time.After(pollInterval):
 		}
--- a/cmd/pierctl/compare.go
+++ b/cmd/pierctl/compare.go
@@ -63,12 +63,12 @@
 	if err != nil {
 		return err
 	}
-	pairs, left := compare.MatchPairs(before, after)
+	pairs, unpaired := compare.MatchPairs(before, after)
 	rows, err := compare.Compare(pairs)
 	if err != nil {
 		return fmt.Errorf("%w: before on %s, after on %s", err, compare.SiteNames(before), compare.SiteNames(after))
 	}
-	c.print(rows, left)
+	c.print(rows, unpaired)
 	if c.plot == "" {
 		return nil
 	}
@@ -79,14 +79,14 @@
 	return errors.Join(compare.Plot(file, rows, "worth"), file.Close())
 }
 
-func (c *compareCommand) print(rows []compare.Row, left int) {
+func (c *compareCommand) print(rows []compare.Row, unpaired int) {
 	if c.printJSON {
-		_ = json.NewEncoder(os.Stdout).Encode(map[string]any{"rows": rows, "unpaired": left})
+		_ = json.NewEncoder(os.Stdout).Encode(map[string]any{"rows": rows, "unpaired": unpaired})
 		return
 	}
 	fmt.Println(compare.TableHead)
 	for _, r := range rows {
 		fmt.Println(r)
 	}
-	fmt.Printf("\n%d plays without their like\n", left)
+	fmt.Printf("\n%d plays without their like\n", unpaired)
 }
--- a/cmd/pierctl/demo.go
+++ b/cmd/pierctl/demo.go
@@ -118,12 +118,12 @@
 // pierctlLine is how the printed lines operate a host; "" when they cannot, for
 // want of a certificate in a file.
 func (c *demoCommand) pierctlLine() string {
-	line := local.OperatorKey + " go run ./cmd/pierctl"
+	command := local.OperatorKey + " go run ./cmd/pierctl"
 	switch {
 	case !c.tls:
-		return "PIERCTL_KEY=" + line + " %s --node %s"
+		return "PIERCTL_KEY=" + command + " %s --node %s"
 	case c.ca != "":
-		return "PIERCTL_KEY=" + line + " %s --node %s --authorities " + c.ca + " --certificate " + c.ca + operatorCertSuffix + " --certificate-key " + c.ca + operatorKeySuffix
+		return "PIERCTL_KEY=" + command + " %s --node %s --authorities " + c.ca + " --certificate " + c.ca + operatorCertSuffix + " --certificate-key " + c.ca + operatorKeySuffix
 	default:
 		return ""
 	}
--- a/cmd/pierctl/hostpage.go
+++ b/cmd/pierctl/hostpage.go
@@ -59,12 +59,12 @@
 		_, err = os.Stdout.Write(data)
 		return err
 	}
-	var all []T
-	if err := json.Unmarshal(data, &all); err != nil {
+	var entries []T
+	if err := json.Unmarshal(data, &entries); err != nil {
 		return fmt.Errorf("answer of %s: %w", p.address, err)
 	}
-	for i := range all {
-		fmt.Println(line(&all[i]))
+	for i := range entries {
+		fmt.Println(line(&entries[i]))
 	}
 	return nil
 }
--- a/cmd/pierctl/hoststatus.go
+++ b/cmd/pierctl/hoststatus.go
@@ -54,11 +54,11 @@
 }
 
 func printHostStatus(s *host.Status) {
-	by := cmp.Or(s.Coordinator, "nobody")
+	coordinator := cmp.Or(s.Coordinator, "nobody")
 	if s.Acting {
-		by = "itself; it acts for all"
+		coordinator = "itself; it acts for all"
 	}
-	fmt.Printf("%s in %s: ready %t, goes by %s, holds the lease %t\n", s.Host, s.DataCentre, s.Ready, by, s.HoldsLease)
+	fmt.Printf("%s in %s: ready %t, goes by %s, holds the lease %t\n", s.Host, s.DataCentre, s.Ready, coordinator, s.HoldsLease)
 	fmt.Printf("%d hosts, a report each %d ms; %d upstreams of version %d, configuration %d\n", s.Hosts, s.ReportMs, s.Upstreams, s.ListVersion, s.Configuration)
 	for _, part := range []struct {
 		title string
--- a/standin/bench/bench.go
+++ b/standin/bench/bench.go
@@ -101,8 +101,8 @@
 // compressedWindows compresses the windows of demand as the run compresses the hour.
 func compressedWindows(length time.Duration) demand.Config {
 	c := demand.DefaultConfig()
-	by := min(length.Seconds()/representedTime.Seconds(), 1)
-	c.Short = max(time.Duration(by*float64(c.Short)), minShortWindow)
-	c.Long = max(time.Duration(by*float64(c.Long)), minLongWindow)
+	scale := min(length.Seconds()/representedTime.Seconds(), 1)
+	c.Short = max(time.Duration(scale*float64(c.Short)), minShortWindow)
+	c.Long = max(time.Duration(scale*float64(c.Long)), minLongWindow)
 	return c
 }
--- a/standin/bench/bench_test.go
+++ b/standin/bench/bench_test.go
@@ -15,8 +15,8 @@
 	"peridotpier.example/standin/local"
 )
 
-func run(policy string, seed uint64, met float64, moves int) *Run {
-	return &Run{Report: local.Report{Policy: policy, Seed: seed, AttainmentPerAccelerator: met, ModelLoads: moves, History: "ok"}}
+func run(policy string, seed uint64, attainment float64, moves int) *Run {
+	return &Run{Report: local.Report{Policy: policy, Seed: seed, AttainmentPerAccelerator: attainment, ModelLoads: moves, History: "ok"}}
 }
 
 // Symptom: a policy looks good against a baseline that had an easier seed.
@@ -43,12 +43,12 @@
 	report := &engineapi.Report{Upstream: "e", MemoryMB: 100, Residents: []engineapi.Resident{
 		{Model: "new", State: engineapi.StateReady, MemoryMB: 40}, {Model: "old", State: engineapi.StateReady, MemoryMB: 40},
 		{Model: "old", Adapter: "a", State: engineapi.StateReady, MemoryMB: 5}}}
-	gone, _, ok := c.evictionCandidates(report, 60)
+	candidates, _, ok := c.evictionCandidates(report, 60)
 	assert.Assert(t, ok)
-	assert.DeepEqual(t, gone, []string{"old"})
-	gone, _, ok = c.evictionCandidates(report, 15)
+	assert.DeepEqual(t, candidates, []string{"old"})
+	candidates, _, ok = c.evictionCandidates(report, 15)
 	assert.Assert(t, ok)
-	assert.Equal(t, len(gone), 0)
+	assert.Equal(t, len(candidates), 0)
 	_, _, ok = c.evictionCandidates(report, 101)
 	assert.Assert(t, !ok)
 }
--- a/standin/bench/compare.go
+++ b/standin/bench/compare.go
@@ -51,7 +51,7 @@
 
 // Compare runs the policies one after the other for each seed in turn, so that
 // whatever else the machine does falls on all of them alike.
-func Compare(ctx context.Context, c Config, names []string, seeds []uint64, each func(*Run)) (*Comparison, error) {
+func Compare(ctx context.Context, c Config, names []string, seeds []uint64, onRun func(*Run)) (*Comparison, error) {
 	out := &Comparison{Site: c.Site.Deployment.Site, Seeds: seeds}
 	for _, name := range names {
 		if _, err := findPolicy(name); err != nil {
@@ -66,8 +66,8 @@
 				return nil, err
 			}
 			out.Runs = append(out.Runs, r)
-			if each != nil {
-				each(r)
+			if onRun != nil {
+				onRun(r)
 			}
 		}
 	}
@@ -78,28 +78,28 @@
 }
 
 func (c *Comparison) summarise(policy string) PolicySummary {
-	var own []*Run
+	var runs []*Run
 	for _, r := range c.Runs {
 		if r.Policy == policy {
-			own = append(own, r)
+			runs = append(runs, r)
 		}
 	}
-	over := func(f func(*Run) float64) Spread {
-		xs := make([]float64, len(own))
-		for i, r := range own {
+	spreadOver := func(f func(*Run) float64) Spread {
+		xs := make([]float64, len(runs))
+		for i, r := range runs {
 			xs[i] = f(r)
 		}
 		return newSpread(xs)
 	}
-	row := PolicySummary{Policy: policy, Sound: !slices.ContainsFunc(own, func(r *Run) bool { return !r.InvariantsHold() })}
-	row.AttainmentPerAccelerator = over(func(r *Run) float64 { return r.AttainmentPerAccelerator })
-	row.Attainment = over(func(r *Run) float64 { return r.Attainment })
-	row.UrgentAttainment = over(func(r *Run) float64 { return r.UrgentAttainment })
-	row.Moves = over(func(r *Run) float64 { return float64(r.ModelLoads) })
-	row.UnreachableModels = over(func(r *Run) float64 { return float64(r.UnreachableModels) })
-	row.Overcommits = over(func(r *Run) float64 { return float64(r.Overcommits) })
-	row.AttainmentRatio = over(func(r *Run) float64 { return ratio(r.AttainmentPerAccelerator, c.bestAttainment(r.Seed)) })
-	row.MoveRatio = over(func(r *Run) float64 { return ratio(float64(r.ModelLoads), c.fewestMoves(r.Seed)) })
+	row := PolicySummary{Policy: policy, Sound: !slices.ContainsFunc(runs, func(r *Run) bool { return !r.InvariantsHold() })}
+	row.AttainmentPerAccelerator = spreadOver(func(r *Run) float64 { return r.AttainmentPerAccelerator })
+	row.Attainment = spreadOver(func(r *Run) float64 { return r.Attainment })
+	row.UrgentAttainment = spreadOver(func(r *Run) float64 { return r.UrgentAttainment })
+	row.Moves = spreadOver(func(r *Run) float64 { return float64(r.ModelLoads) })
+	row.UnreachableModels = spreadOver(func(r *Run) float64 { return float64(r.UnreachableModels) })
+	row.Overcommits = spreadOver(func(r *Run) float64 { return float64(r.Overcommits) })
+	row.AttainmentRatio = spreadOver(func(r *Run) float64 { return ratio(r.AttainmentPerAccelerator, c.bestAttainment(r.Seed)) })
+	row.MoveRatio = spreadOver(func(r *Run) float64 { return ratio(float64(r.ModelLoads), c.fewestMoves(r.Seed)) })
 	return row
 }
 
--- a/standin/bench/lru.go
+++ b/standin/bench/lru.go
@@ -177,16 +177,16 @@
 		if slices.ContainsFunc(t.Residents, func(r engineapi.Resident) bool { return r.Model == model }) {
 			continue
 		}
-		gone, newest, ok := c.evictionCandidates(&t, need)
+		candidates, newest, ok := c.evictionCandidates(&t, need)
 		if ok && (engine == "" || newest.Before(bestUse)) {
-			engine, victims, bestUse = t.Upstream, gone, newest
+			engine, victims, bestUse = t.Upstream, candidates, newest
 		}
 	}
 	return engine, victims
 }
 
 // evictionCandidates lists an engine's models to give up, and when the last of them was used.
-func (c *controller) evictionCandidates(t *engineapi.Report, need int) (gone []string, newest time.Time, ok bool) {
+func (c *controller) evictionCandidates(t *engineapi.Report, need int) (candidates []string, newest time.Time, ok bool) {
 	free, size := t.MemoryMB, map[string]int{}
 	var models []string
 	for _, r := range t.Residents {
@@ -204,9 +204,9 @@
 			break
 		}
 		free += size[m]
-		gone, newest = append(gone, m), c.l.lastUsedAt(t.Upstream, m)
+		candidates, newest = append(candidates, m), c.l.lastUsedAt(t.Upstream, m)
 	}
-	return gone, newest, free >= need
+	return candidates, newest, free >= need
 }
 
 func (c *controller) awaitFreeMemory(ctx context.Context, engine string, need int) bool {
--- a/standin/claimbench/bench.go
+++ b/standin/claimbench/bench.go
@@ -113,10 +113,10 @@
 	b.startStores(ctx)
 	start, commits := time.Now(), b.table.Commits()
 	b.generateLoad(ctx, start)
-	took := time.Since(start).Seconds()
-	b.report.CommitsPerSecond = float64(b.table.Commits()-commits) / took
+	elapsed := time.Since(start).Seconds()
+	b.report.CommitsPerSecond = float64(b.table.Commits()-commits) / elapsed
 	b.requests.Wait()
-	b.finish(took)
+	b.finish(elapsed)
 	return b.report, ctx.Err()
 }
 
@@ -171,31 +171,31 @@
 const requestDeadline = 10 * time.Second
 
 func (b *bench) request(ctx context.Context, s *claim.Store, key string, repeat bool) {
-	begin := time.Now()
-	grant, _, err := s.Claim(ctx, claim.Request{Team: "bench", Key: key, BodyHash: "b", Deadline: begin.Add(requestDeadline),
+	start := time.Now()
+	grant, _, err := s.Claim(ctx, claim.Request{Team: "bench", Key: key, BodyHash: "b", Deadline: start.Add(requestDeadline),
 		Route: coreclaim.Route{Upstream: "u", Incarnation: "i", Attempt: fmt.Sprint(key, repeat)}})
 	if grant == nil {
 		b.refused(err)
 		return
 	}
-	b.granted(key, begin)
+	b.granted(key, start)
 	time.Sleep(time.Duration((0.5 + rand.Float64()) * float64(b.cfg.MeanExecution)))
-	settling := time.Now()
+	completeStart := time.Now()
 	_ = grant.Complete(ctx, claim.Answer{Status: 200, Body: []byte(`{"stored":true}`)})
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	_ = b.completeTimes.RecordValue(time.Since(settling).Microseconds())
+	_ = b.completeTimes.RecordValue(time.Since(completeStart).Microseconds())
 	b.report.Completed++
 }
 
-func (b *bench) granted(key string, begin time.Time) {
+func (b *bench) granted(key string, start time.Time) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.executions[key]++
-	_ = b.claimTimes.RecordValue(now.Sub(begin).Microseconds())
+	_ = b.claimTimes.RecordValue(now.Sub(start).Microseconds())
 	killed := b.killedAt.Load()
-	if killed != 0 && b.report.RecoveryMs == 0 && begin.UnixNano() > killed && b.fleet.hasSuccessor(coreclaim.Key("bench", key)) {
+	if killed != 0 && b.report.RecoveryMs == 0 && start.UnixNano() > killed && b.fleet.hasSuccessor(coreclaim.Key("bench", key)) {
 		b.report.RecoveryMs = float64(now.UnixNano()-killed) / float64(time.Millisecond)
 	}
 }
@@ -210,7 +210,7 @@
 	b.report.Repeated++
 }
 
-func (b *bench) finish(took float64) {
+func (b *bench) finish(elapsed float64) {
 	r := &b.report
 	for _, n := range b.executions {
 		r.Duplicates += n - 1
@@ -220,7 +220,7 @@
 		r.Pending += n
 	}
 	const ms = 1000.0
-	r.ClaimsPerSecond, r.BudgetShare = float64(r.Completed)/took, r.CommitsPerSecond/b.cfg.WritesPerSecond
+	r.ClaimsPerSecond, r.BudgetShare = float64(r.Completed)/elapsed, r.CommitsPerSecond/b.cfg.WritesPerSecond
 	r.ClaimP50Ms, r.ClaimP99Ms = float64(b.claimTimes.ValueAtQuantile(50))/ms, float64(b.claimTimes.ValueAtQuantile(99))/ms
 	r.CompleteP99Ms = float64(b.completeTimes.ValueAtQuantile(99)) / ms
 	r.LimitedCommits, r.OpenMs = b.table.LimitedCommits(), b.fleet.openMs()
--- a/standin/compare/compare.go
+++ b/standin/compare/compare.go
@@ -44,23 +44,23 @@
 
 // MatchPairs matches plays of the same day, in the order in which they were played,
 // and counts those that have no match.
-func MatchPairs(before, after []Run) (pairs []Pair, left int) {
-	waiting := map[key][]Run{}
+func MatchPairs(before, after []Run) (pairs []Pair, unpaired int) {
+	unmatched := map[key][]Run{}
 	for _, p := range before {
-		waiting[p.key()] = append(waiting[p.key()], p)
+		unmatched[p.key()] = append(unmatched[p.key()], p)
 	}
 	for _, p := range after {
-		all := waiting[p.key()]
+		all := unmatched[p.key()]
 		if len(all) == 0 {
-			left++
+			unpaired++
 			continue
 		}
-		pairs, waiting[p.key()] = append(pairs, Pair{all[0], p}), all[1:]
+		pairs, unmatched[p.key()] = append(pairs, Pair{all[0], p}), all[1:]
 	}
-	for _, all := range waiting {
-		left += len(all)
+	for _, all := range unmatched {
+		unpaired += len(all)
 	}
-	return pairs, left
+	return pairs, unpaired
 }
 
 // Verdict says which way is better, if either is.
@@ -125,7 +125,7 @@
 
 // compareFigures compares every figure that both plays of some pair have.
 func compareFigures(site string, pairs []Pair) []Row {
-	differences, befores := map[string][]float64{}, map[string]float64{}
+	differences, beforeSums := map[string][]float64{}, map[string]float64{}
 	var names []string
 	for _, p := range pairs {
 		after := map[string]float64{}
@@ -141,30 +141,30 @@
 				names = append(names, f.Name)
 			}
 			differences[f.Name] = append(differences[f.Name], value-f.Value)
-			befores[f.Name] += f.Value
+			beforeSums[f.Name] += f.Value
 		}
 	}
 	rows := make([]Row, len(names))
 	for i, name := range names {
 		rows[i] = newRow(differences[name])
-		rows[i].Site, rows[i].Figure, rows[i].MeanBefore = site, name, befores[name]/float64(len(differences[name]))
+		rows[i].Site, rows[i].Figure, rows[i].MeanBefore = site, name, beforeSums[name]/float64(len(differences[name]))
 	}
 	return rows
 }
 
 // newRow is the mean of differences, and whether it can be the draws' alone.
-func newRow(all []float64) Row {
-	n := float64(len(all))
-	r := Row{Pairs: len(all)}
-	for _, d := range all {
+func newRow(differences []float64) Row {
+	n := float64(len(differences))
+	r := Row{Pairs: len(differences)}
+	for _, d := range differences {
 		r.MeanDifference += d / n
 	}
-	if len(all) < minPairs {
+	if len(differences) < minPairs {
 		r.Verdict = TooFew
 		return r
 	}
 	squares := 0.0
-	for _, d := range all {
+	for _, d := range differences {
 		squares += (d - r.MeanDifference) * (d - r.MeanDifference)
 	}
 	r.Error = math.Sqrt(squares / (n - 1) / n)
@@ -181,10 +181,10 @@
 }
 
 // SiteNames names the deployments of plays.
-func SiteNames(plays []Run) string {
+func SiteNames(runs []Run) string {
 	var names []string
-	for i := range plays {
-		names = append(names, plays[i].Site)
+	for i := range runs {
+		names = append(names, runs[i].Site)
 	}
 	slices.SortFunc(names, cmp.Compare[string])
 	return strings.Join(slices.Compact(names), ", ")
--- a/standin/compare/compare_test.go
+++ b/standin/compare/compare_test.go
@@ -95,8 +95,8 @@
 	assert.NilError(t, err)
 	other, err := Read(journal("other", map[string][]float64{"b": {0.8}}), []string{"b"})
 	assert.NilError(t, err)
-	pairs, left := MatchPairs(a, other)
-	assert.Equal(t, left, 2)
+	pairs, unpaired := MatchPairs(a, other)
+	assert.Equal(t, unpaired, 2)
 	_, err = Compare(pairs)
 	assert.ErrorIs(t, err, ErrNoPairs)
 }
@@ -121,12 +121,12 @@
 // Every play is in one pair at most, and none is lost.
 func TestPairsTakeEachPlayOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		plays := rapid.SliceOf(rapid.Custom(func(t *rapid.T) Run {
+		runs := rapid.SliceOf(rapid.Custom(func(t *rapid.T) Run {
 			return Run{Site: rapid.SampledFrom([]string{"s", "t"}).Draw(t, "site"), Seed: rapid.Int64Range(0, 3).Draw(t, "seed")}
 		}))
-		before, after := plays.Draw(t, "before"), plays.Draw(t, "after")
-		pairs, left := MatchPairs(before, after)
-		assert.Equal(t, 2*len(pairs)+left, len(before)+len(after))
+		before, after := runs.Draw(t, "before"), runs.Draw(t, "after")
+		pairs, unpaired := MatchPairs(before, after)
+		assert.Equal(t, 2*len(pairs)+unpaired, len(before)+len(after))
 		for _, p := range pairs {
 			assert.Equal(t, p.Before.key(), p.After.key())
 		}
--- a/standin/compare/journal.go
+++ b/standin/compare/journal.go
@@ -76,7 +76,7 @@
 	}
 	slices.Sort(files)
 	found := make(map[string]bool, len(names))
-	var plays []Run
+	var runs []Run
 	for _, file := range files {
 		e, err := readEntry(journal, file)
 		if err != nil {
@@ -93,7 +93,7 @@
 			if e.Edited {
 				return nil, eris.Errorf("entry %s: its sources changed while it was played", e.ID)
 			}
-			plays = append(plays, e.runs()...)
+			runs = append(runs, e.runs()...)
 			break
 		}
 	}
@@ -102,7 +102,7 @@
 			return nil, eris.Errorf("no entry, and no commit or digest of one's sources, begins with %q", name)
 		}
 	}
-	return plays, nil
+	return runs, nil
 }
 
 func readEntry(journal fs.FS, file string) (*entry, error) {
--- a/standin/speed/parts.go
+++ b/standin/speed/parts.go
@@ -45,9 +45,9 @@
 // memoryAfterCollections lists models until the host has collected its garbage twice with
 // the streams open, so that what it holds live is known.
 func memoryAfterCollections(ctx context.Context, cfg Config, c *caller) (memoryUse, error) {
-	began, err := readMemory(ctx, cfg, c)
-	now := began
-	for err == nil && now.collections < began.collections+2 {
+	first, err := readMemory(ctx, cfg, c)
+	now := first
+	for err == nil && now.collections < first.collections+2 {
 		for range 500 {
 			if err := c.listModels(ctx, cfg.Layout.Entries[1].Caller); err != nil {
 				return now, err
@@ -72,16 +72,16 @@
 	if err != nil {
 		return Throughput{}, err
 	}
-	began, seen := time.Now(), f.events.Load()
+	began, events := time.Now(), f.events.Load()
 	if !pace.Sleep(ctx, cfg.Duration) {
 		return Throughput{}, ctx.Err()
 	}
-	took, seen := time.Since(began), f.events.Load()-seen
+	took, events := time.Since(began), f.events.Load()-events
 	after, err := cpuTime(cfg.OneCorePID)
 	if err == nil {
 		err = f.firstError()
 	}
-	return Throughput{Streams: streams, TokensPerSecond: float64(seen) / took.Seconds(), CPUShare: (after - cpu).Seconds() / took.Seconds()}, err
+	return Throughput{Streams: streams, TokensPerSecond: float64(events) / took.Seconds(), CPUShare: (after - cpu).Seconds() / took.Seconds()}, err
 }
 
 func measurePaced(ctx context.Context, cfg Config, rep *Report) (err error) {
@@ -104,13 +104,13 @@
 	for _, f := range []*firstByteTimer{direct, host} {
 		f.times = hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 	}
-	gap := time.Second / time.Duration(2*cfg.RequestsPerSecond)
-	n := int(cfg.Duration.Seconds()) * 2 * cfg.RequestsPerSecond
-	warm := int(warmUp.Seconds()) * 2 * cfg.RequestsPerSecond
+	interval := time.Second / time.Duration(2*cfg.RequestsPerSecond)
+	measured := int(cfg.Duration.Seconds()) * 2 * cfg.RequestsPerSecond
+	warmUpRequests := int(warmUp.Seconds()) * 2 * cfg.RequestsPerSecond
 	began := time.Now()
 	var wg sync.WaitGroup
-	for i := range warm + n {
-		if wait := time.Until(began.Add(time.Duration(i) * gap)); wait > 0 {
+	for i := range warmUpRequests + measured {
+		if wait := time.Until(began.Add(time.Duration(i) * interval)); wait > 0 {
 			if !pace.Sleep(ctx, wait) {
 				return ctx.Err()
 			}
@@ -119,7 +119,7 @@
 		if i%2 == 1 {
 			f = host
 		}
-		wg.Go(func() { f.measure(ctx, i, i >= warm) })
+		wg.Go(func() { f.measure(ctx, i, i >= warmUpRequests) })
 	}
 	wg.Wait()
 	rep.DirectMs, rep.HostMs = load.QuantilesOf(direct.times), load.QuantilesOf(host.times)
@@ -139,7 +139,7 @@
 	err       error
 }
 
-func (f *firstByteTimer) measure(ctx context.Context, i int, counts bool) {
+func (f *firstByteTimer) measure(ctx context.Context, i int, record bool) {
 	began := time.Now()
 	body, err := f.caller.openStream(ctx, f.addresses[(i/2)%len(f.addresses)], modelFast, 1)
 	var took time.Duration
@@ -156,7 +156,7 @@
 		f.err = err
 		return
 	}
-	if counts {
+	if record {
 		_ = f.times.RecordValue(max(took.Microseconds(), 1)) // below the minute by far
 	}
 }
--- a/standin/speed/proc.go
+++ b/standin/speed/proc.go
@@ -61,8 +61,8 @@
 		return 0, eris.Wrap(err, "read memory")
 	}
 	for _, line := range bytes.Split(data, []byte{'\n'}) {
-		if rest, ok := bytes.CutPrefix(line, []byte("VmRSS:")); ok {
-			f := bytes.Fields(rest)
+		if value, ok := bytes.CutPrefix(line, []byte("VmRSS:")); ok {
+			f := bytes.Fields(value)
 			return strconv.ParseFloat(string(f[0]), 64)
 		}
 	}
