--- a/cmd/internal/endtoend/main_test.go
+++ b/cmd/internal/endtoend/main_test.go
@@ -1,4 +1,4 @@
-// Package endtoend runs both binaries as an operator would.
+// Package endtoend tests both binaries by running them as an operator does.
 package endtoend
 
 import (
@@ -20,7 +20,7 @@
 	"peridotpier.example/standin/site"
 )
 
-var bin string // folder of the binaries
+var bin string // folder with the built binaries
 
 func TestMain(m *testing.M) {
 	os.Exit(run(m))
@@ -42,7 +42,7 @@
 	return m.Run()
 }
 
-// result is what a command came to.
+// result is the exit code and output of a command.
 type result struct {
 	t      *testing.T
 	args   []string
@@ -51,6 +51,7 @@
 	stderr string
 }
 
+// command runs one of the binaries with the local operator's key.
 func command(t *testing.T, binary string, args ...string) result {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), filepath.Join(bin, binary), args...)
@@ -63,21 +64,21 @@
 	return result{t, args, cmd.ProcessState.ExitCode(), out.String(), errs.String()}
 }
 
-// exits checks the exit code.
+// exits asserts the exit code.
 func (r result) exits(code int) result {
 	r.t.Helper()
 	assert.Equal(r.t, r.code, code, "%v\n%s%s", r.args, r.stdout, r.stderr)
 	return r
 }
 
-// into decodes what was printed with --json.
+// into decodes the JSON on standard output into v.
 func (r result) into(v any) result {
 	r.t.Helper()
 	assert.NilError(r.t, json.Unmarshal([]byte(r.stdout), v), "%v printed %s", r.args, r.stdout)
 	return r
 }
 
-// fleet is two entry hosts of Kathmandu.
+// fleet is two running entry hosts of the built-in site "kathmandu".
 type fleet struct {
 	t   *testing.T
 	run *local.RunningSite
@@ -87,7 +88,7 @@
 	t.Helper()
 	s, err := site.Load("kathmandu")
 	assert.NilError(t, err)
-	s.Store.HostListLagMs = 0 // the hosts find one another by the list: no need to wait for its lag
+	s.Store.HostListLagMs = 0 // the hosts find each other by the host list; the test need not wait for its lag
 	r, err := local.Start(t.Context(), local.Options{Site: s, Seed: 1, Hosts: 2})
 	assert.NilError(t, err)
 	t.Cleanup(r.Close)
@@ -98,8 +99,8 @@
 	return f
 }
 
-// awaitPeers waits until a host is linked with the other one. Before that,
-// each rightly takes itself for the only host there is.
+// awaitPeers waits until a host is linked with the other one. Before that, each host
+// correctly treats itself as the only one.
 func (f *fleet) awaitPeers(host int) {
 	f.t.Helper()
 	for {
@@ -116,10 +117,10 @@
 	}
 }
 
-// node is the operators' URL of a host, from 0.
+// node returns the URL of the operators' API of a host, numbered from 0.
 func (f *fleet) node(i int) string { return "http://" + f.run.OperatorAddresses()[i] }
 
-// pierctl runs a command against a host, printing JSON.
+// pierctl runs pierctl with --json against a host.
 func (f *fleet) pierctl(host int, args ...string) result {
 	f.t.Helper()
 	return command(f.t, "pierctl", append(args, "--json", "--node", f.node(host))...)
--- a/cmd/internal/endtoend/peridotpier_test.go
+++ b/cmd/internal/endtoend/peridotpier_test.go
@@ -41,11 +41,10 @@
 	assert.Assert(t, v.Version != "")
 }
 
-// Symptom: a host that is told to stop cuts streams off, or does not end.
-// Sequence: SIGTERM arrives while streams run through it and callers still
-// send to it.
-// Cause: only a process of its own meets signals, exit codes, its settings
-// file and the platform over HTTP.
+// Guards against a host that cuts streams off on SIGTERM, or does not terminate, when the
+// signal arrives while streams run through it and callers still send to it. It needs
+// separate processes: only they have signals, exit codes, a settings file and the platform
+// over HTTP.
 func TestHostsAsProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs for some 15 s")
@@ -55,7 +54,8 @@
 	assert.NilError(t, err)
 }
 
-// altered writes an example with parts replaced: old, new, old, new.
+// altered writes a copy of an example with parts replaced and returns its path; change is
+// pairs of an old and a new text.
 func altered(t *testing.T, example string, change ...string) string {
 	t.Helper()
 	data, err := os.ReadFile(examples + example)
--- a/cmd/internal/endtoend/pierctl_test.go
+++ b/cmd/internal/endtoend/pierctl_test.go
@@ -62,8 +62,8 @@
 		assert.Equal(t, h.Version, uint64(2), h.Host)
 	}
 
-	f.pierctl(1, "apply", file, "--parent", "1").exits(3) // made from a version that is past
-	f.pierctl(1, "apply", file).exits(3)                  // made as the first one
+	f.pierctl(1, "apply", file, "--parent", "1").exits(3) // made from an outdated version
+	f.pierctl(1, "apply", file).exits(3)                  // made as if there were no version yet
 	f.pierctl(1, "apply", file, "--parent", "2", "--preset", "none").exits(1)
 	f.pierctl(1, "apply", filepath.Join(t.TempDir(), "absent.json"), "--parent", "2").exits(1)
 	f.pierctl(1, "apply").exits(2)
@@ -99,9 +99,9 @@
 	f.pierctl(0, "audit", "more").exits(2)
 }
 
-// Symptom: an operator cancels a request and its stream goes on.
-// Sequence: the request runs on one host, the operator asks another.
-// Cause: only the host named in the request's id can show and cancel it.
+// Guards against a stream that goes on after an operator cancelled its request at another
+// host: only the host named in the request's id can show and cancel it, so that the other
+// has to forward the command.
 func TestRequestsThroughAnotherHost(t *testing.T) {
 	f := newFleet(t)
 	body := `{"model":"quotation-32b","stream":true,"max_tokens":8000,"messages":[{"role":"user","content":"hello"}]}`
@@ -121,15 +121,15 @@
 	assert.Equal(t, q.ID, id)
 	assert.Equal(t, q.State, inflight.StateRunning)
 	f.pierctl(1, "request", "cancel", id).exits(0)
-	rest, _ := io.ReadAll(resp.Body) // breaks off, as a cancelled stream must
-	assert.Assert(t, !strings.Contains(string(rest), "[DONE]"), "the stream ended as if it were whole")
+	rest, _ := io.ReadAll(resp.Body) // ends early, as a cancelled stream must
+	assert.Assert(t, !strings.Contains(string(rest), "[DONE]"), "the cancelled stream ended as if it were complete")
 
 	f.pierctl(1, "request", "cancel", id).exits(5)
 	f.pierctl(1, "request", "show", "r-entry-1-"+strings.Repeat("0", 36)).exits(5)
 	f.pierctl(1, "request", "show").exits(2)
 }
 
-func TestCommandLinesThatCannotWork(t *testing.T) {
+func TestUnusableCommandLinesFail(t *testing.T) {
 	f := newFleet(t)
 	wrong := writeFile(t, "key", "wrong")
 	f.pierctl(0, "status", "--key-file", wrong).exits(1)
--- a/cmd/internal/endtoend/stop_test.go
+++ b/cmd/internal/endtoend/stop_test.go
@@ -12,9 +12,9 @@
 	"gotest.tools/v3/poll"
 )
 
-// Symptom: an operator's command fails with the end of its connection.
-// Sequence: its request comes while the host stops.
-// Cause: the callers are awaited at a stop, the operators are not.
+// Guards against an operator's command that fails with a closed connection because its
+// request arrives while the host stops: a stop has to wait for operators' requests as it
+// waits for callers'.
 func TestAStopAnswersAnOperator(t *testing.T) {
 	f := newFleet(t)
 	address := f.run.OperatorAddresses()[0]
@@ -32,13 +32,13 @@
 			return poll.Success()
 		}
 		_ = nc.Close()
-		return poll.Continue("the host still takes operators")
+		return poll.Continue("the host still accepts operators' connections")
 	}, poll.WithDelay(10*time.Millisecond), poll.WithTimeout(15*time.Second))
 	_, err = io.WriteString(c, "Host: site.example\r\n\r\n")
 	assert.NilError(t, err)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	assert.NilError(t, err)
 	_ = resp.Body.Close()
-	assert.Assert(t, resp.Close, "the next request belongs at another host")
+	assert.Assert(t, resp.Close, "the next request must go to another host")
 	assert.NilError(t, <-stopped)
 }
--- a/cmd/internal/exit/exit.go
+++ b/cmd/internal/exit/exit.go
@@ -1,5 +1,5 @@
-// Package exit holds what both binaries' subcommands share: exit codes and how
-// errors and results are printed.
+// Package exit has the exit codes that the subcommands of both binaries share, and prints
+// their errors.
 package exit
 
 import (
@@ -14,21 +14,21 @@
 // Exit codes, as documented in docs/operators/commands.md.
 const (
 	OK          = subcommands.ExitSuccess    // 0
-	Failed      = subcommands.ExitFailure    // 1: it was tried and failed, or a check found faults
-	Usage       = subcommands.ExitUsageError // 2: the command line is wrong
-	Conflict    = subcommands.ExitStatus(3)  // 3: another operator was first; look and try again
-	Unconfirmed = subcommands.ExitStatus(4)  // 4: it may or may not have taken effect; look before trying again
-	NotFound    = subcommands.ExitStatus(5)  // 5: there is no such thing
+	Failed      = subcommands.ExitFailure    // 1: the operation failed, or a check found faults
+	Usage       = subcommands.ExitUsageError // 2: the command line is invalid
+	Conflict    = subcommands.ExitStatus(3)  // 3: another operator's change came first; look at it before trying again
+	Unconfirmed = subcommands.ExitStatus(4)  // 4: the change may or may not have taken effect; check before trying again
+	NotFound    = subcommands.ExitStatus(5)  // 5: what the command names does not exist
 )
 
-// Error is an error with its exit code and what to do about it.
+// Error is an error with its exit code and a hint for the operator.
 type Error struct {
 	Code subcommands.ExitStatus
 	Err  error
-	Hint string
+	Hint string // what the operator can do about it; "": no hint
 }
 
-// Error writes the cause and what to do.
+// Error returns the cause and the hint.
 func (e *Error) Error() string {
 	if e.Hint == "" {
 		return e.Err.Error()
@@ -39,7 +39,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Print writes err to w, as JSON when asked, and returns its exit code.
+// Print writes err to w, as a JSON object if asJSON is set, and returns its exit code: OK
+// without an error, and Failed if it is not an Error.
 func Print(w io.Writer, asJSON bool, err error) subcommands.ExitStatus {
 	if err == nil {
 		return OK
--- a/cmd/internal/operator/client.go
+++ b/cmd/internal/operator/client.go
@@ -1,4 +1,4 @@
-// Package operator calls the operators' interface of a node.
+// Package operator is a client of the operators' API of a node.
 package operator
 
 import (
@@ -22,15 +22,16 @@
 	"peridotpier.example/node/operatorapi"
 )
 
-// The environment that stands in for flags.
+// Environment variables that give the defaults of flags.
 const (
 	EnvNode = "PIERCTL_NODE"
 	EnvKey  = "PIERCTL_KEY"
 )
 
+// callTimeout bounds one call, from its connection to the end of its answer.
 const callTimeout = 30 * time.Second
 
-// Flags say which node to call and as whom.
+// Flags are the command-line flags that select the node and the operator's credentials.
 type Flags struct {
 	Node        string
 	KeyFile     string
@@ -40,7 +41,7 @@
 	JSON        bool
 }
 
-// Set registers the flags.
+// Set registers the flags in fs.
 func (f *Flags) Set(fs *flag.FlagSet) {
 	fs.StringVar(&f.Node, "node", os.Getenv(EnvNode), "operators' `URL` of any entry host, http(s)://IP:port; default $"+EnvNode)
 	fs.StringVar(&f.KeyFile, "key-file", "", "`file` with the operator's key; default $"+EnvKey)
@@ -50,14 +51,15 @@
 	fs.BoolVar(&f.JSON, "json", false, "print JSON")
 }
 
-// Client calls one node.
+// Client calls the operators' API of one node.
 type Client struct {
 	base string
 	key  string
 	http *http.Client
 }
 
-// NewClient makes a client from the flags.
+// NewClient returns a client for the node that the flags select. A missing key, and a
+// missing or malformed URL, are exit.Errors with the code exit.Usage.
 func (f *Flags) NewClient() (*Client, error) {
 	if f.Node == "" {
 		return nil, &exit.Error{Code: exit.Usage, Err: errors.New("no node given"), Hint: "pass --node http://IP:port or set " + EnvNode}
@@ -85,6 +87,7 @@
 		http: &http.Client{Timeout: callTimeout, Transport: &http.Transport{TLSClientConfig: conf}}}, nil
 }
 
+// tlsConfig returns nil, which means Go's defaults, if no authorities are given.
 func (f *Flags) tlsConfig() (*tls.Config, error) {
 	if f.CAFile == "" {
 		return nil, nil
@@ -108,7 +111,9 @@
 	return c, nil
 }
 
-// Call makes one call and decodes its answer into out, unless out is nil.
+// Call makes one call and decodes the JSON of its answer into out, unless out is nil or the
+// answer is empty. A call that is refused or gets no answer is an exit.Error with the exit
+// code for its cause.
 func (c *Client) Call(ctx context.Context, method, path string, query url.Values, body []byte, out any) error {
 	target := c.base + path
 	if len(query) > 0 {
@@ -137,8 +142,8 @@
 	return json.Unmarshal(data, out)
 }
 
-// connectionError is a lost answer: a read may be made again, a change may have
-// taken effect, unless no connection was made.
+// connectionError returns the error of a call without a complete answer. A read can be
+// repeated; a change may have taken effect, unless no connection was made.
 func (c *Client) connectionError(method string, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -150,6 +155,8 @@
 	return &exit.Error{Code: exit.Unconfirmed, Err: err, Hint: "it may or may not have taken effect: look with pierctl status through another entry host before trying again"}
 }
 
+// responseError returns the error that a response with an error status describes, with the
+// exit code for it.
 func responseError(status int, data []byte) error {
 	var p operatorapi.Problem
 	if json.Unmarshal(data, &p) != nil || p.Message == "" {
