--- a/cmd/peridotpier/check.go
+++ b/cmd/peridotpier/check.go
@@ -15,6 +15,7 @@
 	"peridotpier.example/node/settings"
 )
 
+// checkCommand checks settings files and deployment configurations without running a host.
 type checkCommand struct {
 	settingsFile     string
 	hostSettingsFile string
--- a/cmd/peridotpier/host.go
+++ b/cmd/peridotpier/host.go
@@ -19,9 +19,11 @@
 	"peridotpier.example/platform"
 )
 
-// settingsEnv names the settings file when no flag does.
+// settingsEnv is the environment variable with the path of the settings file, the default
+// of the flag --settings.
 const settingsEnv = "PERIDOTPIER_NODE_FILE"
 
+// hostCommand runs an entry host of a routed deployment.
 type hostCommand struct{ settingsFile string }
 
 func (*hostCommand) Name() string { return "host" }
@@ -83,14 +85,15 @@
 	return h.Run(ctx)
 }
 
-// newPlatform connects the product to the users' platform.
+// newPlatform returns the adapters that connect a host to the users' platform.
 func newPlatform(set *host.Settings) host.Platform {
 	client := conn.New(conn.Config{Dialer: conn.NewDialer()})
 	table := &platform.Store{Client: client, Address: set.Store}
 	return host.Platform{Source: table, Table: table, Codec: platform.Headers{}, Orders: platform.Upstreams{Client: client}}
 }
 
-// reloadSignals turns signals into plain notices.
+// reloadSignals returns a channel that receives a value after each signal until ctx ends.
+// Signals that arrive while one value waits to be received are merged into it.
 func reloadSignals(ctx context.Context, signals <-chan os.Signal) <-chan struct{} {
 	reload := make(chan struct{}, 1)
 	go func() {
@@ -101,7 +104,7 @@
 			case <-signals:
 				select {
 				case reload <- struct{}{}:
-				default: // one is waiting, and reads what is there then
+				default: // the value that already waits causes a reload that reads this change too
 				}
 			}
 		}
--- a/cmd/peridotpier/main.go
+++ b/cmd/peridotpier/main.go
@@ -1,4 +1,5 @@
-// Command peridotpier is the node that runs on every entry host.
+// Command peridotpier runs the node of an entry host, and checks its settings and
+// configurations.
 package main
 
 import (
--- a/cmd/peridotpier/serve.go
+++ b/cmd/peridotpier/serve.go
@@ -21,6 +21,7 @@
 	"peridotpier.example/node/store/rest"
 )
 
+// serveCommand runs a node until a signal stops it.
 type serveCommand struct{ settingsFile string }
 
 func (*serveCommand) Name() string     { return "serve" }
@@ -55,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Sync() }() // standard error cannot be synced everywhere
+	defer func() { _ = log.Sync() }() // syncing standard error fails on some systems
 	ring, err := keys.Load(keys.Config{Settings: set, File: c.settingsFile}, keys.Deps{Log: event.NewLog(log)})
 	if err != nil {
 		return err
@@ -69,7 +70,7 @@
 	return s.Run(ctx)
 }
 
-// newLog writes JSON lines to standard error.
+// newLog returns a logger that writes JSON lines to standard error.
 func newLog(level string) (*zap.Logger, error) {
 	l, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -77,11 +78,12 @@
 	}
 	cfg := zap.NewProductionConfig()
 	cfg.Level = zap.NewAtomicLevelAt(l)
-	cfg.Sampling = nil // a numbered event must not be lost among its like
+	cfg.Sampling = nil // sampling would drop numbered events that repeat
 	cfg.EncoderConfig.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	return cfg.Build()
 }
 
+// newPlatformClients returns clients for the services of the platform.
 func newPlatformClients(p settings.Platform) server.Platform {
 	client := func(base string) *rest.Client {
 		return rest.New(rest.Config{BaseURL: base, Timeout: time.Duration(p.TimeoutMs) * time.Millisecond})
--- a/cmd/peridotpier/version.go
+++ b/cmd/peridotpier/version.go
@@ -14,9 +14,10 @@
 	"peridotpier.example/cmd/internal/exit"
 )
 
-// Version is the release that this tree is on the way to.
+// Version is the next release, which this source tree leads to.
 const Version = "0.1.0"
 
+// versionCommand prints the version, the commit and the Go release of the binary.
 type versionCommand struct{ printJSON bool }
 
 func (*versionCommand) Name() string     { return "version" }
--- a/cmd/pierctl/apply.go
+++ b/cmd/pierctl/apply.go
@@ -17,9 +17,10 @@
 	"peridotpier.example/node/operatorapi"
 )
 
-// pollInterval is the pause between two looks at which hosts have a version.
+// pollInterval is the pause between two checks of which hosts have a version in force.
 const pollInterval = 500 * time.Millisecond
 
+// applyFlags are the flags of the command "apply".
 type applyFlags struct {
 	parent uint64
 	preset string
@@ -45,6 +46,7 @@
 	}
 }
 
+// apply puts the configuration in file in force, and waits for all hosts if asked to.
 func apply(ctx context.Context, c *operator.Client, file string, fl applyFlags) (any, func(), error) {
 	doc, err := os.ReadFile(file)
 	if err != nil {
@@ -63,11 +65,12 @@
 	return a, func() { fmt.Printf("version %d is in force, preset %s\n", a.Head.Version, a.Head.Preset) }, nil
 }
 
-// awaitEverywhere waits until every live host has a version in force.
+// awaitEverywhere waits until every live host has a version in force, for at most maxWait.
+// When the time is over, the error has the exit code exit.Unconfirmed.
 func awaitEverywhere(ctx context.Context, c *operator.Client, version uint64, maxWait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, maxWait)
 	defer cancel()
-	waiting := -1
+	waiting := -1 // number of hosts without the version; -1: not known yet
 	for {
 		var e operatorapi.Rollout
 		if err := c.Call(ctx, http.MethodGet, "/v1/everywhere", nil, nil, &e); err == nil && e.Version >= version {
--- a/cmd/pierctl/bench.go
+++ b/cmd/pierctl/bench.go
@@ -18,6 +18,7 @@
 	"peridotpier.example/standin/site"
 )
 
+// benchCommand measures one policy, or compares several, on a site of imitated upstreams.
 type benchCommand struct {
 	cfg        bench.Config
 	site       string
@@ -96,6 +97,8 @@
 	return out, nil
 }
 
+// runOne measures one policy, and the oracle on the same seed if asked to. It reports
+// whether the run was sound.
 func (c *benchCommand) runOne(ctx context.Context) (sound bool, err error) {
 	r, err := bench.RunPolicy(ctx, c.cfg)
 	if err != nil {
@@ -122,6 +125,8 @@
 	return r.InvariantsHold(), nil
 }
 
+// runComparison measures several policies on each seed. It reports whether all runs of the
+// product's own policy were sound; baselines need not be.
 func (c *benchCommand) runComparison(ctx context.Context, seeds []uint64) (sound bool, err error) {
 	result, err := bench.Compare(ctx, c.cfg, strings.Split(c.policies, ","), seeds, func(r *bench.Run) {
 		fmt.Fprintf(os.Stderr, "\rseed %d %-12s attainment %.4f urgent %.4f moves %d%20s\n", r.Seed, r.Policy, r.Attainment, r.UrgentAttainment, r.ModelLoads, "")
@@ -164,6 +169,7 @@
 	}
 }
 
+// formatSpread returns a spread as "mean (min to max)".
 func formatSpread(s bench.Spread, digits int) string {
 	return fmt.Sprintf("%.*f (%.*f to %.*f)", digits, s.Mean, digits, s.Min, digits, s.Max)
 }
--- a/cmd/pierctl/claims.go
+++ b/cmd/pierctl/claims.go
@@ -16,7 +16,8 @@
 	"peridotpier.example/standin/claimbench"
 )
 
-// claimsCommand measures what the claims of requests that may not be repeated cost.
+// claimsCommand measures how much load the claims of requests that may not be repeated put
+// on the table service.
 type claimsCommand struct {
 	mode       string
 	quietSite  bool
--- a/cmd/pierctl/compare.go
+++ b/cmd/pierctl/compare.go
@@ -15,13 +15,14 @@
 	"peridotpier.example/standin/compare"
 )
 
-// compareCommand compares two ways of one decision by the days that both played.
+// compareCommand compares two variants of a policy by the days in the journal that were run
+// with both.
 type compareCommand struct {
 	journal, before, after, plot string
 	printJSON                    bool
 }
 
-// Name implements subcommands.Command, as the methods below do.
+// Name implements subcommands.Command, as do the methods below.
 func (*compareCommand) Name() string { return "compare" }
 func (*compareCommand) Synopsis() string {
 	return "compare two ways by the days that both have played"
--- a/cmd/pierctl/demo.go
+++ b/cmd/pierctl/demo.go
@@ -16,6 +16,7 @@
 	"peridotpier.example/standin/site"
 )
 
+// demoCommand runs a whole site on loopback, with imitated upstreams.
 type demoCommand struct {
 	site      string
 	duration  time.Duration
@@ -52,7 +53,8 @@
 	f.BoolVar(&c.printJSON, "json", false, "print one JSON object at the end")
 }
 
-// interactiveDuration is the length of the traffic's plan without --for.
+// interactiveDuration is the length of the planned traffic without --for: the run ends
+// earlier if it is interrupted.
 const interactiveDuration = time.Hour
 
 func (c *demoCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -89,13 +91,13 @@
 	}
 	rep, err := r.Drive(ctx, d)
 	if c.duration == 0 && errors.Is(err, context.Canceled) {
-		err = nil // interrupted, as it was meant to be
+		err = nil // without --for, an interruption is the normal end
 	}
 	return rep, err
 }
 
-// writeCertificates writes the authority's certificate to a file, and beside it
-// the certificate and key of an operator.
+// writeCertificates writes the authority's certificate to the file ca, and an operator's
+// certificate and key to files beside it.
 func writeCertificates(ca string, r *local.RunningSite) error {
 	certificate, key, err := r.Authority.Issue("operator", pki.WithIPAddress("127.0.0.1"))
 	if err != nil {
@@ -109,14 +111,14 @@
 	return nil
 }
 
-// What the names of an operator's files end in, after the authority's.
+// Suffixes that make the names of the operator's files from that of the authority's.
 const (
 	operatorCertSuffix = ".operator.pem"
 	operatorKeySuffix  = ".operator.key"
 )
 
-// pierctlLine is how the printed lines operate a host; "" when they cannot, for
-// want of a certificate in a file.
+// pierctlLine returns the format of the printed pierctl lines, for a subcommand and a node's
+// URL. It is "" if they could not work, because TLS is used and no certificate is in a file.
 func (c *demoCommand) pierctlLine() string {
 	command := local.OperatorKey + " go run ./cmd/pierctl"
 	switch {
@@ -129,7 +131,7 @@
 	}
 }
 
-// curlLine is how the printed lines call a host.
+// curlLine returns the beginning of the printed curl lines.
 func (c *demoCommand) curlLine() string {
 	switch {
 	case !c.tls:
--- a/cmd/pierctl/drive.go
+++ b/cmd/pierctl/drive.go
@@ -16,7 +16,7 @@
 	"peridotpier.example/standin/site"
 )
 
-// driveCommand sends a site's demand to hosts beside "pierctl standin".
+// driveCommand sends a site's demand to entry hosts that run beside "pierctl standin".
 type driveCommand struct {
 	site      string
 	dir       string
@@ -67,7 +67,8 @@
 	return local.RemoteRun{Site: s, Layout: l, Seed: c.seed, Length: c.duration, Progress: showProgress}.Run(ctx)
 }
 
-// runAndReport makes a run, prints its report and turns it into an exit code.
+// runAndReport calls run, prints its report and returns the exit code: exit.Failed if the run
+// failed or was not sound.
 func runAndReport(ctx context.Context, run func(context.Context) (local.Report, error), asJSON bool) subcommands.ExitStatus {
 	rep, err := run(ctx)
 	if err != nil {
@@ -84,7 +85,7 @@
 	return exit.OK
 }
 
-// showProgress keeps one line on standard error up to date.
+// showProgress overwrites one line on standard error with the current progress.
 func showProgress(p load.Progress) {
 	fmt.Fprintf(os.Stderr, "\r%5.0fs  sent %6d  answered %6d  in time %6d ", p.Elapsed.Seconds(), p.Sent, p.Finished, p.MetDeadline)
 }
--- a/cmd/pierctl/fleet.go
+++ b/cmd/pierctl/fleet.go
@@ -18,7 +18,7 @@
 	"peridotpier.example/standin/local"
 )
 
-// fleetCommand measures what acting as one costs fleets of real nodes.
+// fleetCommand measures the cost of the control path of fleets of real nodes.
 type fleetCommand struct {
 	nodes     int
 	upstreams int
@@ -49,7 +49,7 @@
 	f.BoolVar(&c.printJSON, "json", false, "print one JSON object")
 }
 
-// upstreamsPerNode is the proportion of the design size, 2,500 to 420.
+// upstreamsPerNode is the ratio of the design size: 2,500 upstreams to 420 hosts.
 const upstreamsPerNode = 6
 
 func (c *fleetCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -63,6 +63,7 @@
 	return exit.OK
 }
 
+// runProfiled runs the command, and writes a CPU profile of it if asked to.
 func (c *fleetCommand) runProfiled(ctx context.Context) error {
 	if c.profile == "" {
 		return c.run(ctx)
@@ -74,7 +75,7 @@
 	if err := pprof.StartCPUProfile(file); err != nil {
 		return errors.Join(err, file.Close())
 	}
-	// What comes after an interruption is the end of the hosts, not the run.
+	// After an interruption the hosts shut down, which is no part of the run to profile.
 	defer context.AfterFunc(ctx, pprof.StopCPUProfile)()
 	err = c.run(ctx)
 	pprof.StopCPUProfile()
@@ -115,6 +116,7 @@
 	return errors.Join(local.PlotSlopes(file, runs), file.Close())
 }
 
+// runOne measures one fleet of a number of nodes.
 func (c *fleetCommand) runOne(ctx context.Context, nodes int) (local.FleetReport, error) {
 	upstreams := c.upstreams
 	if upstreams == 0 {
--- a/cmd/pierctl/hostpage.go
+++ b/cmd/pierctl/hostpage.go
@@ -17,14 +17,14 @@
 	"peridotpier.example/cmd/internal/exit"
 )
 
-// pageTimeout bounds one call of a host's pages.
+// pageTimeout bounds one run of a command that calls a host's pages.
 const pageTimeout = 5 * time.Second
 
-// maxPageBytes bounds a host's answer, in bytes.
+// maxPageBytes bounds how much of a host's answer is read.
 const maxPageBytes = 4 << 20
 
-// hostPage is what the commands share that ask a host of a routed deployment, at
-// its metrics address.
+// hostPage has the flags that are shared by the commands that call a host of a routed
+// deployment at its metrics address.
 type hostPage struct {
 	address   string
 	printJSON bool
@@ -35,7 +35,7 @@
 	f.BoolVar(&p.printJSON, "json", false, "print JSON")
 }
 
-// execute checks the address and runs the command within the time of one call.
+// execute checks the address and calls run with a timeout of pageTimeout.
 func (p *hostPage) execute(ctx context.Context, f *flag.FlagSet, usage string, run func(context.Context) error) subcommands.ExitStatus {
 	if _, err := netip.ParseAddrPort(p.address); err != nil || f.NArg() > 0 {
 		fmt.Fprint(os.Stderr, usage)
@@ -49,7 +49,8 @@
 	return exit.OK
 }
 
-// listPage prints each entry of a page by its line, or the page as it is.
+// listPage prints a page that is a JSON array: a line for each entry, or with --json the
+// page as received.
 func listPage[T any](ctx context.Context, p *hostPage, path string, line func(*T) string) error {
 	data, err := callPage(ctx, http.MethodGet, p.address, path)
 	if err != nil {
@@ -69,7 +70,8 @@
 	return nil
 }
 
-// callPage calls a page at a host's metrics address.
+// callPage sends a request to a path at a host's metrics address and returns the body of
+// the answer. Status codes of 400 and above are errors.
 func callPage(ctx context.Context, method, address, path string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
 	if err != nil {
--- a/cmd/pierctl/hoststatus.go
+++ b/cmd/pierctl/hoststatus.go
@@ -16,11 +16,11 @@
 	"peridotpier.example/node/host"
 )
 
-// hostStatusCommand shows whom a host of a routed deployment goes by, and what the
-// hosts tell each other.
+// hostStatusCommand shows which coordinator a host of a routed deployment follows, and the
+// traffic between the hosts.
 type hostStatusCommand struct{ hostPage }
 
-// Name implements subcommands.Command, as the methods below do.
+// Name implements subcommands.Command, as do the methods below.
 func (*hostStatusCommand) Name() string { return "hoststatus" }
 func (*hostStatusCommand) Synopsis() string {
 	return "show whom a host goes by, how often it reports, and what hosts tell each other"
--- a/cmd/pierctl/main.go
+++ b/cmd/pierctl/main.go
@@ -1,4 +1,5 @@
-// Command pierctl is the operators' tool, and runs the demo and the bench.
+// Command pierctl is the operators' tool. It also runs demonstrations and benchmarks with
+// imitated upstreams.
 package main
 
 import (
@@ -11,12 +12,13 @@
 	"github.com/google/subcommands"
 )
 
-// operatorCommands are the commands that call a host.
+// operatorCommands returns the commands that call a host.
 func operatorCommands() []subcommands.Command {
 	return []subcommands.Command{presetCommand(), applyCommand(), statusCommand(), auditCommand(), requestCommand(), &quarantineCommand{}, &upstreamsCommand{}, &hostStatusCommand{}}
 }
 
-// trialCommands are the commands that run stand-ins, or against them.
+// trialCommands returns the commands that run stand-ins, send load to hosts beside them, or
+// compare results.
 func trialCommands() []subcommands.Command {
 	return []subcommands.Command{&demoCommand{}, &benchCommand{}, &fleetCommand{}, &claimsCommand{}, &standinCommand{}, &driveCommand{}, &speedCommand{}, &compareCommand{}}
 }
--- a/cmd/pierctl/operate.go
+++ b/cmd/pierctl/operate.go
@@ -13,18 +13,19 @@
 	"peridotpier.example/cmd/internal/operator"
 )
 
-// operatorCommand is a subcommand that calls a node.
+// operatorCommand is a subcommand that calls the operators' API of a node.
 type operatorCommand struct {
 	operator.Flags
 	name     string
 	synopsis string
 	usage    string
 	setFlags func(*flag.FlagSet)
-	// run makes its calls and returns what to print, and how for people.
+	// run makes the calls. It returns the result, which is printed as JSON, and a function
+	// that prints it as text.
 	run func(ctx context.Context, c *operator.Client, args []string) (result any, text func(), err error)
 }
 
-// Name implements subcommands.Command, as the methods below do.
+// Name implements subcommands.Command, as do the methods below.
 func (o *operatorCommand) Name() string     { return o.name }
 func (o *operatorCommand) Synopsis() string { return o.synopsis }
 func (o *operatorCommand) Usage() string    { return o.usage }
@@ -57,8 +58,8 @@
 	return exit.OK
 }
 
-// parseInterleaved takes flags that stand after the first argument too, so that
-// "preset use peak --json" works as people write it.
+// parseInterleaved parses flags that follow the first argument too, so that
+// "preset use peak --json" works. It returns the arguments without the flags.
 func parseInterleaved(f *flag.FlagSet) ([]string, error) {
 	var args []string
 	for f.NArg() > 0 {
--- a/cmd/pierctl/page_test.go
+++ b/cmd/pierctl/page_test.go
@@ -9,9 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: an operator finds a command or flag that no page explains.
-// Sequence: it is added or renamed in the code alone.
-// Cause: page and code are kept apart.
+// Guards against a command or flag that is added or renamed in the code but not on the page
+// for operators.
 func TestThePageNamesEveryCommandAndFlag(t *testing.T) {
 	data, err := os.ReadFile("../../docs/operators/commands.md")
 	assert.NilError(t, err)
--- a/cmd/pierctl/print.go
+++ b/cmd/pierctl/print.go
@@ -9,8 +9,8 @@
 	"peridotpier.example/standin/site"
 )
 
-// printIntroduction shows how to use a running site by hand. Its lines work
-// as they stand.
+// printIntroduction prints command lines that use a running site; they work unchanged. curl
+// begins the curl lines; pierctl is the format of the pierctl lines, "" for none.
 func printIntroduction(w io.Writer, s *site.Site, r *local.RunningSite, curl, pierctl string) {
 	d := &s.Deployment
 	team := d.Teams[len(d.Teams)-1]
--- a/cmd/pierctl/quarantine.go
+++ b/cmd/pierctl/quarantine.go
@@ -12,13 +12,13 @@
 	"peridotpier.example/node/host"
 )
 
-// quarantineCommand lists the requests that end upstreams, and ends a bar.
+// quarantineCommand lists the requests that crash upstreams, or releases one from quarantine.
 type quarantineCommand struct {
 	hostPage
 	release string
 }
 
-// Name implements subcommands.Command, as the methods below do.
+// Name implements subcommands.Command, as do the methods below.
 func (*quarantineCommand) Name() string { return "quarantine" }
 func (*quarantineCommand) Synopsis() string {
 	return "list the requests that end upstreams, or end a bar"
--- a/cmd/pierctl/speed.go
+++ b/cmd/pierctl/speed.go
@@ -15,7 +15,7 @@
 	"peridotpier.example/standin/speed"
 )
 
-// speedCommand measures the data path; scripts/speed.sh starts what it needs.
+// speedCommand measures the data path of two entry hosts; scripts/speed.sh starts them.
 type speedCommand struct {
 	cfg       speed.Config
 	dir       string
--- a/cmd/pierctl/standin.go
+++ b/cmd/pierctl/standin.go
@@ -14,8 +14,8 @@
 	"peridotpier.example/standin/site"
 )
 
-// standinCommand imitates the platform and the upstreams of a site for entry
-// hosts that run as processes of their own.
+// standinCommand imitates the platform and the upstreams of a site for entry hosts that run
+// as separate processes.
 type standinCommand struct {
 	site      string
 	dir       string
--- a/cmd/pierctl/upstreams.go
+++ b/cmd/pierctl/upstreams.go
@@ -11,10 +11,11 @@
 	"peridotpier.example/node/host"
 )
 
-// upstreamsCommand lists the upstreams that ask for something.
+// upstreamsCommand lists the upstreams that are draining, name a rate limit or asked for a
+// backoff.
 type upstreamsCommand struct{ hostPage }
 
-// Name implements subcommands.Command, as the methods below do.
+// Name implements subcommands.Command, as do the methods below.
 func (*upstreamsCommand) Name() string { return "upstreams" }
 func (*upstreamsCommand) Synopsis() string {
 	return "list the upstreams that leave, name a limit or asked for rest"
@@ -36,7 +37,7 @@
 	})
 }
 
-// describeRestrictions says what one upstream asks for.
+// describeRestrictions returns the restrictions of one upstream as text, "" without any.
 func describeRestrictions(u *host.RestrictedUpstream) string {
 	out := ""
 	if u.Draining {
