--- a/standin/claimbench/bench.go
+++ b/standin/claimbench/bench.go
@@ -1,6 +1,6 @@
-// Package claimbench measures what claims cost: it drives the claims of many
-// hosts against a table service that is limited as the platform's is, and
-// counts executions on the upstream's side.
+// Package claimbench measures the cost of claims: it runs the claims of many hosts against a
+// table service with the rate limit of the platform's, and counts executions on the
+// upstream's side.
 package claimbench
 
 import (
@@ -18,59 +18,60 @@
 	"peridotpier.example/node/event"
 )
 
-// Mode is a way of keeping claims.
+// Mode is a way of storing claims.
 type Mode string
 
-// The ways.
+// Modes of storing claims.
 const (
-	Rows    Mode = "rows"    // a commit a change
-	Batched Mode = "batched" // a row a claim, many rows a commit
-	Ranges  Mode = "ranges"  // owned ranges, each with a log
+	Rows    Mode = "rows"    // each change of a claim is a commit of its own
+	Batched Mode = "batched" // each claim is a row; a commit writes many rows
+	Ranges  Mode = "ranges"  // key ranges with an owner each, which writes a log of its range
 )
 
-// Config is one measurement.
+// Config describes one measurement.
 type Config struct {
 	Mode            Mode          `json:"mode"`
 	Hosts           int           `json:"hosts"`
-	Writers         int           `json:"writers"` // batchers, or owned ranges
+	Writers         int           `json:"writers"` // batchers, or ranges with an owner
 	BatchInterval   time.Duration `json:"window_ns"`
-	Rate            int           `json:"rate"`    // requests a second
-	RepeatShare     float64       `json:"repeats"` // share that arrives a second time, at another host, at once
+	Rate            int           `json:"rate"`    // requests per second
+	RepeatShare     float64       `json:"repeats"` // share of requests that another host receives too, immediately after the first
 	Duration        time.Duration `json:"duration_ns"`
-	MeanExecution   time.Duration `json:"execution_ns"` // mean time the upstream takes; half to one and a half of it
+	MeanExecution   time.Duration `json:"execution_ns"` // mean execution time at the upstream; times are uniform from 0.5 to 1.5 of it
 	WritesPerSecond float64       `json:"writes_per_second"`
-	Latency         time.Duration `json:"latency_ns"` // of one call to the table service
-	HopLatency      time.Duration `json:"hop_ns"`     // to the host of a writer
-	KillWriter      bool          `json:"kill"`       // the first writer's host, at half time
-	DetectionDelay  time.Duration `json:"detect_ns"`  // until others see that a host died
+	Latency         time.Duration `json:"latency_ns"` // of each call of the table service
+	HopLatency      time.Duration `json:"hop_ns"`     // latency from a host to the host of a writer
+	KillWriter      bool          `json:"kill"`       // kill the host of the first writer at half time
+	DetectionDelay  time.Duration `json:"detect_ns"`  // until other hosts detect that a host died
 	LeaseTTL        time.Duration `json:"lease_ttl_ns"`
 	Seed            uint64        `json:"seed"`
 }
 
-// DesignSize is the load of the design size, where 1 in 5 of 7,500 requests a
-// second may not be repeated, on a table that takes 300 writes a second.
+// DesignSize returns the load of the design size, where 1 in 5 of 7,500 requests per second
+// may not be repeated, on a table that accepts 300 writes per second.
 func DesignSize(m Mode) Config {
 	return Config{Mode: m, Hosts: 420, Writers: 8, BatchInterval: 60 * time.Millisecond, Rate: 1500, RepeatShare: 0.05,
 		Duration: 10 * time.Second, MeanExecution: 100 * time.Millisecond, WritesPerSecond: 300, Latency: 2 * time.Millisecond,
 		HopLatency: time.Millisecond, DetectionDelay: time.Second, LeaseTTL: 3 * time.Second, Seed: 1}
 }
 
-// QuietSite is a quiet site of today: 7 entry hosts, each writing for itself.
+// QuietSite returns the load of a quiet site at its present size: 7 entry hosts, each of
+// which writes its own claims.
 func QuietSite(m Mode) Config {
 	c := DesignSize(m)
 	c.Hosts, c.Writers, c.Rate, c.BatchInterval, c.HopLatency = 7, 7, 20, 50*time.Millisecond, 0
 	return c
 }
 
-// Report is what was measured.
+// Report is the result of a measurement.
 type Report struct {
 	Config           Config  `json:"config"`
 	Offered          int     `json:"offered"`
 	Completed        int     `json:"completed"` // claimed, executed and answered
-	Refused          int     `json:"refused"`   // not run, since no claim could be written
-	Repeated         int     `json:"repeated"`  // told in progress or replayed: the other of two with one key ran
+	Refused          int     `json:"refused"`   // not executed, since no claim could be written
+	Repeated         int     `json:"repeated"`  // answered as in progress or with a stored answer: another request with the key was executed
 	Duplicates       int     `json:"duplicates"`
-	Pending          int     `json:"unsettled"` // still deferred at the end
+	Pending          int     `json:"unsettled"` // claims whose completion is still deferred at the end
 	ClaimsPerSecond  float64 `json:"claims_per_second"`
 	CommitsPerSecond float64 `json:"commits_per_second"`
 	BudgetShare      float64 `json:"write_budget_share"`
@@ -79,12 +80,14 @@
 	ClaimP99Ms       float64 `json:"claim_p99_ms"`
 	CompleteP99Ms    float64 `json:"settle_p99_ms"`
 	RecoveryMs       float64 `json:"recovery_ms"` // from the kill to the first claim by the dead writer's successor
-	OpenMs           float64 `json:"open_ms"`     // of it, reading a range's log
+	OpenMs           float64 `json:"open_ms"`     // part of the recovery: opening the successor, which reads the log of a range
 }
 
-// maxLatencyMicros is the largest time that the histograms hold, in microseconds.
+// maxLatencyMicros is the largest time that the histograms can record, in microseconds.
 const maxLatencyMicros = 60_000_000
 
+// bench is one measurement in progress. While requests run, mu guards the report's counts,
+// the histograms and executions.
 type bench struct {
 	cfg           Config
 	table         *RateLimitedTable
@@ -94,12 +97,12 @@
 	report        Report
 	claimTimes    *hdrhistogram.Histogram
 	completeTimes *hdrhistogram.Histogram
-	executions    map[string]int
+	executions    map[string]int // by key
 	requests      sync.WaitGroup
-	killedAt      atomic.Int64 // Unix nanoseconds; 0: not yet
+	killedAt      atomic.Int64 // when the writer was killed, in Unix nanoseconds; 0: not yet
 }
 
-// Run measures.
+// Run carries out one measurement and returns its report.
 func Run(ctx context.Context, cfg Config) (Report, error) {
 	b := &bench{cfg: cfg, table: NewRateLimitedTable(cfg.WritesPerSecond, cfg.Latency), executions: map[string]int{},
 		claimTimes: hdrhistogram.New(1, maxLatencyMicros, 3), completeTimes: hdrhistogram.New(1, maxLatencyMicros, 3)}
@@ -129,10 +132,11 @@
 	}
 }
 
-// loadStep is how often the load generator starts what is due.
+// loadStep is the interval at which the load generator starts the requests that are due.
 const loadStep = time.Millisecond
 
-// generateLoad starts requests at the rate, whatever becomes of those before.
+// generateLoad starts requests at the configured rate, independently of how long earlier
+// ones take.
 func (b *bench) generateLoad(ctx context.Context, start time.Time) {
 	rnd := rand.New(rand.NewPCG(b.cfg.Seed, 0))
 	tick := time.NewTicker(loadStep)
@@ -167,9 +171,11 @@
 	}()
 }
 
-// requestDeadline is that of the generated requests.
+// requestDeadline is how long after its start a generated request has its deadline.
 const requestDeadline = 10 * time.Second
 
+// request claims a key at one host and, if the claim is granted, imitates the execution and
+// completes the claim.
 func (b *bench) request(ctx context.Context, s *claim.Store, key string, repeat bool) {
 	start := time.Now()
 	grant, _, err := s.Claim(ctx, claim.Request{Team: "bench", Key: key, BodyHash: "b", Deadline: start.Add(requestDeadline),
@@ -188,6 +194,8 @@
 	b.report.Completed++
 }
 
+// granted records a granted claim, and the recovery after a kill if it is the first one that
+// the successor of the dead writer took.
 func (b *bench) granted(key string, start time.Time) {
 	now := time.Now()
 	b.mu.Lock()
@@ -200,6 +208,7 @@
 	}
 }
 
+// refused counts a claim that was not granted.
 func (b *bench) refused(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -210,6 +219,7 @@
 	b.report.Repeated++
 }
 
+// finish fills in the report after the last request has ended.
 func (b *bench) finish(elapsed float64) {
 	r := &b.report
 	for _, n := range b.executions {
--- a/standin/claimbench/bench_test.go
+++ b/standin/claimbench/bench_test.go
@@ -8,8 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRunCountsEveryRequest: the figures rest on each request being counted
-// once, also when a writer dies under load.
+// Guards against figures that miss requests or count some twice when a writer dies under load.
 func TestRunCountsEveryRequest(t *testing.T) {
 	for _, m := range []Mode{Rows, Batched, Ranges} {
 		t.Run(string(m), func(t *testing.T) {
@@ -24,8 +23,7 @@
 	}
 }
 
-// BenchmarkClaims is the measurement in docs/MEASUREMENTS.md; run it with
-// -benchtime 1x.
+// BenchmarkClaims is the measurement in docs/MEASUREMENTS.md; run it with -benchtime 1x.
 func BenchmarkClaims(b *testing.B) {
 	for _, m := range []Mode{Rows, Batched, Ranges} {
 		for _, kill := range []bool{false, true} {
@@ -46,8 +44,8 @@
 	}
 }
 
-// BenchmarkAlone measures the design size with every host batching for itself,
-// in place of few writers.
+// BenchmarkAlone measures the design size with a batcher on every host in place of a few
+// writers that all hosts share.
 func BenchmarkAlone(b *testing.B) {
 	for b.Loop() {
 		cfg := DesignSize(Batched)
@@ -58,7 +56,7 @@
 	}
 }
 
-// BenchmarkQuiet measures what a claim adds on a quiet site of today.
+// BenchmarkQuiet measures the time that a claim adds on a quiet site of the present size.
 func BenchmarkQuiet(b *testing.B) {
 	for _, m := range []Mode{Rows, Batched, Ranges} {
 		b.Run(string(m), func(b *testing.B) {
--- a/standin/claimbench/fleet.go
+++ b/standin/claimbench/fleet.go
@@ -11,25 +11,26 @@
 	"peridotpier.example/node/store"
 )
 
-// fleet is the writers of all hosts, as every host reaches them.
+// fleet has the writers of claims, and forwards the calls of all hosts to them.
 type fleet struct {
 	cfg       Config
 	table     *RateLimitedTable
-	keyRanges *claim.RangeRouter // only splits keys
+	keyRanges *claim.RangeRouter // only used to assign keys to writers
 	mu        sync.RWMutex
 	writers   []*writer
 	killAt    time.Time
 	openTime  time.Duration
 }
 
-// writer is one batcher or one owner of a range.
+// writer is a batcher or the owner of a range.
 type writer struct {
 	table       *killableTable
 	records     claim.Records
 	dead        bool
-	isSuccessor bool // took over from the dead one
+	isSuccessor bool // took over from the writer that was killed
 }
 
+// fixedEpoch is a lease that is always valid, with that epoch.
 type fixedEpoch uint64
 
 func (e fixedEpoch) Epoch() uint64 { return uint64(e) }
@@ -47,6 +48,7 @@
 	return f, nil
 }
 
+// open starts writer i in an epoch. An epoch after the first makes it a successor.
 func (f *fleet) open(ctx context.Context, i int, e fixedEpoch) (*writer, error) {
 	w := &writer{table: &killableTable{Table: f.table}, isSuccessor: e > 1}
 	switch f.cfg.Mode {
@@ -69,7 +71,7 @@
 	return w, nil
 }
 
-// records is how a host keeps claims.
+// records returns the store of claims as a host uses it.
 func (f *fleet) records() claim.Records {
 	if f.cfg.Mode == Rows {
 		return claim.NewRows(f.table)
@@ -77,9 +79,9 @@
 	return claim.NewRangeRouter(f.cfg.Writers, f)
 }
 
-// kill ends the first writer, and puts a successor in place as soon as the
-// fleet could: a batcher needs none but that others see the death; a range
-// needs its lease to lapse and its log to be read.
+// kill stops the first writer and starts a successor as early as a real fleet could: for a
+// batcher once the other hosts detect the death, for a range once its lease has expired and
+// its log is read.
 func (f *fleet) kill(ctx context.Context) {
 	f.mu.Lock()
 	if len(f.writers) == 0 {
@@ -111,15 +113,15 @@
 	return float64(f.openTime) / float64(time.Millisecond)
 }
 
-// writerOf picks the writer of a key.
+// writerOf returns the writer of a key.
 func (f *fleet) writerOf(key string) *writer {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return f.writers[f.keyRanges.RangeOf(key)]
 }
 
-// hasSuccessor says whether a key's writer took over from the dead one. Rows of
-// their own have no writer to die.
+// hasSuccessor reports whether a key's writer took over from the one that was killed. In mode
+// Rows hosts use no writer.
 func (f *fleet) hasSuccessor(key string) bool {
 	return f.cfg.Mode != Rows && f.writerOf(key).isSuccessor
 }
--- a/standin/claimbench/limited.go
+++ b/standin/claimbench/limited.go
@@ -13,8 +13,8 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// RateLimitedTable is a table service that refuses commits over a rate and takes its
-// time for each call.
+// RateLimitedTable is a table service that rejects commits over a rate and adds a latency
+// to each call.
 type RateLimitedTable struct {
 	*standin.Table
 	limit    *rate.Limiter
@@ -23,10 +23,10 @@
 	rejected atomic.Int64
 }
 
-// burstShare is how much of a second's writes the service takes at once.
+// burstShare is the burst that the service accepts, as a share of the writes of a second.
 const burstShare = 0.1
 
-// NewRateLimitedTable makes an empty table service.
+// NewRateLimitedTable returns an empty table service.
 func NewRateLimitedTable(writesPerSecond float64, latency time.Duration) *RateLimitedTable {
 	return &RateLimitedTable{Table: standin.NewTable(), latency: latency,
 		limit: rate.NewLimiter(rate.Limit(writesPerSecond), int(writesPerSecond*burstShare))}
@@ -55,24 +55,25 @@
 	return l.Table.List(ctx, prefix, after, limit)
 }
 
-// Commits is how many commits the service took.
+// Commits returns the number of accepted commits.
 func (l *RateLimitedTable) Commits() int64 { return l.commits.Load() }
 
-// LimitedCommits is how many it refused for their rate.
+// LimitedCommits returns the number of commits rejected over the rate.
 func (l *RateLimitedTable) LimitedCommits() int { return int(l.rejected.Load()) }
 
+// isStoreDown reports whether a claim failed because the store was unavailable.
 func isStoreDown(err error) bool {
 	var e *fault.Error
 	return errors.As(err, &e) && e.Code == fault.CodeStoreUnavailable
 }
 
-// killableTable is the table service as a host that may die sees it.
+// killableTable is the table service as seen by a host that can be killed.
 type killableTable struct {
 	store.Table
 	dead atomic.Bool
 }
 
-// Commit implements store.Table: the dead write nothing.
+// Commit implements store.Table; a dead host writes nothing.
 func (m *killableTable) Commit(ctx context.Context, t store.Txn) (uint64, error) {
 	if m.dead.Load() {
 		return 0, store.ErrUnavailable
