--- a/standin/bench/bench.go
+++ b/standin/bench/bench.go
@@ -1,6 +1,6 @@
-// Package bench runs a site's real nodes beside its stand-ins in real time
-// under a named policy, seed and course of faults, open loop, and compares
-// policies on the same seeds.
+// Package bench runs real nodes of a site beside imitated upstreams in real time, with a named
+// policy, a seed and a fault scenario, under open-loop load, and compares policies on the
+// same seeds.
 package bench
 
 import (
@@ -17,7 +17,7 @@
 	"peridotpier.example/standin/site"
 )
 
-// Config of one run.
+// Config describes one run.
 type Config struct {
 	Site       *site.Site
 	Policy     string
@@ -29,16 +29,17 @@
 	Log        *zap.Logger
 }
 
-// Run is what one run came to.
+// Run is the result of one run.
 type Run struct {
 	local.Report
 	LoadFactor       float64  `json:"load"`
-	UrgentAttainment float64  `json:"urgent_attainment"` // share of urgent requests answered whole and in time
+	UrgentAttainment float64  `json:"urgent_attainment"` // share of urgent requests that got a complete answer in time
 	OracleAttainment *float64 `json:"oracle_attainment,omitempty"`
 	Series           Series   `json:"-"`
 }
 
-// RunPolicy carries out one run.
+// RunPolicy carries out one run and returns its result. It fails if a fault of the scenario
+// could not be caused.
 func RunPolicy(ctx context.Context, c Config) (*Run, error) {
 	p, err := findPolicy(c.Policy)
 	if err != nil {
@@ -72,7 +73,8 @@
 	return out, err
 }
 
-// faultErrors says which faults could not be caused: a run without them shows nothing.
+// faultErrors returns the errors of the faults that could not be caused: the result of a run
+// without them means nothing.
 func faultErrors(steps []site.Fault) error {
 	var errs []error
 	for _, f := range steps {
@@ -83,6 +85,7 @@
 	return errors.Join(errs...)
 }
 
+// faultsOrNone returns the name of the scenario without faults if none is given.
 func faultsOrNone(faults string) string {
 	if faults == "" {
 		return "none"
@@ -90,15 +93,17 @@
 	return faults
 }
 
-// The windows in which demand is measured, for a site file whose course stands
-// for an hour, and the least that is of use beside loads that take seconds.
+// The demand of a site file represents an hour, which a run compresses to its length. The
+// windows in which demand is measured are compressed too, but not below these minimums:
+// loading a model still takes seconds.
 const (
 	representedTime = time.Hour
 	minShortWindow  = 2 * time.Second
 	minLongWindow   = 8 * time.Second
 )
 
-// compressedWindows compresses the windows of demand as the run compresses the hour.
+// compressedWindows returns the configuration of demand with its windows scaled by the
+// length of the run to the hour that it represents.
 func compressedWindows(length time.Duration) demand.Config {
 	c := demand.DefaultConfig()
 	scale := min(length.Seconds()/representedTime.Seconds(), 1)
--- a/standin/bench/bench_test.go
+++ b/standin/bench/bench_test.go
@@ -15,13 +15,14 @@
 	"peridotpier.example/standin/local"
 )
 
+// run returns the result of a sound run.
 func run(policy string, seed uint64, attainment float64, moves int) *Run {
 	return &Run{Report: local.Report{Policy: policy, Seed: seed, AttainmentPerAccelerator: attainment, ModelLoads: moves, History: "ok"}}
 }
 
-// Symptom: a policy looks good against a baseline that had an easier seed.
-// Sequence: the best baseline differs from seed to seed.
-// Cause: means are compared instead of runs of the same seed.
+// Guards against a policy that looks good because it is compared with a baseline on another,
+// easier seed: the best baseline differs from seed to seed, so that runs of the same seed
+// are compared and not means.
 func TestRatiosAreTakenOnTheSameSeed(t *testing.T) {
 	c := &Comparison{Runs: []*Run{
 		run(Product, 1, 120, 2), run("round-robin", 1, 100, 0), run("lru", 1, 50, 10),
@@ -34,7 +35,7 @@
 	assert.Assert(t, row.Sound)
 }
 
-func TestLeastRecentlyUsedGoesFirst(t *testing.T) {
+func TestLeastRecentlyUsedModelIsEvictedFirst(t *testing.T) {
 	l := newLRU()
 	l.touch("e", "old")
 	l.touch("e", "new")
--- a/standin/bench/compare.go
+++ b/standin/bench/compare.go
@@ -6,13 +6,14 @@
 	"slices"
 )
 
-// Spread is a figure over several seeds.
+// Spread is the mean and range of a figure over several seeds.
 type Spread struct {
 	Mean float64 `json:"mean"`
 	Min  float64 `json:"min"`
 	Max  float64 `json:"max"`
 }
 
+// newSpread returns the spread of xs, zero without any.
 func newSpread(xs []float64) Spread {
 	if len(xs) == 0 {
 		return Spread{}
@@ -24,7 +25,7 @@
 	return Spread{sum / float64(len(xs)), slices.Min(xs), slices.Max(xs)}
 }
 
-// PolicySummary is one policy over all seeds.
+// PolicySummary has the figures of one policy over all seeds.
 type PolicySummary struct {
 	Policy                   string `json:"policy"`
 	AttainmentPerAccelerator Spread `json:"attainment_per_accelerator"`
@@ -33,15 +34,16 @@
 	Moves                    Spread `json:"moves"`
 	UnreachableModels        Spread `json:"unreachable_models"`
 	Overcommits              Spread `json:"overcommits"`
-	// Ratio is attainment per accelerator over the best baseline's on the same seed.
+	// Ratio is the attainment per accelerator divided by that of the best baseline on
+	// the same seed.
 	AttainmentRatio Spread `json:"attainment_ratio"`
-	// MoveRatio is moves over those of the baseline that moves least but
-	// does move; 0 when no baseline moves anything.
+	// MoveRatio is the number of moves divided by that of the baseline with the fewest
+	// moves on the same seed, among those with any; 0 if no baseline moves anything.
 	MoveRatio Spread `json:"move_ratio"`
 	Sound     bool   `json:"sound"`
 }
 
-// Comparison is several policies on the same seeds.
+// Comparison has the results of several policies on the same seeds.
 type Comparison struct {
 	Site      string          `json:"site"`
 	Seeds     []uint64        `json:"seeds"`
@@ -49,8 +51,9 @@
 	Runs      []*Run          `json:"runs"`
 }
 
-// Compare runs the policies one after the other for each seed in turn, so that
-// whatever else the machine does falls on all of them alike.
+// Compare runs all policies for one seed, one after the other, before it goes on to the next
+// seed, so that other load on the machine affects all policies alike. It calls onRun, unless
+// that is nil, after each run.
 func Compare(ctx context.Context, c Config, names []string, seeds []uint64, onRun func(*Run)) (*Comparison, error) {
 	out := &Comparison{Site: c.Site.Deployment.Site, Seeds: seeds}
 	for _, name := range names {
@@ -77,6 +80,7 @@
 	return out, nil
 }
 
+// summarise returns the figures of one policy over its runs.
 func (c *Comparison) summarise(policy string) PolicySummary {
 	var runs []*Run
 	for _, r := range c.Runs {
@@ -103,6 +107,7 @@
 	return row
 }
 
+// ratio returns a/b, and 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -110,7 +115,7 @@
 	return a / b
 }
 
-// bestAttainment is that of the best baseline on a seed.
+// bestAttainment returns the attainment per accelerator of the best baseline on a seed.
 func (c *Comparison) bestAttainment(seed uint64) float64 {
 	best := 0.0
 	for _, r := range c.Runs {
@@ -121,7 +126,8 @@
 	return best
 }
 
-// fewestMoves is that of the baselines that move at all.
+// fewestMoves returns the fewest moves of a baseline on a seed, among those with any; 0 if
+// none has.
 func (c *Comparison) fewestMoves(seed uint64) float64 {
 	fewest := math.Inf(1)
 	for _, r := range c.Runs {
--- a/standin/bench/file.go
+++ b/standin/bench/file.go
@@ -7,6 +7,7 @@
 	"github.com/rotisserie/eris"
 )
 
+// writeFile writes a plot to a new file.
 func writeFile(name string, w io.WriterTo) error {
 	f, err := os.Create(name)
 	if err != nil {
--- a/standin/bench/lru.go
+++ b/standin/bench/lru.go
@@ -16,38 +16,39 @@
 	"peridotpier.example/standin/local"
 )
 
-// lru is the baseline that loads a model, with its adapters, when a request
-// finds it nowhere or all of its holders reported full, and evicts the least
-// recently used to make room. One
-// controller serves all hosts and sees the engines' true memory, which no real
-// one could: the baseline is flattered, not held back.
+// lru is the baseline that loads a model, with its adapters, when a request finds it resident
+// nowhere, or only on engines that reported a full batch, and evicts the least recently used
+// models to make room. One controller serves all hosts and reads the engines' true memory,
+// which is not possible in a real deployment: this favours the baseline.
 type lru struct {
 	mu       sync.Mutex
-	lastUsed map[string]time.Time // by engine and model
-	wanted   chan string
+	lastUsed map[string]time.Time // by "engine/model"
+	wanted   chan string          // models to load
 }
 
-// maxWanted bounds the requests for models that wait for the controller.
+// maxWanted bounds the requests to load a model that wait for the controller.
 const maxWanted = 256
 
-// memoryPollInterval is how often memory that is being freed is looked at.
+// memoryPollInterval is the interval at which the controller checks memory that is being freed.
 const memoryPollInterval = 50 * time.Millisecond
 
 func newLRU() *lru {
 	return &lru{lastUsed: map[string]time.Time{}, wanted: make(chan string, maxWanted)}
 }
 
-// requestLoad takes a node's word that a model is held nowhere.
+// requestLoad asks the controller to load the model of key. It does not block: if too many
+// requests wait, this one is dropped.
 func (l *lru) requestLoad(_ string, key route.ModelKey) {
 	select {
 	case l.wanted <- key.Model:
-	default: // the next request for it asks again
+	default: // the next request for the model asks again
 	}
 }
 
-// wrapPicker notes what is used where.
+// wrapPicker returns p as a picker that records which model is used on which engine.
 func (l *lru) wrapPicker(p route.Picker) route.Picker { return recordingPicker{p, l} }
 
+// recordingPicker records the use of models and requests loads of those on full engines.
 type recordingPicker struct {
 	route.Picker
 	l *lru
@@ -59,26 +60,28 @@
 	if d.Index >= 0 && !r.PlainService {
 		e := &s.Endpoints[d.Index]
 		p.l.touch(e.Upstream, r.Key.Model)
-		if e.Running+e.Waiting >= e.MaxBatch { // it is the least loaded of the holders
+		if e.Running+e.Waiting >= e.MaxBatch { // the least loaded engine with the model is full
 			p.l.requestLoad(r.Pool, r.Key)
 		}
 	}
 	return d
 }
 
+// touch records that a model is used on an engine now.
 func (l *lru) touch(engine, model string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastUsed[engine+"/"+model] = time.Now()
 }
 
+// lastUsedAt returns when a model was last used on an engine; zero: never.
 func (l *lru) lastUsedAt(engine, model string) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lastUsed[engine+"/"+model]
 }
 
-// startController runs the controller until the returned function is called.
+// startController starts the controller. The returned function stops it and waits for its end.
 func (l *lru) startController(r *local.RunningSite) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var loads sync.WaitGroup
@@ -101,16 +104,17 @@
 	}
 }
 
-// controller carries loads out, one after the other up to their orders, so
-// that no two reserve the same memory.
+// controller loads models. It sends the orders of one load before it begins the next, so that
+// no two loads count on the same free memory.
 type controller struct {
 	l      *lru
 	r      *local.RunningSite
 	client *conn.Client
 	orders *orders.Sender
-	serial int
+	serial int // of the last order
 }
 
+// address returns the address of an upstream, and false if there is none of the name.
 func (c *controller) address(upstream string) (string, bool) {
 	i := slices.IndexFunc(c.r.Upstreams.Config.Upstreams, func(u config.Upstream) bool { return u.Name == upstream })
 	if i < 0 {
@@ -119,7 +123,8 @@
 	return c.r.Upstreams.Config.Upstreams[i].Address, true
 }
 
-// loadModel loads a model where the least recently used have to go.
+// loadModel loads a model, with its adapters, on the engine whose eviction candidates are the
+// least recently used, and unloads these first.
 func (c *controller) loadModel(ctx context.Context, name string) {
 	cfg := &c.r.Upstreams.Config
 	i := slices.IndexFunc(cfg.Models, func(m config.Model) bool { return m.Name == name })
@@ -151,8 +156,8 @@
 	c.l.touch(engine, name)
 }
 
-// needsLoad says whether a model is held nowhere, or is full wherever it is held
-// and not being loaded.
+// needsLoad reports whether a model is loading nowhere and every engine on which it is
+// resident is full.
 func (c *controller) needsLoad(model string) bool {
 	for _, e := range c.r.Upstreams.Engines {
 		t := e.ActualState()
@@ -168,8 +173,8 @@
 	return true
 }
 
-// chooseEngine finds the engine where room can be made by giving up what was used
-// longest ago.
+// chooseEngine returns the engine without the model that can free the memory by evicting the
+// least recently used models, and these models; "" if no engine can.
 func (c *controller) chooseEngine(model string, need int) (engine string, victims []string) {
 	var bestUse time.Time
 	for _, e := range c.r.Upstreams.Engines {
@@ -185,7 +190,8 @@
 	return engine, victims
 }
 
-// evictionCandidates lists an engine's models to give up, and when the last of them was used.
+// evictionCandidates returns the models to unload, least recently used first, so that an
+// engine has need MB free, when the last of them was used, and whether that frees enough.
 func (c *controller) evictionCandidates(t *engineapi.Report, need int) (candidates []string, newest time.Time, ok bool) {
 	free, size := t.MemoryMB, map[string]int{}
 	var models []string
@@ -209,6 +215,8 @@
 	return candidates, newest, free >= need
 }
 
+// awaitFreeMemory waits until an engine has need MB free. It returns false if ctx ends first
+// or there is no such engine.
 func (c *controller) awaitFreeMemory(ctx context.Context, engine string, need int) bool {
 	e, err := c.r.Upstreams.Engine(engine)
 	if err != nil {
@@ -226,7 +234,7 @@
 	}
 }
 
-// send sends an order; one that fails is made good when the model is asked for again.
+// send sends an order. A failure is ignored: the next request for the model has it loaded again.
 func (c *controller) send(ctx context.Context, engine string, o engineapi.Order) {
 	c.serial++
 	o.Op = "lru-" + strconv.Itoa(c.serial)
--- a/standin/bench/plot.go
+++ b/standin/bench/plot.go
@@ -12,14 +12,14 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Size of a plot's file.
+// Dimensions of a plot.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 16 * vg.Centimeter
 	barWidth   = 14 // points
 )
 
-// Plot writes a run's course as SVG: attainment above, first token below.
+// Plot writes an SVG image of a run over time: attainment above, time to the first token below.
 func (r *Run) Plot(file string) error {
 	top := newPlot(r.Site+", policy "+r.Policy, "attainment")
 	top.Y.Min, top.Y.Max = 0, 1
@@ -41,7 +41,8 @@
 	return save(file, top, bottom)
 }
 
-// Plot writes the policies beside each other as SVG.
+// Plot writes an SVG image of the policies side by side: attainment per accelerator above,
+// moves below.
 func (c *Comparison) Plot(file string) error {
 	top := newPlot(c.Site, "requests met for each accelerator")
 	bottom := newPlot("", "moves")
@@ -63,6 +64,7 @@
 	return save(file, top, bottom)
 }
 
+// newPlot returns an empty plot with a title and a label of its y axis.
 func newPlot(title, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = title, y
@@ -70,7 +72,7 @@
 	return p
 }
 
-// save draws plots below each other.
+// save writes plots, one below the other, to an SVG file.
 func save(file string, plots ...*plot.Plot) error {
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	tiles := draw.Tiles{Rows: len(plots), Cols: 1, PadY: vg.Centimeter}
--- a/standin/bench/policy.go
+++ b/standin/bench/policy.go
@@ -9,22 +9,23 @@
 	"peridotpier.example/node/server"
 )
 
-// The product's own policy, and the product as it would be with true reports
-// that do not lag: how far the first is from the second shows what is to gain.
+// Product is the product's own policy. Oracle is the same with exact reports without delay:
+// the distance between the two is the most that better information could gain.
 const (
 	Product = "peridot"
 	Oracle  = "oracle"
 )
 
-// policy is a way of running a site.
+// policy is a configuration of the nodes and upstreams of a site.
 type policy struct {
 	name          string
-	exactReports  bool // upstreams report at once and truly
-	loadsOnDemand bool // loads what is asked for and finds no place
-	// decisions gives a node's replacements; nil: the product's own.
+	exactReports  bool // upstreams report exactly and without delay
+	loadsOnDemand bool // a controller loads models that requests find resident nowhere
+	// newOverrides returns what replaces the product's policy on a node; nil: nothing.
 	newOverrides func(l *lru) server.Policy
 }
 
+// overrides returns what replaces the product's policy on a node.
 func (p policy) overrides(l *lru) server.Policy {
 	if p.newOverrides == nil {
 		return server.Policy{}
@@ -32,6 +33,7 @@
 	return p.newOverrides(l)
 }
 
+// policies returns all policies: the product's own two, then the baselines.
 func policies() []policy {
 	static := func(pick func() route.Picker) func(*lru) server.Policy {
 		return func(*lru) server.Policy {
@@ -49,7 +51,7 @@
 	}
 }
 
-// Policies lists the names of all policies.
+// Policies returns the names of all policies.
 func Policies() []string {
 	var out []string
 	for _, p := range policies() {
@@ -58,9 +60,10 @@
 	return out
 }
 
-// isBaseline says whether a policy is one to be measured against.
+// isBaseline reports whether a policy is a baseline that the product is compared with.
 func isBaseline(name string) bool { return name != Product && name != Oracle }
 
+// findPolicy returns the policy of a name; the error of an unknown name lists all.
 func findPolicy(name string) (policy, error) {
 	all := policies()
 	i := slices.IndexFunc(all, func(p policy) bool { return p.name == name })
--- a/standin/bench/series.go
+++ b/standin/bench/series.go
@@ -7,20 +7,21 @@
 	"peridotpier.example/standin/load"
 )
 
-// seriesPoints is the number of points of a run's course.
+// seriesPoints is the number of intervals into which a run is divided.
 const seriesPoints = 30
 
-// Point is a part of a run's course.
+// Point has the figures of one interval of a run.
 type Point struct {
 	At         time.Duration
-	Attainment float64       // of the requests sent in this part
-	FirstP50   time.Duration // to the first token
+	Attainment float64       // of the requests sent in this interval
+	FirstP50   time.Duration // time to the first token
 	FirstP95   time.Duration
 }
 
-// Series is a run's course over time.
+// Series has the intervals of a run in the order of time.
 type Series []Point
 
+// newSeries divides the requests of a run by the time at which they were sent.
 func newSeries(r *load.Result, length time.Duration) Series {
 	sent, met := make([]int, seriesPoints), make([]int, seriesPoints)
 	first := make([][]time.Duration, seriesPoints)
@@ -47,6 +48,7 @@
 	return out
 }
 
+// quantile returns the quantile q of sorted times; 0 without any.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/standin/compare/compare.go
+++ b/standin/compare/compare.go
@@ -1,6 +1,6 @@
-// Package compare tells whether two ways of one decision differ, from days that
-// both have played with the same draws. Days differ far more from each other than
-// ways do, so that only differences of the same day count.
+// Package compare tests whether two variants of a policy differ, by days that were run with
+// both and the same random draws. Days differ far more from each other than variants do, so
+// that only differences between runs of the same day are used: a paired comparison.
 package compare
 
 import (
@@ -14,23 +14,23 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Run is one day played with one way.
+// Run is one day run with one variant of a policy.
 type Run struct {
 	EntryID   string // of the journal
 	Site      string
-	Day       string // its name and what it is made of, digested
+	Day       string // its name and a digest of its content
 	Seed      int64
-	SmallTwin bool // a small twin of the deployment
+	SmallTwin bool // the deployment was a small twin of the site's
 	Figures   []Figure
 }
 
-// Figure is one number of a play.
+// Figure is one measured number of a run.
 type Figure struct {
 	Name  string
 	Value float64
 }
 
-// key is what two plays must share to be compared.
+// key identifies runs that can be compared: it is the same for both.
 type key struct {
 	site, day string
 	seed      int64
@@ -39,11 +39,11 @@
 
 func (p *Run) key() key { return key{p.Site, p.Day, p.Seed, p.SmallTwin} }
 
-// Pair is one day played with both ways.
+// Pair is one day run with both variants.
 type Pair struct{ Before, After Run }
 
-// MatchPairs matches plays of the same day, in the order in which they were played,
-// and counts those that have no match.
+// MatchPairs pairs runs with the same site, day, seed and size in the order in which they are
+// given, and counts the runs without a counterpart.
 func MatchPairs(before, after []Run) (pairs []Pair, unpaired int) {
 	unmatched := map[key][]Run{}
 	for _, p := range before {
@@ -63,10 +63,10 @@
 	return pairs, unpaired
 }
 
-// Verdict says which way is better, if either is.
+// Verdict is the result of comparing one figure: which variant has the higher value, if any.
 type Verdict string
 
-// The verdicts.
+// Verdicts on the variant after, against the one before.
 const (
 	NoDifference Verdict = "no difference"
 	Higher       Verdict = "higher"
@@ -74,31 +74,33 @@
 	TooFew       Verdict = "too few pairs"
 )
 
-// confidence is how sure a verdict must be that the difference is not the draws'.
+// confidence is the level of confidence, required for a verdict, that a difference is not due
+// to the random draws alone.
 const confidence = 0.95
 
-// minPairs is how many pairs a verdict needs: of two nothing is known of their spread.
+// minPairs is the number of pairs that a verdict needs: two say nothing about their spread.
 const minPairs = 3
 
-// Row is the difference in one figure on one deployment: after less before.
+// Row is the difference in one figure on one deployment: after minus before.
 type Row struct {
 	Site            string  `json:"site"`
 	Figure          string  `json:"figure"`
 	Pairs           int     `json:"pairs"`
-	MeanBefore      float64 `json:"before"` // mean
+	MeanBefore      float64 `json:"before"` // mean before
 	MeanDifference  float64 `json:"difference"`
 	Error           float64 `json:"standard_error"`
-	ConfidenceBound float64 `json:"bound"` // the difference counts beyond this
+	ConfidenceBound float64 `json:"bound"` // half width of the confidence interval: a larger difference is significant
 	Verdict         Verdict `json:"verdict"`
 }
 
-// AllSites names the rows over all deployments.
+// AllSites is the site of the rows over all deployments.
 const AllSites = "all"
 
-// ErrNoPairs says that no day was played with both ways.
+// ErrNoPairs means that no day was run with both variants.
 var ErrNoPairs = eris.New("no day was played with both ways")
 
-// Compare works the rows out, by deployment and over all.
+// Compare returns the rows for each deployment, in the order of their names, and over all of
+// them if there are several. Without pairs it returns ErrNoPairs.
 func Compare(pairs []Pair) ([]Row, error) {
 	if len(pairs) == 0 {
 		return nil, ErrNoPairs
@@ -123,7 +125,7 @@
 	return rows, nil
 }
 
-// compareFigures compares every figure that both plays of some pair have.
+// compareFigures compares every figure that both runs of at least one pair have.
 func compareFigures(site string, pairs []Pair) []Row {
 	differences, beforeSums := map[string][]float64{}, map[string]float64{}
 	var names []string
@@ -152,7 +154,7 @@
 	return rows
 }
 
-// newRow is the mean of differences, and whether it can be the draws' alone.
+// newRow returns the mean of differences and whether it is significant by a paired t-test.
 func newRow(differences []float64) Row {
 	n := float64(len(differences))
 	r := Row{Pairs: len(differences)}
@@ -180,7 +182,7 @@
 	return r
 }
 
-// SiteNames names the deployments of plays.
+// SiteNames returns the deployments of runs, each once, separated by commas.
 func SiteNames(runs []Run) string {
 	var names []string
 	for i := range runs {
@@ -190,10 +192,10 @@
 	return strings.Join(slices.Compact(names), ", ")
 }
 
-// String is a row as a line of a table.
+// String returns the row as a line of a Markdown table.
 func (r Row) String() string {
 	return fmt.Sprintf("| %s | %s | %d | %.4f | %+.4f | %.4f | %s |", r.Site, r.Figure, r.Pairs, r.MeanBefore, r.MeanDifference, r.Error, r.Verdict)
 }
 
-// TableHead is the head of a table of rows.
+// TableHead is the head of a Markdown table of rows.
 const TableHead = "| site | figure | pairs | before | difference | standard error | verdict |\n| --- | --- | --- | --- | --- | --- | --- |"
--- a/standin/compare/compare_test.go
+++ b/standin/compare/compare_test.go
@@ -12,7 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// journal is entries of one site and day, by id, with the worth of each seed.
+// journal returns the files of entries of one site and day. The keys of worths are the ids of
+// entries, the values the worth for each seed.
 func journal(site string, worths map[string][]float64) fstest.MapFS {
 	files := fstest.MapFS{}
 	for id, all := range worths {
@@ -27,6 +28,7 @@
 	return files
 }
 
+// compareEntries compares the runs of the entry before with those of the entry after.
 func compareEntries(t *testing.T, fs fstest.MapFS, before, after string) []Row {
 	t.Helper()
 	b, err := Read(fs, []string{before})
@@ -39,6 +41,7 @@
 	return rows
 }
 
+// verdict returns the verdict on a figure, "" if it has no row.
 func verdict(rows []Row, figure string) Verdict {
 	for _, r := range rows {
 		if r.Figure == figure {
@@ -56,8 +59,9 @@
 	assert.Equal(t, verdict(rows, "class 2"), Verdict(""), "a class without requests has no share")
 }
 
-// Guards against a difference that is lost among days which differ more from each other.
-func TestAWayThatIsBetterOnEachDayIsHigher(t *testing.T) {
+// Guards against a difference that is hidden because days differ more from each other than the
+// variants do.
+func TestAVariantThatIsBetterOnEachDayIsHigher(t *testing.T) {
 	rows := compareEntries(t, journal("s", map[string][]float64{"a": {0.80, 0.40, 0.60, 0.20}, "b": {0.82, 0.43, 0.62, 0.22}}), "a", "c-b")
 	assert.Equal(t, verdict(rows, "worth"), Higher)
 	rows = compareEntries(t, journal("s", map[string][]float64{"a": {0.80, 0.40, 0.60, 0.20}, "b": {0.82, 0.43, 0.62, 0.22}}), "b", "a")
@@ -69,8 +73,8 @@
 	assert.Equal(t, verdict(rows, "worth"), TooFew)
 }
 
-// Guards against a table that is made of something else than what was asked for.
-func TestWhatCannotBeComparedIsNamed(t *testing.T) {
+// Guards against a comparison of other runs than those that were asked for.
+func TestEntriesThatCannotBeComparedAreNamed(t *testing.T) {
 	good := journal("s", map[string][]float64{"a": {0.8}, "b": {0.8}})
 	_, err := Read(good, []string{"a", "zz"})
 	assert.ErrorContains(t, err, `begins with "zz"`)
@@ -85,7 +89,7 @@
 	assert.ErrorContains(t, err, "not finished")
 	dirty := fstest.MapFS{"e.json": &fstest.MapFile{Data: []byte(`{"id": "e", "head": "abc", "dirty": true, "policy": [{"sha256": "123"}], "site": "s", "days": []}`)}}
 	_, err = Read(dirty, []string{"abc"})
-	assert.ErrorContains(t, err, `begins with "abc"`, "it did not play the commit's sources")
+	assert.ErrorContains(t, err, `begins with "abc"`, "a run of changed sources is not one of the commit")
 	_, err = Read(dirty, []string{"12"})
 	assert.NilError(t, err)
 	edited := fstest.MapFS{"e.json": &fstest.MapFile{Data: []byte(`{"id": "e", "site": "s", "edited_meanwhile": true}`)}}
@@ -101,8 +105,9 @@
 	assert.ErrorIs(t, err, ErrNoPairs)
 }
 
-// Of plays that differ by their draws alone, about one in twenty shows a difference.
-func TestVerdictsAreAsSureAsTheySay(t *testing.T) {
+// Guards against verdicts that are less or far more certain than the stated confidence: about
+// one in twenty comparisons of runs that differ only by their draws shows a difference.
+func TestVerdictsHaveTheStatedConfidence(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	wrong := 0
 	const trials, n = 2000, 8
@@ -118,8 +123,9 @@
 	assert.Assert(t, wrong > trials/40 && wrong < trials/12, "%d of %d", wrong, trials)
 }
 
-// Every play is in one pair at most, and none is lost.
-func TestPairsTakeEachPlayOnce(t *testing.T) {
+// Guards against runs that are in several pairs, and against runs that are neither paired nor
+// counted as unpaired.
+func TestEachRunIsPairedAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runs := rapid.SliceOf(rapid.Custom(func(t *rapid.T) Run {
 			return Run{Site: rapid.SampledFrom([]string{"s", "t"}).Draw(t, "site"), Seed: rapid.Int64Range(0, 3).Draw(t, "seed")}
--- a/standin/compare/journal.go
+++ b/standin/compare/journal.go
@@ -11,24 +11,24 @@
 	"github.com/rotisserie/eris"
 )
 
-// entry is one file of the journal, as far as it is read.
+// entry is one file of the journal, with the fields that a comparison uses.
 type entry struct {
 	ID      string     `json:"id"`
 	Head    string     `json:"head"`  // commit
-	Dirty   bool       `json:"dirty"` // its sources were not those of the commit
+	Dirty   bool       `json:"dirty"` // its sources differed from those of the commit
 	Sources []sources  `json:"policy"`
 	Edited  bool       `json:"edited_meanwhile"`
-	Site    string     `json:"site"` // "": it is not finished
+	Site    string     `json:"site"` // "": the run has not finished
 	Days    []entryDay `json:"days"`
 }
 
-// sources are the files that an entry played.
+// sources are files with the policy that an entry ran.
 type sources struct {
 	Digest string `json:"sha256"`
 }
 
-// matches says whether a name is the beginning of the entry's id, of the commit whose
-// sources it played, or of their digest.
+// matches reports whether a name is a prefix of the entry's id, of the commit whose sources
+// it ran, or of a digest of its sources.
 func (e *entry) matches(name string) bool {
 	if strings.HasPrefix(e.ID, name) || !e.Dirty && strings.HasPrefix(e.Head, name) {
 		return true
@@ -41,6 +41,7 @@
 	return false
 }
 
+// entryDay is one day of an entry.
 type entryDay struct {
 	Worth   float64      `json:"G"`
 	Name    string       `json:"name"`
@@ -55,7 +56,8 @@
 	ByClass []*float64   `json:"by_class"`
 }
 
-// namedParts is a name, an amount and what that comes to.
+// namedParts is a name and a value. In the journal it is an array of the name, an amount,
+// which is not kept, and the value.
 type namedParts struct {
 	Name  string
 	Value float64
@@ -67,8 +69,10 @@
 	return json.Unmarshal(data, &[]any{&n.Name, &amount, &n.Value})
 }
 
-// Read returns the plays of the journal's entries that match one of the names,
-// oldest first. Entries of runs that were broken off have none.
+// Read returns the runs of the journal's entries that match one of the names, in the order of
+// the file names. An entry whose run was broken off has no days and adds none. A name without an entry, a damaged file,
+// an unfinished entry named by its id, and an entry whose sources changed while it ran are
+// errors.
 func Read(journal fs.FS, names []string) ([]Run, error) {
 	files, err := fs.Glob(journal, "*.json")
 	if err != nil {
@@ -105,6 +109,7 @@
 	return runs, nil
 }
 
+// readEntry reads one file of the journal.
 func readEntry(journal fs.FS, file string) (*entry, error) {
 	data, err := fs.ReadFile(journal, file)
 	if err != nil {
@@ -120,6 +125,7 @@
 	return e, nil
 }
 
+// runs returns a run for each day of the entry.
 func (e *entry) runs() []Run {
 	out := make([]Run, 0, len(e.Days))
 	for i := range e.Days {
@@ -130,7 +136,7 @@
 	return out
 }
 
-// figures are what plays are compared by.
+// figures returns the figures by which runs are compared.
 func (d *entryDay) figures() []Figure {
 	out := []Figure{{"worth", d.Worth}, {"served", d.Served}, {"refused", d.Refused}, {"failed", d.Failed}}
 	for _, p := range d.Parts {
--- a/standin/compare/plot.go
+++ b/standin/compare/plot.go
@@ -11,16 +11,17 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// ErrNoRows says that there is nothing to draw.
+// ErrNoRows means that no row has the figure to draw.
 var ErrNoRows = eris.New("no rows to draw")
 
-// differenceBars are rows as points with the bound of what the draws alone can do.
+// differenceBars are the differences of rows as points with their confidence intervals.
 type differenceBars struct {
 	plotter.XYs
 	plotter.XErrors
 }
 
-// Plot draws the differences of one figure, a line for each deployment.
+// Plot writes an SVG image of the differences in one figure, with a line for each deployment.
+// It returns ErrNoRows if no row has the figure.
 func Plot(w io.Writer, rows []Row, figure string) error {
 	p := plot.New()
 	p.Title.Text = figure + ", after less before"
--- a/standin/speed/parts.go
+++ b/standin/speed/parts.go
@@ -12,8 +12,8 @@
 	"peridotpier.example/standin/load"
 )
 
-// measureMemory takes the memory of the second host before and after idle
-// streams are open through it.
+// measureMemory measures the memory of the second host without requests, and with idle streams
+// open through it.
 func measureMemory(ctx context.Context, cfg Config, rep *Report) error {
 	c := newCaller(cfg.Layout)
 	before, err := readMemory(ctx, cfg, c)
@@ -42,8 +42,8 @@
 	return err
 }
 
-// memoryAfterCollections lists models until the host has collected its garbage twice with
-// the streams open, so that what it holds live is known.
+// memoryAfterCollections sends requests for the list of models until the host has collected its
+// garbage twice with the streams open, so that the size of its live heap is known.
 func memoryAfterCollections(ctx context.Context, cfg Config, c *caller) (memoryUse, error) {
 	first, err := readMemory(ctx, cfg, c)
 	now := first
@@ -58,7 +58,8 @@
 	return now, err
 }
 
-// measureThroughput measures one core's relaying through the first host.
+// measureThroughput measures how many tokens per second the first host forwards on one core,
+// with a number of streams.
 func measureThroughput(ctx context.Context, cfg Config, f *streamLoad, streams int) (Throughput, error) {
 	ctx, stop := context.WithCancel(ctx)
 	f.caller, f.address = newCaller(cfg.Layout), cfg.Layout.Entries[0].Caller
@@ -84,19 +85,22 @@
 	return Throughput{Streams: streams, TokensPerSecond: float64(events) / took.Seconds(), CPUShare: (after - cpu).Seconds() / took.Seconds()}, err
 }
 
+// measurePaced measures streams of 100 tokens a second each.
 func measurePaced(ctx context.Context, cfg Config, rep *Report) (err error) {
 	const tokens = 2000 // 20 s: longer than the measurement
 	rep.Paced, err = measureThroughput(ctx, cfg, &streamLoad{model: modelPaced, tokens: tokens}, cfg.PacedStreams)
 	return err
 }
 
+// measureFast measures streams that are as fast as the host can forward them.
 func measureFast(ctx context.Context, cfg Config, rep *Report) (err error) {
 	rep.Fast, err = measureThroughput(ctx, cfg, &streamLoad{model: modelFast, tokens: 4000}, cfg.FastStreams)
 	return err
 }
 
-// measureFirstByte sends requests to the engines themselves and, between
-// them, through the second host, each in its own goroutine at its own time.
+// measureFirstByte sends requests alternately to the engines and through the second host, at
+// fixed times and each in a goroutine of its own, so that a slow answer delays no other
+// request.
 func measureFirstByte(ctx context.Context, cfg Config, rep *Report) error {
 	c := newCaller(cfg.Layout)
 	direct := &firstByteTimer{caller: c, addresses: cfg.Layout.Engines}
@@ -130,7 +134,7 @@
 	return host.err
 }
 
-// firstByteTimer measures times to the first byte of an answer's body.
+// firstByteTimer records the times to the first byte of the bodies of answers.
 type firstByteTimer struct {
 	caller    *caller
 	addresses []string
@@ -139,6 +143,8 @@
 	err       error
 }
 
+// measure sends request i and, if record is set, records its time. The first requests only
+// warm up the connections.
 func (f *firstByteTimer) measure(ctx context.Context, i int, record bool) {
 	began := time.Now()
 	body, err := f.caller.openStream(ctx, f.addresses[(i/2)%len(f.addresses)], modelFast, 1)
@@ -147,7 +153,7 @@
 		var b [1]byte
 		_, err = io.ReadFull(body, b[:])
 		took = time.Since(began)
-		_, _ = io.Copy(io.Discard, body) // the connection is used again
+		_, _ = io.Copy(io.Discard, body) // lets the connection be reused
 		_ = body.Close()
 	}
 	f.mu.Lock()
@@ -157,6 +163,6 @@
 		return
 	}
 	if record {
-		_ = f.times.RecordValue(max(took.Microseconds(), 1)) // below the minute by far
+		_ = f.times.RecordValue(max(took.Microseconds(), 1)) // fails only above the histogram's limit of a minute
 	}
 }
--- a/standin/speed/proc.go
+++ b/standin/speed/proc.go
@@ -17,15 +17,15 @@
 	"peridotpier.example/standin/local"
 )
 
-// memoryUse is what a host takes.
+// memoryUse is the memory that a host uses.
 type memoryUse struct {
-	usedKB      float64 // live heap, and stacks
+	usedKB      float64 // live heap and stacks
 	stacksKB    float64
 	residentKB  float64
-	collections int64
+	collections int64 // of garbage, since its start
 }
 
-// readMemory asks the second host, and the system about it.
+// readMemory reads the memory of the second host from its metrics and from /proc.
 func readMemory(ctx context.Context, cfg Config, c *caller) (memoryUse, error) {
 	resident, err := residentKB(cfg.UnrestrictedPID)
 	if err != nil {
@@ -54,7 +54,7 @@
 // clockTick is the unit of processor time in /proc, 1/100 s on every Linux.
 const clockTick = 10 * time.Millisecond
 
-// residentKB reads a process's resident memory.
+// residentKB returns the resident memory of a process.
 func residentKB(pid int) (float64, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -69,19 +69,19 @@
 	return 0, eris.Errorf("process %d shows no resident memory", pid)
 }
 
-// Fields of /proc/PID/stat after the command's name, from 0.
+// Indexes of the fields of /proc/PID/stat that follow the command's name, from 0.
 const (
 	statUserField   = 11
 	statSystemField = 12
 )
 
-// cpuTime reads how long a process has computed so far.
+// cpuTime returns the processor time that a process has used, in user and system mode.
 func cpuTime(pid int) (time.Duration, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, eris.Wrap(err, "read processor time")
 	}
-	fields := bytes.Fields(data[bytes.LastIndexByte(data, ')')+1:]) // the name may hold spaces
+	fields := bytes.Fields(data[bytes.LastIndexByte(data, ')')+1:]) // the command's name may contain spaces
 	if len(fields) <= statSystemField {
 		return 0, eris.Errorf("process %d shows no processor time", pid)
 	}
--- a/standin/speed/speed.go
+++ b/standin/speed/speed.go
@@ -1,6 +1,6 @@
-// Package speed measures the data path of entry hosts that are processes of
-// their own, beside stand-in engines: what a host adds to the time to the first
-// byte, how many tokens it relays on one core, and what memory it takes.
+// Package speed measures the data path of entry hosts that run as separate processes beside
+// imitated engines: the time that a host adds to the first byte, the tokens per second that it
+// forwards on one core, and the memory that it uses.
 package speed
 
 import (
@@ -15,46 +15,47 @@
 
 // The models of the built-in site "speed".
 const (
-	modelFast  = "fast"  // tokens as fast as the engine makes them
+	modelFast  = "fast"  // tokens as fast as the engine generates them
 	modelPaced = "paced" // 100 tokens a second
 	modelIdle  = "idle"  // one token a second
 )
 
-// Config says what to measure.
+// Config describes a measurement.
 type Config struct {
-	Layout            *local.Layout // its first host runs with GOMAXPROCS=1, its second as it likes
+	Layout            *local.Layout // its first host runs with GOMAXPROCS=1, its second without a limit
 	OneCorePID        int           // process id of the first host
 	UnrestrictedPID   int           // process id of the second
-	Duration          time.Duration // of each part
-	RequestsPerSecond int           // requests a second for the time to the first byte
+	Duration          time.Duration // of each part of the measurement
+	RequestsPerSecond int           // for the time to the first byte
 	IdleStreams       int           // idle streams
-	PacedStreams      int           // paced streams, of 100 tokens a second each
-	FastStreams       int           // fast streams at once
+	PacedStreams      int           // streams of 100 tokens a second each
+	FastStreams       int           // streams as fast as the host can forward
 }
 
-// Report is what was measured.
+// Report is the result of a measurement.
 type Report struct {
 	IdleMB                  float64        `json:"idle_rss_mb"`              // resident memory of a host without requests
-	IdleStreams             int            `json:"idle_streams"`             // held open at once
-	KBPerIdleStream         float64        `json:"kb_per_idle_stream"`       // live heap and stacks that each adds
-	StackKBPerIdleStream    float64        `json:"stack_kb_per_idle_stream"` // part of it
-	ResidentKBPerIdleStream float64        `json:"rss_kb_per_idle_stream"`   // resident memory, garbage and all
-	RequestsPerSecond       int            `json:"requests_per_second"`      // of the times below
-	DirectMs                load.Quantiles `json:"direct_first_byte_ms"`     // engine called without a host
-	HostMs                  load.Quantiles `json:"host_first_byte_ms"`       // through a host, in the same run
-	AddedMs                 load.Quantiles `json:"added_first_byte_ms"`      // difference of the quantiles
-	Paced                   Throughput     `json:"paced"`                    // each token on its own, in time
-	Fast                    Throughput     `json:"fast"`                     // as many as the host can
+	IdleStreams             int            `json:"idle_streams"`             // open at the same time
+	KBPerIdleStream         float64        `json:"kb_per_idle_stream"`       // live heap and stacks that each stream adds
+	StackKBPerIdleStream    float64        `json:"stack_kb_per_idle_stream"` // the stacks' part of that
+	ResidentKBPerIdleStream float64        `json:"rss_kb_per_idle_stream"`   // resident memory that each stream adds, including garbage
+	RequestsPerSecond       int            `json:"requests_per_second"`      // at which the times below were measured
+	DirectMs                load.Quantiles `json:"direct_first_byte_ms"`     // engines called directly
+	HostMs                  load.Quantiles `json:"host_first_byte_ms"`       // engines called through a host, in the same run
+	AddedMs                 load.Quantiles `json:"added_first_byte_ms"`      // differences between the quantiles
+	Paced                   Throughput     `json:"paced"`                    // every token is sent on its own, on time
+	Fast                    Throughput     `json:"fast"`                     // tokens as fast as the host can forward
 }
 
-// Throughput is what a host on one core relayed.
+// Throughput is what a host on one core forwarded.
 type Throughput struct {
 	Streams         int     `json:"streams"`
 	TokensPerSecond float64 `json:"tokens_per_second"`
 	CPUShare        float64 `json:"cpu_share"` // of the host's one core
 }
 
-// Run measures one part after the other; the hosts must have just started.
+// Run carries out the parts of the measurement one after the other. The hosts must have just
+// started.
 func Run(ctx context.Context, cfg Config) (Report, error) {
 	if len(cfg.Layout.Entries) < 2 {
 		return Report{}, eris.New("two entry hosts are needed")
--- a/standin/speed/streams.go
+++ b/standin/speed/streams.go
@@ -16,21 +16,22 @@
 	"peridotpier.example/standin/local"
 )
 
-// caller opens streams.
+// caller sends requests with the key of a team.
 type caller struct {
 	client *http.Client
 	key    string
 }
 
-// idleConns keeps every connection of a measurement, so that none is dialled
-// anew within it.
+// idleConns is enough to keep every connection of a measurement open, so that none is dialled
+// again during it.
 const idleConns = 8192
 
 func newCaller(l *local.Layout) *caller {
 	return &caller{key: l.TeamKey, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConns, DisableCompression: true}}}
 }
 
-// openStream begins a stream.
+// openStream requests a stream of a number of tokens and returns its body, which must be
+// closed.
 func (c *caller) openStream(ctx context.Context, address, model string, tokens int) (io.ReadCloser, error) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"hello"}]}`, model, tokens)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/chat/completions", strings.NewReader(body))
@@ -50,7 +51,7 @@
 	return resp.Body, nil
 }
 
-// listModels lists the models: a request that an engine has no part in.
+// listModels requests the list of models, which a host answers without an engine.
 func (c *caller) listModels(ctx context.Context, address string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/models", nil)
 	if err != nil {
@@ -66,20 +67,20 @@
 	return err
 }
 
-// streamLoad is many streams that are kept up at once and counted.
+// streamLoad keeps a number of streams open and counts their events.
 type streamLoad struct {
 	caller  *caller
 	address string
 	model   string
-	tokens  int // of each stream; then another follows
+	tokens  int // of each stream; a new one follows its end
 	events  atomic.Int64
 	opened  atomic.Int64
 	wg      sync.WaitGroup
 	mu      sync.Mutex
-	err     error // the first
+	err     error // the first error
 }
 
-// start keeps n streams up until ctx ends.
+// start keeps n streams open until ctx ends; a stream that fails is not replaced.
 func (f *streamLoad) start(ctx context.Context, n int) {
 	for range n {
 		f.wg.Go(func() {
@@ -97,11 +98,13 @@
 	}
 }
 
+// readBuffer is the size of the buffer of a stream, in bytes.
 const readBuffer = 32 << 10
 
+// eventEnd ends an event of a stream of server-sent events.
 var eventEnd = []byte("\n\n")
 
-// readStream reads one stream and counts its events.
+// readStream opens one stream, reads it to its end and counts its events.
 func (f *streamLoad) readStream(ctx context.Context) error {
 	body, err := f.caller.openStream(ctx, f.address, f.model, f.tokens)
 	if err != nil {
@@ -122,12 +125,12 @@
 	}
 }
 
-// firstError returns what went wrong, if anything did.
+// firstError returns the error of the first stream that failed, if any did.
 func (f *streamLoad) firstError() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.err
 }
 
-// warmUp is how long streams run before they are measured.
+// warmUp is the time for which streams and requests run before they are measured.
 const warmUp = 2 * time.Second
