--- a/cmd/pierctl/bench.go
+++ b/cmd/pierctl/bench.go
@@ -52,7 +52,7 @@
 	f.DurationVar(&c.cfg.Duration, "for", time.Minute, "`length` of the traffic")
 	f.Uint64Var(&c.cfg.Seed, "seed", 1, "seed of the traffic")
 	f.Float64Var(&c.cfg.LoadFactor, "load", 1, "`factor` on the site's demand")
-	f.StringVar(&c.cfg.Faults, "faults", "", "course of `faults`")
+	f.StringVar(&c.cfg.Scenario, "faults", "", "course of `faults`")
 	f.StringVar(&c.policies, "compare", "", "`policies` to compare, separated by commas")
 	f.StringVar(&c.seeds, "seeds", "1,2,3", "`seeds` of a comparison")
 	f.BoolVar(&c.withOracle, "oracle", false, "run the oracle on the same seed too, as an upper bound")
--- a/standin/bench/bench.go
+++ b/standin/bench/bench.go
@@ -23,7 +23,7 @@
 	Policy     string
 	Seed       uint64
 	Duration   time.Duration
-	Faults     string  // a scenario's name, see site.Scenarios; "": none
+	Scenario   string  // a scenario's name, see site.Scenarios; "": none
 	LoadFactor float64 // the site's demand is multiplied by this; 0: 1
 	Progress   func(load.Progress)
 	Log        *zap.Logger
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	faults, err := site.FindScenario(faultsOrNone(c.Faults))
+	faults, err := site.FindScenario(faultsOrNone(c.Scenario))
 	if err != nil {
 		return nil, err
 	}
@@ -64,7 +64,7 @@
 		defer l.startController(r)()
 	}
 	out := &Run{LoadFactor: c.LoadFactor}
-	out.Report, err = r.Drive(ctx, local.DriveOptions{Policy: c.Policy, Scenario: c.Faults, Length: c.Duration, Progress: c.Progress,
+	out.Report, err = r.Drive(ctx, local.DriveOptions{Policy: c.Policy, Scenario: c.Scenario, Length: c.Duration, Progress: c.Progress,
 		Script: func(ctx context.Context, r *local.RunningSite) error {
 			return faultErrors(faults.Run(ctx, r.FaultTargets(), c.Duration))
 		},
