--- a/standin/claimbench/fleet.go
+++ b/standin/claimbench/fleet.go
@@ -97,14 +97,14 @@
 		wait = f.cfg.LeaseTTL
 	}
 	time.Sleep(wait)
-	begin := time.Now()
+	start := time.Now()
 	w, err := f.open(ctx, 0, 2)
 	if err != nil {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.writers[0], f.openTime = w, time.Since(begin)
+	f.writers[0], f.openTime = w, time.Since(start)
 }
 
 func (f *fleet) openMs() float64 {
--- a/standin/speed/parts.go
+++ b/standin/speed/parts.go
@@ -73,16 +73,16 @@
 	if err != nil {
 		return Throughput{}, err
 	}
-	began, events := time.Now(), f.events.Load()
+	start, events := time.Now(), f.events.Load()
 	if !pace.Sleep(ctx, cfg.Duration) {
 		return Throughput{}, ctx.Err()
 	}
-	took, events := time.Since(began), f.events.Load()-events
+	elapsed, events := time.Since(start), f.events.Load()-events
 	after, err := cpuTime(cfg.OneCorePID)
 	if err == nil {
 		err = f.firstError()
 	}
-	return Throughput{Streams: streams, TokensPerSecond: float64(events) / took.Seconds(), CPUShare: (after - cpu).Seconds() / took.Seconds()}, err
+	return Throughput{Streams: streams, TokensPerSecond: float64(events) / elapsed.Seconds(), CPUShare: (after - cpu).Seconds() / elapsed.Seconds()}, err
 }
 
 // measurePaced measures streams of 100 tokens a second each.
@@ -111,10 +111,10 @@
 	interval := time.Second / time.Duration(2*cfg.RequestsPerSecond)
 	measured := int(cfg.Duration.Seconds()) * 2 * cfg.RequestsPerSecond
 	warmUpRequests := int(warmUp.Seconds()) * 2 * cfg.RequestsPerSecond
-	began := time.Now()
+	start := time.Now()
 	var wg sync.WaitGroup
 	for i := range warmUpRequests + measured {
-		if wait := time.Until(began.Add(time.Duration(i) * interval)); wait > 0 {
+		if wait := time.Until(start.Add(time.Duration(i) * interval)); wait > 0 {
 			if !pace.Sleep(ctx, wait) {
 				return ctx.Err()
 			}
@@ -146,13 +146,13 @@
 // measure sends request i and, if record is set, records its time. The first requests only
 // warm up the connections.
 func (f *firstByteTimer) measure(ctx context.Context, i int, record bool) {
-	began := time.Now()
+	start := time.Now()
 	body, err := f.caller.openStream(ctx, f.addresses[(i/2)%len(f.addresses)], modelFast, 1)
-	var took time.Duration
+	var elapsed time.Duration
 	if err == nil {
 		var b [1]byte
 		_, err = io.ReadFull(body, b[:])
-		took = time.Since(began)
+		elapsed = time.Since(start)
 		_, _ = io.Copy(io.Discard, body) // lets the connection be reused
 		_ = body.Close()
 	}
@@ -163,6 +163,6 @@
 		return
 	}
 	if record {
-		_ = f.times.RecordValue(max(took.Microseconds(), 1)) // fails only above the histogram's limit of a minute
+		_ = f.times.RecordValue(max(elapsed.Microseconds(), 1)) // fails only above the histogram's limit of a minute
 	}
 }
