--- a/cmd/pierctl/hoststatus.go
+++ b/cmd/pierctl/hoststatus.go
@@ -16,11 +16,11 @@
 	"peridotpier.example/node/host"
 )
 
-// hostStatusCommand shows whom a host of a routed deployment goes by, and what the
-// hosts tell each other.
+// hostStatusCommand shows which coordinator a host of a routed deployment follows, and the
+// traffic between the hosts.
 type hostStatusCommand struct{ hostPage }
 
-// Name implements subcommands.Command, as the methods below do.
+// Name implements subcommands.Command, as do the methods below.
 func (*hostStatusCommand) Name() string { return "hoststatus" }
 func (*hostStatusCommand) Synopsis() string {
 	return "show whom a host goes by, how often it reports, and what hosts tell each other"
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	if c.json {
+	if c.printJSON {
 		_, err = os.Stdout.Write(data)
 		return err
 	}
@@ -54,11 +54,11 @@
 }
 
 func printHostStatus(s *host.Status) {
-	by := cmp.Or(s.Coordinator, "nobody")
+	coordinator := cmp.Or(s.Coordinator, "nobody")
 	if s.Acting {
-		by = "itself; it acts for all"
+		coordinator = "itself; it acts for all"
 	}
-	fmt.Printf("%s in %s: ready %t, goes by %s, holds the lease %t\n", s.Host, s.DataCentre, s.Ready, by, s.HoldsLease)
+	fmt.Printf("%s in %s: ready %t, goes by %s, holds the lease %t\n", s.Host, s.DataCentre, s.Ready, coordinator, s.HoldsLease)
 	fmt.Printf("%d hosts, a report each %d ms; %d upstreams of version %d, configuration %d\n", s.Hosts, s.ReportMs, s.Upstreams, s.ListVersion, s.Configuration)
 	for _, part := range []struct {
 		title string
--- a/cmd/pierctl/main.go
+++ b/cmd/pierctl/main.go
@@ -1,4 +1,5 @@
-// Command pierctl is the operators' tool, and runs the demo and the bench.
+// Command pierctl is the operators' tool. It also runs demonstrations and benchmarks with
+// imitated upstreams.
 package main
 
 import (
@@ -11,23 +12,24 @@
 	"github.com/google/subcommands"
 )
 
-// operating are the commands that call a host.
-func operating() []subcommands.Command {
+// operatorCommands returns the commands that call a host.
+func operatorCommands() []subcommands.Command {
 	return []subcommands.Command{presetCommand(), applyCommand(), statusCommand(), auditCommand(), requestCommand(), &quarantineCommand{}, &upstreamsCommand{}, &hostStatusCommand{}}
 }
 
-// trials are the commands that run stand-ins, or against them.
-func trials() []subcommands.Command {
+// trialCommands returns the commands that run stand-ins, send load to hosts beside them, or
+// compare results.
+func trialCommands() []subcommands.Command {
 	return []subcommands.Command{&demoCommand{}, &benchCommand{}, &fleetCommand{}, &claimsCommand{}, &standinCommand{}, &driveCommand{}, &speedCommand{}, &compareCommand{}}
 }
 
 func main() {
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(subcommands.FlagsCommand(), "")
-	for _, c := range operating() {
+	for _, c := range operatorCommands() {
 		subcommands.Register(c, "operating")
 	}
-	for _, c := range trials() {
+	for _, c := range trialCommands() {
 		subcommands.Register(c, "trials")
 	}
 	flag.Parse()
--- a/cmd/pierctl/upstreams.go
+++ b/cmd/pierctl/upstreams.go
@@ -11,10 +11,11 @@
 	"peridotpier.example/node/host"
 )
 
-// upstreamsCommand lists the upstreams that ask for something.
+// upstreamsCommand lists the upstreams that are draining, name a rate limit or asked for a
+// backoff.
 type upstreamsCommand struct{ hostPage }
 
-// Name implements subcommands.Command, as the methods below do.
+// Name implements subcommands.Command, as do the methods below.
 func (*upstreamsCommand) Name() string { return "upstreams" }
 func (*upstreamsCommand) Synopsis() string {
 	return "list the upstreams that leave, name a limit or asked for rest"
@@ -32,12 +33,12 @@
 
 func (c *upstreamsCommand) run(ctx context.Context) error {
 	return listPage(ctx, &c.hostPage, host.UpstreamsPath, func(u *host.RestrictedUpstream) string {
-		return fmt.Sprintf("%s  %s  %s", u.Upstream, u.Service, asked(u))
+		return fmt.Sprintf("%s  %s  %s", u.Upstream, u.Service, describeRestrictions(u))
 	})
 }
 
-// asked says what one upstream asks for.
-func asked(u *host.RestrictedUpstream) string {
+// describeRestrictions returns the restrictions of one upstream as text, "" without any.
+func describeRestrictions(u *host.RestrictedUpstream) string {
 	out := ""
 	if u.Draining {
 		out += "leaves  "
--- a/standin/bench/bench.go
+++ b/standin/bench/bench.go
@@ -1,6 +1,6 @@
-// Package bench runs a site's real nodes beside its stand-ins in real time
-// under a named policy, seed and course of faults, open loop, and compares
-// policies on the same seeds.
+// Package bench runs real nodes of a site beside imitated upstreams in real time, with a named
+// policy, a seed and a fault scenario, under open-loop load, and compares policies on the
+// same seeds.
 package bench
 
 import (
@@ -17,34 +17,35 @@
 	"peridotpier.example/standin/site"
 )
 
-// Config of one run.
+// Config describes one run.
 type Config struct {
 	Site       *site.Site
 	Policy     string
 	Seed       uint64
 	Duration   time.Duration
-	Faults     string  // a scenario's name, see site.Scenarios; "": none
+	Scenario   string  // a scenario's name, see site.Scenarios; "": none
 	LoadFactor float64 // the site's demand is multiplied by this; 0: 1
 	Progress   func(load.Progress)
 	Log        *zap.Logger
 }
 
-// Run is what one run came to.
+// Run is the result of one run.
 type Run struct {
 	local.Report
 	LoadFactor       float64  `json:"load"`
-	UrgentAttainment float64  `json:"urgent_attainment"` // share of urgent requests answered whole and in time
+	UrgentAttainment float64  `json:"urgent_attainment"` // share of urgent requests that got a complete answer in time
 	OracleAttainment *float64 `json:"oracle_attainment,omitempty"`
 	Series           Series   `json:"-"`
 }
 
-// RunPolicy carries out one run.
+// RunPolicy carries out one run and returns its result. It fails if a fault of the scenario
+// could not be caused.
 func RunPolicy(ctx context.Context, c Config) (*Run, error) {
 	p, err := findPolicy(c.Policy)
 	if err != nil {
 		return nil, err
 	}
-	faults, err := site.FindScenario(orNone(c.Faults))
+	faults, err := site.FindScenario(faultsOrNone(c.Scenario))
 	if err != nil {
 		return nil, err
 	}
@@ -53,27 +54,28 @@
 	}
 	s := c.Site.WithScaledDemand(c.LoadFactor)
 	l := newLRU()
-	r, err := local.Start(ctx, local.Options{Site: s, Seed: c.Seed, Policy: p.decisions(l), Oracle: p.oracle,
-		Demand: windows(c.Duration), Log: c.Log})
+	r, err := local.Start(ctx, local.Options{Site: s, Seed: c.Seed, Policy: p.overrides(l), Oracle: p.exactReports,
+		Demand: compressedWindows(c.Duration), Log: c.Log})
 	if err != nil {
 		return nil, eris.Wrapf(err, "start the site under policy %s", c.Policy)
 	}
 	defer r.Close()
-	if p.onDemand {
-		defer l.attend(r)()
+	if p.loadsOnDemand {
+		defer l.startController(r)()
 	}
 	out := &Run{LoadFactor: c.LoadFactor}
-	out.Report, err = r.Drive(ctx, local.DriveOptions{Policy: c.Policy, Scenario: c.Faults, Length: c.Duration, Progress: c.Progress,
+	out.Report, err = r.Drive(ctx, local.DriveOptions{Policy: c.Policy, Scenario: c.Scenario, Length: c.Duration, Progress: c.Progress,
 		Script: func(ctx context.Context, r *local.RunningSite) error {
-			return caused(faults.Run(ctx, r.FaultTargets(), c.Duration))
+			return faultErrors(faults.Run(ctx, r.FaultTargets(), c.Duration))
 		},
-		OnResult: func(res *load.Result) { out.Series = seriesOf(res, c.Duration) }})
+		OnResult: func(res *load.Result) { out.Series = newSeries(res, c.Duration) }})
 	out.UrgentAttainment = out.ByClass["urgent"].Attainment
 	return out, err
 }
 
-// caused says which faults could not be caused: a run without them shows nothing.
-func caused(steps []site.Fault) error {
+// faultErrors returns the errors of the faults that could not be caused: the result of a run
+// without them means nothing.
+func faultErrors(steps []site.Fault) error {
 	var errs []error
 	for _, f := range steps {
 		if f.Err != nil {
@@ -83,26 +85,29 @@
 	return errors.Join(errs...)
 }
 
-func orNone(faults string) string {
+// faultsOrNone returns the name of the scenario without faults if none is given.
+func faultsOrNone(faults string) string {
 	if faults == "" {
 		return "none"
 	}
 	return faults
 }
 
-// The windows in which demand is measured, for a site file whose course stands
-// for an hour, and the least that is of use beside loads that take seconds.
+// The demand of a site file represents an hour, which a run compresses to its length. The
+// windows in which demand is measured are compressed too, but not below these minimums:
+// loading a model still takes seconds.
 const (
-	courseStandsFor = time.Hour
-	leastShort      = 2 * time.Second
-	leastLong       = 8 * time.Second
+	representedTime = time.Hour
+	minShortWindow  = 2 * time.Second
+	minLongWindow   = 8 * time.Second
 )
 
-// windows compresses the windows of demand as the run compresses the hour.
-func windows(length time.Duration) demand.Config {
+// compressedWindows returns the configuration of demand with its windows scaled by the
+// length of the run to the hour that it represents.
+func compressedWindows(length time.Duration) demand.Config {
 	c := demand.DefaultConfig()
-	by := min(length.Seconds()/courseStandsFor.Seconds(), 1)
-	c.Short = max(time.Duration(by*float64(c.Short)), leastShort)
-	c.Long = max(time.Duration(by*float64(c.Long)), leastLong)
+	scale := min(length.Seconds()/representedTime.Seconds(), 1)
+	c.Short = max(time.Duration(scale*float64(c.Short)), minShortWindow)
+	c.Long = max(time.Duration(scale*float64(c.Long)), minLongWindow)
 	return c
 }
