--- a/cmd/pierctl/compare.go
+++ b/cmd/pierctl/compare.go
@@ -15,13 +15,14 @@
 	"peridotpier.example/standin/compare"
 )
 
-// compareCommand compares two ways of one decision by the days that both played.
+// compareCommand compares two variants of a policy by the days in the journal that were run
+// with both.
 type compareCommand struct {
 	journal, before, after, plot string
-	json                         bool
+	printJSON                    bool
 }
 
-// Name implements subcommands.Command, as the methods below do.
+// Name implements subcommands.Command, as do the methods below.
 func (*compareCommand) Name() string { return "compare" }
 func (*compareCommand) Synopsis() string {
 	return "compare two ways by the days that both have played"
@@ -39,7 +40,7 @@
 	f.StringVar(&c.before, "before", "", "entries, commits or sources of the one way")
 	f.StringVar(&c.after, "after", "", "those of the other")
 	f.StringVar(&c.plot, "plot", "", "draw the difference in worth into this file (SVG)")
-	f.BoolVar(&c.json, "json", false, "print JSON")
+	f.BoolVar(&c.printJSON, "json", false, "print JSON")
 }
 
 func (c *compareCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -48,7 +49,7 @@
 		return exit.Usage
 	}
 	if err := c.run(); err != nil {
-		return exit.Print(os.Stderr, c.json, err)
+		return exit.Print(os.Stderr, c.printJSON, err)
 	}
 	return exit.OK
 }
@@ -63,12 +64,12 @@
 	if err != nil {
 		return err
 	}
-	pairs, left := compare.MatchPairs(before, after)
+	pairs, unpaired := compare.MatchPairs(before, after)
 	rows, err := compare.Compare(pairs)
 	if err != nil {
 		return fmt.Errorf("%w: before on %s, after on %s", err, compare.SiteNames(before), compare.SiteNames(after))
 	}
-	c.print(rows, left)
+	c.print(rows, unpaired)
 	if c.plot == "" {
 		return nil
 	}
@@ -79,14 +80,14 @@
 	return errors.Join(compare.Plot(file, rows, "worth"), file.Close())
 }
 
-func (c *compareCommand) print(rows []compare.Row, left int) {
-	if c.json {
-		_ = json.NewEncoder(os.Stdout).Encode(map[string]any{"rows": rows, "unpaired": left})
+func (c *compareCommand) print(rows []compare.Row, unpaired int) {
+	if c.printJSON {
+		_ = json.NewEncoder(os.Stdout).Encode(map[string]any{"rows": rows, "unpaired": unpaired})
 		return
 	}
 	fmt.Println(compare.TableHead)
 	for _, r := range rows {
 		fmt.Println(r)
 	}
-	fmt.Printf("\n%d plays without their like\n", left)
+	fmt.Printf("\n%d plays without their like\n", unpaired)
 }
--- a/cmd/pierctl/fleet.go
+++ b/cmd/pierctl/fleet.go
@@ -18,7 +18,7 @@
 	"peridotpier.example/standin/local"
 )
 
-// fleetCommand measures what acting as one costs fleets of real nodes.
+// fleetCommand measures the cost of the control path of fleets of real nodes.
 type fleetCommand struct {
 	nodes     int
 	upstreams int
@@ -27,7 +27,7 @@
 	sizes     string
 	plot      string
 	profile   string
-	json      bool
+	printJSON bool
 }
 
 func (*fleetCommand) Name() string { return "fleet" }
@@ -46,10 +46,10 @@
 	f.StringVar(&c.sizes, "sizes", "", "several `numbers` of entry hosts, separated by commas, in place of --nodes")
 	f.StringVar(&c.plot, "plot", "", "with --sizes: write a plot to this SVG `file`")
 	f.StringVar(&c.profile, "profile", "", "write a processor profile of the run to this `file`")
-	f.BoolVar(&c.json, "json", false, "print one JSON object")
+	f.BoolVar(&c.printJSON, "json", false, "print one JSON object")
 }
 
-// upstreamsPerNode is the proportion of the design size, 2,500 to 420.
+// upstreamsPerNode is the ratio of the design size: 2,500 upstreams to 420 hosts.
 const upstreamsPerNode = 6
 
 func (c *fleetCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -57,13 +57,14 @@
 		fmt.Fprint(os.Stderr, c.Usage())
 		return exit.Usage
 	}
-	if err := c.profiled(ctx); err != nil {
-		return exit.Print(os.Stderr, c.json, err)
+	if err := c.runProfiled(ctx); err != nil {
+		return exit.Print(os.Stderr, c.printJSON, err)
 	}
 	return exit.OK
 }
 
-func (c *fleetCommand) profiled(ctx context.Context) error {
+// runProfiled runs the command, and writes a CPU profile of it if asked to.
+func (c *fleetCommand) runProfiled(ctx context.Context) error {
 	if c.profile == "" {
 		return c.run(ctx)
 	}
@@ -74,7 +75,7 @@
 	if err := pprof.StartCPUProfile(file); err != nil {
 		return errors.Join(err, file.Close())
 	}
-	// What comes after an interruption is the end of the hosts, not the run.
+	// After an interruption the hosts shut down, which is no part of the run to profile.
 	defer context.AfterFunc(ctx, pprof.StopCPUProfile)()
 	err = c.run(ctx)
 	pprof.StopCPUProfile()
@@ -95,7 +96,7 @@
 	}
 	var runs []local.FleetReport
 	for _, n := range sizes {
-		r, err := c.one(ctx, n)
+		r, err := c.runOne(ctx, n)
 		if err != nil {
 			return err
 		}
@@ -115,7 +116,8 @@
 	return errors.Join(local.PlotSlopes(file, runs), file.Close())
 }
 
-func (c *fleetCommand) one(ctx context.Context, nodes int) (local.FleetReport, error) {
+// runOne measures one fleet of a number of nodes.
+func (c *fleetCommand) runOne(ctx context.Context, nodes int) (local.FleetReport, error) {
 	upstreams := c.upstreams
 	if upstreams == 0 {
 		upstreams = upstreamsPerNode * nodes
@@ -126,7 +128,7 @@
 
 func (c *fleetCommand) print(v any) {
 	enc := json.NewEncoder(os.Stdout)
-	if !c.json {
+	if !c.printJSON {
 		enc.SetIndent("", "  ")
 	}
 	_ = enc.Encode(v)
--- a/node/callerapi/generate.go
+++ b/node/callerapi/generate.go
@@ -20,33 +20,34 @@
 	"peridotpier.example/node/inflight"
 )
 
-// prefixBytes of a prompt tell which other prompts share its beginning, such
-// as a team's standing instructions.
+// prefixBytes is how many bytes of a prompt are hashed to find other prompts with
+// the same beginning, such as a team's fixed instructions.
 const prefixBytes = 512
 
-// generation is what of a request body concerns its way to an engine. All
-// else passes through as it stands.
-type generation struct {
+// generationRequest holds the fields of a request body that affect routing. The
+// body itself is forwarded unchanged.
+type generationRequest struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
 	Messages json.RawMessage `json:"messages"`
 	Prompt   json.RawMessage `json:"prompt"`
-	// The most tokens that the caller wants, in its older and its newer form.
+	// The maximum number of tokens that the caller wants, under the older and the
+	// newer name of the field.
 	MaxTokens           int `json:"max_tokens"`
 	MaxCompletionTokens int `json:"max_completion_tokens"`
 }
 
-// generate serves both kinds of completion.
+// generate serves chat completions and plain completions.
 func (a *API) generate(c *call) error {
-	t, err := a.terms(c)
+	t, err := a.parseOptions(c)
 	if err != nil {
 		return err
 	}
-	body, err := readBody(c, min(c.state.Index.Limits.BodyBytes, holdMost))
+	body, err := readBody(c, min(c.state.Index.Limits.BodyBytes, maxBufferedBody))
 	if err != nil {
 		return err
 	}
-	var g generation
+	var g generationRequest
 	if err := json.Unmarshal(body, &g); err != nil {
 		return fault.NotRun(fault.StepParse, "", fault.CodeBadRequest, "body is not a JSON request: %w", err)
 	}
@@ -63,14 +64,15 @@
 		w.IdleStepMs = 1000 / float64(target.TokensPerSecond)
 	}
 	if t.key != "" {
-		a.claimed(c, w, t.key, body)
+		a.requireClaim(c, w, t.key, body)
 	}
 	return a.serve(c, w, g.Model)
 }
 
-// prefix hashes the beginning of a prompt, salted by team: two teams' equal
-// prompts must not look equal, or one could learn the other's by timing.
-func (a *API) prefix(team, model string, g *generation) uint64 {
+// prefix returns a hash of the beginning of a prompt, salted by team: equal prompts
+// of two teams must not have equal hashes, or one team could learn the other's
+// prompts from response times.
+func (a *API) prefix(team, model string, g *generationRequest) uint64 {
 	text := g.Messages
 	if text == nil {
 		text = g.Prompt
@@ -82,8 +84,9 @@
 	return d.Sum64()
 }
 
-// claimed marks a request as one that may not be repeated.
-func (a *API) claimed(c *call, w *dispatch.Work, key string, body []byte) {
+// requireClaim marks a request as one that may not be repeated, and that is claimed
+// under an idempotency key.
+func (a *API) requireClaim(c *call, w *dispatch.Work, key string, body []byte) {
 	w.Repeatable = false
 	w.MaxRetainedBytes = c.state.Index.Limits.AnswerBytes
 	r := nodeclaim.Request{Team: w.Team, Key: key, BodyHash: hashRequest(w, body), Deadline: w.Deadline}
@@ -103,16 +106,16 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// serve admits a request, dispatches it and keeps book of it.
+// serve admits a request, dispatches it and records it among the live requests.
 func (a *API) serve(c *call, w *dispatch.Work, target string) error {
 	ctx := c.ctx()
 	if w.Claim != nil {
-		// A claimed request runs to its end when its caller is gone, for the
-		// answer will be asked for again under its key.
+		// A claimed request runs to its end even if its caller disconnects: the
+		// caller may repeat the request with its key to get the answer.
 		ctx = context.WithoutCancel(ctx)
 	}
 	ctx, entry := a.deps.Requests.Begin(ctx, inflight.Request{ID: c.id, Team: w.Team, Target: target, Class: w.Class, Started: a.deps.Now()})
-	err := a.counted(ctx, c, w, entry, target)
+	err := a.countDemand(ctx, c, w, entry, target)
 	state, code := outcome.Completed, ""
 	if err != nil {
 		f := fault.From(fault.StepDispatch, err)
@@ -122,22 +125,23 @@
 	entry.End(state.String(), code)
 	switch {
 	case err == nil:
-		a.count(outcome.Completed)
+		a.countOutcome(outcome.Completed)
 	case handedOver:
 		a.handOver(c)
 	}
 	return err
 }
 
-// counted keeps the demand that the planners follow. What was refused for want
-// of a replica or of room counts too: it is what another replica is for.
-func (a *API) counted(ctx context.Context, c *call, w *dispatch.Work, e *inflight.Entry, target string) error {
+// countDemand records the demand that the planners follow, and admits and
+// dispatches the request. A request that is refused because there is no replica or
+// no capacity counts too: another replica would serve it.
+func (a *API) countDemand(ctx context.Context, c *call, w *dispatch.Work, e *inflight.Entry, target string) error {
 	if w.PlainService {
-		return a.admitted(ctx, c, w, e, target)
+		return a.admitAndDispatch(ctx, c, w, e, target)
 	}
 	k := place.Key{Model: w.Key.Model, Adapter: w.Key.Adapter}
 	a.deps.Demand.Begin(k)
-	err := a.admitted(ctx, c, w, e, target)
+	err := a.admitAndDispatch(ctx, c, w, e, target)
 	refused := false
 	if err != nil {
 		f := fault.From(fault.StepDispatch, err)
@@ -147,9 +151,9 @@
 	return err
 }
 
-func (a *API) admitted(ctx context.Context, c *call, w *dispatch.Work, e *inflight.Entry, target string) error {
-	if standing := a.deps.Config.Freshness(); !standing.Admits(w.Class) {
-		return fault.NotRun(fault.StepConfig, "", fault.CodeStoreUnavailable, "this host has not known for long whether its configuration is the newest (%s): it takes urgent requests only", standing).WithRetryAfter(retryNoConfig)
+func (a *API) admitAndDispatch(ctx context.Context, c *call, w *dispatch.Work, e *inflight.Entry, target string) error {
+	if freshness := a.deps.Config.Freshness(); !freshness.Admits(w.Class) {
+		return fault.NotRun(fault.StepConfig, "", fault.CodeStoreUnavailable, "this host has not known for long whether its configuration is the newest (%s): it takes urgent requests only", freshness).WithRetryAfter(noConfigRetryAfter)
 	}
 	release, err := a.deps.Admission.Admit(ctx, AdmitRequest{Team: w.Team, Class: w.Class, Pool: w.Pool, Deadline: w.Deadline})
 	if err != nil {
--- a/node/callerapi/requests.go
+++ b/node/callerapi/requests.go
@@ -13,29 +13,29 @@
 	"peridotpier.example/node/inflight"
 )
 
-const listMost = 100 // requests in one list
+const maxListed = 100 // maximum number of requests in one list
 
 // requests lists the team's own requests on this host.
 func (a *API) requests(c *call) error {
-	return c.JSON(http.StatusOK, map[string]any{"object": "list", "data": a.deps.Requests.List(c.team.Name, listMost)})
+	return c.JSON(http.StatusOK, map[string]any{"object": "list", "data": a.deps.Requests.List(c.team.Name, maxListed)})
 }
 
 func (a *API) request(c *call) error {
 	q, ok := a.deps.Requests.Get(c.Param("id"), c.team.Name)
 	if !ok {
-		return unknownRequest()
+		return requestNotFound()
 	}
 	return c.JSON(http.StatusOK, q)
 }
 
-// unknownRequest does not repeat the id: it may be a resume token, and errors
-// end up in callers' logs.
-func unknownRequest() error {
+// requestNotFound returns an error that does not repeat the id: it may be a resume
+// token, and errors end up in callers' logs.
+func requestNotFound() error {
 	return fault.NotRun(fault.StepParse, "", fault.CodeNotFound, "this host knows no such request of your team")
 }
 
-// cancel ends a request of the team, by its id on the host that serves it or
-// by its resume token on any host.
+// cancel cancels a request of the team, by its id on the host that serves it, or by
+// its resume token on any host.
 func (a *API) cancel(c *call) error {
 	id := c.Param("id")
 	if a.deps.Requests.Cancel(id, c.team.Name, dispatch.ErrCancelled) {
@@ -43,11 +43,11 @@
 	}
 	t, err := a.deps.Tokens.Decode(id, c.team.Name, a.deps.Now())
 	if err != nil {
-		return unknownRequest()
+		return requestNotFound()
 	}
 	u, ok := c.state.Index.Upstream(t.Upstream)
 	if !ok {
-		return unknownRequest()
+		return requestNotFound()
 	}
 	a.deps.Requests.Cancel(t.Request, c.team.Name, dispatch.ErrCancelled)
 	if err := a.deps.Dispatcher.UpstreamClient().Cancel(c.ctx(), u.Address, t.Attempt); err != nil {
@@ -56,11 +56,11 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-// resume takes a stream up again, whichever host it began on.
+// resume continues a stream, whichever host it began on.
 func (a *API) resume(c *call) error {
 	t, err := a.deps.Tokens.Decode(c.Param("id"), c.team.Name, a.deps.Now())
 	if err != nil {
-		// One answer for all faults: nothing may be learnt by trying.
+		// The answer is the same for every fault of a token, so that guesses reveal nothing.
 		return fault.Unknown(fault.StepResume, "", fault.CodeNotFound, "this resume token is not valid, or no longer")
 	}
 	after := 0
@@ -73,12 +73,12 @@
 	if !ok {
 		return fault.Unknown(fault.StepResume, t.Upstream, fault.CodeOutcomeUnknown, "the upstream of this stream is gone")
 	}
-	return a.resumed(c, t, dispatch.Resumption{Attempt: t.Attempt, Upstream: t.Upstream, Address: u.Address,
+	return a.resumeStream(c, t, dispatch.Resumption{Attempt: t.Attempt, Upstream: t.Upstream, Address: u.Address,
 		DataCentre: u.DataCentre, Incarnation: t.Incarnation, After: after})
 }
 
-func (a *API) resumed(c *call, t token.Token, r dispatch.Resumption) error {
-	deadline := a.deps.Now().Add(deadlineMost)
+func (a *API) resumeStream(c *call, t token.Token, r dispatch.Resumption) error {
+	deadline := a.deps.Now().Add(maxDeadline)
 	ctx, entry := a.deps.Requests.Begin(c.ctx(), inflight.Request{ID: c.id, Team: c.team.Name, Target: t.Model, Started: a.deps.Now()})
 	w := &dispatch.Work{RequestID: t.Request, Team: t.Team, Stream: true, Deadline: deadline}
 	err := a.deps.Dispatcher.Resume(ctx, w, r, a.newSink(c, entry, t.Model, true, deadline))
@@ -90,9 +90,9 @@
 	return err
 }
 
-// handOver ends a stream that outlived a graceful shutdown: its caller is told
-// where to take it up, and gets the rest from another host. It returns only
-// when there is no stream to hand over.
+// handOver ends a stream that is still open at the end of a graceful shutdown: its
+// last event tells the caller where to resume it, on another host. It returns only
+// if there is no stream to hand over.
 func (a *API) handOver(c *call) {
 	t := c.Response().Header().Get(HeaderResume)
 	r, _ := echo.UnwrapResponse(c.Response())
@@ -100,7 +100,7 @@
 		return
 	}
 	if _, err := c.Response().Write([]byte("event: handover\ndata: {\"resume\":\"/v1/requests/" + t + "/stream\"}\n\n")); err == nil {
-		_ = http.NewResponseController(c.Response()).Flush() // the caller may be gone
+		_ = http.NewResponseController(c.Response()).Flush() // the caller may have disconnected
 	}
-	panic(http.ErrAbortHandler) // the stream's end must not look clean
+	panic(http.ErrAbortHandler) // the stream must not appear to end normally
 }
--- a/node/host/callers.go
+++ b/node/host/callers.go
@@ -15,38 +15,39 @@
 	"peridotpier.example/node/event"
 )
 
-// Bounds of a caller's connection that hold under every configuration.
+// Bounds of a caller's connection that do not depend on the configuration.
 const (
-	headMost  = 64 << 10 // bytes of a request's head
-	headBound = 5 * time.Second
+	maxHeadBytes = 64 << 10        // of the head of a request
+	headTimeout  = 5 * time.Second // for reading the head of a request
 )
 
-// callers serves the callers' connections.
-type callers struct {
-	server *http.Server
-	drain  *drain.Server
-	bound  func() time.Duration
-	conns  *connLog
+// callerServer serves the callers' connections.
+type callerServer struct {
+	server      *http.Server
+	drain       *drain.Server
+	idleTimeout func() time.Duration
+	conns       *connLog
 }
 
-func newCallers(ln net.Listener, h http.Handler, idleBound func() time.Duration, conns *connLog) *callers {
-	c := &callers{bound: idleBound, conns: conns}
-	c.server = &http.Server{Handler: c.handle(h), MaxHeaderBytes: headMost, ReadHeaderTimeout: headBound, ConnState: c.state,
-		ConnContext: withConn, ErrorLog: log.New(complaints{conns.log}, "", 0)}
-	c.drain = drain.New(drain.Config{Listener: callerListener{ln, conns}, Server: c.server, BeforeClose: c.closing})
+func newCallerServer(ln net.Listener, h http.Handler, idleBound func() time.Duration, conns *connLog) *callerServer {
+	c := &callerServer{idleTimeout: idleBound, conns: conns}
+	c.server = &http.Server{Handler: c.trackRequests(h), MaxHeaderBytes: maxHeadBytes, ReadHeaderTimeout: headTimeout, ConnState: c.onConnState,
+		ConnContext: withConn, ErrorLog: log.New(serverErrorLog{conns.log}, "", 0)}
+	c.drain = drain.New(drain.Config{Listener: callerListener{ln, conns}, Server: c.server, BeforeClose: c.recordCloseReason})
 	return c
 }
 
-// handle keeps the connection's account of its handlers.
-func (c *callers) handle(h http.Handler) http.Handler {
+// trackRequests wraps h so that the connection's track records its requests.
+func (c *callerServer) trackRequests(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c.account(h, r.Context().Value(connKey{}).(*callerConn).track, w, r)
+		c.serveTracked(h, r.Context().Value(connKey{}).(*callerConn).track, w, r)
 	})
 }
 
-// account tells track of a request's begin and end. A handler that panics ends
-// its connection, as the HTTP server has it; the log then names the request.
-func (c *callers) account(h http.Handler, track *connTrack, w http.ResponseWriter, r *http.Request) {
+// serveTracked serves a request with h and records in track when the handler starts
+// and ends. If the handler panics, serveTracked logs the panic with the request's id
+// and aborts the connection.
+func (c *callerServer) serveTracked(h http.Handler, track *connTrack, w http.ResponseWriter, r *http.Request) {
 	returned := false
 	track.begin(r.Header)
 	defer func() {
@@ -60,16 +61,16 @@
 	returned = true
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 func withConn(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, drain.Underlying(nc))
 }
 
-// connGone says how the connection of a request ended; "": it has not, or that
-// is not known.
-func connGone(ctx context.Context) string {
+// disconnectReason returns why the connection of a request counts as closed; "" if it
+// does not, or if that is not known.
+func disconnectReason(ctx context.Context) string {
 	own, ok := ctx.Value(connKey{}).(*callerConn)
 	if !ok {
 		return ""
@@ -77,36 +78,37 @@
 	return string(own.track.endedBy())
 }
 
-func (c *callers) state(nc net.Conn, s http.ConnState) {
+func (c *callerServer) onConnState(nc net.Conn, s http.ConnState) {
 	if s == http.StateIdle {
 		drain.Underlying(nc).(*callerConn).track.idle()
 	}
 }
 
-func (c *callers) closing(nc net.Conn, why drain.Reason) {
-	nc.(*callerConn).track.closeFor(closeReason(why))
+func (c *callerServer) recordCloseReason(nc net.Conn, why drain.Reason) {
+	nc.(*callerConn).track.setCloseCause(closeReason(why))
 }
 
-// sweep closes the connections that were idle for longer than the
-// configuration in force allows, which the server's own fixed bound cannot follow.
-func (c *callers) sweep(now time.Time) { c.drain.CloseIdle(now, c.bound()) }
+// closeExpired closes the connections that were idle for longer than the current
+// configuration allows. The idle timeout of http.Server is fixed and cannot follow it.
+func (c *callerServer) closeExpired(now time.Time) { c.drain.CloseIdle(now, c.idleTimeout()) }
 
-// closeIdle closes the connections without a request and returns how many
+// drainStep closes the connections without a request and returns how many connections
 // have one.
-func (c *callers) closeIdle() int { return c.drain.DrainStep() }
+func (c *callerServer) drainStep() int { return c.drain.DrainStep() }
 
-// closeListener takes no more connections.
-func (c *callers) closeListener() { c.drain.CloseListener() }
+// closeListener stops accepting connections.
+func (c *callerServer) closeListener() { c.drain.CloseListener() }
 
-func (c *callers) serve() error { return c.drain.Serve() }
+func (c *callerServer) serve() error { return c.drain.Serve() }
 
-// close ends whatever is left.
-func (c *callers) close() {
-	c.conns.ending.Store(true)
+// close closes all remaining connections.
+func (c *callerServer) close() {
+	c.conns.processEnding.Store(true)
 	c.drain.Close()
 }
 
-// callerConn keeps the account of a connection.
+// callerConn is a caller's connection that records its reads, writes and close in
+// its track.
 type callerConn struct {
 	net.Conn
 	track *connTrack
@@ -135,7 +137,7 @@
 	return nil, errors.ErrUnsupported
 }
 
-// CloseWrite tells the other side that nothing follows.
+// CloseWrite closes the sending direction, if the connection supports it.
 func (c *callerConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -148,12 +150,12 @@
 	s, first := c.track.close()
 	err := c.Conn.Close()
 	if first {
-		c.track.all.closed(c.track, s)
+		c.track.log.recordClosed(c.track, s)
 	}
 	return err
 }
 
-// callerListener makes the connections that it accepts callerConns.
+// callerListener wraps the connections that it accepts in callerConns.
 type callerListener struct {
 	net.Listener
 	conns *connLog
@@ -168,11 +170,11 @@
 	return &callerConn{Conn: nc, track: l.conns.track(nc.RemoteAddr().String())}, nil
 }
 
-// complaints passes on what the HTTP server has to say.
-type complaints struct{ log *event.Log }
+// serverErrorLog is an io.Writer that turns the HTTP server's log lines into events.
+type serverErrorLog struct{ log *event.Log }
 
 // Write implements io.Writer.
-func (c complaints) Write(p []byte) (int, error) {
+func (c serverErrorLog) Write(p []byte) (int, error) {
 	c.log.Emit(event.ConnectionError, zap.ByteString("text", p), zap.String("where", "callers"))
 	return len(p), nil
 }
--- a/node/host/conntrack.go
+++ b/node/host/conntrack.go
@@ -8,54 +8,54 @@
 	"time"
 )
 
-// connTrack is the account of one caller's connection: what was read and
-// answered, and who closes it.
+// connTrack tracks one caller's connection: its phase, what was read and written, and
+// why it is closed. It is safe for concurrent use.
 type connTrack struct {
-	all  *connLog
-	from string // address of the other side
+	log  *connLog
+	from string // address of the caller
 
-	mu       sync.Mutex
-	requests int // begun by a handler
-	answers  int // after which the connection was idle
-	read     int64
-	ahead    int64 // bytes of the next request that came before the answer was done
-	written  int64 // since the first byte of the request
-	writing  bool
-	any      bool // a byte has come at all
-	handling bool
-	returned bool // the handler has, and the connection is not idle yet
-	aborted  bool // the handler panicked
-	head     http.Header
-	first    time.Time // when the first byte of the request came
-	changed  time.Time // when the phase changed
+	mu          sync.Mutex
+	requests    int // requests whose handler has started
+	answers     int // answers after which the connection was idle
+	read        int64
+	readAhead   int64 // bytes of the next request that were read before the answer was complete
+	written     int64 // bytes since the first byte of the request
+	writing     bool
+	anyRead     bool // a byte was read since the connection was accepted
+	handling    bool
+	returned    bool // the handler has returned, and the connection is not idle yet
+	aborted     bool // the handler panicked
+	head        http.Header
+	firstByteAt time.Time // when the first byte of the request was read
+	phaseSince  time.Time // when the phase changed
 
-	gone  bool // the other side has closed, or the connection is broken
-	late  bool // a read found its time over
-	stuck bool // a write found its time over
-	bound bool // the read beside a handler found its time over
+	peerClosed        bool // the caller closed the connection, or it broke
+	readTimedOut      bool // a read timed out
+	writeTimedOut     bool // a write timed out
+	aheadReadTimedOut bool // a read of aheadReadSize timed out while a handler ran
 
-	closer   closeReason // that was asked for
-	isClosed bool
-	lateTold bool
+	closeCause   closeReason // set by setCloseCause, else by close
+	isClosed     bool
+	lateRecorded bool // bytes read after the close were recorded
 }
 
-// connState is a connection's state at one moment.
+// connState is the state of a connection at one time.
 type connState struct {
 	reason     closeReason
 	phase      connPhase
-	unanswered bool // the head of a request was whole and its answer was not written
+	unanswered bool // the head of a request was complete and its answer was not written
 	read       int64
 	written    int64
 	requests   int
 	answers    int
-	head       http.Header // of the request under way; nil: none
+	head       http.Header // of the current request; nil if there is none
 	age        time.Duration
 	inPhase    time.Duration
 }
 
-// worthLine says whether this host ended a connection with something under way.
-// A caller that goes is counted only, as are the ends that follow an answer.
-func (s *connState) worthLine() bool {
+// shouldLog reports whether this host closed the connection during a request. A close
+// by the caller, or after an answer, is only counted.
+func (s *connState) shouldLog() bool {
 	switch {
 	case s.reason == closedCaller, s.reason == closedLast:
 		return false
@@ -65,50 +65,50 @@
 	return s.phase == phaseHandling || s.phase == phaseAnswering
 }
 
-// aheadRead is the size of the reads by which the HTTP server notices, while a
-// handler runs, that the caller is gone. What they bring is of the next request.
-const aheadRead = 1
+// aheadReadSize is the size, in bytes, of the reads by which the HTTP server detects a
+// disconnected caller while a handler runs. What they return belongs to the next request.
+const aheadReadSize = 1
 
-// didRead notes what a read of up to size bytes brought.
+// didRead records the result of a read of up to size bytes.
 func (t *connTrack) didRead(size, n int, err error) {
 	t.mu.Lock()
 	if n > 0 {
-		t.took(size, int64(n))
+		t.recordRead(size, int64(n))
 	}
 	switch {
 	case err == nil || t.isClosed:
 	case !errors.Is(err, os.ErrDeadlineExceeded):
-		t.gone = true
-	case size > aheadRead:
-		t.late = true
-	case t.handling: // else the server has ended the read, as it needs no more of it
-		t.bound = true
+		t.peerClosed = true
+	case size > aheadReadSize:
+		t.readTimedOut = true
+	case t.handling: // otherwise the server has ended the read, which it no longer needs
+		t.aheadReadTimedOut = true
 	}
-	if n <= 0 || !t.isClosed || t.lateTold {
+	if n <= 0 || !t.isClosed || t.lateRecorded {
 		t.mu.Unlock()
 		return
 	}
-	t.lateTold = true
+	t.lateRecorded = true
 	s := t.state()
 	t.mu.Unlock()
 	s.phase = phaseLateRead
-	t.all.late(t, s)
+	t.log.recordLate(t, s)
 }
 
-// took counts n bytes that were read.
-func (t *connTrack) took(size int, n int64) {
-	t.any = true
-	if t.read+t.ahead == 0 {
-		t.first = time.Now()
-		t.changed = t.first
+// recordRead records n bytes returned by a read of up to size bytes.
+func (t *connTrack) recordRead(size int, n int64) {
+	t.anyRead = true
+	if t.read+t.readAhead == 0 {
+		t.firstByteAt = time.Now()
+		t.phaseSince = t.firstByteAt
 	}
-	if size <= aheadRead {
-		t.ahead += n
+	if size <= aheadReadSize {
+		t.readAhead += n
 		return
 	}
 	t.read += n
 	if t.handling {
-		t.written = 0 // an interim answer that asked for the body
+		t.written = 0 // it was an interim answer that asked for the body
 	}
 }
 
@@ -126,17 +126,17 @@
 	switch {
 	case err == nil || t.isClosed:
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		t.stuck = true
+		t.writeTimedOut = true
 	default:
-		t.gone = true
+		t.peerClosed = true
 	}
 }
 
-// begin notes that a handler begins with the request of that head.
+// begin records that a handler starts with a request of the given head.
 func (t *connTrack) begin(head http.Header) {
 	t.mu.Lock()
 	t.requests++
-	t.handling, t.head, t.changed = true, head, time.Now()
+	t.handling, t.head, t.phaseSince = true, head, time.Now()
 	if !t.isClosed {
 		t.mu.Unlock()
 		return
@@ -144,83 +144,85 @@
 	s := t.state()
 	t.mu.Unlock()
 	s.phase = phaseLateBegun
-	t.all.late(t, s)
+	t.log.recordLate(t, s)
 }
 
-// end notes that the handler has returned, or panicked.
+// end records that the handler has returned, or panicked if returned is false.
 func (t *connTrack) end(returned bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.handling, t.returned, t.aborted, t.changed = false, true, !returned, time.Now()
+	t.handling, t.returned, t.aborted, t.phaseSince = false, true, !returned, time.Now()
 }
 
-// idle notes that the answer is written and the next request awaited.
+// idle records that the answer is written and the connection waits for the next request.
 func (t *connTrack) idle() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.answers++
-	t.handling, t.returned, t.head, t.changed = false, false, nil, time.Now()
-	t.read, t.ahead, t.written = t.ahead, 0, 0
+	t.handling, t.returned, t.head, t.phaseSince = false, false, nil, time.Now()
+	t.read, t.readAhead, t.written = t.readAhead, 0, 0
 	if t.read > 0 {
-		t.first = t.changed
+		t.firstByteAt = t.phaseSince
 	}
 }
 
-// closeFor names the reason of the close that follows. The first one counts.
-func (t *connTrack) closeFor(r closeReason) {
+// setCloseCause sets the reason of the close that follows. Only the first call has an
+// effect.
+func (t *connTrack) setCloseCause(r closeReason) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.closer == "" {
-		t.closer = r
+	if t.closeCause == "" {
+		t.closeCause = r
 	}
 }
 
-// close notes that this side closes the connection; ok is false when it did so before.
+// close records that this side closes the connection and returns its state; ok is false
+// if it was closed before.
 func (t *connTrack) close() (s connState, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.isClosed {
 		return connState{}, false
 	}
-	t.closer = t.reason()
+	t.closeCause = t.reason()
 	t.isClosed = true
 	return t.state(), true
 }
 
-// reason says why the connection is closed now.
+// reason returns why the connection is closed now.
 func (t *connTrack) reason() closeReason {
 	switch {
-	case t.closer != "":
-		return t.closer
-	case t.gone:
+	case t.closeCause != "":
+		return t.closeCause
+	case t.peerClosed:
 		return closedCaller
 	case t.aborted && t.returned:
 		return closedAborted
-	case t.stuck:
+	case t.writeTimedOut:
 		return closedStuck
-	case t.all.ending.Load():
+	case t.log.processEnding.Load():
 		return closedEnd
 	case t.returned && t.written > 0:
 		return closedLast
-	case t.late:
+	case t.readTimedOut:
 		return closedLate
 	}
 	return closedServer
 }
 
-// endedBy says why a request's connection counts as ended; "": it does not.
+// endedBy returns why a request's connection counts as closed; "" if it does not.
 func (t *connTrack) endedBy() closeReason {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
 	case t.isClosed:
-		return t.closer
-	case t.gone:
+		return t.closeCause
+	case t.peerClosed:
 		return closedCaller
-	case t.stuck:
+	case t.writeTimedOut:
 		return closedStuck
-	case t.bound:
-		return leftBound
+	case t.aheadReadTimedOut:
+		return closedReadBound
 	}
 	return ""
 }
@@ -232,10 +234,10 @@
 }
 
 func (t *connTrack) state() connState {
-	s := connState{reason: t.closer, phase: t.phase(), read: t.read + t.ahead, written: t.written,
-		requests: t.requests, answers: t.answers, head: t.head, inPhase: time.Since(t.changed)}
+	s := connState{reason: t.closeCause, phase: t.phase(), read: t.read + t.readAhead, written: t.written,
+		requests: t.requests, answers: t.answers, head: t.head, inPhase: time.Since(t.phaseSince)}
 	if s.read > 0 {
-		s.age = time.Since(t.first)
+		s.age = time.Since(t.firstByteAt)
 	}
 	switch s.phase {
 	case phaseHandling:
@@ -254,7 +256,7 @@
 		return phaseAnswering
 	case t.read > 0:
 		return phaseReading
-	case t.any:
+	case t.anyRead:
 		return phaseIdle
 	}
 	return phaseNew
--- a/node/server/mesh.go
+++ b/node/server/mesh.go
@@ -18,14 +18,14 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// newMesh puts this host's part of the net of hosts together.
+// newMesh creates this host's end of the mesh that links all hosts.
 func (s *Server) newMesh(address string) *peer.Mesh {
 	set := s.cfg.Settings
 	return peer.New(peer.Config{Self: member.Host{Name: set.Host, Address: address, DataCentre: set.DataCentre, Process: s.incarnation},
 		HeartbeatInterval: s.cfg.HeartbeatInterval, HostListInterval: s.cfg.HostListInterval},
 		peer.Deps{Hosts: s.cfg.Platform.Hosts, Config: s.config, Requests: s.requests, CancelCause: dispatch.ErrCancelled,
-			Dial: s.dialPeer, Log: s.log, OnUpstreamChange: s.heardOfUpstream, OnHostsChange: s.reconcileSoon,
-			Usage: &peer.UsageExchange{Own: s.ownSums, OnTotals: s.othersSums}, Forecast: s.forecast, Claims: s.claims.rows})
+			Dial: s.dialPeer, Log: s.log, OnUpstreamChange: s.applyUpstreamChange, OnHostsChange: s.reconcileSoon,
+			Usage: &peer.UsageExchange{Own: s.ownUsage, OnTotals: s.applyPeerUsage}, Forecast: s.forecast, Claims: s.claims.rows})
 }
 
 // dialPeer opens a connection to a peer.
@@ -41,9 +41,10 @@
 	return s.cfg.Keys.SecurePeerConn(ctx, c, address)
 }
 
-// peerSource is the address that connections to peers come from. With TLS it
-// is the listener's own, which the certificate holds: on a host with several
-// addresses the system may choose another, and the peer would refuse it.
+// peerSource returns the local address for connections to peers; nil lets the
+// system choose. With TLS it is the address of the peer listener, which the
+// certificate names: on a host with several addresses the system may choose
+// another one, and the peer would refuse it.
 func (s *Server) peerSource() net.Addr {
 	own, ok := s.peerLn.Addr().(*net.TCPAddr)
 	if !ok || own.IP.IsUnspecified() || !s.cfg.Keys.PeersUseTLS() {
@@ -52,8 +53,8 @@
 	return &net.TCPAddr{IP: own.IP, Zone: own.Zone}
 }
 
-// heardOfUpstream takes peers' words on upstreams into the view.
-func (s *Server) heardOfUpstream(u member.Upstream) {
+// applyUpstreamChange applies a peer's report of an upstream to the view.
+func (s *Server) applyUpstreamChange(u member.Upstream) {
 	ready := map[route.ModelKey]bool{}
 	for _, r := range u.Residents {
 		model, adapter, _ := strings.Cut(r, "/")
@@ -62,17 +63,18 @@
 	s.view.ApplyPeerReport(u.Name, u.Incarnation, u.Draining, ready)
 }
 
-// tellReport passes on what a report changed.
-func (s *Server) tellReport(r engineapi.Report, at time.Time) {
-	seen := uint64(at.UnixMilli())
+// publishReport passes what an upstream reported to the mesh, which publishes changes.
+func (s *Server) publishReport(r engineapi.Report, at time.Time) {
+	firstSeen := uint64(at.UnixMilli())
 	if cur, ok := s.mesh.CurrentUpstream(r.Upstream); ok && cur.Incarnation == r.Incarnation {
-		seen = cur.FirstSeenMs
+		firstSeen = cur.FirstSeenMs
 	}
-	s.mesh.ReportUpstream(member.Upstream{Name: r.Upstream, Incarnation: r.Incarnation, FirstSeenMs: seen, Sequence: r.Sequence,
+	s.mesh.ReportUpstream(member.Upstream{Name: r.Upstream, Incarnation: r.Incarnation, FirstSeenMs: firstSeen, Sequence: r.Sequence,
 		Draining: r.Draining, Residents: readyNames(r.Residents)})
 }
 
-// readyNames lists what a report shows as ready, in a fixed order.
+// readyNames returns the models and adapters that a report shows as ready, in a
+// fixed order and without duplicates.
 func readyNames(residents []engineapi.Resident) []string {
 	var out []string
 	for _, r := range residents {
@@ -89,16 +91,16 @@
 	return slices.Compact(out)
 }
 
-// The kinds of sums over all hosts, as prefixes of their keys.
+// Key prefixes of the kinds of usage that are summed over all hosts.
 const (
-	teamSum   = "t:"
-	demandSum = "d:"
+	teamUsagePrefix   = "t:"
+	demandUsagePrefix = "d:"
 )
 
-// ownSums are this host's parts: the use of its teams, and the demand by model.
-// A host that plans asks for every model of its pools, so that it hears of
-// those that only others are asked for.
-func (s *Server) ownSums() []peer.UsageEntry {
+// ownUsage returns this host's usage by its teams and its demand by model. A host
+// that plans includes every model of its pools, so that it also receives the
+// demand for models that only other hosts have requests for.
+func (s *Server) ownUsage() []peer.UsageEntry {
 	st, ok := s.config.Current()
 	if !ok {
 		return nil
@@ -109,38 +111,39 @@
 			continue
 		}
 		if rps, concurrent := s.admit.TeamUsage(t.Name); rps > 0 || concurrent > 0 {
-			out = append(out, peer.UsageEntry{Key: teamSum + t.Name, A: rps, B: concurrent})
+			out = append(out, peer.UsageEntry{Key: teamUsagePrefix + t.Name, A: rps, B: concurrent})
 		}
 	}
-	own := s.demand.Means()
+	demand := s.demand.Means()
 	for _, k := range s.plannedKeys() {
-		if _, ok := own[k]; !ok {
-			own[k] = place.Demand{}
+		if _, ok := demand[k]; !ok {
+			demand[k] = place.Demand{}
 		}
 	}
-	for k, d := range own {
-		out = append(out, peer.UsageEntry{Key: demandSum + k.Model + "/" + k.Adapter, A: d.Short, B: d.Long})
+	for k, d := range demand {
+		out = append(out, peer.UsageEntry{Key: demandUsagePrefix + k.Model + "/" + k.Adapter, A: d.Short, B: d.Long})
 	}
 	return out
 }
 
-// othersSums takes what the other hosts have.
-func (s *Server) othersSums(hosts int, sums []peer.UsageEntry) {
+// applyPeerUsage applies the usage and the demand of the other hosts.
+func (s *Server) applyPeerUsage(hosts int, sums []peer.UsageEntry) {
 	demand := map[place.Key]place.Demand{}
 	for _, sum := range sums {
-		if team, ok := strings.CutPrefix(sum.Key, teamSum); ok {
+		if team, ok := strings.CutPrefix(sum.Key, teamUsagePrefix); ok {
 			s.admit.SetPeerTeamUsage(team, sum.A, sum.B, hosts)
 			continue
 		}
-		if name, ok := strings.CutPrefix(sum.Key, demandSum); ok {
+		if name, ok := strings.CutPrefix(sum.Key, demandUsagePrefix); ok {
 			model, adapter, _ := strings.Cut(name, "/")
 			demand[place.Key{Model: model, Adapter: adapter}] = place.Demand{Short: sum.A, Long: sum.B}
 		}
 	}
-	s.others.merge(demand)
+	s.peerDemand.merge(demand)
 }
 
-// forecast answers a peer what a preset would move in this host's pools.
+// forecast returns, encoded for a peer, the moves that a switch to a preset would
+// make in the pools that this host plans.
 func (s *Server) forecast(_ context.Context, preset string) ([]byte, error) {
 	d, ok := s.ownForecast(preset)
 	if !ok {
--- a/node/server/planning.go
+++ b/node/server/planning.go
@@ -14,30 +14,32 @@
 	"peridotpier.example/node/upstream/poll"
 )
 
-// actNeeds is the lease time that an act must have left when it begins: the
-// bound of one order or commit.
-const actNeeds = 3 * time.Second
+// minLeaseRemaining is how much of the lease must remain when an order or a
+// commit begins: the bound on the duration of one of them.
+const minLeaseRemaining = 3 * time.Second
 
-// term lets a planner ask for its lease.
-type term struct{ l *lease.Lease }
+// leaseTerm adapts a lease to planner.Lease.
+type leaseTerm struct{ l *lease.Lease }
 
 // Epoch implements planner.Lease.
-func (t term) Epoch() uint64 {
+func (t leaseTerm) Epoch() uint64 {
 	now, _ := t.l.Term()
 	return now.Epoch
 }
 
 // Valid implements planner.Lease.
-func (t term) Valid(epoch uint64) bool { return epoch != 0 && t.l.Check(epoch, actNeeds) == nil }
+func (t leaseTerm) Valid(epoch uint64) bool {
+	return epoch != 0 && t.l.Check(epoch, minLeaseRemaining) == nil
+}
 
-// plannerSite is what a planner reads of this host.
-type plannerSite struct {
+// plannerInputs implements planner.Inputs for one pool.
+type plannerInputs struct {
 	s    *Server
 	pool string
 }
 
-// Reports implements planner.Site.
-func (p plannerSite) Reports() []planner.ObservedReport {
+// Reports implements planner.Inputs.
+func (p plannerInputs) Reports() []planner.ObservedReport {
 	var out []planner.ObservedReport
 	for _, r := range p.s.view.Reports(p.pool) {
 		out = append(out, planner.ObservedReport{Report: r.Report, Read: r.Read, Disconnected: r.Disconnected})
@@ -45,8 +47,8 @@
 	return out
 }
 
-// View implements planner.Site.
-func (p plannerSite) View() planner.View {
+// View implements planner.Inputs.
+func (p plannerInputs) View() planner.View {
 	st, ok := p.s.config.Current()
 	if !ok {
 		return planner.View{Config: &config.Config{}}
@@ -54,29 +56,29 @@
 	return planner.View{Config: st.Index.Config, Preset: *st.Preset, Demand: p.s.siteDemand()}
 }
 
-// siteDemand is the demand on all hosts.
+// siteDemand returns the demand on all hosts together.
 func (s *Server) siteDemand() map[place.Key]place.Demand {
 	out := s.demand.Means()
-	for k, d := range s.others.all() {
+	for k, d := range s.peerDemand.all() {
 		own := out[k]
 		out[k] = place.Demand{Short: own.Short + d.Short, Long: own.Long + d.Long}
 	}
 	return out
 }
 
-// othersDemand is the other hosts' demand as last heard.
-type othersDemand struct {
+// peerDemand is the last reported demand of the other hosts.
+type peerDemand struct {
 	mu   sync.Mutex
 	keys map[place.Key]place.Demand
 }
 
-func (o *othersDemand) merge(heard map[place.Key]place.Demand) {
+func (o *peerDemand) merge(reported map[place.Key]place.Demand) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.keys == nil {
 		o.keys = map[place.Key]place.Demand{}
 	}
-	for k, d := range heard {
+	for k, d := range reported {
 		if d == (place.Demand{}) {
 			delete(o.keys, k)
 			continue
@@ -85,7 +87,7 @@
 	}
 }
 
-func (o *othersDemand) all() map[place.Key]place.Demand {
+func (o *peerDemand) all() map[place.Key]place.Demand {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	out := make(map[place.Key]place.Demand, len(o.keys))
@@ -95,9 +97,9 @@
 	return out
 }
 
-// plannedKeys are the models and adapters of the pools that this host plans.
+// plannedKeys returns the models and adapters of the pools that this host plans.
 func (s *Server) plannedKeys() []place.Key {
-	pools := s.planned()
+	pools := s.plannedPools()
 	st, ok := s.config.Current()
 	if !ok || len(pools) == 0 {
 		return nil
@@ -118,37 +120,38 @@
 	return out
 }
 
-// The pace of questions where the hosts share the upstreams out.
+// Polling intervals and limits where the upstreams are divided among the hosts.
 const (
-	// watchedPerSecond bounds one host's questions to upstreams that it
+	// watchedPollsPerSecond bounds one host's polls of the upstreams that it
 	// watches, about 450 bytes each.
-	watchedPerSecond = 4
-	// watchedMost is the longest time between two: an upstream that leaves
-	// gets no new work after five seconds, of which spreading the word takes
-	// some tenths.
-	watchedMost = 4500 * time.Millisecond
-	// watchedShare is the most upstreams that a host's share can come to in a
-	// fleet that fits its upstreams. Above it the host takes itself for nearly
-	// alone, as when the platform's list is empty, and must keep its pace all
-	// the more: all hosts may be in the same case.
-	watchedShare = 64
-	// plannedEvery is the pace in pools that the host plans.
-	plannedEvery = 5 * time.Second
+	watchedPollsPerSecond = 4
+	// maxWatchedInterval is the longest time between two polls of an upstream:
+	// a draining upstream must get no new work after five seconds, and telling
+	// all hosts takes some tenths of a second.
+	maxWatchedInterval = 4500 * time.Millisecond
+	// maxWatchedUpstreams is the largest share of upstreams that one host has
+	// in a fleet sized for its upstreams. A host with more knows hardly any other
+	// host, as when the platform's list is empty. It must then stay within
+	// watchedPollsPerSecond, without maxWatchedInterval: all hosts may be in the
+	// same state.
+	maxWatchedUpstreams = 64
+	// plannedInterval is the polling interval in pools that the host plans.
+	plannedInterval = 5 * time.Second
 )
 
-// assignUpstreams chooses the upstreams that this host asks itself: all of a
-// small site, else those that it watches and those of the pools that it plans.
+// assignUpstreams chooses the upstreams that this host polls: all of them in a
+// small site, otherwise those that it watches and those of the pools it plans.
 func (s *Server) assignUpstreams(c *config.Config, live []member.Host) {
-	every := s.cfg.Settings.Bounds.ReportEvery()
+	interval := s.cfg.Settings.Bounds.ReportEvery()
 	var out []poll.Target
-	if len(c.Upstreams) <= directMost || s.cfg.Policy.DirectPolling {
+	if len(c.Upstreams) <= maxDirectUpstreams || s.cfg.Policy.DirectPolling {
 		for _, u := range c.Upstreams {
-			out = append(out, poll.Target{Upstream: u, Interval: every, CacheEvents: true})
+			out = append(out, poll.Target{Upstream: u, Interval: interval, CacheEvents: true})
 		}
 		s.poller.Assign(out)
 		return
 	}
-	planned, watchers := s.planned(), member.NewAssignment(s.cfg.Settings.Host, live)
+	planned, watchers := s.plannedPools(), member.NewAssignment(s.cfg.Settings.Host, live)
 	watched := 0
 	for _, u := range c.Upstreams {
 		switch {
@@ -156,12 +159,12 @@
 			watched++
 			out = append(out, poll.Target{Upstream: u})
 		case planned[u.Pool] != nil:
-			out = append(out, poll.Target{Upstream: u, Interval: plannedEvery})
+			out = append(out, poll.Target{Upstream: u, Interval: plannedInterval})
 		}
 	}
-	pace := max(every, time.Duration(watched)*time.Second/watchedPerSecond)
-	if watched <= watchedShare {
-		pace = min(pace, watchedMost)
+	pace := max(interval, time.Duration(watched)*time.Second/watchedPollsPerSecond)
+	if watched <= maxWatchedUpstreams {
+		pace = min(pace, maxWatchedInterval)
 	}
 	for i := range out {
 		if out[i].Interval == 0 {
@@ -171,14 +174,15 @@
 	s.poller.Assign(out)
 }
 
-// errNoConfig is the answer while nothing is in force.
+// errNoConfig is the answer while no configuration is in force.
 var errNoConfig = fault.NotRun(fault.StepConfig, "", fault.CodeNotFound, "no configuration is in force; apply one first")
 
 func errNoPreset(name string) error {
 	return fault.NotRun(fault.StepConfig, "", fault.CodeNotFound, "there is no preset %q", name)
 }
 
-// ownForecast tells what a preset would move in the pools that this host plans.
+// ownForecast returns the moves that a switch to a preset would make in the
+// pools that this host plans; false if it plans none that can be forecast.
 func (s *Server) ownForecast(preset string) (operatorapi.DryRun, bool) {
 	st, ok := s.config.Current()
 	if !ok {
@@ -188,16 +192,16 @@
 	if !ok {
 		return operatorapi.DryRun{}, false
 	}
-	out, any := operatorapi.DryRun{Preset: preset}, false
-	for _, pl := range s.planned() {
+	out, found := operatorapi.DryRun{Preset: preset}, false
+	for _, pl := range s.plannedPools() {
 		f, ok := pl.DryRun(*p)
 		if !ok {
 			continue
 		}
-		any = true
+		found = true
 		out.Add(toDryRun(preset, f))
 	}
-	return out, any
+	return out, found
 }
 
 func toDryRun(preset string, f place.Forecast) operatorapi.DryRun {
--- a/node/upstream/conn/reuse_test.go
+++ b/node/upstream/conn/reuse_test.go
@@ -18,8 +18,9 @@
 	"peridotpier.example/node/upstream/conn"
 )
 
-// raw serves each connection with its own function on a loopback port.
-func raw(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) string {
+// serveRaw listens on a loopback port, serves each connection with serve and returns
+// the address. n counts the connections from 1.
+func serveRaw(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -40,7 +41,7 @@
 	return ln.Addr().String()
 }
 
-func ask(t *testing.T, c *conn.Client, address string, body int) string {
+func roundTrip(t *testing.T, c *conn.Client, address string, body int) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
@@ -52,13 +53,13 @@
 	return string(got)
 }
 
-// Symptom: a caller gets the second answer to somebody else's request.
-// Sequence: an upstream sends an answer twice; the connection is used again.
-// Cause: what lies behind an answer is left for the next reader.
+// Guards against a caller receiving the second answer to another caller's request:
+// an upstream sends two answers, and bytes after the first are left to the next
+// request on the connection.
 func TestAnExtraAnswerIsNeverRead(t *testing.T) {
 	for name, pause := range map[string]time.Duration{"at once": 0, "late": 30 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
-			address := raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+			address := serveRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 				for {
 					if _, err := http.ReadRequest(r); err != nil {
 						return
@@ -70,35 +71,33 @@
 			})
 			c := conn.New(conn.Config{})
 			for range 4 {
-				assert.Equal(t, ask(t, c, address, 0), "ok")
+				assert.Equal(t, roundTrip(t, c, address, 0), "ok")
 				time.Sleep(60 * time.Millisecond)
 			}
 		})
 	}
 }
 
-// Symptom: a request is lost though its upstream is sound.
-// Sequence: an upstream closes an idle connection; the next request goes out on it.
-// Cause: nobody looks whether the connection has ended.
+// Guards against a request being lost at a healthy upstream: the upstream closes an
+// idle connection, and the next request is sent on it without a check.
 func TestAClosedIdleConnectionIsNotUsed(t *testing.T) {
-	address := raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	address := serveRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			_, _ = io.WriteString(c, ok)
 		}
 	})
 	c := conn.New(conn.Config{})
 	for range 5 {
-		assert.Equal(t, ask(t, c, address, 0), "ok")
+		assert.Equal(t, roundTrip(t, c, address, 0), "ok")
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// Symptom: requests are cut at an upstream that keeps idle connections briefly.
-// Sequence: it states a time; a request follows after more than that.
-// Cause: the stated time is not heeded.
-func TestTheStatedIdleTimeIsHeeded(t *testing.T) {
+// Guards against requests failing at an upstream that keeps idle connections only
+// briefly: it states its idle time in Keep-Alive, and a connection is reused later.
+func TestTheStatedIdleTimeIsApplied(t *testing.T) {
 	var conns atomic.Int32
-	address := raw(t, func(n int, c net.Conn, r *bufio.Reader) {
+	address := serveRaw(t, func(n int, c net.Conn, r *bufio.Reader) {
 		conns.Store(int32(n))
 		for {
 			if _, err := http.ReadRequest(r); err != nil {
@@ -108,22 +107,22 @@
 		}
 	})
 	c := conn.New(conn.Config{})
-	ask(t, c, address, 0)
+	roundTrip(t, c, address, 0)
 	time.Sleep(300 * time.Millisecond)
-	ask(t, c, address, 0)
+	roundTrip(t, c, address, 0)
 	assert.Equal(t, conns.Load(), int32(1))
 	time.Sleep(800 * time.Millisecond)
-	ask(t, c, address, 0)
+	roundTrip(t, c, address, 0)
 	assert.Equal(t, conns.Load(), int32(2))
 }
 
-// Symptom: an upstream reads the head of one request as the body of another.
-// Sequence: it answers a long request before it has read it, and reads on later.
-// Cause: the connection is used again while a body is still due on it.
-func TestAnEarlyAnswerLeavesItsConnectionUnused(t *testing.T) {
+// Guards against an upstream reading the head of one request as the body of another:
+// it answers a long request before it has read the body, and the connection is
+// reused while part of the body is still to be sent.
+func TestAConnectionIsNotReusedAfterAnEarlyAnswer(t *testing.T) {
 	const long = 4 << 20
 	var conns atomic.Int32
-	address := raw(t, func(n int, c net.Conn, r *bufio.Reader) {
+	address := serveRaw(t, func(n int, c net.Conn, r *bufio.Reader) {
 		conns.Store(int32(n))
 		req, err := http.ReadRequest(r)
 		if err != nil {
@@ -133,36 +132,35 @@
 		_, _ = io.WriteString(c, ok)
 		time.Sleep(50 * time.Millisecond)
 		got, err := io.ReadAll(req.Body)
-		assert.Check(t, err != nil || strings.Count(string(got), "\x00") == long, "the rest of the body is the body's")
+		assert.Check(t, err != nil || strings.Count(string(got), "\x00") == long, "the remainder of the body contains no other request")
 	})
 	c := conn.New(conn.Config{})
-	assert.Equal(t, ask(t, c, address, long), "ok")
-	assert.Equal(t, ask(t, c, address, long), "ok")
+	assert.Equal(t, roundTrip(t, c, address, long), "ok")
+	assert.Equal(t, roundTrip(t, c, address, long), "ok")
 	assert.Equal(t, conns.Load(), int32(2))
 }
 
-// Symptom: a request that its host has given up on is run; its caller is told
-// nothing of whether it was.
-// Sequence: a request's time ends just before it is sent on a pooled connection.
-// Cause: that its time is over is noticed while the request is being written.
-func TestNothingIsSentAfterItsTime(t *testing.T) {
-	var came atomic.Int32
-	address := raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+// Guards against a request running after its host has abandoned it, with an unknown
+// outcome for the caller: its context ends just before it is sent on a pooled
+// connection, and this is noticed only while the request is being written.
+func TestNothingIsSentAfterTheContextEnds(t *testing.T) {
+	var received atomic.Int32
+	address := serveRaw(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			if _, err := http.ReadRequest(r); err != nil {
 				return
 			}
-			came.Add(1)
+			received.Add(1)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 	})
 	c := conn.New(conn.Config{Dialer: conn.NewDialer()})
-	over, end := context.WithCancel(t.Context())
-	end()
-	for range 200 { // whether its write or the end comes first is chance
-		assert.Equal(t, ask(t, c, address, 0), "ok")
-		_, err := c.Do(over, &conn.Request{Address: address, Method: "POST", Target: "/", Header: http.Header{}})
+	ended, cancel := context.WithCancel(t.Context())
+	cancel()
+	for range 200 { // whether the write or the end of the context comes first is random
+		assert.Equal(t, roundTrip(t, c, address, 0), "ok")
+		_, err := c.Do(ended, &conn.Request{Address: address, Method: "POST", Target: "/", Header: http.Header{}})
 		assert.Equal(t, fault.From(fault.StepDispatch, err).Outcome, outcome.NotRun)
 	}
-	assert.Equal(t, came.Load(), int32(200))
+	assert.Equal(t, received.Load(), int32(200))
 }
--- a/node/upstream/poll/poll.go
+++ b/node/upstream/poll/poll.go
@@ -1,4 +1,4 @@
-// Package poll asks upstreams for their reports and cache events.
+// Package poll polls upstreams for their reports and cache events.
 package poll
 
 import (
@@ -23,85 +23,87 @@
 )
 
 const (
-	// askTimeout bounds one question; a slower report would be stale anyway.
-	askTimeout = 2 * time.Second
-	// reportBytes bounds a report; one with 500 residents takes some 60 KB.
-	reportBytes = 1 << 20
-	// jitter spreads the questions of many hosts over the interval.
+	// requestTimeout bounds one request; a slower report would be stale anyway.
+	requestTimeout = 2 * time.Second
+	// maxReportBytes bounds a response; a report with 500 residents takes about 60 KB.
+	maxReportBytes = 1 << 20
+	// jitter is the range of the random variation of an interval, as a share of it; it
+	// spreads the requests of many hosts over the interval.
 	jitter = 0.2
-	// keepMost is the pace above which no connection is kept.
-	keepMost = 2 * time.Second
-	// askAtOnce bounds the questions under way when a host starts.
-	askAtOnce = 32
+	// maxPooledInterval is the polling interval above which no connection is kept.
+	maxPooledInterval = 2 * time.Second
+	// maxConcurrentStartup bounds the concurrent requests of PollAll.
+	maxConcurrentStartup = 32
 )
 
-// Sink takes what upstreams tell; node/upstream/view implements it.
+// Sink receives the reports and cache events of upstreams; node/upstream/view
+// implements it.
 type Sink interface {
 	ApplyReport(r engineapi.Report, at time.Time) bool
 	ObserveCacheEvent(upstream string, e engineapi.CacheEvent)
 	MarkDown(upstream string)
 }
 
-// Target is one upstream to ask, and how often.
+// Target is one upstream to poll, and how often.
 type Target struct {
 	config.Upstream
 	Interval    time.Duration
-	CacheEvents bool // ask for cache events too
+	CacheEvents bool // poll for cache events too
 }
 
-// Poller asks each upstream that it is assigned.
+// Poller polls each upstream that it is assigned, in a goroutine of its own.
 type Poller struct {
 	client *conn.Client
-	sparse *conn.Client // for questions too far apart to keep a connection for
+	sparse *conn.Client // for intervals above maxPooledInterval
 	sink   Sink
 	log    *event.Log
-	// Fresh, when set before Run, is told of every report that was news.
+	// OnReport, when set before Run, is called for every report that the sink applied.
 	OnReport func(r engineapi.Report, at time.Time)
 
 	mu      sync.Mutex
-	asked   map[string]*target // by upstream
-	started context.Context
+	targets map[string]*target // by upstream
+	runCtx  context.Context
 	wg      sync.WaitGroup
 }
 
 type target struct {
-	mu        sync.Mutex // guards ask, which Assign may change
-	ask       Target
-	cancel    context.CancelFunc
-	process   string // incarnation that the last report came from
-	after     uint64 // last cache event seen of that process
-	residents []engineapi.Resident
-	digest    string // of residents
-	failing   bool
+	mu          sync.Mutex // guards assigned, which Assign may change
+	assigned    Target
+	cancel      context.CancelFunc
+	incarnation string // of the last report
+	lastEvent   uint64 // sequence number of the last cache event of that incarnation
+	residents   []engineapi.Resident
+	digest      string // of residents
+	failing     bool   // the last request failed, which is logged already
 }
 
 func (t *target) current() Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.ask
+	return t.assigned
 }
 
-// New makes a Poller. The connections of client are used for questions that
-// follow each other closely; sparse must not keep connections for long.
+// New returns a Poller. It uses client for upstreams with short polling intervals,
+// and sparse, which must not keep connections for long, for the others.
 func New(client, sparse *conn.Client, sink Sink, log *event.Log) *Poller {
-	return &Poller{client: client, sparse: sparse, sink: sink, log: log, asked: map[string]*target{}}
+	return &Poller{client: client, sparse: sparse, sink: sink, log: log, targets: map[string]*target{}}
 }
 
-// clientFor chooses the connections for a pace. A fleet's hosts each ask some
-// twenty upstreams every few seconds: connections kept between would cost every
-// upstream and host more than they save.
+// clientFor returns the client for a polling interval. In a fleet each host polls
+// some twenty upstreams every few seconds: connections kept between two polls would
+// cost every upstream and host more than they save.
 func (p *Poller) clientFor(every time.Duration) *conn.Client {
-	if every > keepMost {
+	if every > maxPooledInterval {
 		return p.sparse
 	}
 	return p.client
 }
 
-// Run asks until ctx ends, and waits for what it started.
+// Run polls until ctx ends, then waits for the goroutines that it started.
 func (p *Poller) Run(ctx context.Context) error {
 	p.mu.Lock()
-	p.started = ctx
-	for _, t := range p.asked {
+	p.runCtx = ctx
+	for _, t := range p.targets {
 		p.start(t)
 	}
 	p.mu.Unlock()
@@ -110,49 +112,49 @@
 	return nil
 }
 
-// Assign replaces the set of upstreams to ask.
+// Assign replaces the set of upstreams to poll.
 func (p *Poller) Assign(targets []Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	next := make(map[string]*target, len(targets))
 	for _, u := range targets {
-		old := p.asked[u.Name]
+		old := p.targets[u.Name]
 		if old != nil && old.current().Address == u.Address {
 			old.mu.Lock()
-			old.ask = u
+			old.assigned = u
 			old.mu.Unlock()
 			next[u.Name] = old
-			delete(p.asked, u.Name)
+			delete(p.targets, u.Name)
 			continue
 		}
-		t := &target{ask: u}
+		t := &target{assigned: u}
 		next[u.Name] = t
-		if p.started != nil {
+		if p.runCtx != nil {
 			p.start(t)
 		}
 	}
-	for _, t := range p.asked {
+	for _, t := range p.targets {
 		if t.cancel != nil {
 			t.cancel()
 		}
 	}
-	p.asked = next
+	p.targets = next
 }
 
-// start needs p.mu.
+// start starts polling t if Run was called and its context has not ended. p.mu is held.
 func (p *Poller) start(t *target) {
-	if p.started.Err() != nil {
+	if p.runCtx.Err() != nil {
 		return
 	}
-	ctx, cancel := context.WithCancel(p.started)
+	ctx, cancel := context.WithCancel(p.runCtx)
 	t.cancel = cancel
-	p.wg.Go(func() { p.follow(ctx, t) })
+	p.wg.Go(func() { p.pollLoop(ctx, t) })
 }
 
-// follow asks one upstream at a jittered pace.
-func (p *Poller) follow(ctx context.Context, t *target) {
-	// The first question comes at a random moment of the interval: hosts that
-	// start together must not go on asking together.
+// pollLoop polls one upstream at jittered intervals until ctx ends.
+func (p *Poller) pollLoop(ctx context.Context, t *target) {
+	// The first request is sent at a random time within the interval, so that hosts
+	// that start together do not keep polling at the same times.
 	timer := time.NewTimer(time.Duration(rand.Float64() * float64(t.current().Interval)))
 	defer timer.Stop()
 	for {
@@ -161,31 +163,31 @@
 			return
 		case <-timer.C:
 		}
-		now := t.current()
-		p.ask(ctx, t, now)
+		assigned := t.current()
+		p.pollReport(ctx, t, assigned)
 		spread := 1 - jitter/2 + jitter*rand.Float64()
-		timer.Reset(time.Duration(float64(now.Interval) * spread))
+		timer.Reset(time.Duration(float64(assigned.Interval) * spread))
 	}
 }
 
-func (p *Poller) ask(ctx context.Context, t *target, u Target) {
+func (p *Poller) pollReport(ctx context.Context, t *target, u Target) {
 	var r engineapi.Report
 	query := ""
 	if t.digest != "" {
 		query = engineapi.ParamResidents + "=" + t.digest
 	}
 	if err := p.get(ctx, u, engineapi.PathReport, query, &r); err != nil {
-		p.failed(ctx, t, u, err)
+		p.recordFailure(ctx, t, u, err)
 		return
 	}
 	if r.Upstream != u.Name {
-		// Another upstream has taken over the address; its word is not this one's.
-		p.failed(ctx, t, u, fault.Unknown(fault.StepDispatch, u.Address, fault.CodeUpstreamFailed, "report is of %q", r.Upstream))
+		// Another upstream uses the address now; its report must not be applied to this one.
+		p.recordFailure(ctx, t, u, fault.Unknown(fault.StepDispatch, u.Address, fault.CodeUpstreamFailed, "report is of %q", r.Upstream))
 		return
 	}
 	t.failing = false
-	if t.process != r.Incarnation {
-		t.process, t.after = r.Incarnation, 0
+	if t.incarnation != r.Incarnation {
+		t.incarnation, t.lastEvent = r.Incarnation, 0
 	}
 	if r.Residents == nil && r.Digest != "" && r.Digest == t.digest {
 		r.Residents = t.residents
@@ -196,13 +198,13 @@
 		p.OnReport(r, at)
 	}
 	if u.CacheEvents {
-		p.events(ctx, t, u)
+		p.pollEvents(ctx, t, u)
 	}
 }
 
-// failed logs the first failure of a row, and takes a refused connection as a
-// sign that the upstream is down.
-func (p *Poller) failed(ctx context.Context, t *target, u Target, err error) {
+// recordFailure logs the first of consecutive failures, and marks the upstream as down
+// if the request could not be sent, as when its connection was refused.
+func (p *Poller) recordFailure(ctx context.Context, t *target, u Target, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -215,31 +217,31 @@
 	}
 }
 
-// events takes cache events as hints; a failure is not worth a word.
-func (p *Poller) events(ctx context.Context, t *target, u Target) {
+// pollEvents polls for cache events. They are hints only, so a failure is not logged.
+func (p *Poller) pollEvents(ctx context.Context, t *target, u Target) {
 	var list []engineapi.CacheEvent
-	if p.get(ctx, u, engineapi.PathEvents, "after="+strconv.FormatUint(t.after, 10), &list) != nil {
+	if p.get(ctx, u, engineapi.PathEvents, "after="+strconv.FormatUint(t.lastEvent, 10), &list) != nil {
 		return
 	}
 	for _, e := range list {
-		t.after = max(t.after, e.Sequence)
+		t.lastEvent = max(t.lastEvent, e.Sequence)
 		p.sink.ObserveCacheEvent(u.Name, e)
 	}
 }
 
 func (p *Poller) get(ctx context.Context, u Target, path, query string, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	resp, err := p.clientFor(u.Interval).Do(ctx, &conn.Request{Address: u.Address, Method: http.MethodGet, Path: path, Query: query, Header: http.Header{}})
 	if err != nil {
 		return err
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, reportBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
 	if err != nil {
 		resp.Abort()
 		return err
 	}
-	if len(data) == reportBytes {
+	if len(data) == maxReportBytes {
 		resp.Abort()
 	} else {
 		resp.Finish()
@@ -250,19 +252,19 @@
 	return json.Unmarshal(data, out)
 }
 
-// PollAll asks every assigned upstream once, so that a host that has just
-// started does not refuse what it could serve.
+// PollAll polls every assigned upstream once, so that a host that has just started
+// does not refuse requests that it could serve.
 func (p *Poller) PollAll(ctx context.Context) {
 	p.mu.Lock()
-	targets := make([]Target, 0, len(p.asked))
-	for _, t := range p.asked {
+	targets := make([]Target, 0, len(p.targets))
+	for _, t := range p.targets {
 		targets = append(targets, t.current())
 	}
 	p.mu.Unlock()
 	var g errgroup.Group
-	g.SetLimit(askAtOnce)
+	g.SetLimit(maxConcurrentStartup)
 	for _, u := range targets {
-		g.Go(func() error { p.ask(ctx, &target{ask: u}, u); return nil })
+		g.Go(func() error { p.pollReport(ctx, &target{assigned: u}, u); return nil })
 	}
-	_ = g.Wait() // ask keeps its failures to itself
+	_ = g.Wait() // always nil: pollReport handles its failures itself
 }
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -83,7 +83,7 @@
 try "upstream's seal" node/gate/attempt.go \
   '(!info.Sealed || info.AttemptID == "")' 'false' ./platform -run 'Answers'
 try "no reuse of a connection that spoke" node/upstream/conn/pool.go \
-  '&& quiet(l.nc)' '' ./node/upstream/conn
+  '&& isClean(l.nc)' '' ./node/upstream/conn
 try "a request before the close that was asked for" node/drain/conn.go \
   'if !c.phase.CompareAndSwap(phaseCloseRequested, phaseBusy) {' 'if true {' ./node/drain
 try "end of a read that waits" node/drain/conn.go \
@@ -154,7 +154,7 @@
 try "an attempt whose answer has begun" node/gate/attempt.go \
   'if !fo.stay() {' 'if false {' ./node/gate -run 'LargeResponse'
 try "last lines of the log" node/event/sink.go \
-  'len(buf) > 0 && time.Now().Before(end); buf = s.gather(buf[:0])' 'len(buf) > 0 && time.Now().Before(end); buf = nil' ./node/event
+  'len(buf) > 0 && time.Now().Before(deadline); buf = s.gather(buf[:0])' 'len(buf) > 0 && time.Now().Before(deadline); buf = nil' ./node/event
 try "kinds that may run again" node/gate/gate.go \
   'case !res.notRun && !q.mayRunAgain():' 'case false:' ./node/gate
 try "entries that ran out with the store" node/fleet/fleet.go \
@@ -168,7 +168,7 @@
 try "questions of a request that waits" node/gate/pick.go \
   'return q.awaitModel(p)' '' ./node/gate
 try "answers at the end of a stop" node/host/stop.go \
-  '	h.giveUp()
+  '	h.abortRequests()
 ' '' ./platform -run 'AStop'
 try "caller gone" node/gate/gate.go \
   'WithDeadlineCause(r.Context()' 'WithDeadlineCause(context.Background()' ./node/gate
@@ -179,7 +179,7 @@
 try "a key before the body" node/gate/gate.go \
   'if !q.identify() {' 'if q.identify(); false {' ./platform -run 'OneKnownKey' ./node/gate
 try "the key is not passed on" platform/headers.go \
-  '"Kv-Fetch", headerKey, headerTeam}' '"Kv-Fetch"}' ./platform -run 'NeverTheKey'
+  '"Kv-Fetch", headerAPIKey, headerTeam}' '"Kv-Fetch"}' ./platform -run 'NeverTheKey'
 try "a key that was taken away" node/gate/gate.go \
   'if q.keyRevoked() {' 'if false {' ./platform -run 'KeyWasTakenAway'
 try "one key in two teams" core/deploy/team.go \
--- a/standin/claimbench/bench.go
+++ b/standin/claimbench/bench.go
@@ -1,6 +1,6 @@
-// Package claimbench measures what claims cost: it drives the claims of many
-// hosts against a table service that is limited as the platform's is, and
-// counts executions on the upstream's side.
+// Package claimbench measures the cost of claims: it runs the claims of many hosts against a
+// table service with the rate limit of the platform's, and counts executions on the
+// upstream's side.
 package claimbench
 
 import (
@@ -18,59 +18,60 @@
 	"peridotpier.example/node/event"
 )
 
-// Mode is a way of keeping claims.
+// Mode is a way of storing claims.
 type Mode string
 
-// The ways.
+// Modes of storing claims.
 const (
-	Rows    Mode = "rows"    // a commit a change
-	Batched Mode = "batched" // a row a claim, many rows a commit
-	Ranges  Mode = "ranges"  // owned ranges, each with a log
+	Rows    Mode = "rows"    // each change of a claim is a commit of its own
+	Batched Mode = "batched" // each claim is a row; a commit writes many rows
+	Ranges  Mode = "ranges"  // key ranges with an owner each, which writes a log of its range
 )
 
-// Config is one measurement.
+// Config describes one measurement.
 type Config struct {
 	Mode            Mode          `json:"mode"`
 	Hosts           int           `json:"hosts"`
-	Writers         int           `json:"writers"` // batchers, or owned ranges
+	Writers         int           `json:"writers"` // batchers, or ranges with an owner
 	BatchInterval   time.Duration `json:"window_ns"`
-	Rate            int           `json:"rate"`    // requests a second
-	RepeatShare     float64       `json:"repeats"` // share that arrives a second time, at another host, at once
+	Rate            int           `json:"rate"`    // requests per second
+	RepeatShare     float64       `json:"repeats"` // share of requests that another host receives too, immediately after the first
 	Duration        time.Duration `json:"duration_ns"`
-	MeanExecution   time.Duration `json:"execution_ns"` // mean time the upstream takes; half to one and a half of it
+	MeanExecution   time.Duration `json:"execution_ns"` // mean execution time at the upstream; times are uniform from 0.5 to 1.5 of it
 	WritesPerSecond float64       `json:"writes_per_second"`
-	Latency         time.Duration `json:"latency_ns"` // of one call to the table service
-	HopLatency      time.Duration `json:"hop_ns"`     // to the host of a writer
-	KillWriter      bool          `json:"kill"`       // the first writer's host, at half time
-	DetectionDelay  time.Duration `json:"detect_ns"`  // until others see that a host died
+	Latency         time.Duration `json:"latency_ns"` // of each call of the table service
+	HopLatency      time.Duration `json:"hop_ns"`     // latency from a host to the host of a writer
+	KillWriter      bool          `json:"kill"`       // kill the host of the first writer at half time
+	DetectionDelay  time.Duration `json:"detect_ns"`  // until other hosts detect that a host died
 	LeaseTTL        time.Duration `json:"lease_ttl_ns"`
 	Seed            uint64        `json:"seed"`
 }
 
-// DesignSize is the load of the design size, where 1 in 5 of 7,500 requests a
-// second may not be repeated, on a table that takes 300 writes a second.
+// DesignSize returns the load of the design size, where 1 in 5 of 7,500 requests per second
+// may not be repeated, on a table that accepts 300 writes per second.
 func DesignSize(m Mode) Config {
 	return Config{Mode: m, Hosts: 420, Writers: 8, BatchInterval: 60 * time.Millisecond, Rate: 1500, RepeatShare: 0.05,
 		Duration: 10 * time.Second, MeanExecution: 100 * time.Millisecond, WritesPerSecond: 300, Latency: 2 * time.Millisecond,
 		HopLatency: time.Millisecond, DetectionDelay: time.Second, LeaseTTL: 3 * time.Second, Seed: 1}
 }
 
-// QuietSite is a quiet site of today: 7 entry hosts, each writing for itself.
+// QuietSite returns the load of a quiet site at its present size: 7 entry hosts, each of
+// which writes its own claims.
 func QuietSite(m Mode) Config {
 	c := DesignSize(m)
 	c.Hosts, c.Writers, c.Rate, c.BatchInterval, c.HopLatency = 7, 7, 20, 50*time.Millisecond, 0
 	return c
 }
 
-// Report is what was measured.
+// Report is the result of a measurement.
 type Report struct {
 	Config           Config  `json:"config"`
 	Offered          int     `json:"offered"`
 	Completed        int     `json:"completed"` // claimed, executed and answered
-	Refused          int     `json:"refused"`   // not run, since no claim could be written
-	Repeated         int     `json:"repeated"`  // told in progress or replayed: the other of two with one key ran
+	Refused          int     `json:"refused"`   // not executed, since no claim could be written
+	Repeated         int     `json:"repeated"`  // answered as in progress or with a stored answer: another request with the key was executed
 	Duplicates       int     `json:"duplicates"`
-	Pending          int     `json:"unsettled"` // still deferred at the end
+	Pending          int     `json:"unsettled"` // claims whose completion is still deferred at the end
 	ClaimsPerSecond  float64 `json:"claims_per_second"`
 	CommitsPerSecond float64 `json:"commits_per_second"`
 	BudgetShare      float64 `json:"write_budget_share"`
@@ -79,30 +80,32 @@
 	ClaimP99Ms       float64 `json:"claim_p99_ms"`
 	CompleteP99Ms    float64 `json:"settle_p99_ms"`
 	RecoveryMs       float64 `json:"recovery_ms"` // from the kill to the first claim by the dead writer's successor
-	OpenMs           float64 `json:"open_ms"`     // of it, reading a range's log
+	OpenMs           float64 `json:"open_ms"`     // part of the recovery: opening the successor, which reads the log of a range
 }
 
-// maxLatency is the largest time that the histograms hold, in microseconds.
-const maxLatency = 60_000_000
+// maxLatencyMicros is the largest time that the histograms can record, in microseconds.
+const maxLatencyMicros = 60_000_000
 
+// bench is one measurement in progress. While requests run, mu guards the report's counts,
+// the histograms and executions.
 type bench struct {
-	cfg    Config
-	table  *RateLimitedTable
-	fleet  *fleet
-	stores []*claim.Store
-	mu     sync.Mutex
-	report Report
-	claims *hdrhistogram.Histogram
-	settle *hdrhistogram.Histogram
-	runs   map[string]int
-	work   sync.WaitGroup
-	killed atomic.Int64 // Unix nanoseconds; 0: not yet
+	cfg           Config
+	table         *RateLimitedTable
+	fleet         *fleet
+	stores        []*claim.Store
+	mu            sync.Mutex
+	report        Report
+	claimTimes    *hdrhistogram.Histogram
+	completeTimes *hdrhistogram.Histogram
+	executions    map[string]int // by key
+	requests      sync.WaitGroup
+	killedAt      atomic.Int64 // when the writer was killed, in Unix nanoseconds; 0: not yet
 }
 
-// Run measures.
+// Run carries out one measurement and returns its report.
 func Run(ctx context.Context, cfg Config) (Report, error) {
-	b := &bench{cfg: cfg, table: NewRateLimitedTable(cfg.WritesPerSecond, cfg.Latency), runs: map[string]int{},
-		claims: hdrhistogram.New(1, maxLatency, 3), settle: hdrhistogram.New(1, maxLatency, 3)}
+	b := &bench{cfg: cfg, table: NewRateLimitedTable(cfg.WritesPerSecond, cfg.Latency), executions: map[string]int{},
+		claimTimes: hdrhistogram.New(1, maxLatencyMicros, 3), completeTimes: hdrhistogram.New(1, maxLatencyMicros, 3)}
 	b.report.Config = cfg
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -112,11 +115,11 @@
 	}
 	b.startStores(ctx)
 	start, commits := time.Now(), b.table.Commits()
-	b.load(ctx, start)
-	took := time.Since(start).Seconds()
-	b.report.CommitsPerSecond = float64(b.table.Commits()-commits) / took
-	b.work.Wait()
-	b.finish(took)
+	b.generateLoad(ctx, start)
+	elapsed := time.Since(start).Seconds()
+	b.report.CommitsPerSecond = float64(b.table.Commits()-commits) / elapsed
+	b.requests.Wait()
+	b.finish(elapsed)
 	return b.report, ctx.Err()
 }
 
@@ -129,21 +132,22 @@
 	}
 }
 
-// step is how often the load generator starts what is due.
-const step = time.Millisecond
+// loadStep is the interval at which the load generator starts the requests that are due.
+const loadStep = time.Millisecond
 
-// load starts requests at the rate, whatever becomes of those before.
-func (b *bench) load(ctx context.Context, start time.Time) {
+// generateLoad starts requests at the configured rate, independently of how long earlier
+// ones take.
+func (b *bench) generateLoad(ctx context.Context, start time.Time) {
 	rnd := rand.New(rand.NewPCG(b.cfg.Seed, 0))
-	tick := time.NewTicker(step)
+	tick := time.NewTicker(loadStep)
 	defer tick.Stop()
 	for n := 0; ctx.Err() == nil; <-tick.C {
 		elapsed := time.Since(start)
 		if elapsed >= b.cfg.Duration {
 			return
 		}
-		if b.cfg.KillWriter && b.killed.Load() == 0 && elapsed >= b.cfg.Duration/2 {
-			b.killed.Store(time.Now().UnixNano())
+		if b.cfg.KillWriter && b.killedAt.Load() == 0 && elapsed >= b.cfg.Duration/2 {
+			b.killedAt.Store(time.Now().UnixNano())
 			go b.fleet.kill(ctx)
 		}
 		for ; n < int(elapsed.Seconds()*float64(b.cfg.Rate)); n++ {
@@ -160,46 +164,51 @@
 	b.mu.Lock()
 	b.report.Offered++
 	b.mu.Unlock()
-	b.work.Add(1)
+	b.requests.Add(1)
 	go func() {
-		defer b.work.Done()
+		defer b.requests.Done()
 		b.request(ctx, b.stores[host], key, repeat)
 	}()
 }
 
-// requestDeadline is that of the generated requests.
+// requestDeadline is how long after its start a generated request has its deadline.
 const requestDeadline = 10 * time.Second
 
+// request claims a key at one host and, if the claim is granted, imitates the execution and
+// completes the claim.
 func (b *bench) request(ctx context.Context, s *claim.Store, key string, repeat bool) {
-	begin := time.Now()
-	grant, _, err := s.Claim(ctx, claim.Request{Team: "bench", Key: key, BodyHash: "b", Deadline: begin.Add(requestDeadline),
+	start := time.Now()
+	grant, _, err := s.Claim(ctx, claim.Request{Team: "bench", Key: key, BodyHash: "b", Deadline: start.Add(requestDeadline),
 		Route: coreclaim.Route{Upstream: "u", Incarnation: "i", Attempt: fmt.Sprint(key, repeat)}})
 	if grant == nil {
 		b.refused(err)
 		return
 	}
-	b.granted(key, begin)
+	b.granted(key, start)
 	time.Sleep(time.Duration((0.5 + rand.Float64()) * float64(b.cfg.MeanExecution)))
-	settling := time.Now()
+	completeStart := time.Now()
 	_ = grant.Complete(ctx, claim.Answer{Status: 200, Body: []byte(`{"stored":true}`)})
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	_ = b.settle.RecordValue(time.Since(settling).Microseconds())
+	_ = b.completeTimes.RecordValue(time.Since(completeStart).Microseconds())
 	b.report.Completed++
 }
 
-func (b *bench) granted(key string, begin time.Time) {
+// granted records a granted claim, and the recovery after a kill if it is the first one that
+// the successor of the dead writer took.
+func (b *bench) granted(key string, start time.Time) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.runs[key]++
-	_ = b.claims.RecordValue(now.Sub(begin).Microseconds())
-	killed := b.killed.Load()
-	if killed != 0 && b.report.RecoveryMs == 0 && begin.UnixNano() > killed && b.fleet.successor(coreclaim.Key("bench", key)) {
+	b.executions[key]++
+	_ = b.claimTimes.RecordValue(now.Sub(start).Microseconds())
+	killed := b.killedAt.Load()
+	if killed != 0 && b.report.RecoveryMs == 0 && start.UnixNano() > killed && b.fleet.hasSuccessor(coreclaim.Key("bench", key)) {
 		b.report.RecoveryMs = float64(now.UnixNano()-killed) / float64(time.Millisecond)
 	}
 }
 
+// refused counts a claim that was not granted.
 func (b *bench) refused(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -210,9 +219,10 @@
 	b.report.Repeated++
 }
 
-func (b *bench) finish(took float64) {
+// finish fills in the report after the last request has ended.
+func (b *bench) finish(elapsed float64) {
 	r := &b.report
-	for _, n := range b.runs {
+	for _, n := range b.executions {
 		r.Duplicates += n - 1
 	}
 	for _, s := range b.stores {
@@ -220,8 +230,8 @@
 		r.Pending += n
 	}
 	const ms = 1000.0
-	r.ClaimsPerSecond, r.BudgetShare = float64(r.Completed)/took, r.CommitsPerSecond/b.cfg.WritesPerSecond
-	r.ClaimP50Ms, r.ClaimP99Ms = float64(b.claims.ValueAtQuantile(50))/ms, float64(b.claims.ValueAtQuantile(99))/ms
-	r.CompleteP99Ms = float64(b.settle.ValueAtQuantile(99)) / ms
+	r.ClaimsPerSecond, r.BudgetShare = float64(r.Completed)/elapsed, r.CommitsPerSecond/b.cfg.WritesPerSecond
+	r.ClaimP50Ms, r.ClaimP99Ms = float64(b.claimTimes.ValueAtQuantile(50))/ms, float64(b.claimTimes.ValueAtQuantile(99))/ms
+	r.CompleteP99Ms = float64(b.completeTimes.ValueAtQuantile(99)) / ms
 	r.LimitedCommits, r.OpenMs = b.table.LimitedCommits(), b.fleet.openMs()
 }
--- a/standin/compare/compare_test.go
+++ b/standin/compare/compare_test.go
@@ -12,7 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// journal is entries of one site and day, by id, with the worth of each seed.
+// journal returns the files of entries of one site and day. The keys of worths are the ids of
+// entries, the values the worth for each seed.
 func journal(site string, worths map[string][]float64) fstest.MapFS {
 	files := fstest.MapFS{}
 	for id, all := range worths {
@@ -27,7 +28,8 @@
 	return files
 }
 
-func compared(t *testing.T, fs fstest.MapFS, before, after string) []Row {
+// compareEntries compares the runs of the entry before with those of the entry after.
+func compareEntries(t *testing.T, fs fstest.MapFS, before, after string) []Row {
 	t.Helper()
 	b, err := Read(fs, []string{before})
 	assert.NilError(t, err)
@@ -39,6 +41,7 @@
 	return rows
 }
 
+// verdict returns the verdict on a figure, "" if it has no row.
 func verdict(rows []Row, figure string) Verdict {
 	for _, r := range rows {
 		if r.Figure == figure {
@@ -49,28 +52,29 @@
 }
 
 func TestTheSameCodeShowsNoDifference(t *testing.T) {
-	rows := compared(t, journal("s", map[string][]float64{"a": {0.80, 0.60, 0.70, 0.75}, "b": {0.81, 0.59, 0.69, 0.76}}), "a", "b")
+	rows := compareEntries(t, journal("s", map[string][]float64{"a": {0.80, 0.60, 0.70, 0.75}, "b": {0.81, 0.59, 0.69, 0.76}}), "a", "b")
 	for _, figure := range []string{"worth", "served", "whole day", "class 1", "class 3", "price of bytes"} {
 		assert.Equal(t, verdict(rows, figure), NoDifference, figure)
 	}
 	assert.Equal(t, verdict(rows, "class 2"), Verdict(""), "a class without requests has no share")
 }
 
-// Guards against a difference that is lost among days which differ more from each other.
-func TestAWayThatIsBetterOnEachDayIsHigher(t *testing.T) {
-	rows := compared(t, journal("s", map[string][]float64{"a": {0.80, 0.40, 0.60, 0.20}, "b": {0.82, 0.43, 0.62, 0.22}}), "a", "c-b")
+// Guards against a difference that is hidden because days differ more from each other than the
+// variants do.
+func TestAVariantThatIsBetterOnEachDayIsHigher(t *testing.T) {
+	rows := compareEntries(t, journal("s", map[string][]float64{"a": {0.80, 0.40, 0.60, 0.20}, "b": {0.82, 0.43, 0.62, 0.22}}), "a", "c-b")
 	assert.Equal(t, verdict(rows, "worth"), Higher)
-	rows = compared(t, journal("s", map[string][]float64{"a": {0.80, 0.40, 0.60, 0.20}, "b": {0.82, 0.43, 0.62, 0.22}}), "b", "a")
+	rows = compareEntries(t, journal("s", map[string][]float64{"a": {0.80, 0.40, 0.60, 0.20}, "b": {0.82, 0.43, 0.62, 0.22}}), "b", "a")
 	assert.Equal(t, verdict(rows, "worth"), Lower)
 }
 
 func TestTwoPairsAreTooFew(t *testing.T) {
-	rows := compared(t, journal("s", map[string][]float64{"a": {0.8, 0.4}, "b": {0.9, 0.5}}), "a", "b")
+	rows := compareEntries(t, journal("s", map[string][]float64{"a": {0.8, 0.4}, "b": {0.9, 0.5}}), "a", "b")
 	assert.Equal(t, verdict(rows, "worth"), TooFew)
 }
 
-// Guards against a table that is made of something else than what was asked for.
-func TestWhatCannotBeComparedIsNamed(t *testing.T) {
+// Guards against a comparison of other runs than those that were asked for.
+func TestEntriesThatCannotBeComparedAreNamed(t *testing.T) {
 	good := journal("s", map[string][]float64{"a": {0.8}, "b": {0.8}})
 	_, err := Read(good, []string{"a", "zz"})
 	assert.ErrorContains(t, err, `begins with "zz"`)
@@ -85,7 +89,7 @@
 	assert.ErrorContains(t, err, "not finished")
 	dirty := fstest.MapFS{"e.json": &fstest.MapFile{Data: []byte(`{"id": "e", "head": "abc", "dirty": true, "policy": [{"sha256": "123"}], "site": "s", "days": []}`)}}
 	_, err = Read(dirty, []string{"abc"})
-	assert.ErrorContains(t, err, `begins with "abc"`, "it did not play the commit's sources")
+	assert.ErrorContains(t, err, `begins with "abc"`, "a run of changed sources is not one of the commit")
 	_, err = Read(dirty, []string{"12"})
 	assert.NilError(t, err)
 	edited := fstest.MapFS{"e.json": &fstest.MapFile{Data: []byte(`{"id": "e", "site": "s", "edited_meanwhile": true}`)}}
@@ -95,14 +99,15 @@
 	assert.NilError(t, err)
 	other, err := Read(journal("other", map[string][]float64{"b": {0.8}}), []string{"b"})
 	assert.NilError(t, err)
-	pairs, left := MatchPairs(a, other)
-	assert.Equal(t, left, 2)
+	pairs, unpaired := MatchPairs(a, other)
+	assert.Equal(t, unpaired, 2)
 	_, err = Compare(pairs)
 	assert.ErrorIs(t, err, ErrNoPairs)
 }
 
-// Of plays that differ by their draws alone, about one in twenty shows a difference.
-func TestVerdictsAreAsSureAsTheySay(t *testing.T) {
+// Guards against verdicts that are less or far more certain than the stated confidence: about
+// one in twenty comparisons of runs that differ only by their draws shows a difference.
+func TestVerdictsHaveTheStatedConfidence(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	wrong := 0
 	const trials, n = 2000, 8
@@ -111,22 +116,23 @@
 		for i := range all {
 			all[i] = rnd.NormFloat64()
 		}
-		if row(all).Verdict != NoDifference {
+		if newRow(all).Verdict != NoDifference {
 			wrong++
 		}
 	}
 	assert.Assert(t, wrong > trials/40 && wrong < trials/12, "%d of %d", wrong, trials)
 }
 
-// Every play is in one pair at most, and none is lost.
-func TestPairsTakeEachPlayOnce(t *testing.T) {
+// Guards against runs that are in several pairs, and against runs that are neither paired nor
+// counted as unpaired.
+func TestEachRunIsPairedAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		plays := rapid.SliceOf(rapid.Custom(func(t *rapid.T) Run {
+		runs := rapid.SliceOf(rapid.Custom(func(t *rapid.T) Run {
 			return Run{Site: rapid.SampledFrom([]string{"s", "t"}).Draw(t, "site"), Seed: rapid.Int64Range(0, 3).Draw(t, "seed")}
 		}))
-		before, after := plays.Draw(t, "before"), plays.Draw(t, "after")
-		pairs, left := MatchPairs(before, after)
-		assert.Equal(t, 2*len(pairs)+left, len(before)+len(after))
+		before, after := runs.Draw(t, "before"), runs.Draw(t, "after")
+		pairs, unpaired := MatchPairs(before, after)
+		assert.Equal(t, 2*len(pairs)+unpaired, len(before)+len(after))
 		for _, p := range pairs {
 			assert.Equal(t, p.Before.key(), p.After.key())
 		}
--- a/standin/speed/streams.go
+++ b/standin/speed/streams.go
@@ -16,22 +16,23 @@
 	"peridotpier.example/standin/local"
 )
 
-// caller opens streams.
+// caller sends requests with the key of a team.
 type caller struct {
 	client *http.Client
 	key    string
 }
 
-// idleConns keeps every connection of a measurement, so that none is dialled
-// anew within it.
+// idleConns is enough to keep every connection of a measurement open, so that none is dialled
+// again during it.
 const idleConns = 8192
 
 func newCaller(l *local.Layout) *caller {
 	return &caller{key: l.TeamKey, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConns, DisableCompression: true}}}
 }
 
-// open begins a stream.
-func (c *caller) open(ctx context.Context, address, model string, tokens int) (io.ReadCloser, error) {
+// openStream requests a stream of a number of tokens and returns its body, which must be
+// closed.
+func (c *caller) openStream(ctx context.Context, address, model string, tokens int) (io.ReadCloser, error) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"hello"}]}`, model, tokens)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -50,8 +51,8 @@
 	return resp.Body, nil
 }
 
-// models lists the models: a request that an engine has no part in.
-func (c *caller) models(ctx context.Context, address string) error {
+// listModels requests the list of models, which a host answers without an engine.
+func (c *caller) listModels(ctx context.Context, address string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/models", nil)
 	if err != nil {
 		return err
@@ -66,25 +67,25 @@
 	return err
 }
 
-// flow is many streams that are kept up at once and counted.
-type flow struct {
+// streamLoad keeps a number of streams open and counts their events.
+type streamLoad struct {
 	caller  *caller
 	address string
 	model   string
-	tokens  int // of each stream; then another follows
-	seen    atomic.Int64
+	tokens  int // of each stream; a new one follows its end
+	events  atomic.Int64
 	opened  atomic.Int64
 	wg      sync.WaitGroup
 	mu      sync.Mutex
-	err     error // the first
+	err     error // the first error
 }
 
-// start keeps n streams up until ctx ends.
-func (f *flow) start(ctx context.Context, n int) {
+// start keeps n streams open until ctx ends; a stream that fails is not replaced.
+func (f *streamLoad) start(ctx context.Context, n int) {
 	for range n {
 		f.wg.Go(func() {
 			for ctx.Err() == nil {
-				if err := f.one(ctx); err != nil && ctx.Err() == nil {
+				if err := f.readStream(ctx); err != nil && ctx.Err() == nil {
 					f.mu.Lock()
 					if f.err == nil {
 						f.err = err
@@ -97,13 +98,15 @@
 	}
 }
 
+// readBuffer is the size of the buffer of a stream, in bytes.
 const readBuffer = 32 << 10
 
+// eventEnd ends an event of a stream of server-sent events.
 var eventEnd = []byte("\n\n")
 
-// one reads one stream and counts its events.
-func (f *flow) one(ctx context.Context) error {
-	body, err := f.caller.open(ctx, f.address, f.model, f.tokens)
+// readStream opens one stream, reads it to its end and counts its events.
+func (f *streamLoad) readStream(ctx context.Context) error {
+	body, err := f.caller.openStream(ctx, f.address, f.model, f.tokens)
 	if err != nil {
 		return err
 	}
@@ -112,7 +115,7 @@
 	buf := make([]byte, readBuffer)
 	for {
 		n, err := body.Read(buf)
-		f.seen.Add(int64(bytes.Count(buf[:n], eventEnd)))
+		f.events.Add(int64(bytes.Count(buf[:n], eventEnd)))
 		if err == io.EOF {
 			return nil
 		}
@@ -122,12 +125,12 @@
 	}
 }
 
-// failed returns what went wrong, if anything did.
-func (f *flow) failed() error {
+// firstError returns the error of the first stream that failed, if any did.
+func (f *streamLoad) firstError() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.err
 }
 
-// settle is how long streams run before they are measured.
-const settle = 2 * time.Second
+// warmUp is the time for which streams and requests run before they are measured.
+const warmUp = 2 * time.Second
