--- a/standin/local/badinput_test.go
+++ b/standin/local/badinput_test.go
@@ -23,19 +23,19 @@
 	"peridotpier.example/standin/pki"
 )
 
-// counted counts the open connections that a node dialled to upstreams.
-type counted struct {
+// countingDialer counts the open connections that a node dialled to upstreams.
+type countingDialer struct {
 	net.Dialer
 	open atomic.Int32
 }
 
 type countedConn struct {
 	net.Conn
-	d      *counted
+	d      *countingDialer
 	closed atomic.Bool
 }
 
-func (d *counted) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+func (d *countingDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := d.Dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
@@ -51,26 +51,26 @@
 	return c.Conn.Close()
 }
 
-// rough is a node with short bounds, to be sent what callers should not send.
-type rough struct {
-	*path
-	dialer counted
+// badInputFixture is a node with short bounds, to be sent what callers should not send.
+type badInputFixture struct {
+	*fixture
+	dialer countingDialer
 	ca     *pki.Authority // nil: plain TCP
 	client *http.Client
 }
 
-// patience bounds a step that must end by itself; it is not what is measured.
-const patience = 20 * time.Second
+// stepTimeout bounds a step that must end by itself; it is not what is measured.
+const stepTimeout = 20 * time.Second
 
-func newRough(t *testing.T, secure bool) *rough {
+func newBadInputFixture(t *testing.T, secure bool) *badInputFixture {
 	t.Helper()
-	r := &rough{}
+	r := &badInputFixture{}
 	if secure {
 		var err error
 		r.ca, err = pki.New("test")
 		assert.NilError(t, err)
 	}
-	r.path = newPath(t, engine.Config{TokenTime: slow.TokenTime, ResumeWindow: 50 * time.Millisecond}, func(c *local.NodeConfig) {
+	r.fixture = newFixture(t, engine.Config{TokenTime: slowEngine.TokenTime, ResumeWindow: 50 * time.Millisecond}, func(c *local.NodeConfig) {
 		c.Settings.Bounds.ReportEveryMs = int((24 * time.Hour).Milliseconds()) // no questions but the first: they keep connections of their own
 		c.Dialer, c.HeadBound, c.BodyBound = &r.dialer, 250*time.Millisecond, 250*time.Millisecond
 		if secure {
@@ -90,9 +90,9 @@
 // connect opens a connection, with TLS where the host asks for it. The bound of
 // a head holds for a handshake too, and on a busy machine one may take longer;
 // it is not what is tested, so another connection is tried.
-func (r *rough) connect() net.Conn {
+func (r *badInputFixture) connect() net.Conn {
 	r.t.Helper()
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(stepTimeout); ; {
 		c, err := net.Dial("tcp", r.node.CallerAddress())
 		assert.NilError(r.t, err)
 		if r.ca == nil {
@@ -107,11 +107,11 @@
 	}
 }
 
-// raw opens a connection and sends text on it.
-func (r *rough) raw(text string) net.Conn {
+// sendRaw opens a connection and sends text on it.
+func (r *badInputFixture) sendRaw(text string) net.Conn {
 	r.t.Helper()
 	c := r.connect()
-	assert.NilError(r.t, c.SetDeadline(time.Now().Add(patience)))
+	assert.NilError(r.t, c.SetDeadline(time.Now().Add(stepTimeout)))
 	_, err := io.WriteString(c, text)
 	assert.NilError(r.t, err)
 	return c
@@ -119,7 +119,7 @@
 
 // drip sends a byte now and then until the host ends the connection, and
 // returns what it had to say.
-func (r *rough) drip(c net.Conn) string {
+func (r *badInputFixture) drip(c net.Conn) string {
 	r.t.Helper()
 	stop := make(chan struct{})
 	stopped := make(chan struct{})
@@ -148,8 +148,8 @@
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n%s\r\n", method, path, key, rest)
 }
 
-// chunked posts a body without a length.
-func (r *rough) chunked(method, path string, body io.Reader) (int, string, error) {
+// postChunked posts a body without a length.
+func (r *badInputFixture) postChunked(method, path string, body io.Reader) (int, string, error) {
 	r.t.Helper()
 	req, err := http.NewRequest(method, r.base+path, io.MultiReader(body)) // its type tells no length
 	assert.NilError(r.t, err)
@@ -164,8 +164,8 @@
 	return resp.StatusCode, string(text), err
 }
 
-// streamed opens a long stream and reads its first line.
-func (r *rough) streamed() *http.Response {
+// openLongStream opens a long stream and reads its first line.
+func (r *badInputFixture) openLongStream() *http.Response {
 	r.t.Helper()
 	req, err := http.NewRequest("POST", r.base+"/v1/chat/completions", strings.NewReader(fmt.Sprintf(chat, true, 8000)))
 	assert.NilError(r.t, err)
@@ -189,20 +189,20 @@
 		secure bool
 	}{{"plain", false}, {"TLS", true}} {
 		t.Run(transport.name, func(t *testing.T) {
-			r := newRough(t, transport.secure)
-			r.abuse() // once before the count, so that pools have what they keep
-			poll.WaitOn(t, r.quiet())
+			r := newBadInputFixture(t, transport.secure)
+			r.sendBadInput() // once before the count, so that pools have what they keep
+			poll.WaitOn(t, r.idle())
 			goroutines, upstream := runtime.NumGoroutine(), r.dialer.open.Load()
 			for range 4 {
-				r.abuse()
+				r.sendBadInput()
 			}
-			poll.WaitOn(t, r.quiet())
+			poll.WaitOn(t, r.idle())
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
 				if n, c := runtime.NumGoroutine(), r.dialer.open.Load(); n > goroutines || c > upstream {
 					return poll.Continue("%d goroutines, %d at the start; %d connections to upstreams, %d at the start", n, goroutines, c, upstream)
 				}
 				return poll.Success()
-			}, poll.WithTimeout(patience))
+			}, poll.WithTimeout(stepTimeout))
 			for _, e := range r.eng.Records().Executions {
 				assert.Equal(t, e.State, engineapi.AttemptCancelled)
 			}
@@ -211,8 +211,8 @@
 	}
 }
 
-// quiet waits until nothing runs, here or at the engine.
-func (r *rough) quiet() poll.Check {
+// idle waits until nothing runs, here or at the engine.
+func (r *badInputFixture) idle() poll.Check {
 	return func(poll.LogT) poll.Result {
 		if here, there := r.node.Status().InFlight, r.eng.ActualState().Running; here+there > 0 {
 			return poll.Continue("%d requests in flight, %d attempts run", here, there)
@@ -221,44 +221,44 @@
 	}
 }
 
-func (r *rough) abuse() {
+func (r *badInputFixture) sendBadInput() {
 	t := r.t
 	t.Helper()
 	const notes, queries, chats = "/v1/services/stock/notes", "/v1/services/stock/q", "/v1/chat/completions"
 
 	// A header bomb: the host answers and hangs up without reading it all.
-	bomb := r.raw("GET /v1/models HTTP/1.1\r\nHost: x\r\nX-Bomb: " + strings.Repeat("b", 30<<10))
+	bomb := r.sendRaw("GET /v1/models HTTP/1.1\r\nHost: x\r\nX-Bomb: " + strings.Repeat("b", 30<<10))
 	text, _ := io.ReadAll(bomb) // its end may be a reset, for not all was read
 	_ = bomb.Close()
 	assert.Assert(t, strings.HasPrefix(string(text), "HTTP/1.1 431 "), string(text))
 
-	r.drip(r.raw("GET /v1/models HTTP/1.1\r\nX-Slow: "))
+	r.drip(r.sendRaw("GET /v1/models HTTP/1.1\r\nX-Slow: "))
 	for _, c := range []struct{ key, length, status, code string }{
 		{teamKey, "Content-Length: 900000\r\n", "400", "bad_request"},
 		{"nobody", "Content-Length: 900000\r\n", "401", "invalid_api_key"},
 		{"nobody", "Transfer-Encoding: chunked\r\n", "401", "invalid_api_key"},
 	} {
-		said := r.drip(r.raw(head("POST", chats, c.key, c.length)))
-		assert.Assert(t, strings.HasPrefix(said, "HTTP/1.1 "+c.status+" "), said)
-		assert.Assert(t, strings.Contains(said, c.code) && strings.Contains(said, "not_run"), said)
+		answer := r.drip(r.sendRaw(head("POST", chats, c.key, c.length)))
+		assert.Assert(t, strings.HasPrefix(answer, "HTTP/1.1 "+c.status+" "), answer)
+		assert.Assert(t, strings.Contains(answer, c.code) && strings.Contains(answer, "not_run"), answer)
 	}
 
 	const tooMuch = 2 << 20
 	for _, c := range []struct{ method, path string }{{"POST", chats}, {"POST", notes}, {"GET", queries}} {
-		status, said, err := r.chunked(c.method, c.path, io.LimitReader(zeros{}, tooMuch))
+		status, answer, err := r.postChunked(c.method, c.path, io.LimitReader(zeros{}, tooMuch))
 		if err == nil { // else the host hung up, which ends it as well
-			assert.Equal(t, status, http.StatusRequestEntityTooLarge, "%s %s: %s", c.method, c.path, said)
+			assert.Equal(t, status, http.StatusRequestEntityTooLarge, "%s %s: %s", c.method, c.path, answer)
 		}
 	}
 
 	// Callers that hang up in the middle of a body, held or passed on.
-	_ = r.raw(head("POST", chats, teamKey, "Content-Length: 1000\r\n") + "{").Close()
-	_ = r.raw(head("POST", notes, teamKey, "Idempotency-Key: k\r\nTransfer-Encoding: chunked\r\n") + "4\r\nnote\r\n").Close()
-	_ = r.raw(head("GET", queries, teamKey, "Transfer-Encoding: chunked\r\n") + "4\r\nnote\r\n").Close()
+	_ = r.sendRaw(head("POST", chats, teamKey, "Content-Length: 1000\r\n") + "{").Close()
+	_ = r.sendRaw(head("POST", notes, teamKey, "Idempotency-Key: k\r\nTransfer-Encoding: chunked\r\n") + "4\r\nnote\r\n").Close()
+	_ = r.sendRaw(head("GET", queries, teamKey, "Transfer-Encoding: chunked\r\n") + "4\r\nnote\r\n").Close()
 
 	// A caller that hangs up in the middle of a stream.
-	_ = r.streamed().Body.Close()
-	poll.WaitOn(t, r.quiet())
+	_ = r.openLongStream().Body.Close()
+	poll.WaitOn(t, r.idle())
 }
 
 // zeros is a body without an end.
--- a/standin/local/check.go
+++ b/standin/local/check.go
@@ -11,9 +11,9 @@
 // historyOK is the verdict on a history that can be explained.
 const historyOK = "ok"
 
-// check verifies the calls that may not be repeated against what the
+// checkHistory verifies the calls that may not be repeated against what the
 // upstreams executed, as a history of a register that is written at most once.
-func check(r *load.Result, effects []load.Effect) string {
+func checkHistory(r *load.Result, effects []load.Effect) string {
 	var calls []history.Invocation
 	for _, v := range r.Invocations {
 		if v.Key != "" && len(v.Tries) > 0 {
@@ -25,7 +25,7 @@
 		if e.Key == "" {
 			continue
 		}
-		x := history.Execution{InvocationID: e.Invocation, Key: e.Team + "/" + e.Key, Attempt: e.Attempt, Start: e.Start.UnixNano(), Answer: digest(e.Answer)}
+		x := history.Execution{InvocationID: e.Invocation, Key: e.Team + "/" + e.Key, Attempt: e.Attempt, Start: e.Start.UnixNano(), Answer: formatDigest(e.Answer)}
 		if !e.End.IsZero() {
 			x.End = e.End.UnixNano()
 		}
@@ -44,11 +44,11 @@
 		Outcome: outcome.Unknown}
 	switch {
 	case v.Verdict == load.VerdictComplete:
-		i.Outcome, i.Answer = outcome.Completed, digest(v.Digest)
+		i.Outcome, i.Answer = outcome.Completed, formatDigest(v.Digest)
 	case v.AllTriesNotRun():
 		i.Outcome = outcome.NotRun
 	}
 	return i
 }
 
-func digest(d uint64) string { return strconv.FormatUint(d, 16) }
+func formatDigest(d uint64) string { return strconv.FormatUint(d, 16) }
--- a/standin/local/drive.go
+++ b/standin/local/drive.go
@@ -36,27 +36,27 @@
 	if err := b.AwaitAllReady(ctx); err != nil {
 		return Report{}, eris.Wrap(err, "wait for the hosts")
 	}
-	if err := a.twice(ctx, b); err != nil {
+	if err := a.checkReplay(ctx, b); err != nil {
 		return Report{}, err
 	}
-	side, stop := context.WithCancel(ctx)
+	trafficCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	go b.Run(side)
+	go b.Run(trafficCtx)
 	result := load.Run(ctx, load.Config{Plan: plan, Entries: b, Progress: a.Progress})
 	rec, err := ReadRecords(ctx, a.Layout.StandIns)
 	if err != nil {
 		return Report{}, err
 	}
 	rep := Report{Site: a.Layout.Site, Policy: "peridot", Seed: a.Seed, Seconds: a.Length.Seconds(), EntryHosts: len(a.Layout.Entries),
-		Accelerators: a.Site.Accelerators(), Counts: result.Count(rec.Effects), History: check(result, rec.Effects), AttainmentBound: a.Site.AttainmentBound(plan)}
+		Accelerators: a.Site.Accelerators(), Counts: result.Count(rec.Effects), History: checkHistory(result, rec.Effects), AttainmentBound: a.Site.AttainmentBound(plan)}
 	rep.AddRecords(rec)
-	rep.perAccelerator()
+	rep.setPerAccelerator()
 	return rep, nil
 }
 
-// twice sends a call that may not be repeated through two hosts under one key
+// checkReplay sends a call that may not be repeated through two hosts under one key
 // and checks that it ran once and was answered alike.
-func (a RemoteRun) twice(ctx context.Context, b load.EntryBalancer) error {
+func (a RemoteRun) checkReplay(ctx context.Context, b load.EntryBalancer) error {
 	if len(a.Site.Deployment.Services) == 0 {
 		return nil
 	}
@@ -69,7 +69,7 @@
 			return err
 		}
 		last = host
-		replayed, body, err := a.once(ctx, "http://"+host+path)
+		replayed, body, err := a.callOnce(ctx, "http://"+host+path)
 		if err != nil {
 			return err
 		}
@@ -84,7 +84,7 @@
 	return nil
 }
 
-func (a RemoteRun) once(ctx context.Context, url string) (replayed bool, body string, err error) {
+func (a RemoteRun) callOnce(ctx context.Context, url string) (replayed bool, body string, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader("one box of zips"))
 	if err != nil {
 		return false, "", err
--- a/standin/local/faults_test.go
+++ b/standin/local/faults_test.go
@@ -17,11 +17,11 @@
 	"peridotpier.example/standin/engine"
 )
 
-// slow is an engine whose streams last long enough to be broken.
-var slow = engine.Config{TokenTime: 5 * time.Millisecond}
+// slowEngine is an engine whose streams last long enough to be broken.
+var slowEngine = engine.Config{TokenTime: 5 * time.Millisecond}
 
-// open starts a stream and reads its first events.
-func (p *path) open(ctx context.Context, base, body string, events int) (*http.Response, *bufio.Reader, string) {
+// openStream starts a stream and reads its first events.
+func (p *fixture) openStream(ctx context.Context, base, body string, events int) (*http.Response, *bufio.Reader, string) {
 	p.t.Helper()
 	req, err := http.NewRequestWithContext(ctx, "POST", base+"/v1/chat/completions", strings.NewReader(body))
 	assert.NilError(p.t, err)
@@ -47,7 +47,7 @@
 // Cause: a broken connection is taken for the end, or the rest is asked for
 // from the wrong position.
 func TestABrokenStreamIsResumedByteForByte(t *testing.T) {
-	p := newPath(t, engine.Config{})
+	p := newFixture(t, engine.Config{})
 	body := fmt.Sprintf(chat, true, 40)
 	_, _, unbroken := p.do("POST", "/v1/chat/completions", teamKey, body)
 	p.eng.CutStreamsAfter(7)
@@ -61,10 +61,10 @@
 // connections work.
 // Cause: something between the two ends lost track of the connection.
 func TestASilentConnectionIsReplacedInMidStream(t *testing.T) {
-	p := newPath(t, slow)
+	p := newFixture(t, slowEngine)
 	body := fmt.Sprintf(chat, true, 60)
 	_, _, unbroken := p.do("POST", "/v1/chat/completions", teamKey, body)
-	resp, r, begin := p.open(t.Context(), p.base, body, 5)
+	resp, r, begin := p.openStream(t.Context(), p.base, body, 5)
 	p.eng.Freeze(false)
 	rest, err := io.ReadAll(r)
 	assert.NilError(t, err)
@@ -77,8 +77,8 @@
 // again, while several callers are served.
 // Cause: an answer is matched to a request by its connection alone.
 func TestACrossedAnswerNeverReachesACaller(t *testing.T) {
-	p := newPath(t, slow)
-	long, _, _ := p.open(t.Context(), p.base, fmt.Sprintf(chat, true, 400), 1)
+	p := newFixture(t, slowEngine)
+	long, _, _ := p.openStream(t.Context(), p.base, fmt.Sprintf(chat, true, 400), 1)
 	defer func() { _ = long.Body.Close() }()
 	// Two prompts take turns: what is crossed comes from the attempt before,
 	// and must not happen to be the same answer.
@@ -103,8 +103,8 @@
 // Sequence: some tokens were relayed; the engine's process restarts.
 // Cause: the end of the connection is taken for the end of the stream.
 func TestAStreamWhoseEngineDiedEndsWithATypedError(t *testing.T) {
-	p := newPath(t, slow)
-	resp, r, _ := p.open(t.Context(), p.base, fmt.Sprintf(chat, true, 400), 5)
+	p := newFixture(t, slowEngine)
+	resp, r, _ := p.openStream(t.Context(), p.base, fmt.Sprintf(chat, true, 400), 5)
 	defer func() { _ = resp.Body.Close() }()
 	p.eng.Restart()
 	rest, err := io.ReadAll(r)
@@ -121,14 +121,14 @@
 func TestALostAnswerIsSettledByTheUpstream(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		lose func(p *path)
+		lose func(p *fixture)
 	}{
-		{"answer lost", func(p *path) { p.svc.LoseAnswers(1) }},
-		{"answer cut", func(p *path) { p.svc.CutAnswers(1) }},
-		{"request lost", func(p *path) { p.svc.LoseRequests(1) }},
+		{"answer lost", func(p *fixture) { p.svc.LoseAnswers(1) }},
+		{"answer cut", func(p *fixture) { p.svc.CutAnswers(1) }},
+		{"request lost", func(p *fixture) { p.svc.LoseRequests(1) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPath(t, engine.Config{})
+			p := newFixture(t, engine.Config{})
 			c.lose(p)
 			status, _, body := p.do("POST", "/v1/services/stock/notes", teamKey, "note", "Idempotency-Key", "k1")
 			assert.Equal(t, status, http.StatusOK, body)
@@ -145,7 +145,7 @@
 // Sequence: the only engine starts to leave between two reports.
 // Cause: the platform's list and the reports lag behind the upstream's own word.
 func TestALeavingUpstreamsRefusalCountsAtOnce(t *testing.T) {
-	p := newPath(t, engine.Config{})
+	p := newFixture(t, engine.Config{})
 	p.eng.Drain()
 	for range 2 {
 		status, h, body := p.do("POST", "/v1/chat/completions", teamKey, fmt.Sprintf(chat, false, 5))
@@ -161,13 +161,13 @@
 // shows its resume token to another host.
 // Cause: the state of a stream is kept on one host.
 func TestAStreamIsResumedThroughAnotherHost(t *testing.T) {
-	p := newPath(t, slow)
+	p := newFixture(t, slowEngine)
 	other := p.startNode("n2")
 	defer func() { assert.NilError(t, other.Stop()) }()
 	body := fmt.Sprintf(chat, true, 60)
 	_, _, unbroken := p.do("POST", "/v1/chat/completions", teamKey, body)
 	ctx, cancel := context.WithCancel(t.Context())
-	resp, _, begin := p.open(ctx, p.base, body, 5)
+	resp, _, begin := p.openStream(ctx, p.base, body, 5)
 	cancel()
 	_ = resp.Body.Close()
 	first := p.base
@@ -176,8 +176,8 @@
 	status, _, rest := p.do("GET", "/v1/requests/"+token+"/stream", teamKey, "", "Last-Event-ID", "5")
 	assert.Equal(t, status, http.StatusOK, rest)
 	assert.Equal(t, begin+rest, unbroken)
-	stolen, _, text := p.do("GET", "/v1/requests/"+token+"/stream", otherKey, "")
-	assert.Equal(t, stolen, http.StatusNotFound, text)
+	otherStatus, _, text := p.do("GET", "/v1/requests/"+token+"/stream", otherKey, "")
+	assert.Equal(t, otherStatus, http.StatusNotFound, text)
 	p.base = first
 }
 
@@ -185,24 +185,24 @@
 // Sequence: one of each runs; the host is told to stop; both go on.
 // Cause: the listener's end is taken for the end of what it accepted.
 func TestAGracefulShutdownCutsNothing(t *testing.T) {
-	p := newPath(t, slow)
+	p := newFixture(t, slowEngine)
 	body := fmt.Sprintf(chat, true, 200)
 	_, _, unbroken := p.do("POST", "/v1/chat/completions", teamKey, body)
-	resp, r, begin := p.open(t.Context(), p.base, body, 5)
-	whole := make(chan string, 1)
+	resp, r, begin := p.openStream(t.Context(), p.base, body, 5)
+	wholeAnswer := make(chan string, 1)
 	go func() {
 		_, _, text := p.do("POST", "/v1/chat/completions", teamKey, fmt.Sprintf(chat, false, 60))
-		whole <- text
+		wholeAnswer <- text
 	}()
 	poll.WaitOn(t, func(l poll.LogT) poll.Result {
-		if len(whole) > 0 { // on a machine so slow that it ran between two looks
+		if len(wholeAnswer) > 0 { // on a machine so slow that it ran between two looks
 			return poll.Success()
 		}
-		return p.running(2)(l)
+		return p.runningAttempts(2)(l)
 	})
 	stopped := make(chan error, 1)
 	go func() { stopped <- p.node.Stop() }()
-	assert.Assert(t, strings.Contains(<-whole, `"completion_tokens":60`))
+	assert.Assert(t, strings.Contains(<-wholeAnswer, `"completion_tokens":60`))
 	rest, err := io.ReadAll(r)
 	assert.NilError(t, err)
 	assert.NilError(t, resp.Body.Close())
@@ -214,30 +214,30 @@
 // Sequence: a caller asks for a whole answer and hangs up, or cancels a stream.
 // Cause: nobody tells the engine.
 func TestWorkThatNobodyWaitsForIsCancelled(t *testing.T) {
-	p := newPath(t, slow)
+	p := newFixture(t, slowEngine)
 	ctx, cancel := context.WithCancel(t.Context())
 	req, err := http.NewRequestWithContext(ctx, "POST", p.base+"/v1/chat/completions", strings.NewReader(fmt.Sprintf(chat, false, 8000)))
 	assert.NilError(t, err)
 	req.Header.Set("Authorization", "Bearer "+teamKey)
-	gone := make(chan error, 1)
-	go func() { _, err := http.DefaultClient.Do(req); gone <- err }()
-	poll.WaitOn(t, p.running(1))
+	result := make(chan error, 1)
+	go func() { _, err := http.DefaultClient.Do(req); result <- err }()
+	poll.WaitOn(t, p.runningAttempts(1))
 	cancel()
-	assert.ErrorContains(t, <-gone, "canceled")
-	poll.WaitOn(t, p.running(0))
+	assert.ErrorContains(t, <-result, "canceled")
+	poll.WaitOn(t, p.runningAttempts(0))
 
-	resp, _, _ := p.open(t.Context(), p.base, fmt.Sprintf(chat, true, 8000), 3)
+	resp, _, _ := p.openStream(t.Context(), p.base, fmt.Sprintf(chat, true, 8000), 3)
 	status, _, text := p.do("DELETE", "/v1/requests/"+resp.Header.Get("Peridot-Request"), teamKey, "")
 	assert.Equal(t, status, http.StatusNoContent, text)
-	poll.WaitOn(t, p.running(0))
+	poll.WaitOn(t, p.runningAttempts(0))
 	_ = resp.Body.Close()
 	for _, e := range p.eng.Records().Executions {
 		assert.Equal(t, e.State, engineapi.AttemptCancelled)
 	}
 }
 
-// running waits until the engine runs n attempts.
-func (p *path) running(n int) poll.Check {
+// runningAttempts waits until the engine runs n attempts.
+func (p *fixture) runningAttempts(n int) poll.Check {
 	return func(poll.LogT) poll.Result {
 		if got := p.eng.ActualState().Running; got != n {
 			return poll.Continue("%d attempts run, not %d", got, n)
@@ -251,7 +251,7 @@
 // time left is sent on one of them; new connections work.
 // Cause: the silence is looked into only after a time that fits long streams.
 func TestASilentConnectionIsFoundWithinTheDeadline(t *testing.T) {
-	p := newPath(t, engine.Config{}, patient)
+	p := newFixture(t, engine.Config{}, noIdleProbe)
 	status, _, body := p.do("POST", "/v1/chat/completions", teamKey, fmt.Sprintf(chat, false, 5))
 	assert.Equal(t, status, http.StatusOK, body)
 	p.eng.Freeze(false)
--- a/standin/local/fleet.go
+++ b/standin/local/fleet.go
@@ -26,8 +26,8 @@
 	upstreamsPerPool = 60
 	residentMB       = 30_000
 	fleetTeams       = 60
-	startAtOnce      = 20
-	startPause       = 2 * time.Second // between batches, for their links to settle
+	startBatchSize   = 20
+	startBatchPause  = 2 * time.Second // between batches, for their links to settle
 )
 
 // FleetOptions size a fleet.
@@ -41,15 +41,15 @@
 
 // Fleet is a number of nodes without traffic, before upstreams that only report.
 type Fleet struct {
-	opt     FleetOptions
-	sources *ReportOnlyUpstreams
-	cfg     *config.Config
-	table   *fake.Table
-	objects *fake.Objects
-	hosts   *fake.Hosts
-	peers   *network
-	polls   *network
-	nodes   []*Node
+	opt         FleetOptions
+	upstreams   *ReportOnlyUpstreams
+	cfg         *config.Config
+	table       *fake.Table
+	objects     *fake.Objects
+	hosts       *fake.Hosts
+	peerNetwork *network
+	pollNetwork *network
+	nodes       []*Node
 }
 
 // FleetReport is what a fleet cost and how fast it was.
@@ -99,12 +99,12 @@
 	if opt.Progress == nil {
 		opt.Progress = func(string, ...any) {}
 	}
-	f := &Fleet{opt: opt, peers: newNetwork(), polls: newNetwork()}
+	f := &Fleet{opt: opt, peerNetwork: newNetwork(), pollNetwork: newNetwork()}
 	var err error
-	if f.sources, err = StartReportOnlyUpstreams(opt.Upstreams, fleetResidents); err != nil {
+	if f.upstreams, err = StartReportOnlyUpstreams(opt.Upstreams, fleetResidents); err != nil {
 		return nil, err
 	}
-	f.cfg = f.config()
+	f.cfg = f.newConfig()
 	f.table = fake.NewTableWith(fake.NewFaults(1, nil))
 	f.objects = fake.NewObjects(fake.NewFaults(1, nil))
 	f.hosts = fake.NewHosts(fake.NewFaults(1, nil))
@@ -123,9 +123,9 @@
 	// Hosts of a fleet have machines of their own; on this one a start of all
 	// at once would only show how long it takes to share the processors.
 	started := 0
-	for batch := range slices.Chunk(f.nodes, startAtOnce) {
+	for batch := range slices.Chunk(f.nodes, startBatchSize) {
 		started += len(batch)
-		f.list(started)
+		f.publishHosts(started)
 		for _, n := range batch {
 			n.Start()
 		}
@@ -136,7 +136,7 @@
 			}
 		}
 		if started < len(f.nodes) {
-			pause(ctx, startPause)
+			sleep(ctx, startBatchPause)
 		}
 	}
 	return f, nil
@@ -148,40 +148,40 @@
 	dc := fleetDC(i)
 	set := Settings(fmt.Sprintf("entry-%03d", i), dc)
 	set.Bounds.BalancerWaitSeconds = 0
-	n, err := NewNode(NodeConfig{Settings: set, Dialer: f.polls.from(dc), PeerDialer: f.peers.from(dc),
-		Platform: server.Platform{Table: placedTable{f.table, f.peers, dc}, Objects: f.objects, Hosts: f.hosts,
+	n, err := NewNode(NodeConfig{Settings: set, Dialer: f.pollNetwork.dialerFrom(dc), PeerDialer: f.peerNetwork.dialerFrom(dc),
+		Platform: server.Platform{Table: dataCentreTable{f.table, f.peerNetwork, dc}, Objects: f.objects, Hosts: f.hosts,
 			Weights: fake.NewWeights(fake.NewFaults(1, nil), 100, 100)}})
 	if err == nil {
-		f.peers.locate(n.PeerAddress(), dc)
+		f.peerNetwork.setDataCentre(n.PeerAddress(), dc)
 	}
 	return n, err
 }
 
-// placedTable is the table service as a data centre reaches it.
-type placedTable struct {
+// dataCentreTable is the table service as a data centre reaches it.
+type dataCentreTable struct {
 	store.Table
 	net *network
 	dc  string
 }
 
 // Commit implements store.Table.
-func (t placedTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
-	if t.net.Cuts(t.dc) {
+func (t dataCentreTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
+	if t.net.IsIsolated(t.dc) {
 		return 0, store.ErrUnavailable
 	}
 	return t.Table.Commit(ctx, txn)
 }
 
 // Get implements store.Table.
-func (t placedTable) Get(ctx context.Context, keys ...string) ([]store.Row, error) {
-	if t.net.Cuts(t.dc) {
+func (t dataCentreTable) Get(ctx context.Context, keys ...string) ([]store.Row, error) {
+	if t.net.IsIsolated(t.dc) {
 		return nil, store.ErrUnavailable
 	}
 	return t.Table.Get(ctx, keys...)
 }
 
-// list tells the platform's list of hosts: the first of them, less the killed.
-func (f *Fleet) list(first int) {
+// publishHosts tells the platform's list of hosts: the first of them, less the killed.
+func (f *Fleet) publishHosts(first int) {
 	var hosts []store.Host
 	for i, n := range f.nodes[:first] {
 		if n != nil {
@@ -221,7 +221,7 @@
 	return out
 }
 
-func (f *Fleet) config() *config.Config {
+func (f *Fleet) newConfig() *config.Config {
 	c := &config.Config{Site: "fleet",
 		Classes: []config.ClassRule{{Class: class.Urgent, FirstTokenMs: 610, DeadlineMs: 5000, MaxQueue: 64},
 			{Class: class.Standard, FirstTokenMs: 2000, DeadlineMs: 60_000, MaxQueue: 256}, {Class: class.Bulk, FirstTokenMs: 20_000, DeadlineMs: 300_000, MaxQueue: 256}},
@@ -238,7 +238,7 @@
 		c.Teams = append(c.Teams, config.Team{Name: name, KeyHashes: []string{keyHash(name)}, Models: []string{config.Wildcard},
 			Weight: 1, Limits: config.TeamLimits{RequestsPerSecond: 500, Concurrent: 500}})
 	}
-	for i, s := range f.sources.list {
+	for i, s := range f.upstreams.list {
 		pool := fmt.Sprintf("pool-%02d", i/upstreamsPerPool)
 		if i%upstreamsPerPool == 0 {
 			c.Pools = append(c.Pools, config.Pool{Name: pool, Kind: config.KindEngine})
@@ -261,17 +261,17 @@
 		}
 	}
 	wg.Wait()
-	f.sources.Close()
+	f.upstreams.Close()
 }
 
-// live are the nodes that were not killed.
-func (f *Fleet) live() []*Node {
+// liveNodes are the nodes that were not killed.
+func (f *Fleet) liveNodes() []*Node {
 	return slices.DeleteFunc(slices.Clone(f.nodes), func(n *Node) bool { return n == nil })
 }
 
-// change switches the preset and returns how long each of the given nodes
+// switchPreset switches the preset and returns how long each of the given nodes
 // took to have it in force, from the moment it was accepted.
-func (f *Fleet) change(ctx context.Context, nodes []*Node) ([]time.Duration, error) {
+func (f *Fleet) switchPreset(ctx context.Context, nodes []*Node) ([]time.Duration, error) {
 	names := [2]string{"ordinary", "peak"}
 	st, ok := nodes[0].State()
 	if !ok {
@@ -281,24 +281,24 @@
 	if st.Preset.Name == next {
 		next = names[1]
 	}
-	return f.timed(ctx, nodes, func() (uint64, error) {
+	return f.timeChange(ctx, nodes, func() (uint64, error) {
 		head, err := command.NewConfiguration(command.Deps{Table: f.table, Objects: f.objects}).UsePreset(ctx, command.UsePresetRequest{Author: "fleet", Preset: next})
 		return head.Version, err
 	})
 }
 
-// timed makes a change through the first node and times it on all.
-func (f *Fleet) timed(ctx context.Context, nodes []*Node, change func() (uint64, error)) ([]time.Duration, error) {
+// timeChange makes a change through the first node and times it on all.
+func (f *Fleet) timeChange(ctx context.Context, nodes []*Node, change func() (uint64, error)) ([]time.Duration, error) {
 	version, err := change()
 	if err != nil {
 		return nil, err
 	}
 	accepted := time.Now()
 	nodes[0].PollSoon() // the host that an operator called takes it in force at once
-	return f.await(ctx, nodes, version, accepted)
+	return f.awaitVersion(ctx, nodes, version, accepted)
 }
 
-func (f *Fleet) await(ctx context.Context, nodes []*Node, version uint64, from time.Time) ([]time.Duration, error) {
+func (f *Fleet) awaitVersion(ctx context.Context, nodes []*Node, version uint64, from time.Time) ([]time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
 	times := make([]time.Duration, len(nodes))
@@ -318,18 +318,18 @@
 
 // usage is what the process has used so far.
 type usage struct {
-	at            time.Time
-	cpu           time.Duration
-	peers, polls  int64
-	reads, writes int64
-	asked         int64
+	at                   time.Time
+	cpu                  time.Duration
+	peerBytes, pollBytes int64
+	reads, writes        int64
+	reportsServed        int64
 }
 
 func (f *Fleet) usage() usage {
 	var r syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r) // fails only for a bad argument
-	return usage{at: time.Now(), cpu: time.Duration(r.Utime.Nano() + r.Stime.Nano()), peers: f.peers.bytes.Load(), polls: f.polls.bytes.Load(),
-		reads: f.table.Faults.Reads(), writes: f.table.Faults.Writes(), asked: f.sources.ReportsServed()}
+	return usage{at: time.Now(), cpu: time.Duration(r.Utime.Nano() + r.Stime.Nano()), peerBytes: f.peerNetwork.bytes.Load(), pollBytes: f.pollNetwork.bytes.Load(),
+		reads: f.table.Faults.Reads(), writes: f.table.Faults.Writes(), reportsServed: f.upstreams.ReportsServed()}
 }
 
 // liveMemory is the heap in use and the stacks, after a collection.
--- a/standin/local/gate.go
+++ b/standin/local/gate.go
@@ -11,51 +11,51 @@
 	"peridotpier.example/node/upstream/conn"
 )
 
-// gate stands between a node and everything around it. Once shut, the node is
+// killSwitch stands between a node and everything around it. Once shut, the node is
 // as good as dead to the others, whatever its goroutines still do.
-type gate struct {
-	mu    sync.Mutex
-	dead  bool
-	conns map[net.Conn]struct{}
+type killSwitch struct {
+	mu     sync.Mutex
+	killed bool
+	conns  map[net.Conn]struct{}
 }
 
-// dialer opens connections through a gate.
-type dialer struct {
+// killableDialer opens connections through a gate.
+type killableDialer struct {
 	conn.Dialer
-	gate *gate
+	killSwitch *killSwitch
 }
 
-func newGate() *gate { return &gate{conns: map[net.Conn]struct{}{}} }
+func newKillSwitch() *killSwitch { return &killSwitch{conns: map[net.Conn]struct{}{}} }
 
-// through makes what d dials go through the gate.
-func (g *gate) through(d conn.Dialer) dialer {
+// wrapDialer makes what d dials go through the gate.
+func (g *killSwitch) wrapDialer(d conn.Dialer) killableDialer {
 	if d == nil {
 		d = &net.Dialer{}
 	}
-	return dialer{d, g}
+	return killableDialer{d, g}
 }
 
-func (g *gate) shut() {
+func (g *killSwitch) trigger() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.dead = true
+	g.killed = true
 	for c := range g.conns {
 		_ = c.Close()
 	}
 }
 
-func (g *gate) err() error {
+func (g *killSwitch) err() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.dead {
+	if g.killed {
 		return store.ErrUnavailable
 	}
 	return nil
 }
 
 // DialContext implements conn.Dialer.
-func (d dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	g := d.gate
+func (d killableDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+	g := d.killSwitch
 	if err := g.err(); err != nil {
 		return nil, err
 	}
@@ -65,60 +65,60 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.dead {
+	if g.killed {
 		_ = c.Close()
 		return nil, store.ErrUnavailable
 	}
-	gc := &gatedConn{Conn: c, gate: g}
+	gc := &killableConn{Conn: c, killSwitch: g}
 	g.conns[c] = struct{}{}
 	return gc, nil
 }
 
-type gatedConn struct {
+type killableConn struct {
 	net.Conn
-	gate *gate
+	killSwitch *killSwitch
 }
 
 // Close implements net.Conn.
-func (c *gatedConn) Close() error {
-	c.gate.mu.Lock()
-	delete(c.gate.conns, c.Conn)
-	c.gate.mu.Unlock()
+func (c *killableConn) Close() error {
+	c.killSwitch.mu.Lock()
+	delete(c.killSwitch.conns, c.Conn)
+	c.killSwitch.mu.Unlock()
 	return c.Conn.Close()
 }
 
-func (g *gate) platform(p server.Platform) server.Platform {
+func (g *killSwitch) wrapPlatform(p server.Platform) server.Platform {
 	out := server.Platform{Objects: p.Objects, Hosts: p.Hosts}
 	if p.Table != nil {
-		out.Table = gatedTable{p.Table, g}
+		out.Table = killableTable{p.Table, g}
 	}
 	if p.Weights != nil {
-		out.Weights = gatedWeights{p.Weights, g}
+		out.Weights = killableWeights{p.Weights, g}
 	}
 	return out
 }
 
-type gatedTable struct {
+type killableTable struct {
 	store.Table
-	gate *gate
+	killSwitch *killSwitch
 }
 
 // Commit implements store.Table.
-func (t gatedTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
-	if err := t.gate.err(); err != nil {
+func (t killableTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
+	if err := t.killSwitch.err(); err != nil {
 		return 0, err
 	}
 	return t.Table.Commit(ctx, txn)
 }
 
-type gatedWeights struct {
+type killableWeights struct {
 	store.Weights
-	gate *gate
+	killSwitch *killSwitch
 }
 
 // AcquireLoad implements store.Weights.
-func (w gatedWeights) AcquireLoad(ctx context.Context, load string) (time.Duration, error) {
-	if err := w.gate.err(); err != nil {
+func (w killableWeights) AcquireLoad(ctx context.Context, load string) (time.Duration, error) {
+	if err := w.killSwitch.err(); err != nil {
 		return 0, err
 	}
 	return w.Weights.AcquireLoad(ctx, load)
--- a/standin/local/history_test.go
+++ b/standin/local/history_test.go
@@ -21,31 +21,31 @@
 )
 
 const (
-	trialCallers = 6
-	trialKeys    = 24 // of each caller; every second one is another caller's too
-	trialTries   = 40 // of one key by one caller
-	trialPause   = 10 * time.Millisecond
-	trialEach    = 5 // keys ended between two steps of the script
+	trialCallers    = 6
+	trialKeys       = 24 // of each caller; every second one is another caller's too
+	trialTries      = 40 // of one key by one caller
+	trialRetryPause = 10 * time.Millisecond
+	keysPerStep     = 5 // keys ended between two steps of the script
 )
 
 // trial is callers, nodes and services whose histories are recorded.
 type trial struct {
-	*path
-	history *history.History
-	mu      sync.Mutex // guards nodes
-	nodes   []*local.Node
-	traps   map[string]*traps // by host
-	started int
-	ended   atomic.Int64 // keys that callers are done with
-	step    sync.Mutex   // one step of the script at a time
-	taken   int          // steps taken; under step
+	*fixture
+	history    *history.History
+	mu         sync.Mutex // guards nodes
+	nodes      []*local.Node
+	traps      map[string]*trapDialer // by host
+	started    int
+	keysEnded  atomic.Int64 // keys that callers are done with
+	stepMu     sync.Mutex   // one step of the script at a time
+	stepsTaken int          // steps taken; under step
 }
 
 func newTrial(t *testing.T) *trial {
-	tr := &trial{history: history.New(), traps: map[string]*traps{}}
-	shape := &path{answerBytes: 1 << 20, services: 2, serviceTime: 2 * time.Millisecond, watch: tr.watch}
-	tr.path = newPathOf(t, shape, slow, brief, func(c *local.NodeConfig) {
-		d := &traps{}
+	tr := &trial{history: history.New(), traps: map[string]*trapDialer{}}
+	shape := &fixture{answerBytes: 1 << 20, serviceCount: 2, serviceTime: 2 * time.Millisecond, onExecution: tr.recordExecution}
+	tr.fixture = newFixtureWith(t, shape, slowEngine, shortClaimGrace, func(c *local.NodeConfig) {
+		d := &trapDialer{}
 		tr.traps[c.Settings.Host] = d
 		c.Dialer = d
 	})
@@ -55,19 +55,19 @@
 			assert.NilError(t, n.Stop())
 		}
 	})
-	tr.join()
-	tr.join()
+	tr.startTrialNode()
+	tr.startTrialNode()
 	return tr
 }
 
-// watch records the upstreams' side.
-func (tr *trial) watch(e service.Execution) func([]byte) {
+// recordExecution records the upstreams' side.
+func (tr *trial) recordExecution(e service.Execution) func([]byte) {
 	x := tr.history.Begin(history.Execution{InvocationID: e.Tag, Key: e.IdempotencyKey, Attempt: e.Attempt})
 	return func(answer []byte) { tr.history.Finish(x, string(answer)) }
 }
 
-// join starts another node.
-func (tr *trial) join() {
+// startTrialNode starts another node.
+func (tr *trial) startTrialNode() {
 	tr.started++
 	n := tr.startNode(fmt.Sprint("n", tr.started))
 	tr.mu.Lock()
@@ -81,8 +81,8 @@
 	return tr.nodes[i%len(tr.nodes)]
 }
 
-// leave takes a node out of the balancer's set.
-func (tr *trial) leave(i int) *local.Node {
+// removeTrialNode takes a node out of the balancer's set.
+func (tr *trial) removeTrialNode(i int) *local.Node {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	n := tr.nodes[i]
@@ -125,43 +125,43 @@
 				done++
 				break
 			}
-			time.Sleep(trialPause)
+			time.Sleep(trialRetryPause)
 		}
-		if tr.ended.Add(1)%trialEach == 0 {
-			tr.next()
+		if tr.keysEnded.Add(1)%keysPerStep == 0 {
+			tr.runNextStep()
 		}
 	}
 	return done
 }
 
-// next takes the script's next step; a caller takes it, so that each has its
+// runNextStep takes the script's next step; a caller takes it, so that each has its
 // place in the run whatever the machine's speed.
-func (tr *trial) next() {
-	tr.step.Lock()
-	defer tr.step.Unlock()
+func (tr *trial) runNextStep() {
+	tr.stepMu.Lock()
+	defer tr.stepMu.Unlock()
 	set := func(change func(*fake.Settings)) { tr.tbl.Faults.Update(change) }
 	script := []func(){
-		func() { tr.svc.LoseAnswers(3); tr.more[1].LoseRequests(3) },
-		func() { tr.svc.MismatchAnswers(0.4); tr.more[1].MismatchAnswers(0.4) },
-		func() { tr.more[1].CutAnswers(3); set(func(s *fake.Settings) { s.LostAnswers = 0.3 }) },
-		func() { n := tr.leave(0); tr.traps["n1"].set(n.Kill, nil) }, // between claim and dispatch, if a call is still under way
+		func() { tr.svc.LoseAnswers(3); tr.services[1].LoseRequests(3) },
+		func() { tr.svc.MismatchAnswers(0.4); tr.services[1].MismatchAnswers(0.4) },
+		func() { tr.services[1].CutAnswers(3); set(func(s *fake.Settings) { s.LostAnswers = 0.3 }) },
+		func() { n := tr.removeTrialNode(0); tr.traps["n1"].set(n.Kill, nil) }, // between claim and dispatch, if a call is still under way
 		func() { set(func(s *fake.Settings) { s.LostAnswers, s.LostRequests = 0, 0.3 }) },
 		func() {
 			set(func(s *fake.Settings) { s.LostRequests, s.LateEffects, s.LateEffectDelay = 0, 0.3, 30*time.Millisecond })
 		},
 		func() { tr.svc.Restart() },
-		func() { set(func(s *fake.Settings) { *s = fake.Settings{} }); tr.join() },
-		func() { set(func(s *fake.Settings) { s.Outage = true }); time.Sleep(3 * trialPause) },
+		func() { set(func(s *fake.Settings) { *s = fake.Settings{} }); tr.startTrialNode() },
+		func() { set(func(s *fake.Settings) { s.Outage = true }); time.Sleep(3 * trialRetryPause) },
 		func() { set(func(s *fake.Settings) { s.Outage = false }) },
-		func() { tr.leave(0).Kill() }, // wherever its calls stand
-		func() { tr.svc.Freeze(false); tr.more[1].LoseAnswers(3) },
-		func() { tr.join() },
-		func() { tr.more[1].Restart(); tr.svc.LoseAnswers(3) },
-		func() { tr.more[1].Drain() },
+		func() { tr.removeTrialNode(0).Kill() }, // wherever its calls stand
+		func() { tr.svc.Freeze(false); tr.services[1].LoseAnswers(3) },
+		func() { tr.startTrialNode() },
+		func() { tr.services[1].Restart(); tr.svc.LoseAnswers(3) },
+		func() { tr.services[1].Drain() },
 	}
-	if tr.taken < len(script) {
-		script[tr.taken]()
-		tr.taken++
+	if tr.stepsTaken < len(script) {
+		script[tr.stepsTaken]()
+		tr.stepsTaken++
 	}
 }
 
@@ -184,8 +184,8 @@
 	assert.NilError(t, history.Check(tr.history))
 	assert.Equal(t, counts.Duplicated+counts.Mismatched+counts.Truncated+counts.FalseNotRun+counts.Lost, 0, "%+v", counts)
 	assert.Assert(t, done.Load() > trialCallers*trialKeys/2, "the faults left nothing to check")
-	assert.Equal(t, tr.taken, 15, "the script was not played to its end")
-	for _, s := range tr.more {
+	assert.Equal(t, tr.stepsTaken, 15, "the script was not played to its end")
+	for _, s := range tr.services {
 		for _, e := range s.Executions() {
 			assert.Equal(t, e.ForIncarnation, e.Incarnation)
 		}
--- a/standin/local/hostwatch.go
+++ b/standin/local/hostwatch.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// hostCheckEvery is how often the platform's stand-in looks which entry
+	// hostCheckInterval is how often the platform's stand-in looks which entry
 	// hosts are there.
-	hostCheckEvery = time.Second
-	hostCheckBound = 500 * time.Millisecond
+	hostCheckInterval = time.Second
+	hostCheckTimeout  = 500 * time.Millisecond
 )
 
 // watchHosts keeps the platform's list of hosts true until ctx ends: it shows
 // those entry hosts which take callers' connections.
 func (o *StandInServer) watchHosts(ctx context.Context) {
-	var shown []store.Host
+	var published []store.Host
 	for {
-		if now := o.present(ctx); !slices.Equal(now, shown) {
-			shown = now
-			o.HostList.Set(append(o.Upstreams.Hosts(), now...)...)
+		if reachable := o.reachableHosts(ctx); !slices.Equal(reachable, published) {
+			published = reachable
+			o.HostList.Set(append(o.Upstreams.Hosts(), reachable...)...)
 		}
-		if !pause(ctx, hostCheckEvery) {
+		if !sleep(ctx, hostCheckInterval) {
 			return
 		}
 	}
 }
 
-// present are the entry hosts that take connections.
-func (o *StandInServer) present(ctx context.Context) []store.Host {
+// reachableHosts are the entry hosts that take connections.
+func (o *StandInServer) reachableHosts(ctx context.Context) []store.Host {
 	var out []store.Host
-	dialer := net.Dialer{Timeout: hostCheckBound}
+	dialer := net.Dialer{Timeout: hostCheckTimeout}
 	for _, e := range o.Layout.Entries {
 		c, err := dialer.DialContext(ctx, "tcp", e.Caller)
 		if err != nil {
--- a/standin/local/network.go
+++ b/standin/local/network.go
@@ -8,33 +8,33 @@
 	"sync/atomic"
 )
 
-var errCut = errors.New("network is cut")
+var errIsolated = errors.New("network is cut")
 
 // network carries the connections between nodes: it counts their bytes, and
 // can be cut around a data centre.
 type network struct {
-	bytes atomic.Int64 // sent, by either side
-	mu    sync.Mutex
-	cut   string            // data centre that nothing enters or leaves; "": none
-	place map[string]string // data centre by peer address
-	conns map[*netConn]struct{}
+	bytes       atomic.Int64 // sent, by either side
+	mu          sync.Mutex
+	isolated    string            // data centre that nothing enters or leaves; "": none
+	dataCentres map[string]string // data centre by peer address
+	conns       map[*netConn]struct{}
 }
 
 func newNetwork() *network {
-	return &network{place: map[string]string{}, conns: map[*netConn]struct{}{}}
+	return &network{dataCentres: map[string]string{}, conns: map[*netConn]struct{}{}}
 }
 
-func (n *network) locate(address, dataCentre string) {
+func (n *network) setDataCentre(address, dataCentre string) {
 	n.mu.Lock()
-	n.place[address] = dataCentre
+	n.dataCentres[address] = dataCentre
 	n.mu.Unlock()
 }
 
-// Cut separates a data centre; "" heals.
-func (n *network) Cut(dataCentre string) {
+// Isolate separates a data centre; "" heals.
+func (n *network) Isolate(dataCentre string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = dataCentre
+	n.isolated = dataCentre
 	for c := range n.conns {
 		if n.crossesLocked(c.from, c.to) {
 			_ = c.Conn.Close()
@@ -43,18 +43,18 @@
 }
 
 func (n *network) crossesLocked(from, to string) bool {
-	return n.cut != "" && (from == n.cut) != (to == n.cut)
+	return n.isolated != "" && (from == n.isolated) != (to == n.isolated)
 }
 
-// Cuts says whether a data centre is cut off from the platform too.
-func (n *network) Cuts(dataCentre string) bool {
+// IsIsolated says whether a data centre is cut off from the platform too.
+func (n *network) IsIsolated(dataCentre string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut != "" && n.cut == dataCentre
+	return n.isolated != "" && n.isolated == dataCentre
 }
 
-// from returns the dialer of a node in a data centre.
-func (n *network) from(dataCentre string) *netDialer { return &netDialer{n: n, from: dataCentre} }
+// dialerFrom returns the dialer of a node in a data centre.
+func (n *network) dialerFrom(dataCentre string) *netDialer { return &netDialer{n: n, from: dataCentre} }
 
 type netDialer struct {
 	n    *network
@@ -65,11 +65,11 @@
 // DialContext implements conn.Dialer.
 func (d *netDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	d.n.mu.Lock()
-	to := d.n.place[address]
+	to := d.n.dataCentres[address]
 	crosses := d.n.crossesLocked(d.from, to)
 	d.n.mu.Unlock()
 	if crosses {
-		return nil, errCut
+		return nil, errIsolated
 	}
 	c, err := d.base.DialContext(ctx, network, address)
 	if err != nil {
--- a/standin/local/node.go
+++ b/standin/local/node.go
@@ -80,12 +80,12 @@
 // Node is one running node.
 type Node struct {
 	*server.Server
-	Keys *keys.Ring
-	gate *gate
-	stop context.CancelFunc
-	once sync.Once
-	done chan struct{}
-	err  error
+	Keys       *keys.Ring
+	killSwitch *killSwitch
+	cancel     context.CancelFunc
+	stopOnce   sync.Once
+	done       chan struct{}
+	err        error
 }
 
 // NodeConfig is what differs between local nodes.
@@ -124,20 +124,20 @@
 	if err != nil {
 		return nil, err
 	}
-	g := newGate()
-	s, err := server.New(server.Config{Settings: cfg.Settings, Keys: ring, Platform: g.platform(cfg.Platform),
-		Policy: cfg.Policy, Dialer: g.through(cfg.Dialer), RoundTripMs: cfg.Distance, Demand: cfg.Demand, PeerDialer: g.through(cfg.PeerDialer), Log: cfg.Log,
+	g := newKillSwitch()
+	s, err := server.New(server.Config{Settings: cfg.Settings, Keys: ring, Platform: g.wrapPlatform(cfg.Platform),
+		Policy: cfg.Policy, Dialer: g.wrapDialer(cfg.Dialer), RoundTripMs: cfg.Distance, Demand: cfg.Demand, PeerDialer: g.wrapDialer(cfg.PeerDialer), Log: cfg.Log,
 		ClaimGrace: cfg.ClaimGrace, HeadTimeout: cfg.HeadBound, BodyTimeout: cfg.BodyBound})
 	if err != nil {
 		return nil, err
 	}
-	return &Node{Server: s, Keys: ring, gate: g, stop: func() {}, done: make(chan struct{})}, nil
+	return &Node{Server: s, Keys: ring, killSwitch: g, cancel: func() {}, done: make(chan struct{})}, nil
 }
 
 // Start runs the node until Stop or Kill.
 func (n *Node) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
-	n.stop = cancel
+	n.cancel = cancel
 	go func() {
 		defer close(n.done)
 		n.err = n.Run(ctx)
@@ -146,7 +146,7 @@
 
 // Stop shuts the node down gracefully and waits for it.
 func (n *Node) Stop() error {
-	n.once.Do(n.stop)
+	n.stopOnce.Do(n.cancel)
 	<-n.done
 	return n.err
 }
@@ -154,17 +154,17 @@
 // Kill ends the node as the death of its process would: nothing that it says
 // from now on reaches anybody.
 func (n *Node) Kill() {
-	n.gate.shut()
+	n.killSwitch.trigger()
 	n.Server.Kill()
 	<-n.done
 }
 
-// readyPoll is how often a starting node is looked at.
-const readyPoll = 5 * time.Millisecond
+// readyPollInterval is how often a starting node is looked at.
+const readyPollInterval = 5 * time.Millisecond
 
 // AwaitReady waits until the node serves callers.
 func (n *Node) AwaitReady(ctx context.Context) error {
-	tick := time.NewTicker(readyPoll)
+	tick := time.NewTicker(readyPollInterval)
 	defer tick.Stop()
 	for !n.Ready() {
 		select {
--- a/standin/local/once_test.go
+++ b/standin/local/once_test.go
@@ -19,26 +19,26 @@
 	fake "peridotpier.example/standin/platform"
 )
 
-const notes = "/v1/services/stock/notes"
+const notesPath = "/v1/services/stock/notes"
 
-// once sends each call once. With kept connections net/http would send a call
+// noRetryClient sends each call once. With kept connections net/http would send a call
 // with an idempotency key again, unasked, when it finds its connection broken.
-var once = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+var noRetryClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 // reply is what a caller heard.
 type reply struct {
-	status   int
-	body     string
-	code     string // of an error
-	outcome  string // of an error
-	replayed bool
-	retry    bool  // came with Retry-After
-	err      error // no whole answer came
+	status        int
+	body          string
+	code          string // of an error
+	outcome       string // of an error
+	replayed      bool
+	hasRetryAfter bool  // came with Retry-After
+	err           error // no whole answer came
 }
 
 // noteVia sends a call that may not be repeated through a node.
 func noteVia(ctx context.Context, n *local.Node, key string, header ...string) reply {
-	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+n.CallerAddress()+notes, strings.NewReader("note "+key))
+	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+n.CallerAddress()+notesPath, strings.NewReader("note "+key))
 	if err != nil {
 		return reply{err: err}
 	}
@@ -47,14 +47,14 @@
 	for i := 0; i < len(header); i += 2 {
 		req.Header.Set(header[i], header[i+1])
 	}
-	resp, err := once.Do(req)
+	resp, err := noRetryClient.Do(req)
 	if err != nil {
 		return reply{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
 	r := reply{status: resp.StatusCode, body: string(data), err: err, replayed: resp.Header.Get("Peridot-Replayed") != "",
-		retry: resp.Header.Get("Retry-After") != ""}
+		hasRetryAfter: resp.Header.Get("Retry-After") != ""}
 	if r.status != http.StatusOK && err == nil {
 		var p callerapi.Problem
 		if err := json.Unmarshal(data, &p); err != nil {
@@ -65,25 +65,25 @@
 	return r
 }
 
-// settled repeats a call, as long as it is told to come back, until it has
+// awaitOutcome repeats a call, as long as it is told to come back, until it has
 // another answer.
-func settled(t *testing.T, n *local.Node, key string) reply {
+func awaitOutcome(t *testing.T, n *local.Node, key string) reply {
 	t.Helper()
 	var r reply
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		r = noteVia(t.Context(), n, key)
 		if r.code == string(fault.CodeInProgress) {
-			assert.Assert(t, r.retry && r.outcome == "unknown", "%+v", r)
+			assert.Assert(t, r.hasRetryAfter && r.outcome == "unknown", "%+v", r)
 			return poll.Continue("in progress")
 		}
 		return poll.Success()
-	}, poll.WithTimeout(patience))
+	}, poll.WithTimeout(stepTimeout))
 	assert.NilError(t, r.err)
 	return r
 }
 
-// brief has others look after a claim soon after its deadline.
-func brief(c *local.NodeConfig) { c.ClaimGrace = 20 * time.Millisecond }
+// shortClaimGrace has others look after a claim soon after its deadline.
+func shortClaimGrace(c *local.NodeConfig) { c.ClaimGrace = 20 * time.Millisecond }
 
 // Symptom: a dispatch note is packed twice after an upstream's restart.
 // Sequence: a claim names an attempt and its upstream's process; the host is
@@ -91,7 +91,7 @@
 // answered about the attempt; the host wakes and sends.
 // Cause: the new process takes an attempt that was meant for the former one.
 func TestARestartedUpstreamRefusesWhatWasMeantForItsFormerProcess(t *testing.T) {
-	p, trap := trappedPath(t)
+	p, trap := newTrappedFixture(t)
 	trap.set(p.svc.Restart, nil)
 	r := noteVia(t.Context(), p.node, "k1")
 	assert.Equal(t, r.status, http.StatusOK, r.body)
@@ -108,20 +108,20 @@
 func TestTheDeathOfAHostSettlesByTheUpstreamsWord(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		trap     func(d *traps, kill func())
+		trap     func(d *trapDialer, kill func())
 		replayed bool
 	}{
-		{"between claim and dispatch", func(d *traps, kill func()) { d.set(kill, nil) }, false},
-		{"between dispatch and answer", func(d *traps, kill func()) { d.set(nil, kill) }, true},
+		{"between claim and dispatch", func(d *trapDialer, kill func()) { d.set(kill, nil) }, false},
+		{"between dispatch and answer", func(d *trapDialer, kill func()) { d.set(nil, kill) }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p, trap := trappedPath(t, brief)
+			p, trap := newTrappedFixture(t, shortClaimGrace)
 			other := p.startNode("n2")
 			defer func() { assert.NilError(t, other.Stop()) }()
 			c.trap(trap, func() { p.node.Kill() })
 			first := noteVia(t.Context(), p.node, "k1", callerapi.HeaderDeadline, "300")
 			assert.Assert(t, first.err != nil, "the dead host answered: %+v", first)
-			r := settled(t, other, "k1")
+			r := awaitOutcome(t, other, "k1")
 			assert.Equal(t, r.status, http.StatusOK, r.body)
 			assert.Equal(t, r.replayed, c.replayed)
 			assert.Equal(t, len(p.svc.Executions()), 1)
@@ -134,7 +134,7 @@
 // dies; the service restarts and forgets all attempts.
 // Cause: "unseen" from a process without memory is taken for "did not run".
 func TestTwoDeathsAtOnceLeaveTheOutcomeUnknown(t *testing.T) {
-	p, trap := trappedPath(t, brief)
+	p, trap := newTrappedFixture(t, shortClaimGrace)
 	other := p.startNode("n2")
 	defer func() { assert.NilError(t, other.Stop()) }()
 	trap.set(nil, func() {
@@ -144,7 +144,7 @@
 	first := noteVia(t.Context(), p.node, "k1", callerapi.HeaderDeadline, "300")
 	assert.Assert(t, first.err != nil, "%+v", first)
 	for range 2 {
-		r := settled(t, other, "k1")
+		r := awaitOutcome(t, other, "k1")
 		assert.Equal(t, r.outcome, "unknown", r.body)
 		assert.Equal(t, r.code, string(fault.CodeOutcomeUnknown))
 	}
@@ -155,7 +155,7 @@
 // Sequence: all upstreams are gone; a caller asks.
 // Cause: callers are shown the dial's error.
 func TestAnErrorNamesTheStepAndNoAddress(t *testing.T) {
-	p := newPath(t, slow)
+	p := newFixture(t, slowEngine)
 	p.svc.Close()
 	for _, key := range []string{"k1", "k2"} {
 		r := noteVia(t.Context(), p.node, key)
@@ -165,7 +165,7 @@
 }
 
 // restartAfterTheCall restarts the service once its one call has ended.
-func (p *path) restartAfterTheCall() {
+func (p *fixture) restartAfterTheCall() {
 	poll.WaitOn(p.t, func(poll.LogT) poll.Result {
 		if e := p.svc.Executions(); len(e) == 0 || e[0].Ended.IsZero() {
 			return poll.Continue("the call has not ended")
@@ -181,7 +181,7 @@
 // caller comes back.
 // Cause: the new process is taken at its word, or what is unknown for free.
 func TestARestartBeforeTheAnswerLeavesTheOutcomeUnknown(t *testing.T) {
-	p, trap := trappedPath(t)
+	p, trap := newTrappedFixture(t)
 	p.svc.LoseAnswers(1)
 	trap.set(nil, p.restartAfterTheCall)
 	for range 2 {
@@ -197,13 +197,13 @@
 // Sequence: the table service is down; a call that may not be repeated comes.
 // Cause: the call is dispatched, or held, without its claim.
 func TestATableThatIsDownRefusesBeforeTheClaim(t *testing.T) {
-	p := newPath(t, slow)
+	p := newFixture(t, slowEngine)
 	p.tbl.Faults.Update(func(s *fake.Settings) { s.Outage = true })
 	r := noteVia(t.Context(), p.node, "k1")
 	assert.Equal(t, r.status, http.StatusServiceUnavailable, r.body)
 	assert.Equal(t, r.code, string(fault.CodeStoreUnavailable))
 	assert.Equal(t, r.outcome, "not_run")
-	assert.Assert(t, r.retry)
+	assert.Assert(t, r.hasRetryAfter)
 	status, _, body := p.do("GET", "/v1/services/stock/q", teamKey, "")
 	assert.Equal(t, status, http.StatusOK, "a call that may be repeated needs no claim: %s", body)
 	p.tbl.Faults.Update(func(s *fake.Settings) { s.Outage = false })
@@ -216,15 +216,15 @@
 // loses its own answers too; it comes back later.
 // Cause: the caller's answer waits for the claim's end, or that end is dropped.
 func TestATableThatIsDownAfterTheAnswerIsSettledLater(t *testing.T) {
-	p, trap := trappedPath(t)
+	p, trap := newTrappedFixture(t)
 	other := p.startNode("n2")
 	defer func() { assert.NilError(t, other.Stop()) }()
 	trap.set(nil, func() { p.tbl.Faults.Update(func(s *fake.Settings) { s.Outage = true }) })
 	r := noteVia(t.Context(), p.node, "k1")
 	assert.Equal(t, r.status, http.StatusOK, r.body)
-	poll.WaitOn(t, p.unsettled(1))
+	poll.WaitOn(t, p.pendingOutcomes(1))
 	p.tbl.Faults.Update(func(s *fake.Settings) { s.Outage, s.LostAnswers = false, 0.5 })
-	poll.WaitOn(t, p.unsettled(0), poll.WithTimeout(patience))
+	poll.WaitOn(t, p.pendingOutcomes(0), poll.WithTimeout(stepTimeout))
 	p.tbl.Faults.Update(func(s *fake.Settings) { s.LostAnswers = 0 })
 	again := noteVia(t.Context(), other, "k1")
 	assert.Assert(t, again.replayed, "%+v", again)
@@ -232,8 +232,8 @@
 	assert.Equal(t, len(p.svc.Executions()), 1)
 }
 
-// unsettled waits until n ends of claims wait on the first node.
-func (p *path) unsettled(n int) poll.Check {
+// pendingOutcomes waits until n ends of claims wait on the first node.
+func (p *fixture) pendingOutcomes(n int) poll.Check {
 	return func(poll.LogT) poll.Result {
 		if got := p.node.Status().UnresolvedClaims; got != n {
 			return poll.Continue("%d ends of claims wait, not %d", got, n)
@@ -242,42 +242,42 @@
 	}
 }
 
-// held is a call that stands between its dispatch and its answer.
-type held struct {
+// heldCall is a call that stands between its dispatch and its answer.
+type heldCall struct {
 	reply   chan reply
 	release func()
 }
 
-// hold sends a call through the first node and returns once it is dispatched.
-func (p *path) hold(ctx context.Context, trap *traps, key string) held {
+// holdCall sends a call through the first node and returns once it is dispatched.
+func (p *fixture) holdCall(ctx context.Context, trap *trapDialer, key string) heldCall {
 	p.t.Helper()
-	out, gate := make(chan struct{}), make(chan struct{})
-	trap.set(nil, func() { close(out); <-gate })
-	h := held{reply: make(chan reply, 1), release: func() { close(gate) }}
+	dispatched, released := make(chan struct{}), make(chan struct{})
+	trap.set(nil, func() { close(dispatched); <-released })
+	h := heldCall{reply: make(chan reply, 1), release: func() { close(released) }}
 	go func() { h.reply <- noteVia(ctx, p.node, key) }()
-	<-out
+	<-dispatched
 	return h
 }
 
-// patient nodes don't look into a silent exchange.
-func patient(c *local.NodeConfig) { c.Settings.Bounds.SilenceMs = 60_000 }
+// noIdleProbe nodes don't look into a silent exchange.
+func noIdleProbe(c *local.NodeConfig) { c.Settings.Bounds.SilenceMs = 60_000 }
 
 // Symptom: two crews press "send" again and a note is packed twice.
 // Sequence: a call runs; the caller repeats it through another entry host.
 // Cause: hosts know only of their own calls.
 func TestARepeatThroughAnotherHostWhileTheFirstRuns(t *testing.T) {
-	p, trap := trappedPath(t, patient)
+	p, trap := newTrappedFixture(t, noIdleProbe)
 	other := p.startNode("n2")
 	defer func() { assert.NilError(t, other.Stop()) }()
-	first := p.hold(t.Context(), trap, "k1")
+	first := p.holdCall(t.Context(), trap, "k1")
 	again := noteVia(t.Context(), other, "k1")
 	assert.Equal(t, again.status, http.StatusConflict, again.body)
 	assert.Equal(t, again.code, string(fault.CodeInProgress))
-	assert.Assert(t, again.retry)
+	assert.Assert(t, again.hasRetryAfter)
 	first.release()
 	r := <-first.reply
 	assert.Equal(t, r.status, http.StatusOK, r.body)
-	assert.Equal(t, settled(t, other, "k1").body, r.body)
+	assert.Equal(t, awaitOutcome(t, other, "k1").body, r.body)
 	assert.Equal(t, len(p.svc.Executions()), 1)
 }
 
@@ -286,15 +286,15 @@
 // back through another host.
 // Cause: the call is given up with its caller.
 func TestACallerThatLostItsConnectionGetsTheAnswerLater(t *testing.T) {
-	p, trap := trappedPath(t, patient)
+	p, trap := newTrappedFixture(t, noIdleProbe)
 	other := p.startNode("n2")
 	defer func() { assert.NilError(t, other.Stop()) }()
 	ctx, hangUp := context.WithCancel(t.Context())
-	first := p.hold(ctx, trap, "k1")
+	first := p.holdCall(ctx, trap, "k1")
 	hangUp()
 	assert.Assert(t, (<-first.reply).err != nil)
 	first.release()
-	r := settled(t, other, "k1")
+	r := awaitOutcome(t, other, "k1")
 	assert.Equal(t, r.status, http.StatusOK, r.body)
 	assert.Assert(t, r.replayed)
 	assert.Equal(t, len(p.svc.Executions()), 1)
@@ -305,14 +305,14 @@
 // told to stop; the balancer still sends; the call ends; the table comes back.
 // Cause: the host ends before the last answer, or before the last claim's end.
 func TestAGracefulShutdownInATableOutageSettlesItsClaims(t *testing.T) {
-	p, trap := trappedPath(t, patient, func(c *local.NodeConfig) {
+	p, trap := newTrappedFixture(t, noIdleProbe, func(c *local.NodeConfig) {
 		if c.Settings.Host == "n1" {
 			c.Settings.Bounds.BalancerWaitSeconds = 1
 		}
 	})
 	other := p.startNode("n2")
 	defer func() { assert.NilError(t, other.Stop()) }()
-	first := p.hold(t.Context(), trap, "k1")
+	first := p.holdCall(t.Context(), trap, "k1")
 	p.tbl.Faults.Update(func(s *fake.Settings) { s.Outage = true })
 	stopped := make(chan error, 1)
 	go func() { stopped <- p.node.Stop() }()
@@ -324,13 +324,13 @@
 	})
 	status, _, body := p.do("GET", "/v1/services/stock/q", teamKey, "")
 	assert.Equal(t, status, http.StatusOK, "the balancer still sends: %s", body)
-	late := noteVia(t.Context(), p.node, "k2")
-	assert.Equal(t, late.outcome, "not_run", late.body)
+	refused := noteVia(t.Context(), p.node, "k2")
+	assert.Equal(t, refused.outcome, "not_run", refused.body)
 	first.release()
 	r := <-first.reply
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.status, http.StatusOK, r.body)
-	poll.WaitOn(t, p.unsettled(1))
+	poll.WaitOn(t, p.pendingOutcomes(1))
 	poll.WaitOn(t, func(poll.LogT) poll.Result { // the last listener closes when only claims are left
 		c, err := net.Dial("tcp", p.node.OperatorAddress())
 		if err == nil {
@@ -338,7 +338,7 @@
 			return poll.Continue("the host still listens")
 		}
 		return poll.Success()
-	}, poll.WithTimeout(patience))
+	}, poll.WithTimeout(stepTimeout))
 	p.tbl.Faults.Update(func(s *fake.Settings) { s.Outage = false })
 	assert.NilError(t, <-stopped)
 	again := noteVia(t.Context(), other, "k1")
@@ -351,21 +351,21 @@
 // calls that may not be repeated go on coming.
 // Cause: a refusal of an attempt is taken for the end of the call.
 func TestCallsGoElsewhereWhenAnInstanceLeaves(t *testing.T) {
-	p := newPathOf(t, &path{answerBytes: 1 << 20, services: 2}, slow)
+	p := newFixtureWith(t, &fixture{answerBytes: 1 << 20, serviceCount: 2}, slowEngine)
 	p.svc.Drain()
 	for _, key := range []string{"k1", "k2", "k3", "k4", "k5", "k6"} {
 		r := noteVia(t.Context(), p.node, key)
 		assert.Equal(t, r.status, http.StatusOK, r.body)
 	}
 	assert.Equal(t, len(p.svc.Executions()), 0)
-	assert.Equal(t, len(p.more[1].Executions()), 6)
+	assert.Equal(t, len(p.services[1].Executions()), 6)
 }
 
 // Symptom: a repeat of a call gets an empty answer, as if that were the whole.
 // Sequence: the answer was larger than what is kept; the call is repeated.
 // Cause: that its body was dropped is not kept with it.
 func TestARepeatIsToldThatTheAnswerWasNotKept(t *testing.T) {
-	p := newPathOf(t, &path{answerBytes: 10, services: 1}, slow)
+	p := newFixtureWith(t, &fixture{answerBytes: 10, serviceCount: 1}, slowEngine)
 	first := noteVia(t.Context(), p.node, "k1")
 	assert.Equal(t, first.status, http.StatusOK, first.body)
 	again := noteVia(t.Context(), p.node, "k1")
--- a/standin/local/operate.go
+++ b/standin/local/operate.go
@@ -31,14 +31,14 @@
 
 // switchPreset puts the preset after the one in force in force, as an operator would.
 func (r *RunningSite) switchPreset(ctx context.Context) error {
-	client, err := r.operator()
+	client, err := r.operatorClient()
 	if err != nil {
 		return err
 	}
 	defer client.CloseIdleConnections()
 	base := r.OperatorURL()
 	var p operatorapi.Presets
-	if err := operate(ctx, client, http.MethodGet, base+"/v1/presets", &p); err != nil {
+	if err := callOperatorAPI(ctx, client, http.MethodGet, base+"/v1/presets", &p); err != nil {
 		return err
 	}
 	next := p.InForce
@@ -48,17 +48,17 @@
 		}
 	}
 	var a operatorapi.Applied
-	if err := operate(ctx, client, http.MethodPost, base+"/v1/presets/"+next, &a); err != nil {
+	if err := callOperatorAPI(ctx, client, http.MethodPost, base+"/v1/presets/"+next, &a); err != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.presets = append(r.presets, a.Head.Preset)
+	r.appliedPresets = append(r.appliedPresets, a.Head.Preset)
 	r.mu.Unlock()
 	return nil
 }
 
-// operator is an HTTP client with an operator's certificate where one is needed.
-func (r *RunningSite) operator() (*http.Client, error) {
+// operatorClient is an HTTP client with an operator's certificate where one is needed.
+func (r *RunningSite) operatorClient() (*http.Client, error) {
 	if r.Authority == nil {
 		return &http.Client{Transport: &http.Transport{}}, nil
 	}
@@ -74,7 +74,7 @@
 		Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13}}}, nil
 }
 
-func operate(ctx context.Context, client *http.Client, method, url string, out any) error {
+func callOperatorAPI(ctx context.Context, client *http.Client, method, url string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
 		return eris.Wrap(err, "call a host as an operator")
--- a/standin/local/outside.go
+++ b/standin/local/outside.go
@@ -24,11 +24,11 @@
 	*StandIns
 	Layout Layout
 
-	site    *site.Site
-	server  *http.Server
-	stop    context.CancelFunc
-	watched chan struct{}
-	ask     chan chan site.GroundTruth // one answer each
+	site          *site.Site
+	server        *http.Server
+	stop          context.CancelFunc
+	watchersDone  chan struct{}
+	truthRequests chan chan site.GroundTruth // one answer each
 }
 
 // StandInServerOptions say what to start.
@@ -73,8 +73,8 @@
 		_ = ln.Close()
 		return nil, err
 	}
-	o := &StandInServer{StandIns: in, site: opt.Site, watched: make(chan struct{}), ask: make(chan chan site.GroundTruth)}
-	if err := o.write(ctx, dir, "http://"+ln.Addr().String(), opt.Hosts); err != nil {
+	o := &StandInServer{StandIns: in, site: opt.Site, watchersDone: make(chan struct{}), truthRequests: make(chan chan site.GroundTruth)}
+	if err := o.prepare(ctx, dir, "http://"+ln.Addr().String(), opt.Hosts); err != nil {
 		_ = ln.Close()
 		in.Upstreams.Close()
 		return nil, err
@@ -87,21 +87,21 @@
 func (o *StandInServer) serve(ctx context.Context, ln net.Listener) {
 	ctx, o.stop = context.WithCancel(ctx)
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+RecordsPath, o.records)
+	mux.HandleFunc("GET "+RecordsPath, o.serveRecords)
 	mux.Handle("/", fake.Handler(fake.Services{Table: o.Table, Objects: o.Objects, Hosts: o.HostList, Weights: o.Weights}))
 	o.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute}
 	go func() { _ = o.server.Serve(ln) }() // ends with Close
 	var watches sync.WaitGroup
-	watches.Go(func() { o.watchTruth(ctx) })
+	watches.Go(func() { o.monitorUpstreams(ctx) })
 	watches.Go(func() { o.watchHosts(ctx) })
 	go func() {
 		watches.Wait()
-		close(o.watched)
+		close(o.watchersDone)
 	}()
 }
 
-// write puts the configuration in force and writes what the hosts need.
-func (o *StandInServer) write(ctx context.Context, dir, base string, hosts int) error {
+// prepare puts the configuration in force and writes what the hosts need.
+func (o *StandInServer) prepare(ctx context.Context, dir, base string, hosts int) error {
 	if err := ApplyConfig(ctx, o.Table, o.Objects, &o.Upstreams.Config); err != nil {
 		return err
 	}
@@ -125,29 +125,29 @@
 	return writeLayout(dir, &o.Layout)
 }
 
-// watchTruth watches the upstreams' true state; each question for the records
+// monitorUpstreams watches the upstreams' true state; each question for the records
 // ends one stretch of watching and begins the next.
-func (o *StandInServer) watchTruth(ctx context.Context) {
+func (o *StandInServer) monitorUpstreams(ctx context.Context) {
 	for ctx.Err() == nil {
-		stretch, end := context.WithCancel(ctx)
-		sum := make(chan site.GroundTruth, 1)
-		go func() { sum <- o.Upstreams.Monitor(stretch) }()
+		monitorCtx, endMonitor := context.WithCancel(ctx)
+		truth := make(chan site.GroundTruth, 1)
+		go func() { truth <- o.Upstreams.Monitor(monitorCtx) }()
 		select {
-		case reply := <-o.ask:
-			end()
-			reply <- <-sum // has room: nobody need be there to take it
+		case reply := <-o.truthRequests:
+			endMonitor()
+			reply <- <-truth // has room: nobody need be there to take it
 		case <-ctx.Done():
-			end()
-			<-sum
+			endMonitor()
+			<-truth
 		}
 	}
 }
 
-func (o *StandInServer) records(w http.ResponseWriter, r *http.Request) {
+func (o *StandInServer) serveRecords(w http.ResponseWriter, r *http.Request) {
 	reply := make(chan site.GroundTruth, 1)
 	select {
-	case o.ask <- reply:
-	case <-o.watched:
+	case o.truthRequests <- reply:
+	case <-o.watchersDone:
 		http.Error(w, "the stand-ins are stopping", http.StatusServiceUnavailable)
 		return
 	case <-r.Context().Done():
@@ -162,7 +162,7 @@
 // Close stops the stand-ins.
 func (o *StandInServer) Close() {
 	o.stop()
-	<-o.watched
+	<-o.watchersDone
 	_ = o.server.Close()
 	o.Upstreams.Close()
 }
--- a/standin/local/path_test.go
+++ b/standin/local/path_test.go
@@ -28,8 +28,8 @@
 	otherKey = "key-of-b"
 )
 
-// path is one node before one engine and one service.
-type path struct {
+// fixture is one node before one engine and one service.
+type fixture struct {
 	t    testing.TB
 	node *local.Node
 	eng  *engine.Engine
@@ -37,32 +37,32 @@
 	tbl  *platform.Table
 	obj  *platform.Objects
 
-	hosts   *platform.Hosts
-	weights *platform.Weights
-	base    string
-	change  []func(*local.NodeConfig)
+	hosts     *platform.Hosts
+	weights   *platform.Weights
+	base      string
+	configure []func(*local.NodeConfig)
 
 	// What a test may set before the path is put together.
-	serviceTime time.Duration
-	answerBytes int64 // largest answer kept
-	services    int   // instances of the service; svc is the first
-	watch       func(service.Execution) (ended func([]byte))
-	more        []*service.Service
+	serviceTime  time.Duration
+	answerBytes  int64 // largest answer kept
+	serviceCount int   // instances of the service; svc is the first
+	onExecution  func(service.Execution) (ended func([]byte))
+	services     []*service.Service
 }
 
-func hash(key string) string {
+func keyHashOf(key string) string {
 	h := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(h[:])
 }
 
-func newPath(t testing.TB, ecfg engine.Config, change ...func(*local.NodeConfig)) *path {
+func newFixture(t testing.TB, ecfg engine.Config, change ...func(*local.NodeConfig)) *fixture {
 	t.Helper()
-	return newPathOf(t, &path{answerBytes: 1 << 20, services: 1}, ecfg, change...)
+	return newFixtureWith(t, &fixture{answerBytes: 1 << 20, serviceCount: 1}, ecfg, change...)
 }
 
-func newPathOf(t testing.TB, p *path, ecfg engine.Config, change ...func(*local.NodeConfig)) *path {
+func newFixtureWith(t testing.TB, p *fixture, ecfg engine.Config, change ...func(*local.NodeConfig)) *fixture {
 	t.Helper()
-	*p = path{t: t, change: change, serviceTime: p.serviceTime, answerBytes: p.answerBytes, services: p.services, watch: p.watch, tbl: platform.NewTable(), obj: platform.NewObjects(platform.NewFaults(1, nil)),
+	*p = fixture{t: t, configure: change, serviceTime: p.serviceTime, answerBytes: p.answerBytes, serviceCount: p.serviceCount, onExecution: p.onExecution, tbl: platform.NewTable(), obj: platform.NewObjects(platform.NewFaults(1, nil)),
 		hosts: platform.NewHosts(platform.NewFaults(1, nil)), weights: platform.NewWeights(platform.NewFaults(1, nil), 100, 100)}
 	ecfg.Name = "e1"
 	var err error
@@ -70,14 +70,14 @@
 	assert.NilError(t, err)
 	assert.NilError(t, p.eng.Start())
 	p.eng.Preload("m", "", "v1", 10)
-	for i := range p.services {
-		s, err := service.New(service.Config{Name: fmt.Sprint("s", i+1), DefaultDuration: p.serviceTime, Seed: uint64(i), OnExecution: p.watch})
+	for i := range p.serviceCount {
+		s, err := service.New(service.Config{Name: fmt.Sprint("s", i+1), DefaultDuration: p.serviceTime, Seed: uint64(i), OnExecution: p.onExecution})
 		assert.NilError(t, err)
 		assert.NilError(t, s.Start())
 		t.Cleanup(s.Close)
-		p.more = append(p.more, s)
+		p.services = append(p.services, s)
 	}
-	p.svc = p.more[0]
+	p.svc = p.services[0]
 	assert.NilError(t, local.ApplyConfig(t.Context(), p.tbl, p.obj, p.config()))
 	p.node = p.startNode("n1")
 	p.base = "http://" + p.node.CallerAddress()
@@ -88,12 +88,12 @@
 	return p
 }
 
-func (p *path) startNode(name string) *local.Node {
+func (p *fixture) startNode(name string) *local.Node {
 	set := local.Settings(name, "dc1")
 	set.Bounds.BalancerWaitSeconds = 0 // no balancer here
 	set.Bounds.SilenceMs = 200
 	cfg := local.NodeConfig{Settings: set, Platform: server.Platform{Table: p.tbl, Objects: p.obj, Hosts: p.hosts, Weights: p.weights}}
-	for _, change := range p.change {
+	for _, change := range p.configure {
 		change(&cfg)
 	}
 	n, err := local.StartNode(cfg)
@@ -106,20 +106,20 @@
 	return n
 }
 
-func (p *path) config() *config.Config {
-	c := p.oneOfEach()
-	for _, s := range p.more {
+func (p *fixture) config() *config.Config {
+	c := p.baseConfig()
+	for _, s := range p.services {
 		c.Upstreams = append(c.Upstreams, config.Upstream{Name: s.Name(), Pool: "svc", Address: s.Addr(), DataCentre: "dc1", MaxBatch: 64})
 	}
 	c.Limits.AnswerBytes = p.answerBytes
 	return c
 }
 
-func (p *path) oneOfEach() *config.Config {
+func (p *fixture) baseConfig() *config.Config {
 	return &config.Config{Site: "test", DataCentres: []string{"dc1"},
 		Teams: []config.Team{
-			{Name: "a", KeyHashes: []string{hash(teamKey)}, Models: []string{"m"}, Services: []string{"stock"}, Weight: 1},
-			{Name: "b", KeyHashes: []string{hash(otherKey)}, Weight: 1}},
+			{Name: "a", KeyHashes: []string{keyHashOf(teamKey)}, Models: []string{"m"}, Services: []string{"stock"}, Weight: 1},
+			{Name: "b", KeyHashes: []string{keyHashOf(otherKey)}, Weight: 1}},
 		Pools:  []config.Pool{{Name: "lm", Kind: config.KindEngine}, {Name: "svc", Kind: config.KindService}},
 		Models: []config.Model{{Name: "m", Pool: "lm", Version: "v1", MemoryMB: 10, MinReplicas: 1, InitialReplicas: 1, TokensPerSecond: 100}},
 		Upstreams: []config.Upstream{
@@ -134,7 +134,7 @@
 }
 
 // do sends one request with a team's key and returns status, header and body.
-func (p *path) do(method, path, key, body string, header ...string) (int, http.Header, string) {
+func (p *fixture) do(method, path, key, body string, header ...string) (int, http.Header, string) {
 	p.t.Helper()
 	req, err := http.NewRequest(method, p.base+path, strings.NewReader(body))
 	assert.NilError(p.t, err)
@@ -153,7 +153,7 @@
 const chat = `{"model":"m","stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":"hello"}]}`
 
 func TestAStreamGoesThroughAHostWhole(t *testing.T) {
-	p := newPath(t, engine.Config{})
+	p := newFixture(t, engine.Config{})
 	status, h, body := p.do("POST", "/v1/chat/completions", teamKey, fmt.Sprintf(chat, true, 20))
 	assert.Equal(t, status, http.StatusOK, body)
 	assert.Equal(t, h.Get("Content-Type"), "text/event-stream")
@@ -163,14 +163,14 @@
 }
 
 func TestAWholeAnswerGoesThrough(t *testing.T) {
-	p := newPath(t, engine.Config{})
+	p := newFixture(t, engine.Config{})
 	status, _, body := p.do("POST", "/v1/chat/completions", teamKey, fmt.Sprintf(chat, false, 20))
 	assert.Equal(t, status, http.StatusOK, body)
 	assert.Assert(t, strings.Contains(body, `"completion_tokens":20`), body)
 }
 
 func TestACallThatMayNotBeRepeatedRunsOnce(t *testing.T) {
-	p := newPath(t, engine.Config{})
+	p := newFixture(t, engine.Config{})
 	first, _, one := p.do("POST", "/v1/services/stock/notes", teamKey, "note", "Idempotency-Key", "k1")
 	again, h, two := p.do("POST", "/v1/services/stock/notes", teamKey, "note", "Idempotency-Key", "k1")
 	assert.Equal(t, first, http.StatusOK, one)
@@ -183,7 +183,7 @@
 }
 
 func TestRefusalsAreTyped(t *testing.T) {
-	p := newPath(t, engine.Config{})
+	p := newFixture(t, engine.Config{})
 	long := string(bytes.Repeat([]byte("x"), 2<<20))
 	for _, c := range []struct {
 		name, method, path, key, body string
--- a/standin/local/ready.go
+++ b/standin/local/ready.go
@@ -8,10 +8,10 @@
 	"peridotpier.example/standin/load"
 )
 
-// readyEvery is how often the balancer of hosts in processes of their own asks
+// hostReadyInterval is how often the balancer of hosts in processes of their own asks
 // each whether it is ready; hosts go on serving for longer than that after
 // "not ready".
-const readyEvery = 200 * time.Millisecond
+const hostReadyInterval = 200 * time.Millisecond
 
 // ReadyBalancer is a balancer over the hosts of a layout which answer that
 // they are ready.
@@ -30,7 +30,7 @@
 func (b *ReadyBalancer) Refresh(ctx context.Context) int {
 	var ready []string
 	for _, e := range b.layout.Entries {
-		if b.ready(ctx, e.Operator) {
+		if b.isReady(ctx, e.Operator) {
 			ready = append(ready, e.Caller)
 		}
 	}
@@ -40,27 +40,27 @@
 
 // Run keeps looking until ctx ends.
 func (b *ReadyBalancer) Run(ctx context.Context) {
-	for pause(ctx, readyEvery) {
+	for sleep(ctx, hostReadyInterval) {
 		b.Refresh(ctx)
 	}
 }
 
-// awaitMost is how long hosts may take to be ready; a few seconds are usual.
-const awaitMost = 30 * time.Second
+// maxReadyWait is how long hosts may take to be ready; a few seconds are usual.
+const maxReadyWait = 30 * time.Second
 
 // AwaitAllReady waits until every host of the layout is ready.
 func (b *ReadyBalancer) AwaitAllReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, awaitMost)
+	ctx, cancel := context.WithTimeout(ctx, maxReadyWait)
 	defer cancel()
 	for b.Refresh(ctx) < len(b.layout.Entries) {
-		if !pause(ctx, readyEvery) {
+		if !sleep(ctx, hostReadyInterval) {
 			return ctx.Err()
 		}
 	}
 	return nil
 }
 
-func (b *ReadyBalancer) ready(ctx context.Context, operator string) bool {
+func (b *ReadyBalancer) isReady(ctx context.Context, operator string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+operator+"/readyz", nil)
 	if err != nil {
 		return false
--- a/standin/local/report.go
+++ b/standin/local/report.go
@@ -59,20 +59,20 @@
 	if err != nil {
 		return Report{}, err
 	}
-	side, stop := context.WithCancel(ctx)
+	trafficCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	truth := make(chan site.GroundTruth, 1)
-	go func() { truth <- r.Upstreams.Monitor(side) }()
-	scripted := make(chan error, 1)
+	go func() { truth <- r.Upstreams.Monitor(trafficCtx) }()
+	scriptDone := make(chan error, 1)
 	go func() {
 		if d.Script == nil {
 			d.Script = func(context.Context, *RunningSite) error { return nil }
 		}
-		scripted <- d.Script(side, r)
+		scriptDone <- d.Script(trafficCtx, r)
 	}()
 	result := load.Run(ctx, load.Config{Plan: plan, Entries: r.Balancer, Dial: r.DialCallers(), Progress: d.Progress})
 	stop()
-	if err := <-scripted; err != nil && ctx.Err() == nil && !errors.Is(err, context.Canceled) {
+	if err := <-scriptDone; err != nil && ctx.Err() == nil && !errors.Is(err, context.Canceled) {
 		return Report{}, eris.Wrap(err, "what was to happen in the run did not")
 	}
 	if d.OnResult != nil {
@@ -80,18 +80,18 @@
 	}
 	effects := r.Upstreams.Effects()
 	rep := Report{Site: r.opt.Site.Deployment.Site, Policy: d.Policy, Seed: r.opt.Seed, Faults: d.Scenario, Seconds: d.Length.Seconds(),
-		EntryHosts: r.opt.Hosts, Accelerators: r.opt.Site.Accelerators(), Counts: result.Count(effects), History: check(result, effects),
+		EntryHosts: r.opt.Hosts, Accelerators: r.opt.Site.Accelerators(), Counts: result.Count(effects), History: checkHistory(result, effects),
 		AttainmentBound: r.opt.Site.AttainmentBound(plan), TableWrites: r.Table.Faults.Writes(), TableReads: r.Table.Faults.Reads()}
 	rep.addTruth(<-truth, &r.Upstreams.Config)
-	rep.perAccelerator()
-	rep.Presets = r.presets
+	rep.setPerAccelerator()
+	rep.Presets = r.appliedPresets
 	if ctx.Err() != nil {
 		rep.Seconds = result.Elapsed.Seconds() // called off: the plan was longer than the run
 	}
 	return rep, ctx.Err()
 }
 
-func (r *Report) perAccelerator() {
+func (r *Report) setPerAccelerator() {
 	r.AttainmentPerAccelerator = r.Attainment * float64(r.Requests) / float64(max(r.Accelerators, 1))
 }
 
--- a/standin/local/resume_test.go
+++ b/standin/local/resume_test.go
@@ -17,36 +17,36 @@
 	"peridotpier.example/standin/local"
 )
 
-// hushed lets one connection go silent: the first on which a stream's rest is
+// silencingDialer lets one connection go silent: the first on which a stream's rest is
 // asked for, before the answer's head.
-type hushed struct {
+type silencingDialer struct {
 	net.Dialer
 	armed atomic.Bool
 }
 
 // DialContext implements conn.Dialer.
-func (d *hushed) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+func (d *silencingDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := d.Dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &hushedConn{Conn: c, d: d}, nil
+	return &silencingConn{Conn: c, d: d}, nil
 }
 
-type hushedConn struct {
+type silencingConn struct {
 	net.Conn
-	d *hushed
+	d *silencingDialer
 }
 
 // Write swallows the question for a stream's rest, once.
-func (c *hushedConn) Write(p []byte) (int, error) {
-	if asksForRest(p) && c.d.armed.CompareAndSwap(true, false) {
+func (c *silencingConn) Write(p []byte) (int, error) {
+	if isResumeRequest(p) && c.d.armed.CompareAndSwap(true, false) {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-func asksForRest(p []byte) bool {
+func isResumeRequest(p []byte) bool {
 	return bytes.HasPrefix(p, []byte("GET ")) && bytes.Contains(p, []byte("/stream?after="))
 }
 
@@ -56,13 +56,13 @@
 // connection goes silent before the head of the answer.
 // Cause: the exchange is watched only once its head has come.
 func TestAConnectionThatGoesSilentBeforeTheRestIsReplaced(t *testing.T) {
-	d := &hushed{}
+	d := &silencingDialer{}
 	// The engine gives a stream up that nobody reads for long.
-	p := newPath(t, engine.Config{TokenTime: 5 * time.Millisecond, ResumeWindow: 5 * time.Second}, func(c *local.NodeConfig) { c.Dialer = d })
+	p := newFixture(t, engine.Config{TokenTime: 5 * time.Millisecond, ResumeWindow: 5 * time.Second}, func(c *local.NodeConfig) { c.Dialer = d })
 	const tokens = 1200 // not done by the time at which the engine gives up
 	body := fmt.Sprintf(chat, true, tokens)
 	ctx, cancel := context.WithCancel(t.Context())
-	resp, _, begin := p.open(ctx, p.base, body, 5)
+	resp, _, begin := p.openStream(ctx, p.base, body, 5)
 	cancel()
 	_ = resp.Body.Close()
 	d.armed.Store(true)
--- a/standin/local/script.go
+++ b/standin/local/script.go
@@ -17,13 +17,13 @@
 // operator puts another preset in force through a host that stays.
 func RoutineScript(length time.Duration) Script {
 	return func(ctx context.Context, r *RunningSite) error {
-		if !pause(ctx, length/3) {
+		if !sleep(ctx, length/3) {
 			return nil
 		}
-		left := make(chan error, 1)
-		go func() { left <- r.Stop(0) }() // what it would have cut shows in the counts
+		stopped := make(chan error, 1)
+		go func() { stopped <- r.Stop(0) }() // what it would have cut shows in the counts
 		err := r.switchPreset(ctx)
-		if stopErr := <-left; err == nil {
+		if stopErr := <-stopped; err == nil {
 			err = eris.Wrap(stopErr, "stop a host")
 		}
 		if err != nil || ctx.Err() != nil {
@@ -33,5 +33,5 @@
 	}
 }
 
-// pause lets d pass; false: ctx ended first.
-func pause(ctx context.Context, d time.Duration) bool { return pace.Sleep(ctx, d) }
+// sleep lets d pass; false: ctx ended first.
+func sleep(ctx context.Context, d time.Duration) bool { return pace.Sleep(ctx, d) }
--- a/standin/local/secrets_test.go
+++ b/standin/local/secrets_test.go
@@ -20,24 +20,24 @@
 	"peridotpier.example/standin/pki"
 )
 
-// vault is a node with a certificate, whose log and answers are kept.
-type vault struct {
-	*path
+// secretsFixture is a node with a certificate, whose log and answers are kept.
+type secretsFixture struct {
+	*fixture
 	ca       *pki.Authority
 	files    *pki.Files
 	logs     *observer.ObservedLogs
 	callers  *http.Client
 	operator *http.Client
-	said     strings.Builder
+	answers  strings.Builder
 }
 
-func newVault(t *testing.T) *vault {
+func newSecretsFixture(t *testing.T) *secretsFixture {
 	t.Helper()
 	ca, err := pki.New("test")
 	assert.NilError(t, err)
 	core, logs := observer.New(zapcore.DebugLevel)
-	v := &vault{ca: ca, files: local.NewKeyFiles(), logs: logs}
-	v.path = newPath(t, slow, func(c *local.NodeConfig) {
+	v := &secretsFixture{ca: ca, files: local.NewKeyFiles(), logs: logs}
+	v.fixture = newFixture(t, slowEngine, func(c *local.NodeConfig) {
 		c.Files, c.Log = v.files, zap.New(core)
 		assert.NilError(t, local.EnableTLS(c.Settings, c.Files, ca))
 	})
@@ -51,7 +51,7 @@
 }
 
 // call keeps what is answered, and returns its status and headers.
-func (v *vault) call(c *http.Client, method, url, key, body string) (int, http.Header) {
+func (v *secretsFixture) call(c *http.Client, method, url, key, body string) (int, http.Header) {
 	v.t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	assert.NilError(v.t, err)
@@ -61,7 +61,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
 	assert.NilError(v.t, err)
-	fmt.Fprintf(&v.said, "%s: %s\n", method, text) // not the path, which may hold a token of the test
+	fmt.Fprintf(&v.answers, "%s: %s\n", method, text) // not the path, which may hold a token of the test
 	return resp.StatusCode, resp.Header
 }
 
@@ -70,14 +70,14 @@
 // disk; somebody copies what the host said about it.
 // Cause: an error repeats what it was given, or a record holds more than it needs.
 func TestSecretsAreNeverShown(t *testing.T) {
-	v := newVault(t)
+	v := newSecretsFixture(t)
 	callers, operators := "https://"+v.node.CallerAddress(), "https://"+v.node.OperatorAddress()
 	const wrongKey, wrongOperator, pasted = "a-mistyped-team-key", "a-mistyped-operator-key", "a-plain-key-pasted-for-its-hash"
 	const brokenKey, newKey, newSecret = "broken resume key", "key-of-a-after-rotation", "new resume key of 32 bytes and more"
 	secrets := map[string]string{"team's key": teamKey, "other team's key": otherKey, "operator's key": local.OperatorKey,
 		"mistyped key": wrongKey, "mistyped operator's key": wrongOperator, "key pasted for its hash": pasted,
 		"resume key": local.ResumeSecret, "broken resume key": brokenKey, "new resume key": newSecret, "salt": local.PrefixSaltSecret,
-		"new team key": newKey, "team's key hash": hash(teamKey), "new team key's hash": hash(newKey)}
+		"new team key": newKey, "team's key hash": keyHashOf(teamKey), "new team key's hash": keyHashOf(newKey)}
 	private, err := v.files.Read("certificate-key")
 	assert.NilError(t, err)
 	secrets["private key"] = strings.Split(string(private), "\n")[1]
@@ -109,9 +109,9 @@
 		expect(want, v.operator, "POST", operators+"/v1/configuration?parent=1", local.OperatorKey, string(doc))
 	}
 	apply(422, pasted)
-	apply(422, hash(teamKey), hash(otherKey)) // of another team
-	apply(200, hash(teamKey), hash(newKey))
-	apply(409, hash(newKey))
+	apply(422, keyHashOf(teamKey), keyHashOf(otherKey)) // of another team
+	apply(200, keyHashOf(teamKey), keyHashOf(newKey))
+	apply(409, keyHashOf(newKey))
 	// Files: broken, mended, rotated.
 	for _, f := range []struct{ name, text string }{{local.ResumeKeyFile, brokenKey}, {"certificate-key", string(private[:len(private)/2])},
 		{local.ResumeKeyFile, newSecret}, {"certificate-key", string(private)}} {
@@ -131,19 +131,19 @@
 		expect(200, v.operator, "GET", operators+q, local.OperatorKey, "")
 	}
 
-	said := v.said.String()
-	met := map[int64]bool{}
+	output := v.answers.String()
+	logged := map[int64]bool{}
 	for _, e := range v.logs.All() {
 		line, err := json.Marshal(e.ContextMap())
 		assert.NilError(t, err)
-		said += "log: " + e.Message + " " + string(line) + "\n"
-		met[e.ContextMap()[event.FieldEvent].(int64)] = true
+		output += "log: " + e.Message + " " + string(line) + "\n"
+		logged[e.ContextMap()[event.FieldEvent].(int64)] = true
 	}
 	for _, e := range []event.Event{event.KeysRefused, event.KeysReloaded, event.HandshakeRefused, event.OperatorRefused, event.OperatorChanged} {
-		assert.Check(t, met[int64(e.Number)], "%s was not met: the test shows less than it says", e.Name)
+		assert.Check(t, logged[int64(e.Number)], "%s was not met: the test shows less than it says", e.Name)
 	}
 	for name, secret := range secrets {
-		assert.Check(t, secret != "" && !strings.Contains(said, secret), "the %s is shown", name)
+		assert.Check(t, secret != "" && !strings.Contains(output, secret), "the %s is shown", name)
 	}
-	assert.Assert(t, strings.Contains(said, `"action":"apply"`) && strings.Contains(said, "requests_total"), "trail or metrics are missing")
+	assert.Assert(t, strings.Contains(output, `"action":"apply"`) && strings.Contains(output, "requests_total"), "trail or metrics are missing")
 }
--- a/standin/local/site.go
+++ b/standin/local/site.go
@@ -41,14 +41,14 @@
 	Balancer  *load.Balancer
 	Authority *pki.Authority // signed the hosts' certificates; nil without TLS
 
-	mu      sync.Mutex
-	nodes   []*Node  // nil: ended
-	presets []string // put in force one after the other by scripts
+	mu             sync.Mutex
+	nodes          []*Node  // nil: ended
+	appliedPresets []string // put in force one after the other by scripts
 }
 
-// balancerWait is how long a local balancer goes on sending to a host that
+// balancerDelay is how long a local balancer goes on sending to a host that
 // said "not ready".
-const balancerWait = time.Second
+const balancerDelay = time.Second
 
 // Start starts the platform, the upstreams and all entry hosts.
 func Start(ctx context.Context, opt Options) (*RunningSite, error) {
@@ -93,7 +93,7 @@
 func (r *RunningSite) startNodes(ctx context.Context) error {
 	r.HostList.SetLag(0)
 	defer r.HostList.SetLag(time.Duration(r.opt.Site.Store.HostListLagMs) * time.Millisecond)
-	r.list()
+	r.publishHosts()
 	for _, n := range r.nodes {
 		n.Start()
 	}
@@ -108,7 +108,7 @@
 func (r *RunningSite) newNode(i int) (*Node, error) {
 	dc := r.opt.Site.EntryDataCentre(i)
 	set := Settings(hostName(i), dc)
-	set.Bounds.BalancerWaitSeconds = int(balancerWait / time.Second)
+	set.Bounds.BalancerWaitSeconds = int(balancerDelay / time.Second)
 	files := NewKeyFiles()
 	if r.Authority != nil {
 		if err := EnableTLS(set, files, r.Authority); err != nil {
@@ -122,8 +122,8 @@
 		}})
 }
 
-// list brings the platform's list of hosts up to date; hosts read it late.
-func (r *RunningSite) list() {
+// publishHosts brings the platform's list of hosts up to date; hosts read it late.
+func (r *RunningSite) publishHosts() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	hosts := r.Upstreams.Hosts()
@@ -153,8 +153,8 @@
 	return out
 }
 
-// take removes a host from those that run.
-func (r *RunningSite) take(host int) *Node {
+// removeNode removes a host from those that run.
+func (r *RunningSite) removeNode(host int) *Node {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if host < 0 || host >= len(r.nodes) {
@@ -167,22 +167,22 @@
 
 // Kill ends one host without a word; the balancer notices a second later.
 func (r *RunningSite) Kill(host int) {
-	if n := r.take(host); n != nil {
+	if n := r.removeNode(host); n != nil {
 		n.Kill()
-		r.list()
-		time.AfterFunc(balancerWait, func() { r.Balancer.Set(r.Addresses()...) })
+		r.publishHosts()
+		time.AfterFunc(balancerDelay, func() { r.Balancer.Set(r.Addresses()...) })
 	}
 }
 
 // Stop shuts one host down gracefully; the balancer stops sending to it
 // somewhat before it stops taking requests.
 func (r *RunningSite) Stop(host int) error {
-	n := r.take(host)
+	n := r.removeNode(host)
 	if n == nil {
 		return nil
 	}
-	time.AfterFunc(balancerWait/2, func() { r.Balancer.Set(r.Addresses()...) })
-	defer r.list()
+	time.AfterFunc(balancerDelay/2, func() { r.Balancer.Set(r.Addresses()...) })
+	defer r.publishHosts()
 	return n.Stop()
 }
 
@@ -199,7 +199,7 @@
 	r.mu.Lock()
 	r.nodes[host] = n
 	r.mu.Unlock()
-	r.list()
+	r.publishHosts()
 	r.Balancer.Set(r.Addresses()...)
 	return nil
 }
@@ -224,14 +224,14 @@
 	if r.Authority == nil {
 		return dial
 	}
-	trusted := r.Authority.CertPool()
+	roots := r.Authority.CertPool()
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
 		host, _, _ := net.SplitHostPort(address) // it was just dialled
-		secure := tls.Client(c, &tls.Config{RootCAs: trusted, ServerName: host})
+		secure := tls.Client(c, &tls.Config{RootCAs: roots, ServerName: host})
 		if err := secure.HandshakeContext(ctx); err != nil {
 			_ = c.Close()
 			return nil, err
@@ -244,7 +244,7 @@
 func (r *RunningSite) Close() {
 	var wg sync.WaitGroup
 	for i := range r.nodes {
-		if n := r.take(i); n != nil {
+		if n := r.removeNode(i); n != nil {
 			wg.Go(func() { _ = n.Stop() }) // an error here is the listener's end, and the run is over
 		}
 	}
--- a/standin/local/slopes.go
+++ b/standin/local/slopes.go
@@ -72,13 +72,13 @@
 	p.Y.Min, p.Y.Max = 0, 1.05
 	p.Legend.Top = true
 	for i, s := range FitSlopes(runs) {
-		most := 0.0
+		largest := 0.0
 		for _, v := range s.Values {
-			most = max(most, v)
+			largest = max(largest, v)
 		}
 		points := make(plotter.XYs, len(runs))
 		for k, r := range runs {
-			points[k] = plotter.XY{X: float64(r.Nodes), Y: s.Values[k] / max(most, 1e-9)}
+			points[k] = plotter.XY{X: float64(r.Nodes), Y: s.Values[k] / max(largest, 1e-9)}
 		}
 		line, dots, err := plotter.NewLinePoints(points)
 		if err != nil {
@@ -87,7 +87,7 @@
 		line.Color, dots.Color = plotutil.Color(i), plotutil.Color(i)
 		dots.Shape = plotutil.Shape(i)
 		p.Add(line, dots)
-		p.Legend.Add(fmt.Sprintf("%s (most %.3g)", s.Figure, most), line, dots)
+		p.Legend.Add(fmt.Sprintf("%s (most %.3g)", s.Figure, largest), line, dots)
 	}
 	c := vgsvg.New(22*vg.Centimeter, 14*vg.Centimeter)
 	p.Draw(draw.New(c))
--- a/standin/local/sources.go
+++ b/standin/local/sources.go
@@ -16,25 +16,25 @@
 // ReportOnlyUpstreams are upstreams that do nothing but report: the load of a large
 // fleet's control path without its engines.
 type ReportOnlyUpstreams struct {
-	began time.Time
-	list  []*ReportOnlyUpstream
-	byAdr map[string]*ReportOnlyUpstream
+	startedAt time.Time
+	list      []*ReportOnlyUpstream
+	byAddress map[string]*ReportOnlyUpstream
 }
 
 // ReportOnlyUpstream is one of them.
 type ReportOnlyUpstream struct {
-	Name    string
-	ln      net.Listener
-	server  *http.Server
-	mu      sync.Mutex
-	report  engineapi.Report
-	leaving atomic.Bool
-	asked   atomic.Int64
+	Name          string
+	ln            net.Listener
+	server        *http.Server
+	mu            sync.Mutex
+	report        engineapi.Report
+	draining      atomic.Bool
+	reportsServed atomic.Int64
 }
 
 // StartReportOnlyUpstreams opens n listeners on loopback. Residents gives what each holds.
 func StartReportOnlyUpstreams(n int, residents func(i int) []engineapi.Resident) (*ReportOnlyUpstreams, error) {
-	s := &ReportOnlyUpstreams{began: time.Now(), byAdr: map[string]*ReportOnlyUpstream{}}
+	s := &ReportOnlyUpstreams{startedAt: time.Now(), byAddress: map[string]*ReportOnlyUpstream{}}
 	for i := range n {
 		ln, err := net.Listen("tcp", AnyPort)
 		if err != nil {
@@ -54,17 +54,17 @@
 		src.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute}
 		go func() { _ = src.server.Serve(ln) }() // ends with Close
 		s.list = append(s.list, src)
-		s.byAdr[ln.Addr().String()] = src
+		s.byAddress[ln.Addr().String()] = src
 	}
 	return s, nil
 }
 
 func (s *ReportOnlyUpstreams) serve(w http.ResponseWriter, r *http.Request, src *ReportOnlyUpstream) {
-	src.asked.Add(1)
+	src.reportsServed.Add(1)
 	src.mu.Lock()
 	src.report.Sequence++
-	src.report.TakenMs = time.Since(s.began).Milliseconds()
-	src.report.Draining = src.leaving.Load()
+	src.report.TakenMs = time.Since(s.startedAt).Milliseconds()
+	src.report.Draining = src.draining.Load()
 	data, err := json.Marshal(src.report.Compact(r.URL.Query().Get(engineapi.ParamResidents)))
 	src.mu.Unlock()
 	if err != nil {
@@ -78,7 +78,7 @@
 func (s *ReportOnlyUpstreams) ReportsServed() int64 {
 	var n int64
 	for _, src := range s.list {
-		n += src.asked.Load()
+		n += src.reportsServed.Load()
 	}
 	return n
 }
--- a/standin/local/tls_test.go
+++ b/standin/local/tls_test.go
@@ -27,7 +27,7 @@
 	assert.NilError(t, err)
 	core, logs := observer.New(zapcore.DebugLevel)
 	authority := ours
-	p := newPath(t, engine.Config{}, func(c *local.NodeConfig) {
+	p := newFixture(t, engine.Config{}, func(c *local.NodeConfig) {
 		c.Files, c.Log = local.NewKeyFiles(), zap.New(core).With(zap.String("on", c.Settings.Host))
 		assert.NilError(t, local.EnableTLS(c.Settings, c.Files, authority))
 	})
@@ -42,7 +42,7 @@
 		}
 		return false
 	}
-	until := func(done func() bool, what string) {
+	awaitTrue := func(done func() bool, what string) {
 		t.Helper()
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
 			if !done() {
@@ -51,12 +51,12 @@
 			return poll.Success()
 		})
 	}
-	until(func() bool { return linked(p.node) && linked(second) }, "the two hosts are not linked")
+	awaitTrue(func() bool { return linked(p.node) && linked(second) }, "the two hosts are not linked")
 
 	authority = stranger
 	third := p.startNode("n3")
 	defer func() { assert.NilError(t, third.Stop()) }()
-	until(func() bool {
+	awaitTrue(func() bool {
 		for _, e := range logs.FilterField(zap.String("on", "n3")).All() {
 			if e.ContextMap()[event.FieldEvent] == int64(event.PeerCertRefused.Number) {
 				return true
--- a/standin/local/trap_test.go
+++ b/standin/local/trap_test.go
@@ -11,29 +11,29 @@
 	"peridotpier.example/standin/local"
 )
 
-// traps dial a node's connections to upstreams, and act at two moments in the
+// trapDialer dial a node's connections to upstreams, and act at two moments in the
 // life of an attempt of a request that may not be repeated: its claim stands
 // and no byte of it is out, or all of it is out and no byte of the answer is
 // read. The connection to the upstream is made only after the first act.
-type traps struct {
+type trapDialer struct {
 	net.Dialer
-	mu             sync.Mutex
-	before, behind func()
+	mu                      sync.Mutex
+	beforeWrite, beforeRead func()
 }
 
 // set arms the traps for one attempt; nil leaves one as it is.
-func (d *traps) set(before, behind func()) {
+func (d *trapDialer) set(before, behind func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if before != nil {
-		d.before = before
+		d.beforeWrite = before
 	}
 	if behind != nil {
-		d.behind = behind
+		d.beforeRead = behind
 	}
 }
 
-func (d *traps) take(f *func()) func() {
+func (d *trapDialer) take(f *func()) func() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	act := *f
@@ -45,14 +45,14 @@
 }
 
 // DialContext implements conn.Dialer.
-func (d *traps) DialContext(_ context.Context, network, address string) (net.Conn, error) {
-	return &trapped{traps: d, network: network, address: address, ended: make(chan struct{})}, nil
+func (d *trapDialer) DialContext(_ context.Context, network, address string) (net.Conn, error) {
+	return &trapConn{traps: d, network: network, address: address, ended: make(chan struct{})}, nil
 }
 
-// trapped is one connection, dialled at its first write.
-type trapped struct {
+// trapConn is one connection, dialled at its first write.
+type trapConn struct {
 	net.Conn
-	traps            *traps
+	traps            *trapDialer
 	network, address string
 	claimed          bool
 	mu               sync.Mutex // guards Conn until it is dialled, and closed
@@ -61,11 +61,11 @@
 }
 
 // Write implements net.Conn.
-func (c *trapped) Write(p []byte) (int, error) {
+func (c *trapConn) Write(p []byte) (int, error) {
 	if c.Conn == nil {
 		if bytes.Contains(p, []byte(engineapi.HeaderForIncarnation)) {
 			c.claimed = true
-			c.traps.take(&c.traps.before)()
+			c.traps.take(&c.traps.beforeWrite)()
 		}
 		if err := c.dial(); err != nil {
 			return 0, err
@@ -74,7 +74,7 @@
 	return c.Conn.Write(p)
 }
 
-func (c *trapped) dial() error {
+func (c *trapConn) dial() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -86,9 +86,9 @@
 }
 
 // Read implements net.Conn.
-func (c *trapped) Read(p []byte) (int, error) {
+func (c *trapConn) Read(p []byte) (int, error) {
 	if c.claimed {
-		act := c.traps.take(&c.traps.behind)
+		act := c.traps.take(&c.traps.beforeRead)
 		done := make(chan struct{})
 		go func() { defer close(done); act() }()
 		select {
@@ -101,7 +101,7 @@
 }
 
 // Close implements net.Conn.
-func (c *trapped) Close() error {
+func (c *trapConn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -115,19 +115,19 @@
 	return c.Conn.Close()
 }
 
-// trappedPath is a path whose node n1 has traps; other nodes have none.
-func trappedPath(t testing.TB, change ...func(*local.NodeConfig)) (*path, *traps) {
+// newTrappedFixture is a path whose node n1 has traps; other nodes have none.
+func newTrappedFixture(t testing.TB, change ...func(*local.NodeConfig)) (*fixture, *trapDialer) {
 	t.Helper()
-	return trappedPathOf(t, &path{answerBytes: 1 << 20, services: 1}, change...)
+	return newTrappedFixtureWith(t, &fixture{answerBytes: 1 << 20, serviceCount: 1}, change...)
 }
 
-func trappedPathOf(t testing.TB, p *path, change ...func(*local.NodeConfig)) (*path, *traps) {
+func newTrappedFixtureWith(t testing.TB, p *fixture, change ...func(*local.NodeConfig)) (*fixture, *trapDialer) {
 	t.Helper()
-	d := &traps{}
+	d := &trapDialer{}
 	change = append(change, func(c *local.NodeConfig) {
 		if c.Settings.Host == "n1" {
 			c.Dialer = d
 		}
 	})
-	return newPathOf(t, p, slow, change...), d
+	return newFixtureWith(t, p, slowEngine, change...), d
 }
--- a/standin/local/writers_test.go
+++ b/standin/local/writers_test.go
@@ -22,7 +22,7 @@
 // Cause: the claim is lost with its writer, or written by two as if by one.
 func TestClaimsThroughOtherHostsSurviveTheirWriter(t *testing.T) {
 	forward := func(c *local.NodeConfig) { c.Policy.ForwardClaims = true }
-	p := newPath(t, engine.Config{}, forward)
+	p := newFixture(t, engine.Config{}, forward)
 	nodes := []*local.Node{p.node, p.startNode("n2"), p.startNode("n3")}
 	var list []store.Host
 	for i, n := range nodes {
@@ -36,7 +36,7 @@
 			}
 		}
 		return poll.Success()
-	}, poll.WithTimeout(patience))
+	}, poll.WithTimeout(stepTimeout))
 
 	const keys = 24
 	var wg sync.WaitGroup
@@ -45,13 +45,13 @@
 			wg.Go(nodes[2].Kill)
 		}
 		for _, n := range nodes[:2] {
-			wg.Go(func() { answered(t.Context(), n, k) })
+			wg.Go(func() { awaitAnswer(t.Context(), n, k) })
 		}
 	}
 	wg.Wait()
 	answers := map[string]bool{}
 	for k := range keys { // each key has its answer, whichever host is asked
-		r := answered(t.Context(), nodes[k%2], k)
+		r := awaitAnswer(t.Context(), nodes[k%2], k)
 		assert.Equal(t, r.status, http.StatusOK, r.body)
 		answers[r.body] = true
 	}
@@ -67,12 +67,12 @@
 	assert.NilError(t, nodes[1].Stop())
 }
 
-// answered asks until a note has its answer or cannot get one, some times at most.
-func answered(ctx context.Context, n *local.Node, key int) reply {
+// awaitAnswer asks until a note has its answer or cannot get one, some times at most.
+func awaitAnswer(ctx context.Context, n *local.Node, key int) reply {
 	var r reply
 	for range 200 {
 		r = noteVia(ctx, n, fmt.Sprint("key-", key))
-		if r.err == nil && (r.status == http.StatusOK || !r.retry) {
+		if r.err == nil && (r.status == http.StatusOK || !r.hasRetryAfter) {
 			return r
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/standin/site/bench_test.go
+++ b/standin/site/bench_test.go
@@ -15,13 +15,13 @@
 	for _, name := range []string{"taipei", "kathmandu"} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				direct(b, name, 20*time.Second)
+				runDirect(b, name, 20*time.Second)
 			}
 		})
 	}
 }
 
-func direct(b *testing.B, name string, length time.Duration) {
+func runDirect(b *testing.B, name string, length time.Duration) {
 	s := builtIn(b, name)
 	u, err := s.Start(site.StartOptions{Seed: 1})
 	if err != nil {
--- a/standin/site/bound.go
+++ b/standin/site/bound.go
@@ -29,7 +29,7 @@
 			met++ // a plain service's call
 			continue
 		}
-		token, prefill := tokens[a.Source.Model], s.prefill(a)
+		token, prefill := tokens[a.Source.Model], s.prefillTime(a)
 		if token*time.Duration(a.Tokens)+prefill > a.Source.Deadline {
 			continue
 		}
@@ -38,9 +38,9 @@
 		end = max(end, a.Offset+a.Source.Deadline)
 	}
 	slices.Sort(work)
-	left := float64(engines) * end.Seconds()
+	remaining := float64(engines) * end.Seconds()
 	for _, w := range work {
-		if left -= w; left < 0 {
+		if remaining -= w; remaining < 0 {
 			break
 		}
 		met++
@@ -58,8 +58,8 @@
 	return engines, max(batch, 1)
 }
 
-// prefill is the time of the prompt that no cache saves.
-func (s *Site) prefill(a load.Arrival) time.Duration {
+// prefillTime is the time of the prompt that no cache saves.
+func (s *Site) prefillTime(a load.Arrival) time.Duration {
 	saved := 0.0
 	if a.Prefix > 0 {
 		saved = s.Engines.PrefixSavedShare
--- a/standin/site/demand.go
+++ b/standin/site/demand.go
@@ -43,8 +43,8 @@
 // swingSamples is how finely a model's swing is drawn.
 const swingSamples = 24
 
-// golden spreads the phases of swings so that models don't peak together.
-const golden = 0.6180339887498949
+// goldenRatioConjugate spreads the phases of swings so that models don't peak together.
+const goldenRatioConjugate = 0.6180339887498949
 
 // Sources spreads each line over its teams and models.
 func (s *Site) Sources(length time.Duration) ([]load.Source, error) {
@@ -60,7 +60,7 @@
 			if t == nil {
 				return nil, eris.Errorf("demand.lines[%d]: %q is no team of the deployment", i, name)
 			}
-			sources, err := s.spread(l, t, n, stretch, length)
+			sources, err := s.lineSources(l, t, n, stretch, length)
 			if err != nil {
 				return nil, eris.Wrapf(err, "demand.lines[%d]", i)
 			}
@@ -70,11 +70,11 @@
 	return out, nil
 }
 
-func (s *Site) spread(l *Line, t *config.Team, teamIndex int, stretch float64, length time.Duration) ([]load.Source, error) {
+func (s *Site) lineSources(l *Line, t *config.Team, teamIndex int, stretch float64, length time.Duration) ([]load.Source, error) {
 	src := load.Source{Team: t.Name, APIKey: s.TeamKey(t.Name), Kind: l.Kind, Class: l.Class, Deadline: s.deadline(l),
 		Tokens: l.Tokens, PromptBytes: l.PromptBytes, Prefixes: l.Prefixes, Service: l.Service, Method: l.Method, Path: l.Path}
 	if l.Kind == load.KindService || l.Kind == load.KindOnce {
-		src.Path = splitPath(l.Path)
+		src.Path = withLeadingSlash(l.Path)
 		src.Curve = l.curve(1/float64(len(l.Teams)), 0, 1, stretch, length)
 		return []load.Source{src}, nil
 	}
@@ -89,7 +89,7 @@
 	var out []load.Source
 	for rank, model := range targets {
 		share := math.Pow(float64(rank+1), -l.Zipf) / total / float64(len(l.Teams))
-		phase := math.Mod(float64(rank+1)*golden+float64(teamIndex)/24, 1) // teams of one trade peak nearly together
+		phase := math.Mod(float64(rank+1)*goldenRatioConjugate+float64(teamIndex)/24, 1) // teams of one trade peak nearly together
 		src.Model = model
 		src.Curve = l.curve(share, phase, max(l.Swing, 1), stretch, length)
 		out = append(out, src)
@@ -113,7 +113,7 @@
 func (s *Site) targets(l *Line, t *config.Team) ([]string, error) {
 	var out []string
 	seen := map[string]bool{}
-	callable := s.callable(t)
+	callable := s.callableModels(t)
 	for _, pattern := range l.Models {
 		for _, name := range callable {
 			ok, err := path.Match(pattern, name)
@@ -134,7 +134,7 @@
 
 // curve is the line's demand for one target: a share of it, swinging about its mean.
 func (l *Line) curve(share, phase, swing, stretch float64, length time.Duration) load.Curve {
-	base := load.Curve{Points: stretched(l.Curve.Points, stretch)}
+	base := load.Curve{Points: stretchPoints(l.Curve.Points, stretch)}
 	out := load.Curve{}
 	for i := 0; i <= swingSamples; i++ {
 		x := float64(i) / swingSamples
@@ -149,7 +149,7 @@
 	return out
 }
 
-func stretched(points []load.Point, by float64) []load.Point {
+func stretchPoints(points []load.Point, by float64) []load.Point {
 	out := make([]load.Point, len(points))
 	for i, p := range points {
 		out[i] = load.Point{AtSeconds: p.AtSeconds * by, PerSecond: p.PerSecond}
--- a/standin/site/direct.go
+++ b/standin/site/direct.go
@@ -20,7 +20,7 @@
 func (u *Upstreams) DirectHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+engineapi.PathChat, u.directGeneration)
-	mux.HandleFunc("/v1/services/{service}/{path...}", u.directCall)
+	mux.HandleFunc("/v1/services/{service}/{path...}", u.directServiceCall)
 	return mux
 }
 
@@ -33,16 +33,16 @@
 		err = json.Unmarshal(body, &q)
 	}
 	if err != nil {
-		directError(w, http.StatusBadRequest, "bad_request")
+		writeDirectError(w, http.StatusBadRequest, "bad_request")
 		return
 	}
 	e := u.leastLoaded(q.Model)
 	if e == nil {
-		directError(w, http.StatusServiceUnavailable, "no_upstream")
+		writeDirectError(w, http.StatusServiceUnavailable, "no_upstream")
 		return
 	}
-	if most := u.Site.Engines.MaxQueue; most > 0 && e.ActualState().Waiting >= most {
-		directError(w, http.StatusServiceUnavailable, "overloaded")
+	if maxQueue := u.Site.Engines.MaxQueue; maxQueue > 0 && e.ActualState().Waiting >= maxQueue {
+		writeDirectError(w, http.StatusServiceUnavailable, "overloaded")
 		return
 	}
 	r.Body = io.NopCloser(bytes.NewReader(body))
@@ -61,32 +61,32 @@
 	least := 0
 	for _, e := range u.Engines {
 		r := e.ActualState()
-		if load := r.Running + r.Waiting; serves(&r, name) && (best == nil || load < least) {
+		if load := r.Running + r.Waiting; canServe(&r, name) && (best == nil || load < least) {
 			best, least = e, load
 		}
 	}
 	return best
 }
 
-func serves(r *engineapi.Report, name string) bool {
+func canServe(r *engineapi.Report, name string) bool {
 	if r.Draining {
 		return false
 	}
 	for _, res := range r.Residents {
-		own := res.Model
+		loaded := res.Model
 		if res.Adapter != "" {
-			own = res.Adapter
+			loaded = res.Adapter
 		}
-		if own == name && res.State == engineapi.StateReady {
+		if loaded == name && res.State == engineapi.StateReady {
 			return true
 		}
 	}
 	return false
 }
 
-func (u *Upstreams) directCall(w http.ResponseWriter, r *http.Request) {
+func (u *Upstreams) directServiceCall(w http.ResponseWriter, r *http.Request) {
 	for _, up := range u.Config.Upstreams {
-		if u.serviceOf(up.Pool) != r.PathValue("service") {
+		if u.serviceForPool(up.Pool) != r.PathValue("service") {
 			continue
 		}
 		for _, s := range u.Services {
@@ -98,10 +98,10 @@
 			}
 		}
 	}
-	directError(w, http.StatusNotFound, "not_found")
+	writeDirectError(w, http.StatusNotFound, "not_found")
 }
 
-func directError(w http.ResponseWriter, status int, code string) {
+func writeDirectError(w http.ResponseWriter, status int, code string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_, _ = io.WriteString(w, `{"error":{"message":"`+code+`","type":"server_error","code":"`+code+`","outcome":"not_run"}}`)
--- a/standin/site/monitor.go
+++ b/standin/site/monitor.go
@@ -9,9 +9,9 @@
 	"peridotpier.example/standin/engine"
 )
 
-// monitorEvery is how often the true state is looked at; far below the
+// monitorInterval is how often the true state is looked at; far below the
 // seconds that a load takes, so that no gap is missed.
-const monitorEvery = 50 * time.Millisecond
+const monitorInterval = 50 * time.Millisecond
 
 // GroundTruth is what was true of the upstreams during a run, from their own state
 // and records alone.
@@ -37,32 +37,32 @@
 // Monitor looks at the engines' true state until ctx ends.
 func (u *Upstreams) Monitor(ctx context.Context) GroundTruth {
 	t := GroundTruth{LongestGaps: map[string]time.Duration{}}
-	since := map[string]time.Time{} // when a model was last seen ready
-	began := time.Now()
+	lastReady := map[string]time.Time{} // when a model was last seen ready
+	startedAt := time.Now()
 	for _, m := range u.Config.Models {
-		since[m.Name] = began
+		lastReady[m.Name] = startedAt
 	}
-	tick := time.NewTicker(monitorEvery)
+	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
 	for {
 		now := time.Now()
-		ready := u.ready()
+		ready := u.readyModels()
 		for _, m := range u.Config.Models {
 			if ready[m.Name] {
-				since[m.Name] = now
+				lastReady[m.Name] = now
 			}
-			t.LongestGaps[m.Name] = max(t.LongestGaps[m.Name], now.Sub(since[m.Name]))
+			t.LongestGaps[m.Name] = max(t.LongestGaps[m.Name], now.Sub(lastReady[m.Name]))
 		}
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			u.sum(&t)
+			u.addRecords(&t)
 			return t
 		}
 	}
 }
 
-func (u *Upstreams) ready() map[string]bool {
+func (u *Upstreams) readyModels() map[string]bool {
 	out := map[string]bool{}
 	for _, e := range u.Engines {
 		r := e.ActualState()
@@ -75,7 +75,7 @@
 	return out
 }
 
-func (u *Upstreams) sum(t *GroundTruth) {
+func (u *Upstreams) addRecords(t *GroundTruth) {
 	for _, e := range u.Engines {
 		r := e.Records()
 		t.Overcommits = append(t.Overcommits, r.Overcommits...)
--- a/standin/site/place.go
+++ b/standin/site/place.go
@@ -11,21 +11,21 @@
 	"peridotpier.example/standin/engine"
 )
 
-// errNoRoom says that the deployment's initial replicas don't fit.
-var errNoRoom = errors.New("no engine has room")
+// errNoMemory says that the deployment's initial replicas don't fit.
+var errNoMemory = errors.New("no engine has room")
 
 // slot is an engine and the memory that is still free on it.
 type slot struct {
-	e      *engine.Engine
+	engine *engine.Engine
 	pool   string
-	free   int
+	freeMB int
 	models map[string]bool
 }
 
-// place gives every model its initial replicas, largest first, each with its
+// placeInitialReplicas gives every model its initial replicas, largest first, each with its
 // adapters on the engine with the most room. It is what operators do before
 // the system first starts; the static baseline keeps it for ever.
-func (u *Upstreams) place() error {
+func (u *Upstreams) placeInitialReplicas() error {
 	slots := u.slots()
 	models := slices.Clone(u.Config.Models)
 	slices.SortStableFunc(models, func(a, b config.Model) int { return cmp.Compare(b.MemoryMB, a.MemoryMB) })
@@ -36,15 +36,15 @@
 			need += a.MemoryMB
 		}
 		for range max(m.InitialReplicas, m.MinReplicas) {
-			s := roomiest(slots, m, need)
+			s := emptiestSlot(slots, m, need)
 			if s == nil {
-				return eris.Wrapf(errNoRoom, "model %s with %d MB", m.Name, need)
+				return eris.Wrapf(errNoMemory, "model %s with %d MB", m.Name, need)
 			}
-			s.free -= need
+			s.freeMB -= need
 			s.models[m.Name] = true
-			s.e.Preload(m.Name, "", m.Version, m.MemoryMB)
+			s.engine.Preload(m.Name, "", m.Version, m.MemoryMB)
 			for _, a := range adapters {
-				s.e.Preload(m.Name, a.Name, a.Version, a.MemoryMB)
+				s.engine.Preload(m.Name, a.Name, a.Version, a.MemoryMB)
 			}
 		}
 	}
@@ -55,17 +55,17 @@
 	var out []*slot
 	for _, up := range u.Config.Upstreams {
 		if e, err := u.Engine(up.Name); err == nil {
-			out = append(out, &slot{e: e, pool: up.Pool, free: up.MemoryMB, models: map[string]bool{}})
+			out = append(out, &slot{engine: e, pool: up.Pool, freeMB: up.MemoryMB, models: map[string]bool{}})
 		}
 	}
 	return out
 }
 
-// roomiest finds the engine of the model's pool with the most room that does not hold it yet.
-func roomiest(slots []*slot, m config.Model, need int) *slot {
+// emptiestSlot finds the engine of the model's pool with the most room that does not hold it yet.
+func emptiestSlot(slots []*slot, m config.Model, need int) *slot {
 	var best *slot
 	for _, s := range slots {
-		if s.pool == m.Pool && !s.models[m.Name] && s.free >= need && (best == nil || s.free > best.free) {
+		if s.pool == m.Pool && !s.models[m.Name] && s.freeMB >= need && (best == nil || s.freeMB > best.freeMB) {
 			best = s
 		}
 	}
--- a/standin/site/scenario.go
+++ b/standin/site/scenario.go
@@ -28,9 +28,9 @@
 
 // step is one fault at a share of the run's length.
 type step struct {
-	at   float64
-	what string
-	do   func(ctx context.Context, t Targets, length time.Duration) error
+	atShare     float64
+	description string
+	run         func(ctx context.Context, t Targets, length time.Duration) error
 }
 
 // Scenario is a named course of faults.
@@ -49,8 +49,8 @@
 // AllScenarios names the faults that a site must stand together.
 const AllScenarios = "all"
 
-// together are the scenarios that All stands for.
-var together = []string{"kill", "store", "answers", "silent", "crossed"}
+// allScenarios are the scenarios that All stands for.
+var allScenarios = []string{"kill", "store", "answers", "silent", "crossed"}
 
 // Scenarios lists the names that FindScenario knows.
 func Scenarios() []string { return append(slices.Sorted(maps.Keys(scenarios())), AllScenarios) }
@@ -60,7 +60,7 @@
 	out := Scenario{Name: name}
 	known := scenarios()
 	if name == AllScenarios {
-		name = strings.Join(together, "+")
+		name = strings.Join(allScenarios, "+")
 	}
 	for _, part := range strings.Split(name, "+") {
 		steps, ok := known[part]
@@ -69,70 +69,70 @@
 		}
 		out.steps = append(out.steps, steps...)
 	}
-	slices.SortStableFunc(out.steps, func(a, b step) int { return int((a.at - b.at) * 1e6) })
+	slices.SortStableFunc(out.steps, func(a, b step) int { return int((a.atShare - b.atShare) * 1e6) })
 	return out, nil
 }
 
 // Run takes the steps at their times and returns what was done.
 func (s Scenario) Run(ctx context.Context, t Targets, length time.Duration) []Fault {
-	began := time.Now()
+	startedAt := time.Now()
 	var done []Fault
 	for _, st := range s.steps {
-		timer := time.NewTimer(time.Until(began.Add(time.Duration(st.at * float64(length)))))
+		timer := time.NewTimer(time.Until(startedAt.Add(time.Duration(st.atShare * float64(length)))))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
 			return done
 		}
-		done = append(done, Fault{At: time.Since(began), Description: st.what, Err: st.do(ctx, t, length)})
+		done = append(done, Fault{At: time.Since(startedAt), Description: st.description, Err: st.run(ctx, t, length)})
 	}
 	return done
 }
 
-// lateOrder is how late a delayed order arrives: longer than a planner waits
+// orderDelay is how late a delayed order arrives: longer than a planner waits
 // for an answer, within the bound that the site states.
-const lateOrder = 8 * time.Second
+const orderDelay = 8 * time.Second
 
 func scenarios() map[string][]step {
 	return map[string][]step{
 		"none": nil,
 		"orders": {
-			{0.05, "the next order to each engine is lost", engines(func(i int, t Targets) { t.Upstreams.Engines[i].DropOrders(1) })},
-			{0.25, "the next order to each engine is late", engines(func(i int, t Targets) { t.Upstreams.Engines[i].DelayOrders(1, lateOrder) })},
-			{0.50, "the next order to each engine is doubled", engines(func(i int, t Targets) { t.Upstreams.Engines[i].DuplicateOrders(1, lateOrder) })},
-			{0.70, "the answer to the next order to each engine is lost", engines(func(i int, t Targets) { t.Upstreams.Engines[i].LoseOrderAnswers(1) })},
+			{0.05, "the next order to each engine is lost", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].DropOrders(1) })},
+			{0.25, "the next order to each engine is late", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].DelayOrders(1, orderDelay) })},
+			{0.50, "the next order to each engine is doubled", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].DuplicateOrders(1, orderDelay) })},
+			{0.70, "the answer to the next order to each engine is lost", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].LoseOrderAnswers(1) })},
 		},
 		"restart": {
-			{0.30, "engine 0 restarts with empty memory", engineAt(0, func(i int, t Targets) { t.Upstreams.Engines[i].Restart() })},
-			{0.60, "engine 1 restarts with empty memory", engineAt(1, func(i int, t Targets) { t.Upstreams.Engines[i].Restart() })},
+			{0.30, "engine 0 restarts with empty memory", forEngine(0, func(i int, t Targets) { t.Upstreams.Engines[i].Restart() })},
+			{0.60, "engine 1 restarts with empty memory", forEngine(1, func(i int, t Targets) { t.Upstreams.Engines[i].Restart() })},
 		},
 		"leave": {
-			{0.40, "engine 0 leaves", engineAt(0, func(i int, t Targets) { t.Upstreams.Engines[i].Drain() })},
+			{0.40, "engine 0 leaves", forEngine(0, func(i int, t Targets) { t.Upstreams.Engines[i].Drain() })},
 			{0.70, "service 0 leaves", func(_ context.Context, t Targets, _ time.Duration) error {
 				t.Upstreams.Services[0].Drain()
 				return nil
 			}},
 		},
 		"silent": {
-			{0.30, "open connections to engines 0 to 2 go silent", engineAt(2, func(i int, t Targets) { freezeUpTo(i, t) })},
+			{0.30, "open connections to engines 0 to 2 go silent", forEngine(2, func(i int, t Targets) { freezeEnginesUpTo(i, t) })},
 			{0.60, "open connections to all engines and services go silent", freezeAll},
 		},
 		"crossed": {
-			{0.20, "one answer in fifty is crossed", engines(func(i int, t Targets) { t.Upstreams.Engines[i].MismatchAnswers(0.02) })},
-			{0.80, "answers are no longer crossed", engines(func(i int, t Targets) { t.Upstreams.Engines[i].MismatchAnswers(0) })},
+			{0.20, "one answer in fifty is crossed", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].MismatchAnswers(0.02) })},
+			{0.80, "answers are no longer crossed", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].MismatchAnswers(0) })},
 		},
 		"cut": {
-			{0.20, "streams break after 20 events", engines(func(i int, t Targets) { t.Upstreams.Engines[i].CutStreamsAfter(20) })},
-			{0.50, "streams hold again; 20 answers of each service are lost", loseAnswers},
+			{0.20, "streams break after 20 events", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].CutStreamsAfter(20) })},
+			{0.50, "streams hold again; 20 answers of each service are lost", healStreamsLoseAnswers},
 		},
-		"store":   {{0.30, "the store is down for 20 s", storeOutage}},
+		"store":   {{0.30, "the store is down for 20 s", failStore}},
 		"answers": {{0, "one answer in twenty of the store is lost", loseStoreAnswers}},
 		"kill": {
 			{0.25, "entry host 0 is killed", killHost(0)},
 			{0.45, "another takes the place of entry host 0", replaceHost(0)},
-			{0.60, "entry hosts 1 and 2 are killed", both(killHost(1), killHost(2))},
-			{0.80, "others take their places", both(replaceHost(1), replaceHost(2))},
+			{0.60, "entry hosts 1 and 2 are killed", inSequence(killHost(1), killHost(2))},
+			{0.80, "others take their places", inSequence(replaceHost(1), replaceHost(2))},
 		},
 		"hosts": {
 			{0.35, "entry host 0 is killed", killHost(0)},
@@ -141,7 +141,7 @@
 	}
 }
 
-func engines(do func(i int, t Targets)) func(context.Context, Targets, time.Duration) error {
+func forEachEngine(do func(i int, t Targets)) func(context.Context, Targets, time.Duration) error {
 	return func(_ context.Context, t Targets, _ time.Duration) error {
 		for i := range t.Upstreams.Engines {
 			do(i, t)
@@ -150,7 +150,7 @@
 	}
 }
 
-func engineAt(i int, do func(i int, t Targets)) func(context.Context, Targets, time.Duration) error {
+func forEngine(i int, do func(i int, t Targets)) func(context.Context, Targets, time.Duration) error {
 	return func(_ context.Context, t Targets, _ time.Duration) error {
 		if i >= len(t.Upstreams.Engines) {
 			return fmt.Errorf("the site has no engine %d", i)
@@ -160,21 +160,21 @@
 	}
 }
 
-func freezeUpTo(last int, t Targets) {
+func freezeEnginesUpTo(last int, t Targets) {
 	for _, e := range t.Upstreams.Engines[:last+1] {
 		e.Freeze(false)
 	}
 }
 
 func freezeAll(_ context.Context, t Targets, _ time.Duration) error {
-	freezeUpTo(len(t.Upstreams.Engines)-1, t)
+	freezeEnginesUpTo(len(t.Upstreams.Engines)-1, t)
 	for _, s := range t.Upstreams.Services {
 		s.Freeze(false)
 	}
 	return nil
 }
 
-func loseAnswers(_ context.Context, t Targets, _ time.Duration) error {
+func healStreamsLoseAnswers(_ context.Context, t Targets, _ time.Duration) error {
 	for _, e := range t.Upstreams.Engines {
 		e.CutStreamsAfter(0)
 	}
@@ -184,29 +184,29 @@
 	return nil
 }
 
-// outage is how long the store is down; a short run has it down for a third.
-const outage = 20 * time.Second
+// storeOutageDuration is how long the store is down; a short run has it down for a third.
+const storeOutageDuration = 20 * time.Second
 
-func storeOutage(_ context.Context, t Targets, length time.Duration) error {
+func failStore(_ context.Context, t Targets, length time.Duration) error {
 	if t.Store != nil {
-		t.Store.StartOutage(min(outage, length/3))
+		t.Store.StartOutage(min(storeOutageDuration, length/3))
 	}
 	return nil
 }
 
-// lostShare is the share of the store's answers that are lost.
-const lostShare = 0.05
+// lostAnswerShare is the share of the store's answers that are lost.
+const lostAnswerShare = 0.05
 
 func loseStoreAnswers(_ context.Context, t Targets, _ time.Duration) error {
 	if t.Store != nil {
-		t.Store.LoseAnswers(lostShare)
+		t.Store.LoseAnswers(lostAnswerShare)
 	}
 	return nil
 }
 
-type action = func(ctx context.Context, t Targets, length time.Duration) error
+type stepFunc = func(ctx context.Context, t Targets, length time.Duration) error
 
-func killHost(host int) action {
+func killHost(host int) stepFunc {
 	return func(_ context.Context, t Targets, _ time.Duration) error {
 		if t.Hosts == nil {
 			return nil
@@ -215,7 +215,7 @@
 	}
 }
 
-func replaceHost(host int) action {
+func replaceHost(host int) stepFunc {
 	return func(ctx context.Context, t Targets, _ time.Duration) error {
 		if t.Hosts == nil {
 			return nil
@@ -224,7 +224,7 @@
 	}
 }
 
-func both(a, b action) action {
+func inSequence(a, b stepFunc) stepFunc {
 	return func(ctx context.Context, t Targets, length time.Duration) error {
 		return errors.Join(a(ctx, t, length), b(ctx, t, length))
 	}
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -115,32 +115,32 @@
 	if _, err := dec.Token(); err != io.EOF {
 		return nil, errors.New("text after the end of the document")
 	}
-	return &s, s.check()
+	return &s, s.validate()
 }
 
-// check finds what would make a run mean something else than the file says.
-func (s *Site) check() error {
+// validate finds what would make a run mean something else than the file says.
+func (s *Site) validate() error {
 	var errs []error
-	fault := func(format string, args ...any) { errs = append(errs, eris.Errorf(format, args...)) }
+	addError := func(format string, args ...any) { errs = append(errs, eris.Errorf(format, args...)) }
 	if s.EntryHosts < 1 {
-		fault("entry_hosts is %d, at least 1 is needed", s.EntryHosts)
+		addError("entry_hosts is %d, at least 1 is needed", s.EntryHosts)
 	}
 	for i, d := range s.Distances {
-		for _, place := range []string{d.From, d.To} {
-			if place != Clients && !slices.Contains(s.Deployment.DataCentres, place) {
-				fault("distances[%d]: %q is no data centre", i, place)
+		for _, location := range []string{d.From, d.To} {
+			if location != Clients && !slices.Contains(s.Deployment.DataCentres, location) {
+				addError("distances[%d]: %q is no data centre", i, location)
 			}
 		}
 	}
 	for _, t := range s.Deployment.Teams {
 		sum := sha256.Sum256([]byte(s.TeamKey(t.Name)))
 		if !slices.Contains(t.KeyHashes, hex.EncodeToString(sum[:])) {
-			fault("deployment: team %q does not accept the key %q", t.Name, s.TeamKey(t.Name))
+			addError("deployment: team %q does not accept the key %q", t.Name, s.TeamKey(t.Name))
 		}
 	}
 	for i, svc := range s.Services {
 		if !slices.ContainsFunc(s.Deployment.Services, func(d config.Service) bool { return d.Name == svc.Name }) {
-			fault("services[%d]: %q is no service of the deployment", i, svc.Name)
+			addError("services[%d]: %q is no service of the deployment", i, svc.Name)
 		}
 	}
 	if _, err := s.Sources(time.Duration(s.Demand.LengthSeconds * float64(time.Second))); err != nil {
@@ -187,8 +187,8 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// callable lists the models and adapters that a team may call, base models first.
-func (s *Site) callable(t *config.Team) []string {
+// callableModels lists the models and adapters that a team may call, base models first.
+func (s *Site) callableModels(t *config.Team) []string {
 	var names []string
 	for _, m := range s.Deployment.Models {
 		names = append(names, m.Name)
@@ -208,4 +208,4 @@
 	return &s.Deployment.Teams[i]
 }
 
-func splitPath(p string) string { return "/" + strings.TrimPrefix(p, "/") }
+func withLeadingSlash(p string) string { return "/" + strings.TrimPrefix(p, "/") }
--- a/standin/site/upstreams.go
+++ b/standin/site/upstreams.go
@@ -27,17 +27,17 @@
 
 // Upstreams are a site's engines and plain services, running on loopback.
 type Upstreams struct {
-	Site     *Site
-	Config   config.Config // the deployment with the true addresses
-	Engines  []*engine.Engine
-	Services []*service.Service
-	began    time.Time
-	centre   map[string]string // data centre by address
+	Site        *Site
+	Config      config.Config // the deployment with the true addresses
+	Engines     []*engine.Engine
+	Services    []*service.Service
+	startedAt   time.Time
+	dataCentres map[string]string // data centre by address
 }
 
 // Start starts all upstreams of the site.
 func (s *Site) Start(opt StartOptions) (*Upstreams, error) {
-	u := &Upstreams{Site: s, Config: s.Deployment, began: time.Now(), centre: map[string]string{}}
+	u := &Upstreams{Site: s, Config: s.Deployment, startedAt: time.Now(), dataCentres: map[string]string{}}
 	u.Config.Upstreams = slices.Clone(s.Deployment.Upstreams)
 	kinds := map[string]config.PoolKind{}
 	for _, p := range s.Deployment.Pools {
@@ -55,12 +55,12 @@
 			u.Close()
 			return nil, err
 		}
-		u.centre[up.Address] = up.DataCentre
+		u.dataCentres[up.Address] = up.DataCentre
 	}
 	if opt.SkipPlacement {
 		return u, nil
 	}
-	if err := u.place(); err != nil {
+	if err := u.placeInitialReplicas(); err != nil {
 		u.Close()
 		return nil, err
 	}
@@ -107,7 +107,7 @@
 func (u *Upstreams) startService(up *config.Upstream, opt StartOptions, index uint64) error {
 	cfg := service.Config{Name: up.Name, MaxConcurrent: up.MaxBatch, Seed: opt.Seed*1000 + index}
 	for _, c := range u.Site.Services {
-		if c.Name != u.serviceOf(up.Pool) {
+		if c.Name != u.serviceForPool(up.Pool) {
 			continue
 		}
 		cfg.DefaultDuration, cfg.ReportInterval, cfg.ReportLag = ms(c.Ms), ms(c.ReportIntervalMs), ms(c.ReportLagMs)
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func (u *Upstreams) serviceOf(pool string) string {
+func (u *Upstreams) serviceForPool(pool string) string {
 	for _, s := range u.Config.Services {
 		if s.Pool == pool {
 			return s.Name
@@ -160,7 +160,7 @@
 
 // Dialer opens connections from a data centre to upstreams at their distance.
 func (u *Upstreams) Dialer(from string) *wire.Dialer {
-	return &wire.Dialer{RoundTrip: func(address string) time.Duration { return u.Site.RoundTrip(from, u.centre[address]) }}
+	return &wire.Dialer{RoundTrip: func(address string) time.Duration { return u.Site.RoundTrip(from, u.dataCentres[address]) }}
 }
 
 // Engine finds an engine by name.
