--- a/standin/site/bench_test.go
+++ b/standin/site/bench_test.go
@@ -9,8 +9,9 @@
 	"peridotpier.example/standin/site"
 )
 
-// BenchmarkDirect runs a site's demand against its static placement through
-// an entry host with perfect knowledge: what demand and placement allow.
+// BenchmarkDirect runs a site's demand against its static placement through an
+// entry host that knows every engine's actual state. It shows what demand and
+// placement allow at best.
 func BenchmarkDirect(b *testing.B) {
 	for _, name := range []string{"taipei", "kathmandu"} {
 		b.Run(name, func(b *testing.B) {
--- a/standin/site/bound.go
+++ b/standin/site/bound.go
@@ -7,26 +7,28 @@
 	"peridotpier.example/standin/load"
 )
 
-// bytesPerToken is what a stand-in engine takes a prompt's token to be.
+// bytesPerToken is the number of bytes of a prompt that a stand-in engine counts
+// as one token.
 const bytesPerToken = 4
 
-// AttainmentBound is an upper bound on the attainment of any policy on a plan. It grants
-// everything that no policy can have: all engines as one, every model ready on
-// it, batches always full, prompts cached, no distance. A request can then be
-// late only if it takes longer than its deadline when alone, or if the work of
-// all requests together is more than the engines can do before the last
-// deadline; of those, the smallest are taken first.
+// AttainmentBound returns an upper bound on the share of a plan's requests that any
+// policy can complete within their deadlines. It assumes conditions that no policy
+// can have: all engines work as one, every model is ready on it, batches are always
+// full, prompt prefixes are cached and there is no network distance. A request then
+// misses its deadline only if it takes longer than that when it runs alone, or if all
+// requests together need more time than the engines have before the last deadline;
+// in the latter case the smallest requests are served first.
 func (s *Site) AttainmentBound(plan []load.Arrival) float64 {
 	if len(plan) == 0 {
 		return 1
 	}
 	engines, batch := s.enginesAndBatch()
 	tokens := s.tokenTimes()
-	var work []float64 // accelerator seconds of each request that could be met alone
+	var work []float64 // accelerator seconds of each request that meets its deadline when it runs alone
 	met, end := 0, time.Duration(0)
 	for _, a := range plan {
 		if a.Source.Model == "" {
-			met++ // a plain service's call
+			met++ // a call to a plain service
 			continue
 		}
 		token, prefill := tokens[a.Source.Model], s.prefillTime(a)
@@ -58,7 +60,8 @@
 	return engines, max(batch, 1)
 }
 
-// prefillTime is the time of the prompt that no cache saves.
+// prefillTime returns the time to process the part of a prompt that no cached prefix
+// covers.
 func (s *Site) prefillTime(a load.Arrival) time.Duration {
 	saved := 0.0
 	if a.Prefix > 0 {
--- a/standin/site/demand.go
+++ b/standin/site/demand.go
@@ -13,40 +13,42 @@
 	"peridotpier.example/standin/load"
 )
 
-// Demand is what callers ask for.
+// Demand describes the requests of a site's callers over time.
 type Demand struct {
-	// LengthSeconds is the length that the times below are meant for. A run of
-	// another length stretches them, but not how long a burst lasts: an hour's
-	// course is compressed, a burst within seconds stays one.
+	// LengthSeconds is the length of a run to which the times in Lines refer. A run
+	// of another length scales these times, but not the duration of bursts: the
+	// course of an hour is compressed, while a burst of seconds still takes seconds.
 	LengthSeconds float64 `json:"length_s"`
 	Lines         []Line  `json:"lines"`
 }
 
-// Line is one kind of call by some teams over some models or one service.
+// Line describes the calls of one kind by some teams to some models or to one service.
 type Line struct {
 	Teams       []string    `json:"teams"`
 	Kind        load.Kind   `json:"kind"`
 	Class       class.Class `json:"class"`
-	DeadlineMs  int         `json:"deadline_ms"` // 0: the class's
+	DeadlineMs  int         `json:"deadline_ms"` // 0: the deadline of the class
 	Models      []string    `json:"models,omitempty"`
-	Zipf        float64     `json:"zipf,omitempty"`  // exponent of popularity over models, in the deployment's order
-	Swing       float64     `json:"swing,omitempty"` // each model's demand moves by this factor within the length, each at its own time
+	Zipf        float64     `json:"zipf,omitempty"`  // Zipf exponent of the popularity of the matching models, most popular first
+	Swing       float64     `json:"swing,omitempty"` // ratio of peak to lowest demand of each model within the length; models peak at different times
 	Tokens      load.Range  `json:"tokens"`
 	PromptBytes load.Range  `json:"prompt_bytes"`
 	Prefixes    int         `json:"prefixes,omitempty"`
 	Service     string      `json:"service,omitempty"`
 	Method      string      `json:"method,omitempty"`
 	Path        string      `json:"path,omitempty"`
-	Curve       load.Curve  `json:"curve"` // of all teams and models together
+	Curve       load.Curve  `json:"curve"` // rate of all teams and models together
 }
 
-// swingSamples is how finely a model's swing is drawn.
+// swingSamples is the number of points that approximate the swing of a model's demand.
 const swingSamples = 24
 
-// goldenRatioConjugate spreads the phases of swings so that models don't peak together.
+// goldenRatioConjugate spaces the phases of the models' swings so that models don't
+// peak together.
 const goldenRatioConjugate = 0.6180339887498949
 
-// Sources spreads each line over its teams and models.
+// Sources returns the traffic sources of a run of the given length: each line's demand
+// divided among its teams and models.
 func (s *Site) Sources(length time.Duration) ([]load.Source, error) {
 	if s.Demand.LengthSeconds <= 0 {
 		return nil, eris.New("demand.length_s must be above 0")
@@ -89,7 +91,7 @@
 	var out []load.Source
 	for rank, model := range targets {
 		share := math.Pow(float64(rank+1), -l.Zipf) / total / float64(len(l.Teams))
-		phase := math.Mod(float64(rank+1)*goldenRatioConjugate+float64(teamIndex)/24, 1) // teams of one trade peak nearly together
+		phase := math.Mod(float64(rank+1)*goldenRatioConjugate+float64(teamIndex)/24, 1) // teams of one line peak at nearly the same time
 		src.Model = model
 		src.Curve = l.curve(share, phase, max(l.Swing, 1), stretch, length)
 		out = append(out, src)
@@ -109,7 +111,8 @@
 	return time.Minute
 }
 
-// targets are the team's models and adapters that match the line's patterns, in the order of the patterns.
+// targets returns the models and adapters that the team may call and that match the
+// line's patterns, in the order of the patterns.
 func (s *Site) targets(l *Line, t *config.Team) ([]string, error) {
 	var out []string
 	seen := map[string]bool{}
@@ -132,7 +135,8 @@
 	return out, nil
 }
 
-// curve is the line's demand for one target: a share of it, swinging about its mean.
+// curve returns the rate of the line's demand for one target: the given share of the
+// line's curve, varied around its mean by the swing. Times are scaled by stretch.
 func (l *Line) curve(share, phase, swing, stretch float64, length time.Duration) load.Curve {
 	base := load.Curve{Points: stretchPoints(l.Curve.Points, stretch)}
 	out := load.Curve{}
@@ -157,8 +161,8 @@
 	return out
 }
 
-// swingMean is the mean of a swing over its course, which is divided out so
-// that a swing moves demand and does not add to it.
+// swingMean returns the mean of a swing over its whole period. Demand is divided by
+// it, so that a swing shifts demand in time without adding to it.
 func swingMean(swing float64) float64 {
 	sum := 0.0
 	for i := range swingSamples {
@@ -167,7 +171,8 @@
 	return sum / swingSamples
 }
 
-// WithScaledDemand is the site with its demand multiplied.
+// WithScaledDemand returns a copy of the site with the rates of its demand multiplied
+// by a factor.
 func (s *Site) WithScaledDemand(by float64) *Site {
 	out := *s
 	out.Demand.Lines = slices.Clone(s.Demand.Lines)
--- a/standin/site/direct.go
+++ b/standin/site/direct.go
@@ -13,10 +13,10 @@
 	"peridotpier.example/standin/engine"
 )
 
-// DirectHandler is an entry host that can't exist: it knows each engine's true state
-// without lag and hands requests over without a network, to the holder with
-// the least load. Beside a routing policy over the same placement it shows
-// what lag and distance cost; it also calibrates demand.
+// DirectHandler returns an idealised entry host that can't exist: it knows each
+// engine's actual state without lag and passes each request without a network to the
+// least loaded engine that has the model ready. Compared with a routing policy over the
+// same placement it shows what lag and distance cost; it also calibrates demand.
 func (u *Upstreams) DirectHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+engineapi.PathChat, u.directGeneration)
@@ -51,11 +51,11 @@
 	e.Handler().ServeHTTP(w, r)
 }
 
-// priorities are the engine's numbers for the callers' classes.
+// priorities maps callers' classes to the engines' priority numbers.
 var priorities = map[string]string{"bulk": "0", "standard": "1", "urgent": "2"}
 
-// leastLoaded finds the engine with the least true load among those that can
-// answer for a model or adapter now.
+// leastLoaded returns the engine with the lowest actual load among those that have the
+// model or adapter ready now, or nil if there is none.
 func (u *Upstreams) leastLoaded(name string) *engine.Engine {
 	var best *engine.Engine
 	least := 0
--- a/standin/site/monitor.go
+++ b/standin/site/monitor.go
@@ -9,21 +9,22 @@
 	"peridotpier.example/standin/engine"
 )
 
-// monitorInterval is how often the true state is looked at; far below the
-// seconds that a load takes, so that no gap is missed.
+// monitorInterval is the interval at which the engines' actual state is sampled. It is
+// far below the seconds that a load takes, so that no gap is missed.
 const monitorInterval = 50 * time.Millisecond
 
-// GroundTruth is what was true of the upstreams during a run, from their own state
-// and records alone.
+// GroundTruth is what really happened at the upstreams during a run, taken from their
+// own state and records alone.
 type GroundTruth struct {
 	Overcommits  []engine.Overcommit
-	ModelLoads   int // models loaded by order
-	AdapterLoads int // adapters loaded by order
-	// Gaps is, by model, the longest time without a ready replica.
+	ModelLoads   int // models that engines loaded on order
+	AdapterLoads int // adapters that engines loaded on order
+	// LongestGaps holds, by model, the longest time without a ready replica.
 	LongestGaps map[string]time.Duration
 }
 
-// UnreachableModels lists the models which must be ready at all times and were not.
+// UnreachableModels returns the models that had no ready replica for longer than their
+// MaxOnDemandSeconds allows; with 0 a model must be ready at all times.
 func (t GroundTruth) UnreachableModels(c *config.Config) []string {
 	var out []string
 	for _, m := range c.Models {
@@ -34,10 +35,11 @@
 	return out
 }
 
-// Monitor looks at the engines' true state until ctx ends.
+// Monitor samples the engines' actual state until ctx ends, and returns what it
+// observed together with the engines' records.
 func (u *Upstreams) Monitor(ctx context.Context) GroundTruth {
 	t := GroundTruth{LongestGaps: map[string]time.Duration{}}
-	lastReady := map[string]time.Time{} // when a model was last seen ready
+	lastReady := map[string]time.Time{} // by model: when it was last seen ready
 	startedAt := time.Now()
 	for _, m := range u.Config.Models {
 		lastReady[m.Name] = startedAt
--- a/standin/site/place.go
+++ b/standin/site/place.go
@@ -11,10 +11,11 @@
 	"peridotpier.example/standin/engine"
 )
 
-// errNoMemory says that the deployment's initial replicas don't fit.
-var errNoMemory = errors.New("no engine has room")
+// errNoMemory means that the deployment's initial replicas don't fit on its engines.
+var errNoMemory = errors.New("no engine has enough free memory")
 
-// slot is an engine and the memory that is still free on it.
+// slot is an engine with the memory that is still free on it and the models placed
+// there.
 type slot struct {
 	engine *engine.Engine
 	pool   string
@@ -22,9 +23,10 @@
 	models map[string]bool
 }
 
-// placeInitialReplicas gives every model its initial replicas, largest first, each with its
-// adapters on the engine with the most room. It is what operators do before
-// the system first starts; the static baseline keeps it for ever.
+// placeInitialReplicas loads the initial replicas of every model, largest model first,
+// each with its adapters on the engine with the most free memory. Operators do the same
+// before the system first starts; the static baseline keeps this placement for the
+// whole run.
 func (u *Upstreams) placeInitialReplicas() error {
 	slots := u.slots()
 	models := slices.Clone(u.Config.Models)
@@ -61,7 +63,8 @@
 	return out
 }
 
-// emptiestSlot finds the engine of the model's pool with the most room that does not hold it yet.
+// emptiestSlot returns the slot with the most free memory among those of the model's
+// pool that have need MB free and don't have the model yet, or nil if there is none.
 func emptiestSlot(slots []*slot, m config.Model, need int) *slot {
 	var best *slot
 	for _, s := range slots {
--- a/standin/site/scenario.go
+++ b/standin/site/scenario.go
@@ -10,52 +10,55 @@
 	"time"
 )
 
-// StoreFaults is the platform's table service and object store, which can be made to fail.
+// StoreFaults makes the platform's table service and object store fail.
 type StoreFaults interface {
-	// OutageFor makes them unavailable for a while.
+	// StartOutage makes both unavailable for the given time.
 	StartOutage(d time.Duration)
-	// LoseAnswers makes a share of the writes take effect and be answered as in doubt.
+	// LoseAnswers makes a share of the writes take effect although their outcome is
+	// returned as unknown.
 	LoseAnswers(share float64)
 }
 
-// Targets are what a scenario acts on. Nodes and Store may be nil; steps that
-// need them are then left out.
+// Targets are the parts of a site that a scenario acts on. Hosts and Store may be nil;
+// steps that need them then do nothing.
 type Targets struct {
 	Upstreams *Upstreams
 	Hosts     HostController
 	Store     StoreFaults
 }
 
-// step is one fault at a share of the run's length.
+// step is one fault; atShare is its time as a share of the run's length.
 type step struct {
 	atShare     float64
 	description string
 	run         func(ctx context.Context, t Targets, length time.Duration) error
 }
 
-// Scenario is a named course of faults.
+// Scenario is a named sequence of faults.
 type Scenario struct {
 	Name  string
 	steps []step
 }
 
-// Fault is one step that was taken, for a run's record.
+// Fault records one step that was carried out.
 type Fault struct {
 	At          time.Duration
 	Description string
 	Err         error
 }
 
-// AllScenarios names the faults that a site must stand together.
+// AllScenarios is the name of the combination of faults that a site must withstand
+// at once.
 const AllScenarios = "all"
 
-// allScenarios are the scenarios that All stands for.
+// allScenarios are the scenarios that AllScenarios combines.
 var allScenarios = []string{"kill", "store", "answers", "silent", "crossed"}
 
-// Scenarios lists the names that FindScenario knows.
+// Scenarios returns the names that FindScenario accepts.
 func Scenarios() []string { return append(slices.Sorted(maps.Keys(scenarios())), AllScenarios) }
 
-// FindScenario finds a scenario by its name; several names joined by "+" run together.
+// FindScenario returns the scenario of a name; for several names joined by "+" it
+// returns their steps combined. An unknown name is an error.
 func FindScenario(name string) (Scenario, error) {
 	out := Scenario{Name: name}
 	known := scenarios()
@@ -73,7 +76,8 @@
 	return out, nil
 }
 
-// Run takes the steps at their times and returns what was done.
+// Run carries out the steps at their times in a run of the given length, until ctx
+// ends, and returns the steps that it carried out.
 func (s Scenario) Run(ctx context.Context, t Targets, length time.Duration) []Fault {
 	startedAt := time.Now()
 	var done []Fault
@@ -90,8 +94,8 @@
 	return done
 }
 
-// orderDelay is how late a delayed order arrives: longer than a planner waits
-// for an answer, within the bound that the site states.
+// orderDelay is the delay of a late order: longer than a planner waits for an answer,
+// but within the bound that the site states.
 const orderDelay = 8 * time.Second
 
 func scenarios() map[string][]step {
@@ -184,7 +188,8 @@
 	return nil
 }
 
-// storeOutageDuration is how long the store is down; a short run has it down for a third.
+// storeOutageDuration is the duration of a store outage; in a short run the outage
+// takes a third of the run.
 const storeOutageDuration = 20 * time.Second
 
 func failStore(_ context.Context, t Targets, length time.Duration) error {
@@ -194,7 +199,7 @@
 	return nil
 }
 
-// lostAnswerShare is the share of the store's answers that are lost.
+// lostAnswerShare is the share of the store's answers that get lost.
 const lostAnswerShare = 0.05
 
 func loseStoreAnswers(_ context.Context, t Targets, _ time.Duration) error {
--- a/standin/site/scenario_test.go
+++ b/standin/site/scenario_test.go
@@ -9,13 +9,13 @@
 	"peridotpier.example/standin/site"
 )
 
-// A run under a misspelt scenario would pass without a fault.
+// A run with a misspelt scenario would pass because no fault is injected.
 func TestScenarioIsFoundByNameOrRefused(t *testing.T) {
 	_, err := site.FindScenario("orders+restrat")
 	assert.ErrorContains(t, err, "restrat")
 }
 
-// Every scenario must do to the upstreams what its steps say, in their order.
+// Every scenario must carry out its steps on the upstreams, in their order.
 func TestScenariosTakeTheirSteps(t *testing.T) {
 	u, err := builtIn(t, "kathmandu").Start(site.StartOptions{Seed: 1})
 	assert.NilError(t, err)
@@ -31,6 +31,6 @@
 	after := u.Engines[0].ActualState()
 	assert.Assert(t, after.Incarnation != before)
 	assert.Equal(t, len(after.Residents), 0)
-	assert.Assert(t, !after.Draining) // "restart" comes after "leave", and a new process doesn't leave
+	assert.Assert(t, !after.Draining) // "restart" runs after "leave", and the new process is not draining
 	assert.Assert(t, u.Engines[2].ActualState().Incarnation != "")
 }
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -1,7 +1,7 @@
-// Package site describes a site to be imitated: its deployment configuration,
-// how fast and how late its upstreams are, how far apart things lie, and the
-// demand of its callers. It starts the upstreams on loopback and measures
-// what is true of them, so that a bench of real nodes can be run and judged.
+// Package site describes a site to simulate: its deployment configuration, the speed
+// and the report lag of its upstreams, the network distances, and the demand of its
+// callers. It starts the simulated upstreams on loopback and observes their actual
+// state, so that a benchmark of real nodes can be run and evaluated.
 package site
 
 import (
@@ -23,14 +23,14 @@
 	"peridotpier.example/standin/load"
 )
 
-// Clients is the place of callers in a Distance.
+// Clients is the name of the callers' location in a Distance.
 const Clients = "clients"
 
-// Site is one site file.
+// Site is the content of one site file.
 type Site struct {
 	Deployment config.Config `json:"deployment"`
 	EntryHosts int           `json:"entry_hosts"`
-	KeyPrefix  string        `json:"key_prefix"` // a team's API key is this and its name
+	KeyPrefix  string        `json:"key_prefix"` // a team's API key is this prefix followed by the team's name
 	Distances  []Distance    `json:"distances"`
 	Engines    Engines       `json:"engines"`
 	Services   []Service     `json:"services"`
@@ -38,49 +38,49 @@
 	Demand     Demand        `json:"demand"`
 }
 
-// Distance is the round trip between two data centres, or a data centre and
-// the clients, in milliseconds; it holds both ways.
+// Distance is the round-trip time between two data centres, or between a data centre
+// and the clients, in milliseconds. It applies in both directions.
 type Distance struct {
 	From string  `json:"from"`
 	To   string  `json:"to"`
 	Ms   float64 `json:"ms"`
 }
 
-// Engines states how the site's model engines behave. Their names, memory,
-// batch, fencing and the models' speeds stand in the deployment.
+// Engines describes the behaviour of the site's model engines. Their names, memory,
+// batch size and fencing, and the speeds of the models, are given in the deployment.
 type Engines struct {
-	MBPerSecond      int     `json:"mb_per_second"`      // one load's speed
-	UnloadMs         int     `json:"unload_ms"`          // until memory is free
-	BatchSlope       float64 `json:"batch_slope"`        // share of the step time that each further stream adds
-	PrefillUsToken   int     `json:"prefill_us_token"`   // microseconds for one prompt token
-	PrefixSlots      int     `json:"prefix_slots"`       // cached prefixes
-	PrefixSavedShare float64 `json:"prefix_saved"`       // share of prefill that a cached prefix saves
-	MaxQueue         int     `json:"queue_max"`          // waiting requests
-	ReportIntervalMs int     `json:"report_every_ms"`    // of reports
-	ReportLagMs      int     `json:"report_lag_ms"`      // how late reports are
-	EventLagMs       int     `json:"event_lag_ms"`       // of cache events
-	EventLoss        float64 `json:"event_loss"`         // share of cache events that never come
-	ResumeWindowMs   int     `json:"resume_for_ms"`      // how long a stream without a reader goes on
-	OrderMaxDelayMs  int     `json:"orders_late_max_ms"` // how late an order may come that is given up as lost
+	MBPerSecond      int     `json:"mb_per_second"`      // speed of one load
+	UnloadMs         int     `json:"unload_ms"`          // time until the memory of an unloaded model is free
+	BatchSlope       float64 `json:"batch_slope"`        // increase of the step time per further stream, as a share of that of one stream
+	PrefillUsToken   int     `json:"prefill_us_token"`   // microseconds per prompt token
+	PrefixSlots      int     `json:"prefix_slots"`       // number of cached prefixes
+	PrefixSavedShare float64 `json:"prefix_saved"`       // share of the prefill time that a cached prefix saves
+	MaxQueue         int     `json:"queue_max"`          // bound on waiting requests; 0: the engine's default
+	ReportIntervalMs int     `json:"report_every_ms"`    // between reports
+	ReportLagMs      int     `json:"report_lag_ms"`      // delay of reports
+	EventLagMs       int     `json:"event_lag_ms"`       // delay of cache events
+	EventLoss        float64 `json:"event_loss"`         // share of cache events that get lost
+	ResumeWindowMs   int     `json:"resume_for_ms"`      // how long a stream without a reader continues
+	OrderMaxDelayMs  int     `json:"orders_late_max_ms"` // largest delay at which an order given up as lost may still arrive
 }
 
-// Service states how the instances of one plain service behave.
+// Service describes the behaviour of the instances of one plain service.
 type Service struct {
-	Name             string         `json:"name"` // as in the deployment
-	Ms               int            `json:"ms"`   // time of a call that no route names
+	Name             string         `json:"name"` // name of the service in the deployment
+	Ms               int            `json:"ms"`   // duration of a call that matches no route
 	ReportIntervalMs int            `json:"report_every_ms"`
 	ReportLagMs      int            `json:"report_lag_ms"`
 	Routes           []ServiceRoute `json:"routes"`
 }
 
-// ServiceRoute states how long calls to a part of a service take.
+// ServiceRoute is the duration of the calls whose method and path prefix match.
 type ServiceRoute struct {
-	Method string `json:"method"` // "*" for any
+	Method string `json:"method"` // "*" matches any method
 	Prefix string `json:"prefix"`
 	Ms     int    `json:"ms"`
 }
 
-// Store states the limits of table service and object store.
+// Store describes the limits and delays of the simulated platform services.
 type Store struct {
 	WritesPerSecond float64 `json:"writes_per_second"`
 	ReadsPerSecond  float64 `json:"reads_per_second"`
@@ -91,7 +91,7 @@
 //go:embed sites/*.json
 var sites embed.FS
 
-// Load reads a built-in site by its name, or a site file.
+// Load reads a built-in site by its name, or else the site file of that path.
 func Load(name string) (*Site, error) {
 	data, err := sites.ReadFile("sites/" + name + ".json")
 	if err != nil {
@@ -104,7 +104,7 @@
 	return s, eris.Wrapf(err, "site %s", name)
 }
 
-// Parse reads a site file; an unknown field is an error that names it.
+// Parse decodes and validates a site file. An unknown field is an error that names it.
 func Parse(data []byte) (*Site, error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
@@ -118,7 +118,8 @@
 	return &s, s.validate()
 }
 
-// validate finds what would make a run mean something else than the file says.
+// validate returns the faults because of which a run would not be what the file
+// describes, such as names that the deployment doesn't have.
 func (s *Site) validate() error {
 	var errs []error
 	addError := func(format string, args ...any) { errs = append(errs, eris.Errorf(format, args...)) }
@@ -149,10 +150,11 @@
 	return errors.Join(errs...)
 }
 
-// TeamKey is a team's API key.
+// TeamKey returns the API key of a team.
 func (s *Site) TeamKey(team string) string { return s.KeyPrefix + team }
 
-// RoundTrip is the distance between two places; within one it is 0.
+// RoundTrip returns the round-trip time between two locations; it is 0 within one
+// location and where the site states no distance.
 func (s *Site) RoundTrip(from, to string) time.Duration {
 	for _, d := range s.Distances {
 		if (d.From == from && d.To == to) || (d.From == to && d.To == from) {
@@ -162,12 +164,12 @@
 	return 0
 }
 
-// EntryDataCentre is the data centre of the i-th entry host.
+// EntryDataCentre returns the data centre of the entry host with index i.
 func (s *Site) EntryDataCentre(i int) string {
 	return s.Deployment.DataCentres[i%len(s.Deployment.DataCentres)]
 }
 
-// Accelerators counts those of all engines.
+// Accelerators returns the number of accelerators of all upstreams.
 func (s *Site) Accelerators() int {
 	n := 0
 	for _, u := range s.Deployment.Upstreams {
@@ -176,7 +178,8 @@
 	return n
 }
 
-// Plan draws the arrivals of a run of the given length.
+// Plan draws the arrivals of a run of the given length; the seed makes them
+// reproducible.
 func (s *Site) Plan(seed uint64, length time.Duration) ([]load.Arrival, error) {
 	sources, err := s.Sources(length)
 	if err != nil {
@@ -187,7 +190,7 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// callableModels lists the models and adapters that a team may call, base models first.
+// callableModels returns the models and adapters that a team may call, models first.
 func (s *Site) callableModels(t *config.Team) []string {
 	var names []string
 	for _, m := range s.Deployment.Models {
--- a/standin/site/site_test.go
+++ b/standin/site/site_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// A bench says that a model is unreachable when no call to it came through.
-// A model that nobody calls would pass unnoticed, so every one must be called.
+// A benchmark notices that calls to a model fail only if the demand calls it, so the
+// demand must reach every model and adapter.
 func TestDemandReachesEveryModel(t *testing.T) {
 	for _, name := range []string{"taipei", "kathmandu"} {
 		s := builtIn(t, name)
@@ -73,8 +73,8 @@
 	}
 }
 
-// A misspelt field would leave its default in force, and the run would
-// measure another site than the file seems to say.
+// If a misspelt field were accepted, its default would apply, and the run would
+// measure another site than the file describes.
 func TestUnknownFieldIsNamed(t *testing.T) {
 	data, err := os.ReadFile("sites/taipei.json")
 	assert.NilError(t, err)
@@ -124,8 +124,8 @@
 	assert.Assert(t, s.AttainmentBound(many) < 0.9)
 }
 
-// The site files repeat the deployments of examples/; were the two to drift
-// apart, a bench would measure a deployment that nobody is shown.
+// The site files repeat the deployments of examples/. If the two differed, benchmarks
+// would measure a deployment that is not the published example.
 func TestDeploymentsAreThoseOfTheExamples(t *testing.T) {
 	for _, name := range []string{"taipei", "kathmandu"} {
 		data, err := os.ReadFile("../../examples/" + name + "/config.json")
@@ -136,10 +136,10 @@
 	}
 }
 
-// Symptom: callers are refused over their team's limit on an ordinary day.
-// Sequence: a team's demand bursts as its site says it does.
-// Cause: the limit was set below the team's own peak. Limits are there to hold
-// back floods; a third to spare allows for chance and for the hosts' shares.
+// Symptom: callers are refused because of their team's limit on an ordinary day.
+// Sequence: a team's demand bursts as the site file describes.
+// Cause: the limit is below the team's own peak. Limits are meant against floods; a
+// reserve of a third allows for random variation and for the hosts' shares of a limit.
 func TestTeamLimitsLeaveThePeaksThrough(t *testing.T) {
 	for _, name := range []string{"taipei", "kathmandu"} {
 		s := builtIn(t, name)
--- a/standin/site/upstreams.go
+++ b/standin/site/upstreams.go
@@ -14,28 +14,30 @@
 	"peridotpier.example/standin/wire"
 )
 
-// StartOptions of starting a site's upstreams.
+// StartOptions are the options of Site.Start.
 type StartOptions struct {
 	Seed    uint64
-	Weights engine.Weights // nil: loads need no grant
-	// Oracle makes every report true and immediate: what a policy reaches then
-	// is the upper bound of what it could reach with lagged reports.
+	Weights engine.Weights // grants loads from the weight store; nil: loads need no grant
+	// Oracle makes every report current and immediate: what a policy reaches then is
+	// an upper bound of what it can reach with reports that lag.
 	Oracle bool
-	// Empty leaves out the initial placement, for policies that load on demand.
+	// SkipPlacement omits the initial placement, for policies that load on demand.
 	SkipPlacement bool
 }
 
-// Upstreams are a site's engines and plain services, running on loopback.
+// Upstreams are the simulated engines and plain services of a site, which run on
+// loopback.
 type Upstreams struct {
 	Site        *Site
-	Config      config.Config // the deployment with the true addresses
+	Config      config.Config // the deployment with the actual addresses
 	Engines     []*engine.Engine
 	Services    []*service.Service
 	startedAt   time.Time
 	dataCentres map[string]string // data centre by address
 }
 
-// Start starts all upstreams of the site.
+// Start starts all upstreams of the site and, unless skipped, places the initial
+// replicas. On an error nothing is left running.
 func (s *Site) Start(opt StartOptions) (*Upstreams, error) {
 	u := &Upstreams{Site: s, Config: s.Deployment, startedAt: time.Now(), dataCentres: map[string]string{}}
 	u.Config.Upstreams = slices.Clone(s.Deployment.Upstreams)
@@ -90,7 +92,8 @@
 	return nil
 }
 
-// tokenTimes is the time of one token of a stream alone, by model and adapter.
+// tokenTimes returns, by model and adapter, the time per token of a stream that runs
+// alone.
 func (s *Site) tokenTimes() map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for _, m := range s.Deployment.Models {
@@ -139,7 +142,7 @@
 	return ""
 }
 
-// Close stops everything.
+// Close stops all engines and services.
 func (u *Upstreams) Close() {
 	for _, e := range u.Engines {
 		e.Close()
@@ -149,7 +152,7 @@
 	}
 }
 
-// Hosts are the upstreams as the platform lists them.
+// Hosts returns the upstreams as entries of the platform's host list.
 func (u *Upstreams) Hosts() []store.Host {
 	var out []store.Host
 	for _, up := range u.Config.Upstreams {
@@ -158,12 +161,13 @@
 	return out
 }
 
-// Dialer opens connections from a data centre to upstreams at their distance.
+// Dialer returns a dialer from a data centre to the upstreams that imitates the
+// round-trip times.
 func (u *Upstreams) Dialer(from string) *wire.Dialer {
 	return &wire.Dialer{RoundTrip: func(address string) time.Duration { return u.Site.RoundTrip(from, u.dataCentres[address]) }}
 }
 
-// Engine finds an engine by name.
+// Engine returns the engine of the given name; an unknown name is an error.
 func (u *Upstreams) Engine(name string) (*engine.Engine, error) {
 	for _, e := range u.Engines {
 		if e.Name() == name {
@@ -173,7 +177,7 @@
 	return nil, eris.Errorf("no engine %q", name)
 }
 
-// Effects are all executions that the upstreams recorded.
+// Effects returns all executions that the upstreams recorded.
 func (u *Upstreams) Effects() []load.Effect {
 	var out []load.Effect
 	for _, e := range u.Engines {
