--- a/standin/local/badinput_test.go
+++ b/standin/local/badinput_test.go
@@ -51,15 +51,17 @@
 	return c.Conn.Close()
 }
 
-// badInputFixture is a node with short bounds, to be sent what callers should not send.
+// badInputFixture is a node with short timeouts, to which tests send malformed or slow
+// requests.
 type badInputFixture struct {
 	*fixture
 	dialer countingDialer
-	ca     *pki.Authority // nil: plain TCP
+	ca     *pki.Authority // nil: without TLS
 	client *http.Client
 }
 
-// stepTimeout bounds a step that must end by itself; it is not what is measured.
+// stepTimeout is the longest wait for a step that must end by itself; it is no aim of a
+// test.
 const stepTimeout = 20 * time.Second
 
 func newBadInputFixture(t *testing.T, secure bool) *badInputFixture {
@@ -71,7 +73,7 @@
 		assert.NilError(t, err)
 	}
 	r.fixture = newFixture(t, engine.Config{TokenTime: slowEngine.TokenTime, ResumeWindow: 50 * time.Millisecond}, func(c *local.NodeConfig) {
-		c.Settings.Bounds.ReportEveryMs = int((24 * time.Hour).Milliseconds()) // no questions but the first: they keep connections of their own
+		c.Settings.Bounds.ReportEveryMs = int((24 * time.Hour).Milliseconds()) // only the first poll: polls would keep connections of their own
 		c.Dialer, c.HeadBound, c.BodyBound = &r.dialer, 250*time.Millisecond, 250*time.Millisecond
 		if secure {
 			c.Files = local.NewKeyFiles()
@@ -87,9 +89,9 @@
 	return r
 }
 
-// connect opens a connection, with TLS where the host asks for it. The bound of
-// a head holds for a handshake too, and on a busy machine one may take longer;
-// it is not what is tested, so another connection is tried.
+// connect opens a connection, with TLS if the host uses it. The timeout of a request's
+// head also applies to the handshake, which may take longer on a busy machine. The
+// handshake is not under test, so connect retries it on another connection.
 func (r *badInputFixture) connect() net.Conn {
 	r.t.Helper()
 	for end := time.Now().Add(stepTimeout); ; {
@@ -117,8 +119,8 @@
 	return c
 }
 
-// drip sends a byte now and then until the host ends the connection, and
-// returns what it had to say.
+// drip sends single bytes at intervals until the host closes the connection, and returns
+// what the host sent.
 func (r *badInputFixture) drip(c net.Conn) string {
 	r.t.Helper()
 	stop := make(chan struct{})
@@ -131,7 +133,7 @@
 				tick.Stop()
 				return
 			case <-tick.C:
-				_, _ = c.Write([]byte("a")) // fails once the host has ended it
+				_, _ = c.Write([]byte("a")) // fails once the host has closed it
 			}
 		}
 	}()
@@ -140,7 +142,7 @@
 	<-stopped
 	_ = c.Close()
 	timeout, ok := err.(net.Error)
-	assert.Assert(r.t, !ok || !timeout.Timeout(), "the host keeps a connection that drips; it said %q", text)
+	assert.Assert(r.t, !ok || !timeout.Timeout(), "the host keeps a connection that only drips; it sent %q", text)
 	return string(text)
 }
 
@@ -148,10 +150,11 @@
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n%s\r\n", method, path, key, rest)
 }
 
-// postChunked posts a body without a length.
+// postChunked sends a request whose body has no declared length, and returns status and
+// body of the answer.
 func (r *badInputFixture) postChunked(method, path string, body io.Reader) (int, string, error) {
 	r.t.Helper()
-	req, err := http.NewRequest(method, r.base+path, io.MultiReader(body)) // its type tells no length
+	req, err := http.NewRequest(method, r.base+path, io.MultiReader(body)) // hides the length from net/http
 	assert.NilError(r.t, err)
 	req.Header.Set("Authorization", "Bearer "+teamKey)
 	req.Header.Set("Idempotency-Key", "big")
@@ -177,12 +180,12 @@
 	return resp
 }
 
-// Symptom: a host runs out of connections, memory or goroutines, or engines
-// work for nobody, after callers sent what they should not.
-// Sequence: heads too large or too slow, bodies too large or too slow, callers
-// that hang up in the middle, each several times.
-// Cause: something waits for the rest without a bound, or is not told that
-// nobody waits any more.
+// Symptom: a host runs out of connections, memory or goroutines, or engines work for no
+// caller, after callers sent malformed or slow requests.
+// Sequence: heads and bodies that are too large or too slow, and callers that hang up in
+// the middle, each several times.
+// Cause: some part waits for the remainder without a timeout, or is not notified that
+// the caller is gone.
 func TestBadInputLeavesNothingBehind(t *testing.T) {
 	for _, transport := range []struct {
 		name   string
@@ -190,7 +193,7 @@
 	}{{"plain", false}, {"TLS", true}} {
 		t.Run(transport.name, func(t *testing.T) {
 			r := newBadInputFixture(t, transport.secure)
-			r.sendBadInput() // once before the count, so that pools have what they keep
+			r.sendBadInput() // once before the count, so that pools are filled
 			poll.WaitOn(t, r.idle())
 			goroutines, upstream := runtime.NumGoroutine(), r.dialer.open.Load()
 			for range 4 {
@@ -211,7 +214,7 @@
 	}
 }
 
-// idle waits until nothing runs, here or at the engine.
+// idle waits until no request is in flight at the node and no attempt runs at the engine.
 func (r *badInputFixture) idle() poll.Check {
 	return func(poll.LogT) poll.Result {
 		if here, there := r.node.Status().InFlight, r.eng.ActualState().Running; here+there > 0 {
@@ -226,9 +229,9 @@
 	t.Helper()
 	const notes, queries, chats = "/v1/services/stock/notes", "/v1/services/stock/q", "/v1/chat/completions"
 
-	// A header bomb: the host answers and hangs up without reading it all.
+	// An oversized header: the host answers and hangs up without reading all of it.
 	bomb := r.sendRaw("GET /v1/models HTTP/1.1\r\nHost: x\r\nX-Bomb: " + strings.Repeat("b", 30<<10))
-	text, _ := io.ReadAll(bomb) // its end may be a reset, for not all was read
+	text, _ := io.ReadAll(bomb) // may end with a reset, since the host did not read everything
 	_ = bomb.Close()
 	assert.Assert(t, strings.HasPrefix(string(text), "HTTP/1.1 431 "), string(text))
 
@@ -246,12 +249,12 @@
 	const tooMuch = 2 << 20
 	for _, c := range []struct{ method, path string }{{"POST", chats}, {"POST", notes}, {"GET", queries}} {
 		status, answer, err := r.postChunked(c.method, c.path, io.LimitReader(zeros{}, tooMuch))
-		if err == nil { // else the host hung up, which ends it as well
+		if err == nil { // otherwise the host hung up, which ends the request as well
 			assert.Equal(t, status, http.StatusRequestEntityTooLarge, "%s %s: %s", c.method, c.path, answer)
 		}
 	}
 
-	// Callers that hang up in the middle of a body, held or passed on.
+	// Callers that hang up in the middle of a body that is buffered or forwarded.
 	_ = r.sendRaw(head("POST", chats, teamKey, "Content-Length: 1000\r\n") + "{").Close()
 	_ = r.sendRaw(head("POST", notes, teamKey, "Idempotency-Key: k\r\nTransfer-Encoding: chunked\r\n") + "4\r\nnote\r\n").Close()
 	_ = r.sendRaw(head("GET", queries, teamKey, "Transfer-Encoding: chunked\r\n") + "4\r\nnote\r\n").Close()
@@ -261,7 +264,7 @@
 	poll.WaitOn(t, r.idle())
 }
 
-// zeros is a body without an end.
+// zeros is an endless body of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) { clear(p); return len(p), nil }
--- a/standin/local/check.go
+++ b/standin/local/check.go
@@ -8,11 +8,12 @@
 	"peridotpier.example/standin/load"
 )
 
-// historyOK is the verdict on a history that can be explained.
+// historyOK is the result of checkHistory for a history without contradictions.
 const historyOK = "ok"
 
-// checkHistory verifies the calls that may not be repeated against what the
-// upstreams executed, as a history of a register that is written at most once.
+// checkHistory checks the calls that may not be repeated against the executions of the
+// upstreams, as a history of a register that is written at most once. It returns
+// historyOK or a description of the contradiction.
 func checkHistory(r *load.Result, effects []load.Effect) string {
 	var calls []history.Invocation
 	for _, v := range r.Invocations {
@@ -37,8 +38,8 @@
 	return historyOK
 }
 
-// invocation is a call with all of its tries under one key. It claims "not
-// run" only when each of them did: one that got no word may have run.
+// invocation converts a call with all of its tries under one key. Its outcome is
+// NotRun only if each try was answered so: a try without an answer may have run.
 func invocation(v *load.Invocation) history.Invocation {
 	i := history.Invocation{ID: v.Arrival.ID, Key: v.Arrival.Source.Team + "/" + v.Key, Start: v.Started.UnixNano(), End: v.Returned.UnixNano(),
 		Outcome: outcome.Unknown}
--- a/standin/local/faults_test.go
+++ b/standin/local/faults_test.go
@@ -17,10 +17,11 @@
 	"peridotpier.example/standin/engine"
 )
 
-// slowEngine is an engine whose streams last long enough to be broken.
+// slowEngine is an engine whose streams last long enough for a test to break them.
 var slowEngine = engine.Config{TokenTime: 5 * time.Millisecond}
 
-// openStream starts a stream and reads its first events.
+// openStream starts a stream and reads the given number of events. It returns the
+// response, the reader for the remainder, and the text read.
 func (p *fixture) openStream(ctx context.Context, base, body string, events int) (*http.Response, *bufio.Reader, string) {
 	p.t.Helper()
 	req, err := http.NewRequestWithContext(ctx, "POST", base+"/v1/chat/completions", strings.NewReader(body))
@@ -44,8 +45,8 @@
 
 // Symptom: a caller's stream ends early, or repeats or lacks tokens.
 // Sequence: the connection to the engine breaks after every few tokens.
-// Cause: a broken connection is taken for the end, or the rest is asked for
-// from the wrong position.
+// Cause: a broken connection is treated as the end of the stream, or the remainder is
+// requested from the wrong position.
 func TestABrokenStreamIsResumedByteForByte(t *testing.T) {
 	p := newFixture(t, engine.Config{})
 	body := fmt.Sprintf(chat, true, 40)
@@ -56,10 +57,10 @@
 	assert.Equal(t, broken, unbroken)
 }
 
-// Symptom: a stream stands still for ever although its engine goes on.
-// Sequence: tokens flow; the connection goes silent without being closed; new
+// Symptom: a stream hangs for ever although its engine continues.
+// Sequence: tokens flow; the connection becomes unresponsive without being closed; new
 // connections work.
-// Cause: something between the two ends lost track of the connection.
+// Cause: a device between the two ends lost track of the connection.
 func TestASilentConnectionIsReplacedInMidStream(t *testing.T) {
 	p := newFixture(t, slowEngine)
 	body := fmt.Sprintf(chat, true, 60)
@@ -73,15 +74,15 @@
 }
 
 // Symptom: a caller gets another caller's answer, or part of it.
-// Sequence: the engine writes another attempt's event into a stream, time and
-// again, while several callers are served.
+// Sequence: the engine repeatedly writes events of another attempt into a stream, while
+// several callers are served.
 // Cause: an answer is matched to a request by its connection alone.
 func TestACrossedAnswerNeverReachesACaller(t *testing.T) {
 	p := newFixture(t, slowEngine)
 	long, _, _ := p.openStream(t.Context(), p.base, fmt.Sprintf(chat, true, 400), 1)
 	defer func() { _ = long.Body.Close() }()
-	// Two prompts take turns: what is crossed comes from the attempt before,
-	// and must not happen to be the same answer.
+	// Two prompts alternate: a mismatched event comes from the attempt before, whose
+	// answer must differ.
 	const prompt = `{"model":"m","stream":true,"max_tokens":20,"messages":[{"role":"user","content":"%s"}]}`
 	bodies := []string{fmt.Sprintf(prompt, "mine"), fmt.Sprintf(prompt, "theirs")}
 	var own []string
@@ -96,12 +97,12 @@
 		assert.Equal(t, status, http.StatusOK)
 		assert.Equal(t, got, own[i%2])
 	}
-	assert.Assert(t, p.eng.Records().Mismatched > 0, "nothing was crossed: the test shows nothing")
+	assert.Assert(t, p.eng.Records().Mismatched > 0, "no answer was mismatched: the test shows nothing")
 }
 
 // Symptom: a stream that lost its engine looks complete.
-// Sequence: some tokens were relayed; the engine's process restarts.
-// Cause: the end of the connection is taken for the end of the stream.
+// Sequence: some tokens are forwarded; then the engine's process restarts.
+// Cause: the end of the connection is treated as the end of the stream.
 func TestAStreamWhoseEngineDiedEndsWithATypedError(t *testing.T) {
 	p := newFixture(t, slowEngine)
 	resp, r, _ := p.openStream(t.Context(), p.base, fmt.Sprintf(chat, true, 400), 5)
@@ -115,10 +116,10 @@
 }
 
 // Symptom: a dispatch note is packed twice, or never.
-// Sequence: a call that may not be repeated reaches the service, or does not;
-// its answer is lost; the caller waits.
-// Cause: a lost answer is taken for a call that did not run, or for one that did.
-func TestALostAnswerIsSettledByTheUpstream(t *testing.T) {
+// Sequence: a call that may not be repeated reaches the service, or does not; its answer
+// is lost; the caller waits.
+// Cause: a call whose answer is lost is treated as not run, or as run.
+func TestALostAnswerIsResolvedByTheUpstream(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		lose func(p *fixture)
@@ -141,9 +142,10 @@
 	}
 }
 
-// Symptom: requests fail while an upstream goes away, or go to it for long.
-// Sequence: the only engine starts to leave between two reports.
-// Cause: the platform's list and the reports lag behind the upstream's own word.
+// Symptom: requests fail while an upstream drains, or are sent to it for a long time.
+// Sequence: the only engine starts to drain between two reports.
+// Cause: the upstream's refusal is ignored; the platform's list and the reports lag
+// behind it.
 func TestALeavingUpstreamsRefusalCountsAtOnce(t *testing.T) {
 	p := newFixture(t, engine.Config{})
 	p.eng.Drain()
@@ -157,9 +159,9 @@
 }
 
 // Symptom: a caller whose entry host died loses its answer.
-// Sequence: a stream runs through one host; the caller's connection breaks; it
-// shows its resume token to another host.
-// Cause: the state of a stream is kept on one host.
+// Sequence: a stream runs through one host; the caller's connection breaks; the caller
+// presents its resume token to another host.
+// Cause: the state of a stream is kept on one host only.
 func TestAStreamIsResumedThroughAnotherHost(t *testing.T) {
 	p := newFixture(t, slowEngine)
 	other := p.startNode("n2")
@@ -181,9 +183,9 @@
 	p.base = first
 }
 
-// Symptom: a restart of a host cuts streams or whole answers.
-// Sequence: one of each runs; the host is told to stop; both go on.
-// Cause: the listener's end is taken for the end of what it accepted.
+// Symptom: a restart of a host cuts streams or complete answers.
+// Sequence: one of each is in progress; the host is asked to stop.
+// Cause: closing the listener also ends the connections that it accepted.
 func TestAGracefulShutdownCutsNothing(t *testing.T) {
 	p := newFixture(t, slowEngine)
 	body := fmt.Sprintf(chat, true, 200)
@@ -195,7 +197,7 @@
 		wholeAnswer <- text
 	}()
 	poll.WaitOn(t, func(l poll.LogT) poll.Result {
-		if len(wholeAnswer) > 0 { // on a machine so slow that it ran between two looks
+		if len(wholeAnswer) > 0 { // the request may complete between two checks on a slow machine
 			return poll.Success()
 		}
 		return p.runningAttempts(2)(l)
@@ -211,8 +213,8 @@
 }
 
 // Symptom: engines work for callers that are gone.
-// Sequence: a caller asks for a whole answer and hangs up, or cancels a stream.
-// Cause: nobody tells the engine.
+// Sequence: a caller requests a complete answer and hangs up, or cancels a stream.
+// Cause: the attempt at the engine is not cancelled.
 func TestWorkThatNobodyWaitsForIsCancelled(t *testing.T) {
 	p := newFixture(t, slowEngine)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -246,10 +248,10 @@
 	}
 }
 
-// Symptom: urgent requests miss their deadline whenever connections go silent.
-// Sequence: open connections to the engine go silent; a request with little
+// Symptom: urgent requests miss their deadline whenever connections become unresponsive.
+// Sequence: open connections to the engine become unresponsive; a request with little
 // time left is sent on one of them; new connections work.
-// Cause: the silence is looked into only after a time that fits long streams.
+// Cause: an unresponsive connection is probed only after a time that suits long streams.
 func TestASilentConnectionIsFoundWithinTheDeadline(t *testing.T) {
 	p := newFixture(t, engine.Config{}, noIdleProbe)
 	status, _, body := p.do("POST", "/v1/chat/completions", teamKey, fmt.Sprintf(chat, false, 5))
--- a/standin/local/fleet.go
+++ b/standin/local/fleet.go
@@ -19,7 +19,7 @@
 	fake "peridotpier.example/standin/platform"
 )
 
-// The fleet that the design is for, on which smaller ones are modelled.
+// Dimensions of the fleet that the design is for; smaller fleets are modelled on it.
 const (
 	fleetModels      = 720
 	fleetDataCentres = 7
@@ -27,19 +27,19 @@
 	residentMB       = 30_000
 	fleetTeams       = 60
 	startBatchSize   = 20
-	startBatchPause  = 2 * time.Second // between batches, for their links to settle
+	startBatchPause  = 2 * time.Second // between batches, so that their links are established
 )
 
-// FleetOptions size a fleet.
+// FleetOptions are the size of a fleet and the extent of its measurement.
 type FleetOptions struct {
 	Nodes          int
 	Upstreams      int
-	SteadyDuration time.Duration // how long the steady state is measured
-	ChangeCount    int           // changes of preset to time
+	SteadyDuration time.Duration // duration of the measurement of the steady state
+	ChangeCount    int           // number of preset changes, and of draining upstreams, to time
 	Progress       func(format string, args ...any)
 }
 
-// Fleet is a number of nodes without traffic, before upstreams that only report.
+// Fleet is a number of nodes without traffic, with upstreams that only serve reports.
 type Fleet struct {
 	opt         FleetOptions
 	upstreams   *ReportOnlyUpstreams
@@ -52,31 +52,32 @@
 	nodes       []*Node
 }
 
-// FleetReport is what a fleet cost and how fast it was.
+// FleetReport gives the resource use of a fleet and the times until its nodes notice
+// changes. Traffic, reads, writes and reports are per second.
 type FleetReport struct {
 	Nodes                         int       `json:"nodes"`
 	Upstreams                     int       `json:"upstreams"`
 	DocumentBytes                 int       `json:"document_bytes"`
 	StartSeconds                  float64   `json:"start_s"`                // until every node was ready
-	MembersKnownSeconds           float64   `json:"members_known_s"`        // after that, until every node knew every other
+	MembersKnownSeconds           float64   `json:"members_known_s"`        // from then until every node knew every other
 	PeerBytes                     float64   `json:"peer_bytes_s_node"`      // sent and received between hosts
-	PollBytes                     float64   `json:"poll_bytes_s_node"`      // with upstreams
+	PollBytes                     float64   `json:"poll_bytes_s_node"`      // sent and received between nodes and upstreams
 	TableReads                    float64   `json:"table_reads_s"`          // of all nodes together
 	TableWrites                   float64   `json:"table_writes_s"`         // of all nodes together
 	ReportsServed                 float64   `json:"reports_s"`              // of all nodes together
-	CPUShare                      float64   `json:"cpu_share_node"`         // of a core, with the stand-ins' part
-	HeapKB                        float64   `json:"heap_kb_node"`           // live heap and stacks
-	PresetInForce                 Quantiles `json:"in_force_ms"`            // from the change's acceptance, over nodes and changes
-	DocumentInForce               Quantiles `json:"document_in_force_ms"`   // the same for a new document
-	DrainingKnown                 Quantiles `json:"leaving_known_ms"`       // from the upstream's report, over nodes
-	KilledKnown                   Quantiles `json:"killed_known_ms"`        // a tenth killed at once, over survivors
-	PresetInForceAfterKill        Quantiles `json:"in_force_after_kill_ms"` // a change right after that
-	PresetInForceAfterCut         Quantiles `json:"in_force_after_cut_ms"`  // in a data centre that was cut off, from its return
+	CPUShare                      float64   `json:"cpu_share_node"`         // share of a core, including the share of the stand-ins
+	HeapKB                        float64   `json:"heap_kb_node"`           // live heap and stacks, including those of the stand-ins
+	PresetInForce                 Quantiles `json:"in_force_ms"`            // from the acceptance of a preset change, over nodes and changes
+	DocumentInForce               Quantiles `json:"document_in_force_ms"`   // from the acceptance of a new document, over nodes
+	DrainingKnown                 Quantiles `json:"leaving_known_ms"`       // from when an upstream starts to report that it drains, over nodes and upstreams
+	KilledKnown                   Quantiles `json:"killed_known_ms"`        // until the survivors know that a tenth of the nodes was killed at once
+	PresetInForceAfterKill        Quantiles `json:"in_force_after_kill_ms"` // for a preset change right after the killing
+	PresetInForceAfterCut         Quantiles `json:"in_force_after_cut_ms"`  // in a data centre that was isolated, from the end of its isolation
 	PresetInForceAfterStoreOutage Quantiles `json:"in_force_after_store_ms"`
 	ReadyThroughStoreOutage       bool      `json:"ready_through_store_outage"`
 }
 
-// Quantiles are in milliseconds.
+// Quantiles are quantiles of measured times, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
@@ -120,8 +121,8 @@
 		}
 		f.nodes = append(f.nodes, n)
 	}
-	// Hosts of a fleet have machines of their own; on this one a start of all
-	// at once would only show how long it takes to share the processors.
+	// The hosts of a real fleet have machines of their own. Starting all of them at
+	// once on this machine would only show how long sharing its processors takes.
 	started := 0
 	for batch := range slices.Chunk(f.nodes, startBatchSize) {
 		started += len(batch)
@@ -157,7 +158,8 @@
 	return n, err
 }
 
-// dataCentreTable is the table service as a data centre reaches it.
+// dataCentreTable is the table service as the nodes of one data centre reach it: it is
+// unavailable while the data centre is isolated.
 type dataCentreTable struct {
 	store.Table
 	net *network
@@ -180,7 +182,8 @@
 	return t.Table.Get(ctx, keys...)
 }
 
-// publishHosts tells the platform's list of hosts: the first of them, less the killed.
+// publishHosts sets the platform's host list to the first nodes of the fleet, without
+// the killed ones.
 func (f *Fleet) publishHosts(first int) {
 	var hosts []store.Host
 	for i, n := range f.nodes[:first] {
@@ -192,7 +195,8 @@
 	f.hosts.Set(hosts...)
 }
 
-// fleetResidents gives each upstream two models of its pool.
+// fleetResidents returns the resident models of the upstream with index i: two models of
+// its pool, as far as the pool has them.
 func fleetResidents(i int) []engineapi.Resident {
 	pool, place := i/upstreamsPerPool, i%upstreamsPerPool
 	models := poolModels(pool)
@@ -210,8 +214,8 @@
 	return out
 }
 
-// poolModels are the models of a pool; the fleet's models are dealt out to as
-// many pools as the design size has.
+// poolModels returns the models of a pool. The fleet's models are distributed over as
+// many pools as the design size has, also in a smaller fleet.
 func poolModels(pool int) []string {
 	const pools = 2500/upstreamsPerPool + 1
 	var out []string
@@ -252,7 +256,7 @@
 	return c
 }
 
-// Close stops everything.
+// Close ends all nodes and upstreams.
 func (f *Fleet) Close() {
 	var wg sync.WaitGroup
 	for _, n := range f.nodes {
@@ -264,13 +268,13 @@
 	f.upstreams.Close()
 }
 
-// liveNodes are the nodes that were not killed.
+// liveNodes returns the nodes that were not killed.
 func (f *Fleet) liveNodes() []*Node {
 	return slices.DeleteFunc(slices.Clone(f.nodes), func(n *Node) bool { return n == nil })
 }
 
-// switchPreset switches the preset and returns how long each of the given nodes
-// took to have it in force, from the moment it was accepted.
+// switchPreset switches the preset and returns, for each of the given nodes, the time
+// from the acceptance of the change until the node has it in force.
 func (f *Fleet) switchPreset(ctx context.Context, nodes []*Node) ([]time.Duration, error) {
 	names := [2]string{"ordinary", "peak"}
 	st, ok := nodes[0].State()
@@ -287,14 +291,15 @@
 	})
 }
 
-// timeChange makes a change through the first node and times it on all.
+// timeChange makes a change as if through the first node, and returns the time that
+// each node takes to have it in force.
 func (f *Fleet) timeChange(ctx context.Context, nodes []*Node, change func() (uint64, error)) ([]time.Duration, error) {
 	version, err := change()
 	if err != nil {
 		return nil, err
 	}
 	accepted := time.Now()
-	nodes[0].PollSoon() // the host that an operator called takes it in force at once
+	nodes[0].PollSoon() // the host that an operator calls applies the change at once
 	return f.awaitVersion(ctx, nodes, version, accepted)
 }
 
@@ -316,7 +321,7 @@
 	return times, ctx.Err()
 }
 
-// usage is what the process has used so far.
+// usage holds the resource use of the process and the counters of the fleet so far.
 type usage struct {
 	at                   time.Time
 	cpu                  time.Duration
@@ -332,7 +337,8 @@
 		reads: f.table.Faults.Reads(), writes: f.table.Faults.Writes(), reportsServed: f.upstreams.ReportsServed()}
 }
 
-// liveMemory is the heap in use and the stacks, after a collection.
+// liveMemory returns the bytes of the live heap and the stacks, after a garbage
+// collection.
 func liveMemory() float64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/standin/local/fleetrun.go
+++ b/standin/local/fleetrun.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	checkInterval       = 20 * time.Millisecond // pause between two looks at all nodes
+	checkInterval       = 20 * time.Millisecond // pause between two checks of all nodes
 	checkTimeout        = time.Minute
-	cutDuration         = 20 * time.Second // longer than hosts take to call each other suspect
+	cutDuration         = 20 * time.Second // longer than hosts take to suspect each other
 	storeOutageDuration = 20 * time.Second
 )
 
-// RunFleet measures one fleet and stops it.
+// RunFleet starts a fleet, measures it and stops it.
 func RunFleet(ctx context.Context, opt FleetOptions) (FleetReport, error) {
 	before := liveMemory()
 	startedAt := time.Now()
@@ -45,9 +45,9 @@
 	return r, nil
 }
 
-// measureSteadyState measures what the fleet costs when nothing happens.
+// measureSteadyState measures the resource use of the fleet while nothing changes.
 func (f *Fleet) measureSteadyState(ctx context.Context, r *FleetReport) {
-	sleep(ctx, f.opt.SteadyDuration/3) // what starting caused settles
+	sleep(ctx, f.opt.SteadyDuration/3) // the load of the start subsides
 	a := f.usage()
 	sleep(ctx, f.opt.SteadyDuration)
 	b := f.usage()
@@ -103,7 +103,8 @@
 	return nil
 }
 
-// measureStoreOutage takes the table service away and times a change after its return.
+// measureStoreOutage makes the table service unavailable and times a preset change
+// after its return.
 func (f *Fleet) measureStoreOutage(ctx context.Context, r *FleetReport) error {
 	f.table.Faults.StartOutage(storeOutageDuration)
 	r.ReadyThroughStoreOutage = true
@@ -118,7 +119,8 @@
 	return err
 }
 
-// measureCutOff separates a data centre, changes the preset, and times from its return.
+// measureCutOff isolates a data centre, changes the preset outside it, and measures
+// the time from the end of the isolation until its nodes have the preset in force.
 func (f *Fleet) measureCutOff(ctx context.Context, r *FleetReport) error {
 	if f.opt.Nodes < 2*fleetDataCentres {
 		return nil
@@ -146,7 +148,8 @@
 	return err
 }
 
-// measureKill ends every tenth node at once.
+// measureKill kills every tenth node at once. It times a preset change at the survivors,
+// and then how long they take to know of the killed nodes.
 func (f *Fleet) measureKill(ctx context.Context, r *FleetReport) error {
 	killed := 0
 	for i := 3; i < len(f.nodes); i += 10 {
@@ -168,7 +171,8 @@
 	return nil
 }
 
-// awaitEach waits until each node fulfils what is asked, and returns its time.
+// awaitEach waits until ok is true for each node and returns the time that each took;
+// checkTimeout stands for a node that took longer.
 func (f *Fleet) awaitEach(ctx context.Context, nodes []*Node, ok func(*Node) bool) []time.Duration {
 	startedAt := time.Now()
 	times := make([]time.Duration, len(nodes))
@@ -182,7 +186,7 @@
 	}
 	for i := range times {
 		if times[i] == 0 {
-			times[i] = checkTimeout // not within the bound: shows as such
+			times[i] = checkTimeout
 		}
 	}
 	return times
--- a/standin/local/history_test.go
+++ b/standin/local/history_test.go
@@ -22,23 +22,23 @@
 
 const (
 	trialCallers    = 6
-	trialKeys       = 24 // of each caller; every second one is another caller's too
-	trialTries      = 40 // of one key by one caller
+	trialKeys       = 24 // per caller; every second one is shared with another caller
+	trialTries      = 40 // bound on the calls of one caller with one key
 	trialRetryPause = 10 * time.Millisecond
-	keysPerStep     = 5 // keys ended between two steps of the script
+	keysPerStep     = 5 // number of finished keys between two steps of the script
 )
 
-// trial is callers, nodes and services whose histories are recorded.
+// trial is a fixture whose callers and services record a common history of their calls.
 type trial struct {
 	*fixture
 	history    *history.History
 	mu         sync.Mutex // guards nodes
 	nodes      []*local.Node
-	traps      map[string]*trapDialer // by host
+	traps      map[string]*trapDialer // by host name
 	started    int
-	keysEnded  atomic.Int64 // keys that callers are done with
-	stepMu     sync.Mutex   // one step of the script at a time
-	stepsTaken int          // steps taken; under step
+	keysEnded  atomic.Int64 // number of keys that callers have finished
+	stepMu     sync.Mutex   // serialises the steps of the script; guards stepsTaken
+	stepsTaken int
 }
 
 func newTrial(t *testing.T) *trial {
@@ -60,13 +60,14 @@
 	return tr
 }
 
-// recordExecution records the upstreams' side.
+// recordExecution records the start of an execution at a service and returns the
+// function that records its end.
 func (tr *trial) recordExecution(e service.Execution) func([]byte) {
 	x := tr.history.Begin(history.Execution{InvocationID: e.Tag, Key: e.IdempotencyKey, Attempt: e.Attempt})
 	return func(answer []byte) { tr.history.Finish(x, string(answer)) }
 }
 
-// startTrialNode starts another node.
+// startTrialNode starts another node and adds it to those that callers use.
 func (tr *trial) startTrialNode() {
 	tr.started++
 	n := tr.startNode(fmt.Sprint("n", tr.started))
@@ -81,7 +82,8 @@
 	return tr.nodes[i%len(tr.nodes)]
 }
 
-// removeTrialNode takes a node out of the balancer's set.
+// removeTrialNode removes a node from those that callers use and returns it; the node
+// continues to run.
 func (tr *trial) removeTrialNode(i int) *local.Node {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -90,7 +92,7 @@
 	return n
 }
 
-// call makes one invocation and records the caller's side.
+// call makes one invocation and records it as the caller sees it.
 func (tr *trial) call(n *local.Node, id, key string) reply {
 	tr.history.Invoke(id, key)
 	r := noteVia(context.Background(), n, key, "Accept-Language", id, callerapi.HeaderDeadline, "400")
@@ -109,14 +111,14 @@
 	return r
 }
 
-// caller takes its keys one after the other, and repeats each through other
-// hosts until it has its answer.
+// caller makes the calls of one caller, key by key, and repeats each through other hosts
+// until it has its answer. It returns the number of keys with an answer.
 func (tr *trial) caller(who int) (done int) {
 	rng := rand.New(rand.NewPCG(1, uint64(who)))
 	for k := range trialKeys {
 		owner := who
 		if k%2 == 1 {
-			owner = who / 2 * 2 // two callers race for it
+			owner = who / 2 * 2 // shared by two callers that race
 		}
 		key := fmt.Sprintf("key-%d-%d", owner, k)
 		host := rng.IntN(8)
@@ -134,8 +136,8 @@
 	return done
 }
 
-// runNextStep takes the script's next step; a caller takes it, so that each has its
-// place in the run whatever the machine's speed.
+// runNextStep runs the next step of the script. Callers run the steps, so that each step
+// has its place in the run at any speed of the machine.
 func (tr *trial) runNextStep() {
 	tr.stepMu.Lock()
 	defer tr.stepMu.Unlock()
@@ -144,7 +146,7 @@
 		func() { tr.svc.LoseAnswers(3); tr.services[1].LoseRequests(3) },
 		func() { tr.svc.MismatchAnswers(0.4); tr.services[1].MismatchAnswers(0.4) },
 		func() { tr.services[1].CutAnswers(3); set(func(s *fake.Settings) { s.LostAnswers = 0.3 }) },
-		func() { n := tr.removeTrialNode(0); tr.traps["n1"].set(n.Kill, nil) }, // between claim and dispatch, if a call is still under way
+		func() { n := tr.removeTrialNode(0); tr.traps["n1"].set(n.Kill, nil) }, // between claim and dispatch, if a call is still in progress
 		func() { set(func(s *fake.Settings) { s.LostAnswers, s.LostRequests = 0, 0.3 }) },
 		func() {
 			set(func(s *fake.Settings) { s.LostRequests, s.LateEffects, s.LateEffectDelay = 0, 0.3, 30*time.Millisecond })
@@ -153,7 +155,7 @@
 		func() { set(func(s *fake.Settings) { *s = fake.Settings{} }); tr.startTrialNode() },
 		func() { set(func(s *fake.Settings) { s.Outage = true }); time.Sleep(3 * trialRetryPause) },
 		func() { set(func(s *fake.Settings) { s.Outage = false }) },
-		func() { tr.removeTrialNode(0).Kill() }, // wherever its calls stand
+		func() { tr.removeTrialNode(0).Kill() }, // at any stage of its calls
 		func() { tr.svc.Freeze(false); tr.services[1].LoseAnswers(3) },
 		func() { tr.startTrialNode() },
 		func() { tr.services[1].Restart(); tr.svc.LoseAnswers(3) },
@@ -165,12 +167,12 @@
 	}
 }
 
-// Symptom: a call that may not be repeated ran twice, a caller was told that it
-// did not run although it did, or got another's answer or half of its own.
-// Sequence: callers race for keys through three hosts and repeat what fails,
-// while answers are lost, cut and crossed, hosts die, services restart and
-// leave, connections go silent, and the table loses answers and goes down.
-// Cause: any step of the path that takes what it does not know for granted.
+// Symptom: a call that may not be repeated runs twice, or its caller is told that it did
+// not run although it did, or gets another caller's answer or part of its own.
+// Sequence: callers race for keys through three hosts and repeat failed calls, while
+// answers are lost, cut and mismatched, hosts die, services restart and drain,
+// connections become unresponsive, and the table loses answers and has an outage.
+// Cause: some step of the path treats an unknown outcome as known.
 func TestHistoriesOfRealNodesAreThoseOfARegister(t *testing.T) {
 	tr := newTrial(t)
 	var done atomic.Int64
@@ -184,7 +186,7 @@
 	assert.NilError(t, history.Check(tr.history))
 	assert.Equal(t, counts.Duplicated+counts.Mismatched+counts.Truncated+counts.FalseNotRun+counts.Lost, 0, "%+v", counts)
 	assert.Assert(t, done.Load() > trialCallers*trialKeys/2, "the faults left nothing to check")
-	assert.Equal(t, tr.stepsTaken, 15, "the script was not played to its end")
+	assert.Equal(t, tr.stepsTaken, 15, "the script did not run to its end")
 	for _, s := range tr.services {
 		for _, e := range s.Executions() {
 			assert.Equal(t, e.ForIncarnation, e.Incarnation)
--- a/standin/local/hostwatch.go
+++ b/standin/local/hostwatch.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// hostCheckInterval is how often the platform's stand-in looks which entry
-	// hosts are there.
+	// hostCheckInterval is the interval at which the stand-in of the platform checks
+	// which entry hosts run.
 	hostCheckInterval = time.Second
 	hostCheckTimeout  = 500 * time.Millisecond
 )
 
-// watchHosts keeps the platform's list of hosts true until ctx ends: it shows
-// those entry hosts which take callers' connections.
+// watchHosts keeps the platform's host list current until ctx ends: the list holds the
+// entry hosts that accept connections of callers, and the upstreams.
 func (o *StandInServer) watchHosts(ctx context.Context) {
 	var published []store.Host
 	for {
@@ -31,7 +31,7 @@
 	}
 }
 
-// reachableHosts are the entry hosts that take connections.
+// reachableHosts returns the entry hosts that accept connections of callers.
 func (o *StandInServer) reachableHosts(ctx context.Context) []store.Host {
 	var out []store.Host
 	dialer := net.Dialer{Timeout: hostCheckTimeout}
--- a/standin/local/killswitch.go
+++ b/standin/local/killswitch.go
@@ -11,15 +11,17 @@
 	"peridotpier.example/node/upstream/conn"
 )
 
-// killSwitch stands between a node and everything around it. Once shut, the node is
-// as good as dead to the others, whatever its goroutines still do.
+// killSwitch separates a node from its peers, its upstreams and the platform services
+// that it writes to. Once triggered, the node appears dead to them, whatever its
+// goroutines still do.
 type killSwitch struct {
 	mu     sync.Mutex
 	killed bool
 	conns  map[net.Conn]struct{}
 }
 
-// killableDialer opens connections through a gate.
+// killableDialer opens connections that its kill switch closes; once triggered, it opens
+// no more.
 type killableDialer struct {
 	conn.Dialer
 	killSwitch *killSwitch
@@ -27,7 +29,8 @@
 
 func newKillSwitch() *killSwitch { return &killSwitch{conns: map[net.Conn]struct{}{}} }
 
-// wrapDialer makes what d dials go through the gate.
+// wrapDialer returns a dialer like d whose connections the kill switch closes; nil
+// stands for a plain dialer.
 func (g *killSwitch) wrapDialer(d conn.Dialer) killableDialer {
 	if d == nil {
 		d = &net.Dialer{}
--- a/standin/local/layout.go
+++ b/standin/local/layout.go
@@ -16,11 +16,11 @@
 // LayoutFile is the name of the file that holds a Layout.
 const LayoutFile = "layout.json"
 
-// Layout says where everything of a site is whose parts are processes of
-// their own.
+// Layout gives the addresses, keys and settings files of a site whose parts run as
+// separate processes.
 type Layout struct {
 	Site        string        `json:"site"`
-	StandIns    string        `json:"stand_ins"` // URL of the platform, and of the stand-ins' records
+	StandIns    string        `json:"stand_ins"` // URL of the platform's services and of the stand-ins' records
 	OperatorKey string        `json:"operator_key_file"`
 	Team        string        `json:"team"`
 	TeamKey     string        `json:"team_key"`
@@ -28,17 +28,17 @@
 	Engines     []string      `json:"engines"` // IP:port
 }
 
-// EntryLayout is one entry host: `peridotpier serve --settings` runs it.
+// EntryLayout describes one entry host; `peridotpier serve --settings` runs it.
 type EntryLayout struct {
 	Host       string `json:"host"`
 	DataCentre string `json:"data_centre"`
 	Settings   string `json:"settings"`
-	Caller     string `json:"caller"` // IP:port, as the two below
+	Caller     string `json:"caller"` // IP:port, as Operator and Peer
 	Operator   string `json:"operator"`
 	Peer       string `json:"peer"`
 }
 
-// ReadLayout reads the layout in a folder.
+// ReadLayout reads the layout file of a folder.
 func ReadLayout(dir string) (*Layout, error) {
 	data, err := os.ReadFile(filepath.Join(dir, LayoutFile))
 	if err != nil {
@@ -48,8 +48,8 @@
 	return &l, eris.Wrap(json.Unmarshal(data, &l), "read layout")
 }
 
-// writeLayout writes it whole or not at all: whoever waits for the file must
-// not read half of it.
+// writeLayout writes the layout file atomically: a process that waits for the file must
+// not read an incomplete one.
 func writeLayout(dir string, l *Layout) error {
 	path := filepath.Join(dir, LayoutFile)
 	if err := writeJSON(path+".part", l); err != nil {
@@ -66,10 +66,10 @@
 	return eris.Wrap(os.WriteFile(path, append(data, '\n'), 0o600), "write")
 }
 
-// operatorKeyFile holds the key of the operator "bench".
+// operatorKeyFile is the name of the file that holds the key of the operator "bench".
 const operatorKeyFile = "operator-key"
 
-// writeSecrets writes the keys that all hosts share.
+// writeSecrets writes the secrets that all hosts share, and the operator's key.
 func writeSecrets(dir string) error {
 	for name, secret := range map[string]string{ResumeKeyFile: ResumeSecret, PrefixSaltFile: PrefixSaltSecret, operatorKeyFile: OperatorKey} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(secret), 0o600); err != nil {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// writeEntry chooses an entry host's addresses and writes its settings file.
+// writeEntry chooses the addresses of an entry host and writes its settings file.
 func writeEntry(dir, host, dataCentre, platformURL string) (EntryLayout, error) {
 	addresses, err := freeAddresses(3)
 	if err != nil {
@@ -96,16 +96,16 @@
 	return e, writeJSON(e.Settings, set)
 }
 
-// The ports given to hosts lie below those that the system hands out to
-// connections: one of these would often be taken by some connection before its
-// host has started, and the host could not listen.
+// Hosts get ports below the ephemeral ports of the system. An ephemeral port would often
+// be taken by some connection before its host starts, so that the host could not listen.
 const (
 	firstPort = 20_000
 	lastPort  = 32_000
 )
 
-// freeAddresses finds ports that are free now. They are held together, so that
-// none is given twice, and let go for the host that will take them.
+// freeAddresses returns n addresses on loopback whose ports are free now. It listens on
+// all of them at once, so that none is returned twice, and closes them for the host that
+// will use them.
 func freeAddresses(n int) ([]string, error) {
 	var out []string
 	for port := firstPort + rand.IntN(lastPort-firstPort); len(out) < n; port++ {
@@ -114,7 +114,7 @@
 		}
 		ln, err := net.Listen("tcp", net.JoinHostPort("127.0.0.1", strconv.Itoa(port)))
 		if err != nil {
-			continue // taken
+			continue // port in use
 		}
 		defer func() { _ = ln.Close() }()
 		out = append(out, ln.Addr().String())
--- a/standin/local/network.go
+++ b/standin/local/network.go
@@ -8,14 +8,14 @@
 	"sync/atomic"
 )
 
-var errIsolated = errors.New("network is cut")
+var errIsolated = errors.New("data centre is isolated from the network")
 
-// network carries the connections between nodes: it counts their bytes, and
-// can be cut around a data centre.
+// network carries the connections that nodes dial. It counts their bytes and can
+// isolate one data centre.
 type network struct {
-	bytes       atomic.Int64 // sent, by either side
+	bytes       atomic.Int64 // read and written by the dialling sides
 	mu          sync.Mutex
-	isolated    string            // data centre that nothing enters or leaves; "": none
+	isolated    string            // data centre that no connection enters or leaves; "": none
 	dataCentres map[string]string // data centre by peer address
 	conns       map[*netConn]struct{}
 }
@@ -30,7 +30,8 @@
 	n.mu.Unlock()
 }
 
-// Isolate separates a data centre; "" heals.
+// Isolate closes the connections into and out of a data centre and refuses new ones;
+// "" ends the isolation.
 func (n *network) Isolate(dataCentre string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -46,14 +47,15 @@
 	return n.isolated != "" && (from == n.isolated) != (to == n.isolated)
 }
 
-// IsIsolated says whether a data centre is cut off from the platform too.
+// IsIsolated reports whether a data centre is isolated, and so cannot reach the
+// platform either.
 func (n *network) IsIsolated(dataCentre string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.isolated != "" && n.isolated == dataCentre
 }
 
-// dialerFrom returns the dialer of a node in a data centre.
+// dialerFrom returns the dialer for the nodes of a data centre.
 func (n *network) dialerFrom(dataCentre string) *netDialer { return &netDialer{n: n, from: dataCentre} }
 
 type netDialer struct {
@@ -82,7 +84,7 @@
 	return nc, nil
 }
 
-// netConn counts both directions at the side that dialled.
+// netConn counts the bytes of both directions at the dialling side.
 type netConn struct {
 	net.Conn
 	n        *network
--- a/standin/local/node.go
+++ b/standin/local/node.go
@@ -1,5 +1,6 @@
-// Package local runs real nodes beside the stand-ins in one process on
-// loopback: for the demo, the bench and tests of the whole path.
+// Package local runs real nodes together with the stand-ins in one process on loopback,
+// for the demo, benchmarks and tests of the whole request path. It also runs the
+// stand-ins for nodes in processes of their own.
 package local
 
 import (
@@ -23,15 +24,15 @@
 	"peridotpier.example/standin/pki"
 )
 
-// AnyPort lets the system choose a port on loopback.
+// AnyPort is a loopback address whose port the system chooses.
 const AnyPort = "127.0.0.1:0"
 
 // OperatorKey is the key of the operator "bench" on every local node.
 const OperatorKey = "local-operator-key"
 
-// Settings returns settings for one local node.
+// Settings returns the settings of a local node, with ports that the system chooses.
 func Settings(host, dataCentre string) *settings.Settings {
-	const platform = "http://127.0.0.1:1" // not dialled: the platform is passed in
+	const platform = "http://127.0.0.1:1" // not dialled: the platform is passed in NodeConfig
 	s := &settings.Settings{Host: host, DataCentre: dataCentre,
 		Caller:   settings.Listener{Address: AnyPort},
 		Operator: settings.Operator{Address: AnyPort, Operators: []settings.OperatorKey{{Name: "bench", KeyHash: keyHash(OperatorKey)}}},
@@ -43,7 +44,7 @@
 	return s
 }
 
-// The files in memory that Settings names, and the secrets in them, which all
+// Names of the key files in the result of Settings, and the secrets in them, which all
 // local nodes share.
 const (
 	ResumeKeyFile    = "resume-k1"
@@ -52,7 +53,7 @@
 	PrefixSaltSecret = "local salt of 32 bytes or more.."
 )
 
-// NewKeyFiles returns the files that Settings names.
+// NewKeyFiles returns, in memory, the key files that the result of Settings names.
 func NewKeyFiles() *pki.Files {
 	f := pki.NewFiles()
 	f.Put(ResumeKeyFile, []byte(ResumeSecret))
@@ -60,8 +61,8 @@
 	return f
 }
 
-// EnableTLS gives a node a certificate for all its listeners: adds the files and
-// names them in its settings.
+// EnableTLS issues a certificate for all listeners of a node, adds it to files and names
+// it in the settings.
 func EnableTLS(set *settings.Settings, files *pki.Files, a *pki.Authority) error {
 	certificate, key, err := a.Issue(set.Host, pki.WithIPAddress("127.0.0.1"))
 	if err != nil {
@@ -72,12 +73,12 @@
 	files.Put(t.Key, key)
 	files.Put(t.Authorities, a.PEM())
 	callers := t
-	callers.Authorities = "" // callers show their team's key instead
+	callers.Authorities = "" // callers authenticate with their team's key instead
 	set.Caller.TLS, set.Operator.TLS, set.Peer.TLS = &callers, &t, &t
 	return nil
 }
 
-// Node is one running node.
+// Node is a node in this process.
 type Node struct {
 	*server.Server
 	Keys       *keys.Ring
@@ -88,25 +89,25 @@
 	err        error
 }
 
-// NodeConfig is what differs between local nodes.
+// NodeConfig holds what differs between local nodes.
 type NodeConfig struct {
 	Settings *settings.Settings
 	Platform server.Platform
 	Policy   server.Policy
 	Dialer   conn.Dialer
-	// PeerDialer opens connections to other nodes; nil: plain ones.
+	// PeerDialer opens connections to other nodes; nil: plain connections.
 	PeerDialer conn.Dialer
 	Distance   func(from, to string) float64
 	Demand     demand.Config
 	Log        *zap.Logger
-	Files      *pki.Files // of keys and certificates; nil: Files()
-	// ClaimGrace, HeadBound and BodyBound are as in server.Config.
+	Files      *pki.Files // keys and certificates; nil: NewKeyFiles()
+	// ClaimGrace, HeadBound and BodyBound are passed to server.Config.
 	ClaimGrace time.Duration
 	HeadBound  time.Duration
 	BodyBound  time.Duration
 }
 
-// StartNode runs a node until Stop or Kill.
+// StartNode creates a node and runs it until Stop or Kill.
 func StartNode(cfg NodeConfig) (*Node, error) {
 	n, err := NewNode(cfg)
 	if err == nil {
@@ -115,7 +116,7 @@
 	return n, err
 }
 
-// NewNode opens a node's listeners; Start runs it.
+// NewNode creates a node and opens its listeners; Start runs it.
 func NewNode(cfg NodeConfig) (*Node, error) {
 	if cfg.Files == nil {
 		cfg.Files = NewKeyFiles()
@@ -134,7 +135,7 @@
 	return &Node{Server: s, Keys: ring, killSwitch: g, cancel: func() {}, done: make(chan struct{})}, nil
 }
 
-// Start runs the node until Stop or Kill.
+// Start runs the node in the background until Stop or Kill.
 func (n *Node) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
@@ -144,25 +145,26 @@
 	}()
 }
 
-// Stop shuts the node down gracefully and waits for it.
+// Stop shuts the node down gracefully, waits until it has ended and returns its error.
 func (n *Node) Stop() error {
 	n.stopOnce.Do(n.cancel)
 	<-n.done
 	return n.err
 }
 
-// Kill ends the node as the death of its process would: nothing that it says
-// from now on reaches anybody.
+// Kill ends the node like a crash of its process: nothing that it sends from now on
+// reaches another process.
 func (n *Node) Kill() {
 	n.killSwitch.trigger()
 	n.Server.Kill()
 	<-n.done
 }
 
-// readyPollInterval is how often a starting node is looked at.
+// readyPollInterval is the interval at which AwaitReady checks a starting node.
 const readyPollInterval = 5 * time.Millisecond
 
-// AwaitReady waits until the node serves callers.
+// AwaitReady waits until the node serves callers. It returns the node's error if the
+// node ends first, and the error of ctx if ctx does.
 func (n *Node) AwaitReady(ctx context.Context) error {
 	tick := time.NewTicker(readyPollInterval)
 	defer tick.Stop()
@@ -178,7 +180,8 @@
 	return nil
 }
 
-// ApplyConfig puts the first version of a configuration in force.
+// ApplyConfig puts the first version of a configuration in force in the platform's
+// stores.
 func ApplyConfig(ctx context.Context, tb store.Table, objects store.Objects, c *config.Config) error {
 	doc, err := json.Marshal(c)
 	if err != nil {
@@ -188,7 +191,7 @@
 	return err
 }
 
-// keyHash is the form in which keys stand in settings and configurations.
+// keyHash returns the hash by which settings and configurations name a key.
 func keyHash(key string) string {
 	return apikey.HashOf(key).String()
 }
--- a/standin/local/once_test.go
+++ b/standin/local/once_test.go
@@ -21,22 +21,23 @@
 
 const notesPath = "/v1/services/stock/notes"
 
-// noRetryClient sends each call once. With kept connections net/http would send a call
-// with an idempotency key again, unasked, when it finds its connection broken.
+// noRetryClient sends each call exactly once. With kept connections net/http would by
+// itself send a call with an idempotency key again when its connection is broken.
 var noRetryClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// reply is what a caller heard.
+// reply is the result of a call as its caller sees it.
 type reply struct {
 	status        int
 	body          string
-	code          string // of an error
-	outcome       string // of an error
+	code          string // code of an error answer
+	outcome       string // outcome of an error answer
 	replayed      bool
-	hasRetryAfter bool  // came with Retry-After
-	err           error // no whole answer came
+	hasRetryAfter bool  // the answer has a Retry-After header
+	err           error // set if no complete answer arrived
 }
 
-// noteVia sends a call that may not be repeated through a node.
+// noteVia sends a call that may not be repeated through a node; header holds further
+// header names and values in turn.
 func noteVia(ctx context.Context, n *local.Node, key string, header ...string) reply {
 	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+n.CallerAddress()+notesPath, strings.NewReader("note "+key))
 	if err != nil {
@@ -65,8 +66,8 @@
 	return r
 }
 
-// awaitOutcome repeats a call, as long as it is told to come back, until it has
-// another answer.
+// awaitOutcome repeats a call while the answer is that the call is in progress, and
+// returns the first other answer.
 func awaitOutcome(t *testing.T, n *local.Node, key string) reply {
 	t.Helper()
 	var r reply
@@ -82,14 +83,14 @@
 	return r
 }
 
-// shortClaimGrace has others look after a claim soon after its deadline.
+// shortClaimGrace makes other hosts resolve a claim soon after its deadline.
 func shortClaimGrace(c *local.NodeConfig) { c.ClaimGrace = 20 * time.Millisecond }
 
 // Symptom: a dispatch note is packed twice after an upstream's restart.
-// Sequence: a claim names an attempt and its upstream's process; the host is
-// paused before the first byte; the upstream restarts and so forgets what it
-// answered about the attempt; the host wakes and sends.
-// Cause: the new process takes an attempt that was meant for the former one.
+// Sequence: a claim names an attempt and the upstream's incarnation; the host is paused
+// before the first byte; the upstream restarts and so forgets what it answered about the
+// attempt; the host continues and sends.
+// Cause: the new process accepts an attempt that was meant for the former one.
 func TestARestartedUpstreamRefusesWhatWasMeantForItsFormerProcess(t *testing.T) {
 	p, trap := newTrappedFixture(t)
 	trap.set(p.svc.Restart, nil)
@@ -100,11 +101,12 @@
 	assert.Equal(t, ran[0].ForIncarnation, ran[0].Incarnation, "the claim names another process than the one that ran it")
 }
 
-// Symptom: a note is packed twice, or its key is held for ever, after the death
-// of an entry host.
-// Sequence: the host dies with its claim written, before the attempt goes out
-// or after; the caller repeats the call through another host.
-// Cause: the other host takes the claim's row for the attempt's fate.
+// Symptom: a note is packed twice, or its key is blocked for ever, after the death of an
+// entry host.
+// Sequence: the host dies after it wrote its claim, before or after it sends the attempt;
+// the caller repeats the call through another host.
+// Cause: the other host infers the attempt's outcome from the claim's row instead of
+// asking the upstream.
 func TestTheDeathOfAHostSettlesByTheUpstreamsWord(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -129,10 +131,10 @@
 	}
 }
 
-// Symptom: a note is packed twice, when a host and the service died together.
-// Sequence: the service runs the call; before its answer is read the host
-// dies; the service restarts and forgets all attempts.
-// Cause: "unseen" from a process without memory is taken for "did not run".
+// Symptom: a note is packed twice when a host and the service die together.
+// Sequence: the service runs the call; before its answer is read the host dies; the
+// service restarts and forgets all attempts.
+// Cause: "unseen" from a new process that lost all records is treated as "did not run".
 func TestTwoDeathsAtOnceLeaveTheOutcomeUnknown(t *testing.T) {
 	p, trap := newTrappedFixture(t, shortClaimGrace)
 	other := p.startNode("n2")
@@ -151,9 +153,9 @@
 	assert.Equal(t, len(p.svc.Executions()), 1)
 }
 
-// Symptom: a customer's log shows where upstreams listen.
-// Sequence: all upstreams are gone; a caller asks.
-// Cause: callers are shown the dial's error.
+// Symptom: a customer's log shows the addresses of upstreams.
+// Sequence: a caller sends a request while no upstream is reachable.
+// Cause: the answer contains the error of the dial.
 func TestAnErrorNamesTheStepAndNoAddress(t *testing.T) {
 	p := newFixture(t, slowEngine)
 	p.svc.Close()
@@ -164,7 +166,8 @@
 	}
 }
 
-// restartAfterTheCall restarts the service once its one call has ended.
+// restartAfterTheCall waits until the service's only call has ended and restarts the
+// service.
 func (p *fixture) restartAfterTheCall() {
 	poll.WaitOn(p.t, func(poll.LogT) poll.Result {
 		if e := p.svc.Executions(); len(e) == 0 || e[0].Ended.IsZero() {
@@ -176,10 +179,11 @@
 }
 
 // Symptom: a note is packed twice after a restart of the service.
-// Sequence: the call ran, its answer is lost, and the service restarts; the
-// host asks the new process for the attempt's fate and hears "unseen"; the
-// caller comes back.
-// Cause: the new process is taken at its word, or what is unknown for free.
+// Sequence: the call runs, its answer is lost, and the service restarts; the host asks
+// the new process for the attempt's outcome and receives "unseen"; the caller repeats
+// the call.
+// Cause: the new process's answer is trusted, or a key with an unknown outcome is
+// released.
 func TestARestartBeforeTheAnswerLeavesTheOutcomeUnknown(t *testing.T) {
 	p, trap := newTrappedFixture(t)
 	p.svc.LoseAnswers(1)
@@ -192,10 +196,10 @@
 	assert.Equal(t, len(p.svc.Executions()), 1)
 }
 
-// Symptom: callers wait for a table that is down, or are told that a call ran
-// or may have run which never left the host.
-// Sequence: the table service is down; a call that may not be repeated comes.
-// Cause: the call is dispatched, or held, without its claim.
+// Symptom: callers wait while the table is down, or are told that a call ran or may have
+// run although it never left the host.
+// Sequence: the table service is down; a call that may not be repeated arrives.
+// Cause: the call is dispatched, or waits, without its claim.
 func TestATableThatIsDownRefusesBeforeTheClaim(t *testing.T) {
 	p := newFixture(t, slowEngine)
 	p.tbl.Faults.Update(func(s *fake.Settings) { s.Outage = true })
@@ -212,10 +216,11 @@
 }
 
 // Symptom: a caller loses an answer that the service gave, or a repeat runs.
-// Sequence: the call ran; before its answer is read the table goes down, or
-// loses its own answers too; it comes back later.
-// Cause: the caller's answer waits for the claim's end, or that end is dropped.
-func TestATableThatIsDownAfterTheAnswerIsSettledLater(t *testing.T) {
+// Sequence: the call runs; before its answer is read the table goes down, and later
+// loses some of its own answers; then it recovers.
+// Cause: the caller's answer waits until the claim's end is written, or that end is
+// dropped.
+func TestATableThatIsDownAfterTheAnswerIsReconciledLater(t *testing.T) {
 	p, trap := newTrappedFixture(t)
 	other := p.startNode("n2")
 	defer func() { assert.NilError(t, other.Stop()) }()
@@ -232,23 +237,25 @@
 	assert.Equal(t, len(p.svc.Executions()), 1)
 }
 
-// pendingOutcomes waits until n ends of claims wait on the first node.
+// pendingOutcomes waits until n ends of claims are still to be written by the first node.
 func (p *fixture) pendingOutcomes(n int) poll.Check {
 	return func(poll.LogT) poll.Result {
 		if got := p.node.Status().UnresolvedClaims; got != n {
-			return poll.Continue("%d ends of claims wait, not %d", got, n)
+			return poll.Continue("%d ends of claims are pending, not %d", got, n)
 		}
 		return poll.Success()
 	}
 }
 
-// heldCall is a call that stands between its dispatch and its answer.
+// heldCall is a call that is held between its dispatch and its answer; release lets the
+// answer through, which reply then receives.
 type heldCall struct {
 	reply   chan reply
 	release func()
 }
 
-// holdCall sends a call through the first node and returns once it is dispatched.
+// holdCall sends a call through the first node, holds its answer and returns once the
+// call is dispatched.
 func (p *fixture) holdCall(ctx context.Context, trap *trapDialer, key string) heldCall {
 	p.t.Helper()
 	dispatched, released := make(chan struct{}), make(chan struct{})
@@ -259,13 +266,13 @@
 	return h
 }
 
-// noIdleProbe nodes don't look into a silent exchange.
+// noIdleProbe sets the time after which nodes probe a silent exchange to a minute.
 func noIdleProbe(c *local.NodeConfig) { c.Settings.Bounds.SilenceMs = 60_000 }
 
 // Symptom: two crews press "send" again and a note is packed twice.
-// Sequence: a call runs; the caller repeats it through another entry host.
-// Cause: hosts know only of their own calls.
-func TestARepeatThroughAnotherHostWhileTheFirstRuns(t *testing.T) {
+// Sequence: while a call runs, the caller repeats it through another entry host.
+// Cause: a host knows only its own calls.
+func TestARepeatThroughAnotherHostIsRefusedWhileTheFirstRuns(t *testing.T) {
 	p, trap := newTrappedFixture(t, noIdleProbe)
 	other := p.startNode("n2")
 	defer func() { assert.NilError(t, other.Stop()) }()
@@ -281,10 +288,10 @@
 	assert.Equal(t, len(p.svc.Executions()), 1)
 }
 
-// Symptom: a caller whose connection broke never learns what its call did.
-// Sequence: the call is dispatched; the caller's connection breaks; it comes
-// back through another host.
-// Cause: the call is given up with its caller.
+// Symptom: a caller whose connection broke never learns the outcome of its call.
+// Sequence: the call is dispatched; the caller's connection breaks; the caller repeats
+// the call through another host.
+// Cause: the call is cancelled when its caller disconnects.
 func TestACallerThatLostItsConnectionGetsTheAnswerLater(t *testing.T) {
 	p, trap := newTrappedFixture(t, noIdleProbe)
 	other := p.startNode("n2")
@@ -300,10 +307,11 @@
 	assert.Equal(t, len(p.svc.Executions()), 1)
 }
 
-// Symptom: a restart of a host cuts calls, or leaves their keys held.
-// Sequence: a call and its claim are open; the table goes down; the host is
-// told to stop; the balancer still sends; the call ends; the table comes back.
-// Cause: the host ends before the last answer, or before the last claim's end.
+// Symptom: a restart of a host cuts calls, or leaves their keys blocked.
+// Sequence: a call and its claim are open; the table goes down; the host is asked to
+// stop; the balancer still sends requests; the call ends; the table recovers.
+// Cause: the host exits before the last answer is sent, or before the last claim's end is
+// written.
 func TestAGracefulShutdownInATableOutageSettlesItsClaims(t *testing.T) {
 	p, trap := newTrappedFixture(t, noIdleProbe, func(c *local.NodeConfig) {
 		if c.Settings.Host == "n1" {
@@ -318,7 +326,7 @@
 	go func() { stopped <- p.node.Stop() }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if p.node.Ready() {
-			return poll.Continue("the host has not heard of its end")
+			return poll.Continue("the host has not noticed that it is to stop")
 		}
 		return poll.Success()
 	})
@@ -331,7 +339,7 @@
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.status, http.StatusOK, r.body)
 	poll.WaitOn(t, p.pendingOutcomes(1))
-	poll.WaitOn(t, func(poll.LogT) poll.Result { // the last listener closes when only claims are left
+	poll.WaitOn(t, func(poll.LogT) poll.Result { // the last listener closes when only ends of claims are pending
 		c, err := net.Dial("tcp", p.node.OperatorAddress())
 		if err == nil {
 			_ = c.Close()
@@ -346,10 +354,10 @@
 	assert.Equal(t, again.body, r.body)
 }
 
-// Symptom: calls fail while an instance of a service goes away.
-// Sequence: it leaves; the platform's list and its reports still show it live;
-// calls that may not be repeated go on coming.
-// Cause: a refusal of an attempt is taken for the end of the call.
+// Symptom: calls fail while an instance of a service drains.
+// Sequence: the instance drains; the platform's list and its reports still show it live;
+// calls that may not be repeated continue to arrive.
+// Cause: the refusal of one attempt ends the call.
 func TestCallsGoElsewhereWhenAnInstanceLeaves(t *testing.T) {
 	p := newFixtureWith(t, &fixture{answerBytes: 1 << 20, serviceCount: 2}, slowEngine)
 	p.svc.Drain()
@@ -361,9 +369,9 @@
 	assert.Equal(t, len(p.services[1].Executions()), 6)
 }
 
-// Symptom: a repeat of a call gets an empty answer, as if that were the whole.
-// Sequence: the answer was larger than what is kept; the call is repeated.
-// Cause: that its body was dropped is not kept with it.
+// Symptom: a repeat of a call gets an empty answer as if it were complete.
+// Sequence: the answer was larger than the bound for kept answers; the call is repeated.
+// Cause: the claim does not record that the answer's body was dropped.
 func TestARepeatIsToldThatTheAnswerWasNotKept(t *testing.T) {
 	p := newFixtureWith(t, &fixture{answerBytes: 10, serviceCount: 1}, slowEngine)
 	first := noteVia(t.Context(), p.node, "k1")
--- a/standin/local/operate.go
+++ b/standin/local/operate.go
@@ -13,13 +13,14 @@
 	"peridotpier.example/standin/pki"
 )
 
-// OperatorAddresses are the operators' listeners of the hosts that run.
+// OperatorAddresses returns the addresses of the operators' listeners of the running
+// hosts.
 func (r *RunningSite) OperatorAddresses() []string {
 	return r.addresses(func(n *Node) string { return n.OperatorAddress() })
 }
 
-// OperatorURL is where operators find the last host, the one that stays
-// longest when hosts leave in turn.
+// OperatorURL returns the operators' URL of the last running host, which stays longest
+// when hosts are stopped in order.
 func (r *RunningSite) OperatorURL() string {
 	all := r.OperatorAddresses()
 	scheme := "http://"
@@ -29,7 +30,8 @@
 	return scheme + all[len(all)-1]
 }
 
-// switchPreset puts the preset after the one in force in force, as an operator would.
+// switchPreset puts the preset that follows the current one in force, by the operators'
+// API.
 func (r *RunningSite) switchPreset(ctx context.Context) error {
 	client, err := r.operatorClient()
 	if err != nil {
@@ -57,7 +59,8 @@
 	return nil
 }
 
-// operatorClient is an HTTP client with an operator's certificate where one is needed.
+// operatorClient returns an HTTP client for the operators' API, with an operator's
+// certificate if the site runs with TLS.
 func (r *RunningSite) operatorClient() (*http.Client, error) {
 	if r.Authority == nil {
 		return &http.Client{Transport: &http.Transport{}}, nil
--- a/standin/local/path_test.go
+++ b/standin/local/path_test.go
@@ -28,7 +28,7 @@
 	otherKey = "key-of-b"
 )
 
-// fixture is one node before one engine and one service.
+// fixture is one node with one engine and one service, which may have several instances.
 type fixture struct {
 	t    testing.TB
 	node *local.Node
@@ -42,10 +42,10 @@
 	base      string
 	configure []func(*local.NodeConfig)
 
-	// What a test may set before the path is put together.
+	// Fields that a test may set for newFixtureWith.
 	serviceTime  time.Duration
-	answerBytes  int64 // largest answer kept
-	serviceCount int   // instances of the service; svc is the first
+	answerBytes  int64 // bound on the bytes of a kept answer
+	serviceCount int   // number of instances of the service; svc is the first
 	onExecution  func(service.Execution) (ended func([]byte))
 	services     []*service.Service
 }
@@ -90,7 +90,7 @@
 
 func (p *fixture) startNode(name string) *local.Node {
 	set := local.Settings(name, "dc1")
-	set.Bounds.BalancerWaitSeconds = 0 // no balancer here
+	set.Bounds.BalancerWaitSeconds = 0 // there is no balancer
 	set.Bounds.SilenceMs = 200
 	cfg := local.NodeConfig{Settings: set, Platform: server.Platform{Table: p.tbl, Objects: p.obj, Hosts: p.hosts, Weights: p.weights}}
 	for _, change := range p.configure {
@@ -99,7 +99,7 @@
 	n, err := local.StartNode(cfg)
 	assert.NilError(p.t, err)
 	if p.node == nil {
-		// A host waits for the platform's list before it is ready.
+		// A host is not ready before it has read the platform's list.
 		p.hosts.Set(api.Host{Name: name, Address: n.PeerAddress(), DataCentre: "dc1", Role: api.RoleEntry, State: api.HostLive})
 	}
 	assert.NilError(p.t, n.AwaitReady(p.t.Context()))
@@ -133,7 +133,8 @@
 	}
 }
 
-// do sends one request with a team's key and returns status, header and body.
+// do sends one request with a team's key and returns status, header and body of the
+// answer; header holds further header names and values in turn.
 func (p *fixture) do(method, path, key, body string, header ...string) (int, http.Header, string) {
 	p.t.Helper()
 	req, err := http.NewRequest(method, p.base+path, strings.NewReader(body))
@@ -152,7 +153,7 @@
 
 const chat = `{"model":"m","stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":"hello"}]}`
 
-func TestAStreamGoesThroughAHostWhole(t *testing.T) {
+func TestAStreamIsForwardedCompletely(t *testing.T) {
 	p := newFixture(t, engine.Config{})
 	status, h, body := p.do("POST", "/v1/chat/completions", teamKey, fmt.Sprintf(chat, true, 20))
 	assert.Equal(t, status, http.StatusOK, body)
@@ -162,7 +163,7 @@
 	assert.Assert(t, h.Get("Peridot-Resume") != "")
 }
 
-func TestAWholeAnswerGoesThrough(t *testing.T) {
+func TestACompleteAnswerIsForwarded(t *testing.T) {
 	p := newFixture(t, engine.Config{})
 	status, _, body := p.do("POST", "/v1/chat/completions", teamKey, fmt.Sprintf(chat, false, 20))
 	assert.Equal(t, status, http.StatusOK, body)
--- a/standin/local/ready.go
+++ b/standin/local/ready.go
@@ -8,25 +8,25 @@
 	"peridotpier.example/standin/load"
 )
 
-// hostReadyInterval is how often the balancer of hosts in processes of their own asks
-// each whether it is ready; hosts go on serving for longer than that after
-// "not ready".
+// hostReadyInterval is the interval at which ReadyBalancer asks each host whether it is
+// ready. Hosts continue to serve for longer than that after they report "not ready".
 const hostReadyInterval = 200 * time.Millisecond
 
-// ReadyBalancer is a balancer over the hosts of a layout which answer that
-// they are ready.
+// ReadyBalancer is a balancer over the hosts of a layout that report themselves ready.
 type ReadyBalancer struct {
 	*load.Balancer
 	layout *Layout
 	client *http.Client
 }
 
-// NewReadyBalancer makes one that knows no host yet; Run finds them.
+// NewReadyBalancer returns a balancer that has no host yet; Refresh and Run add those
+// that are ready.
 func NewReadyBalancer(l *Layout) *ReadyBalancer {
 	return &ReadyBalancer{Balancer: load.NewBalancer(), layout: l, client: &http.Client{Timeout: time.Second}}
 }
 
-// Refresh asks every host once and returns how many are ready.
+// Refresh asks every host once, updates the balancer and returns the number of ready
+// hosts.
 func (b *ReadyBalancer) Refresh(ctx context.Context) int {
 	var ready []string
 	for _, e := range b.layout.Entries {
@@ -38,17 +38,18 @@
 	return len(ready)
 }
 
-// Run keeps looking until ctx ends.
+// Run refreshes the balancer regularly until ctx ends.
 func (b *ReadyBalancer) Run(ctx context.Context) {
 	for sleep(ctx, hostReadyInterval) {
 		b.Refresh(ctx)
 	}
 }
 
-// maxReadyWait is how long hosts may take to be ready; a few seconds are usual.
+// maxReadyWait is the longest time that hosts may take to become ready; a few seconds
+// are usual.
 const maxReadyWait = 30 * time.Second
 
-// AwaitAllReady waits until every host of the layout is ready.
+// AwaitAllReady waits until every host of the layout is ready, for maxReadyWait at most.
 func (b *ReadyBalancer) AwaitAllReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, maxReadyWait)
 	defer cancel()
--- a/standin/local/remoterun.go
+++ b/standin/local/remoterun.go
@@ -16,7 +16,7 @@
 	"peridotpier.example/standin/site"
 )
 
-// RemoteRun is one run of a site's demand against hosts in processes of their own.
+// RemoteRun is one run of a site's demand against hosts that run as separate processes.
 type RemoteRun struct {
 	Site     *site.Site
 	Layout   *Layout
@@ -25,8 +25,9 @@
 	Progress func(load.Progress)
 }
 
-// Run waits until all hosts are ready, sends one call that may not be repeated
-// twice, then the demand, and counts by the callers' and the stand-ins' records.
+// Run waits until all hosts are ready, checks that a non-repeatable call that is sent
+// twice runs once, sends the demand, and reports by the records of the callers and the
+// stand-ins.
 func (a RemoteRun) Run(ctx context.Context) (Report, error) {
 	plan, err := a.Site.Plan(a.Seed, a.Length)
 	if err != nil {
@@ -54,8 +55,8 @@
 	return rep, nil
 }
 
-// checkReplay sends a call that may not be repeated through two hosts under one key
-// and checks that it ran once and was answered alike.
+// checkReplay sends a call that may not be repeated through two hosts under one
+// idempotency key and checks that it ran once and got the same answer twice.
 func (a RemoteRun) checkReplay(ctx context.Context, b load.EntryBalancer) error {
 	if len(a.Site.Deployment.Services) == 0 {
 		return nil
--- a/standin/local/report.go
+++ b/standin/local/report.go
@@ -12,8 +12,8 @@
 	"peridotpier.example/standin/site"
 )
 
-// Report is what one run of a site came to, from the callers' and the
-// stand-ins' records alone.
+// Report is the result of one run of a site, from the records of the callers and the
+// stand-ins alone.
 type Report struct {
 	Site         string  `json:"site"`
 	Policy       string  `json:"policy"`
@@ -27,33 +27,33 @@
 	UnreachableModels        int      `json:"unreachable_models"`
 	Unreachable              []string `json:"unreachable,omitempty"`
 	ModelLoads               int      `json:"moves"`
-	AttainmentPerAccelerator float64  `json:"attainment_per_accelerator"` // requests that met their deadline whole, for each accelerator
-	AttainmentBound          float64  `json:"attainment_bound"`           // that no policy can exceed on this plan
-	History                  string   `json:"history"`                    // "ok", or what of the calls that may not be repeated cannot be explained
+	AttainmentPerAccelerator float64  `json:"attainment_per_accelerator"` // requests answered completely within their deadline, per accelerator
+	AttainmentBound          float64  `json:"attainment_bound"`           // attainment that no policy can exceed on this plan
+	History                  string   `json:"history"`                    // "ok", or the contradiction in the history of the calls that may not be repeated
 	TableWrites              int64    `json:"table_writes"`
 	TableReads               int64    `json:"table_reads"`
 	Presets                  []string `json:"presets,omitempty"` // put in force during the run
 }
 
-// InvariantsHold says whether nothing happened that must never happen.
+// InvariantsHold reports whether none of the faults occurred that must never occur.
 func (r Report) InvariantsHold() bool {
 	return r.Lost == 0 && r.Duplicated == 0 && r.Truncated == 0 && r.Mismatched == 0 && r.FalseNotRun == 0 &&
 		r.Overcommits == 0 && r.UnreachableModels == 0 && r.History == historyOK
 }
 
-// DriveOptions is one run's traffic and what happens during it.
+// DriveOptions are the options of RunningSite.Drive.
 type DriveOptions struct {
-	Policy   string // its name, for the report
+	Policy   string // name of the policy, for the report
 	Scenario string
 	Length   time.Duration
 	Progress func(load.Progress)
-	// Script, when set, runs beside the traffic until its context ends.
+	// Script, if set, runs during the traffic; its context ends with the traffic.
 	Script Script
-	// Results, when set, is shown what the callers saw.
+	// OnResult, if set, is called with the results that the callers recorded.
 	OnResult func(*load.Result)
 }
 
-// Drive sends the site's demand through the entry hosts and counts.
+// Drive sends the site's demand through the entry hosts and reports the result.
 func (r *RunningSite) Drive(ctx context.Context, d DriveOptions) (Report, error) {
 	plan, err := r.opt.Site.Plan(r.opt.Seed, d.Length)
 	if err != nil {
@@ -73,7 +73,7 @@
 	result := load.Run(ctx, load.Config{Plan: plan, Entries: r.Balancer, Dial: r.DialCallers(), Progress: d.Progress})
 	stop()
 	if err := <-scriptDone; err != nil && ctx.Err() == nil && !errors.Is(err, context.Canceled) {
-		return Report{}, eris.Wrap(err, "what was to happen in the run did not")
+		return Report{}, eris.Wrap(err, "script of the run failed")
 	}
 	if d.OnResult != nil {
 		d.OnResult(result)
@@ -86,7 +86,7 @@
 	rep.setPerAccelerator()
 	rep.Presets = r.appliedPresets
 	if ctx.Err() != nil {
-		rep.Seconds = result.Elapsed.Seconds() // called off: the plan was longer than the run
+		rep.Seconds = result.Elapsed.Seconds() // cancelled before the end of the plan
 	}
 	return rep, ctx.Err()
 }
--- a/standin/local/reportonly.go
+++ b/standin/local/reportonly.go
@@ -13,15 +13,15 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// ReportOnlyUpstreams are upstreams that do nothing but report: the load of a large
-// fleet's control path without its engines.
+// ReportOnlyUpstreams are upstreams that only serve reports: they put the load of a
+// large fleet on the control path without its engines.
 type ReportOnlyUpstreams struct {
 	startedAt time.Time
 	list      []*ReportOnlyUpstream
 	byAddress map[string]*ReportOnlyUpstream
 }
 
-// ReportOnlyUpstream is one of them.
+// ReportOnlyUpstream is an upstream that only serves its report.
 type ReportOnlyUpstream struct {
 	Name          string
 	ln            net.Listener
@@ -32,7 +32,8 @@
 	reportsServed atomic.Int64
 }
 
-// StartReportOnlyUpstreams opens n listeners on loopback. Residents gives what each holds.
+// StartReportOnlyUpstreams starts n upstreams on loopback. The function residents
+// returns the resident models of the upstream with index i.
 func StartReportOnlyUpstreams(n int, residents func(i int) []engineapi.Resident) (*ReportOnlyUpstreams, error) {
 	s := &ReportOnlyUpstreams{startedAt: time.Now(), byAddress: map[string]*ReportOnlyUpstream{}}
 	for i := range n {
@@ -71,10 +72,10 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	_, _ = w.Write(data) // the node may be gone
+	_, _ = w.Write(data) // fails if the node has hung up
 }
 
-// ReportsServed is the number of reports given so far.
+// ReportsServed returns the number of reports that all upstreams have served so far.
 func (s *ReportOnlyUpstreams) ReportsServed() int64 {
 	var n int64
 	for _, src := range s.list {
@@ -83,7 +84,7 @@
 	return n
 }
 
-// Close stops all.
+// Close stops all upstreams.
 func (s *ReportOnlyUpstreams) Close() {
 	for _, src := range s.list {
 		_ = src.server.Shutdown(context.Background())
--- a/standin/local/resume_test.go
+++ b/standin/local/resume_test.go
@@ -17,8 +17,8 @@
 	"peridotpier.example/standin/local"
 )
 
-// silencingDialer lets one connection go silent: the first on which a stream's rest is
-// asked for, before the answer's head.
+// silencingDialer makes one connection unresponsive once it is armed: the first on which
+// the remainder of a stream is requested, before the head of the answer.
 type silencingDialer struct {
 	net.Dialer
 	armed atomic.Bool
@@ -38,7 +38,7 @@
 	d *silencingDialer
 }
 
-// Write swallows the question for a stream's rest, once.
+// Write drops the request for a stream's remainder once and reports success.
 func (c *silencingConn) Write(p []byte) (int, error) {
 	if isResumeRequest(p) && c.d.armed.CompareAndSwap(true, false) {
 		return len(p), nil
@@ -50,16 +50,16 @@
 	return bytes.HasPrefix(p, []byte("GET ")) && bytes.Contains(p, []byte("/stream?after="))
 }
 
-// Symptom: a caller that resumes its stream through another host waits until it
-// loses patience.
-// Sequence: its host dies; the next one asks the engine for the rest; that very
-// connection goes silent before the head of the answer.
-// Cause: the exchange is watched only once its head has come.
+// Symptom: a caller that resumes its stream through another host waits until its own
+// timeout.
+// Sequence: its host dies; the next host requests the remainder from the engine; this
+// connection becomes unresponsive before the head of the answer.
+// Cause: the exchange is monitored only after its head has arrived.
 func TestAConnectionThatGoesSilentBeforeTheRestIsReplaced(t *testing.T) {
 	d := &silencingDialer{}
-	// The engine gives a stream up that nobody reads for long.
+	// The engine ends a stream that is not read for ResumeWindow.
 	p := newFixture(t, engine.Config{TokenTime: 5 * time.Millisecond, ResumeWindow: 5 * time.Second}, func(c *local.NodeConfig) { c.Dialer = d })
-	const tokens = 1200 // not done by the time at which the engine gives up
+	const tokens = 1200 // not finished when the engine would end the stream
 	body := fmt.Sprintf(chat, true, tokens)
 	ctx, cancel := context.WithCancel(t.Context())
 	resp, _, begin := p.openStream(ctx, p.base, body, 5)
@@ -69,6 +69,6 @@
 	status, _, rest := p.do("GET", "/v1/requests/"+resp.Header.Get("Peridot-Resume")+"/stream", teamKey, "", "Last-Event-ID", "5")
 	assert.Equal(t, status, http.StatusOK, rest)
 	assert.Equal(t, strings.Count(begin+rest, "id: "), tokens+1)
-	assert.Assert(t, strings.HasSuffix(rest, "data: [DONE]\n\n"), "the rest is cut")
-	assert.Assert(t, !d.armed.Load(), "nothing went silent: the test shows nothing")
+	assert.Assert(t, strings.HasSuffix(rest, "data: [DONE]\n\n"), "the remainder is cut")
+	assert.Assert(t, !d.armed.Load(), "no connection became unresponsive: the test shows nothing")
 }
--- a/standin/local/secrets_test.go
+++ b/standin/local/secrets_test.go
@@ -20,7 +20,7 @@
 	"peridotpier.example/standin/pki"
 )
 
-// secretsFixture is a node with a certificate, whose log and answers are kept.
+// secretsFixture is a node with TLS whose log and answers are recorded.
 type secretsFixture struct {
 	*fixture
 	ca       *pki.Authority
@@ -50,7 +50,8 @@
 	return v
 }
 
-// call keeps what is answered, and returns its status and headers.
+// call sends a request, records the body of the answer, and returns its status and
+// headers.
 func (v *secretsFixture) call(c *http.Client, method, url, key, body string) (int, http.Header) {
 	v.t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
@@ -61,14 +62,14 @@
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
 	assert.NilError(v.t, err)
-	fmt.Fprintf(&v.answers, "%s: %s\n", method, text) // not the path, which may hold a token of the test
+	fmt.Fprintf(&v.answers, "%s: %s\n", method, text) // without the path, which may contain a token of the test
 	return resp.StatusCode, resp.Header
 }
 
 // Symptom: a key is found in a log, a ticket or a dashboard.
-// Sequence: keys are mistyped, pasted into the wrong place, rotated, broken on
-// disk; somebody copies what the host said about it.
-// Cause: an error repeats what it was given, or a record holds more than it needs.
+// Sequence: keys are mistyped, pasted into the wrong place, rotated, or broken on disk;
+// somebody copies the host's messages about it.
+// Cause: an error repeats its input, or a record contains more than it needs.
 func TestSecretsAreNeverShown(t *testing.T) {
 	v := newSecretsFixture(t)
 	callers, operators := "https://"+v.node.CallerAddress(), "https://"+v.node.OperatorAddress()
@@ -98,7 +99,7 @@
 	expect(404, v.callers, "GET", callers+"/v1/requests/"+resume, otherKey, "")
 	expect(404, v.callers, "DELETE", callers+"/v1/requests/"+resume, otherKey, "")
 	expect(404, v.callers, "GET", callers+"/v1/requests/"+resume+"x/stream", teamKey, "")
-	// Operators: a wrong key, a key in the place of its hash, a rotated key.
+	// Operators: a wrong key, a key instead of its hash, a rotated key.
 	expect(401, v.operator, "GET", operators+"/v1/status", wrongOperator, "")
 	apply := func(want int, hashes ...string) {
 		t.Helper()
@@ -109,10 +110,10 @@
 		expect(want, v.operator, "POST", operators+"/v1/configuration?parent=1", local.OperatorKey, string(doc))
 	}
 	apply(422, pasted)
-	apply(422, keyHashOf(teamKey), keyHashOf(otherKey)) // of another team
+	apply(422, keyHashOf(teamKey), keyHashOf(otherKey)) // the second is another team's
 	apply(200, keyHashOf(teamKey), keyHashOf(newKey))
 	apply(409, keyHashOf(newKey))
-	// Files: broken, mended, rotated.
+	// Files: broken, rotated, repaired.
 	for _, f := range []struct{ name, text string }{{local.ResumeKeyFile, brokenKey}, {"certificate-key", string(private[:len(private)/2])},
 		{local.ResumeKeyFile, newSecret}, {"certificate-key", string(private)}} {
 		v.files.Put(f.name, []byte(f.text))
@@ -125,7 +126,7 @@
 	assert.NilError(t, err)
 	_, err = plain.Write([]byte("GET / HTTP/1.1\r\nAuthorization: Bearer " + teamKey + "\r\n\r\n"))
 	assert.NilError(t, err)
-	_, _ = io.ReadAll(plain) // ends as the host hangs up
+	_, _ = io.ReadAll(plain) // ends when the host hangs up
 	_ = plain.Close()
 	for _, q := range []string{"/v1/status", "/v1/everywhere", "/v1/audit", "/v1/requests", "/v1/presets", "/debug/vars"} {
 		expect(200, v.operator, "GET", operators+q, local.OperatorKey, "")
@@ -140,7 +141,7 @@
 		logged[e.ContextMap()[event.FieldEvent].(int64)] = true
 	}
 	for _, e := range []event.Event{event.KeysRefused, event.KeysReloaded, event.HandshakeRefused, event.OperatorRefused, event.OperatorChanged} {
-		assert.Check(t, logged[int64(e.Number)], "%s was not met: the test shows less than it says", e.Name)
+		assert.Check(t, logged[int64(e.Number)], "%s was not logged: the test shows less than it claims", e.Name)
 	}
 	for name, secret := range secrets {
 		assert.Check(t, secret != "" && !strings.Contains(output, secret), "the %s is shown", name)
--- a/standin/local/site.go
+++ b/standin/local/site.go
@@ -19,38 +19,40 @@
 	"peridotpier.example/standin/wire"
 )
 
-// Options of running a site.
+// Options are the options of Start.
 type Options struct {
 	Site   *site.Site
 	Seed   uint64
 	Policy server.Policy
-	Oracle bool // upstreams report at once and truly
+	Oracle bool // reports of upstreams are current and immediate
 	Log    *zap.Logger
-	// Demand sets the windows of measured demand; the zero value is the default.
+	// Demand sets the time windows of the demand measurement; the zero value is the
+	// default.
 	Demand demand.Config
-	// TLS lets all listeners of the entry hosts use certificates made in memory.
+	// TLS makes all listeners of the entry hosts use certificates issued in memory.
 	TLS bool
-	// Hosts is the number of entry hosts; 0: as the site says.
+	// Hosts is the number of entry hosts; 0: that of the site.
 	Hosts int
 }
 
-// RunningSite is a site that runs: stand-ins and nodes.
+// RunningSite is a site that runs in this process: its stand-ins and nodes.
 type RunningSite struct {
 	*StandIns
 	opt       Options
 	Balancer  *load.Balancer
-	Authority *pki.Authority // signed the hosts' certificates; nil without TLS
+	Authority *pki.Authority // issuer of the hosts' certificates; nil without TLS
 
 	mu             sync.Mutex
-	nodes          []*Node  // nil: ended
-	appliedPresets []string // put in force one after the other by scripts
+	nodes          []*Node  // by host number; nil: stopped or killed
+	appliedPresets []string // put in force by scripts, in this order
 }
 
-// balancerDelay is how long a local balancer goes on sending to a host that
-// said "not ready".
+// balancerDelay is the time for which a local balancer continues to send to a host
+// after the host reports "not ready".
 const balancerDelay = time.Second
 
-// Start starts the platform, the upstreams and all entry hosts.
+// Start starts the platform, the upstreams and all entry hosts, and waits until the
+// hosts are ready.
 func Start(ctx context.Context, opt Options) (*RunningSite, error) {
 	if opt.Hosts == 0 {
 		opt.Hosts = opt.Site.EntryHosts
@@ -73,7 +75,7 @@
 	for i := range opt.Hosts {
 		n, err := r.newNode(i)
 		if err != nil {
-			return nil, err // nothing runs yet
+			return nil, err // no node runs yet
 		}
 		r.nodes = append(r.nodes, n)
 	}
@@ -85,11 +87,11 @@
 	return r, nil
 }
 
-// hostName is the name of the i-th entry host.
+// hostName returns the name of the entry host with index i.
 func hostName(i int) string { return fmt.Sprintf("entry-%d", i+1) }
 
-// startNodes starts the hosts of a site that was there before: its platform
-// lists them already, however late it lists changes.
+// startNodes starts the hosts as those of an existing site: the platform lists them
+// from the beginning, although it lists later changes with a lag.
 func (r *RunningSite) startNodes(ctx context.Context) error {
 	r.HostList.SetLag(0)
 	defer r.HostList.SetLag(time.Duration(r.opt.Site.Store.HostListLagMs) * time.Millisecond)
@@ -122,7 +124,7 @@
 		}})
 }
 
-// publishHosts brings the platform's list of hosts up to date; hosts read it late.
+// publishHosts updates the platform's host list; hosts see the update with a lag.
 func (r *RunningSite) publishHosts() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,7 +138,7 @@
 	r.HostList.Set(hosts...)
 }
 
-// Addresses are the callers' listeners of the hosts that the balancer knows.
+// Addresses returns the addresses of the callers' listeners of the running hosts.
 func (r *RunningSite) Addresses() []string {
 	return r.addresses(func(n *Node) string { return n.CallerAddress() })
 }
@@ -153,7 +155,8 @@
 	return out
 }
 
-// removeNode removes a host from those that run.
+// removeNode removes a host from the running ones and returns its node, or nil if it
+// doesn't run.
 func (r *RunningSite) removeNode(host int) *Node {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -165,7 +168,7 @@
 	return n
 }
 
-// Kill ends one host without a word; the balancer notices a second later.
+// Kill ends one host abruptly; the balancer notices it balancerDelay later.
 func (r *RunningSite) Kill(host int) {
 	if n := r.removeNode(host); n != nil {
 		n.Kill()
@@ -174,8 +177,8 @@
 	}
 }
 
-// Stop shuts one host down gracefully; the balancer stops sending to it
-// somewhat before it stops taking requests.
+// Stop shuts one host down gracefully and waits until it has ended. The balancer stops
+// sending to the host shortly before the host stops accepting requests.
 func (r *RunningSite) Stop(host int) error {
 	n := r.removeNode(host)
 	if n == nil {
@@ -186,7 +189,7 @@
 	return n.Stop()
 }
 
-// Replace starts a new host in the place of one that ended.
+// Replace starts a new host in the place of one that was stopped or killed.
 func (r *RunningSite) Replace(ctx context.Context, host int) error {
 	n, err := r.newNode(host)
 	if err != nil {
@@ -204,7 +207,8 @@
 	return nil
 }
 
-// Dialer opens callers' connections at their distance from the entry hosts.
+// Dialer returns a dialer for callers' connections that imitates the round-trip times
+// to the entry hosts.
 func (r *RunningSite) Dialer() *wire.Dialer {
 	centre := map[string]string{}
 	for i, n := range r.nodes {
@@ -217,8 +221,8 @@
 	}}
 }
 
-// DialCallers opens callers' connections like Dialer, with TLS where the site
-// runs with it.
+// DialCallers returns a function that opens callers' connections like Dialer, with TLS
+// if the site runs with it.
 func (r *RunningSite) DialCallers() func(ctx context.Context, network, address string) (net.Conn, error) {
 	dial := r.Dialer().DialContext
 	if r.Authority == nil {
@@ -230,7 +234,7 @@
 		if err != nil {
 			return nil, err
 		}
-		host, _, _ := net.SplitHostPort(address) // it was just dialled
+		host, _, _ := net.SplitHostPort(address) // valid, since it was dialled
 		secure := tls.Client(c, &tls.Config{RootCAs: roots, ServerName: host})
 		if err := secure.HandshakeContext(ctx); err != nil {
 			_ = c.Close()
@@ -240,12 +244,13 @@
 	}
 }
 
-// Close ends everything; requests in flight are finished first.
+// Close stops all hosts, which finish their requests in flight first, and then the
+// upstreams.
 func (r *RunningSite) Close() {
 	var wg sync.WaitGroup
 	for i := range r.nodes {
 		if n := r.removeNode(i); n != nil {
-			wg.Go(func() { _ = n.Stop() }) // an error here is the listener's end, and the run is over
+			wg.Go(func() { _ = n.Stop() }) // the run is over: an error only concerns the closing of a listener
 		}
 	}
 	wg.Wait()
--- a/standin/local/slopes.go
+++ b/standin/local/slopes.go
@@ -12,7 +12,8 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Slope is how one figure grows with the number of hosts, by least squares.
+// Slope is the growth of one figure with the number of hosts: a line fitted by least
+// squares.
 type Slope struct {
 	Figure       string    `json:"figure"`
 	Base         float64   `json:"base"`
@@ -21,10 +22,10 @@
 	Values       []float64 `json:"values"`
 }
 
-// designHosts is the size that the design is for.
+// designHosts is the number of hosts that the design is for.
 const designHosts = 420
 
-// figures are what is fitted and plotted.
+// figures are the measurements that are fitted and plotted.
 var figures = []struct {
 	name string
 	of   func(FleetReport) float64
@@ -40,7 +41,7 @@
 	{"leaving known, p99 ms", func(r FleetReport) float64 { return r.DrainingKnown.P99 }},
 }
 
-// FitSlopes fits each figure over fleets of different sizes.
+// FitSlopes fits a line to each figure over fleets of different sizes.
 func FitSlopes(runs []FleetReport) []Slope {
 	var out []Slope
 	for _, f := range figures {
@@ -62,8 +63,8 @@
 	return out
 }
 
-// PlotSlopes draws each figure against the number of hosts, as a share of its
-// largest value, so that what grows and what does not shows on one page.
+// PlotSlopes writes an SVG plot of each figure against the number of hosts, as a share
+// of the figure's largest value, so that one page shows which figures grow.
 func PlotSlopes(w io.Writer, runs []FleetReport) error {
 	p := plot.New()
 	p.Title.Text = "Fleets of real hosts"
--- a/standin/local/slopes_test.go
+++ b/standin/local/slopes_test.go
@@ -10,7 +10,7 @@
 	"peridotpier.example/standin/local"
 )
 
-func TestSlopesFitWhatGrowsAndWhatDoesNot(t *testing.T) {
+func TestSlopesFitGrowingAndConstantFigures(t *testing.T) {
 	runs := []local.FleetReport{{Nodes: 10, PeerBytes: 300, TableReads: 7}, {Nodes: 30, PeerBytes: 300, TableReads: 17}, {Nodes: 50, PeerBytes: 300, TableReads: 27}}
 	for _, s := range local.FitSlopes(runs) {
 		switch s.Figure {
--- a/standin/local/standins.go
+++ b/standin/local/standins.go
@@ -7,8 +7,8 @@
 	"peridotpier.example/standin/site"
 )
 
-// StandIns are what a site's entry hosts work with: the platform's services
-// and the upstreams, imitated.
+// StandIns are the simulated platform services and upstreams that the entry hosts of a
+// site use.
 type StandIns struct {
 	Table     *fake.Table
 	Objects   *fake.Objects
@@ -17,7 +17,7 @@
 	Upstreams *site.Upstreams
 }
 
-// startStandIns starts them with the limits and lags that the site states.
+// startStandIns starts the stand-ins with the limits and lags that the site states.
 func startStandIns(s *site.Site, opt site.StartOptions) (*StandIns, error) {
 	seed := opt.Seed
 	in := &StandIns{Table: fake.NewTableWith(fake.NewFaults(seed, nil)), Objects: fake.NewObjects(fake.NewFaults(seed, nil))}
--- a/standin/local/standinserver.go
+++ b/standin/local/standinserver.go
@@ -17,9 +17,9 @@
 	"peridotpier.example/standin/site"
 )
 
-// StandInServer is all of a site but its entry hosts, for hosts that are processes
-// of their own: the platform's services over HTTP, the upstreams, and a folder
-// with what the hosts need to start.
+// StandInServer runs all of a site except its entry hosts, for hosts that run as
+// separate processes: the platform's services over HTTP, the upstreams, and a folder
+// with the settings and keys that the hosts need to start.
 type StandInServer struct {
 	*StandIns
 	Layout Layout
@@ -28,22 +28,22 @@
 	server        *http.Server
 	stop          context.CancelFunc
 	watchersDone  chan struct{}
-	truthRequests chan chan site.GroundTruth // one answer each
+	truthRequests chan chan site.GroundTruth // each receives one answer
 }
 
-// StandInServerOptions say what to start.
+// StandInServerOptions are the options of StartStandInServer.
 type StandInServerOptions struct {
 	Site   *site.Site
 	Seed   uint64
-	Hosts  int    // entry hosts to write settings for; 0: as the site says
-	Listen string // of the platform's services; "": any port on loopback
+	Hosts  int    // number of entry hosts to write settings for; 0: that of the site
+	Listen string // address of the platform's services; "": any port on loopback
 	Dir    string // existing folder for settings, keys and the layout
 }
 
-// RecordsPath is where the stand-ins' own records are read.
+// RecordsPath is the URL path of the stand-ins' own records.
 const RecordsPath = "/standin/v1/records"
 
-// Records are what the stand-ins know of a run.
+// Records are what the stand-ins recorded of a run.
 type Records struct {
 	Effects           []load.Effect
 	Overcommits       int
@@ -51,8 +51,9 @@
 	Moves             int
 }
 
-// StartStandInServer starts the stand-ins, puts the site's configuration in force
-// and writes the folder.
+// StartStandInServer starts the stand-ins, puts the site's configuration in force and
+// writes the settings, keys and layout to the folder. On an error nothing is left
+// running.
 func StartStandInServer(ctx context.Context, opt StandInServerOptions) (*StandInServer, error) {
 	if opt.Hosts == 0 {
 		opt.Hosts = opt.Site.EntryHosts
@@ -83,7 +84,7 @@
 	return o, nil
 }
 
-// serve starts the platform's services and the watch over hosts.
+// serve starts the platform's services and the monitors of hosts and upstreams.
 func (o *StandInServer) serve(ctx context.Context, ln net.Listener) {
 	ctx, o.stop = context.WithCancel(ctx)
 	mux := http.NewServeMux()
@@ -100,7 +101,7 @@
 	}()
 }
 
-// prepare puts the configuration in force and writes what the hosts need.
+// prepare puts the configuration in force and writes the files that the hosts need.
 func (o *StandInServer) prepare(ctx context.Context, dir, base string, hosts int) error {
 	if err := ApplyConfig(ctx, o.Table, o.Objects, &o.Upstreams.Config); err != nil {
 		return err
@@ -125,8 +126,8 @@
 	return writeLayout(dir, &o.Layout)
 }
 
-// monitorUpstreams watches the upstreams' true state; each question for the records
-// ends one stretch of watching and begins the next.
+// monitorUpstreams monitors the upstreams' actual state until ctx ends. Each request for
+// the records ends one period of monitoring, whose result it gets, and starts the next.
 func (o *StandInServer) monitorUpstreams(ctx context.Context) {
 	for ctx.Err() == nil {
 		monitorCtx, endMonitor := context.WithCancel(ctx)
@@ -135,7 +136,7 @@
 		select {
 		case reply := <-o.truthRequests:
 			endMonitor()
-			reply <- <-truth // has room: nobody need be there to take it
+			reply <- <-truth // buffered: does not block if the reader has hung up
 		case <-ctx.Done():
 			endMonitor()
 			<-truth
@@ -156,7 +157,7 @@
 	t := <-reply
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(Records{Effects: o.Upstreams.Effects(), Overcommits: len(t.Overcommits),
-		UnreachableModels: t.UnreachableModels(&o.Upstreams.Config), Moves: t.ModelLoads}) // the reader may be gone
+		UnreachableModels: t.UnreachableModels(&o.Upstreams.Config), Moves: t.ModelLoads}) // fails if the reader has hung up
 }
 
 // Close stops the stand-ins.
@@ -167,7 +168,8 @@
 	o.Upstreams.Close()
 }
 
-// ReadRecords asks stand-ins that run elsewhere for their records.
+// ReadRecords requests the records of stand-ins in another process; standIns is the URL
+// of their server.
 func ReadRecords(ctx context.Context, standIns string) (*Records, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, standIns+RecordsPath, nil)
 	if err != nil {
@@ -179,13 +181,14 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return nil, errors.New("the stand-ins give no records: " + resp.Status)
+		return nil, errors.New("read the stand-ins' records: " + resp.Status)
 	}
 	var rec Records
 	return &rec, eris.Wrap(json.NewDecoder(resp.Body).Decode(&rec), "read records")
 }
 
-// AddRecords completes a report whose hosts and stand-ins were other processes.
+// AddRecords fills in what only the stand-ins recorded, for a report on hosts and
+// stand-ins in other processes.
 func (r *Report) AddRecords(rec *Records) {
 	r.Overcommits, r.ModelLoads, r.Unreachable = rec.Overcommits, rec.Moves, rec.UnreachableModels
 	r.UnreachableModels = len(rec.UnreachableModels)
--- a/standin/local/tls_test.go
+++ b/standin/local/tls_test.go
@@ -16,10 +16,10 @@
 	"peridotpier.example/standin/pki"
 )
 
-// Symptom: with TLS the hosts do not find one another, or one of another
-// authority joins them.
-// Sequence: a host starts, reads the platform's list and dials the listed one.
-// Cause: certificates are checked on no side, or refused on a right one.
+// Symptom: with TLS the hosts do not connect to one another, or a host with a certificate
+// of another authority joins them.
+// Sequence: a host starts, reads the platform's list and dials the listed host.
+// Cause: neither side checks certificates, or a side refuses a valid one.
 func TestOnlyHostsOfOneAuthorityLink(t *testing.T) {
 	ours, err := pki.New("ours")
 	assert.NilError(t, err)
--- a/standin/local/trap_test.go
+++ b/standin/local/trap_test.go
@@ -11,17 +11,19 @@
 	"peridotpier.example/standin/local"
 )
 
-// trapDialer dial a node's connections to upstreams, and act at two moments in the
-// life of an attempt of a request that may not be repeated: its claim stands
-// and no byte of it is out, or all of it is out and no byte of the answer is
-// read. The connection to the upstream is made only after the first act.
+// trapDialer dials a node's connections to upstreams and calls functions at two moments
+// of an attempt of a request that may not be repeated: beforeWrite after its claim is
+// written and before its first byte is sent, and beforeRead after all of it is sent and
+// before the first byte of the answer is read. The connection to the upstream is made
+// only after beforeWrite.
 type trapDialer struct {
 	net.Dialer
 	mu                      sync.Mutex
 	beforeWrite, beforeRead func()
 }
 
-// set arms the traps for one attempt; nil leaves one as it is.
+// set sets the functions, each of which is called for one attempt; nil leaves a function
+// as it is.
 func (d *trapDialer) set(before, behind func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -49,13 +51,13 @@
 	return &trapConn{traps: d, network: network, address: address, ended: make(chan struct{})}, nil
 }
 
-// trapConn is one connection, dialled at its first write.
+// trapConn is a connection that is dialled at its first write.
 type trapConn struct {
 	net.Conn
 	traps            *trapDialer
 	network, address string
 	claimed          bool
-	mu               sync.Mutex // guards Conn until it is dialled, and closed
+	mu               sync.Mutex // guards closed, and Conn until it is dialled
 	closed           bool
 	ended            chan struct{}
 }
@@ -115,7 +117,8 @@
 	return c.Conn.Close()
 }
 
-// newTrappedFixture is a path whose node n1 has traps; other nodes have none.
+// newTrappedFixture returns a fixture with slowEngine whose node n1 has the returned
+// trapDialer; other nodes have none.
 func newTrappedFixture(t testing.TB, change ...func(*local.NodeConfig)) (*fixture, *trapDialer) {
 	t.Helper()
 	return newTrappedFixtureWith(t, &fixture{answerBytes: 1 << 20, serviceCount: 1}, change...)
--- a/standin/local/writers_test.go
+++ b/standin/local/writers_test.go
@@ -17,9 +17,9 @@
 )
 
 // Symptom: a note is packed twice, or its caller never gets an answer.
-// Sequence: hosts let others write their claims; callers send each note through
-// two hosts at once; the host that writes some of the claims dies in the middle.
-// Cause: the claim is lost with its writer, or written by two as if by one.
+// Sequence: hosts forward their claims to other hosts, which write them; callers send
+// each note through two hosts at once; a host that writes some of the claims dies.
+// Cause: a claim is lost with its writer, or two hosts each write a claim for one key.
 func TestClaimsThroughOtherHostsSurviveTheirWriter(t *testing.T) {
 	forward := func(c *local.NodeConfig) { c.Policy.ForwardClaims = true }
 	p := newFixture(t, engine.Config{}, forward)
@@ -50,7 +50,7 @@
 	}
 	wg.Wait()
 	answers := map[string]bool{}
-	for k := range keys { // each key has its answer, whichever host is asked
+	for k := range keys { // each key has its answer at either host
 		r := awaitAnswer(t.Context(), nodes[k%2], k)
 		assert.Equal(t, r.status, http.StatusOK, r.body)
 		answers[r.body] = true
@@ -67,7 +67,8 @@
 	assert.NilError(t, nodes[1].Stop())
 }
 
-// awaitAnswer asks until a note has its answer or cannot get one, some times at most.
+// awaitAnswer sends a note again until it is answered or refused without Retry-After, 200
+// times at most.
 func awaitAnswer(ctx context.Context, n *local.Node, key int) reply {
 	var r reply
 	for range 200 {
--- a/standin/site/site_test.go
+++ b/standin/site/site_test.go
@@ -140,7 +140,7 @@
 // Sequence: a team's demand bursts as the site file describes.
 // Cause: the limit is below the team's own peak. Limits are meant against floods; a
 // reserve of a third allows for random variation and for the hosts' shares of a limit.
-func TestTeamLimitsLeaveThePeaksThrough(t *testing.T) {
+func TestTeamLimitsAdmitThePeaksOfDemand(t *testing.T) {
 	for _, name := range []string{"taipei", "kathmandu"} {
 		s := builtIn(t, name)
 		sources, err := s.Sources(time.Minute)
