--- a/standin/local/badinput_test.go
+++ b/standin/local/badinput_test.go
@@ -74,7 +74,7 @@
 	}
 	r.fixture = newFixture(t, engine.Config{TokenTime: slowEngine.TokenTime, ResumeWindow: 50 * time.Millisecond}, func(c *local.NodeConfig) {
 		c.Settings.Bounds.ReportEveryMs = int((24 * time.Hour).Milliseconds()) // only the first poll: polls would keep connections of their own
-		c.Dialer, c.HeadBound, c.BodyBound = &r.dialer, 250*time.Millisecond, 250*time.Millisecond
+		c.Dialer, c.HeadTimeout, c.BodyTimeout = &r.dialer, 250*time.Millisecond, 250*time.Millisecond
 		if secure {
 			c.Files = local.NewKeyFiles()
 			assert.NilError(t, local.EnableTLS(c.Settings, c.Files, r.ca))
@@ -92,37 +92,37 @@
 // connect opens a connection, with TLS if the host uses it. The timeout of a request's
 // head also applies to the handshake, which may take longer on a busy machine. The
 // handshake is not under test, so connect retries it on another connection.
-func (r *badInputFixture) connect() net.Conn {
-	r.t.Helper()
+func (f *badInputFixture) connect() net.Conn {
+	f.t.Helper()
 	for end := time.Now().Add(stepTimeout); ; {
-		c, err := net.Dial("tcp", r.node.CallerAddress())
-		assert.NilError(r.t, err)
-		if r.ca == nil {
+		c, err := net.Dial("tcp", f.node.CallerAddress())
+		assert.NilError(f.t, err)
+		if f.ca == nil {
 			return c
 		}
-		secure := tls.Client(c, &tls.Config{RootCAs: r.ca.CertPool(), ServerName: "127.0.0.1"})
+		secure := tls.Client(c, &tls.Config{RootCAs: f.ca.CertPool(), ServerName: "127.0.0.1"})
 		if err = secure.Handshake(); err == nil {
 			return secure
 		}
 		_ = c.Close()
-		assert.Assert(r.t, time.Now().Before(end), "no handshake: %v", err)
+		assert.Assert(f.t, time.Now().Before(end), "no handshake: %v", err)
 	}
 }
 
 // sendRaw opens a connection and sends text on it.
-func (r *badInputFixture) sendRaw(text string) net.Conn {
-	r.t.Helper()
-	c := r.connect()
-	assert.NilError(r.t, c.SetDeadline(time.Now().Add(stepTimeout)))
+func (f *badInputFixture) sendRaw(text string) net.Conn {
+	f.t.Helper()
+	c := f.connect()
+	assert.NilError(f.t, c.SetDeadline(time.Now().Add(stepTimeout)))
 	_, err := io.WriteString(c, text)
-	assert.NilError(r.t, err)
+	assert.NilError(f.t, err)
 	return c
 }
 
 // drip sends single bytes at intervals until the host closes the connection, and returns
 // what the host sent.
-func (r *badInputFixture) drip(c net.Conn) string {
-	r.t.Helper()
+func (f *badInputFixture) drip(c net.Conn) string {
+	f.t.Helper()
 	stop := make(chan struct{})
 	stopped := make(chan struct{})
 	go func() {
@@ -142,7 +142,7 @@
 	<-stopped
 	_ = c.Close()
 	timeout, ok := err.(net.Error)
-	assert.Assert(r.t, !ok || !timeout.Timeout(), "the host keeps a connection that only drips; it sent %q", text)
+	assert.Assert(f.t, !ok || !timeout.Timeout(), "the host keeps a connection that only drips; it sent %q", text)
 	return string(text)
 }
 
@@ -152,13 +152,13 @@
 
 // postChunked sends a request whose body has no declared length, and returns status and
 // body of the answer.
-func (r *badInputFixture) postChunked(method, path string, body io.Reader) (int, string, error) {
-	r.t.Helper()
-	req, err := http.NewRequest(method, r.base+path, io.MultiReader(body)) // hides the length from net/http
-	assert.NilError(r.t, err)
+func (f *badInputFixture) postChunked(method, path string, body io.Reader) (int, string, error) {
+	f.t.Helper()
+	req, err := http.NewRequest(method, f.base+path, io.MultiReader(body)) // hides the length from net/http
+	assert.NilError(f.t, err)
 	req.Header.Set("Authorization", "Bearer "+teamKey)
 	req.Header.Set("Idempotency-Key", "big")
-	resp, err := r.client.Do(req)
+	resp, err := f.client.Do(req)
 	if err != nil {
 		return 0, "", err
 	}
@@ -168,15 +168,15 @@
 }
 
 // openLongStream opens a long stream and reads its first line.
-func (r *badInputFixture) openLongStream() *http.Response {
-	r.t.Helper()
-	req, err := http.NewRequest("POST", r.base+"/v1/chat/completions", strings.NewReader(fmt.Sprintf(chat, true, 8000)))
-	assert.NilError(r.t, err)
+func (f *badInputFixture) openLongStream() *http.Response {
+	f.t.Helper()
+	req, err := http.NewRequest("POST", f.base+"/v1/chat/completions", strings.NewReader(fmt.Sprintf(chat, true, 8000)))
+	assert.NilError(f.t, err)
 	req.Header.Set("Authorization", "Bearer "+teamKey)
-	resp, err := r.client.Do(req)
-	assert.NilError(r.t, err)
+	resp, err := f.client.Do(req)
+	assert.NilError(f.t, err)
 	_, err = bufio.NewReader(resp.Body).ReadString('\n')
-	assert.NilError(r.t, err)
+	assert.NilError(f.t, err)
 	return resp
 }
 
@@ -215,53 +215,53 @@
 }
 
 // idle waits until no request is in flight at the node and no attempt runs at the engine.
-func (r *badInputFixture) idle() poll.Check {
+func (f *badInputFixture) idle() poll.Check {
 	return func(poll.LogT) poll.Result {
-		if here, there := r.node.Status().InFlight, r.eng.ActualState().Running; here+there > 0 {
+		if here, there := f.node.Status().InFlight, f.eng.ActualState().Running; here+there > 0 {
 			return poll.Continue("%d requests in flight, %d attempts run", here, there)
 		}
 		return poll.Success()
 	}
 }
 
-func (r *badInputFixture) sendBadInput() {
-	t := r.t
+func (f *badInputFixture) sendBadInput() {
+	t := f.t
 	t.Helper()
 	const notes, queries, chats = "/v1/services/stock/notes", "/v1/services/stock/q", "/v1/chat/completions"
 
 	// An oversized header: the host answers and hangs up without reading all of it.
-	bomb := r.sendRaw("GET /v1/models HTTP/1.1\r\nHost: x\r\nX-Bomb: " + strings.Repeat("b", 30<<10))
+	bomb := f.sendRaw("GET /v1/models HTTP/1.1\r\nHost: x\r\nX-Bomb: " + strings.Repeat("b", 30<<10))
 	text, _ := io.ReadAll(bomb) // may end with a reset, since the host did not read everything
 	_ = bomb.Close()
 	assert.Assert(t, strings.HasPrefix(string(text), "HTTP/1.1 431 "), string(text))
 
-	r.drip(r.sendRaw("GET /v1/models HTTP/1.1\r\nX-Slow: "))
+	f.drip(f.sendRaw("GET /v1/models HTTP/1.1\r\nX-Slow: "))
 	for _, c := range []struct{ key, length, status, code string }{
 		{teamKey, "Content-Length: 900000\r\n", "400", "bad_request"},
 		{"nobody", "Content-Length: 900000\r\n", "401", "invalid_api_key"},
 		{"nobody", "Transfer-Encoding: chunked\r\n", "401", "invalid_api_key"},
 	} {
-		answer := r.drip(r.sendRaw(head("POST", chats, c.key, c.length)))
+		answer := f.drip(f.sendRaw(head("POST", chats, c.key, c.length)))
 		assert.Assert(t, strings.HasPrefix(answer, "HTTP/1.1 "+c.status+" "), answer)
 		assert.Assert(t, strings.Contains(answer, c.code) && strings.Contains(answer, "not_run"), answer)
 	}
 
 	const tooMuch = 2 << 20
 	for _, c := range []struct{ method, path string }{{"POST", chats}, {"POST", notes}, {"GET", queries}} {
-		status, answer, err := r.postChunked(c.method, c.path, io.LimitReader(zeros{}, tooMuch))
+		status, answer, err := f.postChunked(c.method, c.path, io.LimitReader(zeros{}, tooMuch))
 		if err == nil { // otherwise the host hung up, which ends the request as well
 			assert.Equal(t, status, http.StatusRequestEntityTooLarge, "%s %s: %s", c.method, c.path, answer)
 		}
 	}
 
 	// Callers that hang up in the middle of a body that is buffered or forwarded.
-	_ = r.sendRaw(head("POST", chats, teamKey, "Content-Length: 1000\r\n") + "{").Close()
-	_ = r.sendRaw(head("POST", notes, teamKey, "Idempotency-Key: k\r\nTransfer-Encoding: chunked\r\n") + "4\r\nnote\r\n").Close()
-	_ = r.sendRaw(head("GET", queries, teamKey, "Transfer-Encoding: chunked\r\n") + "4\r\nnote\r\n").Close()
+	_ = f.sendRaw(head("POST", chats, teamKey, "Content-Length: 1000\r\n") + "{").Close()
+	_ = f.sendRaw(head("POST", notes, teamKey, "Idempotency-Key: k\r\nTransfer-Encoding: chunked\r\n") + "4\r\nnote\r\n").Close()
+	_ = f.sendRaw(head("GET", queries, teamKey, "Transfer-Encoding: chunked\r\n") + "4\r\nnote\r\n").Close()
 
 	// A caller that hangs up in the middle of a stream.
-	_ = r.openLongStream().Body.Close()
-	poll.WaitOn(t, r.idle())
+	_ = f.openLongStream().Body.Close()
+	poll.WaitOn(t, f.idle())
 }
 
 // zeros is an endless body of zero bytes.
--- a/standin/local/hostwatch.go
+++ b/standin/local/hostwatch.go
@@ -18,12 +18,12 @@
 
 // watchHosts keeps the platform's host list current until ctx ends: the list holds the
 // entry hosts that accept connections of callers, and the upstreams.
-func (o *StandInServer) watchHosts(ctx context.Context) {
+func (s *StandInServer) watchHosts(ctx context.Context) {
 	var published []store.Host
 	for {
-		if reachable := o.reachableHosts(ctx); !slices.Equal(reachable, published) {
+		if reachable := s.reachableHosts(ctx); !slices.Equal(reachable, published) {
 			published = reachable
-			o.HostList.Set(append(o.Upstreams.Hosts(), reachable...)...)
+			s.HostList.Set(append(s.Upstreams.Hosts(), reachable...)...)
 		}
 		if !sleep(ctx, hostCheckInterval) {
 			return
@@ -32,10 +32,10 @@
 }
 
 // reachableHosts returns the entry hosts that accept connections of callers.
-func (o *StandInServer) reachableHosts(ctx context.Context) []store.Host {
+func (s *StandInServer) reachableHosts(ctx context.Context) []store.Host {
 	var out []store.Host
 	dialer := net.Dialer{Timeout: hostCheckTimeout}
-	for _, e := range o.Layout.Entries {
+	for _, e := range s.Layout.Entries {
 		c, err := dialer.DialContext(ctx, "tcp", e.Caller)
 		if err != nil {
 			continue
--- a/standin/local/killswitch.go
+++ b/standin/local/killswitch.go
@@ -31,26 +31,26 @@
 
 // wrapDialer returns a dialer like d whose connections the kill switch closes; nil
 // stands for a plain dialer.
-func (g *killSwitch) wrapDialer(d conn.Dialer) killableDialer {
+func (k *killSwitch) wrapDialer(d conn.Dialer) killableDialer {
 	if d == nil {
 		d = &net.Dialer{}
 	}
-	return killableDialer{d, g}
+	return killableDialer{d, k}
 }
 
-func (g *killSwitch) trigger() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.killed = true
-	for c := range g.conns {
+func (k *killSwitch) trigger() {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.killed = true
+	for c := range k.conns {
 		_ = c.Close()
 	}
 }
 
-func (g *killSwitch) err() error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.killed {
+func (k *killSwitch) err() error {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if k.killed {
 		return store.ErrUnavailable
 	}
 	return nil
@@ -58,22 +58,22 @@
 
 // DialContext implements conn.Dialer.
 func (d killableDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	g := d.killSwitch
-	if err := g.err(); err != nil {
+	k := d.killSwitch
+	if err := k.err(); err != nil {
 		return nil, err
 	}
 	c, err := d.Dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.killed {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if k.killed {
 		_ = c.Close()
 		return nil, store.ErrUnavailable
 	}
-	gc := &killableConn{Conn: c, killSwitch: g}
-	g.conns[c] = struct{}{}
+	gc := &killableConn{Conn: c, killSwitch: k}
+	k.conns[c] = struct{}{}
 	return gc, nil
 }
 
@@ -90,13 +90,13 @@
 	return c.Conn.Close()
 }
 
-func (g *killSwitch) wrapPlatform(p server.Platform) server.Platform {
+func (k *killSwitch) wrapPlatform(p server.Platform) server.Platform {
 	out := server.Platform{Objects: p.Objects, Hosts: p.Hosts}
 	if p.Table != nil {
-		out.Table = killableTable{p.Table, g}
+		out.Table = killableTable{p.Table, k}
 	}
 	if p.Weights != nil {
-		out.Weights = killableWeights{p.Weights, g}
+		out.Weights = killableWeights{p.Weights, k}
 	}
 	return out
 }
--- a/standin/local/node.go
+++ b/standin/local/node.go
@@ -96,15 +96,15 @@
 	Policy   server.Policy
 	Dialer   conn.Dialer
 	// PeerDialer opens connections to other nodes; nil: plain connections.
-	PeerDialer conn.Dialer
-	Distance   func(from, to string) float64
-	Demand     demand.Config
-	Log        *zap.Logger
-	Files      *pki.Files // keys and certificates; nil: NewKeyFiles()
-	// ClaimGrace, HeadBound and BodyBound are passed to server.Config.
-	ClaimGrace time.Duration
-	HeadBound  time.Duration
-	BodyBound  time.Duration
+	PeerDialer  conn.Dialer
+	RoundTripMs func(from, to string) float64
+	Demand      demand.Config
+	Log         *zap.Logger
+	Files       *pki.Files // keys and certificates; nil: NewKeyFiles()
+	// ClaimGrace, HeadTimeout and BodyTimeout are passed to server.Config.
+	ClaimGrace  time.Duration
+	HeadTimeout time.Duration
+	BodyTimeout time.Duration
 }
 
 // StartNode creates a node and runs it until Stop or Kill.
@@ -125,14 +125,14 @@
 	if err != nil {
 		return nil, err
 	}
-	g := newKillSwitch()
-	s, err := server.New(server.Config{Settings: cfg.Settings, Keys: ring, Platform: g.wrapPlatform(cfg.Platform),
-		Policy: cfg.Policy, Dialer: g.wrapDialer(cfg.Dialer), RoundTripMs: cfg.Distance, Demand: cfg.Demand, PeerDialer: g.wrapDialer(cfg.PeerDialer), Log: cfg.Log,
-		ClaimGrace: cfg.ClaimGrace, HeadTimeout: cfg.HeadBound, BodyTimeout: cfg.BodyBound})
+	ks := newKillSwitch()
+	s, err := server.New(server.Config{Settings: cfg.Settings, Keys: ring, Platform: ks.wrapPlatform(cfg.Platform),
+		Policy: cfg.Policy, Dialer: ks.wrapDialer(cfg.Dialer), RoundTripMs: cfg.RoundTripMs, Demand: cfg.Demand, PeerDialer: ks.wrapDialer(cfg.PeerDialer), Log: cfg.Log,
+		ClaimGrace: cfg.ClaimGrace, HeadTimeout: cfg.HeadTimeout, BodyTimeout: cfg.BodyTimeout})
 	if err != nil {
 		return nil, err
 	}
-	return &Node{Server: s, Keys: ring, killSwitch: g, cancel: func() {}, done: make(chan struct{})}, nil
+	return &Node{Server: s, Keys: ring, killSwitch: ks, cancel: func() {}, done: make(chan struct{})}, nil
 }
 
 // Start runs the node in the background until Stop or Kill.
--- a/standin/local/secrets_test.go
+++ b/standin/local/secrets_test.go
@@ -52,17 +52,17 @@
 
 // call sends a request, records the body of the answer, and returns its status and
 // headers.
-func (v *secretsFixture) call(c *http.Client, method, url, key, body string) (int, http.Header) {
-	v.t.Helper()
+func (f *secretsFixture) call(c *http.Client, method, url, key, body string) (int, http.Header) {
+	f.t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
-	assert.NilError(v.t, err)
+	assert.NilError(f.t, err)
 	req.Header.Set("Authorization", "Bearer "+key)
 	resp, err := c.Do(req)
-	assert.NilError(v.t, err)
+	assert.NilError(f.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
-	assert.NilError(v.t, err)
-	fmt.Fprintf(&v.answers, "%s: %s\n", method, text) // without the path, which may contain a token of the test
+	assert.NilError(f.t, err)
+	fmt.Fprintf(&f.answers, "%s: %s\n", method, text) // without the path, which may contain a token of the test
 	return resp.StatusCode, resp.Header
 }
 
--- a/standin/local/site.go
+++ b/standin/local/site.go
@@ -119,7 +119,7 @@
 	}
 	return NewNode(NodeConfig{Settings: set, Files: files, Policy: r.opt.Policy, Dialer: r.Upstreams.Dialer(dc), Demand: r.opt.Demand, Log: r.opt.Log,
 		Platform: server.Platform{Table: r.Table, Objects: r.Objects, Hosts: r.HostList, Weights: r.Weights},
-		Distance: func(from, to string) float64 {
+		RoundTripMs: func(from, to string) float64 {
 			return float64(r.opt.Site.RoundTrip(from, to)) / float64(time.Millisecond)
 		}})
 }
--- a/standin/local/standinserver.go
+++ b/standin/local/standinserver.go
@@ -85,56 +85,56 @@
 }
 
 // serve starts the platform's services and the monitors of hosts and upstreams.
-func (o *StandInServer) serve(ctx context.Context, ln net.Listener) {
-	ctx, o.stop = context.WithCancel(ctx)
+func (s *StandInServer) serve(ctx context.Context, ln net.Listener) {
+	ctx, s.stop = context.WithCancel(ctx)
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+RecordsPath, o.serveRecords)
-	mux.Handle("/", fake.Handler(fake.Services{Table: o.Table, Objects: o.Objects, Hosts: o.HostList, Weights: o.Weights}))
-	o.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute}
-	go func() { _ = o.server.Serve(ln) }() // ends with Close
+	mux.HandleFunc("GET "+RecordsPath, s.serveRecords)
+	mux.Handle("/", fake.Handler(fake.Services{Table: s.Table, Objects: s.Objects, Hosts: s.HostList, Weights: s.Weights}))
+	s.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute}
+	go func() { _ = s.server.Serve(ln) }() // ends with Close
 	var watches sync.WaitGroup
-	watches.Go(func() { o.monitorUpstreams(ctx) })
-	watches.Go(func() { o.watchHosts(ctx) })
+	watches.Go(func() { s.monitorUpstreams(ctx) })
+	watches.Go(func() { s.watchHosts(ctx) })
 	go func() {
 		watches.Wait()
-		close(o.watchersDone)
+		close(s.watchersDone)
 	}()
 }
 
 // prepare puts the configuration in force and writes the files that the hosts need.
-func (o *StandInServer) prepare(ctx context.Context, dir, base string, hosts int) error {
-	if err := ApplyConfig(ctx, o.Table, o.Objects, &o.Upstreams.Config); err != nil {
+func (s *StandInServer) prepare(ctx context.Context, dir, base string, hosts int) error {
+	if err := ApplyConfig(ctx, s.Table, s.Objects, &s.Upstreams.Config); err != nil {
 		return err
 	}
 	if err := writeSecrets(dir); err != nil {
 		return err
 	}
-	teams := o.site.Deployment.Teams
+	teams := s.site.Deployment.Teams
 	team := teams[len(teams)-1].Name
-	o.Layout = Layout{Site: o.site.Deployment.Site, StandIns: base, OperatorKey: filepath.Join(dir, operatorKeyFile),
-		Team: team, TeamKey: o.site.TeamKey(team)}
-	for _, e := range o.Upstreams.Engines {
-		o.Layout.Engines = append(o.Layout.Engines, e.Addr())
+	s.Layout = Layout{Site: s.site.Deployment.Site, StandIns: base, OperatorKey: filepath.Join(dir, operatorKeyFile),
+		Team: team, TeamKey: s.site.TeamKey(team)}
+	for _, e := range s.Upstreams.Engines {
+		s.Layout.Engines = append(s.Layout.Engines, e.Addr())
 	}
 	for i := range hosts {
-		e, err := writeEntry(dir, hostName(i), o.site.EntryDataCentre(i), base)
+		e, err := writeEntry(dir, hostName(i), s.site.EntryDataCentre(i), base)
 		if err != nil {
 			return err
 		}
-		o.Layout.Entries = append(o.Layout.Entries, e)
+		s.Layout.Entries = append(s.Layout.Entries, e)
 	}
-	return writeLayout(dir, &o.Layout)
+	return writeLayout(dir, &s.Layout)
 }
 
 // monitorUpstreams monitors the upstreams' actual state until ctx ends. Each request for
 // the records ends one period of monitoring, whose result it gets, and starts the next.
-func (o *StandInServer) monitorUpstreams(ctx context.Context) {
+func (s *StandInServer) monitorUpstreams(ctx context.Context) {
 	for ctx.Err() == nil {
 		monitorCtx, endMonitor := context.WithCancel(ctx)
 		truth := make(chan site.GroundTruth, 1)
-		go func() { truth <- o.Upstreams.Monitor(monitorCtx) }()
+		go func() { truth <- s.Upstreams.Monitor(monitorCtx) }()
 		select {
-		case reply := <-o.truthRequests:
+		case reply := <-s.truthRequests:
 			endMonitor()
 			reply <- <-truth // buffered: does not block if the reader has hung up
 		case <-ctx.Done():
@@ -144,11 +144,11 @@
 	}
 }
 
-func (o *StandInServer) serveRecords(w http.ResponseWriter, r *http.Request) {
+func (s *StandInServer) serveRecords(w http.ResponseWriter, r *http.Request) {
 	reply := make(chan site.GroundTruth, 1)
 	select {
-	case o.truthRequests <- reply:
-	case <-o.watchersDone:
+	case s.truthRequests <- reply:
+	case <-s.watchersDone:
 		http.Error(w, "the stand-ins are stopping", http.StatusServiceUnavailable)
 		return
 	case <-r.Context().Done():
@@ -156,16 +156,16 @@
 	}
 	t := <-reply
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(Records{Effects: o.Upstreams.Effects(), Overcommits: len(t.Overcommits),
-		UnreachableModels: t.UnreachableModels(&o.Upstreams.Config), Moves: t.ModelLoads}) // fails if the reader has hung up
+	_ = json.NewEncoder(w).Encode(Records{Effects: s.Upstreams.Effects(), Overcommits: len(t.Overcommits),
+		UnreachableModels: t.UnreachableModels(&s.Upstreams.Config), Moves: t.ModelLoads}) // fails if the reader has hung up
 }
 
 // Close stops the stand-ins.
-func (o *StandInServer) Close() {
-	o.stop()
-	<-o.watchersDone
-	_ = o.server.Close()
-	o.Upstreams.Close()
+func (s *StandInServer) Close() {
+	s.stop()
+	<-s.watchersDone
+	_ = s.server.Close()
+	s.Upstreams.Close()
 }
 
 // ReadRecords requests the records of stand-ins in another process; standIns is the URL
