--- a/standin/local/badinput_test.go
+++ b/standin/local/badinput_test.go
@@ -23,19 +23,19 @@
 	"peridotpier.example/standin/pki"
 )
 
-// counted counts the open connections that a node dialled to upstreams.
-type counted struct {
+// countingDialer counts the open connections that a node dialled to upstreams.
+type countingDialer struct {
 	net.Dialer
 	open atomic.Int32
 }
 
 type countedConn struct {
 	net.Conn
-	d      *counted
+	d      *countingDialer
 	closed atomic.Bool
 }
 
-func (d *counted) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+func (d *countingDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := d.Dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
@@ -51,28 +51,30 @@
 	return c.Conn.Close()
 }
 
-// rough is a node with short bounds, to be sent what callers should not send.
-type rough struct {
-	*path
-	dialer counted
-	ca     *pki.Authority // nil: plain TCP
+// badInputFixture is a node with short timeouts, to which tests send malformed or slow
+// requests.
+type badInputFixture struct {
+	*fixture
+	dialer countingDialer
+	ca     *pki.Authority // nil: without TLS
 	client *http.Client
 }
 
-// patience bounds a step that must end by itself; it is not what is measured.
-const patience = 20 * time.Second
+// stepTimeout is the longest wait for a step that must end by itself; it is no aim of a
+// test.
+const stepTimeout = 20 * time.Second
 
-func newRough(t *testing.T, secure bool) *rough {
+func newBadInputFixture(t *testing.T, secure bool) *badInputFixture {
 	t.Helper()
-	r := &rough{}
+	r := &badInputFixture{}
 	if secure {
 		var err error
 		r.ca, err = pki.New("test")
 		assert.NilError(t, err)
 	}
-	r.path = newPath(t, engine.Config{TokenTime: slow.TokenTime, ResumeWindow: 50 * time.Millisecond}, func(c *local.NodeConfig) {
-		c.Settings.Bounds.ReportEveryMs = int((24 * time.Hour).Milliseconds()) // no questions but the first: they keep connections of their own
-		c.Dialer, c.HeadBound, c.BodyBound = &r.dialer, 250*time.Millisecond, 250*time.Millisecond
+	r.fixture = newFixture(t, engine.Config{TokenTime: slowEngine.TokenTime, ResumeWindow: 50 * time.Millisecond}, func(c *local.NodeConfig) {
+		c.Settings.Bounds.ReportEveryMs = int((24 * time.Hour).Milliseconds()) // only the first poll: polls would keep connections of their own
+		c.Dialer, c.HeadTimeout, c.BodyTimeout = &r.dialer, 250*time.Millisecond, 250*time.Millisecond
 		if secure {
 			c.Files = local.NewKeyFiles()
 			assert.NilError(t, local.EnableTLS(c.Settings, c.Files, r.ca))
@@ -87,40 +89,40 @@
 	return r
 }
 
-// connect opens a connection, with TLS where the host asks for it. The bound of
-// a head holds for a handshake too, and on a busy machine one may take longer;
-// it is not what is tested, so another connection is tried.
-func (r *rough) connect() net.Conn {
-	r.t.Helper()
-	for end := time.Now().Add(patience); ; {
-		c, err := net.Dial("tcp", r.node.CallerAddress())
-		assert.NilError(r.t, err)
-		if r.ca == nil {
+// connect opens a connection, with TLS if the host uses it. The timeout of a request's
+// head also applies to the handshake, which may take longer on a busy machine. The
+// handshake is not under test, so connect retries it on another connection.
+func (f *badInputFixture) connect() net.Conn {
+	f.t.Helper()
+	for end := time.Now().Add(stepTimeout); ; {
+		c, err := net.Dial("tcp", f.node.CallerAddress())
+		assert.NilError(f.t, err)
+		if f.ca == nil {
 			return c
 		}
-		secure := tls.Client(c, &tls.Config{RootCAs: r.ca.CertPool(), ServerName: "127.0.0.1"})
+		secure := tls.Client(c, &tls.Config{RootCAs: f.ca.CertPool(), ServerName: "127.0.0.1"})
 		if err = secure.Handshake(); err == nil {
 			return secure
 		}
 		_ = c.Close()
-		assert.Assert(r.t, time.Now().Before(end), "no handshake: %v", err)
+		assert.Assert(f.t, time.Now().Before(end), "no handshake: %v", err)
 	}
 }
 
-// raw opens a connection and sends text on it.
-func (r *rough) raw(text string) net.Conn {
-	r.t.Helper()
-	c := r.connect()
-	assert.NilError(r.t, c.SetDeadline(time.Now().Add(patience)))
+// sendRaw opens a connection and sends text on it.
+func (f *badInputFixture) sendRaw(text string) net.Conn {
+	f.t.Helper()
+	c := f.connect()
+	assert.NilError(f.t, c.SetDeadline(time.Now().Add(stepTimeout)))
 	_, err := io.WriteString(c, text)
-	assert.NilError(r.t, err)
+	assert.NilError(f.t, err)
 	return c
 }
 
-// drip sends a byte now and then until the host ends the connection, and
-// returns what it had to say.
-func (r *rough) drip(c net.Conn) string {
-	r.t.Helper()
+// drip sends single bytes at intervals until the host closes the connection, and returns
+// what the host sent.
+func (f *badInputFixture) drip(c net.Conn) string {
+	f.t.Helper()
 	stop := make(chan struct{})
 	stopped := make(chan struct{})
 	go func() {
@@ -131,7 +133,7 @@
 				tick.Stop()
 				return
 			case <-tick.C:
-				_, _ = c.Write([]byte("a")) // fails once the host has ended it
+				_, _ = c.Write([]byte("a")) // fails once the host has closed it
 			}
 		}
 	}()
@@ -140,7 +142,7 @@
 	<-stopped
 	_ = c.Close()
 	timeout, ok := err.(net.Error)
-	assert.Assert(r.t, !ok || !timeout.Timeout(), "the host keeps a connection that drips; it said %q", text)
+	assert.Assert(f.t, !ok || !timeout.Timeout(), "the host keeps a connection that only drips; it sent %q", text)
 	return string(text)
 }
 
@@ -148,14 +150,15 @@
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n%s\r\n", method, path, key, rest)
 }
 
-// chunked posts a body without a length.
-func (r *rough) chunked(method, path string, body io.Reader) (int, string, error) {
-	r.t.Helper()
-	req, err := http.NewRequest(method, r.base+path, io.MultiReader(body)) // its type tells no length
-	assert.NilError(r.t, err)
+// postChunked sends a request whose body has no declared length, and returns status and
+// body of the answer.
+func (f *badInputFixture) postChunked(method, path string, body io.Reader) (int, string, error) {
+	f.t.Helper()
+	req, err := http.NewRequest(method, f.base+path, io.MultiReader(body)) // hides the length from net/http
+	assert.NilError(f.t, err)
 	req.Header.Set("Authorization", "Bearer "+teamKey)
 	req.Header.Set("Idempotency-Key", "big")
-	resp, err := r.client.Do(req)
+	resp, err := f.client.Do(req)
 	if err != nil {
 		return 0, "", err
 	}
@@ -164,45 +167,45 @@
 	return resp.StatusCode, string(text), err
 }
 
-// streamed opens a long stream and reads its first line.
-func (r *rough) streamed() *http.Response {
-	r.t.Helper()
-	req, err := http.NewRequest("POST", r.base+"/v1/chat/completions", strings.NewReader(fmt.Sprintf(chat, true, 8000)))
-	assert.NilError(r.t, err)
+// openLongStream opens a long stream and reads its first line.
+func (f *badInputFixture) openLongStream() *http.Response {
+	f.t.Helper()
+	req, err := http.NewRequest("POST", f.base+"/v1/chat/completions", strings.NewReader(fmt.Sprintf(chat, true, 8000)))
+	assert.NilError(f.t, err)
 	req.Header.Set("Authorization", "Bearer "+teamKey)
-	resp, err := r.client.Do(req)
-	assert.NilError(r.t, err)
+	resp, err := f.client.Do(req)
+	assert.NilError(f.t, err)
 	_, err = bufio.NewReader(resp.Body).ReadString('\n')
-	assert.NilError(r.t, err)
+	assert.NilError(f.t, err)
 	return resp
 }
 
-// Symptom: a host runs out of connections, memory or goroutines, or engines
-// work for nobody, after callers sent what they should not.
-// Sequence: heads too large or too slow, bodies too large or too slow, callers
-// that hang up in the middle, each several times.
-// Cause: something waits for the rest without a bound, or is not told that
-// nobody waits any more.
+// Symptom: a host runs out of connections, memory or goroutines, or engines work for no
+// caller, after callers sent malformed or slow requests.
+// Sequence: heads and bodies that are too large or too slow, and callers that hang up in
+// the middle, each several times.
+// Cause: some part waits for the remainder without a timeout, or is not notified that
+// the caller is gone.
 func TestBadInputLeavesNothingBehind(t *testing.T) {
 	for _, transport := range []struct {
 		name   string
 		secure bool
 	}{{"plain", false}, {"TLS", true}} {
 		t.Run(transport.name, func(t *testing.T) {
-			r := newRough(t, transport.secure)
-			r.abuse() // once before the count, so that pools have what they keep
-			poll.WaitOn(t, r.quiet())
+			r := newBadInputFixture(t, transport.secure)
+			r.sendBadInput() // once before the count, so that pools are filled
+			poll.WaitOn(t, r.idle())
 			goroutines, upstream := runtime.NumGoroutine(), r.dialer.open.Load()
 			for range 4 {
-				r.abuse()
+				r.sendBadInput()
 			}
-			poll.WaitOn(t, r.quiet())
+			poll.WaitOn(t, r.idle())
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
 				if n, c := runtime.NumGoroutine(), r.dialer.open.Load(); n > goroutines || c > upstream {
 					return poll.Continue("%d goroutines, %d at the start; %d connections to upstreams, %d at the start", n, goroutines, c, upstream)
 				}
 				return poll.Success()
-			}, poll.WithTimeout(patience))
+			}, poll.WithTimeout(stepTimeout))
 			for _, e := range r.eng.Records().Executions {
 				assert.Equal(t, e.State, engineapi.AttemptCancelled)
 			}
@@ -211,57 +214,57 @@
 	}
 }
 
-// quiet waits until nothing runs, here or at the engine.
-func (r *rough) quiet() poll.Check {
+// idle waits until no request is in flight at the node and no attempt runs at the engine.
+func (f *badInputFixture) idle() poll.Check {
 	return func(poll.LogT) poll.Result {
-		if here, there := r.node.Status().InFlight, r.eng.ActualState().Running; here+there > 0 {
+		if here, there := f.node.Status().InFlight, f.eng.ActualState().Running; here+there > 0 {
 			return poll.Continue("%d requests in flight, %d attempts run", here, there)
 		}
 		return poll.Success()
 	}
 }
 
-func (r *rough) abuse() {
-	t := r.t
+func (f *badInputFixture) sendBadInput() {
+	t := f.t
 	t.Helper()
 	const notes, queries, chats = "/v1/services/stock/notes", "/v1/services/stock/q", "/v1/chat/completions"
 
-	// A header bomb: the host answers and hangs up without reading it all.
-	bomb := r.raw("GET /v1/models HTTP/1.1\r\nHost: x\r\nX-Bomb: " + strings.Repeat("b", 30<<10))
-	text, _ := io.ReadAll(bomb) // its end may be a reset, for not all was read
+	// An oversized header: the host answers and hangs up without reading all of it.
+	bomb := f.sendRaw("GET /v1/models HTTP/1.1\r\nHost: x\r\nX-Bomb: " + strings.Repeat("b", 30<<10))
+	text, _ := io.ReadAll(bomb) // may end with a reset, since the host did not read everything
 	_ = bomb.Close()
 	assert.Assert(t, strings.HasPrefix(string(text), "HTTP/1.1 431 "), string(text))
 
-	r.drip(r.raw("GET /v1/models HTTP/1.1\r\nX-Slow: "))
+	f.drip(f.sendRaw("GET /v1/models HTTP/1.1\r\nX-Slow: "))
 	for _, c := range []struct{ key, length, status, code string }{
 		{teamKey, "Content-Length: 900000\r\n", "400", "bad_request"},
 		{"nobody", "Content-Length: 900000\r\n", "401", "invalid_api_key"},
 		{"nobody", "Transfer-Encoding: chunked\r\n", "401", "invalid_api_key"},
 	} {
-		said := r.drip(r.raw(head("POST", chats, c.key, c.length)))
-		assert.Assert(t, strings.HasPrefix(said, "HTTP/1.1 "+c.status+" "), said)
-		assert.Assert(t, strings.Contains(said, c.code) && strings.Contains(said, "not_run"), said)
+		answer := f.drip(f.sendRaw(head("POST", chats, c.key, c.length)))
+		assert.Assert(t, strings.HasPrefix(answer, "HTTP/1.1 "+c.status+" "), answer)
+		assert.Assert(t, strings.Contains(answer, c.code) && strings.Contains(answer, "not_run"), answer)
 	}
 
 	const tooMuch = 2 << 20
 	for _, c := range []struct{ method, path string }{{"POST", chats}, {"POST", notes}, {"GET", queries}} {
-		status, said, err := r.chunked(c.method, c.path, io.LimitReader(zeros{}, tooMuch))
-		if err == nil { // else the host hung up, which ends it as well
-			assert.Equal(t, status, http.StatusRequestEntityTooLarge, "%s %s: %s", c.method, c.path, said)
+		status, answer, err := f.postChunked(c.method, c.path, io.LimitReader(zeros{}, tooMuch))
+		if err == nil { // otherwise the host hung up, which ends the request as well
+			assert.Equal(t, status, http.StatusRequestEntityTooLarge, "%s %s: %s", c.method, c.path, answer)
 		}
 	}
 
-	// Callers that hang up in the middle of a body, held or passed on.
-	_ = r.raw(head("POST", chats, teamKey, "Content-Length: 1000\r\n") + "{").Close()
-	_ = r.raw(head("POST", notes, teamKey, "Idempotency-Key: k\r\nTransfer-Encoding: chunked\r\n") + "4\r\nnote\r\n").Close()
-	_ = r.raw(head("GET", queries, teamKey, "Transfer-Encoding: chunked\r\n") + "4\r\nnote\r\n").Close()
+	// Callers that hang up in the middle of a body that is buffered or forwarded.
+	_ = f.sendRaw(head("POST", chats, teamKey, "Content-Length: 1000\r\n") + "{").Close()
+	_ = f.sendRaw(head("POST", notes, teamKey, "Idempotency-Key: k\r\nTransfer-Encoding: chunked\r\n") + "4\r\nnote\r\n").Close()
+	_ = f.sendRaw(head("GET", queries, teamKey, "Transfer-Encoding: chunked\r\n") + "4\r\nnote\r\n").Close()
 
 	// A caller that hangs up in the middle of a stream.
-	_ = r.streamed().Body.Close()
-	poll.WaitOn(t, r.quiet())
+	_ = f.openLongStream().Body.Close()
+	poll.WaitOn(t, f.idle())
 }
 
-// zeros is a body without an end.
+// zeros is an endless body of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) { clear(p); return len(p), nil }
--- a/standin/site/bench_test.go
+++ b/standin/site/bench_test.go
@@ -9,19 +9,20 @@
 	"peridotpier.example/standin/site"
 )
 
-// BenchmarkDirect runs a site's demand against its static placement through
-// an entry host with perfect knowledge: what demand and placement allow.
+// BenchmarkDirect runs a site's demand against its static placement through an
+// entry host that knows every engine's actual state. It shows what demand and
+// placement allow at best.
 func BenchmarkDirect(b *testing.B) {
 	for _, name := range []string{"taipei", "kathmandu"} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				direct(b, name, 20*time.Second)
+				runDirect(b, name, 20*time.Second)
 			}
 		})
 	}
 }
 
-func direct(b *testing.B, name string, length time.Duration) {
+func runDirect(b *testing.B, name string, length time.Duration) {
 	s := builtIn(b, name)
 	u, err := s.Start(site.StartOptions{Seed: 1})
 	if err != nil {
