--- a/standin/attempts/attempts.go
+++ b/standin/attempts/attempts.go
@@ -5,32 +5,32 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// forgottenMax bounds the hashes of dropped ids, 16 MB or so.
-const forgottenMax = 1 << 20
+// maxDroppedHashes bounds the hashes of dropped ids, 16 MB or so.
+const maxDroppedHashes = 1 << 20
 
 // Log remembers attempts by id, the newest ones in full. It is not safe for
 // concurrent use.
 type Log[T any] struct {
-	byID      map[string]T
-	ring      []string // ids, oldest at head
-	head      int
-	forgotten map[uint64]struct{}
-	amnesia   bool // so much was dropped that any unknown id may have been here
+	byID          map[string]T
+	ring          []string // ids, oldest at head
+	head          int
+	droppedHashes map[uint64]struct{}
+	overflowed    bool // so much was dropped that any unknown id may have been here
 }
 
 // New makes a log of the given size.
 func New[T any](size int) *Log[T] {
-	return &Log[T]{byID: map[string]T{}, ring: make([]string, size), forgotten: map[uint64]struct{}{}}
+	return &Log[T]{byID: map[string]T{}, ring: make([]string, size), droppedHashes: map[uint64]struct{}{}}
 }
 
 // Add remembers an attempt and drops the oldest one when the log is full.
 func (l *Log[T]) Add(id string, a T) {
 	if old := l.ring[l.head]; old != "" {
 		delete(l.byID, old)
-		if len(l.forgotten) < forgottenMax {
-			l.forgotten[xxhash.Sum64String(old)] = struct{}{}
+		if len(l.droppedHashes) < maxDroppedHashes {
+			l.droppedHashes[xxhash.Sum64String(old)] = struct{}{}
 		} else {
-			l.amnesia = true
+			l.overflowed = true
 		}
 	}
 	l.ring[l.head] = id
@@ -46,22 +46,22 @@
 
 // WasDropped says that an attempt which is no longer known was here.
 func (l *Log[T]) WasDropped(id string) bool {
-	_, dropped := l.forgotten[xxhash.Sum64String(id)]
+	_, dropped := l.droppedHashes[xxhash.Sum64String(id)]
 	return dropped
 }
 
 // FindOrAdd returns a known attempt, or remembers never for an id that never was
 // here, so that it cannot run when it arrives later. ok is false when nobody
 // can tell any more whether it was here.
-func (l *Log[T]) FindOrAdd(id string, never T) (a T, ok bool) {
+func (l *Log[T]) FindOrAdd(id string, ifUnseen T) (a T, ok bool) {
 	if a, known := l.byID[id]; known {
 		return a, true
 	}
-	if l.amnesia || l.WasDropped(id) {
+	if l.overflowed || l.WasDropped(id) {
 		return a, false
 	}
-	l.Add(id, never)
-	return never, true
+	l.Add(id, ifUnseen)
+	return ifUnseen, true
 }
 
 // VisitNewestFirst calls visit from the newest attempt to the oldest until it returns false.
--- a/standin/engine/attempt.go
+++ b/standin/engine/attempt.go
@@ -10,27 +10,27 @@
 	"peridotpier.example/standin/answer"
 )
 
-// fate is what became of an attempt.
-type fate uint8
+// outcome is what became of an attempt.
+type outcome uint8
 
 const (
-	fateRunning fate = iota // waits or runs
-	fateCompleted
-	fateCancelled
-	fateDied // the process ended under it
-	fateRefused
-	fatePoisoned // was asked for before it came: must never run
+	outcomeRunning outcome = iota // waits or runs
+	outcomeCompleted
+	outcomeCancelled
+	outcomeTerminated // the process ended under it
+	outcomeRefused
+	outcomeBlocked // was asked for before it came: must never run
 )
 
-func (f fate) state() engineapi.AttemptState {
+func (f outcome) state() engineapi.AttemptState {
 	switch f {
-	case fateCompleted:
+	case outcomeCompleted:
 		return engineapi.AttemptCompleted
-	case fateCancelled, fateDied:
+	case outcomeCancelled, outcomeTerminated:
 		return engineapi.AttemptCancelled
-	case fateRefused:
+	case outcomeRefused:
 		return engineapi.AttemptRefused
-	case fatePoisoned:
+	case outcomeBlocked:
 		return engineapi.AttemptUnseen
 	default:
 		return engineapi.AttemptRunning
@@ -41,36 +41,36 @@
 // answer when they are written, so an attempt stays small and any position
 // can be resumed from.
 type attempt struct {
-	id      string
-	key     route.ModelKey
-	on      *resident // what it runs on; its users are counted
-	name    string    // as the caller called the model
-	class   class.Class
-	answer  answer.Answer
-	chat    bool
-	stream  bool
-	prefix  uint64
-	prompt  int // tokens
-	team    string
-	mark    string
-	process string // incarnation that it is meant for; "": any
-	arrived time.Time
+	id             string
+	key            route.ModelKey
+	resident       *resident // what it runs on; its users are counted
+	name           string    // as the caller called the model
+	class          class.Class
+	answer         answer.Answer
+	chat           bool
+	stream         bool
+	prefix         uint64
+	promptTokens   int // tokens
+	team           string
+	invocation     string
+	forIncarnation string // incarnation that it is meant for; "": any
+	arrived        time.Time
 
 	prefillLeft int // under Engine.mu
 
-	mu       sync.Mutex
-	fate     fate
-	started  time.Time
-	produced int           // tokens of the answer so far
-	reader   chan struct{} // signals the one reader that there is more; nil: none
-	orphan   *time.Timer   // cancels an attempt that nobody reads
-	done     chan struct{} // closed at the end, whatever the end; nil: was never taken
+	mu           sync.Mutex
+	outcome      outcome
+	started      time.Time
+	produced     int           // tokens of the answer so far
+	reader       chan struct{} // signals the one reader that there is more; nil: none
+	abandonTimer *time.Timer   // cancels an attempt that nobody reads
+	done         chan struct{} // closed at the end, whatever the end; nil: was never taken
 }
 
 func (a *attempt) ended() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.fate != fateRunning
+	return a.outcome != outcomeRunning
 }
 
 func (a *attempt) start() {
@@ -87,11 +87,11 @@
 	if all {
 		a.produced = a.answer.Tokens
 	}
-	a.signal()
+	a.notifyReader()
 	return a.produced >= a.answer.Tokens
 }
 
-func (a *attempt) signal() {
+func (a *attempt) notifyReader() {
 	if a.reader == nil {
 		return
 	}
@@ -102,15 +102,15 @@
 }
 
 // end settles the fate once.
-func (a *attempt) end(f fate) bool {
+func (a *attempt) end(f outcome) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.fate != fateRunning {
+	if a.outcome != outcomeRunning {
 		return false
 	}
-	a.fate = f
-	if a.orphan != nil {
-		a.orphan.Stop()
+	a.outcome = f
+	if a.abandonTimer != nil {
+		a.abandonTimer.Stop()
 	}
 	close(a.done)
 	return true
@@ -121,9 +121,9 @@
 func (a *attempt) attach() chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.orphan != nil {
-		a.orphan.Stop()
-		a.orphan = nil
+	if a.abandonTimer != nil {
+		a.abandonTimer.Stop()
+		a.abandonTimer = nil
 	}
 	old := a.reader
 	a.reader = make(chan struct{}, 1)
@@ -142,18 +142,18 @@
 		return
 	}
 	a.reader = nil
-	if a.fate == fateRunning {
-		a.orphan = time.AfterFunc(wait, giveUp)
+	if a.outcome == outcomeRunning {
+		a.abandonTimer = time.AfterFunc(wait, giveUp)
 	}
 }
 
 // position is how many events can be written now: the tokens, and the end
 // marker once the attempt is complete.
-func (a *attempt) position() (events int, f fate) {
+func (a *attempt) position() (events int, f outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.fate == fateCompleted {
-		return a.answer.Tokens + 1, a.fate
+	if a.outcome == outcomeCompleted {
+		return a.answer.Tokens + 1, a.outcome
 	}
-	return a.produced, a.fate
+	return a.produced, a.outcome
 }
--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -21,8 +21,8 @@
 	return n
 }
 
-// next takes the oldest attempt of the most urgent class.
-func (b *batch) next() *attempt {
+// pop takes the oldest attempt of the most urgent class.
+func (b *batch) pop() *attempt {
 	for c := class.Count - 1; c >= 0; c-- {
 		if q := b.waiting[c]; len(q) > 0 {
 			a := q[0]
@@ -57,19 +57,19 @@
 			case <-e.wake:
 				due = time.Now()
 				continue
-			case <-e.life.Done():
+			case <-e.ctx.Done():
 				return
 			}
 		}
 		now := time.Now()
-		if due = due.Add(cost); now.Sub(due) > catchUp {
+		if due = due.Add(cost); now.Sub(due) > maxStepLag {
 			due = now
 		}
 		if pause := due.Sub(now); pause > 0 {
 			timer.Reset(pause)
 			select {
 			case <-timer.C:
-			case <-e.life.Done():
+			case <-e.ctx.Done():
 				return
 			}
 		}
@@ -82,7 +82,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for len(e.batch.running) < e.cfg.MaxBatch {
-		a := e.batch.next()
+		a := e.batch.pop()
 		if a == nil {
 			break
 		}
@@ -138,7 +138,7 @@
 			chunk -= done
 			a.prefillLeft -= done
 		case a.produce(e.tokenTime(a.key.Model) == 0):
-			e.finish(a, fateCompleted)
+			e.finish(a, outcomeCompleted)
 			continue
 		}
 		kept = append(kept, a)
@@ -147,8 +147,8 @@
 	e.batch.running = kept
 }
 
-// poke tells the step loop that there may be work.
-func (e *Engine) poke() {
+// wakeStepLoop tells the step loop that there may be work.
+func (e *Engine) wakeStepLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -9,15 +9,15 @@
 
 // Defaults of a Config.
 const (
-	defaultMaxBatch   = 16
-	defaultQueueMax   = 256
-	defaultMaxTokens  = 8192
-	defaultAttemptLog = 1 << 15                // attempts whose fate is told in full
-	defaultRecordMax  = 1 << 20                // executions kept for joining with callers' records
-	defaultResumeFor  = 10 * time.Second       // a caller's host that died is replaced by another within that
-	defaultChunk      = 512                    // prompt tokens computed in one step
-	defaultFlushFast  = 16                     // tokens a write when tokens cost no time
-	catchUp           = 100 * time.Millisecond // a step loop that is later than this forgets the time it lost
+	defaultMaxBatch        = 16
+	defaultMaxQueue        = 256
+	defaultMaxTokens       = 8192
+	defaultAttemptLogSize  = 1 << 15                // attempts whose fate is told in full
+	defaultMaxRecords      = 1 << 20                // executions kept for joining with callers' records
+	defaultResumeWindow    = 10 * time.Second       // a caller's host that died is replaced by another within that
+	defaultPrefillChunk    = 512                    // prompt tokens computed in one step
+	defaultFlushTokensFast = 16                     // tokens a write when tokens cost no time
+	maxStepLag             = 100 * time.Millisecond // a step loop that is later than this forgets the time it lost
 )
 
 // Weights is the weight store's admission, as node/store describes it.
@@ -70,16 +70,16 @@
 		c.Listen = "127.0.0.1:0"
 	}
 	setDefault(&c.MaxBatch, defaultMaxBatch)
-	setDefault(&c.MaxQueue, defaultQueueMax)
+	setDefault(&c.MaxQueue, defaultMaxQueue)
 	setDefault(&c.MaxTokens, defaultMaxTokens)
-	setDefault(&c.AttemptLogSize, defaultAttemptLog)
-	setDefault(&c.MaxRecords, defaultRecordMax)
-	setDefault(&c.ResumeWindow, defaultResumeFor)
-	setDefault(&c.PrefillChunk, defaultChunk)
+	setDefault(&c.AttemptLogSize, defaultAttemptLogSize)
+	setDefault(&c.MaxRecords, defaultMaxRecords)
+	setDefault(&c.ResumeWindow, defaultResumeWindow)
+	setDefault(&c.PrefillChunk, defaultPrefillChunk)
 	if c.FlushTokens == 0 {
 		c.FlushTokens = 1
 		if c.TokenTime == 0 {
-			c.FlushTokens = defaultFlushFast
+			c.FlushTokens = defaultFlushTokensFast
 		}
 	}
 	return c
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -28,34 +28,34 @@
 // reader needs for each token, which is under the attempt's own lock.
 // Lock order: mu, then attempt.mu.
 type Engine struct {
-	cfg    Config
-	srv    *http.Server
-	ln     *wire.Listener
-	stop   context.CancelFunc
-	life   context.Context // ends at Close
-	loops  sync.WaitGroup
-	wake   chan struct{} // the step loop has something to do
-	faults faults
+	cfg       Config
+	srv       *http.Server
+	ln        *wire.Listener
+	cancelCtx context.CancelFunc
+	ctx       context.Context // ends at Close
+	loops     sync.WaitGroup
+	wake      chan struct{} // the step loop has something to do
+	faults    faults
 
-	mu          sync.Mutex
-	closed      bool
-	incarnation string
-	reborn      chan struct{} // closed when this incarnation ends
-	born        time.Time
-	leaving     bool
-	role        string
-	attempts    *attempts.Log[*attempt]
-	batch       batch
-	residents   []*resident
-	epoch       uint64
-	lastOps     []string
-	reports     []engineapi.Report // newest last
-	sequence    uint64
-	prefixes    prefixCache
-	events      []cacheEvent
-	eventSeq    uint64
-	rng         *rand.Rand
-	records     Records
+	mu               sync.Mutex
+	closed           bool
+	incarnation      string
+	incarnationEnded chan struct{} // closed when this incarnation ends
+	startedAt        time.Time
+	draining         bool
+	role             string
+	attempts         *attempts.Log[*attempt]
+	batch            batch
+	residents        []*resident
+	epoch            uint64
+	lastOps          []string
+	reports          []engineapi.Report // newest last
+	sequence         uint64
+	prefixes         prefixCache
+	events           []cacheEvent
+	eventSeq         uint64
+	rng              *rand.Rand
+	records          Records
 }
 
 // New makes an engine that does not listen yet.
@@ -65,7 +65,7 @@
 		return nil, errors.New("engine: no name")
 	}
 	e := &Engine{cfg: cfg, wake: make(chan struct{}, 1), rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed+1))}
-	e.life, e.stop = context.WithCancel(context.Background())
+	e.ctx, e.cancelCtx = context.WithCancel(context.Background())
 	e.srv = &http.Server{Handler: e.Handler(), ReadHeaderTimeout: 10 * time.Second}
 	e.reset()
 	e.loops.Go(e.stepLoop)
@@ -78,14 +78,14 @@
 // reset begins an incarnation with empty memory. The caller holds mu, or has
 // the engine to itself.
 func (e *Engine) reset() {
-	e.incarnation, e.reborn, e.born = uuid.NewString(), make(chan struct{}), time.Now()
-	e.leaving, e.role, e.epoch, e.lastOps, e.residents = false, roleServe, 0, nil, nil
+	e.incarnation, e.incarnationEnded, e.startedAt = uuid.NewString(), make(chan struct{}), time.Now()
+	e.draining, e.role, e.epoch, e.lastOps, e.residents = false, roleServe, 0, nil, nil
 	e.attempts = attempts.New[*attempt](e.cfg.AttemptLogSize)
 	e.batch = batch{}
 	e.reports, e.sequence = nil, 0
 	e.prefixes = newPrefixCache(e.cfg.PrefixSlots)
 	e.events, e.eventSeq = nil, 0
-	e.takeReport()
+	e.addReport()
 }
 
 // Start listens and serves until Close.
@@ -111,7 +111,7 @@
 	e.endIncarnation()
 	e.closed = true
 	e.mu.Unlock()
-	e.stop()
+	e.cancelCtx()
 	_ = e.srv.Close()
 	e.loops.Wait()
 }
@@ -132,17 +132,17 @@
 	mux.HandleFunc("GET "+engineapi.PathReport, e.serveReport)
 	mux.HandleFunc("GET "+engineapi.PathEvents, e.serveEvents)
 	mux.HandleFunc("POST "+engineapi.PathOrders, e.serveOrder)
-	mux.HandleFunc("GET "+engineapi.PathAttempt, e.serveFate)
+	mux.HandleFunc("GET "+engineapi.PathAttempt, e.serveOutcome)
 	mux.HandleFunc("DELETE "+engineapi.PathAttempt, e.serveCancel)
 	mux.HandleFunc("GET "+engineapi.PathResume, e.serveResume)
 	return mux
 }
 
-// stamp sets the headers that ride on every answer.
-func (e *Engine) stamp(h http.Header) {
+// setHeaders sets the headers that ride on every answer.
+func (e *Engine) setHeaders(h http.Header) {
 	e.mu.Lock()
 	load := strconv.Itoa(len(e.batch.running)) + " " + strconv.Itoa(e.batch.waitingCount()) + " " +
-		strconv.FormatUint(e.sequence, 10) + " " + strconv.FormatInt(time.Since(e.born).Milliseconds(), 10)
+		strconv.FormatUint(e.sequence, 10) + " " + strconv.FormatInt(time.Since(e.startedAt).Milliseconds(), 10)
 	inc := e.incarnation
 	e.mu.Unlock()
 	h.Set(engineapi.HeaderLoad, load)
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -49,7 +49,7 @@
 }
 
 // events reads a stream to its end marker and returns the text and the last position.
-func events(t testing.TB, r io.Reader, attempt string, after int) (text string, pos int, whole bool) {
+func events(t testing.TB, r io.Reader, attempt string, after int) (text string, pos int, complete bool) {
 	t.Helper()
 	pos = after
 	lines := bufio.NewScanner(r)
@@ -84,8 +84,8 @@
 	prompt := answer.Mark("team", "i1") + " hydrant 7"
 	resp := chat(t, e, "a1", prompt, 40, true)
 	assert.Equal(t, resp.Header.Get(engineapi.HeaderAttempt), "a1")
-	text, _, whole := events(t, resp.Body, "a1", 0)
-	assert.Assert(t, whole)
+	text, _, complete := events(t, resp.Body, "a1", 0)
+	assert.Assert(t, complete)
 	assert.NilError(t, answer.Verify(prompt, 40, text))
 
 	var body struct {
@@ -110,14 +110,14 @@
 	e := start(t, engine.Config{TokenTime: 50 * time.Microsecond})
 	e.CutStreamsAfter(5)
 	prompt := answer.Mark("team", "i1")
-	text, pos, whole := events(t, chat(t, e, "a1", prompt, 40, true).Body, "a1", 0)
-	assert.Assert(t, !whole)
+	text, pos, complete := events(t, chat(t, e, "a1", prompt, 40, true).Body, "a1", 0)
+	assert.Assert(t, !complete)
 	assert.Equal(t, pos, 5)
 	e.CutStreamsAfter(0)
 	resp := do(t, "GET", "http://"+e.Addr()+"/engine/v1/attempts/a1/stream?after=5", "", nil)
-	rest, _, whole := events(t, resp.Body, "a1", pos)
-	assert.Assert(t, whole)
-	assert.NilError(t, answer.Verify(prompt, 40, text+rest))
+	remainder, _, complete := events(t, resp.Body, "a1", pos)
+	assert.Assert(t, complete)
+	assert.NilError(t, answer.Verify(prompt, 40, text+remainder))
 }
 
 // A host asks for the fate of an attempt whose request is still under way and
@@ -125,10 +125,10 @@
 // at last, that answer would have been false.
 func TestUnseenAttemptNeverRuns(t *testing.T) {
 	e := start(t, engine.Config{})
-	var fate engineapi.Attempt
+	var attempt engineapi.Attempt
 	resp := do(t, "GET", "http://"+e.Addr()+"/engine/v1/attempts/a1", "", nil)
-	assert.NilError(t, json.NewDecoder(resp.Body).Decode(&fate))
-	assert.Equal(t, fate.State, engineapi.AttemptUnseen)
+	assert.NilError(t, json.NewDecoder(resp.Body).Decode(&attempt))
+	assert.Equal(t, attempt.State, engineapi.AttemptUnseen)
 	late := chat(t, e, "a1", "p", 4, false)
 	assert.Equal(t, late.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, late.Header.Get(engineapi.HeaderRefused), engineapi.RefusedAttemptClosed)
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -12,14 +12,14 @@
 type faults struct {
 	cutAfter atomic.Int32
 
-	mu         sync.Mutex
-	cross      float64
-	drop       int
-	late       int
-	delay      time.Duration
-	twice      int
-	twiceAfter time.Duration
-	mute       int
+	mu              sync.Mutex
+	mismatchShare   float64
+	dropNext        int
+	delayNext       int
+	orderDelay      time.Duration
+	duplicateNext   int
+	duplicateDelay  time.Duration
+	loseAnswersNext int
 }
 
 // Drain makes the engine refuse new work for the rest of its incarnation and
@@ -27,7 +27,7 @@
 func (e *Engine) Drain() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leaving = true
+	e.draining = true
 }
 
 // Restart kills the process and starts it again: every connection breaks, all
@@ -45,13 +45,13 @@
 // endIncarnation ends all attempts. The caller holds mu.
 func (e *Engine) endIncarnation() {
 	select {
-	case <-e.reborn:
+	case <-e.incarnationEnded:
 		return
 	default:
-		close(e.reborn)
+		close(e.incarnationEnded)
 	}
 	e.attempts.VisitNewestFirst(func(a *attempt) bool {
-		e.finish(a, fateDied)
+		e.finish(a, outcomeTerminated)
 		return true
 	})
 }
@@ -67,7 +67,7 @@
 func (e *Engine) MismatchAnswers(share float64) {
 	e.faults.mu.Lock()
 	defer e.faults.mu.Unlock()
-	e.faults.cross = share
+	e.faults.mismatchShare = share
 }
 
 // CutStreamsAfter breaks each stream's connection after n more events; the attempt
@@ -78,7 +78,7 @@
 func (e *Engine) DropOrders(n int) {
 	e.faults.mu.Lock()
 	defer e.faults.mu.Unlock()
-	e.faults.drop = n
+	e.faults.dropNext = n
 }
 
 // DelayOrders has the next n orders carried out only after d, and their
@@ -86,39 +86,39 @@
 func (e *Engine) DelayOrders(n int, d time.Duration) {
 	e.faults.mu.Lock()
 	defer e.faults.mu.Unlock()
-	e.faults.late, e.faults.delay = n, d
+	e.faults.delayNext, e.faults.orderDelay = n, d
 }
 
 // DuplicateOrders has the next n orders carried out at once and again after d.
 func (e *Engine) DuplicateOrders(n int, d time.Duration) {
 	e.faults.mu.Lock()
 	defer e.faults.mu.Unlock()
-	e.faults.twice, e.faults.twiceAfter = n, d
+	e.faults.duplicateNext, e.faults.duplicateDelay = n, d
 }
 
 // LoseOrderAnswers has the next n orders carried out and their answers lost.
 func (e *Engine) LoseOrderAnswers(n int) {
 	e.faults.mu.Lock()
 	defer e.faults.mu.Unlock()
-	e.faults.mute = n
+	e.faults.loseAnswersNext = n
 }
 
-// mislead deals with an order that is to be lost, late or doubled; true: the
+// intercept deals with an order that is to be lost, late or doubled; true: the
 // order must not be carried out now.
-func (f *faults) mislead(e *Engine, o engineapi.Order) bool {
+func (f *faults) intercept(e *Engine, o engineapi.Order) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case f.drop > 0:
-		f.drop--
+	case f.dropNext > 0:
+		f.dropNext--
 		return true
-	case f.late > 0:
-		f.late--
-		e.later(f.delay, o)
+	case f.delayNext > 0:
+		f.delayNext--
+		e.executeLater(f.orderDelay, o)
 		return true
-	case f.twice > 0:
-		f.twice--
-		e.later(f.twiceAfter, o)
+	case f.duplicateNext > 0:
+		f.duplicateNext--
+		e.executeLater(f.duplicateDelay, o)
 	}
 	return false
 }
@@ -126,29 +126,29 @@
 func (f *faults) loseAnswer() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.mute == 0 {
+	if f.loseAnswersNext == 0 {
 		return false
 	}
-	f.mute--
+	f.loseAnswersNext--
 	return true
 }
 
-// later carries an order out after d, also when the process was restarted
+// executeLater carries an order out after d, also when the process was restarted
 // meanwhile: it was under way in the network.
-func (e *Engine) later(d time.Duration, o engineapi.Order) {
+func (e *Engine) executeLater(d time.Duration, o engineapi.Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.spawn(func() {
-		if e.pause(d, nil) {
-			e.carryOut(o)
+		if e.wait(d, nil) {
+			e.execute(o)
 		}
 	})
 }
 
-// crossed picks the attempt whose answer goes out in place of a's: mostly a itself.
-func (e *Engine) crossed(a *attempt) *attempt {
+// answerSource picks the attempt whose answer goes out in place of a's: mostly a itself.
+func (e *Engine) answerSource(a *attempt) *attempt {
 	e.faults.mu.Lock()
-	share := e.faults.cross
+	share := e.faults.mismatchShare
 	e.faults.mu.Unlock()
 	if share == 0 {
 		return a
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	bodyMax       = 16 << 20
+	maxBodyBytes  = 16 << 20
 	defaultTokens = 16
 	bytesPerToken = 4 // of a prompt, about what tokenisers make of English
 )
@@ -75,7 +75,7 @@
 }
 
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request, chat bool) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMax))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	var q request
 	if err == nil {
 		err = json.Unmarshal(body, &q)
@@ -90,17 +90,17 @@
 		return
 	}
 	a := newAttempt(id, &q, r.Header, chat, e.cfg.MaxTokens)
-	reader, no := e.enqueue(a)
-	if no != nil {
-		e.refuse(w, *no)
+	reader, refused := e.enqueue(a)
+	if refused != nil {
+		e.refuse(w, *refused)
 		return
 	}
-	e.poke()
+	e.wakeStepLoop()
 	if a.stream {
 		e.stream(w, r, a, reader, 0)
 		return
 	}
-	e.whole(w, r, a, reader)
+	e.serveComplete(w, r, a, reader)
 }
 
 func newAttempt(id string, q *request, h http.Header, chat bool, maxTokens int) *attempt {
@@ -113,9 +113,9 @@
 	}
 	prompt := q.promptText()
 	a := &attempt{id: id, name: q.Model, chat: chat, stream: q.Stream, arrived: time.Now(),
-		answer: answer.For(prompt, min(tokens, maxTokens)), prompt: len(prompt)/bytesPerToken + 1, done: make(chan struct{})}
-	a.team, a.mark, _ = answer.FindMark([]byte(prompt))
-	a.process = h.Get(engineapi.HeaderForIncarnation)
+		answer: answer.For(prompt, min(tokens, maxTokens)), promptTokens: len(prompt)/bytesPerToken + 1, done: make(chan struct{})}
+	a.team, a.invocation, _ = answer.FindMark([]byte(prompt))
+	a.forIncarnation = h.Get(engineapi.HeaderForIncarnation)
 	a.class = class.Standard
 	if n, err := strconv.Atoi(h.Get(engineapi.HeaderPriority)); err == nil && n >= 0 && n < class.Count {
 		a.class = class.Class(n)
@@ -134,56 +134,56 @@
 		// No promise here: the first request under this id may be running.
 		return nil, &refusal{status: http.StatusConflict, text: "attempt id was used before"}
 	}
-	no := e.admission(a)
-	if no != nil {
-		e.attempts.Add(a.id, &attempt{id: a.id, fate: fateRefused})
-		return nil, no
+	refused := e.admit(a)
+	if refused != nil {
+		e.attempts.Add(a.id, &attempt{id: a.id, outcome: outcomeRefused})
+		return nil, refused
 	}
 	e.attempts.Add(a.id, a)
 	e.batch.waiting[a.class] = append(e.batch.waiting[a.class], a)
 	return a.attach(), nil
 }
 
-func (e *Engine) admission(a *attempt) *refusal {
-	res := e.serving(a.name)
+func (e *Engine) admit(a *attempt) *refusal {
+	res := e.findServing(a.name)
 	switch {
-	case a.process != "" && a.process != e.incarnation:
+	case a.forIncarnation != "" && a.forIncarnation != e.incarnation:
 		return &refusal{http.StatusServiceUnavailable, engineapi.RefusedRestarted, "attempt is meant for a former process"}
-	case e.leaving:
+	case e.draining:
 		return &refusal{http.StatusServiceUnavailable, engineapi.RefusedDraining, "engine is leaving"}
 	case res == nil:
 		return &refusal{http.StatusServiceUnavailable, engineapi.RefusedNotLoaded, "model is not loaded"}
 	case e.batch.waitingCount() >= e.cfg.MaxQueue:
 		return &refusal{http.StatusTooManyRequests, engineapi.RefusedQueueFull, "queue is full"}
 	}
-	a.key, a.on = res.key, res
+	a.key, a.resident = res.key, res
 	res.users++
 	return nil
 }
 
-func (e *Engine) refuse(w http.ResponseWriter, no refusal) {
-	e.stamp(w.Header())
-	if no.header != "" {
-		w.Header().Set(engineapi.HeaderRefused, no.header)
+func (e *Engine) refuse(w http.ResponseWriter, refused refusal) {
+	e.setHeaders(w.Header())
+	if refused.header != "" {
+		w.Header().Set(engineapi.HeaderRefused, refused.header)
 	}
-	writeJSON(w, no.status, map[string]any{"error": map[string]any{"message": no.text, "type": "engine_error", "code": no.header}})
+	writeJSON(w, refused.status, map[string]any{"error": map[string]any{"message": refused.text, "type": "engine_error", "code": refused.header}})
 }
 
-// whole answers in one piece when the attempt has ended.
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, a *attempt, reader chan struct{}) {
+// serveComplete answers in one piece when the attempt has ended.
+func (e *Engine) serveComplete(w http.ResponseWriter, r *http.Request, a *attempt, reader chan struct{}) {
 	select {
 	case <-a.done:
 	case <-r.Context().Done():
 		e.abandon(a, reader)
 		return
 	}
-	if _, f := a.position(); f != fateCompleted {
+	if _, f := a.position(); f != outcomeCompleted {
 		panic(http.ErrAbortHandler) // cancelled or died: the connection breaks, as it would with a real engine
 	}
-	from := e.crossed(a)
-	e.stamp(w.Header())
-	w.Header().Set(engineapi.HeaderAttempt, from.id)
-	body := from.wholeBody()
+	source := e.answerSource(a)
+	e.setHeaders(w.Header())
+	w.Header().Set(engineapi.HeaderAttempt, source.id)
+	body := source.completeBody()
 	w.Header().Set("Content-Type", jsonType)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = w.Write(body)
@@ -197,19 +197,19 @@
 func (e *Engine) cancel(a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.finish(a, fateCancelled)
+	e.finish(a, outcomeCancelled)
 }
 
 // finish settles an attempt and writes its record. The caller holds mu.
-func (e *Engine) finish(a *attempt, f fate) {
+func (e *Engine) finish(a *attempt, f outcome) {
 	if a.done == nil || !a.end(f) {
 		return
 	}
 	if a.started.IsZero() {
 		e.batch.remove(a)
 	}
-	a.on.users--
-	e.settleModel(a.key.Model)
+	a.resident.users--
+	e.freeIdleOfModel(a.key.Model)
 	e.records.addExecution(a, e.incarnation, e.cfg.MaxRecords)
 }
 
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -19,40 +19,40 @@
 	reasonUnknownModel     = "unknown_model"
 )
 
-// grantRetry is the pause after the weight store failed to answer.
-const grantRetry = 100 * time.Millisecond
+// permitRetry is the pause after the weight store failed to answer.
+const permitRetry = 100 * time.Millisecond
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o engineapi.Order
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyMax)).Decode(&o); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&o); err != nil {
 		e.refuse(w, refusal{status: http.StatusBadRequest, text: "malformed order: " + err.Error()})
 		return
 	}
-	if e.faults.mislead(e, o) {
+	if e.faults.intercept(e, o) {
 		panic(http.ErrAbortHandler) // lost, or late: the planner hears nothing
 	}
-	ans := e.carryOut(o)
+	ans := e.execute(o)
 	if e.faults.loseAnswer() {
 		panic(http.ErrAbortHandler)
 	}
-	e.stamp(w.Header())
+	e.setHeaders(w.Header())
 	writeJSON(w, http.StatusOK, ans)
 }
 
-// carryOut does what an order says, as soon as it is reached by it. Memory
+// execute does what an order says, as soon as it is reached by it. Memory
 // that is too small does not stop it: the overcommit is recorded, so that the
 // proof of the system's own accounting does not rest on the engine's care.
-func (e *Engine) carryOut(o engineapi.Order) engineapi.OrderAnswer {
+func (e *Engine) execute(o engineapi.Order) engineapi.OrderAnswer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	ans := engineapi.OrderAnswer{Incarnation: e.incarnation}
-	ans.Reason = e.objection(o)
+	ans.Reason = e.refusalReason(o)
 	ans.Accepted = ans.Reason == ""
 	e.records.addOrder(o, ans, e.cfg.MaxRecords)
 	if !ans.Accepted {
 		return ans
 	}
-	if e.lastOps = append(e.lastOps, o.Op); len(e.lastOps) > lastOpsMax {
+	if e.lastOps = append(e.lastOps, o.Op); len(e.lastOps) > maxLastOps {
 		e.lastOps = e.lastOps[1:]
 	}
 	if e.cfg.Fencing == config.FencingChecked {
@@ -70,78 +70,78 @@
 	return ans
 }
 
-func (e *Engine) objection(o engineapi.Order) string {
+func (e *Engine) refusalReason(o engineapi.Order) string {
 	switch {
 	case o.Incarnation != "" && o.Incarnation != e.incarnation:
 		return reasonWrongIncarnation
 	case e.cfg.Fencing == config.FencingChecked && o.Epoch < e.epoch:
 		return reasonOldEpoch
-	case o.Kind == engineapi.OrderLoadAdapter && e.find(route.ModelKey{Model: o.Model}, "") == nil:
+	case o.Kind == engineapi.OrderLoadAdapter && e.findResident(route.ModelKey{Model: o.Model}, "") == nil:
 		return reasonUnknownModel
 	}
 	return ""
 }
 
 func (e *Engine) beginLoad(key route.ModelKey, o engineapi.Order) {
-	if r := e.find(key, o.Version); r != nil && r.state != engineapi.StateUnloading {
+	if r := e.findResident(key, o.Version); r != nil && r.state != engineapi.StateUnloading {
 		return // already there or on its way
 	}
-	r := &resident{key: key, version: o.Version, memoryMB: o.MemoryMB, op: o.Op, load: o.LoadName()}
-	e.hold(r)
+	r := &resident{key: key, version: o.Version, memoryMB: o.MemoryMB, op: o.Op, loadName: o.LoadName()}
+	e.addResident(r)
 	if key.Adapter == "" {
 		e.records.Loads++
 	} else {
 		e.records.AdapterLoads++
 	}
-	reborn := e.reborn
-	e.spawn(func() { e.load(r, reborn) })
+	incarnationEnded := e.incarnationEnded
+	e.spawn(func() { e.load(r, incarnationEnded) })
 }
 
 // load waits for the weight store's grant, then for the weights.
-func (e *Engine) load(r *resident, reborn chan struct{}) {
+func (e *Engine) load(r *resident, incarnationEnded chan struct{}) {
 	if e.cfg.Weights != nil {
-		defer func() { _ = e.cfg.Weights.ReleaseLoad(context.Background(), r.load) }() // when lost, the store's own lapse frees it
-		if !e.awaitGrant(r.load, reborn) {
+		defer func() { _ = e.cfg.Weights.ReleaseLoad(context.Background(), r.loadName) }() // when lost, the store's own lapse frees it
+		if !e.awaitLoadPermit(r.loadName, incarnationEnded) {
 			return
 		}
 	}
 	if rate := e.cfg.MBPerSecond; rate > 0 {
-		took := time.Duration(float64(r.memoryMB) / float64(rate) * float64(time.Second))
-		if !e.pause(took, reborn) {
+		duration := time.Duration(float64(r.memoryMB) / float64(rate) * float64(time.Second))
+		if !e.wait(duration, incarnationEnded) {
 			return
 		}
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if reborn == e.reborn && r.state == engineapi.StateLoading {
+	if incarnationEnded == e.incarnationEnded && r.state == engineapi.StateLoading {
 		r.state = engineapi.StateReady
 	}
 }
 
-func (e *Engine) awaitGrant(load string, reborn chan struct{}) bool {
+func (e *Engine) awaitLoadPermit(load string, incarnationEnded chan struct{}) bool {
 	for {
-		wait, err := e.cfg.Weights.AcquireLoad(e.life, load)
+		wait, err := e.cfg.Weights.AcquireLoad(e.ctx, load)
 		switch {
 		case err != nil:
-			wait = grantRetry
+			wait = permitRetry
 		case wait <= 0:
 			return true
 		}
-		if !e.pause(wait, reborn) {
+		if !e.wait(wait, incarnationEnded) {
 			return false
 		}
 	}
 }
 
-// pause waits; false: the incarnation or the engine ended.
-func (e *Engine) pause(d time.Duration, reborn chan struct{}) bool {
+// wait waits; false: the incarnation or the engine ended.
+func (e *Engine) wait(d time.Duration, incarnationEnded chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-reborn:
-	case <-e.life.Done():
+	case <-incarnationEnded:
+	case <-e.ctx.Done():
 	}
 	return false
 }
@@ -151,18 +151,18 @@
 // has ended.
 func (e *Engine) beginUnload(key route.ModelKey, version string) {
 	e.records.Unloads++
-	going := func(r *resident) bool { return r.key == key && (version == "" || r.version == version) }
-	e.retire(going)
+	match := func(r *resident) bool { return r.key == key && (version == "" || r.version == version) }
+	e.startUnloading(match)
 	if key.Adapter == "" && !slices.ContainsFunc(e.residents, func(r *resident) bool { return r.key == key && r.state != engineapi.StateUnloading }) {
-		e.retire(func(r *resident) bool { return r.key.Model == key.Model && r.key.Adapter != "" })
+		e.startUnloading(func(r *resident) bool { return r.key.Model == key.Model && r.key.Adapter != "" })
 	}
 }
 
-func (e *Engine) retire(going func(*resident) bool) {
+func (e *Engine) startUnloading(match func(*resident) bool) {
 	for _, r := range slices.Clone(e.residents) {
-		if going(r) && r.state != engineapi.StateUnloading {
+		if match(r) && r.state != engineapi.StateUnloading {
 			r.state = engineapi.StateUnloading
-			e.settle(r)
+			e.freeIfIdle(r)
 		}
 	}
 }
--- a/standin/engine/fate.go
+++ b/standin/engine/outcome.go
@@ -7,16 +7,16 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// serveFate tells what became of an attempt. One that was never here is
+// serveOutcome tells what became of an attempt. One that was never here is
 // poisoned by the question: its request may still be on its way, and must not
 // run after its caller was told that it did not.
-func (e *Engine) serveFate(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveOutcome(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	e.mu.Lock()
-	a, _ := e.attempts.FindOrAdd(id, never(id))
+	a, _ := e.attempts.FindOrAdd(id, blockedAttempt(id))
 	inc := e.incarnation
 	e.mu.Unlock()
-	e.stamp(w.Header())
+	e.setHeaders(w.Header())
 	if a == nil {
 		writeJSON(w, http.StatusGone, map[string]string{"error": "attempt is no longer known"})
 		return
@@ -24,18 +24,18 @@
 	writeJSON(w, http.StatusOK, a.describe(inc))
 }
 
-// never is an attempt that was asked for before it came.
-func never(id string) *attempt { return &attempt{id: id, fate: fatePoisoned} }
+// blockedAttempt is an attempt that was asked for before it came.
+func blockedAttempt(id string) *attempt { return &attempt{id: id, outcome: outcomeBlocked} }
 
 func (a *attempt) describe(incarnation string) engineapi.Attempt {
 	events, f := a.position()
 	d := engineapi.Attempt{ID: a.id, State: f.state(), Position: events, Incarnation: incarnation}
-	if f == fateCompleted {
+	if f == outcomeCompleted {
 		d.Status = http.StatusOK
 		d.ContentType = "text/event-stream"
 		if !a.stream {
 			d.ContentType = jsonType
-			d.Body = a.wholeBody()
+			d.Body = a.completeBody()
 		}
 	}
 	return d
@@ -46,13 +46,13 @@
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	e.mu.Lock()
-	a, _ := e.attempts.FindOrAdd(id, never(id))
+	a, _ := e.attempts.FindOrAdd(id, blockedAttempt(id))
 	if a != nil {
-		e.finish(a, fateCancelled)
+		e.finish(a, outcomeCancelled)
 	}
 	inc := e.incarnation
 	e.mu.Unlock()
-	e.stamp(w.Header())
+	e.setHeaders(w.Header())
 	if a == nil {
 		writeJSON(w, http.StatusGone, map[string]string{"error": "attempt is no longer known"})
 		return
@@ -67,12 +67,12 @@
 	a, _ := e.attempts.Find(r.PathValue("id"))
 	e.mu.Unlock()
 	if a == nil || err != nil || after < 0 || after > a.answer.Tokens+1 {
-		e.stamp(w.Header())
+		e.setHeaders(w.Header())
 		writeJSON(w, http.StatusNotFound, map[string]string{"error": "no such stream or position"})
 		return
 	}
-	if _, f := a.position(); f != fateRunning && f != fateCompleted {
-		e.stamp(w.Header())
+	if _, f := a.position(); f != outcomeRunning && f != outcomeCompleted {
+		e.setHeaders(w.Header())
 		writeJSON(w, http.StatusGone, map[string]string{"error": "attempt ended: " + string(f.state())})
 		return
 	}
--- a/standin/engine/prefix.go
+++ b/standin/engine/prefix.go
@@ -9,12 +9,12 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// eventsMax bounds the cache events that can still be read.
-const eventsMax = 4096
+// maxCacheEvents bounds the cache events that can still be read.
+const maxCacheEvents = 4096
 
 type cacheEvent struct {
 	engineapi.CacheEvent
-	public time.Time // when it is published
+	visibleAt time.Time // when it is published
 }
 
 // prefixCache keeps the least recently used prefixes out.
@@ -48,30 +48,30 @@
 		return 0
 	}
 	if a.prefix == 0 || e.prefixes.slots == 0 {
-		return a.prompt
+		return a.promptTokens
 	}
 	hit, displaced := e.prefixes.touch(a.prefix)
 	if displaced != 0 {
-		e.publish(displaced, false)
+		e.publishCacheEvent(displaced, false)
 	}
 	if !hit {
-		e.publish(a.prefix, true)
-		return a.prompt
+		e.publishCacheEvent(a.prefix, true)
+		return a.promptTokens
 	}
 	e.records.PrefixHits++
-	return a.prompt - int(float64(a.prompt)*e.cfg.PrefixSavedShare)
+	return a.promptTokens - int(float64(a.promptTokens)*e.cfg.PrefixSavedShare)
 }
 
-// publish numbers a cache event; a lost one leaves its gap. The caller holds mu.
-func (e *Engine) publish(prefix uint64, stored bool) {
+// publishCacheEvent numbers a cache event; a lost one leaves its gap. The caller holds mu.
+func (e *Engine) publishCacheEvent(prefix uint64, stored bool) {
 	e.eventSeq++
 	if e.rng.Float64() < e.cfg.EventLoss {
 		return
 	}
 	ev := engineapi.CacheEvent{Sequence: e.eventSeq, Prefix: prefix, Stored: stored}
 	e.events = append(e.events, cacheEvent{ev, time.Now().Add(e.cfg.EventLag)})
-	if len(e.events) > eventsMax {
-		e.events = append(e.events[:0], e.events[len(e.events)-eventsMax/2:]...)
+	if len(e.events) > maxCacheEvents {
+		e.events = append(e.events[:0], e.events[len(e.events)-maxCacheEvents/2:]...)
 	}
 }
 
@@ -81,11 +81,11 @@
 	out := []engineapi.CacheEvent{}
 	e.mu.Lock()
 	for _, ev := range e.events {
-		if ev.Sequence > after && !ev.public.After(now) {
+		if ev.Sequence > after && !ev.visibleAt.After(now) {
 			out = append(out, ev.CacheEvent)
 		}
 	}
 	e.mu.Unlock()
-	e.stamp(w.Header())
+	e.setHeaders(w.Header())
 	writeJSON(w, http.StatusOK, out)
 }
--- a/standin/engine/records.go
+++ b/standin/engine/records.go
@@ -54,19 +54,19 @@
 	MemoryMB int
 }
 
-func (r *Records) addExecution(a *attempt, incarnation string, most int) {
-	if len(r.Executions) >= most {
+func (r *Records) addExecution(a *attempt, incarnation string, maxRecords int) {
+	if len(r.Executions) >= maxRecords {
 		r.DroppedRecords++
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	r.Executions = append(r.Executions, Execution{Attempt: a.id, Incarnation: incarnation, Team: a.team, Invocation: a.mark,
-		Key: a.key, Class: a.class, State: a.fate.state(), Arrived: a.arrived, Started: a.started, Ended: time.Now(), Tokens: a.produced})
+	r.Executions = append(r.Executions, Execution{Attempt: a.id, Incarnation: incarnation, Team: a.team, Invocation: a.invocation,
+		Key: a.key, Class: a.class, State: a.outcome.state(), Arrived: a.arrived, Started: a.started, Ended: time.Now(), Tokens: a.produced})
 }
 
-func (r *Records) addOrder(o engineapi.Order, ans engineapi.OrderAnswer, most int) {
-	if len(r.Orders) >= most {
+func (r *Records) addOrder(o engineapi.Order, ans engineapi.OrderAnswer, maxRecords int) {
+	if len(r.Orders) >= maxRecords {
 		r.DroppedRecords++
 		return
 	}
@@ -82,14 +82,14 @@
 	r.Executions = slices.Clone(r.Executions)
 	r.Orders = slices.Clone(r.Orders)
 	r.Overcommits = slices.Clone(r.Overcommits)
-	open := Records{}
+	running := Records{}
 	e.attempts.VisitNewestFirst(func(a *attempt) bool {
-		if a.done != nil && a.fate != fateRefused && !a.ended() {
-			open.addExecution(a, e.incarnation, e.cfg.MaxRecords)
-			open.Executions[len(open.Executions)-1].Ended = time.Time{}
+		if a.done != nil && a.outcome != outcomeRefused && !a.ended() {
+			running.addExecution(a, e.incarnation, e.cfg.MaxRecords)
+			running.Executions[len(running.Executions)-1].Ended = time.Time{}
 		}
 		return true
 	})
-	r.Executions = append(r.Executions, open.Executions...)
+	r.Executions = append(r.Executions, running.Executions...)
 	return r
 }
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -10,8 +10,8 @@
 
 const roleServe = "serve"
 
-// lastOpsMax is how many order ids a report names.
-const lastOpsMax = 64
+// maxLastOps is how many order ids a report names.
+const maxLastOps = 64
 
 func (e *Engine) reportLoop() {
 	tick := time.NewTicker(e.cfg.ReportInterval)
@@ -20,33 +20,33 @@
 		select {
 		case <-tick.C:
 			e.mu.Lock()
-			e.takeReport()
+			e.addReport()
 			e.mu.Unlock()
-		case <-e.life.Done():
+		case <-e.ctx.Done():
 			return
 		}
 	}
 }
 
-// takeReport publishes a snapshot and drops those that no reader can get any
+// addReport publishes a snapshot and drops those that no reader can get any
 // more. The caller holds mu.
-func (e *Engine) takeReport() {
+func (e *Engine) addReport() {
 	e.sequence++
 	e.reports = append(e.reports, e.describe(e.sequence))
-	for len(e.reports) > 1 && e.old(e.reports[1]) {
+	for len(e.reports) > 1 && e.isVisible(e.reports[1]) {
 		e.reports = e.reports[1:]
 	}
 }
 
-// old says that a report is old enough to be read.
-func (e *Engine) old(r engineapi.Report) bool {
-	return time.Since(e.born)-time.Duration(r.TakenMs)*time.Millisecond >= e.cfg.ReportLag
+// isVisible says that a report is old enough to be read.
+func (e *Engine) isVisible(r engineapi.Report) bool {
+	return time.Since(e.startedAt)-time.Duration(r.TakenMs)*time.Millisecond >= e.cfg.ReportLag
 }
 
 func (e *Engine) describe(sequence uint64) engineapi.Report {
 	r := engineapi.Report{
-		Upstream: e.cfg.Name, Incarnation: e.incarnation, Sequence: sequence, TakenMs: time.Since(e.born).Milliseconds(),
-		Draining: e.leaving, Role: e.role, Running: len(e.batch.running), Waiting: e.batch.waitingCount(),
+		Upstream: e.cfg.Name, Incarnation: e.incarnation, Sequence: sequence, TakenMs: time.Since(e.startedAt).Milliseconds(),
+		Draining: e.draining, Role: e.role, Running: len(e.batch.running), Waiting: e.batch.waitingCount(),
 		MaxBatch: e.cfg.MaxBatch, MemoryMB: e.cfg.MemoryMB, UsedMB: e.usedMB(), Epoch: e.epoch, LastOps: slices.Clone(e.lastOps),
 	}
 	for _, res := range e.residents {
@@ -61,11 +61,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cfg.ReportInterval == 0 {
-		e.takeReport()
+		e.addReport()
 	}
 	newest := e.reports[0]
 	for _, r := range e.reports[1:] {
-		if e.old(r) {
+		if e.isVisible(r) {
 			newest = r
 		}
 	}
@@ -82,6 +82,6 @@
 
 func (e *Engine) serveReport(w http.ResponseWriter, r *http.Request) {
 	report := e.Report()
-	e.stamp(w.Header())
+	e.setHeaders(w.Header())
 	writeJSON(w, http.StatusOK, report.Compact(r.URL.Query().Get(engineapi.ParamResidents)))
 }
--- a/standin/engine/resident.go
+++ b/standin/engine/resident.go
@@ -14,7 +14,7 @@
 	version  string
 	memoryMB int
 	op       string
-	load     string // its name at the weight store
+	loadName string // its name at the weight store
 	state    engineapi.ModelState
 	users    int  // attempts that wait or run on it
 	freeing  bool // its memory is about to be freed
@@ -30,14 +30,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r := &resident{key: route.ModelKey{Model: model, Adapter: adapter}, version: version, memoryMB: memoryMB, op: "preload"}
-	e.hold(r)
+	e.addResident(r)
 	r.state = engineapi.StateReady
 	e.reports = nil
-	e.takeReport()
+	e.addReport()
 }
 
-// hold takes memory for r. The caller holds mu.
-func (e *Engine) hold(r *resident) {
+// addResident takes memory for r. The caller holds mu.
+func (e *Engine) addResident(r *resident) {
 	r.state = engineapi.StateLoading
 	e.residents = append(e.residents, r)
 	if used := e.usedMB(); e.cfg.MemoryMB > 0 && used > e.cfg.MemoryMB {
@@ -54,24 +54,24 @@
 	return n
 }
 
-// serving finds what answers to a model's or adapter's name: the newest ready
+// findServing finds what answers to a model's or adapter's name: the newest ready
 // one, and an adapter only upon its ready base.
-func (e *Engine) serving(name string) *resident {
+func (e *Engine) findServing(name string) *resident {
 	for i := len(e.residents) - 1; i >= 0; i-- {
 		r := e.residents[i]
-		own := r.key.Model
+		served := r.key.Model
 		if r.key.Adapter != "" {
-			own = r.key.Adapter
+			served = r.key.Adapter
 		}
-		if own == name && r.state == engineapi.StateReady && (r.key.Adapter == "" || e.serving(r.key.Model) != nil) {
+		if served == name && r.state == engineapi.StateReady && (r.key.Adapter == "" || e.findServing(r.key.Model) != nil) {
 			return r
 		}
 	}
 	return nil
 }
 
-// find returns the newest resident of a key; an empty version matches any.
-func (e *Engine) find(key route.ModelKey, version string) *resident {
+// findResident returns the newest resident of a key; an empty version matches any.
+func (e *Engine) findResident(key route.ModelKey, version string) *resident {
 	for i := len(e.residents) - 1; i >= 0; i-- {
 		if r := e.residents[i]; r.key == key && (version == "" || r.version == version) {
 			return r
@@ -80,44 +80,44 @@
 	return nil
 }
 
-// settleModel frees what of a model and its adapters unloads and is idle.
-func (e *Engine) settleModel(model string) {
+// freeIdleOfModel frees what of a model and its adapters unloads and is idle.
+func (e *Engine) freeIdleOfModel(model string) {
 	for _, r := range slices.Clone(e.residents) {
 		if r.key.Model == model {
-			e.settle(r)
+			e.freeIfIdle(r)
 		}
 	}
 }
 
-// idle says that no attempt uses r, itself or through an adapter.
-func (e *Engine) idle(r *resident) bool {
+// isIdle says that no attempt uses r, itself or through an adapter.
+func (e *Engine) isIdle(r *resident) bool {
 	if r.key.Adapter != "" || r.users > 0 {
 		return r.users == 0
 	}
 	return !slices.ContainsFunc(e.residents, func(a *resident) bool { return a.key.Model == r.key.Model && a.key.Adapter != "" && a.users > 0 })
 }
 
-// settle frees an unloading resident when its last attempt has ended.
-func (e *Engine) settle(r *resident) {
-	if r.state != engineapi.StateUnloading || r.freeing || !e.idle(r) {
+// freeIfIdle frees an unloading resident when its last attempt has ended.
+func (e *Engine) freeIfIdle(r *resident) {
+	if r.state != engineapi.StateUnloading || r.freeing || !e.isIdle(r) {
 		return
 	}
 	r.freeing = true
 	if e.cfg.UnloadTime == 0 {
-		e.drop(r)
+		e.removeResident(r)
 		return
 	}
-	born := e.reborn
+	incarnationEnded := e.incarnationEnded
 	time.AfterFunc(e.cfg.UnloadTime, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if born == e.reborn {
-			e.drop(r)
+		if incarnationEnded == e.incarnationEnded {
+			e.removeResident(r)
 		}
 	})
 }
 
-func (e *Engine) drop(r *resident) {
+func (e *Engine) removeResident(r *resident) {
 	for i, have := range e.residents {
 		if have == r {
 			e.residents = append(e.residents[:i:i], e.residents[i+1:]...)
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -45,8 +45,8 @@
 	return append(buf, "null}]}\n\n"...)
 }
 
-// wholeBody is the answer in one piece.
-func (a *attempt) wholeBody() []byte {
+// completeBody is the answer in one piece.
+func (a *attempt) completeBody() []byte {
 	choice := map[string]any{"index": 0, "finish_reason": "length"}
 	object := "text_completion"
 	if a.chat {
@@ -57,7 +57,7 @@
 	}
 	body, _ := json.Marshal(map[string]any{ // strings and numbers always encode
 		"id": "gen", "object": object, "created": 0, "model": a.name, "choices": []any{choice},
-		"usage": map[string]int{"prompt_tokens": a.prompt, "completion_tokens": a.answer.Tokens, "total_tokens": a.prompt + a.answer.Tokens},
+		"usage": map[string]int{"prompt_tokens": a.promptTokens, "completion_tokens": a.answer.Tokens, "total_tokens": a.promptTokens + a.answer.Tokens},
 	})
 	return body
 }
@@ -76,9 +76,9 @@
 		switch {
 		case out.pos > a.answer.Tokens:
 			return
-		case f != fateRunning && f != fateCompleted:
+		case f != outcomeRunning && f != outcomeCompleted:
 			panic(http.ErrAbortHandler) // cancelled or died: the stream breaks off without its end marker
-		case f == fateCompleted:
+		case f == outcomeCompleted:
 			continue
 		}
 		select {
@@ -94,25 +94,25 @@
 }
 
 type streamWriter struct {
-	w     http.ResponseWriter
-	rc    *http.ResponseController
-	a     *attempt
-	frame frame
-	other *attempt // whose events stand in for ours from otherAt on; nil: none
-	buf   *[]byte
-	pos   int
-	flush int
-	cutAt int // position after which the connection breaks; 0: none
+	w       http.ResponseWriter
+	rc      *http.ResponseController
+	a       *attempt
+	frame   frame
+	foreign *attempt // whose events stand in for ours from otherAt on; nil: none
+	buf     *[]byte
+	pos     int
+	flush   int
+	cutAt   int // position after which the connection breaks; 0: none
 }
 
 func (e *Engine) newStreamWriter(w http.ResponseWriter, a *attempt, after int) *streamWriter {
-	e.stamp(w.Header())
+	e.setHeaders(w.Header())
 	w.Header().Set(engineapi.HeaderAttempt, a.id)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
 	s := &streamWriter{w: w, rc: http.NewResponseController(w), a: a, pos: after, flush: e.cfg.FlushTokens, buf: buffers.Get().(*[]byte)}
-	if other := e.crossed(a); other != a {
-		s.other = other
+	if other := e.answerSource(a); other != a {
+		s.foreign = other
 	}
 	if n := int(e.faults.cutAfter.Load()); n > 0 {
 		s.cutAt = after + n
@@ -125,8 +125,8 @@
 
 // writeUpTo writes the events up to a position; false: the connection is gone.
 func (s *streamWriter) writeUpTo(events int) bool {
-	if s.other != nil && s.pos < events {
-		s.cross()
+	if s.foreign != nil && s.pos < events {
+		s.writeForeignEvent()
 	}
 	for s.pos < events {
 		buf := (*s.buf)[:0]
@@ -150,11 +150,11 @@
 	return true
 }
 
-// cross writes one event of another attempt into this stream.
-func (s *streamWriter) cross() {
-	f := s.other.frame()
-	_, _ = s.w.Write(s.other.appendEvent(nil, &f, s.pos+1))
-	s.other = nil
+// writeForeignEvent writes one event of another attempt into this stream.
+func (s *streamWriter) writeForeignEvent() {
+	f := s.foreign.frame()
+	_, _ = s.w.Write(s.foreign.appendEvent(nil, &f, s.pos+1))
+	s.foreign = nil
 }
 
 func (s *streamWriter) close() {
--- a/standin/history/history.go
+++ b/standin/history/history.go
@@ -65,18 +65,20 @@
 
 // Answered records what the caller was told.
 func (h *History) Answered(call string, o outcome.Outcome, answer string) {
-	h.end(call, func(i *Invocation) { i.Outcome, i.Answer, i.Unanswered = o, answer, false })
+	h.setEnd(call, func(i *Invocation) { i.Outcome, i.Answer, i.Unanswered = o, answer, false })
 }
 
 // AnsweredInProgress records that the caller was told to come back.
 func (h *History) AnsweredInProgress(call string) {
-	h.end(call, func(i *Invocation) { i.InProgress, i.Unanswered = true, false })
+	h.setEnd(call, func(i *Invocation) { i.InProgress, i.Unanswered = true, false })
 }
 
 // CallerLeft records that the caller is gone, or that its connection broke.
-func (h *History) CallerLeft(call string) { h.end(call, func(i *Invocation) { i.CallerGone = true }) }
+func (h *History) CallerLeft(call string) {
+	h.setEnd(call, func(i *Invocation) { i.CallerGone = true })
+}
 
-func (h *History) end(call string, set func(*Invocation)) {
+func (h *History) setEnd(call string, set func(*Invocation)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	inv := h.calls[call]
@@ -132,7 +134,7 @@
 			execs = byKey[i.Key]
 		}
 		c.add(i, execs, byCall[i.ID])
-		if i.InProgress && h.falseBusy(i) {
+		if i.InProgress && h.isFalseInProgress(i) {
 			c.FalseInProgress++
 		}
 	}
@@ -159,7 +161,7 @@
 		c.InProgress++
 	case i.Outcome == outcome.Completed:
 		c.Completed++
-		c.judge(i, sources)
+		c.addMismatch(i, sources)
 	case i.Outcome == outcome.NotRun:
 		c.NotRun++
 		if len(own) > 0 {
@@ -170,7 +172,7 @@
 	}
 }
 
-func (c *Counts) judge(i *Invocation, sources []*Execution) {
+func (c *Counts) addMismatch(i *Invocation, sources []*Execution) {
 	cut := false
 	for _, e := range sources {
 		if e.Answer == i.Answer {
@@ -186,7 +188,7 @@
 }
 
 // falseBusy: nobody can have been at it.
-func (h *History) falseBusy(i *Invocation) bool {
+func (h *History) isFalseInProgress(i *Invocation) bool {
 	for _, o := range h.order {
 		if o == i || o.Key != i.Key || o.Start > i.End {
 			continue
@@ -211,12 +213,12 @@
 		}
 		end := e.End
 		if end == 0 {
-			end = never
+			end = unended
 		}
 		ops[e.Key] = append(ops[e.Key], porcupine.Operation{ClientId: n, Input: event{ran, e.InvocationID}, Call: e.Start, Output: e.Answer, Return: end})
 	}
 	for n, i := range h.order {
-		if op, ok := told(i); ok {
+		if op, ok := answerOperation(i); ok {
 			op.ClientId = len(h.execs) + n
 			ops[i.Key] = append(ops[i.Key], op)
 		}
--- a/standin/history/register.go
+++ b/standin/history/register.go
@@ -9,8 +9,8 @@
 	"peridotpier.example/core/outcome"
 )
 
-// never is the end of what did not end.
-const never = math.MaxInt64
+// unended is the end of what did not end.
+const unended = math.MaxInt64
 
 type kind uint8
 
@@ -28,16 +28,16 @@
 // state of the register: empty, or written once.
 type state struct {
 	written bool
-	by      string // the invocation, if known
+	writer  string // the invocation, if known
 	answer  string
-	refused string // invocations that were told not run, each between separators
+	notRun  string // invocations that were told not run, each between separators
 }
 
-const sep = "\x00"
+const separator = "\x00"
 
-// told is what an invocation's answer claims; unknown and in progress claim
+// answerOperation is what an invocation's answer claims; unknown and in progress claim
 // nothing.
-func told(i *Invocation) (porcupine.Operation, bool) {
+func answerOperation(i *Invocation) (porcupine.Operation, bool) {
 	op := porcupine.Operation{Call: i.Start, Return: i.End, Output: i.Answer}
 	switch {
 	case i.Key == "" || i.Unanswered || i.CallerGone || i.InProgress:
@@ -62,17 +62,17 @@
 func step(s state, e event, answer string) (bool, any) {
 	switch e.kind {
 	case ran:
-		if s.written || (e.call != "" && strings.Contains(s.refused, sep+e.call+sep)) {
+		if s.written || (e.call != "" && strings.Contains(s.notRun, separator+e.call+separator)) {
 			return false, s
 		}
-		s.written, s.by, s.answer = true, e.call, answer
+		s.written, s.writer, s.answer = true, e.call, answer
 	case completed:
 		return s.written && s.answer == answer, s
 	case notRun:
-		if s.written && s.by != "" && s.by == e.call {
+		if s.written && s.writer != "" && s.writer == e.call {
 			return false, s
 		}
-		s.refused += sep + e.call + sep
+		s.notRun += separator + e.call + separator
 	}
 	return true, s
 }
--- a/standin/load/caller.go
+++ b/standin/load/caller.go
@@ -19,26 +19,26 @@
 
 // Headers and paths of the callers' interface.
 const (
-	headerKey      = "Idempotency-Key"
-	headerClass    = "Peridot-Class"
-	headerDeadline = "Peridot-Deadline-Ms"
-	headerResume   = "Peridot-Resume"
-	headerLast     = "Last-Event-ID"
-	pathChat       = "/v1/chat/completions"
-	pathService    = "/v1/services/"
-	pathRequests   = "/v1/requests/"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerClass          = "Peridot-Class"
+	headerDeadline       = "Peridot-Deadline-Ms"
+	headerResume         = "Peridot-Resume"
+	headerLastEventID    = "Last-Event-ID"
+	pathChat             = "/v1/chat/completions"
+	pathService          = "/v1/services/"
+	pathRequests         = "/v1/requests/"
 )
 
 // Bounds of one caller.
 const (
-	triesMax   = 6                      // requests for one invocation
-	triesMost  = 60                     // of one that got no word on its last: it asks on while it has patience
-	retryPause = 100 * time.Millisecond // when no Retry-After says otherwise
-	retryMost  = 2 * time.Second        // a caller with a deadline waits no longer
-	answerMax  = 32 << 20
-	// stillComing tells a stream that is slow from one that went silent: the
+	maxTries          = 6                      // requests for one invocation
+	maxTriesWhileLost = 60                     // of one that got no word on its last: it asks on while it has patience
+	retryPause        = 100 * time.Millisecond // when no Retry-After says otherwise
+	maxRetryPause     = 2 * time.Second        // a caller with a deadline waits no longer
+	maxAnswerBytes    = 32 << 20
+	// streamIdleAfter tells a stream that is slow from one that went silent: the
 	// caller who leaves the first was not cut off, the one who leaves the second was.
-	stillComing = 2 * time.Second
+	streamIdleAfter = 2 * time.Second
 )
 
 // problem is an error body of the callers' interface.
@@ -54,16 +54,16 @@
 
 // caller carries one invocation out.
 type caller struct {
-	client  *http.Client
-	entries EntryBalancer
-	inv     *Invocation
-	text    []byte // the answer's text so far
-	prompt  string
-	body    []byte // of a service call: sent and checked against
-	last    string // id of the last event
-	token   string // resume token of a stream that began
-	done    bool   // the end marker came
-	lastAt  time.Time
+	client      *http.Client
+	entries     EntryBalancer
+	inv         *Invocation
+	text        []byte // the answer's text so far
+	prompt      string
+	body        []byte // of a service call: sent and checked against
+	lastEventID string // id of the last event
+	resumeToken string // resume token of a stream that began
+	ended       bool   // the end marker came
+	lastTokenAt time.Time
 }
 
 func (c *caller) run(ctx context.Context) {
@@ -74,7 +74,7 @@
 		v.Key = "k-" + v.Arrival.ID
 	}
 	v.Started = time.Now()
-	for n := 0; n < triesMax || n < triesMost && v.wordless() && len(c.text) == 0; n++ {
+	for n := 0; n < maxTries || n < maxTriesWhileLost && v.lastTryLost() && len(c.text) == 0; n++ {
 		wait, again := c.try(ctx)
 		if !again || !sleep(ctx, wait) {
 			break
@@ -82,7 +82,7 @@
 	}
 	v.Returned = time.Now()
 	v.Total = v.Returned.Sub(v.Intended)
-	c.judge(ctx)
+	c.setVerdict(ctx)
 }
 
 // try sends one request and tells whether, and when, another may help.
@@ -106,27 +106,27 @@
 	defer resp.Body.Close()
 	t.Status, c.inv.Status = resp.StatusCode, resp.StatusCode
 	if resp.StatusCode/100 != 2 {
-		return c.refused(resp, &t)
+		return c.readRefusal(resp, &t)
 	}
 	p, err := c.read(resp)
 	switch {
 	case p != nil:
 		t.Code, t.Outcome = p.Code, p.Outcome
 		return 0, false
-	case err != nil || !c.done:
+	case err != nil || !c.ended:
 		t.Lost = true
 		// Asking anew after part of an answer would hide that it was cut.
-		return 0, c.token != "" || len(c.text) == 0
+		return 0, c.resumeToken != "" || len(c.text) == 0
 	}
 	t.Outcome = outcome.Completed
 	return 0, false
 }
 
-// refused reads an error answer. A call that may not be repeated is sent
+// readRefusal reads an error answer. A call that may not be repeated is sent
 // again under the same key: that asks what became of it, or runs it the first time.
-func (c *caller) refused(resp *http.Response, t *Try) (wait time.Duration, again bool) {
+func (c *caller) readRefusal(resp *http.Response, t *Try) (wait time.Duration, again bool) {
 	var e errorBody
-	err := json.NewDecoder(io.LimitReader(resp.Body, answerMax)).Decode(&e)
+	err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(&e)
 	if err != nil || e.Error == nil {
 		t.Lost = true
 		return retryPause, true
@@ -134,7 +134,7 @@
 	t.Code, t.Outcome = e.Error.Code, e.Error.Outcome
 	wait = retryPause
 	if s, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil {
-		wait = min(time.Duration(s)*time.Second, retryMost)
+		wait = min(time.Duration(s)*time.Second, maxRetryPause)
 	}
 	transient := resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode >= 500 || t.Code == string(fault.CodeInProgress)
 	draining := t.Code == string(fault.CodeDraining) && t.Outcome == outcome.NotRun
@@ -152,9 +152,9 @@
 	}
 	src := c.inv.Arrival.Source
 	switch {
-	case c.token != "":
+	case c.resumeToken != "":
 		resumed = true
-		req, err = http.NewRequestWithContext(ctx, http.MethodGet, "http://"+host+pathRequests+c.token+"/stream", nil)
+		req, err = http.NewRequestWithContext(ctx, http.MethodGet, "http://"+host+pathRequests+c.resumeToken+"/stream", nil)
 	case (src.Kind == KindService || src.Kind == KindOnce) && src.Method == http.MethodGet:
 		mark := answer.Mark(src.Team, c.inv.Arrival.ID)
 		req, err = http.NewRequestWithContext(ctx, src.Method, "http://"+host+pathService+src.Service+src.Path+"?m="+mark, nil)
@@ -182,10 +182,10 @@
 	left := src.Deadline - time.Since(c.inv.Intended)
 	req.Header.Set(headerDeadline, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
 	if c.inv.Key != "" {
-		req.Header.Set(headerKey, c.inv.Key)
+		req.Header.Set(headerIdempotencyKey, c.inv.Key)
 	}
-	if c.token != "" && c.last != "" {
-		req.Header.Set(headerLast, c.last)
+	if c.resumeToken != "" && c.lastEventID != "" {
+		req.Header.Set(headerLastEventID, c.lastEventID)
 	}
 }
 
@@ -208,8 +208,8 @@
 	return body
 }
 
-// judge settles the verdict and the outcome that the caller is left with.
-func (c *caller) judge(ctx context.Context) {
+// setVerdict settles the verdict and the outcome that the caller is left with.
+func (c *caller) setVerdict(ctx context.Context) {
 	v := c.inv
 	if n := len(v.Tries); n > 0 {
 		v.Code, v.Outcome = v.Tries[n-1].Code, v.Tries[n-1].Outcome
@@ -217,26 +217,26 @@
 	v.Digest = xxhash.Sum64(c.text)
 	src := v.Arrival.Source
 	if src.Kind == KindService || src.Kind == KindOnce {
-		v.Verdict = c.judgeCall()
+		v.Verdict = c.serviceVerdict()
 		return
 	}
 	switch err := answer.Verify(c.prompt, v.Arrival.Tokens, string(c.text)); {
-	case len(c.text) == 0 && !c.done:
+	case len(c.text) == 0 && !c.ended:
 		v.Verdict = VerdictNone
-	case err == nil && c.done:
+	case err == nil && c.ended:
 		v.Verdict = VerdictComplete
 	case err == answer.ErrMismatched:
 		v.Verdict = VerdictMismatched
-	case !c.done && ctx.Err() != nil && time.Since(c.lastAt) < stillComing:
+	case !c.ended && ctx.Err() != nil && time.Since(c.lastTokenAt) < streamIdleAfter:
 		v.Verdict = VerdictAbandoned
-	case c.done || v.Tries[len(v.Tries)-1].Lost:
+	case c.ended || v.Tries[len(v.Tries)-1].Lost:
 		v.Verdict = VerdictTruncated
 	}
 }
 
-// judgeCall checks a service's answer against the call's mark and body.
-func (c *caller) judgeCall() Verdict {
-	if !c.done {
+// serviceVerdict checks a service's answer against the call's mark and body.
+func (c *caller) serviceVerdict() Verdict {
+	if !c.ended {
 		return VerdictNone
 	}
 	a := c.inv.Arrival
--- a/standin/load/demand.go
+++ b/standin/load/demand.go
@@ -71,16 +71,16 @@
 	return rate
 }
 
-// most bounds the demand from above.
-func (c Curve) most() float64 {
-	top := 0.0
+// maxRate bounds the demand from above.
+func (c Curve) maxRate() float64 {
+	maxRate := 0.0
 	for _, p := range c.Points {
-		top = math.Max(top, p.PerSecond)
+		maxRate = math.Max(maxRate, p.PerSecond)
 	}
 	for _, b := range c.Bursts {
-		top *= math.Max(b.Factor, 1)
+		maxRate *= math.Max(b.Factor, 1)
 	}
-	return top
+	return maxRate
 }
 
 // Range is a size drawn evenly between two bounds.
@@ -139,18 +139,18 @@
 // arrivals thins a steady Poisson process at the highest rate down to the curve.
 func (s *Source) arrivals(seed, index uint64, length time.Duration) []Arrival {
 	rng := rand.New(rand.NewPCG(seed, index*2+1))
-	top := s.Curve.most()
-	if top <= 0 {
+	maxRate := s.Curve.maxRate()
+	if maxRate <= 0 {
 		return nil
 	}
 	var out []Arrival
 	for t := 0.0; ; {
-		t += rng.ExpFloat64() / top
+		t += rng.ExpFloat64() / maxRate
 		at := time.Duration(t * float64(time.Second))
 		if at >= length {
 			return out
 		}
-		if rng.Float64()*top >= s.Curve.At(at) {
+		if rng.Float64()*maxRate >= s.Curve.At(at) {
 			continue
 		}
 		a := Arrival{Offset: at, Source: s, Tokens: max(s.Tokens.draw(rng), 1), PromptBytes: s.PromptBytes.draw(rng)}
--- a/standin/load/read.go
+++ b/standin/load/read.go
@@ -17,18 +17,18 @@
 	switch c.inv.Arrival.Source.Kind {
 	case KindStream:
 		if t := resp.Header.Get(headerResume); t != "" {
-			c.token = t
+			c.resumeToken = t
 		}
 		return c.readStream(resp.Body)
 	case KindNonStreaming:
 		return nil, c.readWhole(resp.Body)
 	default:
-		body, err := io.ReadAll(io.LimitReader(resp.Body, answerMax))
+		body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 		if err != nil {
 			return nil, err
 		}
-		c.firstToken()
-		c.text, c.done = body, true
+		c.recordFirstToken()
+		c.text, c.ended = body, true
 		return nil, nil
 	}
 }
@@ -42,16 +42,16 @@
 }
 
 func (c *caller) readWhole(r io.Reader) error {
-	body, err := io.ReadAll(io.LimitReader(r, answerMax))
+	body, err := io.ReadAll(io.LimitReader(r, maxAnswerBytes))
 	if err != nil {
 		return err
 	}
-	c.firstToken()
+	c.recordFirstToken()
 	var ch chunk
 	if json.Unmarshal(body, &ch) == nil && len(ch.Choices) > 0 {
 		c.text = []byte(ch.Choices[0].Message.Content)
 	}
-	c.done = true // it ended cleanly; judge tells whether it is whole
+	c.ended = true // it ended cleanly; judge tells whether it is whole
 	return nil
 }
 
@@ -64,7 +64,7 @@
 		}
 		line = bytes.TrimRight(line, "\r\n")
 		if id, ok := bytes.CutPrefix(line, []byte("id: ")); ok {
-			c.last = string(id)
+			c.lastEventID = string(id)
 			continue
 		}
 		data, ok := bytes.CutPrefix(line, []byte("data: "))
@@ -72,18 +72,18 @@
 			continue // keepalive, or the empty line between events
 		}
 		if string(data) == engineapi.StreamEnd {
-			c.done = true
+			c.ended = true
 			_, err := io.Copy(io.Discard, in)
 			return nil, err
 		}
-		if p := c.event(data); p != nil {
+		if p := c.addEvent(data); p != nil {
 			return p, nil
 		}
 	}
 }
 
-// event takes one event's data in; it returns the error that an event may carry.
-func (c *caller) event(data []byte) *problem {
+// addEvent takes one event's data in; it returns the error that an event may carry.
+func (c *caller) addEvent(data []byte) *problem {
 	var ch chunk
 	if json.Unmarshal(data, &ch) != nil {
 		return nil // not a chunk; if it should have been one, the text won't verify
@@ -96,17 +96,17 @@
 	}
 	c.text = append(c.text, ch.Choices[0].Delta.Content...)
 	if now := time.Now(); c.inv.TimeToFirstToken == 0 {
-		c.firstToken()
+		c.recordFirstToken()
 	} else {
-		c.inv.gaps = append(c.inv.gaps, now.Sub(c.lastAt))
-		c.lastAt = now
+		c.inv.gaps = append(c.inv.gaps, now.Sub(c.lastTokenAt))
+		c.lastTokenAt = now
 	}
 	return nil
 }
 
-func (c *caller) firstToken() {
-	c.lastAt = time.Now()
+func (c *caller) recordFirstToken() {
+	c.lastTokenAt = time.Now()
 	if c.inv.TimeToFirstToken == 0 {
-		c.inv.TimeToFirstToken = c.lastAt.Sub(c.inv.Intended)
+		c.inv.TimeToFirstToken = c.lastTokenAt.Sub(c.inv.Intended)
 	}
 }
--- a/standin/load/record.go
+++ b/standin/load/record.go
@@ -51,7 +51,7 @@
 
 // Lost says that the caller never got a word on what became of its call.
 func (v *Invocation) Lost() bool {
-	return !v.Skipped && v.Verdict == VerdictNone && v.wordless()
+	return !v.Skipped && v.Verdict == VerdictNone && v.lastTryLost()
 }
 
 // MetDeadline says that the answer came whole and within the class's deadline.
@@ -69,8 +69,8 @@
 	return len(v.Tries) > 0
 }
 
-// ended names how an invocation ended, for counts.
-func (v *Invocation) ended() string {
+// ending names how an invocation ended, for counts.
+func (v *Invocation) ending() string {
 	switch {
 	case v.Skipped:
 		return "skipped"
@@ -85,5 +85,5 @@
 	}
 }
 
-// wordless says that the last try ended without a word on the outcome.
-func (v *Invocation) wordless() bool { return len(v.Tries) > 0 && v.Tries[len(v.Tries)-1].Lost }
+// lastTryLost says that the last try ended without a word on the outcome.
+func (v *Invocation) lastTryLost() bool { return len(v.Tries) > 0 && v.Tries[len(v.Tries)-1].Lost }
--- a/standin/load/result.go
+++ b/standin/load/result.go
@@ -170,7 +170,7 @@
 			k.Met++
 			met++
 		} else {
-			c.Missed[v.Arrival.Source.Class.String()+" "+v.ended()]++
+			c.Missed[v.Arrival.Source.Class.String()+" "+v.ending()]++
 		}
 	}
 	c.Attainment = share(met, c.Requests)
--- a/standin/load/run.go
+++ b/standin/load/run.go
@@ -21,8 +21,8 @@
 
 // Balancer hands out entry hosts in turn.
 type Balancer struct {
-	hosts atomic.Pointer[[]string]
-	turn  atomic.Uint64
+	hosts   atomic.Pointer[[]string]
+	counter atomic.Uint64
 }
 
 // NewBalancer makes a balancer over hosts.
@@ -42,18 +42,18 @@
 		return "", ErrNoEntryHost
 	}
 	n := uint64(len(hosts))
-	host := hosts[b.turn.Add(1)%n]
+	host := hosts[b.counter.Add(1)%n]
 	if host == last {
-		host = hosts[b.turn.Add(1)%n]
+		host = hosts[b.counter.Add(1)%n]
 	}
 	return host, nil
 }
 
 // Defaults of a Config.
 const (
-	defaultInFlight = 20000
-	defaultPatience = 10 * time.Second
-	idlePerHost     = 256
+	defaultMaxInFlight    = 20000
+	defaultMaxOverdueWait = 10 * time.Second
+	idlePerHost           = 256
 )
 
 // Config describes a run.
@@ -78,10 +78,10 @@
 // or ctx ended.
 func Run(ctx context.Context, cfg Config) *Result {
 	if cfg.MaxInFlight == 0 {
-		cfg.MaxInFlight = defaultInFlight
+		cfg.MaxInFlight = defaultMaxInFlight
 	}
 	if cfg.MaxOverdueWait == 0 {
-		cfg.MaxOverdueWait = defaultPatience
+		cfg.MaxOverdueWait = defaultMaxOverdueWait
 	}
 	transport := &http.Transport{DialContext: cfg.Dial, MaxIdleConnsPerHost: idlePerHost, DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -91,13 +91,13 @@
 }
 
 type runner struct {
-	cfg      Config
-	client   *http.Client
-	result   *Result
-	start    time.Time
-	inFlight atomic.Int64
-	finished atomic.Int64
-	met      atomic.Int64
+	cfg         Config
+	client      *http.Client
+	result      *Result
+	start       time.Time
+	inFlight    atomic.Int64
+	finished    atomic.Int64
+	metDeadline atomic.Int64
 }
 
 func (r *runner) run(ctx context.Context) {
@@ -111,7 +111,7 @@
 		}
 		if now := time.Now(); r.cfg.Progress != nil && now.Sub(shown) >= time.Second {
 			shown = now
-			r.cfg.Progress(Progress{now.Sub(r.start), i, int(r.finished.Load()), int(r.met.Load())})
+			r.cfg.Progress(Progress{now.Sub(r.start), i, int(r.finished.Load()), int(r.metDeadline.Load())})
 		}
 		v := &Invocation{Arrival: a, Intended: intended}
 		if int(r.inFlight.Load()) >= r.cfg.MaxInFlight {
@@ -137,7 +137,7 @@
 	}
 	r.finished.Add(1)
 	if v.MetDeadline() {
-		r.met.Add(1)
+		r.metDeadline.Add(1)
 	}
 	r.result.add(v)
 }
--- a/standin/pki/pki.go
+++ b/standin/pki/pki.go
@@ -17,10 +17,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// life of what is made, and how far it begins in the past, for clocks that differ.
+// validity of what is made, and how far it begins in the past, for clocks that differ.
 const (
-	life  = 30 * 24 * time.Hour
-	begun = time.Hour
+	validity   = 30 * 24 * time.Hour
+	backdating = time.Hour
 )
 
 // Authority signs certificates.
@@ -48,12 +48,12 @@
 func template(name string) *x509.Certificate {
 	now := time.Now()
 	serial, _ := rand.Int(rand.Reader, big.NewInt(1<<62)) // rand.Reader never fails
-	return &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: name}, NotBefore: now.Add(-begun), NotAfter: now.Add(life),
+	return &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: name}, NotBefore: now.Add(-backdating), NotAfter: now.Add(validity),
 		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
 }
 
 // PEM is the authority's certificate.
-func (a *Authority) PEM() []byte { return block("CERTIFICATE", a.cert.Raw) }
+func (a *Authority) PEM() []byte { return encodePEM("CERTIFICATE", a.cert.Raw) }
 
 // CertPool trusts this authority alone.
 func (a *Authority) CertPool() *x509.CertPool {
@@ -67,7 +67,7 @@
 
 // WithExpiredValidity lets a certificate's time be over.
 func WithExpiredValidity(c *x509.Certificate) {
-	c.NotBefore, c.NotAfter = c.NotBefore.Add(-life), c.NotBefore
+	c.NotBefore, c.NotAfter = c.NotBefore.Add(-validity), c.NotBefore
 }
 
 // WithIPAddress names an IP number in the certificate.
@@ -90,7 +90,7 @@
 		return nil, nil, eris.Wrap(err, "sign a certificate")
 	}
 	raw, err := x509.MarshalPKCS8PrivateKey(own)
-	return block("CERTIFICATE", der), block("PRIVATE KEY", raw), eris.Wrap(err, "encode a key")
+	return encodePEM("CERTIFICATE", der), encodePEM("PRIVATE KEY", raw), eris.Wrap(err, "encode a key")
 }
 
 // KeyPair is Issue's result in the form that a dialler needs.
@@ -102,6 +102,6 @@
 	return tls.X509KeyPair(c, k)
 }
 
-func block(kind string, der []byte) []byte {
+func encodePEM(kind string, der []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -27,15 +27,15 @@
 // Faults decides the fate of each call on a service. It may be changed at run
 // time and is safe for concurrent use.
 type Faults struct {
-	mu       sync.Mutex
-	now      func() time.Time
-	rng      *rand.Rand
-	set      Settings
-	outUntil time.Time
-	writes   *rate.Limiter
-	reads    *rate.Limiter
-	nWrites  int64
-	nReads   int64
+	mu          sync.Mutex
+	now         func() time.Time
+	rng         *rand.Rand
+	settings    Settings
+	outageUntil time.Time
+	writes      *rate.Limiter
+	reads       *rate.Limiter
+	writeCount  int64
+	readCount   int64
 }
 
 // NewFaults makes a service without faults; seed fixes later draws and now is
@@ -56,13 +56,13 @@
 func (f *Faults) Update(change func(*Settings)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	old := f.set
-	change(&f.set)
-	if f.writes == nil || old.WritesPerSecond != f.set.WritesPerSecond {
-		f.writes = limiter(f.set.WritesPerSecond)
+	old := f.settings
+	change(&f.settings)
+	if f.writes == nil || old.WritesPerSecond != f.settings.WritesPerSecond {
+		f.writes = limiter(f.settings.WritesPerSecond)
 	}
-	if f.reads == nil || old.ReadsPerSecond != f.set.ReadsPerSecond {
-		f.reads = limiter(f.set.ReadsPerSecond)
+	if f.reads == nil || old.ReadsPerSecond != f.settings.ReadsPerSecond {
+		f.reads = limiter(f.settings.ReadsPerSecond)
 	}
 }
 
@@ -70,7 +70,7 @@
 func (f *Faults) StartOutage(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.outUntil = f.now().Add(d)
+	f.outageUntil = f.now().Add(d)
 }
 
 // LoseAnswers makes a share of the writes take effect and be answered as in doubt.
@@ -79,46 +79,46 @@
 }
 
 // Writes returns the number of write calls so far, refused ones included.
-func (f *Faults) Writes() int64 { f.mu.Lock(); defer f.mu.Unlock(); return f.nWrites }
+func (f *Faults) Writes() int64 { f.mu.Lock(); defer f.mu.Unlock(); return f.writeCount }
 
 // Reads returns the number of read calls so far, refused ones included.
-func (f *Faults) Reads() int64 { f.mu.Lock(); defer f.mu.Unlock(); return f.nReads }
+func (f *Faults) Reads() int64 { f.mu.Lock(); defer f.mu.Unlock(); return f.readCount }
 
-// limitBurst is the part of a second's rate that may come at once.
-const limitBurst = 0.1
+// burstShare is the part of a second's rate that may come at once.
+const burstShare = 0.1
 
 func limiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
-	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*limitBurst)))
+	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*burstShare)))
 }
 
-// fate is what becomes of one write.
-type fate uint8
+// outcome is what becomes of one write.
+type outcome uint8
 
 const (
-	fateDone fate = iota
-	fateLostAnswer
-	fateLostRequest
-	fateLateEffect
+	outcomeApplied outcome = iota
+	outcomeLostAnswer
+	outcomeLostRequest
+	outcomeLateEffect
 )
 
-// read lets a read pass, after the delay, or refuses it.
-func (f *Faults) read(ctx context.Context) error {
+// admitRead lets a read pass, after the delay, or refuses it.
+func (f *Faults) admitRead(ctx context.Context) error {
 	f.mu.Lock()
-	f.nReads++
+	f.readCount++
 	delay, err := f.admit(f.reads)
 	f.mu.Unlock()
 	return firstError(pause(ctx, delay), err)
 }
 
-// write draws a write's fate, after the delay, or refuses it.
-func (f *Faults) write(ctx context.Context) (fate, time.Duration, error) {
+// admitWrite draws a write's fate, after the delay, or refuses it.
+func (f *Faults) admitWrite(ctx context.Context) (outcome, time.Duration, error) {
 	f.mu.Lock()
-	f.nWrites++
+	f.writeCount++
 	delay, err := f.admit(f.writes)
-	drawn, late := f.draw(), f.set.LateEffectDelay
+	drawn, late := f.drawOutcome(), f.settings.LateEffectDelay
 	f.mu.Unlock()
 	return drawn, late, firstError(pause(ctx, delay), err)
 }
@@ -126,28 +126,28 @@
 // admit checks outage and limit. The caller holds mu.
 func (f *Faults) admit(l *rate.Limiter) (time.Duration, error) {
 	now := f.now()
-	if f.set.Outage || now.Before(f.outUntil) {
-		return f.set.Delay, store.ErrUnavailable
+	if f.settings.Outage || now.Before(f.outageUntil) {
+		return f.settings.Delay, store.ErrUnavailable
 	}
 	if !l.AllowN(now, 1) {
-		return f.set.Delay, store.ErrLimited
+		return f.settings.Delay, store.ErrLimited
 	}
-	return f.set.Delay, nil
+	return f.settings.Delay, nil
 }
 
-// draw picks a write's fate. The caller holds mu.
-func (f *Faults) draw() fate {
+// drawOutcome picks a write's fate. The caller holds mu.
+func (f *Faults) drawOutcome() outcome {
 	x := f.rng.Float64()
 	for _, c := range []struct {
-		share float64
-		fate  fate
-	}{{f.set.LostAnswers, fateLostAnswer}, {f.set.LostRequests, fateLostRequest}, {f.set.LateEffects, fateLateEffect}} {
+		share   float64
+		outcome outcome
+	}{{f.settings.LostAnswers, outcomeLostAnswer}, {f.settings.LostRequests, outcomeLostRequest}, {f.settings.LateEffects, outcomeLateEffect}} {
 		if x < c.share {
-			return c.fate
+			return c.outcome
 		}
 		x -= c.share
 	}
-	return fateDone
+	return outcomeApplied
 }
 
 // pause waits for d. A caller that gave up meanwhile was not served: the
--- a/standin/platform/hosts.go
+++ b/standin/platform/hosts.go
@@ -58,7 +58,7 @@
 
 // Hosts implements store.Hosts.
 func (h *Hosts) Hosts(ctx context.Context) ([]store.Host, error) {
-	if err := h.Faults.read(ctx); err != nil {
+	if err := h.Faults.admitRead(ctx); err != nil {
 		return nil, err
 	}
 	h.mu.Lock()
--- a/standin/platform/objects.go
+++ b/standin/platform/objects.go
@@ -25,15 +25,15 @@
 
 // Put implements store.Objects.
 func (o *Objects) Put(ctx context.Context, name string, data []byte) error {
-	fate, _, err := o.Faults.write(ctx)
+	outcome, _, err := o.Faults.admitWrite(ctx)
 	if err != nil {
 		return err
 	}
-	if fate == fateLostRequest || fate == fateLateEffect {
+	if outcome == outcomeLostRequest || outcome == outcomeLateEffect {
 		return store.ErrUnconfirmed
 	}
 	err = o.put(name, data)
-	if fate == fateLostAnswer {
+	if outcome == outcomeLostAnswer {
 		return store.ErrUnconfirmed
 	}
 	return err
@@ -56,7 +56,7 @@
 
 // Get implements store.Objects.
 func (o *Objects) Get(ctx context.Context, name string) ([]byte, error) {
-	if err := o.Faults.read(ctx); err != nil {
+	if err := o.Faults.admitRead(ctx); err != nil {
 		return nil, err
 	}
 	o.mu.Lock()
@@ -70,7 +70,7 @@
 
 // List implements store.Objects.
 func (o *Objects) List(ctx context.Context, prefix, after string, limit int) ([]string, error) {
-	if err := o.Faults.read(ctx); err != nil {
+	if err := o.Faults.admitRead(ctx); err != nil {
 		return nil, err
 	}
 	o.mu.Lock()
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -35,7 +35,7 @@
 	if s.Hosts != nil {
 		mux.HandleFunc("GET "+rest.PathHosts, func(w http.ResponseWriter, r *http.Request) {
 			hosts, err := s.Hosts.Hosts(r.Context())
-			answer(w, rest.HostList{Hosts: hosts}, err)
+			writeAnswer(w, rest.HostList{Hosts: hosts}, err)
 		})
 	}
 	if s.Weights != nil {
@@ -45,17 +45,17 @@
 }
 
 func tableRoutes(mux *http.ServeMux, tb store.Table) {
-	mux.HandleFunc("POST "+rest.PathCommit, with(func(w http.ResponseWriter, r *http.Request, t store.Txn) {
+	mux.HandleFunc("POST "+rest.PathCommit, withBody(func(w http.ResponseWriter, r *http.Request, t store.Txn) {
 		v, err := tb.Commit(r.Context(), t)
-		answer(w, rest.CommitAnswer{Version: v}, err)
+		writeAnswer(w, rest.CommitAnswer{Version: v}, err)
 	}))
-	mux.HandleFunc("POST "+rest.PathGet, with(func(w http.ResponseWriter, r *http.Request, g rest.GetRequest) {
+	mux.HandleFunc("POST "+rest.PathGet, withBody(func(w http.ResponseWriter, r *http.Request, g rest.GetRequest) {
 		rows, err := tb.Get(r.Context(), g.Keys...)
-		answer(w, rest.Rows{Rows: rows}, err)
+		writeAnswer(w, rest.Rows{Rows: rows}, err)
 	}))
-	mux.HandleFunc("POST "+rest.PathList, with(func(w http.ResponseWriter, r *http.Request, l rest.ListRequest) {
+	mux.HandleFunc("POST "+rest.PathList, withBody(func(w http.ResponseWriter, r *http.Request, l rest.ListRequest) {
 		rows, err := tb.List(r.Context(), l.Prefix, l.After, l.Limit)
-		answer(w, rest.Rows{Rows: rows}, err)
+		writeAnswer(w, rest.Rows{Rows: rows}, err)
 	}))
 }
 
@@ -66,12 +66,12 @@
 			http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
 			return
 		}
-		answer(w, struct{}{}, objects.Put(r.Context(), r.PathValue("name"), data))
+		writeAnswer(w, struct{}{}, objects.Put(r.Context(), r.PathValue("name"), data))
 	})
 	mux.HandleFunc("GET "+rest.PathObject+"{name...}", func(w http.ResponseWriter, r *http.Request) {
 		data, err := objects.Get(r.Context(), r.PathValue("name"))
 		if err != nil {
-			answer(w, nil, err)
+			writeAnswer(w, nil, err)
 			return
 		}
 		_, _ = w.Write(data)
@@ -84,22 +84,22 @@
 			return
 		}
 		names, err := objects.List(r.Context(), q.Get("prefix"), q.Get("after"), limit)
-		answer(w, rest.Names{Names: names}, err)
+		writeAnswer(w, rest.Names{Names: names}, err)
 	})
 }
 
 func weightRoutes(mux *http.ServeMux, weights store.Weights) {
-	mux.HandleFunc("POST "+rest.PathGrant, with(func(w http.ResponseWriter, r *http.Request, l rest.LoadRequest) {
+	mux.HandleFunc("POST "+rest.PathGrant, withBody(func(w http.ResponseWriter, r *http.Request, l rest.LoadRequest) {
 		wait, err := weights.AcquireLoad(r.Context(), l.Load)
-		answer(w, rest.NewGrant(wait), err)
+		writeAnswer(w, rest.NewGrant(wait), err)
 	}))
-	mux.HandleFunc("POST "+rest.PathDone, with(func(w http.ResponseWriter, r *http.Request, l rest.LoadRequest) {
-		answer(w, struct{}{}, weights.ReleaseLoad(r.Context(), l.Load))
+	mux.HandleFunc("POST "+rest.PathDone, withBody(func(w http.ResponseWriter, r *http.Request, l rest.LoadRequest) {
+		writeAnswer(w, struct{}{}, weights.ReleaseLoad(r.Context(), l.Load))
 	}))
 }
 
-// with decodes a call's JSON body.
-func with[T any](do func(http.ResponseWriter, *http.Request, T)) http.HandlerFunc {
+// withBody decodes a call's JSON body.
+func withBody[T any](do func(http.ResponseWriter, *http.Request, T)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in T
 		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&in); err != nil {
@@ -110,7 +110,7 @@
 	}
 }
 
-func answer(w http.ResponseWriter, body any, err error) {
+func writeAnswer(w http.ResponseWriter, body any, err error) {
 	if err == nil {
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(body)
--- a/standin/platform/table.go
+++ b/standin/platform/table.go
@@ -18,12 +18,12 @@
 	// Faults may be changed while the table is in use.
 	Faults *Faults
 
-	mu   sync.Mutex
-	rows map[string]store.Row
-	keys []string // of rows, in order
-	ops  opMemory
-	next uint64
-	late sync.WaitGroup
+	mu          sync.Mutex
+	rows        map[string]store.Row
+	keys        []string // of rows, in order
+	ops         recentOps
+	lastVersion uint64
+	lateEffects sync.WaitGroup
 }
 
 // NewTable makes an empty table service without faults.
@@ -31,24 +31,24 @@
 
 // NewTableWith makes an empty table service under f.
 func NewTableWith(f *Faults) *Table {
-	return &Table{Faults: f, rows: map[string]store.Row{}, ops: opMemory{now: f.now}}
+	return &Table{Faults: f, rows: map[string]store.Row{}, ops: recentOps{now: f.now}}
 }
 
 // Commit implements store.Table.
 func (t *Table) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
-	fate, lateBy, err := t.Faults.write(ctx)
+	outcome, lateBy, err := t.Faults.admitWrite(ctx)
 	if err != nil {
 		return 0, err
 	}
-	switch fate {
-	case fateLostAnswer:
+	switch outcome {
+	case outcomeLostAnswer:
 		_, _ = t.commit(txn)
 		return 0, store.ErrUnconfirmed
-	case fateLostRequest:
+	case outcomeLostRequest:
 		return 0, store.ErrUnconfirmed
-	case fateLateEffect:
-		txn = clone(txn)
-		t.late.Go(func() {
+	case outcomeLateEffect:
+		txn = cloneTxn(txn)
+		t.lateEffects.Go(func() {
 			time.Sleep(lateBy)
 			_, _ = t.commit(txn)
 		})
@@ -59,7 +59,7 @@
 }
 
 // WaitLateEffects waits until every late effect has taken place.
-func (t *Table) WaitLateEffects() { t.late.Wait() }
+func (t *Table) WaitLateEffects() { t.lateEffects.Wait() }
 
 // commit applies txn once: a repeated operation id gets the first answer.
 func (t *Table) commit(txn store.Txn) (uint64, error) {
@@ -69,7 +69,7 @@
 		return r.version, r.err
 	}
 	v, err := t.apply(txn)
-	t.ops.keep(txn.Op, opResult{v, err})
+	t.ops.add(txn.Op, opResult{v, err})
 	return v, err
 }
 
@@ -79,7 +79,7 @@
 			return 0, store.ErrConflict
 		}
 	}
-	t.next++
+	t.lastVersion++
 	for _, w := range txn.Writes {
 		at, there := slices.BinarySearch(t.keys, w.Key)
 		switch {
@@ -92,14 +92,14 @@
 			delete(t.rows, w.Key)
 			continue
 		}
-		t.rows[w.Key] = store.Row{Key: w.Key, Value: slices.Clone(w.Value), Version: t.next}
+		t.rows[w.Key] = store.Row{Key: w.Key, Value: slices.Clone(w.Value), Version: t.lastVersion}
 	}
-	return t.next, nil
+	return t.lastVersion, nil
 }
 
 // Get implements store.Table.
 func (t *Table) Get(ctx context.Context, keys ...string) ([]store.Row, error) {
-	if err := t.Faults.read(ctx); err != nil {
+	if err := t.Faults.admitRead(ctx); err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
@@ -115,7 +115,7 @@
 
 // List implements store.Table.
 func (t *Table) List(ctx context.Context, prefix, after string, limit int) ([]store.Row, error) {
-	if err := t.Faults.read(ctx); err != nil {
+	if err := t.Faults.admitRead(ctx); err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
@@ -146,7 +146,7 @@
 	return r
 }
 
-func clone(txn store.Txn) store.Txn {
+func cloneTxn(txn store.Txn) store.Txn {
 	txn.Conds = slices.Clone(txn.Conds)
 	txn.Writes = slices.Clone(txn.Writes)
 	for i := range txn.Writes {
--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -14,75 +14,75 @@
 type Weights struct {
 	Faults *Faults
 
-	mu         sync.Mutex
-	starts     *rate.Limiter
-	concurrent int
-	open       map[string]time.Time // load -> when granted
-	granted    int64
+	mu            sync.Mutex
+	starts        *rate.Limiter
+	maxConcurrent int
+	admitted      map[string]time.Time // load -> when granted
+	granted       int64
 }
 
 // NewWeights allows loadsPerSecond starts and concurrent open loads at once.
 func NewWeights(f *Faults, loadsPerSecond float64, concurrent int) *Weights {
 	return &Weights{Faults: f, starts: rate.NewLimiter(rate.Limit(loadsPerSecond), 1),
-		concurrent: concurrent, open: map[string]time.Time{}}
+		maxConcurrent: concurrent, admitted: map[string]time.Time{}}
 }
 
-// retryFull is the advice when all places are taken, since no one knows when
+// retryWhenFull is the advice when all places are taken, since no one knows when
 // a load ends.
-const retryFull = time.Second
+const retryWhenFull = time.Second
 
 // AcquireLoad implements store.Weights.
 func (w *Weights) AcquireLoad(ctx context.Context, load string) (time.Duration, error) {
-	fate, _, err := w.Faults.write(ctx)
+	outcome, _, err := w.Faults.admitWrite(ctx)
 	if err != nil {
 		return 0, err
 	}
-	if fate == fateLostRequest || fate == fateLateEffect {
+	if outcome == outcomeLostRequest || outcome == outcomeLateEffect {
 		return 0, store.ErrUnconfirmed
 	}
-	wait := w.grant(load, w.Faults.now())
-	if fate == fateLostAnswer {
+	wait := w.admit(load, w.Faults.now())
+	if outcome == outcomeLostAnswer {
 		return 0, store.ErrUnconfirmed
 	}
 	return wait, nil
 }
 
-func (w *Weights) grant(load string, now time.Time) time.Duration {
+func (w *Weights) admit(load string, now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for name, since := range w.open {
+	for name, since := range w.admitted {
 		if now.Sub(since) >= store.GrantTTL {
-			delete(w.open, name)
+			delete(w.admitted, name)
 		}
 	}
-	if _, ok := w.open[load]; ok {
+	if _, ok := w.admitted[load]; ok {
 		return 0
 	}
-	if len(w.open) >= w.concurrent {
-		return retryFull
+	if len(w.admitted) >= w.maxConcurrent {
+		return retryWhenFull
 	}
 	r := w.starts.ReserveN(now, 1)
 	if d := r.DelayFrom(now); d > 0 {
 		r.CancelAt(now)
 		return d
 	}
-	w.open[load] = now
+	w.admitted[load] = now
 	w.granted++
 	return 0
 }
 
 // ReleaseLoad implements store.Weights.
 func (w *Weights) ReleaseLoad(ctx context.Context, load string) error {
-	fate, _, err := w.Faults.write(ctx)
+	outcome, _, err := w.Faults.admitWrite(ctx)
 	if err != nil {
 		return err
 	}
-	if fate != fateLostRequest && fate != fateLateEffect {
+	if outcome != outcomeLostRequest && outcome != outcomeLateEffect {
 		w.mu.Lock()
-		delete(w.open, load)
+		delete(w.admitted, load)
 		w.mu.Unlock()
 	}
-	if fate != fateDone {
+	if outcome != outcomeApplied {
 		return store.ErrUnconfirmed
 	}
 	return nil
--- a/standin/service/call.go
+++ b/standin/service/call.go
@@ -18,14 +18,14 @@
 
 // call is one call under its attempt id. Its fields are under Service.mu.
 type call struct {
-	id     string
-	meant  string                 // incarnation that may run it; "": any
-	born   context.Context        // of the incarnation that took it in
-	places chan struct{}          // that incarnation's
-	ended  func([]byte)           // tells the watch; nil: none
-	state  engineapi.AttemptState // AttemptUnseen: must never run
-	body   []byte                 // the answer, when completed
-	cancel context.CancelFunc     // of a call that waits; nil otherwise
+	id             string
+	forIncarnation string                 // incarnation that may run it; "": any
+	incarnationCtx context.Context        // of the incarnation that took it in
+	slots          chan struct{}          // that incarnation's
+	onAnswer       func([]byte)           // tells the watch; nil: none
+	state          engineapi.AttemptState // AttemptUnseen: must never run
+	body           []byte                 // the answer, when completed
+	cancel         context.CancelFunc     // of a call that waits; nil otherwise
 }
 
 // Answer is the body of a service's answer.
@@ -47,15 +47,15 @@
 		id = uuid.NewString()
 	}
 	w.Header().Set(engineapi.HeaderAttempt, id)
-	if s.faults.take(&s.faults.loseRequests) {
+	if s.faults.consume(&s.faults.loseRequests) {
 		panic(http.ErrAbortHandler)
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMax))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		s.refuse(w, http.StatusBadRequest, "", "malformed body: "+err.Error())
 		return
 	}
-	c := &call{id: id, meant: r.Header.Get(engineapi.HeaderForIncarnation), state: engineapi.AttemptRunning}
+	c := &call{id: id, forIncarnation: r.Header.Get(engineapi.HeaderForIncarnation), state: engineapi.AttemptRunning}
 	ctx, status, header := s.admit(c)
 	if status != 0 {
 		s.refuse(w, status, header, "call was not taken")
@@ -77,9 +77,9 @@
 		return nil, http.StatusServiceUnavailable, engineapi.RefusedAttemptClosed
 	case found || s.attempts.WasDropped(c.id):
 		return nil, http.StatusConflict, "" // the first call under this id may be running
-	case c.meant != "" && c.meant != s.incarnation:
+	case c.forIncarnation != "" && c.forIncarnation != s.incarnation:
 		status, header = http.StatusServiceUnavailable, engineapi.RefusedRestarted
-	case s.leaving:
+	case s.draining:
 		status, header = http.StatusServiceUnavailable, engineapi.RefusedDraining
 	case s.waiting >= s.cfg.MaxQueue:
 		status, header = http.StatusTooManyRequests, engineapi.RefusedQueueFull
@@ -90,23 +90,23 @@
 		return nil, status, header
 	}
 	s.waiting++
-	c.born, c.places = s.reborn, s.places
-	ctx, c.cancel = context.WithCancel(s.reborn)
+	c.incarnationCtx, c.slots = s.incarnationCtx, s.slots
+	ctx, c.cancel = context.WithCancel(s.incarnationCtx)
 	return ctx, 0, ""
 }
 
 // execute waits for a place and runs the call. It goes on when the caller's
 // connection is gone, as a plain service does.
 func (s *Service) execute(ctx context.Context, c *call, r *http.Request, body []byte) bool {
-	places, born := c.places, c.born // of the process that took it in, which may have ended since
+	slots, incarnationCtx := c.slots, c.incarnationCtx // of the process that took it in, which may have ended since
 	select {
-	case places <- struct{}{}:
+	case slots <- struct{}{}:
 	case <-ctx.Done():
-		s.giveUp(c, born)
+		s.cancelWaiting(c, incarnationCtx)
 		return false
 	}
-	defer func() { <-places }()
-	index, ok := s.begin(c, r, body, born)
+	defer func() { <-slots }()
+	index, ok := s.begin(c, r, body, incarnationCtx)
 	if !ok {
 		return false
 	}
@@ -114,27 +114,27 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-born.Done():
+	case <-incarnationCtx.Done():
 		return false
 	}
-	return s.complete(c, r, body, index, born)
+	return s.complete(c, r, body, index, incarnationCtx)
 }
 
-func (s *Service) giveUp(c *call, born context.Context) {
+func (s *Service) cancelWaiting(c *call, incarnationCtx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.state = engineapi.AttemptCancelled
 	c.cancel()
-	if born == s.reborn {
+	if incarnationCtx == s.incarnationCtx {
 		s.waiting--
 	}
 }
 
 // begin records that the call runs, unless it was cancelled while it waited.
-func (s *Service) begin(c *call, r *http.Request, body []byte, born context.Context) (index int, ok bool) {
+func (s *Service) begin(c *call, r *http.Request, body []byte, incarnationCtx context.Context) (index int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if born != s.reborn || born.Err() != nil {
+	if incarnationCtx != s.incarnationCtx || incarnationCtx.Err() != nil {
 		return 0, false
 	}
 	s.waiting--
@@ -144,21 +144,21 @@
 	c.cancel() // nothing waits on it any more
 	c.cancel = nil
 	s.running++
-	team, inv := mark(r, body)
-	e := Execution{Attempt: c.id, Incarnation: s.incarnation, ForIncarnation: c.meant, IdempotencyKey: r.Header.Get("Idempotency-Key"),
-		Team: team, Invocation: inv, Method: r.Method, Path: r.URL.Path, Tag: r.Header.Get("Accept-Language"), Started: time.Now()}
+	team, invocation := findMark(r, body)
+	e := Execution{Attempt: c.id, Incarnation: s.incarnation, ForIncarnation: c.forIncarnation, IdempotencyKey: r.Header.Get("Idempotency-Key"),
+		Team: team, Invocation: invocation, Method: r.Method, Path: r.URL.Path, Tag: r.Header.Get("Accept-Language"), Started: time.Now()}
 	if s.cfg.OnExecution != nil {
-		c.ended = s.cfg.OnExecution(e)
+		c.onAnswer = s.cfg.OnExecution(e)
 	}
 	if len(s.executions) >= s.cfg.MaxRecords {
-		s.dropped++
+		s.droppedRecords++
 		return -1, true
 	}
 	s.executions = append(s.executions, e)
 	return len(s.executions) - 1, true
 }
 
-func mark(r *http.Request, body []byte) (team, invocation string) {
+func findMark(r *http.Request, body []byte) (team, invocation string) {
 	team, invocation, ok := answer.FindMark(body)
 	if !ok {
 		team, invocation, _ = answer.FindMark([]byte(r.URL.RawQuery))
@@ -166,18 +166,18 @@
 	return team, invocation
 }
 
-func (s *Service) complete(c *call, r *http.Request, body []byte, index int, born context.Context) bool {
-	team, inv := mark(r, body)
-	out, _ := json.Marshal(Answer{Service: s.cfg.Name, Method: r.Method, Path: r.URL.Path, Team: team, Invocation: inv, Digest: Digest(body)})
+func (s *Service) complete(c *call, r *http.Request, body []byte, index int, incarnationCtx context.Context) bool {
+	team, invocation := findMark(r, body)
+	out, _ := json.Marshal(Answer{Service: s.cfg.Name, Method: r.Method, Path: r.URL.Path, Team: team, Invocation: invocation, Digest: Digest(body)})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if born != s.reborn {
+	if incarnationCtx != s.incarnationCtx {
 		return false
 	}
 	s.running--
 	c.state, c.body = engineapi.AttemptCompleted, out
-	if c.ended != nil {
-		c.ended(out)
+	if c.onAnswer != nil {
+		c.onAnswer(out)
 	}
 	if index >= 0 {
 		s.executions[index].Ended, s.executions[index].AnswerDigest = time.Now(), xxhash.Sum64(out)
@@ -186,16 +186,16 @@
 }
 
 func (s *Service) reply(w http.ResponseWriter, c *call) {
-	if s.faults.take(&s.faults.loseAnswers) {
+	if s.faults.consume(&s.faults.loseAnswers) {
 		panic(http.ErrAbortHandler)
 	}
-	from := s.crossed(c)
-	s.stamp(w.Header())
-	w.Header().Set(engineapi.HeaderAttempt, from.id)
+	source := s.answerSource(c)
+	s.setHeaders(w.Header())
+	w.Header().Set(engineapi.HeaderAttempt, source.id)
 	w.Header().Set("Content-Type", jsonType)
-	w.Header().Set("Content-Length", strconv.Itoa(len(from.body)))
-	out := from.body
-	if s.faults.take(&s.faults.cutAnswers) {
+	w.Header().Set("Content-Length", strconv.Itoa(len(source.body)))
+	out := source.body
+	if s.faults.consume(&s.faults.cutAnswers) {
 		_, _ = w.Write(out[:len(out)/2])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
@@ -204,16 +204,16 @@
 }
 
 func (s *Service) refuse(w http.ResponseWriter, status int, header, text string) {
-	s.stamp(w.Header())
+	s.setHeaders(w.Header())
 	if header != "" {
 		w.Header().Set(engineapi.HeaderRefused, header)
 	}
 	writeJSON(w, status, map[string]string{"error": text})
 }
 
-// serveFate tells what became of a call, and cancels one that still waits.
+// serveOutcome tells what became of a call, and cancels one that still waits.
 // One that never was here must not run after it was reported as unseen.
-func (s *Service) serveFate(w http.ResponseWriter, r *http.Request, cancel bool) {
+func (s *Service) serveOutcome(w http.ResponseWriter, r *http.Request, cancel bool) {
 	id := r.PathValue("id")
 	s.mu.Lock()
 	c, ok := s.attempts.FindOrAdd(id, &call{id: id, state: engineapi.AttemptUnseen})
@@ -229,7 +229,7 @@
 		d.Status, d.ContentType, d.Body = http.StatusOK, jsonType, c.body
 	}
 	s.mu.Unlock()
-	s.stamp(w.Header())
+	s.setHeaders(w.Header())
 	if !ok {
 		writeJSON(w, http.StatusGone, map[string]string{"error": "attempt is no longer known"})
 		return
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -25,11 +25,11 @@
 
 // Defaults of a Config.
 const (
-	defaultMaxBatch   = 32
-	defaultQueueMax   = 256
-	defaultAttemptLog = 1 << 14
-	defaultRecordMax  = 1 << 20
-	bodyMax           = 16 << 20
+	defaultMaxConcurrent  = 32
+	defaultMaxQueue       = 256
+	defaultAttemptLogSize = 1 << 14
+	defaultMaxRecords     = 1 << 20
+	maxBodyBytes          = 16 << 20
 )
 
 // Route says how long calls to a part of the service take; the first match counts.
@@ -75,29 +75,29 @@
 
 // Service is one instance of a plain service.
 type Service struct {
-	cfg   Config
-	srv   *http.Server
-	ln    *wire.Listener
-	life  context.Context
-	stop  context.CancelFunc
-	loops sync.WaitGroup
-
-	mu          sync.Mutex
-	incarnation string
-	reborn      context.Context // ends with the incarnation
-	die         context.CancelFunc
-	born        time.Time
-	leaving     bool
-	running     int
-	waiting     int
-	places      chan struct{}
-	attempts    *attempts.Log[*call]
-	reports     []engineapi.Report
-	sequence    uint64
-	executions  []Execution
-	dropped     int
-	rng         *rand.Rand
-	faults      faults
+	cfg       Config
+	srv       *http.Server
+	ln        *wire.Listener
+	ctx       context.Context
+	cancelCtx context.CancelFunc
+	loops     sync.WaitGroup
+
+	mu             sync.Mutex
+	incarnation    string
+	incarnationCtx context.Context // ends with the incarnation
+	endIncarnation context.CancelFunc
+	startedAt      time.Time
+	draining       bool
+	running        int
+	waiting        int
+	slots          chan struct{}
+	attempts       *attempts.Log[*call]
+	reports        []engineapi.Report
+	sequence       uint64
+	executions     []Execution
+	droppedRecords int
+	rng            *rand.Rand
+	faults         faults
 }
 
 // New makes a service that does not listen yet.
@@ -111,13 +111,13 @@
 	for _, d := range []struct {
 		v *int
 		d int
-	}{{&cfg.MaxConcurrent, defaultMaxBatch}, {&cfg.MaxQueue, defaultQueueMax}, {&cfg.AttemptLogSize, defaultAttemptLog}, {&cfg.MaxRecords, defaultRecordMax}} {
+	}{{&cfg.MaxConcurrent, defaultMaxConcurrent}, {&cfg.MaxQueue, defaultMaxQueue}, {&cfg.AttemptLogSize, defaultAttemptLogSize}, {&cfg.MaxRecords, defaultMaxRecords}} {
 		if *d.v == 0 {
 			*d.v = d.d
 		}
 	}
 	s := &Service{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed+1))}
-	s.life, s.stop = context.WithCancel(context.Background())
+	s.ctx, s.cancelCtx = context.WithCancel(context.Background())
 	s.srv = &http.Server{Handler: s.Handler(), ReadHeaderTimeout: 10 * time.Second}
 	s.reset()
 	if cfg.ReportInterval > 0 {
@@ -127,13 +127,13 @@
 }
 
 func (s *Service) reset() {
-	s.incarnation, s.born, s.leaving = uuid.NewString(), time.Now(), false
-	s.reborn, s.die = context.WithCancel(s.life)
+	s.incarnation, s.startedAt, s.draining = uuid.NewString(), time.Now(), false
+	s.incarnationCtx, s.endIncarnation = context.WithCancel(s.ctx)
 	s.running, s.waiting = 0, 0
-	s.places = make(chan struct{}, s.cfg.MaxConcurrent)
+	s.slots = make(chan struct{}, s.cfg.MaxConcurrent)
 	s.attempts = attempts.New[*call](s.cfg.AttemptLogSize)
 	s.reports, s.sequence = nil, 0
-	s.takeReport()
+	s.addReport()
 }
 
 // Start listens and serves until Close.
@@ -155,7 +155,7 @@
 
 // Close ends everything at once and waits for it.
 func (s *Service) Close() {
-	s.stop()
+	s.cancelCtx()
 	_ = s.srv.Close()
 	s.loops.Wait()
 }
@@ -165,15 +165,15 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc(engineapi.PathService, s.serve)
 	mux.HandleFunc("GET "+engineapi.PathReport, s.serveReport)
-	mux.HandleFunc("GET "+engineapi.PathAttempt, func(w http.ResponseWriter, r *http.Request) { s.serveFate(w, r, false) })
-	mux.HandleFunc("DELETE "+engineapi.PathAttempt, func(w http.ResponseWriter, r *http.Request) { s.serveFate(w, r, true) })
+	mux.HandleFunc("GET "+engineapi.PathAttempt, func(w http.ResponseWriter, r *http.Request) { s.serveOutcome(w, r, false) })
+	mux.HandleFunc("DELETE "+engineapi.PathAttempt, func(w http.ResponseWriter, r *http.Request) { s.serveOutcome(w, r, true) })
 	return mux
 }
 
-func (s *Service) stamp(h http.Header) {
+func (s *Service) setHeaders(h http.Header) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h.Set(engineapi.HeaderLoad, fmt.Sprintf("%d %d %d %d", s.running, s.waiting, s.sequence, time.Since(s.born).Milliseconds()))
+	h.Set(engineapi.HeaderLoad, fmt.Sprintf("%d %d %d %d", s.running, s.waiting, s.sequence, time.Since(s.startedAt).Milliseconds()))
 	h.Set(engineapi.HeaderIncarnation, s.incarnation)
 }
 
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -31,7 +31,7 @@
 	return http.DefaultClient.Do(req)
 }
 
-func fate(t *testing.T, s *service.Service, attempt string) engineapi.Attempt {
+func readAttempt(t *testing.T, s *service.Service, attempt string) engineapi.Attempt {
 	t.Helper()
 	resp, err := http.Get("http://" + s.Addr() + "/engine/v1/attempts/" + attempt)
 	assert.NilError(t, err)
@@ -49,7 +49,7 @@
 	body := answer.Mark("crew", "i1")
 	_, err := post(t, s, "a1", body)
 	assert.Assert(t, err != nil)
-	a := fate(t, s, "a1")
+	a := readAttempt(t, s, "a1")
 	assert.Equal(t, a.State, engineapi.AttemptCompleted)
 	var ans service.Answer
 	assert.NilError(t, json.Unmarshal(a.Body, &ans))
@@ -67,7 +67,7 @@
 	s.LoseRequests(1)
 	_, err := post(t, s, "a1", "x")
 	assert.Assert(t, err != nil)
-	assert.Equal(t, fate(t, s, "a1").State, engineapi.AttemptUnseen)
+	assert.Equal(t, readAttempt(t, s, "a1").State, engineapi.AttemptUnseen)
 	resp, err := post(t, s, "a1", "x")
 	assert.NilError(t, err)
 	assert.Equal(t, resp.Header.Get(engineapi.HeaderRefused), engineapi.RefusedAttemptClosed)
@@ -79,7 +79,7 @@
 // so that only the process named by the attempt tells that it must not run.
 func TestAttemptForAFormerProcessIsRefused(t *testing.T) {
 	s := start(t)
-	unseen := fate(t, s, "a1")
+	unseen := readAttempt(t, s, "a1")
 	assert.Equal(t, unseen.State, engineapi.AttemptUnseen)
 	s.Restart()
 	http.DefaultClient.CloseIdleConnections() // the restart broke them, which a client may notice late
@@ -93,5 +93,5 @@
 	assert.Equal(t, resp.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, resp.Header.Get(engineapi.HeaderRefused), engineapi.RefusedRestarted)
 	assert.Equal(t, len(s.Executions()), 0)
-	assert.Equal(t, fate(t, s, "a1").State, engineapi.AttemptRefused)
+	assert.Equal(t, readAttempt(t, s, "a1").State, engineapi.AttemptRefused)
 }
--- a/standin/service/state.go
+++ b/standin/service/state.go
@@ -13,14 +13,14 @@
 
 // faults count the calls that are still to fail.
 type faults struct {
-	mu           sync.Mutex
-	loseRequests int
-	loseAnswers  int
-	cutAnswers   int
-	cross        float64
+	mu            sync.Mutex
+	loseRequests  int
+	loseAnswers   int
+	cutAnswers    int
+	mismatchShare float64
 }
 
-func (f *faults) take(n *int) bool {
+func (f *faults) consume(n *int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if *n == 0 {
@@ -49,7 +49,7 @@
 func (s *Service) MismatchAnswers(share float64) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
-	s.faults.cross = share
+	s.faults.mismatchShare = share
 }
 
 // Freeze makes all accepted connections silent for good, while new ones work
@@ -63,13 +63,13 @@
 func (s *Service) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = true
+	s.draining = true
 }
 
 // Restart kills the process and starts it again.
 func (s *Service) Restart() {
 	s.mu.Lock()
-	s.die()
+	s.endIncarnation()
 	s.reset()
 	s.mu.Unlock()
 	if s.ln != nil {
@@ -77,9 +77,9 @@
 	}
 }
 
-func (s *Service) crossed(c *call) *call {
+func (s *Service) answerSource(c *call) *call {
 	s.faults.mu.Lock()
-	share := s.faults.cross
+	share := s.faults.mismatchShare
 	s.faults.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,42 +103,42 @@
 		select {
 		case <-tick.C:
 			s.mu.Lock()
-			s.takeReport()
+			s.addReport()
 			s.mu.Unlock()
-		case <-s.life.Done():
+		case <-s.ctx.Done():
 			return
 		}
 	}
 }
 
-// takeReport publishes a snapshot and drops those that no reader can get any
+// addReport publishes a snapshot and drops those that no reader can get any
 // more. The caller holds mu.
-func (s *Service) takeReport() {
+func (s *Service) addReport() {
 	s.sequence++
 	s.reports = append(s.reports, engineapi.Report{Upstream: s.cfg.Name, Incarnation: s.incarnation, Sequence: s.sequence,
-		TakenMs: time.Since(s.born).Milliseconds(), Draining: s.leaving, Role: roleService,
+		TakenMs: time.Since(s.startedAt).Milliseconds(), Draining: s.draining, Role: roleService,
 		Running: s.running, Waiting: s.waiting, MaxBatch: s.cfg.MaxConcurrent})
-	for len(s.reports) > 1 && s.old(s.reports[1]) {
+	for len(s.reports) > 1 && s.isVisible(s.reports[1]) {
 		s.reports = s.reports[1:]
 	}
 }
 
-func (s *Service) old(r engineapi.Report) bool {
-	return time.Since(s.born)-time.Duration(r.TakenMs)*time.Millisecond >= s.cfg.ReportLag
+func (s *Service) isVisible(r engineapi.Report) bool {
+	return time.Since(s.startedAt)-time.Duration(r.TakenMs)*time.Millisecond >= s.cfg.ReportLag
 }
 
 func (s *Service) serveReport(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	if s.cfg.ReportInterval == 0 {
-		s.takeReport()
+		s.addReport()
 	}
 	newest := s.reports[0]
 	for _, r := range s.reports[1:] {
-		if s.old(r) {
+		if s.isVisible(r) {
 			newest = r
 		}
 	}
 	s.mu.Unlock()
-	s.stamp(w.Header())
+	s.setHeaders(w.Header())
 	writeJSON(w, http.StatusOK, newest)
 }
--- a/standin/wire/distance.go
+++ b/standin/wire/dialer.go
@@ -36,49 +36,49 @@
 		_ = c.Close()
 		return nil, ctx.Err()
 	}
-	return newDistant(c, rtt), nil
+	return newDelayedConn(c, rtt), nil
 }
 
 const (
-	pieceSize  = 16 << 10 // bytes of one read from the network
-	pieceCount = 32       // pieces under way at most; the network's own buffers hold the rest
+	chunkSize = 16 << 10 // bytes of one read from the network
+	maxChunks = 32       // pieces under way at most; the network's own buffers hold the rest
 )
 
-// piece is what was read at one time, to be seen from due on.
-type piece struct {
+// chunk is what was read at one time, to be seen from due on.
+type chunk struct {
 	data []byte
 	err  error
 	due  time.Time
 }
 
-// distant is a connection whose reads come late.
-type distant struct {
+// delayedConn is a connection whose reads come late.
+type delayedConn struct {
 	net.Conn
-	rtt    time.Duration
-	pieces chan piece
-	closed chan struct{}
-	once   sync.Once
+	rtt       time.Duration
+	chunks    chan chunk
+	closed    chan struct{}
+	closeOnce sync.Once
 
-	reading sync.Mutex // held by the one reader
-	current piece
+	readMu  sync.Mutex // held by the one reader
+	current chunk
 
-	mu       sync.Mutex
-	deadline time.Time
-	moved    chan struct{} // closed when the deadline changes
+	mu              sync.Mutex
+	deadline        time.Time
+	deadlineChanged chan struct{} // closed when the deadline changes
 }
 
-func newDistant(c net.Conn, rtt time.Duration) *distant {
-	d := &distant{Conn: c, rtt: rtt, pieces: make(chan piece, pieceCount), closed: make(chan struct{}), moved: make(chan struct{})}
+func newDelayedConn(c net.Conn, rtt time.Duration) *delayedConn {
+	d := &delayedConn{Conn: c, rtt: rtt, chunks: make(chan chunk, maxChunks), closed: make(chan struct{}), deadlineChanged: make(chan struct{})}
 	go d.pump() // ends when the connection is closed by either side
 	return d
 }
 
-func (d *distant) pump() {
+func (d *delayedConn) pump() {
 	for {
-		buf := make([]byte, pieceSize)
+		buf := make([]byte, chunkSize)
 		n, err := d.Conn.Read(buf)
 		select {
-		case d.pieces <- piece{buf[:n], err, time.Now().Add(d.rtt)}:
+		case d.chunks <- chunk{buf[:n], err, time.Now().Add(d.rtt)}:
 		case <-d.closed:
 			return
 		}
@@ -89,18 +89,18 @@
 }
 
 // Read implements net.Conn.
-func (d *distant) Read(p []byte) (int, error) {
-	d.reading.Lock()
-	defer d.reading.Unlock()
+func (d *delayedConn) Read(p []byte) (int, error) {
+	d.readMu.Lock()
+	defer d.readMu.Unlock()
 	for len(d.current.data) == 0 {
 		if d.current.err != nil {
 			return 0, d.current.err
 		}
-		if err := d.next(); err != nil {
+		if err := d.receive(); err != nil {
 			return 0, err
 		}
 	}
-	if err := d.wait(time.Until(d.current.due)); err != nil {
+	if err := d.sleep(time.Until(d.current.due)); err != nil {
 		return 0, err
 	}
 	n := copy(p, d.current.data)
@@ -108,12 +108,12 @@
 	return n, nil
 }
 
-// next waits for the next piece.
-func (d *distant) next() error {
+// receive waits for the next piece.
+func (d *delayedConn) receive() error {
 	for {
-		timer, moved := d.timer()
+		timer, moved := d.deadlineTimer()
 		select {
-		case d.current = <-d.pieces:
+		case d.current = <-d.chunks:
 			timer.Stop()
 			return nil
 		case <-d.closed:
@@ -127,8 +127,8 @@
 	}
 }
 
-// wait lets d pass, unless the connection is closed.
-func (d *distant) wait(left time.Duration) error {
+// sleep lets d pass, unless the connection is closed.
+func (d *delayedConn) sleep(left time.Duration) error {
 	if left <= 0 {
 		return nil
 	}
@@ -142,35 +142,35 @@
 	}
 }
 
-// never is far enough away for a deadline that is not set.
-const never = 24 * time.Hour
+// noDeadline is far enough away for a deadline that is not set.
+const noDeadline = 24 * time.Hour
 
-func (d *distant) timer() (*time.Timer, chan struct{}) {
+func (d *delayedConn) deadlineTimer() (*time.Timer, chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.deadline.IsZero() {
-		return time.NewTimer(never), d.moved
+		return time.NewTimer(noDeadline), d.deadlineChanged
 	}
-	return time.NewTimer(time.Until(d.deadline)), d.moved
+	return time.NewTimer(time.Until(d.deadline)), d.deadlineChanged
 }
 
 // SetReadDeadline implements net.Conn.
-func (d *distant) SetReadDeadline(t time.Time) error {
+func (d *delayedConn) SetReadDeadline(t time.Time) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.deadline = t
-	close(d.moved)
-	d.moved = make(chan struct{})
+	close(d.deadlineChanged)
+	d.deadlineChanged = make(chan struct{})
 	return nil
 }
 
 // SetDeadline implements net.Conn.
-func (d *distant) SetDeadline(t time.Time) error {
+func (d *delayedConn) SetDeadline(t time.Time) error {
 	return errors.Join(d.SetReadDeadline(t), d.SetWriteDeadline(t))
 }
 
 // Close implements net.Conn.
-func (d *distant) Close() error {
-	d.once.Do(func() { close(d.closed) })
+func (d *delayedConn) Close() error {
+	d.closeOnce.Do(func() { close(d.closed) })
 	return d.Conn.Close()
 }
--- a/standin/wire/wire.go
+++ b/standin/wire/wire.go
@@ -13,9 +13,9 @@
 type Listener struct {
 	net.Listener
 
-	mu     sync.Mutex
-	conns  map[*conn]struct{}
-	freeze bool // what is accepted from now on is silent from the start
+	mu        sync.Mutex
+	conns     map[*conn]struct{}
+	freezeNew bool // what is accepted from now on is silent from the start
 }
 
 // NewListener wraps ln.
@@ -29,10 +29,10 @@
 	if err != nil {
 		return nil, err
 	}
-	fc := &conn{Conn: c, l: l, closed: make(chan struct{})}
+	fc := &conn{Conn: c, listener: l, closed: make(chan struct{})}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	fc.frozen.Store(l.freeze)
+	fc.frozen.Store(l.freezeNew)
 	l.conns[fc] = struct{}{}
 	return fc, nil
 }
@@ -43,7 +43,7 @@
 func (l *Listener) Freeze(newToo bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.freeze = newToo
+	l.freezeNew = newToo
 	for c := range l.conns {
 		c.frozen.Store(true)
 	}
@@ -53,7 +53,7 @@
 func (l *Listener) Thaw() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.freeze = false
+	l.freezeNew = false
 }
 
 // CloseConnections closes every accepted connection, as when a process dies.
@@ -67,10 +67,10 @@
 
 type conn struct {
 	net.Conn
-	l      *Listener
-	frozen atomic.Bool
-	once   sync.Once
-	closed chan struct{}
+	listener  *Listener
+	frozen    atomic.Bool
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
 func (c *conn) Read(p []byte) (int, error) {
@@ -90,11 +90,11 @@
 }
 
 func (c *conn) Close() error {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.closed)
-		c.l.mu.Lock()
-		delete(c.l.conns, c)
-		c.l.mu.Unlock()
+		c.listener.mu.Lock()
+		delete(c.listener.conns, c)
+		c.listener.mu.Unlock()
 	})
 	return c.Conn.Close()
 }
