--- a/standin/engine/attempt.go
+++ b/standin/engine/attempt.go
@@ -10,16 +10,16 @@
 	"peridotpier.example/standin/answer"
 )
 
-// outcome is what became of an attempt.
+// outcome is the state of an attempt: running, or how it ended.
 type outcome uint8
 
 const (
 	outcomeRunning outcome = iota // waits or runs
 	outcomeCompleted
 	outcomeCancelled
-	outcomeTerminated // the process ended under it
+	outcomeTerminated // the process ended while it ran
 	outcomeRefused
-	outcomeBlocked // was asked for before it came: must never run
+	outcomeBlocked // a host asked for it before its request arrived: it must never run
 )
 
 func (f outcome) state() engineapi.AttemptState {
@@ -37,14 +37,14 @@
 	}
 }
 
-// attempt is one request under its attempt id. Events are computed from the
-// answer when they are written, so an attempt stays small and any position
-// can be resumed from.
+// attempt is one request under its attempt id. Events are computed from the answer
+// when they are written, so that an attempt stays small and a stream can be
+// resumed at any position.
 type attempt struct {
 	id             string
 	key            route.ModelKey
-	resident       *resident // what it runs on; its users are counted
-	name           string    // as the caller called the model
+	resident       *resident // what it runs on; users of the resident are counted
+	name           string    // of the model or adapter as the caller gave it
 	class          class.Class
 	answer         answer.Answer
 	chat           bool
@@ -56,15 +56,15 @@
 	forIncarnation string // incarnation that it is meant for; "": any
 	arrived        time.Time
 
-	prefillLeft int // under Engine.mu
+	prefillLeft int // guarded by Engine.mu
 
 	mu           sync.Mutex
 	outcome      outcome
 	started      time.Time
 	produced     int           // tokens of the answer so far
-	reader       chan struct{} // signals the one reader that there is more; nil: none
-	abandonTimer *time.Timer   // cancels an attempt that nobody reads
-	done         chan struct{} // closed at the end, whatever the end; nil: was never taken
+	reader       chan struct{} // signals new events to the only reader; nil: no reader
+	abandonTimer *time.Timer   // cancels an attempt that has no reader
+	done         chan struct{} // closed when it ends, however it ends; nil: it was never accepted
 }
 
 func (a *attempt) ended() bool {
@@ -79,7 +79,8 @@
 	a.started = time.Now()
 }
 
-// produce adds a token, or all of them at once, and tells whether that was the last.
+// produce adds one token, or all remaining ones, and reports whether the answer is
+// complete.
 func (a *attempt) produce(all bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -101,7 +102,8 @@
 	}
 }
 
-// end settles the fate once.
+// end records how the attempt ended. It returns false when the attempt had ended
+// before.
 func (a *attempt) end(f outcome) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -116,8 +118,8 @@
 	return true
 }
 
-// attach makes the calling handler the attempt's only reader; an earlier one
-// is superseded and ends.
+// attach makes the calling handler the only reader of the attempt. The channel of
+// an earlier reader is closed, which ends that reader.
 func (a *attempt) attach() chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -133,8 +135,8 @@
 	return a.reader
 }
 
-// detach tells that a reader is gone; when it was the last, giveUp is called
-// unless another attaches in time.
+// detach removes a reader that has left. When it was the current one, giveUp is
+// called after wait unless another reader attaches before.
 func (a *attempt) detach(reader chan struct{}, wait time.Duration, giveUp func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -147,8 +149,8 @@
 	}
 }
 
-// position is how many events can be written now: the tokens, and the end
-// marker once the attempt is complete.
+// position returns how many events can be written now: the tokens so far, and the
+// end marker once the attempt is complete.
 func (a *attempt) position() (events int, f outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -7,7 +7,7 @@
 	"peridotpier.example/core/class"
 )
 
-// batch is what the engine computes now and what waits for it.
+// batch holds the attempts that the engine computes now and those that wait.
 type batch struct {
 	running []*attempt
 	waiting [class.Count][]*attempt // by class, oldest first
@@ -21,7 +21,8 @@
 	return n
 }
 
-// pop takes the oldest attempt of the most urgent class.
+// pop removes and returns the oldest attempt of the most urgent class; nil when
+// none waits.
 func (b *batch) pop() *attempt {
 	for c := class.Count - 1; c >= 0; c-- {
 		if q := b.waiting[c]; len(q) > 0 {
@@ -34,7 +35,7 @@
 	return nil
 }
 
-// remove drops an attempt that ended while it waited.
+// remove removes an attempt that ended while it waited.
 func (b *batch) remove(a *attempt) {
 	q := b.waiting[a.class]
 	if i := slices.Index(q, a); i >= 0 {
@@ -42,10 +43,10 @@
 	}
 }
 
-// stepLoop is the engine's compute: one step after the other while there is
-// work. It paces itself by a due time rather than by sleeps, since a sleep is
-// longer than asked: with steps shorter than the timer's grain the engine
-// would be slower than it was set to be.
+// stepLoop computes one step after the other while there is work. It paces itself
+// by the time at which a step is due and not by sleeps of the length of a step: a
+// sleep takes longer than requested, so that with steps shorter than the
+// resolution of the timer the engine would be slower than configured.
 func (e *Engine) stepLoop() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -77,7 +78,8 @@
 	}
 }
 
-// beginStep admits what fits and tells how long the step takes.
+// beginStep admits waiting attempts up to the maximum batch and returns how long
+// the step takes.
 func (e *Engine) beginStep() (cost time.Duration, busy bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -96,9 +98,9 @@
 	return e.stepCost(), len(e.batch.running) > 0
 }
 
-// stepCost is the time of one step: models share the accelerators in turns,
-// the streams of one model share a turn, and prompts are computed in chunks
-// that hold up everyone.
+// stepCost returns the duration of one step: models share the accelerators one
+// after the other, the streams of one model are computed together, and prompts are
+// computed in chunks that delay all streams.
 func (e *Engine) stepCost() time.Duration {
 	streams := map[string]int{}
 	prefill := 0
@@ -123,7 +125,8 @@
 	return e.cfg.TokenTime
 }
 
-// finishStep gives each running attempt its token.
+// finishStep gives each running attempt its token or its share of the prompt
+// chunk.
 func (e *Engine) finishStep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -147,7 +150,7 @@
 	e.batch.running = kept
 }
 
-// wakeStepLoop tells the step loop that there may be work.
+// wakeStepLoop notifies the step loop that there may be work.
 func (e *Engine) wakeStepLoop() {
 	select {
 	case e.wake <- struct{}{}:
--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -7,37 +7,38 @@
 	"peridotpier.example/core/config"
 )
 
-// Defaults of a Config.
+// Default values of a Config, and bounds.
 const (
 	defaultMaxBatch        = 16
 	defaultMaxQueue        = 256
 	defaultMaxTokens       = 8192
-	defaultAttemptLogSize  = 1 << 15                // attempts whose fate is told in full
-	defaultMaxRecords      = 1 << 20                // executions kept for joining with callers' records
-	defaultResumeWindow    = 10 * time.Second       // a caller's host that died is replaced by another within that
+	defaultAttemptLogSize  = 1 << 15                // attempts whose outcome is kept in full
+	defaultMaxRecords      = 1 << 20                // executions kept, to be joined with the records of callers
+	defaultResumeWindow    = 10 * time.Second       // a host that terminated is replaced by another within this time
 	defaultPrefillChunk    = 512                    // prompt tokens computed in one step
-	defaultFlushTokensFast = 16                     // tokens a write when tokens cost no time
-	maxStepLag             = 100 * time.Millisecond // a step loop that is later than this forgets the time it lost
+	defaultFlushTokensFast = 16                     // tokens in one write when tokens cost no time
+	maxStepLag             = 100 * time.Millisecond // a step loop that lags by more than this does not make up for the lost time
 )
 
-// Weights is the weight store's admission, as node/store describes it.
+// Weights is the admission of loads by the weight store, as node/store describes
+// it.
 type Weights interface {
-	// Grant asks for a place for a load; it answers how long to wait, 0: granted.
+	// AcquireLoad requests a permit for a load. It returns how long to wait before
+	// the next request; 0: the permit is granted.
 	AcquireLoad(ctx context.Context, load string) (wait time.Duration, err error)
-	// Done gives the place back.
+	// ReleaseLoad returns the permit.
 	ReleaseLoad(ctx context.Context, load string) error
 }
 
-// Config describes one engine. The zero value of each field but Name stands
-// for a default, or for no cost, no lag and no limit where a cost, lag or
-// limit is named.
+// Config holds the settings of one engine. The zero value of each field but Name
+// means a default, or no cost, delay or limit where the field is one.
 type Config struct {
 	Name   string
-	Listen string // IP:port, port 0 for any; "" is 127.0.0.1:0
+	Listen string // IP:port, port 0 for any; "": 127.0.0.1:0
 
-	MemoryMB    int     // 0: not accounted
-	MBPerSecond int     // how fast weights load; 0: at once
-	Weights     Weights // nil: loads need no grant
+	MemoryMB    int     // 0: no limit
+	MBPerSecond int     // rate at which weights are loaded; 0: at once
+	Weights     Weights // nil: loads need no permit
 	UnloadTime  time.Duration
 	Fencing     config.Fencing
 
@@ -45,21 +46,21 @@
 	MaxQueue  int
 	MaxTokens int
 
-	TokenTime        time.Duration            // one step of one stream alone; 0: as fast as possible
-	TokenTimes       map[string]time.Duration // by model, in place of TokenTime
-	BatchSlope       float64                  // share of the step time that each further stream adds
-	PrefillPerToken  time.Duration            // prompt token that is not in the prefix cache
-	PrefillChunk     int                      // prompt tokens in one step at most
-	PrefixSlots      int                      // prefixes that the cache holds; 0: no cache
+	TokenTime        time.Duration            // duration of a step with one stream; 0: as fast as possible
+	TokenTimes       map[string]time.Duration // by model, instead of TokenTime
+	BatchSlope       float64                  // share of the step time that each additional stream adds
+	PrefillPerToken  time.Duration            // for each prompt token that is not in the prefix cache
+	PrefillChunk     int                      // maximum number of prompt tokens in one step
+	PrefixSlots      int                      // number of prefixes that the cache can hold; 0: no cache
 	PrefixSavedShare float64                  // share of a prompt's tokens that a cached prefix saves
 
-	ReportInterval time.Duration // 0: each report is taken when it is asked for
-	ReportLag      time.Duration // how old the newest report served is at least
-	EventLag       time.Duration // cache events are published that late
-	EventLoss      float64       // share of cache events never published
+	ReportInterval time.Duration // 0: a report is made when it is requested
+	ReportLag      time.Duration // minimum age of the newest report that is served
+	EventLag       time.Duration // delay after which cache events are published
+	EventLoss      float64       // share of cache events that are never published
 
-	ResumeWindow   time.Duration // how long an attempt without a reader goes on
-	FlushTokens    int           // tokens a write; 0: 1, or defaultFlushFast when tokens cost no time
+	ResumeWindow   time.Duration // how long an attempt without a reader continues
+	FlushTokens    int           // tokens in one write; 0: 1, or defaultFlushTokensFast when tokens cost no time
 	AttemptLogSize int
 	MaxRecords     int
 	Seed           uint64
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,9 +1,9 @@
 // Package engine imitates a model engine behind the protocol of
 // node/upstream/engineapi: continuous batching, priorities, a limited prefix
-// cache, streams that can be resumed and cancelled, orders that load and
-// unload weights, and reports that lag. It keeps records of its own of what
-// ran and of each time its memory was overcommitted, which are the proof in
-// tests and benches, and it can be made to fail in the ways that engines do.
+// cache, streams that can be resumed and cancelled, orders that load and unload
+// weights, and reports that lag. It records what ran and each time at which its
+// memory was overcommitted; tests and benchmarks use these records as evidence. It
+// can be made to fail in the ways in which engines fail.
 package engine
 
 import (
@@ -24,8 +24,8 @@
 	"peridotpier.example/standin/wire"
 )
 
-// Engine is one model engine. Its state is under mu, but for what a stream's
-// reader needs for each token, which is under the attempt's own lock.
+// Engine is one model engine. Its state is guarded by mu, except for what the
+// reader of a stream needs for each token, which is guarded by the attempt's lock.
 // Lock order: mu, then attempt.mu.
 type Engine struct {
 	cfg       Config
@@ -34,13 +34,13 @@
 	cancelCtx context.CancelFunc
 	ctx       context.Context // ends at Close
 	loops     sync.WaitGroup
-	wake      chan struct{} // the step loop has something to do
+	wake      chan struct{} // notifies the step loop that there may be work
 	faults    faults
 
 	mu               sync.Mutex
 	closed           bool
 	incarnation      string
-	incarnationEnded chan struct{} // closed when this incarnation ends
+	incarnationEnded chan struct{} // closed when the current incarnation ends
 	startedAt        time.Time
 	draining         bool
 	role             string
@@ -58,7 +58,7 @@
 	records          Records
 }
 
-// New makes an engine that does not listen yet.
+// New returns an engine that does not listen yet.
 func New(cfg Config) (*Engine, error) {
 	cfg = cfg.withDefaults()
 	if cfg.Name == "" {
@@ -75,8 +75,8 @@
 	return e, nil
 }
 
-// reset begins an incarnation with empty memory. The caller holds mu, or has
-// the engine to itself.
+// reset begins an incarnation with empty memory. The caller holds mu or is the
+// only user of the engine.
 func (e *Engine) reset() {
 	e.incarnation, e.incarnationEnded, e.startedAt = uuid.NewString(), make(chan struct{}), time.Now()
 	e.draining, e.role, e.epoch, e.lastOps, e.residents = false, roleServe, 0, nil, nil
@@ -99,13 +99,13 @@
 	return nil
 }
 
-// Addr is the IP:port that the engine listens on.
+// Addr returns the IP:port that the engine listens on.
 func (e *Engine) Addr() string { return e.ln.Addr().String() }
 
-// Name is the engine's name in the deployment configuration.
+// Name returns the name of the engine in the deployment configuration.
 func (e *Engine) Name() string { return e.cfg.Name }
 
-// Close ends everything at once and waits for it.
+// Close ends all attempts and loops at once and waits for the loops to return.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	e.endIncarnation()
@@ -116,15 +116,15 @@
 	e.loops.Wait()
 }
 
-// spawn starts a goroutine that Close waits for; after Close it starts none.
-// The caller holds mu.
+// spawn starts a goroutine that Close waits for. After Close it starts none. The
+// caller holds mu.
 func (e *Engine) spawn(f func()) {
 	if !e.closed {
 		e.loops.Go(f)
 	}
 }
 
-// Handler serves the engine's protocol.
+// Handler returns the handler of the engine protocol.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+engineapi.PathChat, func(w http.ResponseWriter, r *http.Request) { e.generate(w, r, true) })
@@ -138,7 +138,7 @@
 	return mux
 }
 
-// setHeaders sets the headers that ride on every answer.
+// setHeaders sets the headers that every answer carries: load and incarnation.
 func (e *Engine) setHeaders(h http.Header) {
 	e.mu.Lock()
 	load := strconv.Itoa(len(e.batch.running)) + " " + strconv.Itoa(e.batch.waitingCount()) + " " +
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -48,7 +48,8 @@
 	return resp
 }
 
-// events reads a stream to its end marker and returns the text and the last position.
+// events reads a stream to its end marker. It returns the text, the last position
+// and whether the end marker came.
 func events(t testing.TB, r io.Reader, attempt string, after int) (text string, pos int, complete bool) {
 	t.Helper()
 	pos = after
@@ -104,8 +105,9 @@
 	assert.Equal(t, recs[0].State, engineapi.AttemptCompleted)
 }
 
-// A host loses its upstream connection in the middle of a stream and resumes
-// it: the events go on after the position that the host has, without a gap.
+// A host loses its connection to the upstream in the middle of a stream and
+// resumes it: the events must continue after the position that the host has,
+// without a gap.
 func TestCutStreamResumes(t *testing.T) {
 	e := start(t, engine.Config{TokenTime: 50 * time.Microsecond})
 	e.CutStreamsAfter(5)
@@ -120,9 +122,9 @@
 	assert.NilError(t, answer.Verify(prompt, 40, text+remainder))
 }
 
-// A host asks for the fate of an attempt whose request is still under way and
-// is told "unseen"; it answers "not run". If the request ran when it arrived
-// at last, that answer would have been false.
+// A host asks for the outcome of an attempt whose request is still in transit,
+// receives "unseen" and answers "not run" to its caller. If the request ran on its
+// arrival, that answer would have been false.
 func TestUnseenAttemptNeverRuns(t *testing.T) {
 	e := start(t, engine.Config{})
 	var attempt engineapi.Attempt
@@ -135,13 +137,14 @@
 	assert.Equal(t, len(e.Records().Executions), 0)
 }
 
-// An attempt reaches the process after the one that its claim names: what the
-// former process answered about it is forgotten, so only the name stops it.
+// An attempt reaches a later process than the one that its claim names. What the
+// former process answered about the attempt is lost, so that only the name of the
+// incarnation can prevent it from running.
 func TestAttemptForAFormerProcessNeverRuns(t *testing.T) {
 	e := start(t, engine.Config{})
 	former := do(t, "GET", "http://"+e.Addr()+"/engine/v1/attempts/a1", "", nil).Header.Get(engineapi.HeaderIncarnation)
 	e.Restart()
-	http.DefaultClient.CloseIdleConnections() // the restart broke them, which a client may notice late
+	http.DefaultClient.CloseIdleConnections() // the restart broke them, which a client may detect late
 	e.Preload("m", "", "v1", 10)
 	req, err := http.NewRequest("POST", "http://"+e.Addr()+engineapi.PathChat, strings.NewReader(`{"model":"m"}`))
 	assert.NilError(t, err)
@@ -154,8 +157,8 @@
 	assert.Equal(t, len(e.Records().Executions), 0)
 }
 
-// BenchmarkStream reads streams as fast as they come, with the engine's usual
-// writes and with a write for each token.
+// BenchmarkStream reads streams as fast as they come, with the engine's default
+// number of tokens in one write and with a write for each token.
 func BenchmarkStream(b *testing.B) {
 	for _, flush := range []int{0, 1} {
 		b.Run(fmt.Sprintf("flush=%d", flush), func(b *testing.B) { benchStream(b, flush) })
@@ -179,11 +182,11 @@
 	b.ReportMetric(float64(b.N)*tokens/b.Elapsed().Seconds(), "tokens/s")
 }
 
-// Symptom: hosts route by loads that are seconds old although each answer
-// carries a fresh one.
-// Sequence: an engine answers; its load stands in the head in another form than
-// the protocol's.
-// Cause: a reader drops what it cannot read, without a word.
+// Symptom: hosts route by loads that are seconds old although each answer carries
+// a current one.
+// Sequence: an engine answers; the load in its header has another format than that
+// of the protocol.
+// Cause: a reader silently drops a header that it cannot parse.
 func TestLoadRidesOnAnswersInTheProtocolsForm(t *testing.T) {
 	e := start(t, engine.Config{})
 	resp := chat(t, e, "a-1", "hello", 3, false)
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -8,7 +8,7 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// faults are the ways in which the engine was told to fail.
+// faults holds the faults that the engine was set to have.
 type faults struct {
 	cutAfter atomic.Int32
 
@@ -23,14 +23,14 @@
 }
 
 // Drain makes the engine refuse new work for the rest of its incarnation and
-// finish what it has.
+// finish the work that it has accepted.
 func (e *Engine) Drain() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining = true
 }
 
-// Restart kills the process and starts it again: every connection breaks, all
+// Restart terminates the process and starts it again: every connection breaks, all
 // work and memory are lost, and the incarnation is new.
 func (e *Engine) Restart() {
 	e.mu.Lock()
@@ -56,55 +56,55 @@
 	})
 }
 
-// Freeze makes all accepted connections silent for good, while new ones work
-// unless newToo is set.
+// Freeze makes all accepted connections unresponsive for good. New connections
+// work unless newToo is set.
 func (e *Engine) Freeze(newToo bool) { e.ln.Freeze(newToo) }
 
 // Thaw lets new connections work again after Freeze(true).
 func (e *Engine) Thaw() { e.ln.Thaw() }
 
-// MismatchAnswers makes a share of answers carry another attempt's id and content.
+// MismatchAnswers makes a share of the answers carry the id and content of another
+// attempt.
 func (e *Engine) MismatchAnswers(share float64) {
 	e.faults.mu.Lock()
 	defer e.faults.mu.Unlock()
 	e.faults.mismatchShare = share
 }
 
-// CutStreamsAfter breaks each stream's connection after n more events; the attempt
-// goes on and can be resumed. 0 stops it.
+// CutStreamsAfter breaks the connection of each stream after n more events. The
+// attempt continues and can be resumed. 0 turns the fault off.
 func (e *Engine) CutStreamsAfter(n int) { e.faults.cutAfter.Store(int32(n)) }
 
-// DropOrders loses the next n orders.
+// DropOrders drops the next n orders.
 func (e *Engine) DropOrders(n int) {
 	e.faults.mu.Lock()
 	defer e.faults.mu.Unlock()
 	e.faults.dropNext = n
 }
 
-// DelayOrders has the next n orders carried out only after d, and their
-// answers lost.
+// DelayOrders executes the next n orders only after d and drops their answers.
 func (e *Engine) DelayOrders(n int, d time.Duration) {
 	e.faults.mu.Lock()
 	defer e.faults.mu.Unlock()
 	e.faults.delayNext, e.faults.orderDelay = n, d
 }
 
-// DuplicateOrders has the next n orders carried out at once and again after d.
+// DuplicateOrders executes the next n orders at once and again after d.
 func (e *Engine) DuplicateOrders(n int, d time.Duration) {
 	e.faults.mu.Lock()
 	defer e.faults.mu.Unlock()
 	e.faults.duplicateNext, e.faults.duplicateDelay = n, d
 }
 
-// LoseOrderAnswers has the next n orders carried out and their answers lost.
+// LoseOrderAnswers executes the next n orders and drops their answers.
 func (e *Engine) LoseOrderAnswers(n int) {
 	e.faults.mu.Lock()
 	defer e.faults.mu.Unlock()
 	e.faults.loseAnswersNext = n
 }
 
-// intercept deals with an order that is to be lost, late or doubled; true: the
-// order must not be carried out now.
+// intercept applies the next fault to an order: it is dropped, delayed or
+// duplicated. It returns true when the order must not be executed now.
 func (f *faults) intercept(e *Engine, o engineapi.Order) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,8 +133,8 @@
 	return true
 }
 
-// executeLater carries an order out after d, also when the process was restarted
-// meanwhile: it was under way in the network.
+// executeLater executes an order after d, also when the process was restarted in
+// the meantime, because the order was in transit in the network.
 func (e *Engine) executeLater(d time.Duration, o engineapi.Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -145,7 +145,8 @@
 	})
 }
 
-// answerSource picks the attempt whose answer goes out in place of a's: mostly a itself.
+// answerSource returns the attempt whose answer is sent in place of that of a: a
+// itself, except for the share set by MismatchAnswers.
 func (e *Engine) answerSource(a *attempt) *attempt {
 	e.faults.mu.Lock()
 	share := e.faults.mismatchShare
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -18,10 +18,10 @@
 const (
 	maxBodyBytes  = 16 << 20
 	defaultTokens = 16
-	bytesPerToken = 4 // of a prompt, about what tokenisers make of English
+	bytesPerToken = 4 // of a prompt; about the ratio of tokenisers for English text
 )
 
-// request is what the engine reads of an OpenAI-compatible request.
+// request holds the fields of an OpenAI-compatible request that the engine reads.
 type request struct {
 	Model               string          `json:"model"`
 	Messages            []message       `json:"messages"`
@@ -35,7 +35,8 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// text is the prompt's text: a string, or the strings and parts of a list.
+// text returns the text of a prompt: a string, or the concatenated strings and
+// parts of a list.
 func text(raw json.RawMessage) string {
 	var s string
 	if json.Unmarshal(raw, &s) == nil {
@@ -52,7 +53,7 @@
 	var part struct {
 		Text string `json:"text"`
 	}
-	_ = json.Unmarshal(raw, &part) // a part without text counts as none
+	_ = json.Unmarshal(raw, &part) // a part without text adds nothing
 	return part.Text
 }
 
@@ -67,10 +68,10 @@
 	return b.String()
 }
 
-// refusal is an answer given in place of work.
+// refusal is the answer to a request that is not accepted.
 type refusal struct {
 	status int
-	header string // value of HeaderRefused; "" when nothing is promised
+	header string // value of HeaderRefused; "": no statement on whether the request ran
 	text   string
 }
 
@@ -120,18 +121,19 @@
 	if n, err := strconv.Atoi(h.Get(engineapi.HeaderPriority)); err == nil && n >= 0 && n < class.Count {
 		a.class = class.Class(n)
 	}
-	a.prefix, _ = strconv.ParseUint(h.Get(engineapi.HeaderPrefix), 16, 64) // absent or odd: no prefix
+	a.prefix, _ = strconv.ParseUint(h.Get(engineapi.HeaderPrefix), 16, 64) // missing or malformed: no prefix
 	return a
 }
 
-// enqueue takes the attempt in, or says why it does not.
+// enqueue accepts the attempt and attaches its reader, or returns why the attempt
+// is refused.
 func (e *Engine) enqueue(a *attempt) (chan struct{}, *refusal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if known, _ := e.attempts.Find(a.id); known != nil && known.done == nil {
 		return nil, &refusal{http.StatusServiceUnavailable, engineapi.RefusedAttemptClosed, "attempt id is settled as not run"}
 	} else if known != nil || e.attempts.WasDropped(a.id) {
-		// No promise here: the first request under this id may be running.
+		// Without HeaderRefused: the first request under this id may be running.
 		return nil, &refusal{status: http.StatusConflict, text: "attempt id was used before"}
 	}
 	refused := e.admit(a)
@@ -169,7 +171,7 @@
 	writeJSON(w, refused.status, map[string]any{"error": map[string]any{"message": refused.text, "type": "engine_error", "code": refused.header}})
 }
 
-// serveComplete answers in one piece when the attempt has ended.
+// serveComplete sends the complete answer once the attempt has ended.
 func (e *Engine) serveComplete(w http.ResponseWriter, r *http.Request, a *attempt, reader chan struct{}) {
 	select {
 	case <-a.done:
@@ -178,7 +180,7 @@
 		return
 	}
 	if _, f := a.position(); f != outcomeCompleted {
-		panic(http.ErrAbortHandler) // cancelled or died: the connection breaks, as it would with a real engine
+		panic(http.ErrAbortHandler) // cancelled or terminated: the connection breaks, as with a real engine
 	}
 	source := e.answerSource(a)
 	e.setHeaders(w.Header())
@@ -189,7 +191,7 @@
 	_, _ = w.Write(body)
 }
 
-// abandon starts the clock of an attempt whose caller's connection is gone.
+// abandon starts the resume window of an attempt whose connection is closed.
 func (e *Engine) abandon(a *attempt, reader chan struct{}) {
 	a.detach(reader, e.cfg.ResumeWindow, func() { e.cancel(a) })
 }
@@ -200,7 +202,7 @@
 	e.finish(a, outcomeCancelled)
 }
 
-// finish settles an attempt and writes its record. The caller holds mu.
+// finish ends an attempt and adds its record. The caller holds mu.
 func (e *Engine) finish(a *attempt, f outcome) {
 	if a.done == nil || !a.end(f) {
 		return
@@ -218,5 +220,5 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", jsonType)
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the caller is gone; nobody to tell
+	_ = json.NewEncoder(w).Encode(v) // the caller has disconnected; the error concerns nobody
 }
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -12,14 +12,15 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// Reasons of a refused order.
+// Reasons for refusing an order.
 const (
 	reasonOldEpoch         = "old_epoch"
 	reasonWrongIncarnation = "wrong_incarnation"
 	reasonUnknownModel     = "unknown_model"
 )
 
-// permitRetry is the pause after the weight store failed to answer.
+// permitRetry is the time between requests after the weight store failed to
+// answer.
 const permitRetry = 100 * time.Millisecond
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
@@ -29,7 +30,7 @@
 		return
 	}
 	if e.faults.intercept(e, o) {
-		panic(http.ErrAbortHandler) // lost, or late: the planner hears nothing
+		panic(http.ErrAbortHandler) // dropped or delayed: the planner receives no answer
 	}
 	ans := e.execute(o)
 	if e.faults.loseAnswer() {
@@ -39,9 +40,9 @@
 	writeJSON(w, http.StatusOK, ans)
 }
 
-// execute does what an order says, as soon as it is reached by it. Memory
-// that is too small does not stop it: the overcommit is recorded, so that the
-// proof of the system's own accounting does not rest on the engine's care.
+// execute executes an order. An order that needs more memory than is free is not
+// refused: the overcommit is recorded, so that tests of the accounting of the
+// system do not depend on checks of the engine.
 func (e *Engine) execute(o engineapi.Order) engineapi.OrderAnswer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -84,7 +85,7 @@
 
 func (e *Engine) beginLoad(key route.ModelKey, o engineapi.Order) {
 	if r := e.findResident(key, o.Version); r != nil && r.state != engineapi.StateUnloading {
-		return // already there or on its way
+		return // loaded or being loaded
 	}
 	r := &resident{key: key, version: o.Version, memoryMB: o.MemoryMB, op: o.Op, loadName: o.LoadName()}
 	e.addResident(r)
@@ -97,10 +98,10 @@
 	e.spawn(func() { e.load(r, incarnationEnded) })
 }
 
-// load waits for the weight store's grant, then for the weights.
+// load waits for the permit of the weight store, then for the weights.
 func (e *Engine) load(r *resident, incarnationEnded chan struct{}) {
 	if e.cfg.Weights != nil {
-		defer func() { _ = e.cfg.Weights.ReleaseLoad(context.Background(), r.loadName) }() // when lost, the store's own lapse frees it
+		defer func() { _ = e.cfg.Weights.ReleaseLoad(context.Background(), r.loadName) }() // when the call is lost, the permit expires at the store
 		if !e.awaitLoadPermit(r.loadName, incarnationEnded) {
 			return
 		}
@@ -133,7 +134,8 @@
 	}
 }
 
-// wait waits; false: the incarnation or the engine ended.
+// wait waits for d. It returns false when the incarnation or the engine ended
+// before.
 func (e *Engine) wait(d time.Duration, incarnationEnded chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -146,9 +148,9 @@
 	return false
 }
 
-// beginUnload takes a model or an adapter out of service; adapters go with
-// the last version of their base. Memory is free when the last attempt on it
-// has ended.
+// beginUnload takes a model or an adapter out of service. Adapters are unloaded
+// with the last version of their base model. The memory is free when the last
+// attempt that uses it has ended.
 func (e *Engine) beginUnload(key route.ModelKey, version string) {
 	e.records.Unloads++
 	match := func(r *resident) bool { return r.key == key && (version == "" || r.version == version) }
--- a/standin/engine/orders_test.go
+++ b/standin/engine/orders_test.go
@@ -19,8 +19,8 @@
 	"peridotpier.example/standin/engine"
 )
 
-// call serves one request of the protocol without a network, so that tests
-// can run on synctest's clock. A broken connection is reported as status 0.
+// call serves one request of the protocol without a network, so that tests can run
+// on the clock of synctest. A broken connection is returned as status 0.
 func call(e *engine.Engine, method, path string, in, out any) (status int) {
 	body, _ := json.Marshal(in)
 	w := httptest.NewRecorder()
@@ -57,9 +57,9 @@
 	return e
 }
 
-// A planner that was paused past its lease sends an order under its old
-// number. An engine that checks refuses it; one that does not carries it out,
-// and only the system's own care can prevent the harm.
+// A planner that was paused past the end of its lease sends an order under its old
+// epoch. An engine that checks epochs refuses the order; an engine that does not
+// check executes it, and only the system itself can prevent the damage.
 func TestOldEpochIsRefusedOnlyWhereChecked(t *testing.T) {
 	for _, c := range []struct {
 		fencing config.Fencing
@@ -75,9 +75,9 @@
 	}
 }
 
-// A load order is lost in the network and believed dead; its model is placed
-// elsewhere and other weights take the room. Then the order arrives after all
-// and its engine is overcommitted: the engine must say so in its records.
+// A load order is delayed in the network and treated as lost; its model is placed
+// elsewhere and other weights take the memory. Then the order arrives and
+// overcommits the engine: the engine must record this.
 func TestLateOrderOvercommitsAndIsRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Config{MemoryMB: 100})
@@ -96,8 +96,8 @@
 	})
 }
 
-// A load order is duplicated in the network and the second copy arrives after
-// the unload that followed it: the model is back, though nobody wants it.
+// A load order is duplicated in the network and the second copy arrives after the
+// unload that followed it: the model is loaded again although it is not wanted.
 func TestDuplicateLoadsAgainAfterUnload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Config{MemoryMB: 100})
@@ -113,7 +113,7 @@
 	})
 }
 
-// grants lets loads start one at a time, as the weight store does.
+// grants admits one load at a time, as the weight store does.
 type grants struct{ open string }
 
 func (g *grants) AcquireLoad(_ context.Context, load string) (time.Duration, error) {
@@ -146,8 +146,8 @@
 	})
 }
 
-// A reader of reports must never take one for current: what it reads is as
-// old as the lag says, however often it asks.
+// A report must never be taken for the current state: it is as old as the
+// configured lag, however often it is read.
 func TestReportsLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Config{MemoryMB: 100, ReportInterval: time.Second, ReportLag: 5 * time.Second})
@@ -169,8 +169,8 @@
 	})
 }
 
-// The batch is full and both a bulk and an urgent request wait: the urgent
-// one runs first although it came later, and both slow down as the batch grows.
+// The batch is full, and a bulk and an urgent request wait: the urgent one must
+// run first although it came later.
 func TestUrgentRunsBeforeBulk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Config{MaxBatch: 1, TokenTime: 10 * time.Millisecond})
@@ -196,9 +196,10 @@
 	})
 }
 
-// A caller's host dies in the middle of a stream. The attempt goes on for the
-// stated time, so that another host can resume it, and is then cancelled, so
-// that nobody's answer holds a place in the batch for ever.
+// The host of a caller terminates in the middle of a stream. The attempt continues
+// for the resume window, so that another host can resume it, and is then
+// cancelled, so that an answer without a reader does not occupy the batch for
+// ever.
 func TestStreamWithoutReaderIsCancelledInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Config{TokenTime: 10 * time.Millisecond, ResumeWindow: 2 * time.Second})
@@ -221,9 +222,9 @@
 	})
 }
 
-// A model is unloaded while a request on its adapter runs. Were its memory
-// reported free at once, another load would be admitted beside it and the
-// accelerator overcommitted in truth.
+// A model is unloaded while a request on its adapter runs. If its memory were
+// reported free at once, another load would be admitted and the accelerator would
+// be overcommitted.
 func TestUnloadWaitsForRunningAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Config{TokenTime: 10 * time.Millisecond})
@@ -243,8 +244,8 @@
 	})
 }
 
-// Cache events come late and some never: a reader sees gaps in their numbers
-// and must take them as hints. A cached prefix shortens the prompt's time.
+// Cache events come late and some never: a reader sees gaps in their sequence and
+// must treat them as hints. A cached prefix shortens the time for the prompt.
 func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Config{PrefillPerToken: time.Millisecond, PrefixSlots: 2, PrefixSavedShare: 0.9,
@@ -265,7 +266,7 @@
 		for prefix := 2; prefix < 20; prefix++ {
 			generate(prefix)
 		}
-		assert.Equal(t, generate(1), cold) // displaced meanwhile
+		assert.Equal(t, generate(1), cold) // evicted in the meantime
 		time.Sleep(2 * time.Second)
 		var events []engineapi.CacheEvent
 		call(e, "GET", engineapi.PathEvents+"?after=0", nil, &events)
--- a/standin/engine/outcome.go
+++ b/standin/engine/outcome.go
@@ -7,9 +7,9 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// serveOutcome tells what became of an attempt. One that was never here is
-// poisoned by the question: its request may still be on its way, and must not
-// run after its caller was told that it did not.
+// serveOutcome answers with the outcome of an attempt. An attempt that is not
+// known is blocked by the request for it: its own request may still be in transit,
+// and must not run after the caller was told that it did not run.
 func (e *Engine) serveOutcome(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	e.mu.Lock()
@@ -24,7 +24,8 @@
 	writeJSON(w, http.StatusOK, a.describe(inc))
 }
 
-// blockedAttempt is an attempt that was asked for before it came.
+// blockedAttempt returns the entry for an attempt that a host asked for before its
+// request arrived.
 func blockedAttempt(id string) *attempt { return &attempt{id: id, outcome: outcomeBlocked} }
 
 func (a *attempt) describe(incarnation string) engineapi.Attempt {
@@ -41,8 +42,8 @@
 	return d
 }
 
-// serveCancel ends an attempt. One that was never here is poisoned, since the
-// request may arrive after its cancellation.
+// serveCancel ends an attempt. An attempt that is not known is blocked, because
+// its request may arrive after the cancellation.
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	e.mu.Lock()
@@ -60,7 +61,7 @@
 	writeJSON(w, http.StatusOK, a.describe(inc))
 }
 
-// serveResume goes on with a stream after the position that the caller has.
+// serveResume continues a stream after the position that the caller has received.
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.Atoi(r.URL.Query().Get("after"))
 	e.mu.Lock()
--- a/standin/engine/prefix.go
+++ b/standin/engine/prefix.go
@@ -9,7 +9,7 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// maxCacheEvents bounds the cache events that can still be read.
+// maxCacheEvents bounds the number of cache events that can still be read.
 const maxCacheEvents = 4096
 
 type cacheEvent struct {
@@ -17,18 +17,19 @@
 	visibleAt time.Time // when it is published
 }
 
-// prefixCache keeps the least recently used prefixes out.
+// prefixCache is an LRU cache of prompt prefixes.
 type prefixCache struct {
 	slots int
 	byKey map[uint64]*list.Element
-	order *list.List // newest at the front; values are uint64
+	order *list.List // most recently used first; values are uint64
 }
 
 func newPrefixCache(slots int) prefixCache {
 	return prefixCache{slots: slots, byKey: map[uint64]*list.Element{}, order: list.New()}
 }
 
-// touch tells whether key was cached, caches it, and names what it displaced.
+// touch reports whether key was cached, caches it, and returns the key that was
+// evicted for it; 0: none.
 func (c *prefixCache) touch(key uint64) (hit bool, displaced uint64) {
 	if el, ok := c.byKey[key]; ok {
 		c.order.MoveToFront(el)
@@ -42,7 +43,8 @@
 	return false, displaced
 }
 
-// prefillTokens is how much of the prompt must be computed. The caller holds mu.
+// prefillTokens returns how many tokens of the prompt must be computed. The caller
+// holds mu.
 func (e *Engine) prefillTokens(a *attempt) int {
 	if e.cfg.PrefillPerToken == 0 {
 		return 0
@@ -62,7 +64,8 @@
 	return a.promptTokens - int(float64(a.promptTokens)*e.cfg.PrefixSavedShare)
 }
 
-// publishCacheEvent numbers a cache event; a lost one leaves its gap. The caller holds mu.
+// publishCacheEvent numbers a cache event and publishes it. A lost event leaves a
+// gap in the sequence. The caller holds mu.
 func (e *Engine) publishCacheEvent(prefix uint64, stored bool) {
 	e.eventSeq++
 	if e.rng.Float64() < e.cfg.EventLoss {
@@ -76,7 +79,7 @@
 }
 
 func (e *Engine) serveEvents(w http.ResponseWriter, r *http.Request) {
-	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // absent: from the beginning
+	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // missing: from the beginning
 	now := time.Now()
 	out := []engineapi.CacheEvent{}
 	e.mu.Lock()
--- a/standin/engine/records.go
+++ b/standin/engine/records.go
@@ -9,21 +9,21 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// Records are the engine's own account of what it did, over all of its
-// incarnations. Proofs join them with callers' records.
+// Records holds what the engine recorded about its work, over all of its
+// incarnations. Tests join them with the records of callers.
 type Records struct {
 	Executions     []Execution
 	Orders         []OrderRecord
 	Overcommits    []Overcommit
-	Loads          int // models that began to load by order
+	Loads          int // models that began to load by an order
 	AdapterLoads   int
 	Unloads        int
 	PrefixHits     int
-	Mismatched     int // answers that were crossed on purpose
-	DroppedRecords int // executions and orders over the bound, not kept
+	Mismatched     int // answers that were replaced by that of another attempt on purpose
+	DroppedRecords int // executions and orders beyond the bound, not kept
 }
 
-// Execution is one attempt that was taken and what became of it.
+// Execution is one attempt that was accepted, with its outcome.
 type Execution struct {
 	Attempt     string
 	Incarnation string
@@ -33,19 +33,19 @@
 	Class       class.Class
 	State       engineapi.AttemptState
 	Arrived     time.Time
-	Started     time.Time // zero: ended while it waited
+	Started     time.Time // zero: it ended while it waited
 	Ended       time.Time
-	Tokens      int // produced
+	Tokens      int // tokens produced
 }
 
-// OrderRecord is an order that reached the engine.
+// OrderRecord is an order that reached the engine, with its answer.
 type OrderRecord struct {
 	At     time.Time
 	Order  engineapi.Order
 	Answer engineapi.OrderAnswer
 }
 
-// Overcommit is a moment at which more memory was taken than there is.
+// Overcommit is a moment at which more memory was in use than the engine has.
 type Overcommit struct {
 	At       time.Time
 	Engine   string
@@ -73,8 +73,8 @@
 	r.Orders = append(r.Orders, OrderRecord{At: time.Now(), Order: o, Answer: ans})
 }
 
-// Records returns a copy of the account so far, with attempts that still wait
-// or run counted as running.
+// Records returns a copy of the records so far. Attempts that still wait or run
+// are included as running.
 func (e *Engine) Records() Records {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -10,7 +10,7 @@
 
 const roleServe = "serve"
 
-// maxLastOps is how many order ids a report names.
+// maxLastOps bounds the number of order ids that a report lists.
 const maxLastOps = 64
 
 func (e *Engine) reportLoop() {
@@ -28,8 +28,8 @@
 	}
 }
 
-// addReport publishes a snapshot and drops those that no reader can get any
-// more. The caller holds mu.
+// addReport adds a report of the current state and drops reports that can no
+// longer be read. The caller holds mu.
 func (e *Engine) addReport() {
 	e.sequence++
 	e.reports = append(e.reports, e.describe(e.sequence))
@@ -38,7 +38,7 @@
 	}
 }
 
-// isVisible says that a report is old enough to be read.
+// isVisible reports whether a report is old enough to be served.
 func (e *Engine) isVisible(r engineapi.Report) bool {
 	return time.Since(e.startedAt)-time.Duration(r.TakenMs)*time.Millisecond >= e.cfg.ReportLag
 }
@@ -56,7 +56,8 @@
 	return r
 }
 
-// Report is the engine's newest report as a reader gets it: late by the lag.
+// Report returns the newest report that is served, which is older than the current
+// state by the configured lag.
 func (e *Engine) Report() engineapi.Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -72,8 +73,9 @@
 	return newest
 }
 
-// ActualState is the engine's state now, without lag; nothing of the system may
-// read it, only an oracle that shows how far the system is from it.
+// ActualState returns the current state without lag. Only tests and monitors may
+// read it, to measure how far the view of the system differs from it; the system
+// itself must not.
 func (e *Engine) ActualState() engineapi.Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/resident.go
+++ b/standin/engine/resident.go
@@ -8,13 +8,13 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// resident is one model or adapter in memory. All fields are under Engine.mu.
+// resident is one model or adapter in memory. All fields are guarded by Engine.mu.
 type resident struct {
 	key      route.ModelKey
 	version  string
 	memoryMB int
 	op       string
-	loadName string // its name at the weight store
+	loadName string // of its load at the weight store
 	state    engineapi.ModelState
 	users    int  // attempts that wait or run on it
 	freeing  bool // its memory is about to be freed
@@ -24,8 +24,8 @@
 	return engineapi.Resident{Model: r.key.Model, Adapter: r.key.Adapter, Version: r.version, State: r.state, MemoryMB: r.memoryMB, Op: r.op}
 }
 
-// Preload makes a model or adapter ready at once, as a site's operators do
-// before the system starts.
+// Preload makes a model or adapter ready at once, as operators of a site do before
+// the system starts.
 func (e *Engine) Preload(model, adapter, version string, memoryMB int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -36,7 +36,8 @@
 	e.addReport()
 }
 
-// addResident takes memory for r. The caller holds mu.
+// addResident allocates memory for r and records an overcommit. The caller holds
+// mu.
 func (e *Engine) addResident(r *resident) {
 	r.state = engineapi.StateLoading
 	e.residents = append(e.residents, r)
@@ -54,8 +55,8 @@
 	return n
 }
 
-// findServing finds what answers to a model's or adapter's name: the newest ready
-// one, and an adapter only upon its ready base.
+// findServing returns the resident that serves a model or adapter name: the newest
+// ready one. An adapter also needs a ready base model.
 func (e *Engine) findServing(name string) *resident {
 	for i := len(e.residents) - 1; i >= 0; i-- {
 		r := e.residents[i]
@@ -70,7 +71,8 @@
 	return nil
 }
 
-// findResident returns the newest resident of a key; an empty version matches any.
+// findResident returns the newest resident with a key; an empty version matches
+// any.
 func (e *Engine) findResident(key route.ModelKey, version string) *resident {
 	for i := len(e.residents) - 1; i >= 0; i-- {
 		if r := e.residents[i]; r.key == key && (version == "" || r.version == version) {
@@ -80,7 +82,8 @@
 	return nil
 }
 
-// freeIdleOfModel frees what of a model and its adapters unloads and is idle.
+// freeIdleOfModel frees the idle residents of a model and its adapters that are
+// being unloaded.
 func (e *Engine) freeIdleOfModel(model string) {
 	for _, r := range slices.Clone(e.residents) {
 		if r.key.Model == model {
@@ -89,7 +92,7 @@
 	}
 }
 
-// isIdle says that no attempt uses r, itself or through an adapter.
+// isIdle reports whether no attempt uses r, directly or through an adapter.
 func (e *Engine) isIdle(r *resident) bool {
 	if r.key.Adapter != "" || r.users > 0 {
 		return r.users == 0
@@ -97,7 +100,8 @@
 	return !slices.ContainsFunc(e.residents, func(a *resident) bool { return a.key.Model == r.key.Model && a.key.Adapter != "" && a.users > 0 })
 }
 
-// freeIfIdle frees an unloading resident when its last attempt has ended.
+// freeIfIdle frees a resident that is being unloaded when its last attempt has
+// ended.
 func (e *Engine) freeIfIdle(r *resident) {
 	if r.state != engineapi.StateUnloading || r.freeing || !e.isIdle(r) {
 		return
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -9,11 +9,11 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-const bufferSize = 16 << 10 // holds a full write of FlushTokens events
+const bufferSize = 16 << 10 // large enough for a write of FlushTokens events
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, bufferSize); return &b }}
 
-// frame is the part of an event that is the same for each token of a stream.
+// frame is the part of an event that is the same for all tokens of a stream.
 type frame struct{ head, middle, tail []byte }
 
 func (a *attempt) frame() frame {
@@ -21,7 +21,7 @@
 	if a.chat {
 		object, open, closing = "chat.completion.chunk", `"delta":{"content":"`, `"}`
 	}
-	name, _ := json.Marshal(a.name) // a string always encodes
+	name, _ := json.Marshal(a.name) // encoding a string cannot fail
 	return frame{
 		head:   []byte("id: " + a.id + "."),
 		middle: []byte("\ndata: {\"id\":\"gen\",\"object\":\"" + object + "\",\"created\":0,\"model\":" + string(name) + ",\"choices\":[{\"index\":0," + open),
@@ -29,7 +29,8 @@
 	}
 }
 
-// appendEvent appends the event at a position; the one after the last token is the end marker.
+// appendEvent appends the event at a position. The event after the last token is
+// the end marker.
 func (a *attempt) appendEvent(buf []byte, f *frame, position int) []byte {
 	buf = append(buf, f.head...)
 	buf = strconv.AppendInt(buf, int64(position), 10)
@@ -45,7 +46,7 @@
 	return append(buf, "null}]}\n\n"...)
 }
 
-// completeBody is the answer in one piece.
+// completeBody returns the body of an answer that is not streamed.
 func (a *attempt) completeBody() []byte {
 	choice := map[string]any{"index": 0, "finish_reason": "length"}
 	object := "text_completion"
@@ -55,15 +56,15 @@
 	} else {
 		choice["text"] = a.answer.Text()
 	}
-	body, _ := json.Marshal(map[string]any{ // strings and numbers always encode
+	body, _ := json.Marshal(map[string]any{ // encoding strings and numbers cannot fail
 		"id": "gen", "object": object, "created": 0, "model": a.name, "choices": []any{choice},
 		"usage": map[string]int{"prompt_tokens": a.promptTokens, "completion_tokens": a.answer.Tokens, "total_tokens": a.promptTokens + a.answer.Tokens},
 	})
 	return body
 }
 
-// stream writes the attempt's events after a position, as they come, to its
-// one reader.
+// stream writes the attempt's events after a position to its only reader as they
+// are produced.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, a *attempt, reader chan struct{}, after int) {
 	defer e.abandon(a, reader)
 	out := e.newStreamWriter(w, a, after)
@@ -77,7 +78,7 @@
 		case out.pos > a.answer.Tokens:
 			return
 		case f != outcomeRunning && f != outcomeCompleted:
-			panic(http.ErrAbortHandler) // cancelled or died: the stream breaks off without its end marker
+			panic(http.ErrAbortHandler) // cancelled or terminated: the stream breaks off without its end marker
 		case f == outcomeCompleted:
 			continue
 		}
@@ -98,11 +99,11 @@
 	rc      *http.ResponseController
 	a       *attempt
 	frame   frame
-	foreign *attempt // whose events stand in for ours from otherAt on; nil: none
+	foreign *attempt // attempt whose event is written into this stream next; nil: none
 	buf     *[]byte
 	pos     int
 	flush   int
-	cutAt   int // position after which the connection breaks; 0: none
+	cutAt   int // position after which the connection is broken; 0: none
 }
 
 func (e *Engine) newStreamWriter(w http.ResponseWriter, a *attempt, after int) *streamWriter {
@@ -119,11 +120,12 @@
 	}
 	s.frame = a.frame()
 	w.WriteHeader(http.StatusOK)
-	_ = s.rc.Flush() // the caller's host learns at once that the attempt was taken
+	_ = s.rc.Flush() // so that the host of the caller receives at once that the attempt was accepted
 	return s
 }
 
-// writeUpTo writes the events up to a position; false: the connection is gone.
+// writeUpTo writes the events up to a position. It returns false when the
+// connection is closed.
 func (s *streamWriter) writeUpTo(events int) bool {
 	if s.foreign != nil && s.pos < events {
 		s.writeForeignEvent()
