--- a/standin/answer/answer.go
+++ b/standin/answer/answer.go
@@ -1,7 +1,7 @@
-// Package answer says what a stand-in engine must answer to a prompt, so that
-// a caller can tell whether an answer is whole and its own without asking
-// anyone. A prompt or service body carries a mark, which names the team and
-// the invocation that it came from; stand-ins keep it in their records.
+// Package answer determines what a stand-in engine answers to a prompt, so that a
+// caller can check by itself whether an answer is complete and belongs to its
+// prompt. A prompt or service body carries a mark, which names the team and the
+// invocation that it came from; stand-ins keep the mark in their records.
 package answer
 
 import (
@@ -13,27 +13,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The faults that Verify finds.
+// Errors of Verify.
 var (
-	// ErrCut: the text is a true beginning of the answer, but not all of it.
+	// ErrTruncated reports that the text is a true beginning of the answer, but
+	// not all of it.
 	ErrTruncated = errors.New("answer is cut off")
-	// ErrCrossed: the text is no part of the answer to this prompt.
+	// ErrMismatched reports that the text is no part of the answer to this prompt.
 	ErrMismatched = errors.New("answer belongs to another prompt")
 )
 
-// A mark uses only characters that JSON and URLs leave as they are.
+// A mark uses only characters that JSON and URLs do not escape.
 const (
 	markOpen = "pm~"
 	markSep  = "~"
 )
 
-// Mark names the invocation of a team, to be placed in a prompt, body or
-// query. Neither name may contain "~".
+// Mark returns the mark of an invocation of a team, to be placed in a prompt, body
+// or query. Neither name may contain "~".
 func Mark(team, invocation string) string {
 	return markOpen + team + markSep + invocation + markSep
 }
 
-// FindMark finds the first mark in text.
+// FindMark returns the team and invocation of the first mark in text.
 func FindMark(text []byte) (team, invocation string, ok bool) {
 	_, rest, found := bytes.Cut(text, []byte(markOpen))
 	if !found {
@@ -69,7 +70,7 @@
 	return strconv.AppendInt(append(buf, " w"...), int64(position), 10)
 }
 
-// Text is the whole answer.
+// Text returns the complete answer.
 func (a Answer) Text() string {
 	var buf []byte
 	for i := 1; i <= a.Tokens; i++ {
@@ -78,8 +79,8 @@
 	return string(buf)
 }
 
-// Verify tells whether text is the whole answer to prompt: nil, ErrCut or
-// ErrCrossed.
+// Verify checks that text is the complete answer to prompt. It returns nil,
+// ErrTruncated or ErrMismatched.
 func Verify(prompt string, tokens int, text string) error {
 	want := For(prompt, tokens).Text()
 	switch {
--- a/standin/answer/answer_test.go
+++ b/standin/answer/answer_test.go
@@ -9,8 +9,8 @@
 	"peridotpier.example/standin/answer"
 )
 
-// Everything that a bench says of whole answers rests on this check: a
-// shortened answer must never pass as whole, nor one for another call.
+// All figures on complete answers depend on this check: a truncated answer must
+// never pass as complete, nor an answer to another prompt.
 func TestVerifyTellsWholeFromCutAndCrossed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := rapid.StringMatching(`[a-z0-9-]{1,12}`)
--- a/standin/attempts/attempts_test.go
+++ b/standin/attempts/attempts_test.go
@@ -8,8 +8,9 @@
 	"peridotpier.example/standin/attempts"
 )
 
-// A host asks late for the fate of an attempt that ran; the log has meanwhile
-// dropped it. Were it answered "unseen", the host would run it a second time.
+// A host asks late for the outcome of an attempt that ran; the log has dropped it
+// in the meantime. If the answer were "unseen", the host would run the request a
+// second time.
 func TestDroppedAttemptIsNeverUnseen(t *testing.T) {
 	l := attempts.New[int](2)
 	l.Add("ran", 1)
--- a/standin/service/call.go
+++ b/standin/service/call.go
@@ -16,16 +16,16 @@
 	"peridotpier.example/standin/answer"
 )
 
-// call is one call under its attempt id. Its fields are under Service.mu.
+// call is one call under its attempt id. Its fields are guarded by Service.mu.
 type call struct {
 	id             string
 	forIncarnation string                 // incarnation that may run it; "": any
-	incarnationCtx context.Context        // of the incarnation that took it in
+	incarnationCtx context.Context        // of the incarnation that accepted it
 	slots          chan struct{}          // that incarnation's
-	onAnswer       func([]byte)           // tells the watch; nil: none
-	state          engineapi.AttemptState // AttemptUnseen: must never run
-	body           []byte                 // the answer, when completed
-	cancel         context.CancelFunc     // of a call that waits; nil otherwise
+	onAnswer       func([]byte)           // returned by Config.OnExecution; nil: none
+	state          engineapi.AttemptState // AttemptUnseen: it must never run
+	body           []byte                 // answer of a completed call
+	cancel         context.CancelFunc     // set while the call waits
 }
 
 // Answer is the body of a service's answer.
@@ -33,12 +33,12 @@
 	Service    string `json:"service"`
 	Method     string `json:"method"`
 	Path       string `json:"path"`
-	Team       string `json:"team"` // team and invocation of the call's mark
+	Team       string `json:"team"` // team and invocation come from the mark of the call
 	Invocation string `json:"invocation"`
-	Digest     string `json:"digest"` // of the call's body
+	Digest     string `json:"digest"` // of the body of the call
 }
 
-// Digest is what an Answer says of a body.
+// Digest returns the digest of a body as an Answer states it.
 func Digest(body []byte) string { return strconv.FormatUint(xxhash.Sum64(body), 16) }
 
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
@@ -67,7 +67,8 @@
 	s.reply(w, c)
 }
 
-// admit takes a call in, or says with which status and promise it does not.
+// admit accepts a call, or returns the status and the value of HeaderRefused with
+// which it is refused.
 func (s *Service) admit(c *call) (ctx context.Context, status int, header string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,10 +96,10 @@
 	return ctx, 0, ""
 }
 
-// execute waits for a place and runs the call. It goes on when the caller's
-// connection is gone, as a plain service does.
+// execute waits for a slot and runs the call. It continues after the caller has
+// disconnected, as a plain service does.
 func (s *Service) execute(ctx context.Context, c *call, r *http.Request, body []byte) bool {
-	slots, incarnationCtx := c.slots, c.incarnationCtx // of the process that took it in, which may have ended since
+	slots, incarnationCtx := c.slots, c.incarnationCtx // of the incarnation that accepted it, which may have ended since
 	select {
 	case slots <- struct{}{}:
 	case <-ctx.Done():
@@ -141,7 +142,7 @@
 	if c.state != engineapi.AttemptRunning {
 		return 0, false
 	}
-	c.cancel() // nothing waits on it any more
+	c.cancel() // it no longer waits
 	c.cancel = nil
 	s.running++
 	team, invocation := findMark(r, body)
@@ -211,8 +212,9 @@
 	writeJSON(w, status, map[string]string{"error": text})
 }
 
-// serveOutcome tells what became of a call, and cancels one that still waits.
-// One that never was here must not run after it was reported as unseen.
+// serveOutcome answers with the outcome of a call, and cancels a call that still
+// waits when cancel is set. A call that is not known must not run after it was
+// reported as unseen.
 func (s *Service) serveOutcome(w http.ResponseWriter, r *http.Request, cancel bool) {
 	id := r.PathValue("id")
 	s.mu.Lock()
@@ -242,5 +244,5 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", jsonType)
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the caller is gone; nobody to tell
+	_ = json.NewEncoder(w).Encode(v) // the caller has disconnected; the error concerns nobody
 }
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,7 +1,7 @@
 // Package service imitates a plain service behind engineapi.PathService: it
-// answers any method and path, takes its time by route, and records every
-// execution with its attempt id and idempotency key, so that one which ran
-// twice is seen without asking any node.
+// answers any method and path, takes a configured time by route, and records every
+// execution with its attempt id and idempotency key, so that a call which ran
+// twice is detected without asking any host.
 package service
 
 import (
@@ -23,7 +23,7 @@
 	"peridotpier.example/standin/wire"
 )
 
-// Defaults of a Config.
+// Default values of a Config, and a bound.
 const (
 	defaultMaxConcurrent  = 32
 	defaultMaxQueue       = 256
@@ -32,44 +32,47 @@
 	maxBodyBytes          = 16 << 20
 )
 
-// Route says how long calls to a part of the service take; the first match counts.
+// Route sets how long calls to a part of the service take. The first matching
+// route applies.
 type Route struct {
 	Method   string // "*" for any
 	Prefix   string // of the path below the service
 	Duration time.Duration
 }
 
-// Config describes one instance of a plain service.
+// Config holds the settings of one instance of a plain service.
 type Config struct {
 	Name            string
-	Listen          string // IP:port, port 0 for any; "" is 127.0.0.1:0
+	Listen          string // IP:port, port 0 for any; "": 127.0.0.1:0
 	Routes          []Route
-	DefaultDuration time.Duration // where no route matches
-	MaxConcurrent   int           // calls at once
+	DefaultDuration time.Duration // of calls that match no route
+	MaxConcurrent   int           // calls that run at once
 	MaxQueue        int           // calls that wait
-	ReportInterval  time.Duration // 0: each report is taken when it is asked for
+	ReportInterval  time.Duration // 0: a report is made when it is requested
 	ReportLag       time.Duration
 	AttemptLogSize  int
 	MaxRecords      int
 	Seed            uint64
-	// Watch, when set, is told of each execution as it begins, and the function
-	// that it returns, of its answer. Both must not call the service.
+	// OnExecution, when set, is called with each execution as it begins, and the
+	// function that it returns is called with its answer. Neither may call the
+	// service.
 	OnExecution func(Execution) (ended func(answer []byte))
 }
 
-// Execution is one call that took effect or was cut short by the process's end.
+// Execution is one call that took effect or was interrupted by the end of the
+// process.
 type Execution struct {
 	Attempt        string
 	Incarnation    string
 	ForIncarnation string // incarnation that it was meant for; "": any
-	IdempotencyKey string // Idempotency-Key as it arrived; "" when the host kept it to itself
-	Team           string // from the body's or query's mark
+	IdempotencyKey string // header as it arrived; "" when the host did not forward it
+	Team           string // from the mark in the body or query
 	Invocation     string
-	Tag            string // Accept-Language, by which a test tells equal calls apart
+	Tag            string // Accept-Language, by which a test distinguishes otherwise equal calls
 	Method         string
 	Path           string
 	Started        time.Time
-	Ended          time.Time // zero: runs, or died with the process
+	Ended          time.Time // zero: it runs, or was interrupted by the end of the process
 	AnswerDigest   uint64    // xxhash of the answer's body; 0 until it ended
 }
 
@@ -100,7 +103,7 @@
 	faults         faults
 }
 
-// New makes a service that does not listen yet.
+// New returns a service that does not listen yet.
 func New(cfg Config) (*Service, error) {
 	if cfg.Name == "" {
 		return nil, errors.New("service: no name")
@@ -147,20 +150,20 @@
 	return nil
 }
 
-// Addr is the IP:port that the service listens on.
+// Addr returns the IP:port that the service listens on.
 func (s *Service) Addr() string { return s.ln.Addr().String() }
 
-// Name is the instance's name in the deployment configuration.
+// Name returns the name of the instance in the deployment configuration.
 func (s *Service) Name() string { return s.cfg.Name }
 
-// Close ends everything at once and waits for it.
+// Close ends all calls and loops at once and waits for the loops to return.
 func (s *Service) Close() {
 	s.cancelCtx()
 	_ = s.srv.Close()
 	s.loops.Wait()
 }
 
-// Handler serves the protocol.
+// Handler returns the handler of the protocol.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(engineapi.PathService, s.serve)
@@ -186,7 +189,7 @@
 	return s.cfg.DefaultDuration
 }
 
-// Executions returns a copy of the record of what ran, over all incarnations.
+// Executions returns a copy of the records of what ran, over all incarnations.
 func (s *Service) Executions() []Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -41,8 +41,8 @@
 	return a
 }
 
-// The answer is lost after the call took effect: the caller's host hears a
-// broken connection, and only the fate of the attempt tells that it ran.
+// The answer is lost after the call took effect: the caller's host sees a broken
+// connection, and only the outcome of the attempt shows that it ran.
 func TestLostAnswerIsTold(t *testing.T) {
 	s := start(t)
 	s.LoseAnswers(1)
@@ -60,8 +60,8 @@
 	assert.Equal(t, runs[0].IdempotencyKey, "k1")
 }
 
-// The request is lost before it ran; its host asks, is told "unseen", and the
-// same request arrives after all: it must be refused.
+// The request is lost before it ran; its host asks for the outcome, receives
+// "unseen", and the same request arrives afterwards: it must be refused.
 func TestUnseenCallNeverRuns(t *testing.T) {
 	s := start(t)
 	s.LoseRequests(1)
@@ -74,15 +74,16 @@
 	assert.Equal(t, len(s.Executions()), 0)
 }
 
-// A host was paused between its claim and its sending, and the service was
-// restarted meanwhile: it no longer knows that it called the attempt unseen,
-// so that only the process named by the attempt tells that it must not run.
+// A host was paused between its claim and its request, and the service was
+// restarted in the meantime: the service has lost its record that it called the
+// attempt unseen, so that only the incarnation named by the attempt shows that it
+// must not run.
 func TestAttemptForAFormerProcessIsRefused(t *testing.T) {
 	s := start(t)
 	unseen := readAttempt(t, s, "a1")
 	assert.Equal(t, unseen.State, engineapi.AttemptUnseen)
 	s.Restart()
-	http.DefaultClient.CloseIdleConnections() // the restart broke them, which a client may notice late
+	http.DefaultClient.CloseIdleConnections() // the restart broke them, which a client may detect late
 	req, err := http.NewRequest("POST", "http://"+s.Addr()+"/service/orders/new", strings.NewReader("note"))
 	assert.NilError(t, err)
 	req.Header.Set(engineapi.HeaderAttempt, "a1")
--- a/standin/service/state.go
+++ b/standin/service/state.go
@@ -8,10 +8,11 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// roleService is the role in a plain service's report.
+// roleService is the role in the report of a plain service.
 const roleService = "service"
 
-// faults count the calls that are still to fail.
+// faults holds how many calls are still to fail, by kind of fault, and the share
+// of mismatched answers.
 type faults struct {
 	mu            sync.Mutex
 	loseRequests  int
@@ -36,24 +37,26 @@
 	*n = v
 }
 
-// LoseRequests breaks the connection of the next n calls before they run.
+// LoseRequests breaks the connections of the next n calls before they run.
 func (s *Service) LoseRequests(n int) { s.faults.set(&s.faults.loseRequests, n) }
 
-// LoseAnswers breaks the connection of the next n calls after they ran.
+// LoseAnswers breaks the connections of the next n calls after they ran.
 func (s *Service) LoseAnswers(n int) { s.faults.set(&s.faults.loseAnswers, n) }
 
-// CutAnswers breaks the connection of the next n calls in the middle of the answer.
+// CutAnswers breaks the connections of the next n calls in the middle of the
+// answer.
 func (s *Service) CutAnswers(n int) { s.faults.set(&s.faults.cutAnswers, n) }
 
-// MismatchAnswers makes a share of answers carry another call's id and content.
+// MismatchAnswers makes a share of the answers carry the id and content of another
+// call.
 func (s *Service) MismatchAnswers(share float64) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
 	s.faults.mismatchShare = share
 }
 
-// Freeze makes all accepted connections silent for good, while new ones work
-// unless newToo is set.
+// Freeze makes all accepted connections unresponsive for good. New connections
+// work unless newToo is set.
 func (s *Service) Freeze(newToo bool) { s.ln.Freeze(newToo) }
 
 // Thaw lets new connections work again after Freeze(true).
@@ -66,7 +69,7 @@
 	s.draining = true
 }
 
-// Restart kills the process and starts it again.
+// Restart terminates the process and starts it again.
 func (s *Service) Restart() {
 	s.mu.Lock()
 	s.endIncarnation()
@@ -111,8 +114,8 @@
 	}
 }
 
-// addReport publishes a snapshot and drops those that no reader can get any
-// more. The caller holds mu.
+// addReport adds a report of the current state and drops reports that can no
+// longer be read. The caller holds mu.
 func (s *Service) addReport() {
 	s.sequence++
 	s.reports = append(s.reports, engineapi.Report{Upstream: s.cfg.Name, Incarnation: s.incarnation, Sequence: s.sequence,
