--- a/standin/platform/bench_test.go
+++ b/standin/platform/bench_test.go
@@ -14,8 +14,8 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// BenchmarkCommit is the cost of one conditional write, in memory and over
-// HTTP on loopback.
+// BenchmarkCommit measures one conditional write, in memory and over HTTP on
+// loopback.
 func BenchmarkCommit(b *testing.B) {
 	for _, c := range []struct {
 		name  string
@@ -35,7 +35,7 @@
 	}
 }
 
-// countedListener counts the bytes of all its connections, both ways.
+// countedListener counts the bytes of all its connections, in both directions.
 type countedListener struct {
 	net.Listener
 	bytes atomic.Int64
@@ -63,8 +63,8 @@
 	return n, err
 }
 
-// BenchmarkPollBytes is what one poll of a row the size of the
-// configuration's head takes on the wire.
+// BenchmarkPollBytes measures the bytes on the wire for one poll of a row with the
+// size of config/head.
 func BenchmarkPollBytes(b *testing.B) {
 	tb := standin.NewTable()
 	_, err := tb.Commit(b.Context(), store.Txn{Op: "a", Writes: []store.Write{{Key: "config/head", Value: make([]byte, 173)}}})
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -11,21 +11,21 @@
 	"peridotpier.example/node/store"
 )
 
-// Settings are the limits and faults of one stand-in service. The zero value
-// is a service without limits or faults. Shares are from 0 to 1.
+// Settings holds the limits and faults of one stand-in service. The zero value is
+// a service without limits and faults. Shares are from 0 to 1.
 type Settings struct {
 	Outage          bool
 	Delay           time.Duration // added to every call
-	LostAnswers     float64       // of writes: took effect, answered ErrInDoubt
-	LostRequests    float64       // of writes: no effect, answered ErrInDoubt
-	LateEffects     float64       // of writes: answered ErrInDoubt, takes effect LateBy later
+	LostAnswers     float64       // of writes: takes effect, returns ErrUnconfirmed
+	LostRequests    float64       // of writes: no effect, returns ErrUnconfirmed
+	LateEffects     float64       // of writes: returns ErrUnconfirmed, takes effect LateEffectDelay later
 	LateEffectDelay time.Duration
 	WritesPerSecond float64 // 0: no limit
 	ReadsPerSecond  float64 // 0: no limit
 }
 
-// Faults decides the fate of each call on a service. It may be changed at run
-// time and is safe for concurrent use.
+// Faults decides the outcome of each call of a service. It may be changed while
+// the service is in use and is safe for concurrent use.
 type Faults struct {
 	mu          sync.Mutex
 	now         func() time.Time
@@ -38,8 +38,8 @@
 	readCount   int64
 }
 
-// NewFaults makes a service without faults; seed fixes later draws and now is
-// its clock (nil: time.Now).
+// NewFaults returns Faults without limits and faults. seed determines the random
+// outcomes, and now is the clock of the service (nil: time.Now).
 func NewFaults(seed uint64, now func() time.Time) *Faults {
 	if now == nil {
 		now = time.Now
@@ -52,7 +52,7 @@
 // Set replaces the settings.
 func (f *Faults) Set(s Settings) { f.Update(func(old *Settings) { *old = s }) }
 
-// Update changes some of the settings.
+// Update changes settings in place.
 func (f *Faults) Update(change func(*Settings)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,18 +73,18 @@
 	f.outageUntil = f.now().Add(d)
 }
 
-// LoseAnswers makes a share of the writes take effect and be answered as in doubt.
+// LoseAnswers makes a share of the writes take effect but return ErrUnconfirmed.
 func (f *Faults) LoseAnswers(share float64) {
 	f.Update(func(s *Settings) { s.LostAnswers = share })
 }
 
-// Writes returns the number of write calls so far, refused ones included.
+// Writes returns the number of write calls so far, including refused ones.
 func (f *Faults) Writes() int64 { f.mu.Lock(); defer f.mu.Unlock(); return f.writeCount }
 
-// Reads returns the number of read calls so far, refused ones included.
+// Reads returns the number of read calls so far, including refused ones.
 func (f *Faults) Reads() int64 { f.mu.Lock(); defer f.mu.Unlock(); return f.readCount }
 
-// burstShare is the part of a second's rate that may come at once.
+// burstShare is the burst of a limit as a share of its calls per second.
 const burstShare = 0.1
 
 func limiter(perSecond float64) *rate.Limiter {
@@ -94,7 +94,7 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*burstShare)))
 }
 
-// outcome is what becomes of one write.
+// outcome is the effect and answer of one write.
 type outcome uint8
 
 const (
@@ -104,7 +104,8 @@
 	outcomeLateEffect
 )
 
-// admitRead lets a read pass, after the delay, or refuses it.
+// admitRead returns after the delay: nil, or the error with which the read is
+// refused.
 func (f *Faults) admitRead(ctx context.Context) error {
 	f.mu.Lock()
 	f.readCount++
@@ -113,7 +114,8 @@
 	return firstError(pause(ctx, delay), err)
 }
 
-// admitWrite draws a write's fate, after the delay, or refuses it.
+// admitWrite returns after the delay: the outcome of a write and the delay of a
+// late effect, or the error with which the write is refused.
 func (f *Faults) admitWrite(ctx context.Context) (outcome, time.Duration, error) {
 	f.mu.Lock()
 	f.writeCount++
@@ -123,7 +125,7 @@
 	return drawn, late, firstError(pause(ctx, delay), err)
 }
 
-// admit checks outage and limit. The caller holds mu.
+// admit checks the outage and the limit. The caller holds mu.
 func (f *Faults) admit(l *rate.Limiter) (time.Duration, error) {
 	now := f.now()
 	if f.settings.Outage || now.Before(f.outageUntil) {
@@ -135,7 +137,7 @@
 	return f.settings.Delay, nil
 }
 
-// drawOutcome picks a write's fate. The caller holds mu.
+// drawOutcome draws the outcome of a write. The caller holds mu.
 func (f *Faults) drawOutcome() outcome {
 	x := f.rng.Float64()
 	for _, c := range []struct {
@@ -150,8 +152,8 @@
 	return outcomeApplied
 }
 
-// pause waits for d. A caller that gave up meanwhile was not served: the
-// request counts as never having reached the service.
+// pause waits for d. A caller whose context ends before was not served: its
+// request counts as one that never reached the service.
 func pause(ctx context.Context, d time.Duration) error {
 	if ctx.Err() != nil {
 		return store.ErrUnavailable
--- a/standin/platform/hosts.go
+++ b/standin/platform/hosts.go
@@ -9,14 +9,14 @@
 	"peridotpier.example/node/store"
 )
 
-// Hosts is the platform's list of hosts, which shows each change only after
+// Hosts is the list of hosts of the platform, which shows each change only after
 // its lag.
 type Hosts struct {
 	Faults *Faults
 
 	mu      sync.Mutex
 	lag     time.Duration
-	history []hostList // oldest first; the first is what the list shows at the most
+	history []hostList // oldest first
 }
 
 type hostList struct {
@@ -24,15 +24,15 @@
 	hosts []store.Host
 }
 
-// NewHosts makes a list under f that shows hosts at once, without lag.
+// NewHosts returns a list under f that shows hosts at once, without lag.
 func NewHosts(f *Faults, hosts ...store.Host) *Hosts {
 	return &Hosts{Faults: f, history: []hostList{{hosts: slices.Clone(hosts)}}}
 }
 
-// SetLag changes how far the list lags behind.
+// SetLag sets the time after which the list shows a change.
 func (h *Hosts) SetLag(d time.Duration) { h.mu.Lock(); h.lag = d; h.mu.Unlock() }
 
-// Set replaces the hosts; readers see it after the lag.
+// Set replaces the hosts; readers see the change after the lag.
 func (h *Hosts) Set(hosts ...store.Host) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/standin/platform/objects.go
+++ b/standin/platform/objects.go
@@ -11,16 +11,16 @@
 
 // Objects is the object store in memory.
 type Objects struct {
-	// Faults may be changed while the store is in use. A late effect counts
-	// as a lost request: blobs never change, so the two look alike.
+	// Faults may be changed while the store is in use. A late effect is treated as
+	// a lost request: blobs never change, so that the two cannot be told apart.
 	Faults *Faults
 
 	mu    sync.Mutex
 	blobs map[string][]byte
-	names []string // of blobs, in order
+	names []string // of blobs, sorted
 }
 
-// NewObjects makes an empty object store under f.
+// NewObjects returns an empty object store under f.
 func NewObjects(f *Faults) *Objects { return &Objects{Faults: f, blobs: map[string][]byte{}} }
 
 // Put implements store.Objects.
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -30,7 +30,7 @@
 			})
 		}
 	}
-	const noneLeft = 1e-9 // writes a second, after the one that the burst allows
+	const noneLeft = 1e-9 // writes per second, after the write that the burst allows
 	b := storetest.Fixture{
 		Table: standin.NewTableWith(f), Objects: standin.NewObjects(f),
 		Hosts: standin.NewHosts(f, listed...), Weights: standin.NewWeights(f, 1e9, 2), WantHosts: listed,
@@ -62,9 +62,10 @@
 	t.Run("http", func(t *testing.T) { storetest.Run(t, func(t *testing.T) storetest.Fixture { return overHTTP(t) }) })
 }
 
-// Symptom: an act runs twice after a store failure. Sequence: the service is
-// reached, then silent until the client's deadline. Cause: the client takes a
-// deadline for "nothing took effect".
+// Symptom: an action runs twice after a store failure.
+// Sequence: the service is reached, then does not answer until the deadline of the
+// client.
+// Cause: the client treats a deadline as "nothing took effect".
 func TestSilenceAfterTheRequestIsInDoubt(t *testing.T) {
 	f := standin.NewFaults(1, nil)
 	f.Set(standin.Settings{Delay: time.Hour})
@@ -79,9 +80,10 @@
 	assert.ErrorIs(t, err, store.ErrUnavailable, "refused before anything was sent")
 }
 
-// Symptom: a write shows up after its caller has moved on. Sequence: answer
-// reported lost, effect some time later, while a retry under the same
-// operation id comes before it. Cause: the network held the request back.
+// Symptom: a write takes effect after its caller has continued with other work.
+// Sequence: the answer is reported as lost and the write takes effect some time
+// later, after a retry with the same operation id.
+// Cause: the network delayed the request.
 func TestLateEffectAfterRetryHasOneEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := standin.NewTable()
--- a/standin/platform/recentops.go
+++ b/standin/platform/recentops.go
@@ -11,8 +11,8 @@
 	err     error
 }
 
-// recentOps keeps the answer of each operation id for at least
-// store.OpMemory and at most twice that, in two generations.
+// recentOps keeps the result of each operation id for at least store.OpRetention
+// and at most twice that time, in two generations.
 type recentOps struct {
 	now               func() time.Time
 	currentSince      time.Time
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -10,10 +10,11 @@
 	"peridotpier.example/node/store/rest"
 )
 
-// maxBody bounds one call's body, in bytes; an object is the largest.
+// maxBody bounds the body of one call, in bytes; an object is the largest.
 const maxBody = 64 << 20
 
-// Services are the four services that a server offers; a nil one is absent.
+// Services holds the four services that a server offers. A nil service is not
+// offered.
 type Services struct {
 	Table   store.Table
 	Objects store.Objects
@@ -21,9 +22,9 @@
 	Weights store.Weights
 }
 
-// Handler serves the services over HTTP as rest.Client speaks to them. An
-// answer that a stand-in reports lost closes the connection without a word,
-// so that the client meets what a lost answer looks like on the wire.
+// Handler serves the services over HTTP in the protocol of rest.Client. For an
+// answer that a stand-in loses it closes the connection without a response, which
+// is what a lost answer looks like to a client.
 func Handler(s Services) http.Handler {
 	mux := http.NewServeMux()
 	if s.Table != nil {
@@ -98,7 +99,7 @@
 	}))
 }
 
-// withBody decodes a call's JSON body.
+// withBody decodes the JSON body of a call and passes it to do.
 func withBody[T any](do func(http.ResponseWriter, *http.Request, T)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in T
@@ -118,7 +119,7 @@
 	}
 	status, p, ok := rest.ProblemOf(err)
 	if !ok {
-		panic(http.ErrAbortHandler) // the answer is lost: the client sees the connection end
+		panic(http.ErrAbortHandler) // the answer is lost: the client sees the connection close
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/standin/platform/silence_test.go
+++ b/standin/platform/silence_test.go
@@ -15,8 +15,8 @@
 	standin "peridotpier.example/standin/platform"
 )
 
-// silentConn swallows all that is read once its listener says so; neither end
-// is told.
+// silentConn discards all that is read once its listener silences it; neither end
+// receives an error.
 type silentConn struct {
 	net.Conn
 	silent *atomic.Bool
@@ -31,7 +31,7 @@
 	}
 }
 
-// silentListener can silence all connections that are open; new ones work.
+// silentListener can make all open connections unresponsive; new ones work.
 type silentListener struct {
 	net.Listener
 	mu     sync.Mutex
@@ -52,10 +52,11 @@
 	l.silent = new(atomic.Bool)
 }
 
-// Symptom: a host is without the table for many timeouts on end while the
-// table is well. Sequence: a firewall forgets the open connections; the client
-// tries its idle ones in turn. Cause: only the connection that timed out was
-// given up.
+// Symptom: a host cannot use the table for many successive timeouts although the
+// table is available.
+// Sequence: a firewall drops its state of the open connections; the client tries
+// its idle connections one after the other.
+// Cause: only the connection that timed out was closed.
 func TestOneTimeoutRetiresAllSilentConnections(t *testing.T) {
 	const open = 8
 	f := standin.NewFaults(1, nil)
--- a/standin/platform/table.go
+++ b/standin/platform/table.go
@@ -1,6 +1,6 @@
-// Package platform imitates what the platform gives: table service, object
-// store, host list and weight store, in memory, with limits, outages, delays
-// and lost answers that can be set.
+// Package platform imitates the services of the platform in memory: table service,
+// object store, host list and weight store, with configurable limits, outages,
+// delays and lost answers.
 package platform
 
 import (
@@ -20,16 +20,16 @@
 
 	mu          sync.Mutex
 	rows        map[string]store.Row
-	keys        []string // of rows, in order
+	keys        []string // of rows, sorted
 	ops         recentOps
 	lastVersion uint64
 	lateEffects sync.WaitGroup
 }
 
-// NewTable makes an empty table service without faults.
+// NewTable returns an empty table service without faults.
 func NewTable() *Table { return NewTableWith(NewFaults(1, nil)) }
 
-// NewTableWith makes an empty table service under f.
+// NewTableWith returns an empty table service under f.
 func NewTableWith(f *Faults) *Table {
 	return &Table{Faults: f, rows: map[string]store.Row{}, ops: recentOps{now: f.now}}
 }
@@ -61,7 +61,8 @@
 // WaitLateEffects waits until every late effect has taken place.
 func (t *Table) WaitLateEffects() { t.lateEffects.Wait() }
 
-// commit applies txn once: a repeated operation id gets the first answer.
+// commit applies txn once: a repeated operation id gets the result of its first
+// commit.
 func (t *Table) commit(txn store.Txn) (uint64, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -127,7 +128,7 @@
 	return out, nil
 }
 
-// page picks up to limit of the sorted keys that start with prefix and sort
+// page returns up to limit of the sorted keys that start with prefix and sort
 // after after.
 func page(sorted []string, prefix, after string, limit int) []string {
 	from, _ := slices.BinarySearch(sorted, max(prefix, after))
--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -10,25 +10,26 @@
 	"peridotpier.example/node/store"
 )
 
-// Weights is the weight store's admission in memory.
+// Weights is the admission of loads by the weight store, in memory.
 type Weights struct {
 	Faults *Faults
 
 	mu            sync.Mutex
 	starts        *rate.Limiter
 	maxConcurrent int
-	admitted      map[string]time.Time // load -> when granted
+	admitted      map[string]time.Time // time of admission by load
 	granted       int64
 }
 
-// NewWeights allows loadsPerSecond starts and concurrent open loads at once.
-func NewWeights(f *Faults, loadsPerSecond float64, concurrent int) *Weights {
+// NewWeights admits loadsPerSecond new loads per second and maxConcurrent loads at
+// once.
+func NewWeights(f *Faults, loadsPerSecond float64, maxConcurrent int) *Weights {
 	return &Weights{Faults: f, starts: rate.NewLimiter(rate.Limit(loadsPerSecond), 1),
-		maxConcurrent: concurrent, admitted: map[string]time.Time{}}
+		maxConcurrent: maxConcurrent, admitted: map[string]time.Time{}}
 }
 
-// retryWhenFull is the advice when all places are taken, since no one knows when
-// a load ends.
+// retryWhenFull is the advised wait when the maximum number of loads is admitted,
+// since the end of a load cannot be foreseen.
 const retryWhenFull = time.Second
 
 // AcquireLoad implements store.Weights.
@@ -88,5 +89,5 @@
 	return nil
 }
 
-// Granted returns the number of loads that were granted so far.
+// Granted returns the number of loads admitted so far.
 func (w *Weights) Granted() int64 { w.mu.Lock(); defer w.mu.Unlock(); return w.granted }
--- a/standin/wire/dialer.go
+++ b/standin/wire/dialer.go
@@ -9,16 +9,17 @@
 	"time"
 )
 
-// Dialer opens TCP connections that are as slow as the distance to the other
-// end makes them: setting up takes one round trip, and what is read arrives
-// one round trip later. Both directions' delay falls on reading, which to an
-// exchange of request and answer is the same.
+// Dialer opens TCP connections with the delay of a distance to the other end:
+// setting up a connection takes one round trip, and what is read arrives one round
+// trip later. The delay of both directions is added to reading, which makes no
+// difference to an exchange of request and answer.
 type Dialer struct {
-	RoundTrip func(address string) time.Duration // nil or 0: no distance
+	RoundTrip func(address string) time.Duration // nil or 0: no delay
 	base      net.Dialer
 }
 
-// DialContext has the form that net/http.Transport takes.
+// DialContext opens a connection; its signature is that of
+// http.Transport.DialContext.
 func (d *Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := d.base.DialContext(ctx, network, address)
 	if err != nil || d.RoundTrip == nil {
@@ -40,18 +41,18 @@
 }
 
 const (
-	chunkSize = 16 << 10 // bytes of one read from the network
-	maxChunks = 32       // pieces under way at most; the network's own buffers hold the rest
+	chunkSize = 16 << 10 // maximum number of bytes of one read from the network
+	maxChunks = 32       // chunks that wait for their time at most; the buffers of the network hold the rest
 )
 
-// chunk is what was read at one time, to be seen from due on.
+// chunk is the result of one read, to be delivered from due on.
 type chunk struct {
 	data []byte
 	err  error
 	due  time.Time
 }
 
-// delayedConn is a connection whose reads come late.
+// delayedConn is a connection whose reads are delayed by rtt.
 type delayedConn struct {
 	net.Conn
 	rtt       time.Duration
@@ -59,7 +60,7 @@
 	closed    chan struct{}
 	closeOnce sync.Once
 
-	readMu  sync.Mutex // held by the one reader
+	readMu  sync.Mutex // held by the only reader
 	current chunk
 
 	mu              sync.Mutex
@@ -69,7 +70,7 @@
 
 func newDelayedConn(c net.Conn, rtt time.Duration) *delayedConn {
 	d := &delayedConn{Conn: c, rtt: rtt, chunks: make(chan chunk, maxChunks), closed: make(chan struct{}), deadlineChanged: make(chan struct{})}
-	go d.pump() // ends when the connection is closed by either side
+	go d.pump() // returns when either side closes the connection
 	return d
 }
 
@@ -108,7 +109,8 @@
 	return n, nil
 }
 
-// receive waits for the next piece.
+// receive waits for the next chunk, the read deadline or the end of the
+// connection.
 func (d *delayedConn) receive() error {
 	for {
 		timer, moved := d.deadlineTimer()
@@ -127,7 +129,8 @@
 	}
 }
 
-// sleep lets d pass, unless the connection is closed.
+// sleep waits for the given time. It returns net.ErrClosed when the connection is
+// closed before.
 func (d *delayedConn) sleep(left time.Duration) error {
 	if left <= 0 {
 		return nil
@@ -142,7 +145,7 @@
 	}
 }
 
-// noDeadline is far enough away for a deadline that is not set.
+// noDeadline is the maximum wait of a read that has no deadline.
 const noDeadline = 24 * time.Hour
 
 func (d *delayedConn) deadlineTimer() (*time.Timer, chan struct{}) {
--- a/standin/wire/wire.go
+++ b/standin/wire/wire.go
@@ -1,6 +1,7 @@
-// Package wire makes connections of stand-ins misbehave: a listener whose
-// accepted connections can go silent for good, as when something between the
-// two ends has lost track of them, and a dialer that adds distance.
+// Package wire adds faults and delays to the connections of stand-ins: a listener
+// whose accepted connections can become unresponsive for good, as when a device
+// between the two ends has lost its record of them, and a dialer that adds the
+// delay of a distance.
 package wire
 
 import (
@@ -9,13 +10,13 @@
 	"sync/atomic"
 )
 
-// Listener is a listener whose connections can be frozen or closed.
+// Listener is a listener whose connections can be made unresponsive or closed.
 type Listener struct {
 	net.Listener
 
 	mu        sync.Mutex
 	conns     map[*conn]struct{}
-	freezeNew bool // what is accepted from now on is silent from the start
+	freezeNew bool // connections accepted from now on are unresponsive
 }
 
 // NewListener wraps ln.
@@ -37,9 +38,9 @@
 	return fc, nil
 }
 
-// Freeze makes every accepted connection silent for good: what arrives on it
-// is lost, and so is what is written to it. New connections work, unless
-// newToo is set; Thaw lets new ones work again.
+// Freeze makes every accepted connection unresponsive for good: what arrives on it
+// is lost, and so is what is written to it. New connections work unless newToo is
+// set; Thaw lets new ones work again.
 func (l *Listener) Freeze(newToo bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,7 +57,8 @@
 	l.freezeNew = false
 }
 
-// CloseConnections closes every accepted connection, as when a process dies.
+// CloseConnections closes every accepted connection, as when the process
+// terminates.
 func (l *Listener) CloseConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,7 +78,7 @@
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if err == nil && c.frozen.Load() {
-		<-c.closed // the bytes are lost; the far end hears nothing
+		<-c.closed // the bytes are lost; the other end receives nothing
 		return 0, net.ErrClosed
 	}
 	return n, err
--- a/standin/wire/wire_test.go
+++ b/standin/wire/wire_test.go
@@ -14,7 +14,7 @@
 	"peridotpier.example/standin/wire"
 )
 
-// echo serves connections that send back what they get.
+// echo serves connections that send back what they receive.
 func echo(t *testing.T) *wire.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,8 +45,9 @@
 	return err
 }
 
-// Something between the two ends loses track of an open connection: nothing
-// comes back on it and nothing says so, while a new connection works.
+// A device between the two ends loses its record of an open connection: nothing
+// arrives on it any more and neither end receives an error, while a new connection
+// works.
 func TestFrozenConnectionIsSilentWhileNewOnesWork(t *testing.T) {
 	l := echo(t)
 	var d wire.Dialer
