--- a/standin/answer/answer_test.go
+++ b/standin/answer/answer_test.go
@@ -11,7 +11,7 @@
 
 // All figures on complete answers depend on this check: a truncated answer must
 // never pass as complete, nor an answer to another prompt.
-func TestVerifyTellsWholeFromCutAndCrossed(t *testing.T) {
+func TestVerifyDistinguishesCompleteTruncatedAndMismatched(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := rapid.StringMatching(`[a-z0-9-]{1,12}`)
 		prompt := answer.Mark(id.Draw(t, "team"), id.Draw(t, "invocation")) + rapid.String().Draw(t, "filling")
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -140,7 +140,7 @@
 // An attempt reaches a later process than the one that its claim names. What the
 // former process answered about the attempt is lost, so that only the name of the
 // incarnation can prevent it from running.
-func TestAttemptForAFormerProcessNeverRuns(t *testing.T) {
+func TestAttemptForAFormerIncarnationNeverRuns(t *testing.T) {
 	e := start(t, engine.Config{})
 	former := do(t, "GET", "http://"+e.Addr()+"/engine/v1/attempts/a1", "", nil).Header.Get(engineapi.HeaderIncarnation)
 	e.Restart()
@@ -187,7 +187,7 @@
 // Sequence: an engine answers; the load in its header has another format than that
 // of the protocol.
 // Cause: a reader silently drops a header that it cannot parse.
-func TestLoadRidesOnAnswersInTheProtocolsForm(t *testing.T) {
+func TestAnswersCarryTheLoadInTheFormatOfTheProtocol(t *testing.T) {
 	e := start(t, engine.Config{})
 	resp := chat(t, e, "a-1", "hello", 3, false)
 	defer func() { _ = resp.Body.Close() }()
--- a/standin/load/load_test.go
+++ b/standin/load/load_test.go
@@ -89,7 +89,7 @@
 	return c
 }
 
-func TestHealthyRunIsWhole(t *testing.T) {
+func TestHealthyRunCompletesAllRequests(t *testing.T) {
 	c := newSite(t).run(t, source(load.KindStream), source(load.KindNonStreaming), source(load.KindService), source(load.KindOnce))
 	assert.Equal(t, c.Completed, c.Requests)
 	assert.Equal(t, c.Attainment, 1.0)
@@ -112,7 +112,7 @@
 // Sequence: hosts die; the balancer names them for a while; the caller's tries
 // end there, the last of them too.
 // Cause: the caller counts its tries and leaves without a word.
-func TestACallerAsksUntilItHasAWord(t *testing.T) {
+func TestCallerRetriesUntilTheOutcomeIsKnown(t *testing.T) {
 	st := newSite(t)
 	dead := httptest.NewServer(http.NotFoundHandler())
 	address := dead.Listener.Addr().String()
@@ -132,7 +132,7 @@
 // Every stream's connection breaks after five events. The callers resume each
 // one as often as it takes, and the answers are whole; a caller that gives up
 // first has a cut answer, and nothing may count it as completed.
-func TestBrokenStreamsAreResumedOrCut(t *testing.T) {
+func TestBrokenStreamsAreResumedOrCountedAsTruncated(t *testing.T) {
 	st := newSite(t)
 	st.e.CutStreamsAfter(10)
 	short := source(load.KindStream)
@@ -145,7 +145,7 @@
 }
 
 // An engine mixes up two answers: one caller gets text that belongs to another.
-func TestCrossedAnswersAreSeen(t *testing.T) {
+func TestMismatchedAnswersAreDetected(t *testing.T) {
 	st := newSite(t)
 	st.e.MismatchAnswers(0.5)
 	c := st.run(t, source(load.KindStream), source(load.KindNonStreaming))
@@ -156,7 +156,7 @@
 // An entry host loses the answer to a call that may not be repeated and runs
 // it again under a new attempt. The caller sees one good answer; only the
 // service's own record shows that it ran twice.
-func TestDoubledCallIsSeen(t *testing.T) {
+func TestDuplicatedCallIsDetected(t *testing.T) {
 	st := newSite(t)
 	st.onService = func(w http.ResponseWriter, r *http.Request, pass http.Handler) {
 		body, _ := io.ReadAll(r.Body)
@@ -172,7 +172,7 @@
 }
 
 // An entry host answers "not run" although the call ran.
-func TestFalseNotRunIsSeen(t *testing.T) {
+func TestFalseNotRunIsDetected(t *testing.T) {
 	st := newSite(t)
 	st.onService = func(w http.ResponseWriter, r *http.Request, pass http.Handler) {
 		pass.ServeHTTP(httptest.NewRecorder(), r)
--- a/standin/load/omission_test.go
+++ b/standin/load/omission_test.go
@@ -43,7 +43,7 @@
 // An entry host stalls for two seconds. A generator that waits for answers
 // before it sends more would record one slow call; callers in truth went on
 // calling, and each call that was meant for the stall waited for its end.
-func TestStallShowsInEveryCallThatWasMeantForIt(t *testing.T) {
+func TestStallCountsInEveryCallThatWasDueDuringIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		p := &pipes{conns: make(chan net.Conn), done: make(chan struct{})}
@@ -77,7 +77,7 @@
 // Callers lose patience with a stream. If its tokens still come, the system
 // did nothing wrong but be slow; if it went silent, the caller was cut off,
 // and counting it as impatience would hide the fault.
-func TestImpatienceIsNotACutUnlessTheStreamIsSilent(t *testing.T) {
+func TestAbandonedStreamIsTruncatedOnlyWhenItIsIdle(t *testing.T) {
 	for _, c := range []struct {
 		tokenTime time.Duration
 		verdict   load.Verdict
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -66,7 +66,7 @@
 // Sequence: the service is reached, then does not answer until the deadline of the
 // client.
 // Cause: the client treats a deadline as "nothing took effect".
-func TestSilenceAfterTheRequestIsInDoubt(t *testing.T) {
+func TestTimeoutAfterTheRequestIsUnconfirmed(t *testing.T) {
 	f := standin.NewFaults(1, nil)
 	f.Set(standin.Settings{Delay: time.Hour})
 	srv := httptest.NewServer(standin.Handler(standin.Services{Table: standin.NewTableWith(f)}))
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -43,7 +43,7 @@
 
 // The answer is lost after the call took effect: the caller's host sees a broken
 // connection, and only the outcome of the attempt shows that it ran.
-func TestLostAnswerIsTold(t *testing.T) {
+func TestLostAnswerIsReportedAsCompleted(t *testing.T) {
 	s := start(t)
 	s.LoseAnswers(1)
 	body := answer.Mark("crew", "i1")
@@ -78,7 +78,7 @@
 // restarted in the meantime: the service has lost its record that it called the
 // attempt unseen, so that only the incarnation named by the attempt shows that it
 // must not run.
-func TestAttemptForAFormerProcessIsRefused(t *testing.T) {
+func TestAttemptForAFormerIncarnationIsRefused(t *testing.T) {
 	s := start(t)
 	unseen := readAttempt(t, s, "a1")
 	assert.Equal(t, unseen.State, engineapi.AttemptUnseen)
