--- a/standin/load/bench_test.go
+++ b/standin/load/bench_test.go
@@ -8,9 +8,9 @@
 	"peridotpier.example/standin/load"
 )
 
-// BenchmarkGenerator sends two thousand calls a second for two seconds to an
-// entry host and engine that cost next to nothing: what it shows as latency
-// is the generator's own part in every figure.
+// BenchmarkGenerator sends two thousand calls per second for two seconds to an
+// entry host and engine that cost almost nothing: the latency that it measures is
+// the share of the generator in every other figure.
 func BenchmarkGenerator(b *testing.B) {
 	for b.Loop() {
 		st := newSite(b)
--- a/standin/load/caller.go
+++ b/standin/load/caller.go
@@ -32,12 +32,13 @@
 // Bounds of one caller.
 const (
 	maxTries          = 6                      // requests for one invocation
-	maxTriesWhileLost = 60                     // of one that got no word on its last: it asks on while it has patience
-	retryPause        = 100 * time.Millisecond // when no Retry-After says otherwise
-	maxRetryPause     = 2 * time.Second        // a caller with a deadline waits no longer
+	maxTriesWhileLost = 60                     // requests for one invocation while the last try ended without an outcome
+	retryPause        = 100 * time.Millisecond // when there is no Retry-After
+	maxRetryPause     = 2 * time.Second        // maximum wait on Retry-After, since callers have deadlines
 	maxAnswerBytes    = 32 << 20
-	// streamIdleAfter tells a stream that is slow from one that went silent: the
-	// caller who leaves the first was not cut off, the one who leaves the second was.
+	// streamIdleAfter distinguishes a slow stream from an idle one when a caller
+	// gives up: a stream with a token within this time was abandoned by the
+	// caller, otherwise it was truncated.
 	streamIdleAfter = 2 * time.Second
 )
 
@@ -52,17 +53,17 @@
 	Error *problem `json:"error"`
 }
 
-// caller carries one invocation out.
+// caller carries out one invocation.
 type caller struct {
 	client      *http.Client
 	entries     EntryBalancer
 	inv         *Invocation
-	text        []byte // the answer's text so far
+	text        []byte // of the answer so far
 	prompt      string
-	body        []byte // of a service call: sent and checked against
-	lastEventID string // id of the last event
-	resumeToken string // resume token of a stream that began
-	ended       bool   // the end marker came
+	body        []byte // of a service call: sent, and compared with the answer
+	lastEventID string // id of the last event received
+	resumeToken string // of a stream that began
+	ended       bool   // the end marker or the complete body was received
 	lastTokenAt time.Time
 }
 
@@ -85,7 +86,8 @@
 	c.setVerdict(ctx)
 }
 
-// try sends one request and tells whether, and when, another may help.
+// try sends one request. It returns whether to send another one, and after what
+// wait.
 func (c *caller) try(ctx context.Context) (wait time.Duration, again bool) {
 	req, resumed, err := c.request(ctx)
 	t := Try{Sent: time.Now(), Resumed: resumed}
@@ -94,7 +96,7 @@
 		c.inv.Tries = append(c.inv.Tries, t)
 	}()
 	if err != nil {
-		t.Lost = true // no entry host to send it to
+		t.Lost = true // there is no entry host to send it to
 		return retryPause, true
 	}
 	t.EntryHost = req.URL.Host
@@ -115,15 +117,16 @@
 		return 0, false
 	case err != nil || !c.ended:
 		t.Lost = true
-		// Asking anew after part of an answer would hide that it was cut.
+		// A new request after part of an answer would hide that it was truncated.
 		return 0, c.resumeToken != "" || len(c.text) == 0
 	}
 	t.Outcome = outcome.Completed
 	return 0, false
 }
 
-// readRefusal reads an error answer. A call that may not be repeated is sent
-// again under the same key: that asks what became of it, or runs it the first time.
+// readRefusal reads an error answer. A call that may not be repeated is sent again
+// under the same idempotency key, which returns its outcome or runs it for the
+// first time.
 func (c *caller) readRefusal(resp *http.Response, t *Try) (wait time.Duration, again bool) {
 	var e errorBody
 	err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(&e)
@@ -204,11 +207,11 @@
 func (c *caller) chatBody() []byte {
 	a := &c.inv.Arrival
 	body, _ := json.Marshal(chatRequest{Model: a.Source.Model, Messages: []chatMessage{{"user", c.prompt}},
-		MaxTokens: a.Tokens, Stream: a.Source.Kind == KindStream}) // strings and numbers always encode
+		MaxTokens: a.Tokens, Stream: a.Source.Kind == KindStream}) // encoding strings and numbers cannot fail
 	return body
 }
 
-// setVerdict settles the verdict and the outcome that the caller is left with.
+// setVerdict sets the verdict and the final outcome of the invocation.
 func (c *caller) setVerdict(ctx context.Context) {
 	v := c.inv
 	if n := len(v.Tries); n > 0 {
@@ -234,7 +237,8 @@
 	}
 }
 
-// serviceVerdict checks a service's answer against the call's mark and body.
+// serviceVerdict checks the answer of a service against the mark and body of the
+// call.
 func (c *caller) serviceVerdict() Verdict {
 	if !c.ended {
 		return VerdictNone
--- a/standin/load/demand.go
+++ b/standin/load/demand.go
@@ -1,9 +1,10 @@
-// Package load imitates callers of several teams. It is open loop: arrival
-// times are fixed in advance by a seed and demand curves, each request is
-// sent at its time whatever became of the earlier ones, and its latency
-// counts from the time at which it was meant to be sent, so that a slow system
-// can't hide its slowness by slowing down the load. Every answer is checked
-// to be whole and the caller's own, and every invocation is recorded.
+// Package load imitates the callers of several teams. It is an open-loop load
+// generator: arrival times are fixed in advance by a seed and demand curves, each
+// request is sent at its time whatever happened to the earlier ones, and its
+// latency is measured from the time at which it was due, so that a slow system
+// cannot hide its latency by slowing down the load (coordinated omission). Every
+// answer is checked to be complete and to belong to its call, and every invocation
+// is recorded.
 package load
 
 import (
@@ -19,24 +20,25 @@
 	"peridotpier.example/standin/answer"
 )
 
-// Kind is the way in which a source calls.
+// Kind is the kind of calls that a source sends.
 type Kind string
 
-// The kinds of call.
+// Kinds of calls.
 const (
-	KindStream       Kind = "stream"  // a generation, streamed
+	KindStream       Kind = "stream"  // a generation that is streamed
 	KindNonStreaming Kind = "whole"   // a generation in one answer
 	KindService      Kind = "service" // a service call that may be repeated
-	KindOnce         Kind = "once"    // a service call that may not: it carries an idempotency key
+	KindOnce         Kind = "once"    // a service call that may not be repeated: it carries an idempotency key
 )
 
-// Point is a demand at a time; between two points it changes evenly.
+// Point is the demand at one time. Between two points the demand is interpolated
+// linearly.
 type Point struct {
 	AtSeconds float64 `json:"at_s"`
 	PerSecond float64 `json:"per_second"`
 }
 
-// Burst multiplies demand for a while.
+// Burst multiplies the demand for a time.
 type Burst struct {
 	AtSeconds  float64 `json:"at_s"`
 	ForSeconds float64 `json:"for_s"`
@@ -49,7 +51,7 @@
 	Bursts []Burst `json:"bursts,omitempty"`
 }
 
-// At is the demand, in requests a second, at a time since the start.
+// At returns the demand, in requests per second, at a time since the start.
 func (c Curve) At(t time.Duration) float64 {
 	s, rate := t.Seconds(), 0.0
 	for i, p := range c.Points {
@@ -71,7 +73,7 @@
 	return rate
 }
 
-// maxRate bounds the demand from above.
+// maxRate returns an upper bound of the demand.
 func (c Curve) maxRate() float64 {
 	maxRate := 0.0
 	for _, p := range c.Points {
@@ -83,7 +85,7 @@
 	return maxRate
 }
 
-// Range is a size drawn evenly between two bounds.
+// Range is a size that is drawn uniformly between two bounds, both included.
 type Range struct {
 	Min int `json:"min"`
 	Max int `json:"max"`
@@ -96,31 +98,31 @@
 	return r.Min + rng.IntN(r.Max-r.Min+1)
 }
 
-// Source is one team's calls of one kind.
+// Source describes the calls of one team and kind.
 type Source struct {
 	Team        string
 	APIKey      string // API key
 	Kind        Kind
 	Class       class.Class
-	Deadline    time.Duration // for the whole answer
-	Model       string        // model or adapter; of generations
+	Deadline    time.Duration // for the complete answer
+	Model       string        // model or adapter, for generations
 	Tokens      Range
 	PromptBytes Range
-	Prefixes    int // how many different beginnings its prompts share; 0: none
+	Prefixes    int // number of different prefixes that its prompts share; 0: none
 	Service     string
 	Method      string
 	Path        string // below the service
 	Curve       Curve
 }
 
-// Arrival is one call and the time, since the start, at which it is sent.
+// Arrival is one call and the time at which it is due.
 type Arrival struct {
 	ID          string
-	Offset      time.Duration
+	Offset      time.Duration // since the start of the run
 	Source      *Source
 	Tokens      int
 	PromptBytes int
-	Prefix      int // from 1; 0: none
+	Prefix      int // number of the shared prefix, from 1; 0: none
 }
 
 // Plan draws all arrivals of a run. The same seed gives the same plan.
@@ -136,7 +138,8 @@
 	return plan
 }
 
-// arrivals thins a steady Poisson process at the highest rate down to the curve.
+// arrivals draws from a Poisson process at the maximum rate and thins it to the
+// curve.
 func (s *Source) arrivals(seed, index uint64, length time.Duration) []Arrival {
 	rng := rand.New(rand.NewPCG(seed, index*2+1))
 	maxRate := s.Curve.maxRate()
@@ -155,22 +158,22 @@
 		}
 		a := Arrival{Offset: at, Source: s, Tokens: max(s.Tokens.draw(rng), 1), PromptBytes: s.PromptBytes.draw(rng)}
 		if s.Prefixes > 0 {
-			a.Prefix = 1 + int(math.Floor(math.Pow(rng.Float64(), 2)*float64(s.Prefixes))) // some are far more common than others
+			a.Prefix = 1 + int(math.Floor(math.Pow(rng.Float64(), 2)*float64(s.Prefixes))) // low numbers are far more common
 		}
 		out = append(out, a)
 	}
 }
 
-// prefixBytes is the length of a shared beginning, that of a usual system prompt.
+// prefixBytes is the length of a shared prefix, that of a usual system prompt.
 const prefixBytes = 1024
 
-// Prompt is the text that the arrival's caller sends: a beginning that it may
-// share with others, its mark, and filling up to its size.
+// Prompt returns the text that the caller sends: a prefix that it may share with
+// others, its mark, and padding up to its size.
 func (a *Arrival) Prompt() string {
 	var b strings.Builder
 	if a.Prefix > 0 {
 		h := fnv.New32a()
-		_, _ = h.Write([]byte(a.Source.Team + "/" + a.Source.Model + "/" + strconv.Itoa(a.Prefix))) // a hash takes any write
+		_, _ = h.Write([]byte(a.Source.Team + "/" + a.Source.Model + "/" + strconv.Itoa(a.Prefix))) // writing to a hash cannot fail
 		unit := "rules " + strconv.FormatUint(uint64(h.Sum32()), 36) + ". "
 		for b.Len() < prefixBytes {
 			b.WriteString(unit)
--- a/standin/load/load_test.go
+++ b/standin/load/load_test.go
@@ -18,13 +18,13 @@
 	"peridotpier.example/standin/service"
 )
 
-// site is one engine and one service behind an entry host that does nothing
-// but translate the callers' interface into theirs.
+// site is one engine and one service behind an entry host that only translates the
+// callers' interface into theirs.
 type site struct {
 	e     *engine.Engine
 	s     *service.Service
 	entry *httptest.Server
-	// onService may stand in for the plain passing on of a service call.
+	// onService, when set, replaces the forwarding of a service call.
 	onService func(w http.ResponseWriter, r *http.Request, pass http.Handler)
 }
 
@@ -95,29 +95,30 @@
 	assert.Equal(t, c.Attainment, 1.0)
 }
 
-// turns names hosts in turn.
-type turns struct {
+// hostSequence returns its hosts one after the other, and the last one from then on.
+type hostSequence struct {
 	hosts []string
 	n     int
 }
 
 // Next implements load.Entries.
-func (e *turns) Next(string) (string, error) {
+func (e *hostSequence) Next(string) (string, error) {
 	h := e.hosts[min(e.n, len(e.hosts)-1)]
 	e.n++
 	return h, nil
 }
 
-// Symptom: a call counts as lost although its caller could still have asked.
-// Sequence: hosts die; the balancer names them for a while; the caller's tries
-// end there, the last of them too.
-// Cause: the caller counts its tries and leaves without a word.
+// Symptom: a call counts as lost although its caller could still have asked for
+// the outcome.
+// Sequence: hosts terminate; the balancer returns them for some time; all tries of
+// the caller fail there, including the last one.
+// Cause: the caller gives up after a number of tries although it has no outcome.
 func TestCallerRetriesUntilTheOutcomeIsKnown(t *testing.T) {
 	st := newSite(t)
 	dead := httptest.NewServer(http.NotFoundHandler())
 	address := dead.Listener.Addr().String()
 	dead.Close()
-	entries := &turns{}
+	entries := &hostSequence{}
 	for range 8 {
 		entries.hosts = append(entries.hosts, address)
 	}
@@ -129,9 +130,9 @@
 	assert.Equal(t, c.Completed, 1)
 }
 
-// Every stream's connection breaks after five events. The callers resume each
-// one as often as it takes, and the answers are whole; a caller that gives up
-// first has a cut answer, and nothing may count it as completed.
+// The connection of every stream breaks after ten events. The callers resume each
+// stream as often as necessary, and the answers are complete. A caller that runs
+// out of tries has a truncated answer, which must not count as completed.
 func TestBrokenStreamsAreResumedOrCountedAsTruncated(t *testing.T) {
 	st := newSite(t)
 	st.e.CutStreamsAfter(10)
@@ -144,7 +145,7 @@
 	assert.Equal(t, c.Truncated, c.Requests)
 }
 
-// An engine mixes up two answers: one caller gets text that belongs to another.
+// An engine swaps answers: a caller gets text that belongs to another one.
 func TestMismatchedAnswersAreDetected(t *testing.T) {
 	st := newSite(t)
 	st.e.MismatchAnswers(0.5)
@@ -153,9 +154,9 @@
 	assert.Equal(t, c.Mismatched+c.Completed, c.Requests)
 }
 
-// An entry host loses the answer to a call that may not be repeated and runs
-// it again under a new attempt. The caller sees one good answer; only the
-// service's own record shows that it ran twice.
+// An entry host loses the answer to a call that may not be repeated and runs it
+// again under a new attempt. The caller sees one correct answer; only the records
+// of the service show that the call ran twice.
 func TestDuplicatedCallIsDetected(t *testing.T) {
 	st := newSite(t)
 	st.onService = func(w http.ResponseWriter, r *http.Request, pass http.Handler) {
@@ -198,6 +199,6 @@
 			burst++
 		}
 	}
-	assert.Assert(t, len(plan) > 6000 && len(plan) < 7000, "%d", len(plan)) // 5500 of the slope and 1000 of the burst
+	assert.Assert(t, len(plan) > 6000 && len(plan) < 7000, "%d", len(plan)) // 5500 from the slope and 1000 from the burst
 	assert.Assert(t, burst > 950 && burst < 1300, "%d", burst)
 }
--- a/standin/load/omission_test.go
+++ b/standin/load/omission_test.go
@@ -17,7 +17,7 @@
 	"peridotpier.example/standin/load"
 )
 
-// pipes is a listener on which connections are made in memory.
+// pipes is a listener with connections in memory.
 type pipes struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -40,9 +40,9 @@
 	return near, nil
 }
 
-// An entry host stalls for two seconds. A generator that waits for answers
-// before it sends more would record one slow call; callers in truth went on
-// calling, and each call that was meant for the stall waited for its end.
+// An entry host stalls for two seconds. A generator that waits for answers before
+// it sends more would record one slow call, whereas real callers continue to call
+// and each call that is due during the stall waits for its end.
 func TestStallCountsInEveryCallThatWasDueDuringIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -74,9 +74,9 @@
 	})
 }
 
-// Callers lose patience with a stream. If its tokens still come, the system
-// did nothing wrong but be slow; if it went silent, the caller was cut off,
-// and counting it as impatience would hide the fault.
+// Callers give up on a stream. If its tokens were still coming, the system was
+// only slow; if it was idle, the answer was truncated, and counting the call as
+// abandoned would hide the fault.
 func TestAbandonedStreamIsTruncatedOnlyWhenItIsIdle(t *testing.T) {
 	for _, c := range []struct {
 		tokenTime time.Duration
--- a/standin/load/read.go
+++ b/standin/load/read.go
@@ -11,8 +11,8 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// read takes in a good answer: all of it, or the part of a stream that came
-// on this connection. A stream may end with an error of its own.
+// read reads a successful answer: all of it, or the part of a stream that this
+// connection delivers. A stream may end with an error event, which is returned.
 func (c *caller) read(resp *http.Response) (*problem, error) {
 	switch c.inv.Arrival.Source.Kind {
 	case KindStream:
@@ -51,7 +51,7 @@
 	if json.Unmarshal(body, &ch) == nil && len(ch.Choices) > 0 {
 		c.text = []byte(ch.Choices[0].Message.Content)
 	}
-	c.ended = true // it ended cleanly; judge tells whether it is whole
+	c.ended = true // the body ended without an error; setVerdict checks whether it is complete
 	return nil
 }
 
@@ -60,7 +60,7 @@
 	for {
 		line, err := in.ReadBytes('\n')
 		if err != nil {
-			return nil, err // a clean end without the end marker is a broken stream too
+			return nil, err // an end of the body without the end marker is a broken stream too
 		}
 		line = bytes.TrimRight(line, "\r\n")
 		if id, ok := bytes.CutPrefix(line, []byte("id: ")); ok {
@@ -69,7 +69,7 @@
 		}
 		data, ok := bytes.CutPrefix(line, []byte("data: "))
 		if !ok {
-			continue // keepalive, or the empty line between events
+			continue // a keepalive, or the empty line between events
 		}
 		if string(data) == engineapi.StreamEnd {
 			c.ended = true
@@ -82,7 +82,8 @@
 	}
 }
 
-// addEvent takes one event's data in; it returns the error that an event may carry.
+// addEvent adds the data of one event to the answer. It returns the error that an
+// event may carry.
 func (c *caller) addEvent(data []byte) *problem {
 	var ch chunk
 	if json.Unmarshal(data, &ch) != nil {
--- a/standin/load/record.go
+++ b/standin/load/record.go
@@ -6,16 +6,16 @@
 	"peridotpier.example/core/outcome"
 )
 
-// Verdict is what the check of an answer's content found.
+// Verdict is the result of the check of an answer.
 type Verdict string
 
-// The verdicts.
+// Verdicts of the check.
 const (
 	VerdictNone       Verdict = ""        // no answer to check
-	VerdictComplete   Verdict = "whole"   // all of it, and the caller's own
-	VerdictTruncated  Verdict = "cut"     // ended early without a word
+	VerdictComplete   Verdict = "whole"   // complete, and the answer to this call
+	VerdictTruncated  Verdict = "cut"     // ended early without an error
 	VerdictMismatched Verdict = "crossed" // not the answer to this call
-	VerdictAbandoned  Verdict = "left"    // still coming when the caller lost patience
+	VerdictAbandoned  Verdict = "left"    // the caller gave up while tokens were still coming
 )
 
 // Try is one request on the wire; an invocation may need several.
@@ -26,40 +26,40 @@
 	Status    int
 	Code      string
 	Outcome   outcome.Outcome
-	Lost      bool // the connection ended without a word on the outcome
-	Resumed   bool // went on with a stream that had broken off
+	Lost      bool // the connection ended without an outcome
+	Resumed   bool // continued a stream that had broken off
 }
 
-// Invocation is one call of a caller from its first try to its last word.
+// Invocation is one call of a caller, from its first try to its final outcome.
 type Invocation struct {
 	Arrival          Arrival
-	Key              string // idempotency key; "" when none
+	Key              string // idempotency key; "": none
 	Intended         time.Time
 	Started          time.Time
 	Returned         time.Time
 	Tries            []Try
 	Status           int
-	Code             string // of the error that it ended with
+	Code             string // of the error with which it ended
 	Outcome          outcome.Outcome
 	Verdict          Verdict
-	Digest           uint64        // of the answer's text
-	TimeToFirstToken time.Duration // to the first token, from Intended; 0: none came
-	Total            time.Duration // to the last byte, from Intended
-	Skipped          bool          // not sent: the generator was at its bound
+	Digest           uint64        // of the text of the answer
+	TimeToFirstToken time.Duration // from Intended; 0: no token came
+	Total            time.Duration // from Intended to the last byte
+	Skipped          bool          // not sent, because the generator was at its maximum of calls in flight
 	gaps             []time.Duration
 }
 
-// Lost says that the caller never got a word on what became of its call.
+// Lost reports whether the caller never received an outcome of its call.
 func (v *Invocation) Lost() bool {
 	return !v.Skipped && v.Verdict == VerdictNone && v.lastTryLost()
 }
 
-// MetDeadline says that the answer came whole and within the class's deadline.
+// MetDeadline reports whether the answer came complete and within the deadline.
 func (v *Invocation) MetDeadline() bool {
 	return v.Verdict == VerdictComplete && v.Total <= v.Arrival.Source.Deadline
 }
 
-// AllTriesNotRun says that the caller was told "not run" on every one of its tries.
+// AllTriesNotRun reports whether every try was answered with "not run".
 func (v *Invocation) AllTriesNotRun() bool {
 	for _, t := range v.Tries {
 		if t.Outcome != outcome.NotRun {
@@ -85,5 +85,5 @@
 	}
 }
 
-// lastTryLost says that the last try ended without a word on the outcome.
+// lastTryLost reports whether the last try ended without an outcome.
 func (v *Invocation) lastTryLost() bool { return len(v.Tries) > 0 && v.Tries[len(v.Tries)-1].Lost }
--- a/standin/load/result.go
+++ b/standin/load/result.go
@@ -13,14 +13,14 @@
 	"peridotpier.example/standin/service"
 )
 
-// Range and precision of the histograms, in microseconds.
+// Range, in microseconds, and precision of the histograms.
 const (
 	histMin    = 1
 	histMax    = int64(10 * time.Minute / time.Microsecond)
 	histDigits = 3
 )
 
-// Latency holds the times of one class, in microseconds.
+// Latency holds the latencies of one class, in microseconds.
 type Latency struct {
 	FirstToken *hdrhistogram.Histogram // to the first token
 	InterToken *hdrhistogram.Histogram // between tokens
@@ -36,7 +36,7 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), histMin), histMax)) // in range by construction
 }
 
-// Result is what the callers of a run saw.
+// Result is the outcome of a run as its callers saw it.
 type Result struct {
 	mu          sync.Mutex
 	Invocations []*Invocation
@@ -69,20 +69,20 @@
 	v.gaps = nil
 }
 
-// Quantiles of a latency, in milliseconds.
+// Quantiles holds quantiles of a latency, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
 }
 
-// QuantilesOf reads a histogram of microseconds.
+// QuantilesOf returns the quantiles of a histogram of microseconds.
 func QuantilesOf(h *hdrhistogram.Histogram) Quantiles {
 	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return Quantiles{ms(50), ms(95), ms(99)}
 }
 
-// ClassCounts are the figures of one class.
+// ClassCounts holds the figures of one class.
 type ClassCounts struct {
 	Requests     int       `json:"requests"`
 	Met          int       `json:"met"`
@@ -92,7 +92,8 @@
 	TotalMs      Quantiles `json:"total_ms"`
 }
 
-// Counts are the figures of a run, from callers' and stand-ins' records alone.
+// Counts holds the figures of a run, computed only from the records of callers and
+// stand-ins.
 type Counts struct {
 	Requests     int                    `json:"requests"`
 	Completed    int                    `json:"completed"`
@@ -103,16 +104,16 @@
 	Truncated    int                    `json:"cut"`
 	Mismatched   int                    `json:"crossed"`
 	FalseNotRun  int                    `json:"not_run_but_ran"`
-	Abandoned    int                    `json:"left"`    // the caller lost patience while the answer was still coming
-	Skipped      int                    `json:"skipped"` // not sent, the generator was at its bound; counts as not met
+	Abandoned    int                    `json:"left"`    // the caller gave up while the answer was still coming
+	Skipped      int                    `json:"skipped"` // not sent, because the generator was at its maximum; counts as a missed deadline
 	Retries      int                    `json:"retries"`
 	Attainment   float64                `json:"attainment"`
 	FirstTokenMs Quantiles              `json:"first_token_ms"`
 	ByClass      map[string]ClassCounts `json:"by_class"`
-	Missed       map[string]int         `json:"missed"` // requests that were not met, by class and how they ended
+	Missed       map[string]int         `json:"missed"` // requests that did not meet their deadline, by class and how they ended
 }
 
-// Effect is one execution as an upstream stand-in recorded it.
+// Effect is one execution as the stand-in of an upstream recorded it.
 type Effect struct {
 	Invocation string
 	Team       string
@@ -121,11 +122,11 @@
 	Upstream   string
 	Start      time.Time
 	End        time.Time // zero: not ended, or not completed
-	Once       bool      // of a plain service
-	Answer     uint64    // of a plain service: the answer's digest, to compare with Invocation.Digest
+	Once       bool      // at a plain service
+	Answer     uint64    // at a plain service: the digest of the answer, to compare with Invocation.Digest
 }
 
-// EngineEffects are the generations that an engine began to compute.
+// EngineEffects returns the generations that an engine began to compute.
 func EngineEffects(name string, rec engine.Records) []Effect {
 	var out []Effect
 	for _, x := range rec.Executions {
@@ -141,7 +142,7 @@
 	return out
 }
 
-// ServiceEffects are the calls that a plain service executed.
+// ServiceEffects returns the calls that a plain service executed.
 func ServiceEffects(name string, rec []service.Execution) []Effect {
 	var out []Effect
 	for _, x := range rec {
@@ -151,7 +152,7 @@
 	return out
 }
 
-// Count joins the callers' records with the upstreams'.
+// Count joins the records of the callers with those of the upstreams.
 func (r *Result) Count(effects []Effect) Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/standin/load/run.go
+++ b/standin/load/run.go
@@ -12,20 +12,20 @@
 
 // EntryBalancer is the platform's balancer as callers see it.
 type EntryBalancer interface {
-	// Next names an entry host, another than last where there is one.
+	// Next returns an entry host, which differs from last if there is another one.
 	Next(last string) (string, error)
 }
 
-// ErrNoEntryHost says that the balancer knows no entry host.
+// ErrNoEntryHost reports that the balancer has no entry host.
 var ErrNoEntryHost = errors.New("no entry host in the balancer")
 
-// Balancer hands out entry hosts in turn.
+// Balancer returns its entry hosts in rotation.
 type Balancer struct {
 	hosts   atomic.Pointer[[]string]
 	counter atomic.Uint64
 }
 
-// NewBalancer makes a balancer over hosts.
+// NewBalancer returns a balancer over hosts.
 func NewBalancer(hosts ...string) *Balancer {
 	b := &Balancer{}
 	b.Set(hosts...)
@@ -35,7 +35,7 @@
 // Set replaces the hosts.
 func (b *Balancer) Set(hosts ...string) { b.hosts.Store(&hosts) }
 
-// Next implements Entries.
+// Next implements EntryBalancer.
 func (b *Balancer) Next(last string) (string, error) {
 	hosts := *b.hosts.Load()
 	if len(hosts) == 0 {
@@ -49,24 +49,24 @@
 	return host, nil
 }
 
-// Defaults of a Config.
+// Default values of a Config, and a bound.
 const (
 	defaultMaxInFlight    = 20000
 	defaultMaxOverdueWait = 10 * time.Second
 	idlePerHost           = 256
 )
 
-// Config describes a run.
+// Config holds the settings of a run.
 type Config struct {
 	Plan           []Arrival
 	Entries        EntryBalancer
-	Dial           func(ctx context.Context, network, address string) (net.Conn, error) // nil: plain; else adds distance
-	MaxInFlight    int                                                                  // invocations at once at most; more are recorded as skipped
-	MaxOverdueWait time.Duration                                                        // after its deadline a caller waits that long for a word
-	Progress       func(Progress)                                                       // called about once a second; nil: not
+	Dial           func(ctx context.Context, network, address string) (net.Conn, error) // nil: the default dialer; wire.Dialer adds delays
+	MaxInFlight    int                                                                  // invocations at once; more are recorded as skipped
+	MaxOverdueWait time.Duration                                                        // how long a caller waits for an outcome after its deadline
+	Progress       func(Progress)                                                       // called about once a second; nil: not called
 }
 
-// Progress is where a run stands.
+// Progress is the state of a run.
 type Progress struct {
 	Elapsed     time.Duration
 	Sent        int
@@ -74,8 +74,8 @@
 	MetDeadline int
 }
 
-// Run sends the plan and returns when every invocation has had its last word
-// or ctx ended.
+// Run sends the calls of the plan and returns when every invocation has its final
+// outcome or ctx has ended.
 func Run(ctx context.Context, cfg Config) *Result {
 	if cfg.MaxInFlight == 0 {
 		cfg.MaxInFlight = defaultMaxInFlight
@@ -133,7 +133,7 @@
 	c.run(ctx)
 	r.inFlight.Add(-1)
 	if run.Err() != nil && v.Verdict != VerdictComplete {
-		return // the callers were called off; that is nobody's fault and no measurement
+		return // the run was ended: an invocation that it interrupted is no measurement
 	}
 	r.finished.Add(1)
 	if v.MetDeadline() {
