--- a/standin/history/history.go
+++ b/standin/history/history.go
@@ -1,6 +1,6 @@
-// Package history records what callers asked and were told, and what
-// upstreams executed, each on its own side, and checks the two against each
-// other: a request that may not be repeated is a register that is written at
+// Package history records what callers requested and received, and what upstreams
+// executed, each from its own side, and checks the two against each other: a
+// request that may not be repeated is modelled as a register that is written at
 // most once.
 package history
 
@@ -17,20 +17,20 @@
 
 // Invocation is one request as its caller saw it.
 type Invocation struct {
-	ID         string // unique to the invocation
+	ID         string // unique
 	Key        string // idempotency key with its team; "": the request may be repeated
 	Start      int64  // of the history's clock
 	End        int64
 	Outcome    outcome.Outcome
 	Answer     string // of a completed one: its bytes or their hash
 	Unanswered bool   // no answer came
-	CallerGone bool   // the caller left, or was told by a broken connection; no answer was due
-	InProgress bool   // told that another is in progress
+	CallerGone bool   // the caller left or its connection broke; no answer was due
+	InProgress bool   // the answer was that another request with the key is in progress
 }
 
-// Execution is one attempt as its upstream carried it out, in part or in whole.
+// Execution is one attempt as its upstream executed it, in part or completely.
 type Execution struct {
-	InvocationID string // the invocation it was for, if the upstream can tell
+	InvocationID string // "": the upstream cannot determine it
 	Key          string
 	Attempt      string
 	Start        int64
@@ -38,7 +38,7 @@
 	Answer       string
 }
 
-// History collects both sides. It is safe for use by many goroutines.
+// History collects the records of both sides. It is safe for concurrent use.
 type History struct {
 	clock atomic.Int64
 	mu    sync.Mutex
@@ -47,11 +47,11 @@
 	execs []*Execution
 }
 
-// New makes an empty history.
+// New returns an empty history.
 func New() *History { return &History{calls: map[string]*Invocation{}} }
 
-// Now advances and reads the history's clock, which orders events and
-// measures nothing.
+// Now advances the logical clock of the history and returns it. The clock orders
+// events and does not measure time.
 func (h *History) Now() int64 { return h.clock.Add(1) }
 
 // Invoke records that a caller sends a request.
@@ -63,17 +63,18 @@
 	h.order = append(h.order, inv)
 }
 
-// Answered records what the caller was told.
+// Answered records the outcome and answer that the caller received.
 func (h *History) Answered(call string, o outcome.Outcome, answer string) {
 	h.setEnd(call, func(i *Invocation) { i.Outcome, i.Answer, i.Unanswered = o, answer, false })
 }
 
-// AnsweredInProgress records that the caller was told to come back.
+// AnsweredInProgress records the answer that another request with the key is in
+// progress.
 func (h *History) AnsweredInProgress(call string) {
 	h.setEnd(call, func(i *Invocation) { i.InProgress, i.Unanswered = true, false })
 }
 
-// CallerLeft records that the caller is gone, or that its connection broke.
+// CallerLeft records that the caller left or that its connection broke.
 func (h *History) CallerLeft(call string) {
 	h.setEnd(call, func(i *Invocation) { i.CallerGone = true })
 }
@@ -95,29 +96,29 @@
 	return &e
 }
 
-// Finish records that it ended with an answer.
+// Finish records that an execution ended with an answer.
 func (h *History) Finish(e *Execution, answer string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	e.End, e.Answer = h.Now(), answer
 }
 
-// Counts are plain counts over a history, for reports.
+// Counts holds counts over a history, for reports.
 type Counts struct {
 	Requests        int `json:"requests"`
 	Completed       int `json:"completed"`
 	NotRun          int `json:"not_run"`
 	Unknown         int `json:"unknown"`
 	InProgress      int `json:"in_progress"`
-	Lost            int `json:"lost"`       // no answer, and the caller was there
-	Duplicated      int `json:"doubled"`    // executions of a key beyond its first
-	Truncated       int `json:"cut"`        // told completed with a beginning of the true answer only
-	Mismatched      int `json:"crossed"`    // told completed with an answer that no execution for it gave
-	FalseNotRun     int `json:"false_no"`   // told not run, and an upstream ran that very invocation
-	FalseInProgress int `json:"false_busy"` // told in progress after every other invocation had ended as not run
+	Lost            int `json:"lost"`       // no answer, although the caller had not left
+	Duplicated      int `json:"doubled"`    // executions of a key after the first
+	Truncated       int `json:"cut"`        // answered completed with only a beginning of the true answer
+	Mismatched      int `json:"crossed"`    // answered completed with an answer that no execution of it gave
+	FalseNotRun     int `json:"false_no"`   // answered not run although an upstream ran this invocation
+	FalseInProgress int `json:"false_busy"` // answered in progress after every other invocation had ended as not run
 }
 
-// Count counts.
+// Count returns the counts of the history.
 func (h *History) Count() Counts {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -172,6 +173,8 @@
 	}
 }
 
+// addMismatch counts an answer that differs from those of all its executions as
+// truncated or mismatched.
 func (c *Counts) addMismatch(i *Invocation, sources []*Execution) {
 	cut := false
 	for _, e := range sources {
@@ -187,7 +190,8 @@
 	}
 }
 
-// falseBusy: nobody can have been at it.
+// isFalseInProgress reports whether no other invocation with the key can have been
+// in progress.
 func (h *History) isFalseInProgress(i *Invocation) bool {
 	for _, o := range h.order {
 		if o == i || o.Key != i.Key || o.Start > i.End {
@@ -201,8 +205,8 @@
 	return true
 }
 
-// Check verifies each key's history against the register. The error names
-// the first key that cannot be explained.
+// Check verifies the history of each key against the register model. The error
+// names a key whose history cannot be explained.
 func Check(h *History) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -231,8 +235,8 @@
 	return nil
 }
 
-// FromRecords makes a history of calls and executions that were recorded elsewhere, all
-// by one clock.
+// FromRecords returns a history of calls and executions that were recorded
+// elsewhere, all by the same clock.
 func FromRecords(calls []Invocation, runs []Execution) *History {
 	h := New()
 	for i := range calls {
--- a/standin/history/register.go
+++ b/standin/history/register.go
@@ -9,34 +9,34 @@
 	"peridotpier.example/core/outcome"
 )
 
-// unended is the end of what did not end.
+// unended is the end time of an event that did not end.
 const unended = math.MaxInt64
 
 type kind uint8
 
 const (
 	ran       kind = iota // an upstream executed it
-	completed             // a caller was told the answer
-	notRun                // a caller was told that its invocation did not run
+	completed             // a caller was answered with its result
+	notRun                // a caller was answered that its invocation did not run
 )
 
 type event struct {
-	kind kind
-	call string
+	kind         kind
+	invocationID string
 }
 
 // state of the register: empty, or written once.
 type state struct {
 	written bool
-	writer  string // the invocation, if known
+	writer  string // invocation that wrote it; "": unknown
 	answer  string
-	notRun  string // invocations that were told not run, each between separators
+	notRun  string // invocations that were answered not run, each between separators
 }
 
 const separator = "\x00"
 
-// answerOperation is what an invocation's answer claims; unknown and in progress claim
-// nothing.
+// answerOperation returns what the answer to an invocation asserts. It returns
+// false for answers that assert nothing, such as unknown and in progress.
 func answerOperation(i *Invocation) (porcupine.Operation, bool) {
 	op := porcupine.Operation{Call: i.Start, Return: i.End, Output: i.Answer}
 	switch {
@@ -52,8 +52,9 @@
 	return op, true
 }
 
-// register is written at most once; after it was written callers may be told
-// its answer and no other; an invocation that was told "not run" never writes.
+// register is the register model: it is written at most once; after it was written
+// callers may receive its answer and no other; an invocation that was answered
+// "not run" never writes.
 var register = porcupine.Model{
 	Init: func() any { return state{} },
 	Step: func(s, in, out any) (bool, any) { return step(s.(state), in.(event), out.(string)) },
@@ -62,17 +63,17 @@
 func step(s state, e event, answer string) (bool, any) {
 	switch e.kind {
 	case ran:
-		if s.written || (e.call != "" && strings.Contains(s.notRun, separator+e.call+separator)) {
+		if s.written || (e.invocationID != "" && strings.Contains(s.notRun, separator+e.invocationID+separator)) {
 			return false, s
 		}
-		s.written, s.writer, s.answer = true, e.call, answer
+		s.written, s.writer, s.answer = true, e.invocationID, answer
 	case completed:
 		return s.written && s.answer == answer, s
 	case notRun:
-		if s.written && s.writer != "" && s.writer == e.call {
+		if s.written && s.writer != "" && s.writer == e.invocationID {
 			return false, s
 		}
-		s.notRun += separator + e.call + separator
+		s.notRun += separator + e.invocationID + separator
 	}
 	return true, s
 }
--- a/standin/pki/files.go
+++ b/standin/pki/files.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Files are files in memory; *Files implements keys.Files.
+// Files is a set of files in memory. *Files implements keys.Files.
 type Files struct {
 	mu    sync.Mutex
 	files map[string]file
@@ -17,10 +17,10 @@
 	version int
 }
 
-// NewFiles makes an empty set.
+// NewFiles returns an empty set.
 func NewFiles() *Files { return &Files{files: map[string]file{}} }
 
-// Put writes a file.
+// Put writes a file and gives it a new version.
 func (f *Files) Put(name string, data []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/standin/pki/pki.go
+++ b/standin/pki/pki.go
@@ -1,5 +1,5 @@
-// Package pki makes an authority, certificates and secrets in memory, for the
-// demo and for tests. Nothing of it outlives the process.
+// Package pki makes a certificate authority, certificates and secrets in memory,
+// for the demo and for tests. They exist only in the memory of the process.
 package pki
 
 import (
@@ -17,19 +17,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// validity of what is made, and how far it begins in the past, for clocks that differ.
+// Validity of certificates, and how far it begins in the past, to allow for clocks
+// that differ.
 const (
 	validity   = 30 * 24 * time.Hour
 	backdating = time.Hour
 )
 
-// Authority signs certificates.
+// Authority is a certificate authority.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// New makes an authority of its own.
+// New returns an authority with a new key and a self-signed certificate.
 func New(name string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -52,30 +53,30 @@
 		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
 }
 
-// PEM is the authority's certificate.
+// PEM returns the authority's certificate in PEM.
 func (a *Authority) PEM() []byte { return encodePEM("CERTIFICATE", a.cert.Raw) }
 
-// CertPool trusts this authority alone.
+// CertPool returns a pool that trusts only this authority.
 func (a *Authority) CertPool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(a.cert)
 	return p
 }
 
-// CertificateOption alters a certificate before it is signed.
+// CertificateOption changes a certificate before it is signed.
 type CertificateOption func(*x509.Certificate)
 
-// WithExpiredValidity lets a certificate's time be over.
+// WithExpiredValidity makes a certificate that has expired.
 func WithExpiredValidity(c *x509.Certificate) {
 	c.NotBefore, c.NotAfter = c.NotBefore.Add(-validity), c.NotBefore
 }
 
-// WithIPAddress names an IP number in the certificate.
+// WithIPAddress adds an IP address to the certificate.
 func WithIPAddress(ip string) CertificateOption {
 	return func(c *x509.Certificate) { c.IPAddresses = append(c.IPAddresses, net.ParseIP(ip)) }
 }
 
-// Issue makes a key and signs its certificate; both in PEM.
+// Issue makes a key and signs a certificate for it. Both are returned in PEM.
 func (a *Authority) Issue(name string, changes ...CertificateOption) (certificate, key []byte, err error) {
 	own, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -93,7 +94,7 @@
 	return encodePEM("CERTIFICATE", der), encodePEM("PRIVATE KEY", raw), eris.Wrap(err, "encode a key")
 }
 
-// KeyPair is Issue's result in the form that a dialler needs.
+// KeyPair returns the result of Issue in the form that a dialler needs.
 func (a *Authority) KeyPair(name string, changes ...CertificateOption) (tls.Certificate, error) {
 	c, k, err := a.Issue(name, changes...)
 	if err != nil {
