--- a/standin/answer/answer.go
+++ b/standin/answer/answer.go
@@ -17,7 +17,7 @@
 var (
 	// ErrTruncated reports that the text is a true beginning of the answer, but
 	// not all of it.
-	ErrTruncated = errors.New("answer is cut off")
+	ErrTruncated = errors.New("answer is truncated")
 	// ErrMismatched reports that the text is no part of the answer to this prompt.
 	ErrMismatched = errors.New("answer belongs to another prompt")
 )
--- a/standin/engine/attempt.go
+++ b/standin/engine/attempt.go
@@ -50,7 +50,7 @@
 	chat           bool
 	stream         bool
 	prefix         uint64
-	promptTokens   int // tokens
+	promptTokens   int
 	team           string
 	invocation     string
 	forIncarnation string // incarnation that it is meant for; "": any
--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -23,10 +23,10 @@
 // Weights is the admission of loads by the weight store, as node/store describes
 // it.
 type Weights interface {
-	// AcquireLoad requests a permit for a load. It returns how long to wait before
-	// the next request; 0: the permit is granted.
+	// AcquireLoad requests admission for a load. It returns how long to wait
+	// before the next request; 0: the load is admitted.
 	AcquireLoad(ctx context.Context, load string) (wait time.Duration, err error)
-	// ReleaseLoad returns the permit.
+	// ReleaseLoad ends the admission of a load.
 	ReleaseLoad(ctx context.Context, load string) error
 }
 
@@ -38,7 +38,7 @@
 
 	MemoryMB    int     // 0: no limit
 	MBPerSecond int     // rate at which weights are loaded; 0: at once
-	Weights     Weights // nil: loads need no permit
+	Weights     Weights // nil: loads need no admission
 	UnloadTime  time.Duration
 	Fencing     config.Fencing
 
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -62,7 +62,7 @@
 func New(cfg Config) (*Engine, error) {
 	cfg = cfg.withDefaults()
 	if cfg.Name == "" {
-		return nil, errors.New("engine: no name")
+		return nil, errors.New("engine: Config.Name is empty")
 	}
 	e := &Engine{cfg: cfg, wake: make(chan struct{}, 1), rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed+1))}
 	e.ctx, e.cancelCtx = context.WithCancel(context.Background())
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -19,9 +19,9 @@
 	reasonUnknownModel     = "unknown_model"
 )
 
-// permitRetry is the time between requests after the weight store failed to
+// admissionRetry is the time between requests after the weight store failed to
 // answer.
-const permitRetry = 100 * time.Millisecond
+const admissionRetry = 100 * time.Millisecond
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o engineapi.Order
@@ -98,11 +98,11 @@
 	e.spawn(func() { e.load(r, incarnationEnded) })
 }
 
-// load waits for the permit of the weight store, then for the weights.
+// load waits for the admission by the weight store, then for the weights.
 func (e *Engine) load(r *resident, incarnationEnded chan struct{}) {
 	if e.cfg.Weights != nil {
-		defer func() { _ = e.cfg.Weights.ReleaseLoad(context.Background(), r.loadName) }() // when the call is lost, the permit expires at the store
-		if !e.awaitLoadPermit(r.loadName, incarnationEnded) {
+		defer func() { _ = e.cfg.Weights.ReleaseLoad(context.Background(), r.loadName) }() // when the call is lost, the admission expires at the store
+		if !e.awaitAdmission(r.loadName, incarnationEnded) {
 			return
 		}
 	}
@@ -119,12 +119,12 @@
 	}
 }
 
-func (e *Engine) awaitLoadPermit(load string, incarnationEnded chan struct{}) bool {
+func (e *Engine) awaitAdmission(load string, incarnationEnded chan struct{}) bool {
 	for {
 		wait, err := e.cfg.Weights.AcquireLoad(e.ctx, load)
 		switch {
 		case err != nil:
-			wait = permitRetry
+			wait = admissionRetry
 		case wait <= 0:
 			return true
 		}
--- a/standin/engine/orders_test.go
+++ b/standin/engine/orders_test.go
@@ -126,7 +126,7 @@
 
 func (g *grants) ReleaseLoad(context.Context, string) error { g.open = ""; return nil }
 
-func TestLoadTakesItsTimeAfterTheGrant(t *testing.T) {
+func TestLoadTakesItsTimeAfterAdmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Config{MemoryMB: 100, MBPerSecond: 10, Weights: &grants{open: "other"}})
 		defer e.Close()
--- a/standin/history/history.go
+++ b/standin/history/history.go
@@ -229,7 +229,7 @@
 	}
 	for key, o := range ops {
 		if !porcupine.CheckOperations(register, o) {
-			return fmt.Errorf("key %s: no order of its %d events explains what callers were told", key, len(o))
+			return fmt.Errorf("key %s: no order of its %d events explains the answers that callers received", key, len(o))
 		}
 	}
 	return nil
--- a/standin/load/read.go
+++ b/standin/load/read.go
@@ -21,7 +21,7 @@
 		}
 		return c.readStream(resp.Body)
 	case KindNonStreaming:
-		return nil, c.readWhole(resp.Body)
+		return nil, c.readNonStreaming(resp.Body)
 	default:
 		body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 		if err != nil {
@@ -41,7 +41,7 @@
 	errorBody
 }
 
-func (c *caller) readWhole(r io.Reader) error {
+func (c *caller) readNonStreaming(r io.Reader) error {
 	body, err := io.ReadAll(io.LimitReader(r, maxAnswerBytes))
 	if err != nil {
 		return err
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -56,7 +56,7 @@
 	// OnExecution, when set, is called with each execution as it begins, and the
 	// function that it returns is called with its answer. Neither may call the
 	// service.
-	OnExecution func(Execution) (ended func(answer []byte))
+	OnExecution func(Execution) (onAnswer func(answer []byte))
 }
 
 // Execution is one call that took effect or was interrupted by the end of the
@@ -106,7 +106,7 @@
 // New returns a service that does not listen yet.
 func New(cfg Config) (*Service, error) {
 	if cfg.Name == "" {
-		return nil, errors.New("service: no name")
+		return nil, errors.New("service: Config.Name is empty")
 	}
 	if cfg.Listen == "" {
 		cfg.Listen = "127.0.0.1:0"
--- a/standin/wire/dialer.go
+++ b/standin/wire/dialer.go
@@ -113,7 +113,7 @@
 // connection.
 func (d *delayedConn) receive() error {
 	for {
-		timer, moved := d.deadlineTimer()
+		timer, changed := d.deadlineTimer()
 		select {
 		case d.current = <-d.chunks:
 			timer.Stop()
@@ -121,7 +121,7 @@
 		case <-d.closed:
 			timer.Stop()
 			return net.ErrClosed
-		case <-moved:
+		case <-changed:
 			timer.Stop()
 		case <-timer.C:
 			return os.ErrDeadlineExceeded
