--- a/standin/history/history_test.go
+++ b/standin/history/history_test.go
@@ -42,11 +42,11 @@
 			h.Answered("c1", outcome.NotRun, "")
 			h.Begin(Execution{InvocationID: "c1", Key: "k", Attempt: "late"})
 		}, false, Counts{Requests: 1, NotRun: 1, FalseNotRun: 1}},
-		{"another's answer", func(h *History) {
+		{"mismatched answer", func(h *History) {
 			run(h, "c1", "k", "abc")
 			h.Answered("c1", outcome.Completed, "xyz")
 		}, false, Counts{Requests: 1, Completed: 1, Mismatched: 1}},
-		{"half an answer", func(h *History) {
+		{"truncated answer", func(h *History) {
 			run(h, "c1", "k", "abc")
 			h.Answered("c1", outcome.Completed, "ab")
 		}, false, Counts{Requests: 1, Completed: 1, Truncated: 1}},
@@ -61,7 +61,7 @@
 			h.Invoke("c2", "k")
 			h.CallerLeft("c2")
 		}, true, Counts{Requests: 2, Unknown: 1}},
-		{"in progress while nobody is at it", func(h *History) {
+		{"in progress while no other invocation can run", func(h *History) {
 			h.Invoke("c1", "k")
 			h.Answered("c1", outcome.NotRun, "")
 			h.Invoke("c2", "k")
