--- a/standin/load/load_test.go
+++ b/standin/load/load_test.go
@@ -18,13 +18,13 @@
 	"peridotpier.example/standin/service"
 )
 
-// site is one engine and one service behind an entry host that does nothing
-// but translate the callers' interface into theirs.
+// site is one engine and one service behind an entry host that only translates the
+// callers' interface into theirs.
 type site struct {
 	e     *engine.Engine
 	s     *service.Service
 	entry *httptest.Server
-	// onService may stand in for the plain passing on of a service call.
+	// onService, when set, replaces the forwarding of a service call.
 	onService func(w http.ResponseWriter, r *http.Request, pass http.Handler)
 }
 
@@ -89,35 +89,36 @@
 	return c
 }
 
-func TestHealthyRunIsWhole(t *testing.T) {
+func TestHealthyRunCompletesAllRequests(t *testing.T) {
 	c := newSite(t).run(t, source(load.KindStream), source(load.KindNonStreaming), source(load.KindService), source(load.KindOnce))
 	assert.Equal(t, c.Completed, c.Requests)
 	assert.Equal(t, c.Attainment, 1.0)
 }
 
-// turns names hosts in turn.
-type turns struct {
+// hostSequence returns its hosts one after the other, and the last one from then on.
+type hostSequence struct {
 	hosts []string
 	n     int
 }
 
 // Next implements load.Entries.
-func (e *turns) Next(string) (string, error) {
+func (e *hostSequence) Next(string) (string, error) {
 	h := e.hosts[min(e.n, len(e.hosts)-1)]
 	e.n++
 	return h, nil
 }
 
-// Symptom: a call counts as lost although its caller could still have asked.
-// Sequence: hosts die; the balancer names them for a while; the caller's tries
-// end there, the last of them too.
-// Cause: the caller counts its tries and leaves without a word.
-func TestACallerAsksUntilItHasAWord(t *testing.T) {
+// Symptom: a call counts as lost although its caller could still have asked for
+// the outcome.
+// Sequence: hosts terminate; the balancer returns them for some time; all tries of
+// the caller fail there, including the last one.
+// Cause: the caller gives up after a number of tries although it has no outcome.
+func TestCallerRetriesUntilTheOutcomeIsKnown(t *testing.T) {
 	st := newSite(t)
 	dead := httptest.NewServer(http.NotFoundHandler())
 	address := dead.Listener.Addr().String()
 	dead.Close()
-	entries := &turns{}
+	entries := &hostSequence{}
 	for range 8 {
 		entries.hosts = append(entries.hosts, address)
 	}
@@ -129,10 +130,10 @@
 	assert.Equal(t, c.Completed, 1)
 }
 
-// Every stream's connection breaks after five events. The callers resume each
-// one as often as it takes, and the answers are whole; a caller that gives up
-// first has a cut answer, and nothing may count it as completed.
-func TestBrokenStreamsAreResumedOrCut(t *testing.T) {
+// The connection of every stream breaks after ten events. The callers resume each
+// stream as often as necessary, and the answers are complete. A caller that runs
+// out of tries has a truncated answer, which must not count as completed.
+func TestBrokenStreamsAreResumedOrCountedAsTruncated(t *testing.T) {
 	st := newSite(t)
 	st.e.CutStreamsAfter(10)
 	short := source(load.KindStream)
@@ -144,8 +145,8 @@
 	assert.Equal(t, c.Truncated, c.Requests)
 }
 
-// An engine mixes up two answers: one caller gets text that belongs to another.
-func TestCrossedAnswersAreSeen(t *testing.T) {
+// An engine swaps answers: a caller gets text that belongs to another one.
+func TestMismatchedAnswersAreDetected(t *testing.T) {
 	st := newSite(t)
 	st.e.MismatchAnswers(0.5)
 	c := st.run(t, source(load.KindStream), source(load.KindNonStreaming))
@@ -153,10 +154,10 @@
 	assert.Equal(t, c.Mismatched+c.Completed, c.Requests)
 }
 
-// An entry host loses the answer to a call that may not be repeated and runs
-// it again under a new attempt. The caller sees one good answer; only the
-// service's own record shows that it ran twice.
-func TestDoubledCallIsSeen(t *testing.T) {
+// An entry host loses the answer to a call that may not be repeated and runs it
+// again under a new attempt. The caller sees one correct answer; only the records
+// of the service show that the call ran twice.
+func TestDuplicatedCallIsDetected(t *testing.T) {
 	st := newSite(t)
 	st.onService = func(w http.ResponseWriter, r *http.Request, pass http.Handler) {
 		body, _ := io.ReadAll(r.Body)
@@ -172,7 +173,7 @@
 }
 
 // An entry host answers "not run" although the call ran.
-func TestFalseNotRunIsSeen(t *testing.T) {
+func TestFalseNotRunIsDetected(t *testing.T) {
 	st := newSite(t)
 	st.onService = func(w http.ResponseWriter, r *http.Request, pass http.Handler) {
 		pass.ServeHTTP(httptest.NewRecorder(), r)
@@ -198,6 +199,6 @@
 			burst++
 		}
 	}
-	assert.Assert(t, len(plan) > 6000 && len(plan) < 7000, "%d", len(plan)) // 5500 of the slope and 1000 of the burst
+	assert.Assert(t, len(plan) > 6000 && len(plan) < 7000, "%d", len(plan)) // 5500 from the slope and 1000 from the burst
 	assert.Assert(t, burst > 950 && burst < 1300, "%d", burst)
 }
--- a/standin/load/read.go
+++ b/standin/load/read.go
@@ -11,24 +11,24 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// read takes in a good answer: all of it, or the part of a stream that came
-// on this connection. A stream may end with an error of its own.
+// read reads a successful answer: all of it, or the part of a stream that this
+// connection delivers. A stream may end with an error event, which is returned.
 func (c *caller) read(resp *http.Response) (*problem, error) {
 	switch c.inv.Arrival.Source.Kind {
 	case KindStream:
 		if t := resp.Header.Get(headerResume); t != "" {
-			c.token = t
+			c.resumeToken = t
 		}
 		return c.readStream(resp.Body)
 	case KindNonStreaming:
-		return nil, c.readWhole(resp.Body)
+		return nil, c.readNonStreaming(resp.Body)
 	default:
-		body, err := io.ReadAll(io.LimitReader(resp.Body, answerMax))
+		body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 		if err != nil {
 			return nil, err
 		}
-		c.firstToken()
-		c.text, c.done = body, true
+		c.recordFirstToken()
+		c.text, c.ended = body, true
 		return nil, nil
 	}
 }
@@ -41,17 +41,17 @@
 	errorBody
 }
 
-func (c *caller) readWhole(r io.Reader) error {
-	body, err := io.ReadAll(io.LimitReader(r, answerMax))
+func (c *caller) readNonStreaming(r io.Reader) error {
+	body, err := io.ReadAll(io.LimitReader(r, maxAnswerBytes))
 	if err != nil {
 		return err
 	}
-	c.firstToken()
+	c.recordFirstToken()
 	var ch chunk
 	if json.Unmarshal(body, &ch) == nil && len(ch.Choices) > 0 {
 		c.text = []byte(ch.Choices[0].Message.Content)
 	}
-	c.done = true // it ended cleanly; judge tells whether it is whole
+	c.ended = true // the body ended without an error; setVerdict checks whether it is complete
 	return nil
 }
 
@@ -60,30 +60,31 @@
 	for {
 		line, err := in.ReadBytes('\n')
 		if err != nil {
-			return nil, err // a clean end without the end marker is a broken stream too
+			return nil, err // an end of the body without the end marker is a broken stream too
 		}
 		line = bytes.TrimRight(line, "\r\n")
 		if id, ok := bytes.CutPrefix(line, []byte("id: ")); ok {
-			c.last = string(id)
+			c.lastEventID = string(id)
 			continue
 		}
 		data, ok := bytes.CutPrefix(line, []byte("data: "))
 		if !ok {
-			continue // keepalive, or the empty line between events
+			continue // a keepalive, or the empty line between events
 		}
 		if string(data) == engineapi.StreamEnd {
-			c.done = true
+			c.ended = true
 			_, err := io.Copy(io.Discard, in)
 			return nil, err
 		}
-		if p := c.event(data); p != nil {
+		if p := c.addEvent(data); p != nil {
 			return p, nil
 		}
 	}
 }
 
-// event takes one event's data in; it returns the error that an event may carry.
-func (c *caller) event(data []byte) *problem {
+// addEvent adds the data of one event to the answer. It returns the error that an
+// event may carry.
+func (c *caller) addEvent(data []byte) *problem {
 	var ch chunk
 	if json.Unmarshal(data, &ch) != nil {
 		return nil // not a chunk; if it should have been one, the text won't verify
@@ -96,17 +97,17 @@
 	}
 	c.text = append(c.text, ch.Choices[0].Delta.Content...)
 	if now := time.Now(); c.inv.TimeToFirstToken == 0 {
-		c.firstToken()
+		c.recordFirstToken()
 	} else {
-		c.inv.gaps = append(c.inv.gaps, now.Sub(c.lastAt))
-		c.lastAt = now
+		c.inv.gaps = append(c.inv.gaps, now.Sub(c.lastTokenAt))
+		c.lastTokenAt = now
 	}
 	return nil
 }
 
-func (c *caller) firstToken() {
-	c.lastAt = time.Now()
+func (c *caller) recordFirstToken() {
+	c.lastTokenAt = time.Now()
 	if c.inv.TimeToFirstToken == 0 {
-		c.inv.TimeToFirstToken = c.lastAt.Sub(c.inv.Intended)
+		c.inv.TimeToFirstToken = c.lastTokenAt.Sub(c.inv.Intended)
 	}
 }
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -11,35 +11,35 @@
 	"peridotpier.example/node/store"
 )
 
-// Settings are the limits and faults of one stand-in service. The zero value
-// is a service without limits or faults. Shares are from 0 to 1.
+// Settings holds the limits and faults of one stand-in service. The zero value is
+// a service without limits and faults. Shares are from 0 to 1.
 type Settings struct {
 	Outage          bool
 	Delay           time.Duration // added to every call
-	LostAnswers     float64       // of writes: took effect, answered ErrInDoubt
-	LostRequests    float64       // of writes: no effect, answered ErrInDoubt
-	LateEffects     float64       // of writes: answered ErrInDoubt, takes effect LateBy later
+	LostAnswers     float64       // of writes: takes effect, returns ErrUnconfirmed
+	LostRequests    float64       // of writes: no effect, returns ErrUnconfirmed
+	LateEffects     float64       // of writes: returns ErrUnconfirmed, takes effect LateEffectDelay later
 	LateEffectDelay time.Duration
 	WritesPerSecond float64 // 0: no limit
 	ReadsPerSecond  float64 // 0: no limit
 }
 
-// Faults decides the fate of each call on a service. It may be changed at run
-// time and is safe for concurrent use.
+// Faults decides the outcome of each call of a service. It may be changed while
+// the service is in use and is safe for concurrent use.
 type Faults struct {
-	mu       sync.Mutex
-	now      func() time.Time
-	rng      *rand.Rand
-	set      Settings
-	outUntil time.Time
-	writes   *rate.Limiter
-	reads    *rate.Limiter
-	nWrites  int64
-	nReads   int64
+	mu          sync.Mutex
+	now         func() time.Time
+	rng         *rand.Rand
+	settings    Settings
+	outageUntil time.Time
+	writes      *rate.Limiter
+	reads       *rate.Limiter
+	writeCount  int64
+	readCount   int64
 }
 
-// NewFaults makes a service without faults; seed fixes later draws and now is
-// its clock (nil: time.Now).
+// NewFaults returns Faults without limits and faults. seed determines the random
+// outcomes, and now is the clock of the service (nil: time.Now).
 func NewFaults(seed uint64, now func() time.Time) *Faults {
 	if now == nil {
 		now = time.Now
@@ -52,17 +52,17 @@
 // Set replaces the settings.
 func (f *Faults) Set(s Settings) { f.Update(func(old *Settings) { *old = s }) }
 
-// Update changes some of the settings.
+// Update changes settings in place.
 func (f *Faults) Update(change func(*Settings)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	old := f.set
-	change(&f.set)
-	if f.writes == nil || old.WritesPerSecond != f.set.WritesPerSecond {
-		f.writes = limiter(f.set.WritesPerSecond)
+	old := f.settings
+	change(&f.settings)
+	if f.writes == nil || old.WritesPerSecond != f.settings.WritesPerSecond {
+		f.writes = limiter(f.settings.WritesPerSecond)
 	}
-	if f.reads == nil || old.ReadsPerSecond != f.set.ReadsPerSecond {
-		f.reads = limiter(f.set.ReadsPerSecond)
+	if f.reads == nil || old.ReadsPerSecond != f.settings.ReadsPerSecond {
+		f.reads = limiter(f.settings.ReadsPerSecond)
 	}
 }
 
@@ -70,88 +70,90 @@
 func (f *Faults) StartOutage(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.outUntil = f.now().Add(d)
+	f.outageUntil = f.now().Add(d)
 }
 
-// LoseAnswers makes a share of the writes take effect and be answered as in doubt.
+// LoseAnswers makes a share of the writes take effect but return ErrUnconfirmed.
 func (f *Faults) LoseAnswers(share float64) {
 	f.Update(func(s *Settings) { s.LostAnswers = share })
 }
 
-// Writes returns the number of write calls so far, refused ones included.
-func (f *Faults) Writes() int64 { f.mu.Lock(); defer f.mu.Unlock(); return f.nWrites }
+// Writes returns the number of write calls so far, including refused ones.
+func (f *Faults) Writes() int64 { f.mu.Lock(); defer f.mu.Unlock(); return f.writeCount }
 
-// Reads returns the number of read calls so far, refused ones included.
-func (f *Faults) Reads() int64 { f.mu.Lock(); defer f.mu.Unlock(); return f.nReads }
+// Reads returns the number of read calls so far, including refused ones.
+func (f *Faults) Reads() int64 { f.mu.Lock(); defer f.mu.Unlock(); return f.readCount }
 
-// limitBurst is the part of a second's rate that may come at once.
-const limitBurst = 0.1
+// burstShare is the burst of a limit as a share of its calls per second.
+const burstShare = 0.1
 
 func limiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
-	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*limitBurst)))
+	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*burstShare)))
 }
 
-// fate is what becomes of one write.
-type fate uint8
+// outcome is the effect and answer of one write.
+type outcome uint8
 
 const (
-	fateDone fate = iota
-	fateLostAnswer
-	fateLostRequest
-	fateLateEffect
+	outcomeApplied outcome = iota
+	outcomeLostAnswer
+	outcomeLostRequest
+	outcomeLateEffect
 )
 
-// read lets a read pass, after the delay, or refuses it.
-func (f *Faults) read(ctx context.Context) error {
+// admitRead returns after the delay: nil, or the error with which the read is
+// refused.
+func (f *Faults) admitRead(ctx context.Context) error {
 	f.mu.Lock()
-	f.nReads++
+	f.readCount++
 	delay, err := f.admit(f.reads)
 	f.mu.Unlock()
 	return firstError(pause(ctx, delay), err)
 }
 
-// write draws a write's fate, after the delay, or refuses it.
-func (f *Faults) write(ctx context.Context) (fate, time.Duration, error) {
+// admitWrite returns after the delay: the outcome of a write and the delay of a
+// late effect, or the error with which the write is refused.
+func (f *Faults) admitWrite(ctx context.Context) (outcome, time.Duration, error) {
 	f.mu.Lock()
-	f.nWrites++
+	f.writeCount++
 	delay, err := f.admit(f.writes)
-	drawn, late := f.draw(), f.set.LateEffectDelay
+	drawn, late := f.drawOutcome(), f.settings.LateEffectDelay
 	f.mu.Unlock()
 	return drawn, late, firstError(pause(ctx, delay), err)
 }
 
-// admit checks outage and limit. The caller holds mu.
+// admit checks the outage and the limit. The caller holds mu.
 func (f *Faults) admit(l *rate.Limiter) (time.Duration, error) {
 	now := f.now()
-	if f.set.Outage || now.Before(f.outUntil) {
-		return f.set.Delay, store.ErrUnavailable
+	if f.settings.Outage || now.Before(f.outageUntil) {
+		return f.settings.Delay, store.ErrUnavailable
 	}
 	if !l.AllowN(now, 1) {
-		return f.set.Delay, store.ErrLimited
+		return f.settings.Delay, store.ErrLimited
 	}
-	return f.set.Delay, nil
+	return f.settings.Delay, nil
 }
 
-// draw picks a write's fate. The caller holds mu.
-func (f *Faults) draw() fate {
+// drawOutcome draws the outcome of a write. The caller holds mu.
+func (f *Faults) drawOutcome() outcome {
 	x := f.rng.Float64()
 	for _, c := range []struct {
-		share float64
-		fate  fate
-	}{{f.set.LostAnswers, fateLostAnswer}, {f.set.LostRequests, fateLostRequest}, {f.set.LateEffects, fateLateEffect}} {
+		share   float64
+		outcome outcome
+	}{{f.settings.LostAnswers, outcomeLostAnswer}, {f.settings.LostRequests, outcomeLostRequest}, {f.settings.LateEffects, outcomeLateEffect}} {
 		if x < c.share {
-			return c.fate
+			return c.outcome
 		}
 		x -= c.share
 	}
-	return fateDone
+	return outcomeApplied
 }
 
-// pause waits for d. A caller that gave up meanwhile was not served: the
-// request counts as never having reached the service.
+// pause waits for d. A caller whose context ends before was not served: its
+// request counts as one that never reached the service.
 func pause(ctx context.Context, d time.Duration) error {
 	if ctx.Err() != nil {
 		return store.ErrUnavailable
