--- a/node/claim/batch.go
+++ b/node/claim/batch.go
@@ -147,14 +147,14 @@
 // timeout although the table would refuse them at once.
 type slotFreeingTable struct {
 	store.Table
-	onInDoubt func()
+	onUnconfirmed func()
 }
 
 // Commit implements store.Table.
 func (t slotFreeingTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
 	v, err := t.Table.Commit(ctx, txn)
 	if errors.Is(err, store.ErrUnconfirmed) {
-		t.onInDoubt()
+		t.onUnconfirmed()
 	}
 	return v, err
 }
--- a/node/claim/claim_test.go
+++ b/node/claim/claim_test.go
@@ -332,11 +332,11 @@
 	}{
 		{"no condition on the claim", func(tb store.Table) store.Table { return &mutant{Table: tb, noConds: true} },
 			claimTwice, func(c *cluster) bool { return history.Check(c.hist) != nil && c.hist.Count().Duplicated == 1 }},
-		{"lost answer treated as success", func(tb store.Table) store.Table { return &mutant{Table: tb, inDoubtAsSuccess: true} },
+		{"lost answer treated as success", func(tb store.Table) store.Table { return &mutant{Table: tb, unconfirmedAsSuccess: true} },
 			func(c *cluster) { c.table.set(func(f *faults) { f.dropCommits = 2 }); claimTwice(c) },
 			func(c *cluster) bool { return history.Check(c.hist) != nil && c.hist.Count().Duplicated == 1 }},
 		{"lost answer treated as failure", func(tb store.Table) store.Table {
-			return &mutant{Table: tb, inDoubtAs: store.ErrUnavailable}
+			return &mutant{Table: tb, unconfirmedAs: store.ErrUnavailable}
 		}, func(c *cluster) { c.table.set(func(f *faults) { f.loseAnswers = 1 }); claimTwice(c) },
 			func(c *cluster) bool { return c.hist.Count().FalseInProgress == 1 }},
 	} {
--- a/node/claim/router.go
+++ b/node/claim/router.go
@@ -82,11 +82,11 @@
 func (router *RangeRouter) Swap(ctx context.Context, key string, version uint64, row *claim.Row) (VersionedRow, error) {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval, wait.MaxInterval = 20*time.Millisecond, 500*time.Millisecond
-	inDoubt := false
+	unconfirmed := false
 	for {
 		seen, err := router.swapOnce(ctx, key, version, row)
-		inDoubt = inDoubt || errors.Is(err, store.ErrUnconfirmed)
-		if err == nil || errors.Is(err, store.ErrConflict) || !inDoubt {
+		unconfirmed = unconfirmed || errors.Is(err, store.ErrUnconfirmed)
+		if err == nil || errors.Is(err, store.ErrConflict) || !unconfirmed {
 			return seen, err
 		}
 		select {
--- a/node/claim/sim_test.go
+++ b/node/claim/sim_test.go
@@ -78,9 +78,9 @@
 // mutant breaks a host's use of the table, to test that the history check notices.
 type mutant struct {
 	store.Table
-	noConds          bool  // commits without conditions
-	inDoubtAs        error // a lost answer becomes this error
-	inDoubtAsSuccess bool  // a lost answer becomes a success
+	noConds              bool  // commits without conditions
+	unconfirmedAs        error // a lost answer becomes this error
+	unconfirmedAsSuccess bool  // a lost answer becomes a success
 }
 
 func (m *mutant) Commit(ctx context.Context, t store.Txn) (uint64, error) {
@@ -91,11 +91,11 @@
 	if !errors.Is(err, store.ErrUnconfirmed) {
 		return v, err
 	}
-	if m.inDoubtAsSuccess {
+	if m.unconfirmedAsSuccess {
 		return v, nil
 	}
-	if m.inDoubtAs != nil {
-		return 0, m.inDoubtAs
+	if m.unconfirmedAs != nil {
+		return 0, m.unconfirmedAs
 	}
 	return v, err
 }
--- a/node/dispatch/forward_bench_test.go
+++ b/node/dispatch/forward_bench_test.go
@@ -15,9 +15,9 @@
 func (discardSink) Write([]byte) error { return nil }
 func (discardSink) Flush() error       { return nil }
 
-// BenchmarkRelayToken forwards one token's event per iteration; its allocations
+// BenchmarkForwardToken forwards one token's event per iteration; its allocations
 // are those of each forwarded token.
-func BenchmarkRelayToken(b *testing.B) {
+func BenchmarkForwardToken(b *testing.B) {
 	d := New(Config{}, Deps{Log: event.NewLog(nil), Metrics: metrics.New()})
 	a := &attempt{d: d, w: &Work{Stream: true}, out: &output{sink: discardSink{}, started: true}, id: "a-1"}
 	a.split.attempt = []byte(a.id)
--- a/node/dispatch/pace_test.go
+++ b/node/dispatch/pace_test.go
@@ -9,7 +9,7 @@
 	"peridotpier.example/core/route"
 )
 
-func TestPacerDividesByTheTokensThatPassed(t *testing.T) {
+func TestPaceMeterDividesByTheTokensThatPassed(t *testing.T) {
 	var p paceMeter
 	t0 := time.Unix(1000, 0)
 	_, ok := p.sample(1, t0)
--- a/node/fleet/fleet.go
+++ b/node/fleet/fleet.go
@@ -192,23 +192,23 @@
 	f.index.Store(done)
 	identityChanged := f.identityRevision == f.revision
 	f.mu.Unlock()
-	f.logSeen(next.added)
+	f.logAdded(next.added)
 	f.notifyResidencyChanged()
 	if identityChanged && f.deps.OnListChange != nil {
 		f.deps.OnListChange()
 	}
 }
 
-// maxLoggedSeen is up to how many upstreams added by one change are logged one by one; of
+// maxLoggedAdded is up to how many upstreams added by one change are logged one by one; of
 // more, only the number is logged.
-const maxLoggedSeen = 16
+const maxLoggedAdded = 16
 
-func (f *Fleet) logSeen(seen []*Entry) {
-	if len(seen) > maxLoggedSeen {
-		f.deps.Log.Emit(event.UpstreamsListed, zap.Int("count", len(seen)))
+func (f *Fleet) logAdded(added []*Entry) {
+	if len(added) > maxLoggedAdded {
+		f.deps.Log.Emit(event.UpstreamsListed, zap.Int("count", len(added)))
 		return
 	}
-	for _, e := range seen {
+	for _, e := range added {
 		u, _ := e.Description()
 		f.deps.Log.Emit(event.UpstreamListed, zap.String(event.FieldPeer, u.ID), zap.String("service", u.Service),
 			zap.String("address", u.Address), zap.Int64("born_ms", u.Born), zap.Int("residents", len(u.Residents)))
--- a/node/fleet/otherhosts.go
+++ b/node/fleet/otherhosts.go
@@ -35,14 +35,14 @@
 // SetOtherHostsLoad sets the total loads of the other hosts at a service's upstreams.
 // They are valid until validUntil.
 func (f *Fleet) SetOtherHostsLoad(service string, loads map[string]Load, validUntil time.Time) {
-	own := &serviceLoads{loads: loads, validUntil: validUntil}
+	updated := &serviceLoads{loads: loads, validUntil: validUntil}
 	for {
 		former := f.otherHosts.byService.Load()
 		next := map[string]*serviceLoads{}
 		if former != nil {
 			maps.Copy(next, *former)
 		}
-		next[service] = own
+		next[service] = updated
 		if f.otherHosts.byService.CompareAndSwap(former, &next) {
 			return
 		}
--- a/node/fleet/residency.go
+++ b/node/fleet/residency.go
@@ -99,6 +99,6 @@
 	if e.announcedAt.IsZero() {
 		return false
 	}
-	w := e.fleet.coordinator.Load()
-	return w.number == e.announcedBy && now.Before(w.validUntil) || now.Sub(e.announcedAt) < announcedResidentsTTL
+	term := e.fleet.coordinator.Load()
+	return term.number == e.announcedBy && now.Before(term.validUntil) || now.Sub(e.announcedAt) < announcedResidentsTTL
 }
--- a/node/fleet/signals.go
+++ b/node/fleet/signals.go
@@ -133,8 +133,8 @@
 	if l.newest == revision {
 		return nil, revision
 	}
-	all, to, whole := l.changed.Since(revision, maxSignals)
-	if whole {
+	all, to, complete := l.changed.Since(revision, maxSignals)
+	if complete {
 		to = l.newest
 	}
 	return all, to
--- a/node/peer/mesh_test.go
+++ b/node/peer/mesh_test.go
@@ -81,16 +81,16 @@
 // memConn is one end of a connection. Once it is silent, what is written to it is lost.
 type memConn struct {
 	net.Conn
-	from, to string
-	mu       sync.Mutex
-	silent   bool
+	from, to    string
+	mu          sync.Mutex
+	dropsWrites bool
 }
 
 func (w *memConn) Write(p []byte) (int, error) {
 	w.mu.Lock()
-	silent := w.silent
+	dropped := w.dropsWrites
 	w.mu.Unlock()
-	if silent {
+	if dropped {
 		return len(p), nil
 	}
 	return w.Conn.Write(p)
@@ -136,15 +136,15 @@
 	}
 }
 
-// silence makes all open connections between two hosts drop what is written, for
+// dropWrites makes all open connections between two hosts drop what is written, for
 // the rest of their life.
-func (w *world) silence(a, b string) {
+func (w *world) dropWrites(a, b string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, c := range w.conns {
 		if c.from == a && c.to == b || c.from == b && c.to == a {
 			c.mu.Lock()
-			c.silent = true
+			c.dropsWrites = true
 			c.mu.Unlock()
 		}
 	}
@@ -256,7 +256,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "a", "b")
 		time.Sleep(5 * time.Second)
-		w.silence("a", "b")
+		w.dropWrites("a", "b")
 		for range 30 {
 			time.Sleep(time.Second)
 			assert.Equal(t, w.countLive("a"), 2)
