--- a/node/fleet/attempt.go
+++ b/node/fleet/attempt.go
@@ -70,8 +70,8 @@
 }
 
 // RecordPendingPrompts records how many prompt tokens of other hosts' requests the
-// upstream has to read. pendingTokens are those of all hosts, this attempt's left out,
-// when the permit for it was granted.
+// upstream has to read. pendingTokens is the total of all hosts without this attempt, as
+// of when the permit for the attempt was granted.
 func (x *Attempt) RecordPendingPrompts(pendingTokens int) {
 	x.e.mu.Lock()
 	defer x.e.mu.Unlock()
@@ -130,7 +130,8 @@
 // is over.
 func (x *Attempt) Cancelled() { x.end(func() {}) }
 
-// Interrupted ends an attempt whose connection or answer broke off; why is logged.
+// Interrupted ends an attempt whose connection or answer broke off; it logs why if the
+// upstream is excluded for it.
 func (x *Attempt) Interrupted(why string) {
 	var excluded bool
 	x.end(func() {
--- a/node/fleet/backoffs.go
+++ b/node/fleet/backoffs.go
@@ -14,20 +14,20 @@
 	e.slowStart.Start()
 }
 
-// SlowStartWait is when a request is tried again that waits for the outcome of another
-// one in an upstream's slow start after a backoff. Mostly the outcome is known, and the
+// SlowStartWait is how long a request waits for the outcome of another one in an
+// upstream's slow start before it is tried again. Mostly the outcome is known, and the
 // request is notified, earlier.
 const SlowStartWait = 100 * time.Millisecond
 
 // AcceptsRequests reports whether a request that was meant for the upstream may still be
-// sent there: in the meantime it has neither asked for a backoff nor signalled a drain.
+// sent there: since then it has not asked for a backoff and does not drain.
 func (e *Entry) AcceptsRequests() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return !e.draining && !e.fleet.deps.Now().Before(e.backoffUntil)
 }
 
-// Backoffs says for how long upstreams accept nothing from this host, by their IDs.
+// Backoffs holds, by upstream ID, for how long an upstream accepts nothing from this host.
 type Backoffs map[string]time.Duration
 
 // Backoffs returns the backoffs of a service's upstreams; nil if there are none.
--- a/node/fleet/change.go
+++ b/node/fleet/change.go
@@ -27,8 +27,8 @@
 	// host that is further behind gets the complete list.
 	minRemovedKept = 256
 	// removedTTL is how long every removal is remembered: the time of several reports of
-	// any host. Of thousands of upstreams, more than minRemovedKept may be replaced in
-	// less.
+	// any host. Of thousands of upstreams, more than minRemovedKept may be replaced within
+	// that time.
 	removedTTL = 10 * time.Second
 )
 
@@ -85,7 +85,8 @@
 	return changed
 }
 
-// isListed reports whether a removed entry is listed again; nil: it was forgotten.
+// isListed reports whether a removed upstream is listed again. e is nil if its entry was
+// forgotten.
 func isListed(e *Entry) bool {
 	if e == nil {
 		return false
@@ -94,7 +95,7 @@
 	return !delisted
 }
 
-// versionMark says which version of the store a revision of the list goes up to.
+// versionMark is a revision of the list with the version of the store up to which it goes.
 type versionMark struct{ revision, version uint64 }
 
 // maxVersionMarks is how many revisions are remembered for RevisionAt. A host that is
--- a/node/fleet/entry.go
+++ b/node/fleet/entry.go
@@ -165,7 +165,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	u.ID, u.Service, u.Address, u.DataCentre, u.Born = e.id, e.service, e.address, e.dataCentre, e.startedMs
-	if e.delisted || e.describedAt.IsZero() || !reflect.DeepEqual(u, e.desc) { // a list that was read again brings mostly what is known
+	if e.delisted || e.describedAt.IsZero() || !reflect.DeepEqual(u, e.desc) { // a list that is read again is mostly unchanged
 		e.listRevision, scope = revision, copiesChange
 		if e.delisted || e.describedAt.IsZero() || !sameIdentity(u, e.desc) {
 			scope = identityChange
@@ -183,7 +183,7 @@
 	return scope
 }
 
-// changeScope says which hosts must receive a change of an upstream's description.
+// changeScope is the set of hosts that must receive a change of an upstream's description.
 type changeScope uint8
 
 const (
@@ -201,8 +201,8 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// markDelisted records the removal of its entry. It returns false if the removal was
-// known. During a grace the upstream is still used.
+// markDelisted records that the upstream's entry was removed from the list. It returns
+// false if that was known. During a grace the upstream is still used.
 func (e *Entry) markDelisted(now time.Time, grace time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -282,15 +282,14 @@
 	return e.excludeLocked(now)
 }
 
-// excludeLocked excludes the upstream for a while and reports whether it was not excluded
-// before.
+// excludeLocked is exclude with e.mu held.
 func (e *Entry) excludeLocked(now time.Time) bool {
 	changed := e.health.Exclude(e.fleet.cfg.Health, now)
 	e.recordExclusionLocked(changed)
 	return changed
 }
 
-// recordExclusionLocked records that the upstream is newly excluded, if changed says so.
+// recordExclusionLocked records that the upstream is newly excluded, if changed is set.
 func (e *Entry) recordExclusionLocked(changed bool) {
 	if !changed {
 		return
@@ -364,7 +363,7 @@
 }
 
 // hasResidentLocked reports whether a model, and an adapter if one is named, is resident.
-// It excludes what the upstream recently answered not to be.
+// A recent answer of the upstream that it is not takes precedence over the residents.
 func (e *Entry) hasResidentLocked(model, adapter string, now time.Time) bool {
 	if len(e.notResidentUntil) > 0 && now.Before(e.notResidentUntil[model+"/"+adapter]) {
 		return false
@@ -412,7 +411,7 @@
 	}
 }
 
-// processOrder says how the process of a description relates to the process of an entry.
+// processOrder is the order of the process of a description and the process of an entry.
 type processOrder uint8
 
 const (
@@ -434,7 +433,7 @@
 	}
 }
 
-// Request is what a snapshot of an upstream depends on in one request.
+// Request holds the properties of a request on which an upstream's snapshot depends.
 type Request struct {
 	Model       string
 	Adapter     string
--- a/node/fleet/fleet.go
+++ b/node/fleet/fleet.go
@@ -108,8 +108,8 @@
 // request proceed.
 func (f *Fleet) Changed() <-chan struct{} { return f.changes.Next() }
 
-// ResidencyChanged is like Changed, for requests that wait for a model. It is not closed
-// when other requests end, which happens hundreds of times a second.
+// ResidencyChanged is like Changed, for requests that wait for a model. Its channel is not
+// closed when other requests end, which happens hundreds of times a second.
 func (f *Fleet) ResidencyChanged() <-chan struct{} { return f.residencyChanges.Next() }
 
 // NotifyChanged wakes the requests that wait for an upstream.
@@ -199,8 +199,8 @@
 	}
 }
 
-// maxLoggedAdded is up to how many upstreams added by one change are logged one by one; of
-// more, only the number is logged.
+// maxLoggedAdded is the maximum number of upstreams added by one change that are logged
+// one by one; of more, only the number is logged.
 const maxLoggedAdded = 16
 
 func (f *Fleet) logAdded(added []*Entry) {
@@ -258,7 +258,8 @@
 	}
 }
 
-// massRemovalShare is the share of a service's upstreams that do not drain all at once.
+// massRemovalShare is the share of a service's upstreams from which on their removal
+// together is not treated as drains.
 const massRemovalShare = 0.34
 
 // delistLocked records that entries were removed from the list. Normally their upstreams
@@ -324,7 +325,7 @@
 // run often.
 func (f *Fleet) HasPendingChecks() bool { return !f.pendingChecks.empty() }
 
-// WakeChecks wakes those that wait for ChecksNeeded.
+// WakeChecks wakes the goroutines that wait for ChecksNeeded.
 func (f *Fleet) WakeChecks() { f.checksNeeded.Notify() }
 
 // ChecksNeeded returns a channel that is closed when there are entries to check again.
--- a/node/fleet/index.go
+++ b/node/fleet/index.go
@@ -9,7 +9,7 @@
 	version   uint64 // rises when entries are added or removed
 }
 
-// nextIndex is an index in the making. It shares the current index until an entry is
+// nextIndex is an index that is being built. It shares the current index until an entry is
 // added or removed, which nearly no heartbeat does: a copy takes time in proportion to
 // the number of upstreams.
 type nextIndex struct {
--- a/node/fleet/limits.go
+++ b/node/fleet/limits.go
@@ -37,8 +37,8 @@
 	since         time.Time // when uncoordinated began
 }
 
-// SetShare sets this host's share of what upstreams accept that state a limit. It also
-// records that a coordinator grants permits, so that requests need one there.
+// SetShare sets this host's share of what upstreams that state a limit accept. It also
+// records that a coordinator grants permits, so that requests to them need one.
 func (f *Fleet) SetShare(share backpressure.Share) {
 	if was := f.sharing.Load(); was.share != share || was.uncoordinated {
 		f.sharing.Store(&limitSharing{share: share})
--- a/node/fleet/modelindex.go
+++ b/node/fleet/modelindex.go
@@ -9,8 +9,7 @@
 
 // modelIndex finds the upstreams of a service by a model, so that a pick among thousands
 // of upstreams visits only the few that matter. The index of residents has all upstreams
-// for which any valid source says that the model is resident; whether it is, their
-// entries decide.
+// at which the model is resident by any valid source; the entry decides whether it is.
 type modelIndex struct {
 	mu      sync.RWMutex
 	entries map[serviceModel][]*Entry // slices are replaced as a whole, so that readers need no copy
@@ -64,8 +63,8 @@
 }
 
 // HasUsableWithoutModel reports whether a service has usable upstreams, apart from those
-// that skip selects, at which a model cannot be resident: then the model is what a
-// request for it waits for.
+// that skip selects, at which a model cannot be resident: then a request for the model
+// waits for it to be loaded, and not for an upstream.
 func (f *Fleet) HasUsableWithoutModel(service, model string, skip func(*Entry) bool) bool {
 	if model == "" {
 		return false
--- a/node/fleet/residency.go
+++ b/node/fleet/residency.go
@@ -7,15 +7,15 @@
 	"peridotpier.example/core/deploy"
 )
 
-// coordinatorTerm says for how long the announcements of the acting coordinator take
+// coordinatorTerm is the time in which the announcements of one acting coordinator take
 // precedence over the upstreams' own descriptions, which lag.
 type coordinatorTerm struct {
-	number     uint64 // rises with each other acting coordinator
+	number     uint64 // rises with each change of the acting coordinator
 	validUntil time.Time
 }
 
-// Residency is what one process of an upstream has resident and is loading, as the acting
-// coordinator knows it.
+// Residency holds the models that one process of an upstream has resident and is loading,
+// as announced by the acting coordinator.
 type Residency struct {
 	Upstream  string
 	StartedMs int64
@@ -36,9 +36,9 @@
 	}
 }
 
-// ApplyResidency applies what the acting coordinator announced of upstreams since its
-// last announcement. What arrives before the list names its upstream is kept until then:
-// it is sent only once.
+// ApplyResidency applies an announcement of the acting coordinator, which names the
+// upstreams that have changed. A change that arrives before the list names its upstream
+// is kept until then, since it is sent only once.
 func (f *Fleet) ApplyResidency(all []Residency, now time.Time) {
 	changed := false
 	for i := range all {
--- a/node/fleet/signals_test.go
+++ b/node/fleet/signals_test.go
@@ -98,8 +98,8 @@
 	assert.Equal(t, len(seen), len(list))
 }
 
-// Guards against hosts that send to a limited upstream without a permit, and against none
-// that does while no coordinator grants permits.
+// Guards against hosts that send to a limited upstream without a permit, and against
+// hosts that send nothing there while no coordinator grants permits.
 func TestAHostUsesItsShareWithoutACoordinator(t *testing.T) {
 	now := time.Now()
 	f := fleet.New(fleet.Config{}, fleet.Deps{Now: func() time.Time { return now }})
