--- a/node/follow/feed.go
+++ b/node/follow/feed.go
@@ -22,7 +22,7 @@
 	read          func(ctx context.Context) (version uint64, err error)
 	wait          func(ctx context.Context, after uint64, wait time.Duration) (version uint64, err error)
 	onRecovered   func()      // called when the store is reachable again; nil: not called
-	needsFullRead func() bool // the table must be read completely, since it lacks what this host now needs
+	needsFullRead func() bool // reports whether the table lacks what this host now needs, so that it must be read completely
 	followsOther  bool        // the calls of another feed show whether the store is away
 	reread        bool
 	failingSince  time.Time
@@ -145,8 +145,8 @@
 	wait, reason := defaultWait, waitForChanges
 	switch {
 	case !f.deps.OthersProbeFirst() && f.hasNotAnswered(d):
-		// A host that may be the next to coordinate must know whether the store answers
-		// earlier than a call that waits for changes would show it.
+		// A host that may coordinate next must know early whether the store answers; a
+		// call that waits for changes would show it too late.
 		wait, reason = 0, probeStore
 	case !d.failingSince.IsZero():
 		// After a recovery the store may never answer a call that it had not received;
--- a/node/follow/follow.go
+++ b/node/follow/follow.go
@@ -131,7 +131,7 @@
 	// LinkedToCoordinator reports whether this host is linked to one that probes for the
 	// store's recovery and announces it within a fraction of a second; nil: it is not.
 	LinkedToCoordinator func() bool
-	// NotNeededYet reports that nobody waits for this host yet, so that it need not ask
+	// NotNeededYet reports whether nobody waits for this host yet, so that it need not ask
 	// the store itself for what another host will soon relay; nil: it is needed.
 	NotNeededYet func() bool
 	// MaxRelayAge is how old a relay may be; 0: the default.
--- a/node/follow/recover_test.go
+++ b/node/follow/recover_test.go
@@ -35,7 +35,7 @@
 	assert.Assert(t, configs > 1 && configs < 20, "%d calls for the configuration", configs)
 }
 
-// Guards against the same by a configuration that another host relayed.
+// Guards against the same fault, caused by a configuration that another host relayed.
 func TestAConfigurationThatCannotBeCompiledEndsNoHost(t *testing.T) {
 	config := follow.NewActiveConfig(event.NewLog(nil))
 	assert.Assert(t, config.ApplyIfNewer(&deploy.Config{Version: 3}, "test"))
--- a/node/follow/relay.go
+++ b/node/follow/relay.go
@@ -72,7 +72,7 @@
 	// not call the store: others read it, take the lease and relay in the meantime.
 	startupRelayWait = 1500 * time.Millisecond
 	// linkedRelayWait is how long after its start such a host, when linked, waits for
-	// what the relay has not brought yet because nobody has written it.
+	// data that the relay lacks because nobody has written it yet.
 	linkedRelayWait = 20 * time.Second
 )
 
