--- a/node/planner/planner.go
+++ b/node/planner/planner.go
@@ -43,7 +43,7 @@
 type ObservedReport struct {
 	Report       engineapi.Report
 	Read         time.Time
-	Disconnected bool // for long enough that more than one report is missing
+	Disconnected bool // no contact for long enough that more than one report is missing
 }
 
 // Inputs provides what the planner reads apart from the platform's services. The
--- a/node/planner/planner_test.go
+++ b/node/planner/planner_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Guards against an engine that holds both an unloaded model and its successor. A
-// copy of the load order arrives after the unload that followed it, at an engine
+// Guards against an engine with both an unloaded model and its successor resident.
+// A copy of the load order arrives after the unload that followed it, at an engine
 // that ignores fences, and the ledger relies on the report from before.
 func TestLateCopyAfterItsSuccessor(t *testing.T) {
 	for _, fencing := range []config.Fencing{config.FencingChecked, config.FencingIgnored} {
@@ -191,9 +191,9 @@
 	})
 }
 
-// Guards against new replicas on an upstream that is draining. It reports that it is
-// leaving; a later report, made before, does not say so. An incarnation that is
-// leaving never returns to service.
+// Guards against new replicas on an upstream that is draining. It reports that it
+// drains; a report that it made before arrives later and does not say so. An
+// incarnation that drains never returns to service.
 func TestDrainingIsNotUndoneByALateReport(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		w := newTestWorld(config.FencingChecked, testModel("a", "1", 80))
--- a/node/planner/world_test.go
+++ b/node/planner/world_test.go
@@ -74,7 +74,7 @@
 type testTable struct {
 	store.Table
 	down        bool
-	lostAnswers int // so many commits take effect without an answer
+	lostAnswers int // number of next commits that take effect but lose their answer
 	commits     int
 }
 
@@ -115,7 +115,7 @@
 	reports   map[string]ObservedReport
 	network   func(o engineapi.Order) (deliver, answer bool) // nil: all orders are delivered and answered
 	sent      []sentOrder
-	grantWait time.Duration // that the weight store answers
+	grantWait time.Duration // wait that the weight store answers
 }
 
 type sentOrder struct {
