--- a/node/claim/batch.go
+++ b/node/claim/batch.go
@@ -24,14 +24,14 @@
 
 // commitTimeout bounds one merged commit whose answer is lost. It is as long as its
 // callers wait, Config.CallTimeout: with a longer one, a host could not shut down
-// during an outage. It is far below store.OpMemory, so that the service still knows
+// during an outage. It is far below store.OpRetention, so that the service still knows
 // the operation id.
 const commitTimeout = 2 * time.Second
 
 // Batcher is a store.Table that merges the transactions of many requests into one
 // commit. It has no state of its own: rows keep their own conditions, so any host
-// may batch any claim, and when it fails its waiting transactions are in doubt like
-// any others.
+// may batch any claim, and when it fails its waiting transactions are unconfirmed
+// like any others.
 type Batcher struct {
 	store.Table // reads are not merged
 	cfg         BatchConfig
@@ -58,8 +58,8 @@
 }
 
 // Commit implements store.Table. The service does not see the operation id; a caller
-// that commits again after ErrInDoubt must recognise its own write by its value, as
-// Rows does.
+// that commits again after store.ErrUnconfirmed must recognise its own write by its
+// value, as Rows does.
 func (b *Batcher) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
 	w := &pendingTxn{txn: txn, result: make(chan txnResult, 1)}
 	select {
@@ -141,9 +141,9 @@
 	})
 }
 
-// slotFreeingTable is a table that calls onInDoubt when an answer is lost, so that a
-// commit in doubt frees its slot. Otherwise, when an outage begins, a few of them
-// would take all slots, and the claims behind them would wait for their whole
+// slotFreeingTable is a table that calls onUnconfirmed when an answer is lost, so that
+// an unconfirmed commit frees its slot. Otherwise, when an outage begins, a few of
+// them would take all slots, and the claims behind them would wait for their whole
 // timeout although the table would refuse them at once.
 type slotFreeingTable struct {
 	store.Table
--- a/node/claim/outcome_test.go
+++ b/node/claim/outcome_test.go
@@ -106,7 +106,7 @@
 
 // Guards against callers that wait for seconds for a refusal while the table is down.
 // The answers of some commits are lost as the outage begins, other claims follow, and
-// commits in doubt must not take all slots.
+// unconfirmed commits must not take all slots.
 func TestUnconfirmedCommitsDoNotDelayRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := &faulty{Table: standin.NewTable()}
--- a/node/claim/router.go
+++ b/node/claim/router.go
@@ -19,8 +19,8 @@
 const HashSlots = 1024
 
 // Forwarder forwards calls to the host that writes a range's claims: the owner of a
-// Range, or any host with Rows over a Batcher. A lost answer is store.ErrInDoubt; if
-// there is no such host the error is store.ErrUnavailable.
+// Range, or any host with Rows over a Batcher. After a lost answer the error is
+// store.ErrUnconfirmed; if there is no such host it is store.ErrUnavailable.
 type Forwarder interface {
 	Read(ctx context.Context, rangeID int, key string) (VersionedRow, error)
 	Swap(ctx context.Context, rangeID int, key string, version uint64, row *claim.Row) (VersionedRow, error)
@@ -77,8 +77,8 @@
 	return router.forwarder.Read(ctx, rangeID, key)
 }
 
-// Swap implements Records. A change in doubt is sent again, to the host that serves the
-// range by then; that host recognises a change that took effect by the row's Op.
+// Swap implements Records. An unconfirmed change is sent again, to the host that serves
+// the range by then; that host recognises a change that took effect by the row's Op.
 func (router *RangeRouter) Swap(ctx context.Context, key string, version uint64, row *claim.Row) (VersionedRow, error) {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval, wait.MaxInterval = 20*time.Millisecond, 500*time.Millisecond
--- a/node/claim/sim_test.go
+++ b/node/claim/sim_test.go
@@ -22,7 +22,7 @@
 type faults struct {
 	down        bool
 	loseAnswers int  // next commits that take effect but lose their answer
-	dropCommits int  // next commits that have no effect and are answered as in doubt
+	dropCommits int  // next commits that have no effect and are answered as unconfirmed
 	forgetOpIDs bool // the service does not remember operation ids
 }
 
