--- a/node/dispatch/attempt.go
+++ b/node/dispatch/attempt.go
@@ -20,8 +20,8 @@
 )
 
 // ErrCancelled is the cause of a context that the caller or an operator
-// cancelled explicitly. Unlike after a lost connection, the upstream is told at
-// once.
+// cancelled explicitly. The attempt is then cancelled at the upstream at once, even
+// that of a stream, which survives a lost connection.
 var ErrCancelled = errors.New("request was cancelled")
 
 // attempt is one dispatch of a request to one upstream.
--- a/node/dispatch/recover.go
+++ b/node/dispatch/recover.go
@@ -55,8 +55,8 @@
 }
 
 // shouldAskAgain reports whether to query the outcome again. A refused
-// connection means that the upstream's process, and its attempts with it, are
-// gone.
+// connection means that the upstream's process has terminated, and its attempts
+// with it.
 func (a *attempt) shouldAskAgain(err error, failures int) bool {
 	terminated := fault.From(fault.StepResume, err).Outcome == outcome.NotRun && failures > 1
 	if terminated || errors.Is(err, errForgotten) {
