--- a/node/command/audit.go
+++ b/node/command/audit.go
@@ -35,7 +35,7 @@
 const ArchiverLeaseName = "audit-archive"
 
 // Archiver moves old audit entries from the table to the object store, while this
-// process holds the lease AuditLease.
+// process holds the lease ArchiverLeaseName.
 type Archiver struct {
 	deps Deps
 	role *lease.Lease
--- a/node/query/config_test.go
+++ b/node/query/config_test.go
@@ -229,7 +229,7 @@
 	assert.Equal(t, state.Version, uint64(6))
 }
 
-// Guards against a store outage that stops brigades' look-ups, and against a host
+// Guards against a store outage that stops hosts from serving, and against a host
 // that was cut off and serves an old configuration for ever. The store has an outage
 // of 10 minutes, during which a host is replaced; another host gets no confirmation
 // for longer than that.
--- a/node/query/freshness.go
+++ b/node/query/freshness.go
@@ -15,7 +15,7 @@
 
 // confirm records that a read of the table that was sent at requestedAt returned
 // version as the newest. The time before the call counts: the answer says nothing
-// about commits made while it was on its way.
+// about commits made while it was in transit.
 func (r *ConfigReader) confirm(version uint64, requestedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/node/store/rest/wire.go
+++ b/node/store/rest/wire.go
@@ -71,8 +71,8 @@
 	return Grant{WaitMs: (wait + time.Millisecond - 1).Milliseconds()}
 }
 
-// Problem is the body of every refusal. Clients go by its code and not by the
-// HTTP status: a load balancer on the path also responds 503, and it may have
+// Problem is the body of every refusal. Clients use its code and not the HTTP
+// status: a load balancer on the path also responds 503, and it may have
 // forwarded the call before that.
 type Problem struct {
 	Code string `json:"code"`
