--- a/node/fleet/fleet_test.go
+++ b/node/fleet/fleet_test.go
@@ -79,7 +79,7 @@
 	return out
 }
 
-// Guards against a sound upstream that gets no more requests after the store's recovery.
+// Guards against a healthy upstream that gets no more requests after the store's recovery.
 // Its entry expired while the store was away and is missing at the recovery, before the
 // upstream can write it again; it must not be treated as an upstream that drains.
 func TestAnEntryThatExpiredWithTheStoreIsStillUsed(t *testing.T) {
@@ -99,7 +99,7 @@
 }
 
 // Guards against state that is kept by an upstream's ID alone, so that requests are sent
-// for models that are not resident, and a sound upstream gets none. A process that
+// for models that are not resident, and a healthy upstream gets none. A process that
 // drains, was announced to have models resident and is excluded as unresponsive starts
 // again under its ID, without models; then a late heartbeat of the earlier process is
 // written.
@@ -119,16 +119,16 @@
 	f.Replace([]deploy.Upstream{startedAt(1000, "m")}, 1)
 	earlier, _ := f.Entry("a")
 	f.ApplyResidency([]fleet.Residency{{Upstream: "a", StartedMs: 1000, Residents: []deploy.Resident{{Model: "m"}}}}, now)
-	moved := false
+	aborted := false
 	x := earlier.Begin(req, fleet.Cost{PromptTokens: 10})
-	x.OnUnresponsive(func() { moved = true })
+	x.OnUnresponsive(func() { aborted = true })
 	x.Interrupted("reset")
 	y := earlier.Begin(req, fleet.Cost{PromptTokens: 10})
-	y.OnUnresponsive(func() { moved = true })
+	y.OnUnresponsive(func() { aborted = true })
 	f.Apply([]deploy.Upstream{startedAt(2000)}, nil, 2)
 	e, _ := f.Entry("a")
 	assert.Assert(t, e != earlier && !earlier.Usable() && e.Usable())
-	assert.Assert(t, moved, "attempts at the earlier process are aborted")
+	assert.Assert(t, aborted, "attempts at the earlier process are aborted")
 	assert.DeepEqual(t, forgotten, []string{"a"})
 	at := e.Endpoint(req, now)
 	assert.Assert(t, !at.ModelResident && !at.Down && at.InFlight == 0 && at.CachedTokens == 0)
