--- a/node/fleet/fleet.go
+++ b/node/fleet/fleet.go
@@ -21,12 +21,12 @@
 type Config struct {
 	DataCentre string
 	Health     health.Policy
-	// RecoveryGrace is how long, after the store is reachable again, upstreams are still
-	// used whose entries expired while it was away. Upstreams that are alive write their
+	// RecoveryGrace is how long, after the store is reachable again, upstreams are still used
+	// whose entries expired while it was unavailable. Upstreams that are alive write their
 	// entries anew in that time.
 	RecoveryGrace time.Duration
-	// MassRemovalGrace is how long upstreams are still used when a large share of a
-	// service's entries is removed together although the store was not seen to be away.
+	// MassRemovalGrace is how long upstreams are still used when a large share of a service's
+	// entries is removed together although the store was not seen to be unavailable.
 	MassRemovalGrace time.Duration
 }
 
@@ -263,8 +263,8 @@
 const massRemovalShare = 0.34
 
 // delistLocked records that entries were removed from the list. Normally their upstreams
-// are draining. But entries also expire while the store is away, and if all upstreams
-// were given up then, none would be left to serve requests.
+// are draining. But entries also expire while the store is unavailable, and if all
+// upstreams were given up then, none would be left to serve requests.
 func (f *Fleet) delistLocked(ix *index, ids []string, now time.Time) {
 	countByService := map[string]int{}
 	for _, id := range ids {
@@ -307,7 +307,7 @@
 	}
 }
 
-// StoreRecovered records that the store is reachable again after it was away.
+// StoreRecovered records that the store is reachable again after it was unavailable.
 func (f *Fleet) StoreRecovered() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/node/fleet/fleet_test.go
+++ b/node/fleet/fleet_test.go
@@ -80,8 +80,8 @@
 }
 
 // Guards against a healthy upstream that gets no more requests after the store's recovery.
-// Its entry expired while the store was away and is missing at the recovery, before the
-// upstream can write it again; it must not be treated as an upstream that drains.
+// Its entry expired while the store was unavailable and is missing at the recovery, before
+// the upstream can write it again; it must not be treated as an upstream that drains.
 func TestAnEntryThatExpiredWithTheStoreIsStillUsed(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	f := fleet.New(fleet.Config{RecoveryGrace: 2 * time.Second}, fleet.Deps{Now: func() time.Time { return now }})
--- a/node/follow/feed.go
+++ b/node/follow/feed.go
@@ -23,7 +23,7 @@
 	wait          func(ctx context.Context, after uint64, wait time.Duration) (version uint64, err error)
 	onRecovered   func()      // called when the store is reachable again; nil: not called
 	needsFullRead func() bool // reports whether the table lacks what this host now needs, so that it must be read completely
-	followsOther  bool        // the calls of another feed show whether the store is away
+	followsOther  bool        // the calls of another feed show whether the store is unavailable
 	reread        bool
 	failingSince  time.Time
 }
@@ -31,7 +31,7 @@
 // storeRecovered records that the store answers the upstreams' feed again.
 func (f *Follower) storeRecovered() {
 	f.deps.Upstreams.StoreRecovered()
-	f.storeAway.Store(false)
+	f.storeUnavailable.Store(false)
 	select {
 	case f.recovered <- struct{}{}:
 	default: // one token is enough
@@ -91,9 +91,9 @@
 	}
 }
 
-// waitAfterFailure waits between two retries while the store is away.
+// waitAfterFailure waits between two retries while the store is unavailable.
 func (f *Follower) waitAfterFailure(ctx context.Context, d *feed, wait time.Duration) {
-	otherProbes := d.followsOther && f.storeAway.Load()
+	otherProbes := d.followsOther && f.storeUnavailable.Load()
 	if !f.deps.OthersProbeFirst() || wait <= maxQuickRetryPause && !otherProbes {
 		pace.Sleep(ctx, wait)
 		return
@@ -189,7 +189,7 @@
 	}
 	d.failingSince = time.Now()
 	if !d.followsOther {
-		f.storeAway.Store(true)
+		f.storeUnavailable.Store(true)
 	}
 	f.deps.Log.Emit(event.StoreLost, zap.String("table", d.name), zap.Error(err))
 }
--- a/node/follow/follow.go
+++ b/node/follow/follow.go
@@ -1,8 +1,8 @@
 // Package follow keeps a host's configuration and its list of upstreams up to date from
 // the platform's store: a complete read first, then changes as they occur. Calls of the
 // store are priced, so only one host, the relaying host, follows it closely and relays it
-// to the others; each of them goes back to the store by itself as soon as the relay is
-// out of date. While the store is away, a host continues with the state that it has.
+// to the others; each of them goes back to the store by itself as soon as the relay is out
+// of date. While the store is unavailable, a host continues with the state that it has.
 package follow
 
 import (
@@ -67,7 +67,7 @@
 	// answers within a few milliseconds, a slow store within 300.
 	waitSlack = 800 * time.Millisecond
 	// minRetryPause and maxRetryPause bound the pause between retries while the store is
-	// away. The maximum bounds how late a host notices that the store is back.
+	// unavailable. The maximum bounds how late a host notices that the store is back.
 	minRetryPause = 50 * time.Millisecond
 	maxRetryPause = 800 * time.Millisecond
 	// maxQuickRetryPause bounds the pauses after which a host that others will notify
@@ -91,8 +91,8 @@
 	// emptyStorePause is the pause between calls at a host that others will notify, for a
 	// store in which nothing was ever written, as when a whole deployment starts.
 	emptyStorePause = 500 * time.Millisecond
-	// otherFeedRetryPause is the pause between retries for one table while another table
-	// is retried: one call shows as well as two that the store is away, and the first
+	// otherFeedRetryPause is the pause between retries for one table while another table is
+	// retried: one call shows as well as two that the store is unavailable, and the first
 	// answer to the other feed wakes this one.
 	otherFeedRetryPause = 3 * deferredRetryPause
 	// linkedRetryPause is the pause between retries at a host that is linked to one which
@@ -144,18 +144,18 @@
 
 // Follower follows the store for one host.
 type Follower struct {
-	deps          Deps
-	config        progress
-	upstreams     progress
-	relayedAt     atomic.Int64 // time of the store's answer in the latest fresh relay, by the monotonic clock since startedAt; 0: none
-	startedAt     time.Time
-	applying      sync.Mutex    // held while the list is changed, so that a relayed list and one read here do not mix
-	storeAway     atomic.Bool   // the store does not answer the upstreams' feed
-	listIsLarge   atomic.Bool   // the list has several parts
-	sizeKnown     chan struct{} // closed when listIsLarge is known
-	sizeOnce      sync.Once
-	listIsCompact atomic.Bool   // the list came from a compact relay and lacks changes of residents and local copies
-	recovered     chan struct{} // receives a token when the store answers the upstreams' feed again
+	deps             Deps
+	config           progress
+	upstreams        progress
+	relayedAt        atomic.Int64 // time of the store's answer in the latest fresh relay, by the monotonic clock since startedAt; 0: none
+	startedAt        time.Time
+	applying         sync.Mutex    // held while the list is changed, so that a relayed list and one read here do not mix
+	storeUnavailable atomic.Bool   // the store does not answer the upstreams' feed
+	listIsLarge      atomic.Bool   // the list has several parts
+	sizeKnown        chan struct{} // closed when listIsLarge is known
+	sizeOnce         sync.Once
+	listIsCompact    atomic.Bool   // the list came from a compact relay and lacks changes of residents and local copies
+	recovered        chan struct{} // receives a token when the store answers the upstreams' feed again
 }
 
 // progress is how far a table was followed.
--- a/node/follow/follow_test.go
+++ b/node/follow/follow_test.go
@@ -16,11 +16,11 @@
 	"peridotpier.example/node/follow"
 )
 
-// source is a store that can be away, fail some calls after its recovery, and change at
-// any time.
+// source is a store that can be unavailable, fail some calls after its recovery, and
+// change at any time.
 type source struct {
 	mu           sync.Mutex
-	away         bool
+	unavailable  bool
 	failingCalls int // number of next calls that fail although the store is back
 	version      uint64
 	configCalls  int // calls for the configuration
@@ -31,8 +31,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*count++
-	if s.away {
-		return 0, errors.New("away")
+	if s.unavailable {
+		return 0, errors.New("unavailable")
 	}
 	if s.failingCalls > 0 {
 		s.failingCalls--
@@ -92,11 +92,11 @@
 	return follow.UpstreamUpdate{}, v, err
 }
 
-type listener struct{}
+type discardUpstreams struct{}
 
-func (listener) Replace([]deploy.Upstream, uint64)         {}
-func (listener) Apply([]deploy.Upstream, []string, uint64) {}
-func (listener) StoreRecovered()                           {}
+func (discardUpstreams) Replace([]deploy.Upstream, uint64)         {}
+func (discardUpstreams) Apply([]deploy.Upstream, []string, uint64) {}
+func (discardUpstreams) StoreRecovered()                           {}
 
 // startFollower runs a host's two feeds. With othersProbeFirst, other hosts probe for the
 // store's recovery before this host does.
@@ -104,7 +104,7 @@
 	t.Helper()
 	log := event.NewLog(nil)
 	config := follow.NewActiveConfig(log)
-	f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, OthersProbeFirst: func() bool { return othersProbeFirst }, OnListed: func() {}})
+	f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: discardUpstreams{}, Log: log, OthersProbeFirst: func() bool { return othersProbeFirst }, OnListed: func() {}})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for _, run := range []func(context.Context) error{f.RunConfig, f.RunUpstreams} {
@@ -119,9 +119,9 @@
 const configBound = 2500 * time.Millisecond
 
 // Guards against a configuration that is not in force 3 s after the store's recovery. The
-// store was away for some seconds and a configuration was written at its recovery; all
-// hosts called at once, this host's first calls were rejected, and its next call came
-// only after the pause for a store that is away.
+// store was unavailable for some seconds and a configuration was written at its recovery;
+// all hosts called at once, this host's first calls were rejected, and its next call came
+// only after the pause for an unavailable store.
 func TestAFailedFirstCallAfterARecoveryCostsOnePause(t *testing.T) {
 	for _, othersProbeFirst := range []bool{false, true} {
 		t.Run(map[bool]string{false: "probes first", true: "others probe first"}[othersProbeFirst], func(t *testing.T) {
@@ -129,9 +129,9 @@
 			s := &source{version: 1}
 			config := startFollower(t, s, othersProbeFirst)
 			waitForVersion(t, config, 1, time.Second)
-			s.set(func() { s.away = true })
+			s.set(func() { s.unavailable = true })
 			time.Sleep(2500 * time.Millisecond)
-			s.set(func() { s.away, s.version, s.failingCalls = false, 2, 1 })
+			s.set(func() { s.unavailable, s.version, s.failingCalls = false, 2, 1 })
 			waitForVersion(t, config, 2, configBound)
 		})
 	}
@@ -171,14 +171,14 @@
 	s := &source{version: 1}
 	config := startFollower(t, s, true)
 	waitForVersion(t, config, 1, time.Second)
-	s.set(func() { s.away = true })
+	s.set(func() { s.unavailable = true })
 	time.Sleep(1500 * time.Millisecond) // the first quick retries of both feeds are over
 	configs, lists := s.calls()
 	time.Sleep(2500 * time.Millisecond)
 	configsNow, listsNow := s.calls()
 	assert.Assert(t, configsNow-configs <= 1)
 	assert.Assert(t, listsNow-lists >= 2)
-	s.set(func() { s.away, s.version = false, 2 })
+	s.set(func() { s.unavailable, s.version = false, 2 })
 	waitForVersion(t, config, 2, 2*time.Second)
 }
 
@@ -191,7 +191,7 @@
 			log := event.NewLog(nil)
 			s := &source{version: 1}
 			config := follow.NewActiveConfig(log)
-			f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, OnListed: func() {},
+			f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: discardUpstreams{}, Log: log, OnListed: func() {},
 				OthersProbeFirst: func() bool { return othersProbeFirst }, MaxRelayAge: 3 * time.Second})
 			f.ApplyRelay(follow.Relay{Config: &deploy.Config{Version: 1}, UpstreamsVersion: 1})
 			ctx, cancel := context.WithCancel(t.Context())
@@ -230,7 +230,7 @@
 			s := &readCountingSource{source: source{version: 1}}
 			config := follow.NewActiveConfig(log)
 			var relaying atomic.Bool
-			f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, OnListed: func() {}, IsRelaying: relaying.Load})
+			f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: discardUpstreams{}, Log: log, OnListed: func() {}, IsRelaying: relaying.Load})
 			f.ApplyRelay(follow.Relay{Config: &deploy.Config{Version: 1}, UpstreamsVersion: 1, Complete: true, Compact: compact})
 			f.ApplyRelay(follow.Relay{UpstreamsVersion: 1}) // no changes
 			ctx, cancel := context.WithCancel(t.Context())
@@ -274,7 +274,7 @@
 			log := event.NewLog(nil)
 			s := &sourceInParts{source{version: 1}, c.parts}
 			config := follow.NewActiveConfig(log)
-			f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, OnListed: func() {}, OthersProbeFirst: func() bool { return c.othersProbeFirst }})
+			f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: discardUpstreams{}, Log: log, OnListed: func() {}, OthersProbeFirst: func() bool { return c.othersProbeFirst }})
 			ctx, cancel := context.WithCancel(t.Context())
 			var wg sync.WaitGroup
 			wg.Go(func() { _ = f.RunUpstreams(ctx) })
--- a/node/follow/parts_test.go
+++ b/node/follow/parts_test.go
@@ -49,7 +49,7 @@
 	log := event.NewLog(nil)
 	config := follow.NewActiveConfig(log)
 	config.ApplyIfNewer(&deploy.Config{Version: 1}, "test")
-	f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: listener{}, Log: log, OthersProbeFirst: func() bool { return othersProbeFirst }, OnListed: func() { listed.Store(true) }})
+	f := follow.New(follow.Deps{Source: s, Config: config, Upstreams: discardUpstreams{}, Log: log, OthersProbeFirst: func() bool { return othersProbeFirst }, OnListed: func() { listed.Store(true) }})
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if meanwhile != nil {
