--- a/node/drain/drain_test.go
+++ b/node/drain/drain_test.go
@@ -194,8 +194,8 @@
 // Sequence: the handler has returned and the server has not written the answer
 // yet, or a stream's last chunk; or the request is read and its handler has not
 // begun. The shutdown finds no request in progress and closes every connection.
-// Cause: only running handlers are counted as requests in progress. The evidence
-// is the result of the last drain step: 0 while a request is read or answered.
+// Cause: only running handlers are counted as requests in progress. It shows in
+// the result of the last drain step: 0 while a request is read or answered.
 func TestRequestsInProgressAreCounted(t *testing.T) {
 	t.Parallel()
 	t.Run("short answer", func(t *testing.T) {
@@ -269,12 +269,11 @@
 // because it is idle; the server's read has the next request already and has not
 // reported it; or the request came together with the one before. The connection
 // is closed and the request is handled, or what was read of it is dropped.
-// Cause: whoever closes the connection decides on what only its reader knows. The
-// evidence: of 1366 shutdowns with 12,316 connections closed for being idle, 74
-// requests were handled on a connection that had been closed; in ten runs of
-// restarts with callers 150 ms away seven callers got nothing, and each of the
-// requests looked up had come from a connection that the shutdown had just
-// closed.
+// Cause: whoever closes the connection decides on what only its reader knows. In
+// 1366 shutdowns with 12,316 connections closed for being idle, 74 requests were
+// handled on a connection that had been closed; in ten runs of restarts with
+// callers 150 ms away seven callers got nothing, and each of their requests that
+// was traced had come from a connection that the shutdown had just closed.
 func TestARequestThatWasReadIsAnswered(t *testing.T) {
 	t.Parallel()
 	for name, choose := range map[string]func(*Server){
--- a/node/drain/linger_test.go
+++ b/node/drain/linger_test.go
@@ -16,8 +16,8 @@
 // Sequence: the refusal is written after the head; the caller still sends the
 // body. The process ends, or the server closes the connection.
 // Cause: the connection is closed with bytes unread. This sends a reset, which
-// overtakes the refusal on its way or ends the caller's write. The evidence is
-// the error at the caller, and the result of the last drain step.
+// overtakes the refusal on its way or ends the caller's write. It shows in the
+// error at the caller, and in the result of the last drain step.
 func TestARefusalReachesACallerWhoStillSends(t *testing.T) {
 	t.Parallel()
 	refuse := func(w http.ResponseWriter, _ *http.Request) {
