--- a/node/peer/link.go
+++ b/node/peer/link.go
@@ -35,7 +35,7 @@
 	Context() context.Context
 }
 
-// link is one open link. Its queue has only the newest record of each host and of
+// link is an open link to another host. Its queue has only the newest record of each host and of
 // each process of an upstream: a slow link thus gets fewer records, never outdated
 // ones, and its memory is bounded by the number of hosts and processes.
 type link struct {
--- a/node/peer/mesh_test.go
+++ b/node/peer/mesh_test.go
@@ -78,7 +78,7 @@
 func (l *memListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
 func (l *memListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// memConn is one end of a connection. Once it is silent, what is written to it is lost.
+// memConn is one end of a connection. What is written to it is lost if dropsWrites is set.
 type memConn struct {
 	net.Conn
 	from, to    string
@@ -136,8 +136,8 @@
 	}
 }
 
-// dropWrites makes all open connections between two hosts drop what is written, for
-// the rest of their life.
+// dropWrites makes all open connections between two hosts drop what is written
+// from now on.
 func (w *world) dropWrites(a, b string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
