--- a/node/follow/follow_test.go
+++ b/node/follow/follow_test.go
@@ -32,7 +32,7 @@
 	defer s.mu.Unlock()
 	*count++
 	if s.unavailable {
-		return 0, errors.New("unavailable")
+		return 0, errors.New("away")
 	}
 	if s.failingCalls > 0 {
 		s.failingCalls--
--- a/node/lease/failover_test.go
+++ b/node/lease/failover_test.go
@@ -66,7 +66,7 @@
 		name  string
 		crash bool
 		max   time.Duration
-	}{{"shutdown", false, p.TTL / 3}, {"crash", true, p.TTL * 3 / 2}} {
+	}{{"shutdown", false, p.TTL / 3}, {"death", true, p.TTL * 3 / 2}} {
 		t.Run(c.name, func(t *testing.T) {
 			var took []time.Duration
 			var writes float64
--- a/node/planner/planner.go
+++ b/node/planner/planner.go
@@ -110,11 +110,11 @@
 // upstreamStatus is what the reports of an upstream's current incarnation show,
 // apart from its memory.
 type upstreamStatus struct {
-	incarnation string
-	sequence    uint64
-	reportCount int
-	draining    bool
-	down        bool
+	incarnation  string
+	sequence     uint64
+	reportCount  int
+	draining     bool
+	disconnected bool
 }
 
 // Status is the state of a planner.
--- a/node/planner/reports.go
+++ b/node/planner/reports.go
@@ -86,7 +86,7 @@
 		s.reportCount++
 	}
 	s.draining = s.draining || o.Report.Draining // never undone within an incarnation
-	s.down = o.Disconnected
+	s.disconnected = o.Disconnected
 	p.upstreams[o.Report.Upstream] = s
 }
 
@@ -118,7 +118,7 @@
 		}
 		status := p.upstreams[u.Name]
 		s.Upstreams = append(s.Upstreams, place.Upstream{Name: u.Name, DataCentre: u.DataCentre, Row: cached.row, MaxBatch: u.MaxBatch,
-			Draining: status.draining, Down: status.down, ReportCount: status.reportCount})
+			Draining: status.draining, Down: status.disconnected, ReportCount: status.reportCount})
 		s.LoadsInProgress += loadsInProgress(cached.row, now)
 	}
 	p.moveBudget.SetLimitAt(now, rate.Limit(view.Preset.MovesPerMinute/60/float64(enginePoolCount(view.Config))))
