--- a/node/fleet/fleet.go
+++ b/node/fleet/fleet.go
@@ -21,12 +21,12 @@
 type Config struct {
 	DataCentre string
 	Health     health.Policy
-	// RecoveryGrace is how long, after the store is reachable again, upstreams are still
-	// used whose entries expired while it was away. Upstreams that are alive write their
+	// RecoveryGrace is how long, after the store is reachable again, upstreams are still used
+	// whose entries expired while it was unavailable. Upstreams that are alive write their
 	// entries anew in that time.
 	RecoveryGrace time.Duration
-	// MassRemovalGrace is how long upstreams are still used when a large share of a
-	// service's entries is removed together although the store was not seen to be away.
+	// MassRemovalGrace is how long upstreams are still used when a large share of a service's
+	// entries is removed together although the store was not seen to be unavailable.
 	MassRemovalGrace time.Duration
 }
 
@@ -108,8 +108,8 @@
 // request proceed.
 func (f *Fleet) Changed() <-chan struct{} { return f.changes.Next() }
 
-// ResidencyChanged is like Changed, for requests that wait for a model. It is not closed
-// when other requests end, which happens hundreds of times a second.
+// ResidencyChanged is like Changed, for requests that wait for a model. Its channel is not
+// closed when other requests end, which happens hundreds of times a second.
 func (f *Fleet) ResidencyChanged() <-chan struct{} { return f.residencyChanges.Next() }
 
 // NotifyChanged wakes the requests that wait for an upstream.
@@ -192,23 +192,23 @@
 	f.index.Store(done)
 	identityChanged := f.identityRevision == f.revision
 	f.mu.Unlock()
-	f.logSeen(next.added)
+	f.logAdded(next.added)
 	f.notifyResidencyChanged()
 	if identityChanged && f.deps.OnListChange != nil {
 		f.deps.OnListChange()
 	}
 }
 
-// maxLoggedSeen is up to how many upstreams added by one change are logged one by one; of
-// more, only the number is logged.
-const maxLoggedSeen = 16
+// maxLoggedAdded is the maximum number of upstreams added by one change that are logged
+// one by one; of more, only the number is logged.
+const maxLoggedAdded = 16
 
-func (f *Fleet) logSeen(seen []*Entry) {
-	if len(seen) > maxLoggedSeen {
-		f.deps.Log.Emit(event.UpstreamsListed, zap.Int("count", len(seen)))
+func (f *Fleet) logAdded(added []*Entry) {
+	if len(added) > maxLoggedAdded {
+		f.deps.Log.Emit(event.UpstreamsListed, zap.Int("count", len(added)))
 		return
 	}
-	for _, e := range seen {
+	for _, e := range added {
 		u, _ := e.Description()
 		f.deps.Log.Emit(event.UpstreamListed, zap.String(event.FieldPeer, u.ID), zap.String("service", u.Service),
 			zap.String("address", u.Address), zap.Int64("born_ms", u.Born), zap.Int("residents", len(u.Residents)))
@@ -258,12 +258,13 @@
 	}
 }
 
-// massRemovalShare is the share of a service's upstreams that do not drain all at once.
+// massRemovalShare is the share of a service's upstreams from which on their removal
+// together is not treated as drains.
 const massRemovalShare = 0.34
 
 // delistLocked records that entries were removed from the list. Normally their upstreams
-// are draining. But entries also expire while the store is away, and if all upstreams
-// were given up then, none would be left to serve requests.
+// are draining. But entries also expire while the store is unavailable, and if all
+// upstreams were given up then, none would be left to serve requests.
 func (f *Fleet) delistLocked(ix *index, ids []string, now time.Time) {
 	countByService := map[string]int{}
 	for _, id := range ids {
@@ -306,7 +307,7 @@
 	}
 }
 
-// StoreRecovered records that the store is reachable again after it was away.
+// StoreRecovered records that the store is reachable again after it was unavailable.
 func (f *Fleet) StoreRecovered() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -324,7 +325,7 @@
 // run often.
 func (f *Fleet) HasPendingChecks() bool { return !f.pendingChecks.empty() }
 
-// WakeChecks wakes those that wait for ChecksNeeded.
+// WakeChecks wakes the goroutines that wait for ChecksNeeded.
 func (f *Fleet) WakeChecks() { f.checksNeeded.Notify() }
 
 // ChecksNeeded returns a channel that is closed when there are entries to check again.
