--- a/node/follow/follow_test.go
+++ b/node/follow/follow_test.go
@@ -124,7 +124,7 @@
 // only after the pause for an unavailable store.
 func TestAFailedFirstCallAfterARecoveryCostsOnePause(t *testing.T) {
 	for _, othersProbeFirst := range []bool{false, true} {
-		t.Run(map[bool]string{false: "probes first", true: "others probe first"}[othersProbeFirst], func(t *testing.T) {
+		t.Run(map[bool]string{false: "first", true: "patient"}[othersProbeFirst], func(t *testing.T) {
 			t.Parallel()
 			s := &source{version: 1}
 			config := startFollower(t, s, othersProbeFirst)
