--- a/node/follow/feed.go
+++ b/node/follow/feed.go
@@ -22,8 +22,8 @@
 	read          func(ctx context.Context) (version uint64, err error)
 	wait          func(ctx context.Context, after uint64, wait time.Duration) (version uint64, err error)
 	onRecovered   func()      // called when the store is reachable again; nil: not called
-	needsFullRead func() bool // the table must be read completely, since it lacks what this host now needs
-	followsOther  bool        // the calls of another feed show whether the store is away
+	needsFullRead func() bool // reports whether the table lacks what this host now needs, so that it must be read completely
+	followsOther  bool        // the calls of another feed show whether the store is unavailable
 	reread        bool
 	failingSince  time.Time
 }
@@ -31,7 +31,7 @@
 // storeRecovered records that the store answers the upstreams' feed again.
 func (f *Follower) storeRecovered() {
 	f.deps.Upstreams.StoreRecovered()
-	f.storeAway.Store(false)
+	f.storeUnavailable.Store(false)
 	select {
 	case f.recovered <- struct{}{}:
 	default: // one token is enough
@@ -91,9 +91,9 @@
 	}
 }
 
-// waitAfterFailure waits between two retries while the store is away.
+// waitAfterFailure waits between two retries while the store is unavailable.
 func (f *Follower) waitAfterFailure(ctx context.Context, d *feed, wait time.Duration) {
-	otherProbes := d.followsOther && f.storeAway.Load()
+	otherProbes := d.followsOther && f.storeUnavailable.Load()
 	if !f.deps.OthersProbeFirst() || wait <= maxQuickRetryPause && !otherProbes {
 		pace.Sleep(ctx, wait)
 		return
@@ -145,8 +145,8 @@
 	wait, reason := defaultWait, waitForChanges
 	switch {
 	case !f.deps.OthersProbeFirst() && f.hasNotAnswered(d):
-		// A host that may be the next to coordinate must know whether the store answers
-		// earlier than a call that waits for changes would show it.
+		// A host that may coordinate next must know early whether the store answers; a
+		// call that waits for changes would show it too late.
 		wait, reason = 0, probeStore
 	case !d.failingSince.IsZero():
 		// After a recovery the store may never answer a call that it had not received;
@@ -189,7 +189,7 @@
 	}
 	d.failingSince = time.Now()
 	if !d.followsOther {
-		f.storeAway.Store(true)
+		f.storeUnavailable.Store(true)
 	}
 	f.deps.Log.Emit(event.StoreLost, zap.String("table", d.name), zap.Error(err))
 }
--- a/node/planner/planner.go
+++ b/node/planner/planner.go
@@ -43,7 +43,7 @@
 type ObservedReport struct {
 	Report       engineapi.Report
 	Read         time.Time
-	Disconnected bool // for long enough that more than one report is missing
+	Disconnected bool // no contact for long enough that more than one report is missing
 }
 
 // Inputs provides what the planner reads apart from the platform's services. The
@@ -110,11 +110,11 @@
 // upstreamStatus is what the reports of an upstream's current incarnation show,
 // apart from its memory.
 type upstreamStatus struct {
-	incarnation string
-	sequence    uint64
-	reportCount int
-	draining    bool
-	down        bool
+	incarnation  string
+	sequence     uint64
+	reportCount  int
+	draining     bool
+	disconnected bool
 }
 
 // Status is the state of a planner.
--- a/standin/engine/attempt.go
+++ b/standin/engine/attempt.go
@@ -10,67 +10,67 @@
 	"peridotpier.example/standin/answer"
 )
 
-// fate is what became of an attempt.
-type fate uint8
+// outcome is the state of an attempt: running, or how it ended.
+type outcome uint8
 
 const (
-	fateRunning fate = iota // waits or runs
-	fateCompleted
-	fateCancelled
-	fateDied // the process ended under it
-	fateRefused
-	fatePoisoned // was asked for before it came: must never run
+	outcomeRunning outcome = iota // waits or runs
+	outcomeCompleted
+	outcomeCancelled
+	outcomeTerminated // the process ended while it ran
+	outcomeRefused
+	outcomeBlocked // a host asked for it before its request arrived: it must never run
 )
 
-func (f fate) state() engineapi.AttemptState {
+func (f outcome) state() engineapi.AttemptState {
 	switch f {
-	case fateCompleted:
+	case outcomeCompleted:
 		return engineapi.AttemptCompleted
-	case fateCancelled, fateDied:
+	case outcomeCancelled, outcomeTerminated:
 		return engineapi.AttemptCancelled
-	case fateRefused:
+	case outcomeRefused:
 		return engineapi.AttemptRefused
-	case fatePoisoned:
+	case outcomeBlocked:
 		return engineapi.AttemptUnseen
 	default:
 		return engineapi.AttemptRunning
 	}
 }
 
-// attempt is one request under its attempt id. Events are computed from the
-// answer when they are written, so an attempt stays small and any position
-// can be resumed from.
+// attempt is one request under its attempt id. Events are computed from the answer
+// when they are written, so that an attempt stays small and a stream can be
+// resumed at any position.
 type attempt struct {
-	id      string
-	key     route.ModelKey
-	on      *resident // what it runs on; its users are counted
-	name    string    // as the caller called the model
-	class   class.Class
-	answer  answer.Answer
-	chat    bool
-	stream  bool
-	prefix  uint64
-	prompt  int // tokens
-	team    string
-	mark    string
-	process string // incarnation that it is meant for; "": any
-	arrived time.Time
-
-	prefillLeft int // under Engine.mu
-
-	mu       sync.Mutex
-	fate     fate
-	started  time.Time
-	produced int           // tokens of the answer so far
-	reader   chan struct{} // signals the one reader that there is more; nil: none
-	orphan   *time.Timer   // cancels an attempt that nobody reads
-	done     chan struct{} // closed at the end, whatever the end; nil: was never taken
+	id             string
+	key            route.ModelKey
+	resident       *resident // what it runs on; users of the resident are counted
+	name           string    // of the model or adapter as the caller gave it
+	class          class.Class
+	answer         answer.Answer
+	chat           bool
+	stream         bool
+	prefix         uint64
+	promptTokens   int
+	team           string
+	invocation     string
+	forIncarnation string // incarnation that it is meant for; "": any
+	arrived        time.Time
+
+	prefillLeft int // guarded by Engine.mu
+
+	mu           sync.Mutex
+	outcome      outcome
+	started      time.Time
+	produced     int           // tokens of the answer so far
+	reader       chan struct{} // signals new events to the only reader; nil: no reader
+	abandonTimer *time.Timer   // cancels an attempt that has no reader
+	done         chan struct{} // closed when it ends, however it ends; nil: it was never accepted
 }
 
 func (a *attempt) ended() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.fate != fateRunning
+	return a.outcome != outcomeRunning
 }
 
 func (a *attempt) start() {
@@ -79,7 +79,8 @@
 	a.started = time.Now()
 }
 
-// produce adds a token, or all of them at once, and tells whether that was the last.
+// produce adds one token, or all remaining ones, and reports whether the answer is
+// complete.
 func (a *attempt) produce(all bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -87,11 +88,11 @@
 	if all {
 		a.produced = a.answer.Tokens
 	}
-	a.signal()
+	a.notifyReader()
 	return a.produced >= a.answer.Tokens
 }
 
-func (a *attempt) signal() {
+func (a *attempt) notifyReader() {
 	if a.reader == nil {
 		return
 	}
@@ -101,29 +102,30 @@
 	}
 }
 
-// end settles the fate once.
-func (a *attempt) end(f fate) bool {
+// end records how the attempt ended. It returns false when the attempt had ended
+// before.
+func (a *attempt) end(f outcome) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.fate != fateRunning {
+	if a.outcome != outcomeRunning {
 		return false
 	}
-	a.fate = f
-	if a.orphan != nil {
-		a.orphan.Stop()
+	a.outcome = f
+	if a.abandonTimer != nil {
+		a.abandonTimer.Stop()
 	}
 	close(a.done)
 	return true
 }
 
-// attach makes the calling handler the attempt's only reader; an earlier one
-// is superseded and ends.
+// attach makes the calling handler the only reader of the attempt. The channel of
+// an earlier reader is closed, which ends that reader.
 func (a *attempt) attach() chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.orphan != nil {
-		a.orphan.Stop()
-		a.orphan = nil
+	if a.abandonTimer != nil {
+		a.abandonTimer.Stop()
+		a.abandonTimer = nil
 	}
 	old := a.reader
 	a.reader = make(chan struct{}, 1)
@@ -133,8 +135,8 @@
 	return a.reader
 }
 
-// detach tells that a reader is gone; when it was the last, giveUp is called
-// unless another attaches in time.
+// detach removes a reader that has left. When it was the current one, giveUp is
+// called after wait unless another reader attaches before.
 func (a *attempt) detach(reader chan struct{}, wait time.Duration, giveUp func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -142,18 +144,18 @@
 		return
 	}
 	a.reader = nil
-	if a.fate == fateRunning {
-		a.orphan = time.AfterFunc(wait, giveUp)
+	if a.outcome == outcomeRunning {
+		a.abandonTimer = time.AfterFunc(wait, giveUp)
 	}
 }
 
-// position is how many events can be written now: the tokens, and the end
-// marker once the attempt is complete.
-func (a *attempt) position() (events int, f fate) {
+// position returns how many events can be written now: the tokens so far, and the
+// end marker once the attempt is complete.
+func (a *attempt) position() (events int, f outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.fate == fateCompleted {
-		return a.answer.Tokens + 1, a.fate
+	if a.outcome == outcomeCompleted {
+		return a.answer.Tokens + 1, a.outcome
 	}
-	return a.produced, a.fate
+	return a.produced, a.outcome
 }
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	bodyMax       = 16 << 20
+	maxBodyBytes  = 16 << 20
 	defaultTokens = 16
-	bytesPerToken = 4 // of a prompt, about what tokenisers make of English
+	bytesPerToken = 4 // of a prompt; about the ratio of tokenisers for English text
 )
 
-// request is what the engine reads of an OpenAI-compatible request.
+// request holds the fields of an OpenAI-compatible request that the engine reads.
 type request struct {
 	Model               string          `json:"model"`
 	Messages            []message       `json:"messages"`
@@ -35,7 +35,8 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// text is the prompt's text: a string, or the strings and parts of a list.
+// text returns the text of a prompt: a string, or the concatenated strings and
+// parts of a list.
 func text(raw json.RawMessage) string {
 	var s string
 	if json.Unmarshal(raw, &s) == nil {
@@ -52,7 +53,7 @@
 	var part struct {
 		Text string `json:"text"`
 	}
-	_ = json.Unmarshal(raw, &part) // a part without text counts as none
+	_ = json.Unmarshal(raw, &part) // a part without text adds nothing
 	return part.Text
 }
 
@@ -67,15 +68,15 @@
 	return b.String()
 }
 
-// refusal is an answer given in place of work.
+// refusal is the answer to a request that is not accepted.
 type refusal struct {
 	status int
-	header string // value of HeaderRefused; "" when nothing is promised
+	header string // value of HeaderRefused; "": no statement on whether the request ran
 	text   string
 }
 
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request, chat bool) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMax))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	var q request
 	if err == nil {
 		err = json.Unmarshal(body, &q)
@@ -90,17 +91,17 @@
 		return
 	}
 	a := newAttempt(id, &q, r.Header, chat, e.cfg.MaxTokens)
-	reader, no := e.enqueue(a)
-	if no != nil {
-		e.refuse(w, *no)
+	reader, refused := e.enqueue(a)
+	if refused != nil {
+		e.refuse(w, *refused)
 		return
 	}
-	e.poke()
+	e.wakeStepLoop()
 	if a.stream {
 		e.stream(w, r, a, reader, 0)
 		return
 	}
-	e.whole(w, r, a, reader)
+	e.serveComplete(w, r, a, reader)
 }
 
 func newAttempt(id string, q *request, h http.Header, chat bool, maxTokens int) *attempt {
@@ -113,83 +114,84 @@
 	}
 	prompt := q.promptText()
 	a := &attempt{id: id, name: q.Model, chat: chat, stream: q.Stream, arrived: time.Now(),
-		answer: answer.For(prompt, min(tokens, maxTokens)), prompt: len(prompt)/bytesPerToken + 1, done: make(chan struct{})}
-	a.team, a.mark, _ = answer.FindMark([]byte(prompt))
-	a.process = h.Get(engineapi.HeaderForIncarnation)
+		answer: answer.For(prompt, min(tokens, maxTokens)), promptTokens: len(prompt)/bytesPerToken + 1, done: make(chan struct{})}
+	a.team, a.invocation, _ = answer.FindMark([]byte(prompt))
+	a.forIncarnation = h.Get(engineapi.HeaderForIncarnation)
 	a.class = class.Standard
 	if n, err := strconv.Atoi(h.Get(engineapi.HeaderPriority)); err == nil && n >= 0 && n < class.Count {
 		a.class = class.Class(n)
 	}
-	a.prefix, _ = strconv.ParseUint(h.Get(engineapi.HeaderPrefix), 16, 64) // absent or odd: no prefix
+	a.prefix, _ = strconv.ParseUint(h.Get(engineapi.HeaderPrefix), 16, 64) // missing or malformed: no prefix
 	return a
 }
 
-// enqueue takes the attempt in, or says why it does not.
+// enqueue accepts the attempt and attaches its reader, or returns why the attempt
+// is refused.
 func (e *Engine) enqueue(a *attempt) (chan struct{}, *refusal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if known, _ := e.attempts.Find(a.id); known != nil && known.done == nil {
 		return nil, &refusal{http.StatusServiceUnavailable, engineapi.RefusedAttemptClosed, "attempt id is settled as not run"}
 	} else if known != nil || e.attempts.WasDropped(a.id) {
-		// No promise here: the first request under this id may be running.
+		// Without HeaderRefused: the first request under this id may be running.
 		return nil, &refusal{status: http.StatusConflict, text: "attempt id was used before"}
 	}
-	no := e.admission(a)
-	if no != nil {
-		e.attempts.Add(a.id, &attempt{id: a.id, fate: fateRefused})
-		return nil, no
+	refused := e.admit(a)
+	if refused != nil {
+		e.attempts.Add(a.id, &attempt{id: a.id, outcome: outcomeRefused})
+		return nil, refused
 	}
 	e.attempts.Add(a.id, a)
 	e.batch.waiting[a.class] = append(e.batch.waiting[a.class], a)
 	return a.attach(), nil
 }
 
-func (e *Engine) admission(a *attempt) *refusal {
-	res := e.serving(a.name)
+func (e *Engine) admit(a *attempt) *refusal {
+	res := e.findServing(a.name)
 	switch {
-	case a.process != "" && a.process != e.incarnation:
+	case a.forIncarnation != "" && a.forIncarnation != e.incarnation:
 		return &refusal{http.StatusServiceUnavailable, engineapi.RefusedRestarted, "attempt is meant for a former process"}
-	case e.leaving:
+	case e.draining:
 		return &refusal{http.StatusServiceUnavailable, engineapi.RefusedDraining, "engine is leaving"}
 	case res == nil:
 		return &refusal{http.StatusServiceUnavailable, engineapi.RefusedNotLoaded, "model is not loaded"}
 	case e.batch.waitingCount() >= e.cfg.MaxQueue:
 		return &refusal{http.StatusTooManyRequests, engineapi.RefusedQueueFull, "queue is full"}
 	}
-	a.key, a.on = res.key, res
+	a.key, a.resident = res.key, res
 	res.users++
 	return nil
 }
 
-func (e *Engine) refuse(w http.ResponseWriter, no refusal) {
-	e.stamp(w.Header())
-	if no.header != "" {
-		w.Header().Set(engineapi.HeaderRefused, no.header)
+func (e *Engine) refuse(w http.ResponseWriter, refused refusal) {
+	e.setHeaders(w.Header())
+	if refused.header != "" {
+		w.Header().Set(engineapi.HeaderRefused, refused.header)
 	}
-	writeJSON(w, no.status, map[string]any{"error": map[string]any{"message": no.text, "type": "engine_error", "code": no.header}})
+	writeJSON(w, refused.status, map[string]any{"error": map[string]any{"message": refused.text, "type": "engine_error", "code": refused.header}})
 }
 
-// whole answers in one piece when the attempt has ended.
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, a *attempt, reader chan struct{}) {
+// serveComplete sends the complete answer once the attempt has ended.
+func (e *Engine) serveComplete(w http.ResponseWriter, r *http.Request, a *attempt, reader chan struct{}) {
 	select {
 	case <-a.done:
 	case <-r.Context().Done():
 		e.abandon(a, reader)
 		return
 	}
-	if _, f := a.position(); f != fateCompleted {
-		panic(http.ErrAbortHandler) // cancelled or died: the connection breaks, as it would with a real engine
+	if _, f := a.position(); f != outcomeCompleted {
+		panic(http.ErrAbortHandler) // cancelled or terminated: the connection breaks, as with a real engine
 	}
-	from := e.crossed(a)
-	e.stamp(w.Header())
-	w.Header().Set(engineapi.HeaderAttempt, from.id)
-	body := from.wholeBody()
+	source := e.answerSource(a)
+	e.setHeaders(w.Header())
+	w.Header().Set(engineapi.HeaderAttempt, source.id)
+	body := source.completeBody()
 	w.Header().Set("Content-Type", jsonType)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = w.Write(body)
 }
 
-// abandon starts the clock of an attempt whose caller's connection is gone.
+// abandon starts the resume window of an attempt whose connection is closed.
 func (e *Engine) abandon(a *attempt, reader chan struct{}) {
 	a.detach(reader, e.cfg.ResumeWindow, func() { e.cancel(a) })
 }
@@ -197,19 +199,19 @@
 func (e *Engine) cancel(a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.finish(a, fateCancelled)
+	e.finish(a, outcomeCancelled)
 }
 
-// finish settles an attempt and writes its record. The caller holds mu.
-func (e *Engine) finish(a *attempt, f fate) {
+// finish ends an attempt and adds its record. The caller holds mu.
+func (e *Engine) finish(a *attempt, f outcome) {
 	if a.done == nil || !a.end(f) {
 		return
 	}
 	if a.started.IsZero() {
 		e.batch.remove(a)
 	}
-	a.on.users--
-	e.settleModel(a.key.Model)
+	a.resident.users--
+	e.freeIdleOfModel(a.key.Model)
 	e.records.addExecution(a, e.incarnation, e.cfg.MaxRecords)
 }
 
@@ -218,5 +220,5 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", jsonType)
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the caller is gone; nobody to tell
+	_ = json.NewEncoder(w).Encode(v) // the caller has disconnected; the error concerns nobody
 }
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -9,11 +9,11 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-const bufferSize = 16 << 10 // holds a full write of FlushTokens events
+const bufferSize = 16 << 10 // large enough for a write of FlushTokens events
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, bufferSize); return &b }}
 
-// frame is the part of an event that is the same for each token of a stream.
+// frame is the part of an event that is the same for all tokens of a stream.
 type frame struct{ head, middle, tail []byte }
 
 func (a *attempt) frame() frame {
@@ -21,7 +21,7 @@
 	if a.chat {
 		object, open, closing = "chat.completion.chunk", `"delta":{"content":"`, `"}`
 	}
-	name, _ := json.Marshal(a.name) // a string always encodes
+	name, _ := json.Marshal(a.name) // encoding a string cannot fail
 	return frame{
 		head:   []byte("id: " + a.id + "."),
 		middle: []byte("\ndata: {\"id\":\"gen\",\"object\":\"" + object + "\",\"created\":0,\"model\":" + string(name) + ",\"choices\":[{\"index\":0," + open),
@@ -29,7 +29,8 @@
 	}
 }
 
-// appendEvent appends the event at a position; the one after the last token is the end marker.
+// appendEvent appends the event at a position. The event after the last token is
+// the end marker.
 func (a *attempt) appendEvent(buf []byte, f *frame, position int) []byte {
 	buf = append(buf, f.head...)
 	buf = strconv.AppendInt(buf, int64(position), 10)
@@ -45,8 +46,8 @@
 	return append(buf, "null}]}\n\n"...)
 }
 
-// wholeBody is the answer in one piece.
-func (a *attempt) wholeBody() []byte {
+// completeBody returns the body of an answer that is not streamed.
+func (a *attempt) completeBody() []byte {
 	choice := map[string]any{"index": 0, "finish_reason": "length"}
 	object := "text_completion"
 	if a.chat {
@@ -55,15 +56,15 @@
 	} else {
 		choice["text"] = a.answer.Text()
 	}
-	body, _ := json.Marshal(map[string]any{ // strings and numbers always encode
+	body, _ := json.Marshal(map[string]any{ // encoding strings and numbers cannot fail
 		"id": "gen", "object": object, "created": 0, "model": a.name, "choices": []any{choice},
-		"usage": map[string]int{"prompt_tokens": a.prompt, "completion_tokens": a.answer.Tokens, "total_tokens": a.prompt + a.answer.Tokens},
+		"usage": map[string]int{"prompt_tokens": a.promptTokens, "completion_tokens": a.answer.Tokens, "total_tokens": a.promptTokens + a.answer.Tokens},
 	})
 	return body
 }
 
-// stream writes the attempt's events after a position, as they come, to its
-// one reader.
+// stream writes the attempt's events after a position to its only reader as they
+// are produced.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, a *attempt, reader chan struct{}, after int) {
 	defer e.abandon(a, reader)
 	out := e.newStreamWriter(w, a, after)
@@ -76,9 +77,9 @@
 		switch {
 		case out.pos > a.answer.Tokens:
 			return
-		case f != fateRunning && f != fateCompleted:
-			panic(http.ErrAbortHandler) // cancelled or died: the stream breaks off without its end marker
-		case f == fateCompleted:
+		case f != outcomeRunning && f != outcomeCompleted:
+			panic(http.ErrAbortHandler) // cancelled or terminated: the stream breaks off without its end marker
+		case f == outcomeCompleted:
 			continue
 		}
 		select {
@@ -94,39 +95,40 @@
 }
 
 type streamWriter struct {
-	w     http.ResponseWriter
-	rc    *http.ResponseController
-	a     *attempt
-	frame frame
-	other *attempt // whose events stand in for ours from otherAt on; nil: none
-	buf   *[]byte
-	pos   int
-	flush int
-	cutAt int // position after which the connection breaks; 0: none
+	w       http.ResponseWriter
+	rc      *http.ResponseController
+	a       *attempt
+	frame   frame
+	foreign *attempt // attempt whose event is written into this stream next; nil: none
+	buf     *[]byte
+	pos     int
+	flush   int
+	cutAt   int // position after which the connection is broken; 0: none
 }
 
 func (e *Engine) newStreamWriter(w http.ResponseWriter, a *attempt, after int) *streamWriter {
-	e.stamp(w.Header())
+	e.setHeaders(w.Header())
 	w.Header().Set(engineapi.HeaderAttempt, a.id)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
 	s := &streamWriter{w: w, rc: http.NewResponseController(w), a: a, pos: after, flush: e.cfg.FlushTokens, buf: buffers.Get().(*[]byte)}
-	if other := e.crossed(a); other != a {
-		s.other = other
+	if other := e.answerSource(a); other != a {
+		s.foreign = other
 	}
 	if n := int(e.faults.cutAfter.Load()); n > 0 {
 		s.cutAt = after + n
 	}
 	s.frame = a.frame()
 	w.WriteHeader(http.StatusOK)
-	_ = s.rc.Flush() // the caller's host learns at once that the attempt was taken
+	_ = s.rc.Flush() // so that the host of the caller receives at once that the attempt was accepted
 	return s
 }
 
-// writeUpTo writes the events up to a position; false: the connection is gone.
+// writeUpTo writes the events up to a position. It returns false when the
+// connection is closed.
 func (s *streamWriter) writeUpTo(events int) bool {
-	if s.other != nil && s.pos < events {
-		s.cross()
+	if s.foreign != nil && s.pos < events {
+		s.writeForeignEvent()
 	}
 	for s.pos < events {
 		buf := (*s.buf)[:0]
@@ -150,11 +152,11 @@
 	return true
 }
 
-// cross writes one event of another attempt into this stream.
-func (s *streamWriter) cross() {
-	f := s.other.frame()
-	_, _ = s.w.Write(s.other.appendEvent(nil, &f, s.pos+1))
-	s.other = nil
+// writeForeignEvent writes one event of another attempt into this stream.
+func (s *streamWriter) writeForeignEvent() {
+	f := s.foreign.frame()
+	_, _ = s.w.Write(s.foreign.appendEvent(nil, &f, s.pos+1))
+	s.foreign = nil
 }
 
 func (s *streamWriter) close() {
--- a/standin/load/run.go
+++ b/standin/load/run.go
@@ -12,20 +12,20 @@
 
 // EntryBalancer is the platform's balancer as callers see it.
 type EntryBalancer interface {
-	// Next names an entry host, another than last where there is one.
+	// Next returns an entry host, which differs from last if there is another one.
 	Next(last string) (string, error)
 }
 
-// ErrNoEntryHost says that the balancer knows no entry host.
+// ErrNoEntryHost reports that the balancer has no entry host.
 var ErrNoEntryHost = errors.New("no entry host in the balancer")
 
-// Balancer hands out entry hosts in turn.
+// Balancer returns its entry hosts in rotation.
 type Balancer struct {
-	hosts atomic.Pointer[[]string]
-	turn  atomic.Uint64
+	hosts   atomic.Pointer[[]string]
+	counter atomic.Uint64
 }
 
-// NewBalancer makes a balancer over hosts.
+// NewBalancer returns a balancer over hosts.
 func NewBalancer(hosts ...string) *Balancer {
 	b := &Balancer{}
 	b.Set(hosts...)
@@ -35,38 +35,38 @@
 // Set replaces the hosts.
 func (b *Balancer) Set(hosts ...string) { b.hosts.Store(&hosts) }
 
-// Next implements Entries.
+// Next implements EntryBalancer.
 func (b *Balancer) Next(last string) (string, error) {
 	hosts := *b.hosts.Load()
 	if len(hosts) == 0 {
 		return "", ErrNoEntryHost
 	}
 	n := uint64(len(hosts))
-	host := hosts[b.turn.Add(1)%n]
+	host := hosts[b.counter.Add(1)%n]
 	if host == last {
-		host = hosts[b.turn.Add(1)%n]
+		host = hosts[b.counter.Add(1)%n]
 	}
 	return host, nil
 }
 
-// Defaults of a Config.
+// Default values of a Config, and a bound.
 const (
-	defaultInFlight = 20000
-	defaultPatience = 10 * time.Second
-	idlePerHost     = 256
+	defaultMaxInFlight    = 20000
+	defaultMaxOverdueWait = 10 * time.Second
+	idlePerHost           = 256
 )
 
-// Config describes a run.
+// Config holds the settings of a run.
 type Config struct {
 	Plan           []Arrival
 	Entries        EntryBalancer
-	Dial           func(ctx context.Context, network, address string) (net.Conn, error) // nil: plain; else adds distance
-	MaxInFlight    int                                                                  // invocations at once at most; more are recorded as skipped
-	MaxOverdueWait time.Duration                                                        // after its deadline a caller waits that long for a word
-	Progress       func(Progress)                                                       // called about once a second; nil: not
+	Dial           func(ctx context.Context, network, address string) (net.Conn, error) // nil: the default dialer; wire.Dialer adds delays
+	MaxInFlight    int                                                                  // invocations at once; more are recorded as skipped
+	MaxOverdueWait time.Duration                                                        // how long a caller waits for an outcome after its deadline
+	Progress       func(Progress)                                                       // called about once a second; nil: not called
 }
 
-// Progress is where a run stands.
+// Progress is the state of a run.
 type Progress struct {
 	Elapsed     time.Duration
 	Sent        int
@@ -74,14 +74,14 @@
 	MetDeadline int
 }
 
-// Run sends the plan and returns when every invocation has had its last word
-// or ctx ended.
+// Run sends the calls of the plan and returns when every invocation has its final
+// outcome or ctx has ended.
 func Run(ctx context.Context, cfg Config) *Result {
 	if cfg.MaxInFlight == 0 {
-		cfg.MaxInFlight = defaultInFlight
+		cfg.MaxInFlight = defaultMaxInFlight
 	}
 	if cfg.MaxOverdueWait == 0 {
-		cfg.MaxOverdueWait = defaultPatience
+		cfg.MaxOverdueWait = defaultMaxOverdueWait
 	}
 	transport := &http.Transport{DialContext: cfg.Dial, MaxIdleConnsPerHost: idlePerHost, DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -91,13 +91,13 @@
 }
 
 type runner struct {
-	cfg      Config
-	client   *http.Client
-	result   *Result
-	start    time.Time
-	inFlight atomic.Int64
-	finished atomic.Int64
-	met      atomic.Int64
+	cfg         Config
+	client      *http.Client
+	result      *Result
+	start       time.Time
+	inFlight    atomic.Int64
+	finished    atomic.Int64
+	metDeadline atomic.Int64
 }
 
 func (r *runner) run(ctx context.Context) {
@@ -111,7 +111,7 @@
 		}
 		if now := time.Now(); r.cfg.Progress != nil && now.Sub(shown) >= time.Second {
 			shown = now
-			r.cfg.Progress(Progress{now.Sub(r.start), i, int(r.finished.Load()), int(r.met.Load())})
+			r.cfg.Progress(Progress{now.Sub(r.start), i, int(r.finished.Load()), int(r.metDeadline.Load())})
 		}
 		v := &Invocation{Arrival: a, Intended: intended}
 		if int(r.inFlight.Load()) >= r.cfg.MaxInFlight {
@@ -133,11 +133,11 @@
 	c.run(ctx)
 	r.inFlight.Add(-1)
 	if run.Err() != nil && v.Verdict != VerdictComplete {
-		return // the callers were called off; that is nobody's fault and no measurement
+		return // the run was ended: an invocation that it interrupted is no measurement
 	}
 	r.finished.Add(1)
 	if v.MetDeadline() {
-		r.met.Add(1)
+		r.metDeadline.Add(1)
 	}
 	r.result.add(v)
 }
--- a/standin/local/check.go
+++ b/standin/local/check.go
@@ -8,12 +8,13 @@
 	"peridotpier.example/standin/load"
 )
 
-// historyOK is the verdict on a history that can be explained.
+// historyOK is the result of checkHistory for a history without contradictions.
 const historyOK = "ok"
 
-// check verifies the calls that may not be repeated against what the
-// upstreams executed, as a history of a register that is written at most once.
-func check(r *load.Result, effects []load.Effect) string {
+// checkHistory checks the calls that may not be repeated against the executions of the
+// upstreams, as a history of a register that is written at most once. It returns
+// historyOK or a description of the contradiction.
+func checkHistory(r *load.Result, effects []load.Effect) string {
 	var calls []history.Invocation
 	for _, v := range r.Invocations {
 		if v.Key != "" && len(v.Tries) > 0 {
@@ -25,7 +26,7 @@
 		if e.Key == "" {
 			continue
 		}
-		x := history.Execution{InvocationID: e.Invocation, Key: e.Team + "/" + e.Key, Attempt: e.Attempt, Start: e.Start.UnixNano(), Answer: digest(e.Answer)}
+		x := history.Execution{InvocationID: e.Invocation, Key: e.Team + "/" + e.Key, Attempt: e.Attempt, Start: e.Start.UnixNano(), Answer: formatDigest(e.Answer)}
 		if !e.End.IsZero() {
 			x.End = e.End.UnixNano()
 		}
@@ -37,18 +38,18 @@
 	return historyOK
 }
 
-// invocation is a call with all of its tries under one key. It claims "not
-// run" only when each of them did: one that got no word may have run.
+// invocation converts a call with all of its tries under one key. Its outcome is
+// NotRun only if each try was answered so: a try without an answer may have run.
 func invocation(v *load.Invocation) history.Invocation {
 	i := history.Invocation{ID: v.Arrival.ID, Key: v.Arrival.Source.Team + "/" + v.Key, Start: v.Started.UnixNano(), End: v.Returned.UnixNano(),
 		Outcome: outcome.Unknown}
 	switch {
 	case v.Verdict == load.VerdictComplete:
-		i.Outcome, i.Answer = outcome.Completed, digest(v.Digest)
+		i.Outcome, i.Answer = outcome.Completed, formatDigest(v.Digest)
 	case v.AllTriesNotRun():
 		i.Outcome = outcome.NotRun
 	}
 	return i
 }
 
-func digest(d uint64) string { return strconv.FormatUint(d, 16) }
+func formatDigest(d uint64) string { return strconv.FormatUint(d, 16) }
--- a/standin/local/fleet.go
+++ b/standin/local/fleet.go
@@ -19,64 +19,65 @@
 	fake "peridotpier.example/standin/platform"
 )
 
-// The fleet that the design is for, on which smaller ones are modelled.
+// Dimensions of the fleet that the design is for; smaller fleets are modelled on it.
 const (
 	fleetModels      = 720
 	fleetDataCentres = 7
 	upstreamsPerPool = 60
 	residentMB       = 30_000
 	fleetTeams       = 60
-	startAtOnce      = 20
-	startPause       = 2 * time.Second // between batches, for their links to settle
+	startBatchSize   = 20
+	startBatchPause  = 2 * time.Second // between batches, so that their links are established
 )
 
-// FleetOptions size a fleet.
+// FleetOptions are the size of a fleet and the extent of its measurement.
 type FleetOptions struct {
 	Nodes          int
 	Upstreams      int
-	SteadyDuration time.Duration // how long the steady state is measured
-	ChangeCount    int           // changes of preset to time
+	SteadyDuration time.Duration // duration of the measurement of the steady state
+	ChangeCount    int           // number of preset changes, and of draining upstreams, to time
 	Progress       func(format string, args ...any)
 }
 
-// Fleet is a number of nodes without traffic, before upstreams that only report.
+// Fleet is a number of nodes without traffic, with upstreams that only serve reports.
 type Fleet struct {
-	opt     FleetOptions
-	sources *ReportOnlyUpstreams
-	cfg     *config.Config
-	table   *fake.Table
-	objects *fake.Objects
-	hosts   *fake.Hosts
-	peers   *network
-	polls   *network
-	nodes   []*Node
+	opt         FleetOptions
+	upstreams   *ReportOnlyUpstreams
+	cfg         *config.Config
+	table       *fake.Table
+	objects     *fake.Objects
+	hosts       *fake.Hosts
+	peerNetwork *network
+	pollNetwork *network
+	nodes       []*Node
 }
 
-// FleetReport is what a fleet cost and how fast it was.
+// FleetReport gives the resource use of a fleet and the times until its nodes notice
+// changes. Traffic, reads, writes and reports are per second.
 type FleetReport struct {
 	Nodes                         int       `json:"nodes"`
 	Upstreams                     int       `json:"upstreams"`
 	DocumentBytes                 int       `json:"document_bytes"`
 	StartSeconds                  float64   `json:"start_s"`                // until every node was ready
-	MembersKnownSeconds           float64   `json:"members_known_s"`        // after that, until every node knew every other
+	MembersKnownSeconds           float64   `json:"members_known_s"`        // from then until every node knew every other
 	PeerBytes                     float64   `json:"peer_bytes_s_node"`      // sent and received between hosts
-	PollBytes                     float64   `json:"poll_bytes_s_node"`      // with upstreams
+	PollBytes                     float64   `json:"poll_bytes_s_node"`      // sent and received between nodes and upstreams
 	TableReads                    float64   `json:"table_reads_s"`          // of all nodes together
 	TableWrites                   float64   `json:"table_writes_s"`         // of all nodes together
 	ReportsServed                 float64   `json:"reports_s"`              // of all nodes together
-	CPUShare                      float64   `json:"cpu_share_node"`         // of a core, with the stand-ins' part
-	HeapKB                        float64   `json:"heap_kb_node"`           // live heap and stacks
-	PresetInForce                 Quantiles `json:"in_force_ms"`            // from the change's acceptance, over nodes and changes
-	DocumentInForce               Quantiles `json:"document_in_force_ms"`   // the same for a new document
-	DrainingKnown                 Quantiles `json:"leaving_known_ms"`       // from the upstream's report, over nodes
-	KilledKnown                   Quantiles `json:"killed_known_ms"`        // a tenth killed at once, over survivors
-	PresetInForceAfterKill        Quantiles `json:"in_force_after_kill_ms"` // a change right after that
-	PresetInForceAfterCut         Quantiles `json:"in_force_after_cut_ms"`  // in a data centre that was cut off, from its return
+	CPUShare                      float64   `json:"cpu_share_node"`         // share of a core, including the share of the stand-ins
+	HeapKB                        float64   `json:"heap_kb_node"`           // live heap and stacks, including those of the stand-ins
+	PresetInForce                 Quantiles `json:"in_force_ms"`            // from the acceptance of a preset change, over nodes and changes
+	DocumentInForce               Quantiles `json:"document_in_force_ms"`   // from the acceptance of a new document, over nodes
+	DrainingKnown                 Quantiles `json:"leaving_known_ms"`       // from when an upstream starts to report that it drains, over nodes and upstreams
+	KilledKnown                   Quantiles `json:"killed_known_ms"`        // until the survivors know that a tenth of the nodes was killed at once
+	PresetInForceAfterKill        Quantiles `json:"in_force_after_kill_ms"` // for a preset change right after the killing
+	PresetInForceAfterCut         Quantiles `json:"in_force_after_cut_ms"`  // in a data centre that was isolated, from the end of its isolation
 	PresetInForceAfterStoreOutage Quantiles `json:"in_force_after_store_ms"`
 	ReadyThroughStoreOutage       bool      `json:"ready_through_store_outage"`
 }
 
-// Quantiles are in milliseconds.
+// Quantiles are quantiles of measured times, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
@@ -99,12 +100,12 @@
 	if opt.Progress == nil {
 		opt.Progress = func(string, ...any) {}
 	}
-	f := &Fleet{opt: opt, peers: newNetwork(), polls: newNetwork()}
+	f := &Fleet{opt: opt, peerNetwork: newNetwork(), pollNetwork: newNetwork()}
 	var err error
-	if f.sources, err = StartReportOnlyUpstreams(opt.Upstreams, fleetResidents); err != nil {
+	if f.upstreams, err = StartReportOnlyUpstreams(opt.Upstreams, fleetResidents); err != nil {
 		return nil, err
 	}
-	f.cfg = f.config()
+	f.cfg = f.newConfig()
 	f.table = fake.NewTableWith(fake.NewFaults(1, nil))
 	f.objects = fake.NewObjects(fake.NewFaults(1, nil))
 	f.hosts = fake.NewHosts(fake.NewFaults(1, nil))
@@ -120,12 +121,12 @@
 		}
 		f.nodes = append(f.nodes, n)
 	}
-	// Hosts of a fleet have machines of their own; on this one a start of all
-	// at once would only show how long it takes to share the processors.
+	// The hosts of a real fleet have machines of their own. Starting all of them at
+	// once on this machine would only show how long sharing its processors takes.
 	started := 0
-	for batch := range slices.Chunk(f.nodes, startAtOnce) {
+	for batch := range slices.Chunk(f.nodes, startBatchSize) {
 		started += len(batch)
-		f.list(started)
+		f.publishHosts(started)
 		for _, n := range batch {
 			n.Start()
 		}
@@ -136,7 +137,7 @@
 			}
 		}
 		if started < len(f.nodes) {
-			pause(ctx, startPause)
+			sleep(ctx, startBatchPause)
 		}
 	}
 	return f, nil
@@ -148,40 +149,42 @@
 	dc := fleetDC(i)
 	set := Settings(fmt.Sprintf("entry-%03d", i), dc)
 	set.Bounds.BalancerWaitSeconds = 0
-	n, err := NewNode(NodeConfig{Settings: set, Dialer: f.polls.from(dc), PeerDialer: f.peers.from(dc),
-		Platform: server.Platform{Table: placedTable{f.table, f.peers, dc}, Objects: f.objects, Hosts: f.hosts,
+	n, err := NewNode(NodeConfig{Settings: set, Dialer: f.pollNetwork.dialerFrom(dc), PeerDialer: f.peerNetwork.dialerFrom(dc),
+		Platform: server.Platform{Table: dataCentreTable{f.table, f.peerNetwork, dc}, Objects: f.objects, Hosts: f.hosts,
 			Weights: fake.NewWeights(fake.NewFaults(1, nil), 100, 100)}})
 	if err == nil {
-		f.peers.locate(n.PeerAddress(), dc)
+		f.peerNetwork.setDataCentre(n.PeerAddress(), dc)
 	}
 	return n, err
 }
 
-// placedTable is the table service as a data centre reaches it.
-type placedTable struct {
+// dataCentreTable is the table service as the nodes of one data centre reach it: it is
+// unavailable while the data centre is isolated.
+type dataCentreTable struct {
 	store.Table
 	net *network
 	dc  string
 }
 
 // Commit implements store.Table.
-func (t placedTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
-	if t.net.Cuts(t.dc) {
+func (t dataCentreTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
+	if t.net.IsIsolated(t.dc) {
 		return 0, store.ErrUnavailable
 	}
 	return t.Table.Commit(ctx, txn)
 }
 
 // Get implements store.Table.
-func (t placedTable) Get(ctx context.Context, keys ...string) ([]store.Row, error) {
-	if t.net.Cuts(t.dc) {
+func (t dataCentreTable) Get(ctx context.Context, keys ...string) ([]store.Row, error) {
+	if t.net.IsIsolated(t.dc) {
 		return nil, store.ErrUnavailable
 	}
 	return t.Table.Get(ctx, keys...)
 }
 
-// list tells the platform's list of hosts: the first of them, less the killed.
-func (f *Fleet) list(first int) {
+// publishHosts sets the platform's host list to the first nodes of the fleet, without
+// the killed ones.
+func (f *Fleet) publishHosts(first int) {
 	var hosts []store.Host
 	for i, n := range f.nodes[:first] {
 		if n != nil {
@@ -192,7 +195,8 @@
 	f.hosts.Set(hosts...)
 }
 
-// fleetResidents gives each upstream two models of its pool.
+// fleetResidents returns the resident models of the upstream with index i: two models of
+// its pool, as far as the pool has them.
 func fleetResidents(i int) []engineapi.Resident {
 	pool, place := i/upstreamsPerPool, i%upstreamsPerPool
 	models := poolModels(pool)
@@ -210,8 +214,8 @@
 	return out
 }
 
-// poolModels are the models of a pool; the fleet's models are dealt out to as
-// many pools as the design size has.
+// poolModels returns the models of a pool. The fleet's models are distributed over as
+// many pools as the design size has, also in a smaller fleet.
 func poolModels(pool int) []string {
 	const pools = 2500/upstreamsPerPool + 1
 	var out []string
@@ -221,7 +225,7 @@
 	return out
 }
 
-func (f *Fleet) config() *config.Config {
+func (f *Fleet) newConfig() *config.Config {
 	c := &config.Config{Site: "fleet",
 		Classes: []config.ClassRule{{Class: class.Urgent, FirstTokenMs: 610, DeadlineMs: 5000, MaxQueue: 64},
 			{Class: class.Standard, FirstTokenMs: 2000, DeadlineMs: 60_000, MaxQueue: 256}, {Class: class.Bulk, FirstTokenMs: 20_000, DeadlineMs: 300_000, MaxQueue: 256}},
@@ -238,7 +242,7 @@
 		c.Teams = append(c.Teams, config.Team{Name: name, KeyHashes: []string{keyHash(name)}, Models: []string{config.Wildcard},
 			Weight: 1, Limits: config.TeamLimits{RequestsPerSecond: 500, Concurrent: 500}})
 	}
-	for i, s := range f.sources.list {
+	for i, s := range f.upstreams.list {
 		pool := fmt.Sprintf("pool-%02d", i/upstreamsPerPool)
 		if i%upstreamsPerPool == 0 {
 			c.Pools = append(c.Pools, config.Pool{Name: pool, Kind: config.KindEngine})
@@ -252,7 +256,7 @@
 	return c
 }
 
-// Close stops everything.
+// Close ends all nodes and upstreams.
 func (f *Fleet) Close() {
 	var wg sync.WaitGroup
 	for _, n := range f.nodes {
@@ -261,17 +265,17 @@
 		}
 	}
 	wg.Wait()
-	f.sources.Close()
+	f.upstreams.Close()
 }
 
-// live are the nodes that were not killed.
-func (f *Fleet) live() []*Node {
+// liveNodes returns the nodes that were not killed.
+func (f *Fleet) liveNodes() []*Node {
 	return slices.DeleteFunc(slices.Clone(f.nodes), func(n *Node) bool { return n == nil })
 }
 
-// change switches the preset and returns how long each of the given nodes
-// took to have it in force, from the moment it was accepted.
-func (f *Fleet) change(ctx context.Context, nodes []*Node) ([]time.Duration, error) {
+// switchPreset switches the preset and returns, for each of the given nodes, the time
+// from the acceptance of the change until the node has it in force.
+func (f *Fleet) switchPreset(ctx context.Context, nodes []*Node) ([]time.Duration, error) {
 	names := [2]string{"ordinary", "peak"}
 	st, ok := nodes[0].State()
 	if !ok {
@@ -281,24 +285,25 @@
 	if st.Preset.Name == next {
 		next = names[1]
 	}
-	return f.timed(ctx, nodes, func() (uint64, error) {
+	return f.timeChange(ctx, nodes, func() (uint64, error) {
 		head, err := command.NewConfiguration(command.Deps{Table: f.table, Objects: f.objects}).UsePreset(ctx, command.UsePresetRequest{Author: "fleet", Preset: next})
 		return head.Version, err
 	})
 }
 
-// timed makes a change through the first node and times it on all.
-func (f *Fleet) timed(ctx context.Context, nodes []*Node, change func() (uint64, error)) ([]time.Duration, error) {
+// timeChange makes a change as if through the first node, and returns the time that
+// each node takes to have it in force.
+func (f *Fleet) timeChange(ctx context.Context, nodes []*Node, change func() (uint64, error)) ([]time.Duration, error) {
 	version, err := change()
 	if err != nil {
 		return nil, err
 	}
 	accepted := time.Now()
-	nodes[0].PollSoon() // the host that an operator called takes it in force at once
-	return f.await(ctx, nodes, version, accepted)
+	nodes[0].PollSoon() // the host that an operator calls applies the change at once
+	return f.awaitVersion(ctx, nodes, version, accepted)
 }
 
-func (f *Fleet) await(ctx context.Context, nodes []*Node, version uint64, from time.Time) ([]time.Duration, error) {
+func (f *Fleet) awaitVersion(ctx context.Context, nodes []*Node, version uint64, from time.Time) ([]time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
 	times := make([]time.Duration, len(nodes))
@@ -316,23 +321,24 @@
 	return times, ctx.Err()
 }
 
-// usage is what the process has used so far.
+// usage holds the resource use of the process and the counters of the fleet so far.
 type usage struct {
-	at            time.Time
-	cpu           time.Duration
-	peers, polls  int64
-	reads, writes int64
-	asked         int64
+	at                   time.Time
+	cpu                  time.Duration
+	peerBytes, pollBytes int64
+	reads, writes        int64
+	reportsServed        int64
 }
 
 func (f *Fleet) usage() usage {
 	var r syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r) // fails only for a bad argument
-	return usage{at: time.Now(), cpu: time.Duration(r.Utime.Nano() + r.Stime.Nano()), peers: f.peers.bytes.Load(), polls: f.polls.bytes.Load(),
-		reads: f.table.Faults.Reads(), writes: f.table.Faults.Writes(), asked: f.sources.ReportsServed()}
+	return usage{at: time.Now(), cpu: time.Duration(r.Utime.Nano() + r.Stime.Nano()), peerBytes: f.peerNetwork.bytes.Load(), pollBytes: f.pollNetwork.bytes.Load(),
+		reads: f.table.Faults.Reads(), writes: f.table.Faults.Writes(), reportsServed: f.upstreams.ReportsServed()}
 }
 
-// liveMemory is the heap in use and the stacks, after a collection.
+// liveMemory returns the bytes of the live heap and the stacks, after a garbage
+// collection.
 func liveMemory() float64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/standin/local/hostwatch.go
+++ b/standin/local/hostwatch.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// hostCheckEvery is how often the platform's stand-in looks which entry
-	// hosts are there.
-	hostCheckEvery = time.Second
-	hostCheckBound = 500 * time.Millisecond
+	// hostCheckInterval is the interval at which the stand-in of the platform checks
+	// which entry hosts run.
+	hostCheckInterval = time.Second
+	hostCheckTimeout  = 500 * time.Millisecond
 )
 
-// watchHosts keeps the platform's list of hosts true until ctx ends: it shows
-// those entry hosts which take callers' connections.
-func (o *StandInServer) watchHosts(ctx context.Context) {
-	var shown []store.Host
+// watchHosts keeps the platform's host list current until ctx ends: the list holds the
+// entry hosts that accept connections of callers, and the upstreams.
+func (s *StandInServer) watchHosts(ctx context.Context) {
+	var published []store.Host
 	for {
-		if now := o.present(ctx); !slices.Equal(now, shown) {
-			shown = now
-			o.HostList.Set(append(o.Upstreams.Hosts(), now...)...)
+		if reachable := s.reachableHosts(ctx); !slices.Equal(reachable, published) {
+			published = reachable
+			s.HostList.Set(append(s.Upstreams.Hosts(), reachable...)...)
 		}
-		if !pause(ctx, hostCheckEvery) {
+		if !sleep(ctx, hostCheckInterval) {
 			return
 		}
 	}
 }
 
-// present are the entry hosts that take connections.
-func (o *StandInServer) present(ctx context.Context) []store.Host {
+// reachableHosts returns the entry hosts that accept connections of callers.
+func (s *StandInServer) reachableHosts(ctx context.Context) []store.Host {
 	var out []store.Host
-	dialer := net.Dialer{Timeout: hostCheckBound}
-	for _, e := range o.Layout.Entries {
+	dialer := net.Dialer{Timeout: hostCheckTimeout}
+	for _, e := range s.Layout.Entries {
 		c, err := dialer.DialContext(ctx, "tcp", e.Caller)
 		if err != nil {
 			continue
--- a/standin/local/drive.go
+++ b/standin/local/remoterun.go
@@ -16,7 +16,7 @@
 	"peridotpier.example/standin/site"
 )
 
-// RemoteRun is one run of a site's demand against hosts in processes of their own.
+// RemoteRun is one run of a site's demand against hosts that run as separate processes.
 type RemoteRun struct {
 	Site     *site.Site
 	Layout   *Layout
@@ -25,8 +25,9 @@
 	Progress func(load.Progress)
 }
 
-// Run waits until all hosts are ready, sends one call that may not be repeated
-// twice, then the demand, and counts by the callers' and the stand-ins' records.
+// Run waits until all hosts are ready, checks that a non-repeatable call that is sent
+// twice runs once, sends the demand, and reports by the records of the callers and the
+// stand-ins.
 func (a RemoteRun) Run(ctx context.Context) (Report, error) {
 	plan, err := a.Site.Plan(a.Seed, a.Length)
 	if err != nil {
@@ -36,27 +37,27 @@
 	if err := b.AwaitAllReady(ctx); err != nil {
 		return Report{}, eris.Wrap(err, "wait for the hosts")
 	}
-	if err := a.twice(ctx, b); err != nil {
+	if err := a.checkReplay(ctx, b); err != nil {
 		return Report{}, err
 	}
-	side, stop := context.WithCancel(ctx)
+	trafficCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	go b.Run(side)
+	go b.Run(trafficCtx)
 	result := load.Run(ctx, load.Config{Plan: plan, Entries: b, Progress: a.Progress})
 	rec, err := ReadRecords(ctx, a.Layout.StandIns)
 	if err != nil {
 		return Report{}, err
 	}
 	rep := Report{Site: a.Layout.Site, Policy: "peridot", Seed: a.Seed, Seconds: a.Length.Seconds(), EntryHosts: len(a.Layout.Entries),
-		Accelerators: a.Site.Accelerators(), Counts: result.Count(rec.Effects), History: check(result, rec.Effects), AttainmentBound: a.Site.AttainmentBound(plan)}
+		Accelerators: a.Site.Accelerators(), Counts: result.Count(rec.Effects), History: checkHistory(result, rec.Effects), AttainmentBound: a.Site.AttainmentBound(plan)}
 	rep.AddRecords(rec)
-	rep.perAccelerator()
+	rep.setPerAccelerator()
 	return rep, nil
 }
 
-// twice sends a call that may not be repeated through two hosts under one key
-// and checks that it ran once and was answered alike.
-func (a RemoteRun) twice(ctx context.Context, b load.EntryBalancer) error {
+// checkReplay sends a call that may not be repeated through two hosts under one
+// idempotency key and checks that it ran once and got the same answer twice.
+func (a RemoteRun) checkReplay(ctx context.Context, b load.EntryBalancer) error {
 	if len(a.Site.Deployment.Services) == 0 {
 		return nil
 	}
@@ -69,7 +70,7 @@
 			return err
 		}
 		last = host
-		replayed, body, err := a.once(ctx, "http://"+host+path)
+		replayed, body, err := a.callOnce(ctx, "http://"+host+path)
 		if err != nil {
 			return err
 		}
@@ -84,7 +85,7 @@
 	return nil
 }
 
-func (a RemoteRun) once(ctx context.Context, url string) (replayed bool, body string, err error) {
+func (a RemoteRun) callOnce(ctx context.Context, url string) (replayed bool, body string, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader("one box of zips"))
 	if err != nil {
 		return false, "", err
--- a/standin/platform/objects.go
+++ b/standin/platform/objects.go
@@ -11,29 +11,29 @@
 
 // Objects is the object store in memory.
 type Objects struct {
-	// Faults may be changed while the store is in use. A late effect counts
-	// as a lost request: blobs never change, so the two look alike.
+	// Faults may be changed while the store is in use. A late effect is treated as
+	// a lost request: blobs never change, so that the two cannot be told apart.
 	Faults *Faults
 
 	mu    sync.Mutex
 	blobs map[string][]byte
-	names []string // of blobs, in order
+	names []string // of blobs, sorted
 }
 
-// NewObjects makes an empty object store under f.
+// NewObjects returns an empty object store under f.
 func NewObjects(f *Faults) *Objects { return &Objects{Faults: f, blobs: map[string][]byte{}} }
 
 // Put implements store.Objects.
 func (o *Objects) Put(ctx context.Context, name string, data []byte) error {
-	fate, _, err := o.Faults.write(ctx)
+	outcome, _, err := o.Faults.admitWrite(ctx)
 	if err != nil {
 		return err
 	}
-	if fate == fateLostRequest || fate == fateLateEffect {
+	if outcome == outcomeLostRequest || outcome == outcomeLateEffect {
 		return store.ErrUnconfirmed
 	}
 	err = o.put(name, data)
-	if fate == fateLostAnswer {
+	if outcome == outcomeLostAnswer {
 		return store.ErrUnconfirmed
 	}
 	return err
@@ -56,7 +56,7 @@
 
 // Get implements store.Objects.
 func (o *Objects) Get(ctx context.Context, name string) ([]byte, error) {
-	if err := o.Faults.read(ctx); err != nil {
+	if err := o.Faults.admitRead(ctx); err != nil {
 		return nil, err
 	}
 	o.mu.Lock()
@@ -70,7 +70,7 @@
 
 // List implements store.Objects.
 func (o *Objects) List(ctx context.Context, prefix, after string, limit int) ([]string, error) {
-	if err := o.Faults.read(ctx); err != nil {
+	if err := o.Faults.admitRead(ctx); err != nil {
 		return nil, err
 	}
 	o.mu.Lock()
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -31,7 +31,7 @@
 	return http.DefaultClient.Do(req)
 }
 
-func fate(t *testing.T, s *service.Service, attempt string) engineapi.Attempt {
+func readAttempt(t *testing.T, s *service.Service, attempt string) engineapi.Attempt {
 	t.Helper()
 	resp, err := http.Get("http://" + s.Addr() + "/engine/v1/attempts/" + attempt)
 	assert.NilError(t, err)
@@ -41,15 +41,15 @@
 	return a
 }
 
-// The answer is lost after the call took effect: the caller's host hears a
-// broken connection, and only the fate of the attempt tells that it ran.
-func TestLostAnswerIsTold(t *testing.T) {
+// The answer is lost after the call took effect: the caller's host sees a broken
+// connection, and only the outcome of the attempt shows that it ran.
+func TestLostAnswerIsReportedAsCompleted(t *testing.T) {
 	s := start(t)
 	s.LoseAnswers(1)
 	body := answer.Mark("crew", "i1")
 	_, err := post(t, s, "a1", body)
 	assert.Assert(t, err != nil)
-	a := fate(t, s, "a1")
+	a := readAttempt(t, s, "a1")
 	assert.Equal(t, a.State, engineapi.AttemptCompleted)
 	var ans service.Answer
 	assert.NilError(t, json.Unmarshal(a.Body, &ans))
@@ -60,29 +60,30 @@
 	assert.Equal(t, runs[0].IdempotencyKey, "k1")
 }
 
-// The request is lost before it ran; its host asks, is told "unseen", and the
-// same request arrives after all: it must be refused.
+// The request is lost before it ran; its host asks for the outcome, receives
+// "unseen", and the same request arrives afterwards: it must be refused.
 func TestUnseenCallNeverRuns(t *testing.T) {
 	s := start(t)
 	s.LoseRequests(1)
 	_, err := post(t, s, "a1", "x")
 	assert.Assert(t, err != nil)
-	assert.Equal(t, fate(t, s, "a1").State, engineapi.AttemptUnseen)
+	assert.Equal(t, readAttempt(t, s, "a1").State, engineapi.AttemptUnseen)
 	resp, err := post(t, s, "a1", "x")
 	assert.NilError(t, err)
 	assert.Equal(t, resp.Header.Get(engineapi.HeaderRefused), engineapi.RefusedAttemptClosed)
 	assert.Equal(t, len(s.Executions()), 0)
 }
 
-// A host was paused between its claim and its sending, and the service was
-// restarted meanwhile: it no longer knows that it called the attempt unseen,
-// so that only the process named by the attempt tells that it must not run.
-func TestAttemptForAFormerProcessIsRefused(t *testing.T) {
+// A host was paused between its claim and its request, and the service was
+// restarted in the meantime: the service has lost its record that it called the
+// attempt unseen, so that only the incarnation named by the attempt shows that it
+// must not run.
+func TestAttemptForAFormerIncarnationIsRefused(t *testing.T) {
 	s := start(t)
-	unseen := fate(t, s, "a1")
+	unseen := readAttempt(t, s, "a1")
 	assert.Equal(t, unseen.State, engineapi.AttemptUnseen)
 	s.Restart()
-	http.DefaultClient.CloseIdleConnections() // the restart broke them, which a client may notice late
+	http.DefaultClient.CloseIdleConnections() // the restart broke them, which a client may detect late
 	req, err := http.NewRequest("POST", "http://"+s.Addr()+"/service/orders/new", strings.NewReader("note"))
 	assert.NilError(t, err)
 	req.Header.Set(engineapi.HeaderAttempt, "a1")
@@ -93,5 +94,5 @@
 	assert.Equal(t, resp.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, resp.Header.Get(engineapi.HeaderRefused), engineapi.RefusedRestarted)
 	assert.Equal(t, len(s.Executions()), 0)
-	assert.Equal(t, fate(t, s, "a1").State, engineapi.AttemptRefused)
+	assert.Equal(t, readAttempt(t, s, "a1").State, engineapi.AttemptRefused)
 }
--- a/standin/service/state.go
+++ b/standin/service/state.go
@@ -8,19 +8,20 @@
 	"peridotpier.example/node/upstream/engineapi"
 )
 
-// roleService is the role in a plain service's report.
+// roleService is the role in the report of a plain service.
 const roleService = "service"
 
-// faults count the calls that are still to fail.
+// faults holds how many calls are still to fail, by kind of fault, and the share
+// of mismatched answers.
 type faults struct {
-	mu           sync.Mutex
-	loseRequests int
-	loseAnswers  int
-	cutAnswers   int
-	cross        float64
+	mu            sync.Mutex
+	loseRequests  int
+	loseAnswers   int
+	cutAnswers    int
+	mismatchShare float64
 }
 
-func (f *faults) take(n *int) bool {
+func (f *faults) consume(n *int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if *n == 0 {
@@ -36,24 +37,26 @@
 	*n = v
 }
 
-// LoseRequests breaks the connection of the next n calls before they run.
+// LoseRequests breaks the connections of the next n calls before they run.
 func (s *Service) LoseRequests(n int) { s.faults.set(&s.faults.loseRequests, n) }
 
-// LoseAnswers breaks the connection of the next n calls after they ran.
+// LoseAnswers breaks the connections of the next n calls after they ran.
 func (s *Service) LoseAnswers(n int) { s.faults.set(&s.faults.loseAnswers, n) }
 
-// CutAnswers breaks the connection of the next n calls in the middle of the answer.
+// CutAnswers breaks the connections of the next n calls in the middle of the
+// answer.
 func (s *Service) CutAnswers(n int) { s.faults.set(&s.faults.cutAnswers, n) }
 
-// MismatchAnswers makes a share of answers carry another call's id and content.
+// MismatchAnswers makes a share of the answers carry the id and content of another
+// call.
 func (s *Service) MismatchAnswers(share float64) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
-	s.faults.cross = share
+	s.faults.mismatchShare = share
 }
 
-// Freeze makes all accepted connections silent for good, while new ones work
-// unless newToo is set.
+// Freeze makes all accepted connections unresponsive for good. New connections
+// work unless newToo is set.
 func (s *Service) Freeze(newToo bool) { s.ln.Freeze(newToo) }
 
 // Thaw lets new connections work again after Freeze(true).
@@ -63,13 +66,13 @@
 func (s *Service) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = true
+	s.draining = true
 }
 
-// Restart kills the process and starts it again.
+// Restart terminates the process and starts it again.
 func (s *Service) Restart() {
 	s.mu.Lock()
-	s.die()
+	s.endIncarnation()
 	s.reset()
 	s.mu.Unlock()
 	if s.ln != nil {
@@ -77,9 +80,9 @@
 	}
 }
 
-func (s *Service) crossed(c *call) *call {
+func (s *Service) answerSource(c *call) *call {
 	s.faults.mu.Lock()
-	share := s.faults.cross
+	share := s.faults.mismatchShare
 	s.faults.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,42 +106,42 @@
 		select {
 		case <-tick.C:
 			s.mu.Lock()
-			s.takeReport()
+			s.addReport()
 			s.mu.Unlock()
-		case <-s.life.Done():
+		case <-s.ctx.Done():
 			return
 		}
 	}
 }
 
-// takeReport publishes a snapshot and drops those that no reader can get any
-// more. The caller holds mu.
-func (s *Service) takeReport() {
+// addReport adds a report of the current state and drops reports that can no
+// longer be read. The caller holds mu.
+func (s *Service) addReport() {
 	s.sequence++
 	s.reports = append(s.reports, engineapi.Report{Upstream: s.cfg.Name, Incarnation: s.incarnation, Sequence: s.sequence,
-		TakenMs: time.Since(s.born).Milliseconds(), Draining: s.leaving, Role: roleService,
+		TakenMs: time.Since(s.startedAt).Milliseconds(), Draining: s.draining, Role: roleService,
 		Running: s.running, Waiting: s.waiting, MaxBatch: s.cfg.MaxConcurrent})
-	for len(s.reports) > 1 && s.old(s.reports[1]) {
+	for len(s.reports) > 1 && s.isVisible(s.reports[1]) {
 		s.reports = s.reports[1:]
 	}
 }
 
-func (s *Service) old(r engineapi.Report) bool {
-	return time.Since(s.born)-time.Duration(r.TakenMs)*time.Millisecond >= s.cfg.ReportLag
+func (s *Service) isVisible(r engineapi.Report) bool {
+	return time.Since(s.startedAt)-time.Duration(r.TakenMs)*time.Millisecond >= s.cfg.ReportLag
 }
 
 func (s *Service) serveReport(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	if s.cfg.ReportInterval == 0 {
-		s.takeReport()
+		s.addReport()
 	}
 	newest := s.reports[0]
 	for _, r := range s.reports[1:] {
-		if s.old(r) {
+		if s.isVisible(r) {
 			newest = r
 		}
 	}
 	s.mu.Unlock()
-	s.stamp(w.Header())
+	s.setHeaders(w.Header())
 	writeJSON(w, http.StatusOK, newest)
 }
--- a/standin/wire/wire.go
+++ b/standin/wire/wire.go
@@ -1,6 +1,7 @@
-// Package wire makes connections of stand-ins misbehave: a listener whose
-// accepted connections can go silent for good, as when something between the
-// two ends has lost track of them, and a dialer that adds distance.
+// Package wire adds faults and delays to the connections of stand-ins: a listener
+// whose accepted connections can become unresponsive for good, as when a device
+// between the two ends has lost its record of them, and a dialer that adds the
+// delay of a distance.
 package wire
 
 import (
@@ -9,13 +10,13 @@
 	"sync/atomic"
 )
 
-// Listener is a listener whose connections can be frozen or closed.
+// Listener is a listener whose connections can be made unresponsive or closed.
 type Listener struct {
 	net.Listener
 
-	mu     sync.Mutex
-	conns  map[*conn]struct{}
-	freeze bool // what is accepted from now on is silent from the start
+	mu        sync.Mutex
+	conns     map[*conn]struct{}
+	freezeNew bool // connections accepted from now on are unresponsive
 }
 
 // NewListener wraps ln.
@@ -29,21 +30,21 @@
 	if err != nil {
 		return nil, err
 	}
-	fc := &conn{Conn: c, l: l, closed: make(chan struct{})}
+	fc := &conn{Conn: c, listener: l, closed: make(chan struct{})}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	fc.frozen.Store(l.freeze)
+	fc.frozen.Store(l.freezeNew)
 	l.conns[fc] = struct{}{}
 	return fc, nil
 }
 
-// Freeze makes every accepted connection silent for good: what arrives on it
-// is lost, and so is what is written to it. New connections work, unless
-// newToo is set; Thaw lets new ones work again.
+// Freeze makes every accepted connection unresponsive for good: what arrives on it
+// is lost, and so is what is written to it. New connections work unless newToo is
+// set; Thaw lets new ones work again.
 func (l *Listener) Freeze(newToo bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.freeze = newToo
+	l.freezeNew = newToo
 	for c := range l.conns {
 		c.frozen.Store(true)
 	}
@@ -53,10 +54,11 @@
 func (l *Listener) Thaw() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.freeze = false
+	l.freezeNew = false
 }
 
-// CloseConnections closes every accepted connection, as when a process dies.
+// CloseConnections closes every accepted connection, as when the process
+// terminates.
 func (l *Listener) CloseConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,16 +69,16 @@
 
 type conn struct {
 	net.Conn
-	l      *Listener
-	frozen atomic.Bool
-	once   sync.Once
-	closed chan struct{}
+	listener  *Listener
+	frozen    atomic.Bool
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if err == nil && c.frozen.Load() {
-		<-c.closed // the bytes are lost; the far end hears nothing
+		<-c.closed // the bytes are lost; the other end receives nothing
 		return 0, net.ErrClosed
 	}
 	return n, err
@@ -90,11 +92,11 @@
 }
 
 func (c *conn) Close() error {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.closed)
-		c.l.mu.Lock()
-		delete(c.l.conns, c)
-		c.l.mu.Unlock()
+		c.listener.mu.Lock()
+		delete(c.listener.conns, c)
+		c.listener.mu.Unlock()
 	})
 	return c.Conn.Close()
 }
