--- a/core/admit/policy.go
+++ b/core/admit/policy.go
@@ -22,7 +22,7 @@
 
 // Parameters of admission.
 const (
-	defaultQueueMax = 64 // maximum of waiting requests of a class without a bound of its own
+	defaultMaxQueue = 64 // maximum of waiting requests of a class without a bound of its own
 
 	// newcomerShare is the share of the slots that a team above its fair share leaves free,
 	// so that a team below its share gets one at once instead of waiting for a release.
@@ -50,7 +50,7 @@
 func NewPolicy(p config.Preset, rules []config.ClassRule, slots int) Policy {
 	out := Policy{Slots: slots, UrgentHeadroom: p.UrgentHeadroom, BulkShare: p.BulkShare, AcceptBulk: p.AcceptBulk}
 	for i := range out.MaxQueue {
-		out.MaxQueue[i] = defaultQueueMax
+		out.MaxQueue[i] = defaultMaxQueue
 	}
 	for _, r := range rules {
 		if r.MaxQueue > 0 {
--- a/core/deploy/team_test.go
+++ b/core/deploy/team_test.go
@@ -31,7 +31,7 @@
 	}
 	for name, c := range map[string]struct {
 		second Team
-		says   string
+		want   string
 	}{
 		"no name":        {teamOf("", "k2"), `teams[1] "": has no name`},
 		"a name twice":   {teamOf("a", "k2"), "stands twice"},
@@ -45,7 +45,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := CheckTeams([]Team{teamOf("a", "k1"), c.second})
-			assert.ErrorContains(t, err, c.says)
+			assert.ErrorContains(t, err, c.want)
 			assert.Assert(t, !strings.Contains(err.Error(), "k1"), "the error contains no key")
 		})
 	}
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -125,9 +125,9 @@
 // lease once the rows have not changed for the holder's whole TTL and the
 // margins, measured on the candidate's own clock.
 func (p Policy) DecideForCandidate(holder string, o Observed, now time.Time) Decision {
-	left := p.takeoverWait(o.Record) - now.Sub(o.UnchangedSince)
-	if o.Record.Holder != "" && !o.SteppedDown && left > 0 {
-		return Decision{Action: Wait, Wait: min(left, p.TTL/pollsPerTTL)}
+	remaining := p.takeoverWait(o.Record) - now.Sub(o.UnchangedSince)
+	if o.Record.Holder != "" && !o.SteppedDown && remaining > 0 {
+		return Decision{Action: Wait, Wait: min(remaining, p.TTL/pollsPerTTL)}
 	}
 	next := Record{Holder: holder, Epoch: o.Record.Epoch + 1, TTLMs: p.TTL.Milliseconds()}
 	return Decision{Action: Acquire, Next: next}
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -142,14 +142,14 @@
 		return cmp.Or(byRank, cmp.Compare(b.demand, a.demand))
 	})
 	d := Decision{Waits: p.waits}
-	places := p.freeStoreSlots()
+	slots := p.freeStoreSlots()
 	for _, m := range p.moves {
 		if m.Change.Kind == ledger.Load {
-			if places <= 0 {
+			if slots <= 0 {
 				d.Deferred++
 				continue
 			}
-			places--
+			slots--
 		}
 		d.Moves = append(d.Moves, m.Move)
 	}
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -26,7 +26,7 @@
 	return Upstream{Name: name, DataCentre: dc, Row: row, MaxBatch: 8, ReportCount: 9}
 }
 
-func holds(model string, mb int) ledger.Resident {
+func resident(model string, mb int) ledger.Resident {
 	return ledger.Resident{Artifact: ledger.Artifact{Model: model, Version: "1"}, State: ledger.Ready, MemoryMB: mb}
 }
 
@@ -51,11 +51,11 @@
 func TestPlan(t *testing.T) {
 	newer := model("a", 40, 1)
 	newer.Version = "2"
-	newHeld := ledger.Resident{Artifact: ledger.Artifact{Model: "a", Version: "2"}, State: ledger.Ready, MemoryMB: 40}
+	newResident := ledger.Resident{Artifact: ledger.Artifact{Model: "a", Version: "2"}, State: ledger.Ready, MemoryMB: 40}
 	twice := model("a", 40, 1)
 	twice.InitialReplicas = 2
-	leaving := upstream("u1", "x", 100, holds("a", 40))
-	leaving.Draining = true
+	draining := upstream("u1", "x", 100, resident("a", 40))
+	draining.Draining = true
 	fresh := upstream("u2", "y", 100)
 	fresh.ReportCount = 1
 	hot, burst := Demand{Short: 12, Long: 12}, Demand{Short: 30, Long: 1}
@@ -66,28 +66,28 @@
 		demand Demand // of model a
 		moves  []string
 	}{
-		{"reaches what nobody holds", snapshot(ab, upstream("u1", "x", 100, holds("a", 40)), upstream("u2", "x", 100)), Demand{},
+		{"reaches what nobody holds", snapshot(ab, upstream("u1", "x", 100, resident("a", 40)), upstream("u2", "x", 100)), Demand{},
 			[]string{"load b:1 u2 unreachable"}},
-		{"moves off an upstream that leaves", snapshot(ab[:1], leaving, upstream("u2", "x", 100)), Demand{},
+		{"moves off an upstream that leaves", snapshot(ab[:1], draining, upstream("u2", "x", 100)), Demand{},
 			[]string{"load a:1 u2 leaving"}},
-		{"new version first", snapshot([]config.Model{newer}, upstream("u1", "x", 100, holds("a", 40))), Demand{}, []string{}},
-		{"new version elsewhere", snapshot([]config.Model{newer}, upstream("u1", "x", 100, holds("a", 40)), upstream("u2", "x", 100)), Demand{},
+		{"new version first", snapshot([]config.Model{newer}, upstream("u1", "x", 100, resident("a", 40))), Demand{}, []string{}},
+		{"new version elsewhere", snapshot([]config.Model{newer}, upstream("u1", "x", 100, resident("a", 40)), upstream("u2", "x", 100)), Demand{},
 			[]string{"load a:2 u2 version"}},
-		{"old version after", snapshot([]config.Model{newer}, upstream("u1", "x", 100, holds("a", 40)), upstream("u2", "x", 100, newHeld)), Demand{},
+		{"old version after", snapshot([]config.Model{newer}, upstream("u1", "x", 100, resident("a", 40)), upstream("u2", "x", 100, newResident)), Demand{},
 			[]string{"unload a:1 u1 version"}},
-		{"spreads lasting demand", snapshot(ab[:1], upstream("u1", "x", 100, holds("a", 40)), upstream("u2", "y", 100), upstream("u3", "x", 100)), hot,
+		{"spreads lasting demand", snapshot(ab[:1], upstream("u1", "x", 100, resident("a", 40)), upstream("u2", "y", 100), upstream("u3", "x", 100)), hot,
 			[]string{"load a:1 u2 spread"}},
-		{"absorbs a burst", snapshot(ab[:1], upstream("u1", "x", 100, holds("a", 40)), upstream("u2", "y", 100)), burst, []string{}},
-		{"waits for a second report", snapshot(ab[:1], upstream("u1", "x", 100, holds("a", 40)), fresh), hot, []string{}},
-		{"makes room with a spare replica", snapshot(ab, upstream("u1", "x", 100, holds("a", 40)), upstream("u2", "x", 100, holds("a", 40))), Demand{},
+		{"absorbs a burst", snapshot(ab[:1], upstream("u1", "x", 100, resident("a", 40)), upstream("u2", "y", 100)), burst, []string{}},
+		{"waits for a second report", snapshot(ab[:1], upstream("u1", "x", 100, resident("a", 40)), fresh), hot, []string{}},
+		{"makes room with a spare replica", snapshot(ab, upstream("u1", "x", 100, resident("a", 40)), upstream("u2", "x", 100, resident("a", 40))), Demand{},
 			[]string{"unload a:1 u1 room"}},
-		{"starts with the replicas configured", snapshot([]config.Model{twice}, upstream("u1", "x", 100, holds("a", 40)), upstream("u2", "x", 100)), Demand{},
+		{"starts with the replicas configured", snapshot([]config.Model{twice}, upstream("u1", "x", 100, resident("a", 40)), upstream("u2", "x", 100)), Demand{},
 			[]string{"load a:1 u2 initial"}},
-		{"spreads over a spare replica", snapshot(ab, upstream("u1", "x", 100, holds("a", 90)), upstream("u2", "x", 100, holds("b", 70)),
-			upstream("u3", "x", 100, holds("b", 70))), hot, []string{"unload b:1 u2 room"}},
+		{"spreads over a spare replica", snapshot(ab, upstream("u1", "x", 100, resident("a", 90)), upstream("u2", "x", 100, resident("b", 70)),
+			upstream("u3", "x", 100, resident("b", 70))), hot, []string{"unload b:1 u2 room"}},
 		{"takes one of two replicas for two models", snapshot([]config.Model{ab[0], ab[1], model("c", 70, 1)},
-			upstream("u1", "x", 100, holds("a", 40)), upstream("u2", "x", 100, holds("a", 40))), Demand{}, []string{"unload a:1 u1 room"}},
-		{"keeps the last replica", snapshot(ab, upstream("u1", "x", 100, holds("a", 40))), Demand{}, []string{}},
+			upstream("u1", "x", 100, resident("a", 40)), upstream("u2", "x", 100, resident("a", 40))), Demand{}, []string{"unload a:1 u1 room"}},
+		{"keeps the last replica", snapshot(ab, upstream("u1", "x", 100, resident("a", 40))), Demand{}, []string{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.snap.Demand[Key{Model: "a"}] = c.demand
@@ -106,7 +106,7 @@
 	for _, w := range d.Waits {
 		assert.Assert(t, w.Bound > 0)
 	}
-	hot := snapshot([]config.Model{model("a", 40, 1)}, upstream("u1", "x", 100, holds("a", 40)), upstream("u2", "x", 100))
+	hot := snapshot([]config.Model{model("a", 40, 1)}, upstream("u1", "x", 100, resident("a", 40)), upstream("u2", "x", 100))
 	hot.Demand[Key{Model: "a"}] = Demand{12, 12}
 	hot.Budget = 0.5
 	assert.Equal(t, len(Plan(hot, t0).Moves), 0)
@@ -284,13 +284,13 @@
 // model's own demand counted, it would not be spread, and the adapters have
 // nowhere else to go.
 func TestAModelCalledOnlyThroughAdaptersIsSpread(t *testing.T) {
-	adapter := holds("a", 1)
+	adapter := resident("a", 1)
 	adapter.Adapter = "x"
-	s := snapshot([]config.Model{model("a", 40, 1)}, upstream("u1", "x", 100, holds("a", 40), adapter), upstream("u2", "y", 100))
+	s := snapshot([]config.Model{model("a", 40, 1)}, upstream("u1", "x", 100, resident("a", 40), adapter), upstream("u2", "y", 100))
 	s.Adapters = []config.Adapter{{Name: "x", Model: "a", Version: "1", MemoryMB: 1}}
 	s.Demand[Key{"a", "x"}] = Demand{12, 12}
 	assert.DeepEqual(t, text(Plan(s, t0).Moves), []string{"load a:1 u2 spread"})
-	s.Upstreams[1] = upstream("u2", "y", 100, holds("a", 40))
+	s.Upstreams[1] = upstream("u2", "y", 100, resident("a", 40))
 	s.Budget = 0
 	assert.DeepEqual(t, text(Plan(s, t0).Moves), []string{"load ax:1 u2 adapter"})
 }
--- a/core/place/reach.go
+++ b/core/place/reach.go
@@ -55,12 +55,12 @@
 	}
 	room := p.makeRoom(w, p.allUpstreams())
 	if unreachable {
-		maxWait := time.Duration(0)
+		bound := time.Duration(0)
 		if room || p.fitsAfterEvictions(p.memoryWithAdapters(w)) {
 			b := p.snapshot.Bounds
-			maxWait = p.readyBound(w, p.moveCooldown()+b.SendWindow+b.MaxInFlight+b.MaxReportAge+b.MaxClockSkew)
+			bound = p.readyBound(w, p.moveCooldown()+b.SendWindow+b.MaxInFlight+b.MaxReportAge+b.MaxClockSkew)
 		}
-		p.waits = append(p.waits, Wait{w.key, maxWait})
+		p.waits = append(p.waits, Wait{w.key, bound})
 	}
 	return false
 }
@@ -146,7 +146,7 @@
 // readyBound returns the longest time until a load decided now is ready: its wait
 // at the weight store after all loads decided before, the load itself while the
 // store is fully used, and a report that shows it.
-func (p *plan) readyBound(w *workload, room time.Duration) time.Duration {
+func (p *plan) readyBound(w *workload, roomWait time.Duration) time.Duration {
 	store := p.snapshot.Store
 	before := float64(len(p.moves) + p.snapshot.LoadsInProgress + 1)
 	wait := time.Duration(0)
@@ -158,7 +158,7 @@
 		share := max(float64(store.Concurrent), 1) // all slots of the store share its bandwidth
 		load = time.Duration(float64(w.memoryMB) * share / float64(store.MBPerSecond) * float64(time.Second))
 	}
-	return room + wait + load + p.snapshot.Bounds.SendWindow + p.snapshot.Bounds.MaxReportAge
+	return roomWait + wait + load + p.snapshot.Bounds.SendWindow + p.snapshot.Bounds.MaxReportAge
 }
 
 // placeMissingAdapters gives each adapter at least one replica beside its base
--- a/core/place/spread.go
+++ b/core/place/spread.go
@@ -79,9 +79,9 @@
 		return -1, 0
 	}
 	n, demand := float64(len(w.replicas)), w.sharedDemand()
-	share, less := demand/(n+1), demand/n-demand/(n+1)
+	share, reduction := demand/(n+1), demand/n-demand/(n+1)
 	for _, i := range w.replicas {
-		gain += p.overload(i, 0) - p.overload(i, -less)
+		gain += p.overload(i, 0) - p.overload(i, -reduction)
 	}
 	if at >= 0 {
 		gain += p.overload(at, 0) - p.overload(at, share)
--- a/core/poison/ledger_test.go
+++ b/core/poison/ledger_test.go
@@ -21,11 +21,11 @@
 // crashes records crashes of upstreams, a second apart, each with the named requests running.
 func crashes(l *Ledger, from time.Time, ran ...[]string) time.Time {
 	for i, names := range ran {
-		var marks []Fingerprint
+		var fingerprints []Fingerprint
 		for _, n := range names {
-			marks = append(marks, named(n))
+			fingerprints = append(fingerprints, named(n))
 		}
-		l.RecordCrash(fmt.Sprint("u", from.Unix(), "-", i), marks, from, from)
+		l.RecordCrash(fmt.Sprint("u", from.Unix(), "-", i), fingerprints, from, from)
 		from = from.Add(time.Second)
 	}
 	return from
@@ -125,9 +125,9 @@
 	assert.Assert(t, isBarred(to, "x", now))
 	crashes(to, now, []string{"x", "a"}) // was in progress when it was barred
 	assert.Assert(t, isBarred(to, "x", now))
-	decisions := to.TakeTransitions()
-	assert.Equal(t, len(decisions), 1)
-	assert.Equal(t, decisions[0].Cause, ByReport)
+	transitions := to.TakeTransitions()
+	assert.Equal(t, len(transitions), 1)
+	assert.Equal(t, transitions[0].Cause, ByReport)
 }
 
 func TestEachChangeIsReturnedOnce(t *testing.T) {
--- a/core/poison/simulation_test.go
+++ b/core/poison/simulation_test.go
@@ -35,7 +35,7 @@
 	thirdCrash map[Digest]time.Time
 	crashes    map[Digest]int
 	lateSends  map[Digest]int
-	calls      uint64
+	lastID     uint64
 	barred     map[Digest]time.Time // harmless requests that are barred, and since when
 	failed     map[Digest]bool
 }
@@ -131,14 +131,14 @@
 }
 
 func (p *simulation) restart(i int) {
-	p.calls++
-	*p.ups[i] = upstream{id: fmt.Sprint("u", p.calls), up: true, running: map[uint64]*run{}}
+	p.lastID++
+	*p.ups[i] = upstream{id: fmt.Sprint("u", p.lastID), up: true, running: map[uint64]*run{}}
 }
 
 // arrive draws requests until the simulation ends.
 func (p *simulation) arrive() {
 	p.after(time.Duration(p.rnd.ExpFloat64()/p.perSecond*float64(time.Second)), func() {
-		p.calls++
+		p.lastID++
 		if p.poisons > 0 && p.rnd.Float64() < p.rate {
 			m := p.fingerprint("poison", uint64(p.rnd.IntN(p.poisons)))
 			for range max(p.copies, 1) {
@@ -146,7 +146,7 @@
 			}
 		} else {
 			p.outcome.innocents++
-			p.send(p.fingerprint("request", p.calls), false, 1)
+			p.send(p.fingerprint("request", p.lastID), false, 1)
 		}
 		p.arrive()
 	})
@@ -186,8 +186,8 @@
 		}
 		return
 	}
-	p.calls++
-	id := p.calls
+	p.lastID++
+	id := p.lastID
 	u.running[id] = &run{digest: m.Digest, host: host, began: p.now, poison: poison, tries: try}
 	process := u.id
 	if poison {
@@ -337,10 +337,10 @@
 		for _, c := range simulationCases {
 			for _, batch := range []int{1, 4, 16} {
 				for _, hosts := range []int{7, 300} {
-					for _, cut := range []int{0, hosts / 3} {
-						p := simulation{hosts: hosts, upstreams: 12, batch: batch, perSecond: min(70, 10*float64(batch)), lateHosts: cut,
+					for _, late := range []int{0, hosts / 3} {
+						p := simulation{hosts: hosts, upstreams: 12, batch: batch, perSecond: min(70, 10*float64(batch)), lateHosts: late,
 							poisons: c.poisons, copies: c.copies, rate: c.rate, duration: 40 * time.Second}
-						t.Run(fmt.Sprintf("%d poisons x%d, share %.3f, batch %d, %d hosts, %d late", c.poisons, c.copies, c.rate, batch, hosts, cut), func(t *testing.T) {
+						t.Run(fmt.Sprintf("%d poisons x%d, share %.3f, batch %d, %d hosts, %d late", c.poisons, c.copies, c.rate, batch, hosts, late), func(t *testing.T) {
 							t.Parallel()
 							o := p.check(t)
 							mu.Lock()
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -34,7 +34,7 @@
 	// setCounting sets whether any host keeps a ledger; a new ledger knows nothing of the previous one.
 	setCounting(on bool, now time.Time)
 	// setConnectedShare sets the share of the hosts that report to the ledger.
-	setConnectedShare(part float64, now time.Time)
+	setConnectedShare(share float64, now time.Time)
 	// killAll terminates all hosts and starts new processes.
 	killAll(now time.Time)
 }
@@ -272,8 +272,8 @@
 type leaseStrategy struct {
 	*ledgerStrategy
 	leases [simulatedHosts]struct {
-		left float64
-		ends time.Time
+		remaining float64
+		expiresAt time.Time
 	}
 }
 
@@ -289,35 +289,35 @@
 
 func (c *leaseStrategy) request(host int, cost float64, now time.Time) bool {
 	disconnected, s := host >= 1000, &c.leases[host%1000]
-	if now.After(s.ends) {
-		s.left = 0
+	if now.After(s.expiresAt) {
+		s.remaining = 0
 	}
-	if s.left < cost && c.counting && !disconnected {
+	if s.remaining < cost && c.counting && !disconnected {
 		size := max(cost, leaseShare*c.limit.capacity())
 		if _, ok := c.ledger.Take("team", size, now); !ok {
-			if _, ok := c.ledger.Take("team", cost-s.left, now); !ok {
+			if _, ok := c.ledger.Take("team", cost-s.remaining, now); !ok {
 				return false
 			}
-			size = cost - s.left
+			size = cost - s.remaining
 		}
-		s.left += size
-		s.ends = now.Add(leaseTTL)
+		s.remaining += size
+		s.expiresAt = now.Add(leaseTTL)
 	}
-	if s.left < cost {
+	if s.remaining < cost {
 		return false
 	}
-	s.left -= cost
+	s.remaining -= cost
 	return true
 }
 
 // report returns unused slices.
 func (c *leaseStrategy) report(host int, now time.Time) {
 	s := &c.leases[host]
-	if c.counting && now.Add(leaseTTL-2*reportInterval).After(s.ends) && s.left > 0 {
-		if now.Before(s.ends) {
-			c.ledger.AddUsage("team", -s.left, 0, now)
+	if c.counting && now.Add(leaseTTL-2*reportInterval).After(s.expiresAt) && s.remaining > 0 {
+		if now.Before(s.expiresAt) {
+			c.ledger.AddUsage("team", -s.remaining, 0, now)
 		}
-		s.left = 0
+		s.remaining = 0
 	}
 }
 
--- a/core/replica/evict.go
+++ b/core/replica/evict.go
@@ -37,19 +37,19 @@
 		return candidate.model.pressureWith(candidate.model.replicas-1, candidate.model.unavailable-u.UnavailableShare), true
 	}
 	// A replica that is still being loaded answers nobody yet, so this is the last one.
-	if wanted != nil && !p.mayBeAbsent(s, u, candidate.model) && !p.yieldsTo(candidate, wanted) {
+	if wanted != nil && !p.mayEvictLastReplica(s, u, candidate.model) && !p.yieldsTo(candidate, wanted) {
 		return 0, false
 	}
 	return p.EvictedPressure + p.EvictedPressurePerLoad*candidate.model.demand.EngineLoad, true
 }
 
-// mayBeAbsent reports whether a model's last replica may be evicted at an
+// mayEvictLastReplica reports whether a model's last replica may be evicted at an
 // upstream: its callers would wait for a load, or nobody asks for it and whoever
 // does is still answered after a load from the copy that remains there. If every
 // model kept a place, however long ago it was asked for, the hot models would have
 // hardly more than one each when upstreams are few: a tenth of all requests was
 // refused then while engines were idle.
-func (p Policy) mayBeAbsent(s *state, u *upstream, m *model) bool {
+func (p Policy) mayEvictLastReplica(s *state, u *upstream, m *model) bool {
 	if m.isIdle() && m.loadSeconds[u.source(m.name)] <= s.maxCallerWaitSeconds {
 		return true
 	}
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -165,9 +165,9 @@
 	minLoadSeconds = 0.2
 )
 
-// absentWeight weighs the expected load of a model without replicas that nobody
+// noReplicaWeight weighs the expected load of a model without replicas that nobody
 // waits for.
-const absentWeight = 2.0
+const noReplicaWeight = 2.0
 
 // nextMove returns the next move for the model that most needs one and can be
 // placed; nil when there is none.
--- a/core/replica/replica_test.go
+++ b/core/replica/replica_test.go
@@ -97,7 +97,7 @@
 	assert.Equal(t, replica.PriorLoads(e, 12, nobody)["a"], 0.0)
 }
 
-func heldAnywhere(upstreams []replica.Upstream, model string) bool {
+func isResidentAnywhere(upstreams []replica.Upstream, model string) bool {
 	for _, u := range upstreams {
 		for _, h := range u.Residents {
 			if u.Usable && h.Model == model {
@@ -157,7 +157,7 @@
 		}
 		absent := map[string]bool{}
 		for _, n := range names {
-			absent[n] = !heldAnywhere(in.Upstreams, n)
+			absent[n] = !isResidentAnywhere(in.Upstreams, n)
 		}
 		moved, storeLoads := map[string]bool{}, 0
 		for _, m := range replica.DefaultPolicy.Plan(in) {
--- a/core/replica/state.go
+++ b/core/replica/state.go
@@ -41,7 +41,7 @@
 	case m.demand.Unserved || m.demand.EngineLoad > 0:
 		return math.Inf(1)
 	default:
-		return absentWeight * m.expectedLoad()
+		return noReplicaWeight * m.expectedLoad()
 	}
 }
 
--- a/core/residency/unconfirmed.go
+++ b/core/residency/unconfirmed.go
@@ -36,8 +36,8 @@
 // number that the order names, and load a model into memory that this record
 // counts as free. That memory stays reserved until the upstream's count has passed
 // the number.
-func (rec *Record) InheritUnconfirmed(doubts []UnconfirmedOrder) {
-	rec.inherited = append(rec.inherited, doubts...)
+func (rec *Record) InheritUnconfirmed(orders []UnconfirmedOrder) {
+	rec.inherited = append(rec.inherited, orders...)
 }
 
 // inheritedLoads returns the loads for a former process that match and may still
--- a/core/speed/speed.go
+++ b/core/speed/speed.go
@@ -70,9 +70,9 @@
 // tokens in total. Prompts are prefilled one after the other; answers are generated together,
 // as many at a time as the engine has slots.
 func (m Estimator) EngineTime(prompt, output, slots int) time.Duration {
-	reading := float64(prompt) * m.uncachedShare() * m.PrefillMsPerToken()
-	making := float64(output) * m.generationMsPerToken() / float64(max(slots, 1))
-	return time.Duration((reading + making) * float64(time.Millisecond))
+	prefill := float64(prompt) * m.uncachedShare() * m.PrefillMsPerToken()
+	generation := float64(output) * m.generationMsPerToken() / float64(max(slots, 1))
+	return time.Duration((prefill + generation) * float64(time.Millisecond))
 }
 
 func ms(d time.Duration) float64 { return d.Seconds() * 1000 }
--- a/core/speed/speed_test.go
+++ b/core/speed/speed_test.go
@@ -13,31 +13,31 @@
 
 // engine simulates an engine whose speed is to be estimated.
 type engine struct {
-	tokenMs float64 // for a token of prompt
-	makeMs  float64 // for a token of an answer
-	firstMs float64 // for every first event
-	kept    float64 // cached share of each prompt
-	rnd     *rand.Rand
+	prefillMs    float64 // for a token of prompt
+	generationMs float64 // for a token of an answer
+	firstMs      float64 // for every first event
+	cachedShare  float64 // cached share of each prompt
+	rnd          *rand.Rand
 }
 
 // run records n requests. One in ten is delayed by up to two seconds for another reason.
 func (e *engine) run(m speed.Estimator, n int) {
 	for range n {
 		prompt := 200 + e.rnd.IntN(6000)
-		toRead := int(float64(prompt) * (1 - e.kept))
-		m.AddPrompt(prompt, toRead)
-		took := e.firstMs + float64(toRead)*e.tokenMs*(1+0.2*e.rnd.Float64())
+		uncached := int(float64(prompt) * (1 - e.cachedShare))
+		m.AddPrompt(prompt, uncached)
+		took := e.firstMs + float64(uncached)*e.prefillMs*(1+0.2*e.rnd.Float64())
 		if e.rnd.IntN(10) == 0 {
 			took += 2000 * e.rnd.Float64()
 		}
-		m.Read(toRead, time.Duration(took*float64(time.Millisecond)))
-		m.AddGeneration(100, time.Duration(100*e.makeMs*(0.5+e.rnd.Float64())*float64(time.Millisecond)))
+		m.Read(uncached, time.Duration(took*float64(time.Millisecond)))
+		m.AddGeneration(100, time.Duration(100*e.generationMs*(0.5+e.rnd.Float64())*float64(time.Millisecond)))
 	}
 }
 
 // expected returns the time in milliseconds that an engine with 64 slots takes for a request.
 func (e *engine) expected(prompt, output float64) float64 {
-	return prompt*(1-e.kept)*e.tokenMs*1.1 + output*e.makeMs/64
+	return prompt*(1-e.cachedShare)*e.prefillMs*1.1 + output*e.generationMs/64
 }
 
 func assertNear(t *rapid.T, m speed.Estimator, e *engine, when string) {
@@ -51,14 +51,14 @@
 // has changed.
 func TestEngineTimesAreEstimated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := &engine{tokenMs: 0.05 * rapid.Float64Range(0.2, 5).Draw(t, "read"), makeMs: 10 * rapid.Float64Range(0.2, 5).Draw(t, "make"),
-			firstMs: rapid.Float64Range(1, 20).Draw(t, "first"), kept: rapid.Float64Range(0, 0.7).Draw(t, "kept"),
+		e := &engine{prefillMs: 0.05 * rapid.Float64Range(0.2, 5).Draw(t, "read"), generationMs: 10 * rapid.Float64Range(0.2, 5).Draw(t, "make"),
+			firstMs: rapid.Float64Range(1, 20).Draw(t, "first"), cachedShare: rapid.Float64Range(0, 0.7).Draw(t, "kept"),
 			rnd: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "noise"), 1))}
 		service := &speed.Observations{}
 		m := speed.Estimator{Own: &speed.Observations{}, Service: service}
 		e.run(m, 70)
 		assertNear(t, m, e, "at first")
-		e.tokenMs *= rapid.SampledFrom([]float64{0.4, 2.5}).Draw(t, "change")
+		e.prefillMs *= rapid.SampledFrom([]float64{0.4, 2.5}).Draw(t, "change")
 		e.run(m, 100)
 		assertNear(t, m, e, "after the change")
 	})
@@ -68,7 +68,7 @@
 // engines prefill five times as fast as the prior; one model is busy, and another gets its
 // first request. If each model were estimated alone, it would start from the prior.
 func TestARareModelIsEstimatedFromItsService(t *testing.T) {
-	e := &engine{tokenMs: 0.01, makeMs: 3, rnd: rand.New(rand.NewPCG(1, 1))}
+	e := &engine{prefillMs: 0.01, generationMs: 3, rnd: rand.New(rand.NewPCG(1, 1))}
 	service := &speed.Observations{}
 	e.run(speed.Estimator{Own: &speed.Observations{}, Service: service}, 100)
 	rare := speed.Estimator{Own: &speed.Observations{}, Service: service}
