--- a/core/ledger/machine_test.go
+++ b/core/ledger/machine_test.go
@@ -24,7 +24,7 @@
 	sequence    uint64
 	epoch       uint64
 	memory      map[ledger.Artifact]int
-	maxUsedMB   int // most memory ever in use at once
+	maxUsedMB   int // maximum memory in use at any time
 }
 
 // orderCopy is one copy of an order in the network.
@@ -119,7 +119,7 @@
 	w.reports = slices.DeleteFunc(w.reports, func(r agedReport) bool { return w.now.Sub(r.taken) > w.bounds.MaxReportAge })
 }
 
-// Memory is never exceeded, whichever orders are lost, late, repeated or delivered
+// Property: memory is never exceeded, whichever orders are lost, late, repeated or delivered
 // after their successors, whenever the engine restarts, and whichever reports are
 // late or out of order.
 func TestMemoryIsNeverOver(t *testing.T) {
@@ -161,7 +161,7 @@
 	}
 	order := func(kind ledger.Kind) func(*rapid.T) {
 		return func(t *rapid.T) {
-			change := rapid.SampledFrom(changes).Draw(t, "thing")
+			change := rapid.SampledFrom(changes).Draw(t, "change")
 			change.Kind = kind
 			w.reserve(change, rapid.IntRange(0, 3).Draw(t, "copies"))
 		}
--- a/core/ledger/row.go
+++ b/core/ledger/row.go
@@ -41,7 +41,7 @@
 	MemoryMB int   `json:"mb"`
 }
 
-// Kind is what a charge stands for.
+// Kind is the kind of a charge.
 type Kind string
 
 // The kinds of a charge.
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -37,8 +37,8 @@
 	DataCentre  string
 	Row         ledger.Row
 	MaxBatch    int
-	Draining    bool // it takes nothing new
-	Down        bool // for long enough that more than one report is missing
+	Draining    bool // takes no new loads or requests
+	Down        bool // unreachable for so long that more than one report is missing
 	ReportCount int  // reports received of its present incarnation
 }
 
@@ -132,7 +132,7 @@
 }
 
 // decide orders the moves and limits the loads to the free slots of the weight
-// store. Loads of models that nobody can reach and that are asked for come first.
+// store. Loads of unreachable models that are asked for come first.
 func (p *plan) decide() Decision {
 	slices.SortStableFunc(p.moves, func(a, b plannedMove) int {
 		byRank := cmp.Compare(reasonRank(a.Reason), reasonRank(b.Reason))
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -66,9 +66,9 @@
 		demand Demand // of model a
 		moves  []string
 	}{
-		{"reaches what nobody holds", snapshot(ab, upstream("u1", "x", 100, resident("a", 40)), upstream("u2", "x", 100)), Demand{},
+		{"loads a model that is resident nowhere", snapshot(ab, upstream("u1", "x", 100, resident("a", 40)), upstream("u2", "x", 100)), Demand{},
 			[]string{"load b:1 u2 unreachable"}},
-		{"moves off an upstream that leaves", snapshot(ab[:1], draining, upstream("u2", "x", 100)), Demand{},
+		{"moves off a draining upstream", snapshot(ab[:1], draining, upstream("u2", "x", 100)), Demand{},
 			[]string{"load a:1 u2 leaving"}},
 		{"new version first", snapshot([]config.Model{newer}, upstream("u1", "x", 100, resident("a", 40))), Demand{}, []string{}},
 		{"new version elsewhere", snapshot([]config.Model{newer}, upstream("u1", "x", 100, resident("a", 40)), upstream("u2", "x", 100)), Demand{},
@@ -128,8 +128,8 @@
 	assert.DeepEqual(t, text(Plan(s, c.SendBy.Add(sendGrace+1)).Moves), []string{"load a:1 u1 unreachable"})
 }
 
-// randomSnapshot returns a random deployment that needs about this share of its
-// memory.
+// randomSnapshot returns a random deployment whose models need about the given
+// share of its memory.
 func randomSnapshot(seed uint64, upstreams, models, adapters, capacity int, share float64) *Snapshot {
 	src := rand.New(rand.NewPCG(seed, 1))
 	var ups []Upstream
@@ -150,7 +150,7 @@
 }
 
 // planUntilStable plans and applies the moves until a plan has none, for at most
-// so many rounds, and returns the number of loads.
+// the given number of rounds, and returns the number of loads.
 func planUntilStable(s *Snapshot, rounds int) (loads int) {
 	for round := range rounds {
 		at := t0.Add(time.Duration(round) * 10 * time.Minute)
@@ -210,9 +210,9 @@
 		for i := range s.Models {
 			s.Demand[Key{Model: s.Models[i].Name}] = Demand{rapid.Float64Range(0, 20).Draw(t, "d"), 10}
 			s.Models[i].Version = rapid.SampledFrom([]string{"1", "1", "1", "2"}).Draw(t, "version")
-			s.Models[i].MinReplicas = rapid.IntRange(0, 2).Draw(t, "least")
+			s.Models[i].MinReplicas = rapid.IntRange(0, 2).Draw(t, "min replicas")
 		}
-		s.Upstreams[0].Draining = rapid.Bool().Draw(t, "leaving")
+		s.Upstreams[0].Draining = rapid.Bool().Draw(t, "draining")
 		s.Upstreams[1].Down = rapid.Bool().Draw(t, "down")
 		before := newPlan(s, t0)
 		at := t0.Add(24 * time.Hour)
--- a/core/place/reach.go
+++ b/core/place/reach.go
@@ -143,9 +143,9 @@
 	return all
 }
 
-// readyBound returns the longest time until a load decided now is ready: its wait
-// at the weight store after all loads decided before, the load itself while the
-// store is fully used, and a report that shows it.
+// readyBound returns the longest time until a load decided now is ready: roomWait
+// until there is room, the wait at the weight store after all loads decided before,
+// the load itself while the store is fully used, and a report that shows it.
 func (p *plan) readyBound(w *workload, roomWait time.Duration) time.Duration {
 	store := p.snapshot.Store
 	before := float64(len(p.moves) + p.snapshot.LoadsInProgress + 1)
@@ -193,7 +193,7 @@
 	return out
 }
 
-// bestUpstreamWithBase returns the least loaded of these upstreams that has room
+// bestUpstreamWithBase returns the least loaded of upstreamsWithBase that has room
 // for the adapter, or -1.
 func (p *plan) bestUpstreamWithBase(w *workload) int {
 	best := -1
--- a/core/place/spread.go
+++ b/core/place/spread.go
@@ -4,7 +4,7 @@
 
 // spread adds replicas of models whose replicas are all overloaded, highest gain
 // first. It does not unload surplus replicas: a replica that is no longer needed
-// costs nothing until its memory is needed, and would cost a load to bring back.
+// costs nothing until its memory is needed, and would cost a load to restore.
 func (p *plan) spread() {
 	for range maxElectiveMoves {
 		if p.budget < 1 {
--- a/core/replica/evict.go
+++ b/core/replica/evict.go
@@ -44,9 +44,10 @@
 }
 
 // mayEvictLastReplica reports whether a model's last replica may be evicted at an
-// upstream: its callers would wait for a load, or nobody asks for it and whoever
-// does is still answered after a load from the copy that remains there. If every
-// model kept a place, however long ago it was asked for, the hot models would have
+// upstream: nobody asks for the model, and a caller would still be answered after a
+// load from the copy that remains there; or its callers would wait for a load, and
+// none is unserved now; or nobody has asked for it yet, its prior is low, and the
+// deployment has callers who would wait. If every model kept a place, however long ago it was asked for, the hot models would have
 // hardly more than one each when upstreams are few: a tenth of all requests was
 // refused then while engines were idle.
 func (p Policy) mayEvictLastReplica(s *state, u *upstream, m *model) bool {
@@ -61,8 +62,7 @@
 
 // yieldsTo reports whether a model's last replica is evicted for a wanted model
 // that has no replica and is asked for. When upstreams are lost there may be fewer
-// places than models; then the models that are asked for get the places, the
-// others when their turn comes.
+// places than models: those that are asked for are loaded first.
 func (p Policy) yieldsTo(candidate *resident, wanted *model) bool {
 	if wanted.replicas > 0 || !wanted.demand.Unserved {
 		return false
--- a/core/replica/idle_test.go
+++ b/core/replica/idle_test.go
@@ -48,7 +48,7 @@
 // most engines idle. There are as many models as places; demand is for five of
 // them, each with half as much again as one engine can serve. If every model kept
 // its place, also those that nobody asks for, the hot ones would have one replica
-// each, though a load is over long before any caller's time.
+// each, though a load is done long before any caller's deadline.
 func TestHotModelsReplaceIdleOnesWhereLoadsAreShort(t *testing.T) {
 	for seed := range uint64(20) {
 		in := catalogue(seed, 9*time.Second, 2400*time.Millisecond)
--- a/core/replica/prior_test.go
+++ b/core/replica/prior_test.go
@@ -9,8 +9,8 @@
 	"peridotpier.example/core/replica"
 )
 
-// Guards against every engine unloading, before the first request, a replica of
-// what will be asked for most, so that a third of the models have no replica all
+// Guards against every engine unloading, before the first request, a replica of a
+// model that will be in demand, so that a third of the models have no replica all
 // day. With 340 models and 15 engines with three places each, nobody has asked
 // yet, and a prior made for each model as if it were one of few would need four
 // times the engines that there are.
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -35,7 +35,7 @@
 	Movable   bool            // models may be loaded and unloaded: usable, no order in progress or unconfirmed
 	Usable    bool            // requests may be sent to it
 	// UnavailableShare is the share of an engine's time that the upstream does not
-	// give because it sets a rate limit; 0: it gives all.
+	// provide because it sets a rate limit; 0: it provides all.
 	UnavailableShare float64
 }
 
@@ -101,7 +101,7 @@
 	// MinPressureRatio is the factor by which the pressure on the model to load
 	// must exceed the pressure that the model to unload would then have.
 	MinPressureRatio float64
-	// MinResidency is how long a model stays at least where it was loaded.
+	// MinResidency is the minimum time for which a model stays where it was loaded.
 	MinResidency time.Duration
 	// EvictedPressure is the pressure assumed for a model whose last replica is
 	// evicted, and EvictedPressurePerLoad what each unit of its load adds to that.
@@ -121,8 +121,7 @@
 // DefaultPolicy is the policy that is used when none is given.
 var DefaultPolicy = Policy{
 	// At this share of an engine's time, prompts rarely queue; three models share
-	// one engine. A value of 0.1 caused a tenth more loads without a better
-	// result.
+	// one engine. A lower value causes more loads without a better result.
 	MinPressure:      0.2,
 	MinPressureRatio: 1.6,
 	// A load takes one to nine seconds; a move that is undone sooner never paid
--- a/core/replica/state.go
+++ b/core/replica/state.go
@@ -22,16 +22,16 @@
 // expectedLoad returns the engine load of the model, observed or assumed.
 func (m *model) expectedLoad() float64 { return max(m.demand.EngineLoad, m.prior) }
 
-// minEngines is the least number of engines that a model's replicas are
-// assumed to give together.
+// minEngines is the minimum number of engines that a model's replicas are assumed
+// to provide together.
 const minEngines = 0.05
 
 // pressure returns the expected load divided by the engines that the replicas
-// give.
+// provide.
 func (m *model) pressure() float64 { return m.pressureWith(m.replicas, m.unavailable) }
 
 // pressureWith returns the pressure with n replicas, from which rate limits
-// withhold so many engines.
+// withhold the given number of engines.
 func (m *model) pressureWith(n int, unavailable float64) float64 {
 	switch {
 	case n > 0:
@@ -49,7 +49,7 @@
 func (m *model) isIdle() bool { return !m.requested || m.demand.EngineLoad == 0 && !m.demand.Unserved }
 
 // gain returns the seconds of engine time, each second, that one more replica
-// would give to callers whom the other replicas cannot serve.
+// would provide to callers whom the other replicas cannot serve.
 func (m *model) gain() float64 {
 	return min(max(m.demand.EngineLoad-(float64(m.replicas)-m.unavailable), 0), 1)
 }
@@ -88,8 +88,8 @@
 	}
 }
 
-// expectedLoad returns the engine load that the models at the upstream bring to
-// it, if each spreads its load evenly over its replicas.
+// expectedLoad returns the engine load that the models at the upstream cause
+// there, if each spreads its load evenly over its replicas.
 func (u *upstream) expectedLoad() float64 {
 	sum := 0.0
 	for i := range u.residents {
