--- a/core/admit/fair.go
+++ b/core/admit/fair.go
@@ -11,20 +11,21 @@
 // round robin would be as fair in the long run, but lets a team send a whole quantum at
 // once; with few slots that is a burst that delays the others.
 type fairQueue struct {
-	virtual float64
-	flows   map[string]*flow
-	n       int
+	virtual float64          // virtual time
+	flows   map[string]*flow // by team
+	n       int              // number of waiting requests
 }
 
+// flow holds the waiting requests of one team.
 type flow struct {
 	weight float64
-	finish float64
+	finish float64 // finish tag of the team's latest request
 	items  []taggedItem
 }
 
 type taggedItem struct {
 	Item
-	start float64
+	start float64 // start tag
 }
 
 func newFairQueue() fairQueue { return fairQueue{flows: map[string]*flow{}} }
--- a/core/admit/item.go
+++ b/core/admit/item.go
@@ -13,7 +13,7 @@
 	Weight      int // of the team; at least 1
 	Class       class.Class
 	Deadline    time.Time     // zero if there is none
-	MinDuration time.Duration // least time it takes once it has a slot; 0 if not known
+	MinDuration time.Duration // minimum time it takes once it has a slot; 0 if not known
 }
 
 // Verdict is the decision on an arriving request.
--- a/core/admit/limit.go
+++ b/core/admit/limit.go
@@ -55,7 +55,8 @@
 	l.peerConcurrent = peerDemand{concurrent, l.wantedConcurrency()}
 }
 
-// Take requests the admission of one request. If it is refused, wait is how long to wait.
+// Take requests the admission of one request. If it is refused, wait is the time after
+// which to retry.
 func (l *Limiter) Take(now time.Time) (ok bool, wait time.Duration) {
 	l.advance(now)
 	l.offered++
@@ -72,7 +73,7 @@
 	return true, 0
 }
 
-// Done ends an admitted request that was in progress for a time.
+// Done ends an admitted request that was in progress for the time held.
 func (l *Limiter) Done(held time.Duration) {
 	l.inUse--
 	if l.meanHold == 0 {
--- a/core/admit/limit_test.go
+++ b/core/admit/limit_test.go
@@ -71,7 +71,7 @@
 		shares          func(int) [7]float64
 		offer           float64
 		limit           float64
-		minMean, maxAny float64 // mean a second at least, any second at most
+		minMean, maxAny float64 // minimum of the mean a second, maximum in any second
 	}{
 		{"even", fixed(even), 500, 100, 93, 210},
 		{"one host", fixed([7]float64{1}), 500, 100, 90, 210},
@@ -83,9 +83,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			mean, highest := simulateLimit(c.shares, c.offer, c.limit, 2*time.Second)
-			t.Logf("limit %.0f, offered %.0f: %.1f a second through, most %.0f", c.limit, c.offer, mean, highest)
+			t.Logf("limit %.0f, offered %.0f: %.1f a second admitted, at most %.0f", c.limit, c.offer, mean, highest)
 			assert.Assert(t, mean <= c.limit*1.05 && mean >= c.minMean, "mean %.1f", mean)
-			assert.Assert(t, highest <= c.maxAny, "most %.0f", highest)
+			assert.Assert(t, highest <= c.maxAny, "highest %.0f", highest)
 		})
 	}
 }
--- a/core/admit/policy.go
+++ b/core/admit/policy.go
@@ -17,12 +17,12 @@
 	UrgentHeadroom float64 // share of the slots reserved for urgent requests
 	BulkShare      float64 // largest share of the slots that bulk requests may hold
 	AcceptBulk     bool
-	MaxQueue       [class.Count]int // maximum of waiting requests by class
+	MaxQueue       [class.Count]int // maximum number of waiting requests by class
 }
 
 // Parameters of admission.
 const (
-	defaultMaxQueue = 64 // maximum of waiting requests of a class without a bound of its own
+	defaultMaxQueue = 64 // maximum number of waiting requests of a class without a bound of its own
 
 	// newcomerShare is the share of the slots that a team above its fair share leaves free,
 	// so that a team below its share gets one at once instead of waiting for a release.
--- a/core/admit/pool.go
+++ b/core/admit/pool.go
@@ -21,7 +21,7 @@
 type teamUsage struct {
 	weight    float64
 	used      int
-	peak      float64 // most slots held at once, decaying since
+	peak      float64 // maximum number of slots held at once, decaying since
 	decayedAt time.Time
 	lastSeen  time.Time
 }
@@ -104,7 +104,7 @@
 }
 
 // ExpireQueued refuses the waiting requests that cannot meet their deadlines any more, so
-// that their callers learn it now and not at the deadline.
+// that their callers are answered now and not at the deadline.
 func (p *Pool) ExpireQueued(now time.Time) Result {
 	p.countActive(now)
 	var r Result
--- a/core/admit/pool_test.go
+++ b/core/admit/pool_test.go
@@ -99,7 +99,7 @@
 	assert.Equal(t, served, 12)
 }
 
-// Guards against a caller that learns "not run" only at its deadline, too late for a retry
+// Guards against answering a caller "not run" only at its deadline, too late for a retry
 // of its own. A request is queued behind quick ones, and then the slots are held far longer
 // than before; a prediction made only on arrival does not show it.
 func TestExpireQueuedRefusesAtOnce(t *testing.T) {
--- a/core/backpressure/pacer.go
+++ b/core/backpressure/pacer.go
@@ -7,7 +7,7 @@
 
 const (
 	// minRate, in requests a second, is sent also to an upstream that states a lower
-	// limit: only an answer can tell that it takes more again.
+	// limit: only an answer can show that it takes more again.
 	minRate = 0.1
 	// unusedPermitTTL and maxUnusedPermits bound how long an unused permit can still be
 	// taken, in time and in permits of all hosts together. Callers arrive unevenly; if
--- a/core/backpressure/simulation_test.go
+++ b/core/backpressure/simulation_test.go
@@ -21,9 +21,9 @@
 	maxOverRatio, slack = 1.5, 5.0
 	// minUsedShare is the share of its limit that an upstream receives at least while callers wait.
 	minUsedShare = 0.85
-	// patience, in seconds, is how long callers of a simulation wait.
+	// callerWait, in seconds, is how long callers of a simulation wait.
 	callerWait = 1.0
-	// longestWay, in seconds, is the longest time from taking a permit to the arrival of
+	// maxSendDelay, in seconds, is the longest time from taking a permit to the arrival of
 	// the request at the upstream.
 	maxSendDelay = 0.3
 )
@@ -76,7 +76,7 @@
 	}
 }
 
-// reconnect connects all hosts to a new issuer of permits, which knows nothing of the time before.
+// reconnect connects all hosts to a new issuer of permits, which has no record of earlier permits.
 func (s *simulation) reconnect(now time.Time) {
 	s.issuer, s.connected = backpressure.NewPacer(at(0), now), len(s.hosts)
 	for _, h := range s.hosts {
--- a/core/backpressure/slowstart_test.go
+++ b/core/backpressure/slowstart_test.go
@@ -30,7 +30,7 @@
 	assert.Assert(t, s.Active())
 	send(6) // eight, two of which have not ended
 	s.Start()
-	assert.Assert(t, s.AtLimit(), "it has turned one away again")
+	assert.Assert(t, s.AtLimit(), "it has refused a request again")
 	for range 8 {
 		s.Ended()
 	}
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -61,7 +61,7 @@
 )
 
 // ReasonFromCode converts a reason received from another host. A code that only
-// a later release knows is taken as AllFull.
+// a later release knows is treated as AllFull.
 func ReasonFromCode(n uint32) Reason {
 	if n > uint32(AllBackoff) {
 		return AllFull
--- a/core/poison/entry.go
+++ b/core/poison/entry.go
@@ -9,7 +9,7 @@
 const (
 	Cleared   State = iota // no longer suspected
 	Suspected              // an upstream crashed while the request ran there
-	Barred                 // it is taken to crash upstreams, and refused
+	Barred                 // it is considered to crash upstreams, and refused
 )
 
 // String returns the state's name in logs.
--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -205,7 +205,7 @@
 	return out
 }
 
-// expireInterval is the least time between two removals of expired entries. Each host polls
+// expireInterval is the minimum time between two removals of expired entries. Each host polls
 // for changes several times a second, and removals at each poll are not needed.
 const expireInterval = 500 * time.Millisecond
 
--- a/core/poison/simulation_test.go
+++ b/core/poison/simulation_test.go
@@ -28,9 +28,9 @@
 	rnd        *rand.Rand
 	queue      events
 	ups        []*upstream
-	announced  uint64 // ledger revision that the hosts know
+	announced  uint64 // ledger revision announced to the hosts
 	ledger     *Ledger
-	known      []map[Digest]time.Time // by host: the bars it knows, and since when
+	known      []map[Digest]time.Time // by host: the bars announced to it, and when they arrive there
 	outcome    simulationOutcome
 	thirdCrash map[Digest]time.Time
 	crashes    map[Digest]int
@@ -46,8 +46,8 @@
 	failed          int           // harmless requests that were never answered
 	barred          int           // harmless requests that were refused as barred
 	longestBar      time.Duration // longest time that one of these was barred
-	maxCrashedByOne int           // most upstreams crashed by one poison request
-	maxLateSends    int           // most sends of one poison request after all hosts could know of its third crash
+	maxCrashedByOne int           // maximum number of upstreams crashed by one poison request
+	maxLateSends    int           // most sends of one poison request later than knownWithin after its third crash
 	crashed         int           // upstreams crashed in all
 }
 
@@ -84,7 +84,7 @@
 }
 
 const (
-	knownWithin     = 3 * time.Second         // time in which all hosts can learn of a third crash
+	knownWithin     = 3 * time.Second         // time in which a third crash is announced to all hosts
 	timeToCrash     = 150 * time.Millisecond  // time for which a poison request runs before its upstream crashes
 	restartTime     = 5 * time.Second         // restart time of an upstream
 	meanRunTime     = 700 * time.Millisecond  // mean run time of a request
@@ -375,7 +375,7 @@
 }
 
 // simulationSeeds is how often each case is simulated, each time with other random draws.
-var simulationSeeds = flag.Int("play.seeds", 1, "plays of each case")
+var simulationSeeds = flag.Int("play.seeds", 1, "simulations of each case")
 
 // unservedShare returns the share of harmless requests that were not served.
 func (o simulationOutcome) unservedShare() float64 { return float64(o.failed) / float64(o.innocents) }
--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -9,16 +9,16 @@
 }
 
 // AccountState is the state of a team's account, as announced to the hosts.
-type AccountState struct { // cost that may be admitted at once; negative for a debt
-	Level  float64 // cost a second that the team requests, refused requests included
-	Demand float64 // a second, what was refused too
+type AccountState struct {
+	Level  float64 // cost that may be admitted at once; negative for a debt
+	Demand float64 // cost a second that the team requests, refused requests included
 }
 
 // KnownState is the last state of an account that a host knows when it begins to count itself.
 type KnownState struct {
 	AccountState
 	Constrained bool          // whether the limit may bind; otherwise the level was sufficient
-	Age         time.Duration // time since then, during which possibly nobody counted
+	Age         time.Duration // time since it was received, during which possibly nobody counted
 }
 
 // Ledger counts the requests of teams at all hosts together. Its owner must guard it.
@@ -34,7 +34,7 @@
 	bucket       *Bucket
 	demand       demand
 	correctUntil time.Time // until when the level may be too high because it was unknown at the start; zero if it was known
-	admitted     float64   // cost admitted until then
+	admitted     float64   // cost admitted until correctUntil
 }
 
 // usedSlackShare is the share of the slack by which operators allow a limit to be exceeded
@@ -157,7 +157,7 @@
 }
 
 const (
-	// constrainedLevel and constrainedRate select the accounts that hosts have to know of:
+	// constrainedLevel and constrainedRate select the accounts that are announced to hosts:
 	// their level is below this share of a burst, or their demand above this share of the rate.
 	constrainedLevel = 0.5
 	constrainedRate  = 0.7
--- a/core/quota/rate.go
+++ b/core/quota/rate.go
@@ -12,7 +12,7 @@
 	// shortRateWindow is the window for detecting a rising rate. If a team with many
 	// requests begins to send several times its usual rate, it shows within this time.
 	shortRateWindow = 800 * time.Millisecond
-	// minDeviations is how many standard deviations a rise must exceed to be taken as real.
+	// minDeviations is how many standard deviations a rise must exceed to be treated as real.
 	minDeviations = 2
 )
 
--- a/core/quota/share.go
+++ b/core/quota/share.go
@@ -14,7 +14,7 @@
 
 const (
 	// localBurstShare is the share of a burst that one host admits on its own between two
-	// updates of the account's state. The ledger learns of it with the next report.
+	// updates of the account's state. It is contained in the next report to the ledger.
 	localBurstShare = 0.25
 	// initialShare is the share of a limit that a host admits before it knows the account's
 	// state, half a second's worth of it at once. All hosts may have just started; all callers
@@ -26,7 +26,7 @@
 	// request.
 	minInitialRequests = 10
 	// minDemandShare is the share of the limit that a host's own demand is assumed to have
-	// been at least, and minGrowth the factor by which it must grow, before the host
+	// been at least, and minGrowth the factor by which it must grow before the host
 	// concludes that the whole team requests more: a few more requests are chance.
 	minDemandShare = 0.05
 	minGrowth      = 2
@@ -171,7 +171,7 @@
 	s.unreported.admitted -= cost
 }
 
-// UnreportedUsage returns the usage that no ledger knows yet, for a report.
+// UnreportedUsage returns the usage that was not reported to any ledger yet, for a report.
 func (s *Share) UnreportedUsage(now time.Time) (admitted, refused float64) {
 	s.expireUsage(now)
 	s.reporting = s.unreported.plus(s.unreportedOlder)
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -11,7 +11,7 @@
 )
 
 // The loads under which limits over many hosts are simulated. The bound that the operator
-// sets is stated here: in any span of boundWindow a team may pass what its rate and a burst
+// sets is stated here: in any span of boundWindow a team may get what its rate and a burst
 // allow, a tenth more, and the slack.
 const (
 	simulatedHosts   = 74
@@ -27,11 +27,11 @@
 type strategy interface {
 	// request sends a request through a host and returns whether it is admitted.
 	request(host int, cost float64, now time.Time) bool
-	// report exchanges the knowledge of a host and the ledger.
+	// report exchanges the state of a host and of the ledger.
 	report(host int, now time.Time)
 	// setLimit changes the team's limit.
 	setLimit(l Limit, now time.Time)
-	// setCounting sets whether any host keeps a ledger; a new ledger knows nothing of the previous one.
+	// setCounting sets whether any host keeps a ledger; a new ledger has no data of the previous one.
 	setCounting(on bool, now time.Time)
 	// setConnectedShare sets the share of the hosts that report to the ledger.
 	setConnectedShare(share float64, now time.Time)
