--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -2,7 +2,7 @@
 // its row in the table service holds, which transitions it may make, and how a
 // request that arrives with the same idempotency key is answered.
 //
-// Safety never depends on a clock. The times in a row only say when another
+// Safety never depends on a clock. The times in a row only determine when another
 // process should try to resolve an open claim; every write is conditional on the
 // row being the one that the decision was based on.
 package claim
--- a/core/config/config.go
+++ b/core/config/config.go
@@ -38,7 +38,7 @@
 	Concurrent        int     `json:"concurrent"`          // 0: no limit
 }
 
-// PoolKind says what a pool's upstreams are.
+// PoolKind is the kind of a pool's upstreams.
 type PoolKind string
 
 // The kinds of pool.
@@ -73,7 +73,7 @@
 	MemoryMB int    `json:"memory_mb"`
 }
 
-// Fencing says how an upstream treats the fencing number of an order.
+// Fencing is how an upstream treats the fencing number of an order.
 type Fencing string
 
 // The ways in which engines treat orders with old fencing numbers.
--- a/core/deploy/team.go
+++ b/core/deploy/team.go
@@ -54,7 +54,7 @@
 		case problem == "" && names[t.Name]:
 			problem = "stands twice"
 		case problem == "":
-			problem = claimKeys(owners, t.Keys, i)
+			problem = recordKeys(owners, t.Keys, i)
 		}
 		if problem != "" {
 			return &TeamError{Index: i, Name: t.Name, Problem: problem}
@@ -85,9 +85,9 @@
 	return ""
 }
 
-// claimKeys records a team's keys as its own; it returns the fault if another team
+// recordKeys records the owner of a team's keys; it returns the fault if another team
 // has one of them.
-func claimKeys(owners map[apikey.Hash]int, keys []apikey.Hash, team int) string {
+func recordKeys(owners map[apikey.Hash]int, keys []apikey.Hash, team int) string {
 	for _, k := range keys {
 		if other, ok := owners[k]; ok && other != team {
 			return fmt.Sprintf("has a key of teams[%d]", other)
--- a/core/health/health.go
+++ b/core/health/health.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// Policy says when an upstream is excluded and for how long.
+// Policy sets when an upstream is excluded and for how long.
 type Policy struct {
 	MaxConsecutiveFailures int           // failed exchanges in a row that exclude the upstream
 	UnresponsiveAfter      time.Duration // time without a byte while requests are outstanding
@@ -24,7 +24,7 @@
 	// gap is that of a full prompt chunk processed between two steps.
 	UnresponsiveAfter: 700 * time.Millisecond,
 	// Short at first, since a restarted upstream is back within seconds and a
-	// trial costs one request.
+	// probe costs one request.
 	FirstExclusion:  400 * time.Millisecond,
 	MaxExclusion:    2 * time.Second,
 	ErrorRateMargin: 0.3,
@@ -38,7 +38,7 @@
 const (
 	Up       Status = iota // closed: send requests
 	Down                   // open: the upstream is excluded, send nothing
-	HalfOpen               // half-open: the exclusion is over, send one request and wait for its result
+	HalfOpen               // the exclusion is over: send one probe request and wait for its result
 )
 
 // String returns the status's name in logs.
@@ -137,7 +137,7 @@
 }
 
 // IsUnresponsive reports whether bytes are due and none have arrived for longer
-// than p.UnresponsiveAfter and allow together.
+// than p.UnresponsiveAfter plus allow.
 func (r *Tracker) IsUnresponsive(p Policy, now time.Time, allow time.Duration) bool {
 	return !r.awaitingSince.IsZero() && now.Sub(r.awaitingSince) > p.UnresponsiveAfter+allow
 }
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -81,8 +81,8 @@
 	Rows           Rows
 	Record         Record
 	UnchangedSince time.Time // when the read that first returned these row versions had completed
-	// SteppedDown reports that the holder no longer acts in this epoch: it said so
-	// itself, or its process is known to have ended.
+	// SteppedDown is whether the holder no longer acts in this epoch: it announced
+	// that itself, or its process is known to have ended.
 	SteppedDown bool
 }
 
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -121,8 +121,8 @@
 	n.pending = nil
 }
 
-// At any true time at most one process may act, and each epoch has one holder,
-// whatever the order of reads, commits, late answers, pauses and clock rates.
+// Property: at any true time at most one process may act, and each epoch has one
+// holder, whatever the order of reads, commits, late answers, pauses and clock rates.
 func TestAtMostOneHolderAtAnyTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{epochs: map[uint64]string{}}
--- a/core/member/choose.go
+++ b/core/member/choose.go
@@ -73,10 +73,10 @@
 	remoteWatchers = 1
 )
 
-// Assignment says which upstreams one host watches, and for which keys it is among
-// the hosts with the highest weights, given a set of hosts. It hashes each host
-// name once: hashing each pair of 2,500 upstreams and 420 hosts took half of the
-// time that a fleet spent on control.
+// Assignment determines which upstreams one host watches, and for which keys it is
+// among the hosts with the highest weights, given a set of hosts. It hashes each
+// host name once: hashing each pair of 2,500 upstreams and 420 hosts took half of
+// the time that a fleet spent on control.
 type Assignment struct {
 	self               uint64 // hash of the host's name
 	dataCentre         string
@@ -102,7 +102,7 @@
 }
 
 // Watches reports whether the host watches an upstream: whether it is among the
-// first by weight in the upstream's data centre, or among all other hosts.
+// first by weight of the hosts in the upstream's data centre, or of those elsewhere.
 func (w *Assignment) Watches(upstream, dataCentre string) bool {
 	key := xxhash.Sum64String(upstream)
 	own := mix(key, w.self)
--- a/core/member/host.go
+++ b/core/member/host.go
@@ -39,7 +39,7 @@
 	State       State
 }
 
-// supersedes reports whether h replaces o: it is from a later process, else has a
+// supersedes reports whether h replaces other: it is from a later process, else has a
 // higher sequence, else a higher state. The process name only breaks ties.
 func (h Host) supersedes(other Host) bool {
 	return cmp.Or(cmp.Compare(h.Incarnation, other.Incarnation), cmp.Compare(h.Sequence, other.Sequence),
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -29,7 +29,7 @@
 
 // Guards against hosts that received the same records but act differently, and
 // against a host that comes back after it left. Records arrive late, repeated and
-// in any order; one must count because it is newer, not because it arrived last.
+// in any order; the newest must win, not the one that arrived last.
 func TestRecordsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.SliceOfN(rapid.Custom(hostRecord), 0, 20).Draw(t, "hosts")
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -2,7 +2,7 @@
 // attempt at it, and whether it may be retried.
 package outcome
 
-// Outcome says whether a request ran.
+// Outcome is what is known about whether a request ran.
 type Outcome uint8
 
 // The outcomes. The zero value is Unknown: an outcome that was never set must
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// Guards against telling a caller "not run" about a request that an upstream executed. The
+// Guards against reporting "not run" to a caller about a request that an upstream executed. The
 // first attempt broke off after its first byte, and another upstream refused the second;
 // the second's outcome alone must not be reported.
 func TestLaterRefusalDoesNotHideABrokenAttempt(t *testing.T) {
--- a/core/revision/freshness.go
+++ b/core/revision/freshness.go
@@ -19,13 +19,13 @@
 	UrgentOnlyAfter = 15 * time.Minute
 )
 
-// Freshness says how far a host may rely on its version of the configuration.
+// Freshness is how far a host may rely on its version of the configuration.
 type Freshness uint8
 
 // The degrees of freshness.
 const (
 	Confirmed   Freshness = iota // recently confirmed to be the newest
-	Unconfirmed                  // may be outdated; the host goes on serving and tells operators
+	Unconfirmed                  // may be outdated; the host goes on serving and reports that to operators
 	UrgentOnly                   // too old to accept anything but urgent requests
 )
 
--- a/core/route/selection.go
+++ b/core/route/selection.go
@@ -11,7 +11,7 @@
 	s    *Snapshot
 	r    *Request
 	best Decision
-	home int32
+	home int32 // home endpoint of the request's prefix; -1 if it has none
 }
 
 // consider compares one endpoint with the best so far. It returns Found, or the reason why
--- a/core/route/staged.go
+++ b/core/route/staged.go
@@ -40,7 +40,8 @@
 	keep(e *Endpoint, r *Request) Reason
 }
 
-// scorer adds its part, in milliseconds, to the predicted time of the answer.
+// scorer adds its part, in milliseconds, to the predicted time of the answer. home is
+// whether e is the home endpoint of the request's prefix.
 type scorer interface {
 	score(e *Endpoint, r *Request, home bool) float64
 }
--- a/core/route/staged_test.go
+++ b/core/route/staged_test.go
@@ -42,7 +42,7 @@
 		index     int
 		reason    Reason
 	}{
-		{"no endpoint has it", nil, Request{Key: testKey}, -1, NoReplica},
+		{"no endpoint has the model", nil, Request{Key: testKey}, -1, NoReplica},
 		{"leaving", []Endpoint{{Draining: true}, {}}, Request{Key: testKey}, 1, Found},
 		{"down", []Endpoint{{Down: true}, {}}, Request{Key: testKey}, 1, Found},
 		{"index ahead of the report", []Endpoint{{Ready: other}, {}}, Request{Key: testKey}, 1, Found},
@@ -74,9 +74,9 @@
 		worse, better Endpoint
 	}{
 		{"own dispatches since the report", Endpoint{Running: 2, DispatchedSinceReport: 3}, Endpoint{Running: 4}},
-		{"peers' dispatches since", Endpoint{Running: 2, PeerDispatchedSinceReport: 3}, Endpoint{Running: 4}},
-		{"own that ended since", Endpoint{Running: 4}, Endpoint{Running: 5, CompletedSinceReport: 3}},
-		{"own in flight, whatever the report", Endpoint{InFlight: 5}, Endpoint{Running: 4}},
+		{"peers' dispatches since the report", Endpoint{Running: 2, PeerDispatchedSinceReport: 3}, Endpoint{Running: 4}},
+		{"own attempts that ended since the report", Endpoint{Running: 4}, Endpoint{Running: 5, CompletedSinceReport: 3}},
+		{"own attempts in flight, whatever the report", Endpoint{InFlight: 5}, Endpoint{Running: 4}},
 		{"a queue for slots", Endpoint{Running: 8, Waiting: 4}, Endpoint{Running: 8}},
 		{"distance", Endpoint{DistanceMs: 30}, Endpoint{DistanceMs: 1}},
 	} {
--- a/core/speed/speed.go
+++ b/core/speed/speed.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Read records how long the prefill of a prompt took on an upstream that had no other
-// prompt to prefill.
+// Read records how long the prefill of a prompt's uncached tokens took on an upstream
+// that had no other prompt to prefill.
 func (m Estimator) Read(tokens int, took time.Duration) {
 	x, y := float64(tokens), ms(took)
 	m.Own.prefill.add(x, y, m.servicePrefillMs())
--- a/core/speed/speed_test.go
+++ b/core/speed/speed_test.go
@@ -13,7 +13,7 @@
 
 // engine simulates an engine whose speed is to be estimated.
 type engine struct {
-	prefillMs    float64 // for a token of prompt
+	prefillMs    float64 // for an uncached token of a prompt
 	generationMs float64 // for a token of an answer
 	firstMs      float64 // for every first event
 	cachedShare  float64 // cached share of each prompt
