--- a/core/admit/limit.go
+++ b/core/admit/limit.go
@@ -116,7 +116,8 @@
 	return max(1, int(math.Round(l.share(float64(l.limits.Concurrent), l.wantedConcurrency(), l.peerConcurrent))))
 }
 
-// wantedConcurrency returns the concurrency that the offered rate causes by Little's law.
+// wantedConcurrency returns the concurrency that the offered rate causes by Little's law,
+// but at least the number of requests in progress.
 func (l *Limiter) wantedConcurrency() float64 {
 	return max(float64(l.inUse), l.offered/rateWindow.Seconds()*l.meanHold.Seconds())
 }
--- a/core/admit/limit_test.go
+++ b/core/admit/limit_test.go
@@ -83,7 +83,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			mean, highest := simulateLimit(c.shares, c.offer, c.limit, 2*time.Second)
-			t.Logf("limit %.0f, offered %.0f: %.1f a second admitted, at most %.0f", c.limit, c.offer, mean, highest)
+			t.Logf("limit %.0f, offered %.0f: %.1f a second admitted, highest %.0f", c.limit, c.offer, mean, highest)
 			assert.Assert(t, mean <= c.limit*1.05 && mean >= c.minMean, "mean %.1f", mean)
 			assert.Assert(t, highest <= c.maxAny, "highest %.0f", highest)
 		})
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -22,7 +22,7 @@
 var request = balance.Request{Model: "m", PromptTokens: 2000, OutputTokens: 50, CacheTokens: 100_000}
 
 func TestTheReasonClosestToFoundIsReturned(t *testing.T) {
-	draining := engine("draining", func(e *balance.Endpoint) { e.Draining = true })
+	draining := engine("leaving", func(e *balance.Endpoint) { e.Draining = true })
 	noModel := engine("without", func(e *balance.Endpoint) { e.ModelResident = false })
 	noAdapter := engine("bare", func(e *balance.Endpoint) { e.AdapterResident = false })
 	full := engine("full", func(e *balance.Endpoint) { e.InFlight = 100 })
@@ -34,7 +34,7 @@
 		want balance.Reason
 	}{
 		{"none", nil, balance.NoUpstream},
-		{"draining", []balance.Endpoint{draining}, balance.NoUpstream},
+		{"leaving", []balance.Endpoint{draining}, balance.NoUpstream},
 		{"not resident", []balance.Endpoint{draining, noModel}, balance.NoModel},
 		{"no adapter", []balance.Endpoint{noModel, noAdapter}, balance.NoAdapter},
 		{"full", []balance.Endpoint{noAdapter, full, noModel}, balance.AllFull},
@@ -51,7 +51,7 @@
 // fewest requests: pending prompts slow down every step of a batch, and a count of
 // requests does not show them.
 func TestPendingPromptsCountMoreThanRequests(t *testing.T) {
-	prefilling := engine("prefilling", func(e *balance.Endpoint) { e.InFlight, e.PendingPromptTokens = 3, 9000 })
+	prefilling := engine("reading", func(e *balance.Endpoint) { e.InFlight, e.PendingPromptTokens = 3, 9000 })
 	running := engine("running", func(e *balance.Endpoint) { e.InFlight = 30 })
 	d := balance.Pick([]balance.Endpoint{prefilling, running}, &request, noTieBreak)
 	assert.Equal(t, d.Index, 1)
@@ -60,7 +60,7 @@
 // Guards against a burst that is sent to an upstream as soon as its exclusion
 // ends, because it gets its whole share of the waiting requests at once.
 func TestAHalfOpenUpstreamGetsOneRequestAtATime(t *testing.T) {
-	halfOpen := engine("half-open", func(e *balance.Endpoint) { e.HalfOpen = true })
+	halfOpen := engine("trial", func(e *balance.Endpoint) { e.HalfOpen = true })
 	assert.Equal(t, balance.Pick([]balance.Endpoint{halfOpen}, &request, noTieBreak).Reason, balance.Found)
 	halfOpen.InFlight = 30 // requests stuck there since before the exclusion
 	assert.Equal(t, balance.Pick([]balance.Endpoint{halfOpen}, &request, noTieBreak).Reason, balance.Found)
@@ -72,10 +72,10 @@
 func TestAPickPassesEveryFilter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		es := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) balance.Endpoint {
-			return balance.Endpoint{Slots: rapid.IntRange(0, 64).Draw(t, "slots"), Draining: rapid.Bool().Draw(t, "draining"),
+			return balance.Endpoint{Slots: rapid.IntRange(0, 64).Draw(t, "slots"), Draining: rapid.Bool().Draw(t, "leaving"),
 				Down: rapid.Bool().Draw(t, "down"), Tried: rapid.Bool().Draw(t, "tried"), ModelResident: rapid.Bool().Draw(t, "model"),
 				AdapterResident: rapid.Bool().Draw(t, "adapter"), InFlight: rapid.IntRange(0, 200).Draw(t, "requests"),
-				PendingPromptTokens: rapid.IntRange(0, 1<<17).Draw(t, "pending prompt tokens"), InFlightTokens: rapid.IntRange(0, 1<<18).Draw(t, "tokens")}
+				PendingPromptTokens: rapid.IntRange(0, 1<<17).Draw(t, "waiting"), InFlightTokens: rapid.IntRange(0, 1<<18).Draw(t, "tokens")}
 		}), 0, 12).Draw(t, "endpoints")
 		r := request
 		r.Adapter = rapid.SampledFrom([]string{"", "a1"}).Draw(t, "adapter")
--- a/core/ledger/machine_test.go
+++ b/core/ledger/machine_test.go
@@ -161,7 +161,7 @@
 	}
 	order := func(kind ledger.Kind) func(*rapid.T) {
 		return func(t *rapid.T) {
-			change := rapid.SampledFrom(changes).Draw(t, "change")
+			change := rapid.SampledFrom(changes).Draw(t, "thing")
 			change.Kind = kind
 			w.reserve(change, rapid.IntRange(0, 3).Draw(t, "copies"))
 		}
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -52,7 +52,7 @@
 	Store           config.WeightStore
 	LoadsInProgress int               // over all planners
 	Budget          float64           // elective loads that the preset's rate allows now
-	LastMove        map[Key]time.Time // last move of each key, for reasons that may recur
+	LastMove        map[Key]time.Time // time of the last move of each key that started a cooldown
 	Bounds          ledger.Bounds
 	MoveCooldown    time.Duration // a model moved this recently is not moved again; 0: two minutes
 }
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -201,8 +201,8 @@
 	}
 }
 
-// In any state, the ledger allows each move, and a model with a confirmed replica
-// on a serving upstream keeps one.
+// Property: in any state, the ledger allows each move, and a model with a confirmed
+// replica on a serving upstream keeps one.
 func TestPlanKeepsEveryModelReachable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := randomSnapshot(rapid.Uint64().Draw(t, "seed"), 5, 8, 6, 1000, rapid.Float64Range(0.3, 1.1).Draw(t, "share"))
@@ -210,9 +210,9 @@
 		for i := range s.Models {
 			s.Demand[Key{Model: s.Models[i].Name}] = Demand{rapid.Float64Range(0, 20).Draw(t, "d"), 10}
 			s.Models[i].Version = rapid.SampledFrom([]string{"1", "1", "1", "2"}).Draw(t, "version")
-			s.Models[i].MinReplicas = rapid.IntRange(0, 2).Draw(t, "min replicas")
+			s.Models[i].MinReplicas = rapid.IntRange(0, 2).Draw(t, "least")
 		}
-		s.Upstreams[0].Draining = rapid.Bool().Draw(t, "draining")
+		s.Upstreams[0].Draining = rapid.Bool().Draw(t, "leaving")
 		s.Upstreams[1].Down = rapid.Bool().Draw(t, "down")
 		before := newPlan(s, t0)
 		at := t0.Add(24 * time.Hour)
--- a/core/place/reach.go
+++ b/core/place/reach.go
@@ -8,10 +8,10 @@
 	"peridotpier.example/core/ledger"
 )
 
-// placeMissing places the models that have fewer replicas than required, largest
-// first, so that the small ones fill the gaps that the large ones leave. A load
-// that is placed here but not sent yet, for want of a slot at the weight store,
-// still keeps its memory reserved.
+// placeMissing places the models that have fewer replicas than required: on-demand
+// models last, otherwise the largest first, so that the small ones fill the gaps
+// that the large ones leave. A load that is placed here but not sent yet, for want
+// of a slot at the weight store, still keeps its memory reserved.
 func (p *plan) placeMissing() {
 	var missing []*workload
 	for _, w := range p.models {
@@ -101,8 +101,8 @@
 }
 
 // bestUpstream returns the upstream for a replica that needs so much memory, or
-// -1: the tightest fit while memory is scarce, otherwise the least loaded one.
-// Replicas of one model prefer different data centres.
+// -1. It prefers a low load and, while memory is tight, the tightest fit, otherwise
+// much free memory. Replicas of one model prefer different data centres.
 func (p *plan) bestUpstream(w *workload, need int) int {
 	best, bestCost := -1, 0.0
 	for i := range p.upstreams {
--- a/core/poison/judge.go
+++ b/core/poison/judge.go
@@ -71,7 +71,8 @@
 )
 
 // evidence returns the evidence of the crashes against a request, in halves of a crash.
-// Crashes that are part of a mass failure count as one.
+// Explained crashes count half only while there are fewer than MinCrashes. Crashes that
+// are part of a mass failure count as one.
 func (l *Ledger) evidence(e *entry, explained func(c *crash, e *entry) bool) int {
 	sum, mass := 0, 0
 	for id := range e.crashes {
--- a/core/replica/evict.go
+++ b/core/replica/evict.go
@@ -47,9 +47,10 @@
 // upstream: nobody asks for the model, and a caller would still be answered after a
 // load from the copy that remains there; or its callers would wait for a load, and
 // none is unserved now; or nobody has asked for it yet, its prior is low, and the
-// deployment has callers who would wait. If every model kept a place, however long ago it was asked for, the hot models would have
-// hardly more than one each when upstreams are few: a tenth of all requests was
-// refused then while engines were idle.
+// deployment has callers who would wait. If every model kept a place, however long
+// ago it was asked for, the hot models would have hardly more than one each when
+// upstreams are few: a tenth of all requests was refused then while engines were
+// idle.
 func (p Policy) mayEvictLastReplica(s *state, u *upstream, m *model) bool {
 	if m.isIdle() && m.loadSeconds[u.source(m.name)] <= s.maxCallerWaitSeconds {
 		return true
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -159,8 +159,8 @@
 	// replaces only idle models; one of half a second is worth the place of a hot
 	// one.
 	waitingModelSeconds = 1.0
-	// minLoadSeconds is the shortest load time used for that, since the load time
-	// may not be configured.
+	// minLoadSeconds is the minimum load time assumed for that pressure, since the
+	// load time may not be configured.
 	minLoadSeconds = 0.2
 )
 
--- a/core/replica/replica_test.go
+++ b/core/replica/replica_test.go
@@ -134,11 +134,11 @@
 		for i := range rapid.IntRange(1, 40).Draw(t, "models") {
 			names = append(names, fmt.Sprint("m", i))
 		}
-		in := replica.Input{Engine: engine(names...), Demand: map[string]replica.Demand{}, MaxMoves: rapid.IntRange(0, 10).Draw(t, "max moves"),
+		in := replica.Input{Engine: engine(names...), Demand: map[string]replica.Demand{}, MaxMoves: rapid.IntRange(0, 10).Draw(t, "most"),
 			StoreLoadsLeft: rapid.IntRange(0, 8).Draw(t, "store"), SomeWaitForLoad: rapid.Bool().Draw(t, "some wait for load")}
 		for _, n := range names {
 			if rapid.Bool().Draw(t, "asked") {
-				in.Demand[n] = replica.Demand{EngineLoad: rapid.Float64Range(0, 4).Draw(t, "load"), Unserved: rapid.Bool().Draw(t, "unserved"), WaitsForLoad: rapid.Bool().Draw(t, "waits for load")}
+				in.Demand[n] = replica.Demand{EngineLoad: rapid.Float64Range(0, 4).Draw(t, "load"), Unserved: rapid.Bool().Draw(t, "unserved"), WaitsForLoad: rapid.Bool().Draw(t, "patient")}
 			}
 		}
 		in.PriorLoad = replica.PriorLoads(in.Engine, 12, func(m string) bool { _, ok := in.Demand[m]; return ok })
@@ -146,7 +146,7 @@
 		for i := range rapid.IntRange(1, 30).Draw(t, "upstreams") {
 			u := upstreamWith(fmt.Sprint("u", i))
 			u.Usable, u.Movable = rapid.IntRange(0, 9).Draw(t, "usable") > 0, rapid.Bool().Draw(t, "movable")
-			for _, n := range rapid.SliceOfNDistinct(rapid.SampledFrom(names), 0, min(3, len(names)), rapid.ID[string]).Draw(t, "residents") {
+			for _, n := range rapid.SliceOfNDistinct(rapid.SampledFrom(names), 0, min(3, len(names)), rapid.ID[string]).Draw(t, "held") {
 				h := replica.Resident{Model: n, Ready: rapid.IntRange(0, 4).Draw(t, "ready") > 0, ReadyFor: readyFor}
 				u.Residents = append(u.Residents, h)
 				if u.Usable && h.Ready {
--- a/core/residency/residency_test.go
+++ b/core/residency/residency_test.go
@@ -178,7 +178,7 @@
 			case 1:
 				order, ok = rec.ModelUnloadOrder(names.Draw(t, "unload"))
 			case 2, 3:
-				order, ok = rec.NextAdapterOrder(names.Draw(t, "base"), fmt.Sprint(rapid.IntRange(1, 4).Draw(t, "adapter")), now)
+				order, ok = rec.NextAdapterOrder(names.Draw(t, "of"), fmt.Sprint(rapid.IntRange(1, 4).Draw(t, "adapter")), now)
 			case 4:
 				u.finish()
 			case 5:
@@ -202,7 +202,7 @@
 			}
 			if ok {
 				rec.MarkSent(order, now)
-				switch rapid.IntRange(0, 3).Draw(t, "outcome") {
+				switch rapid.IntRange(0, 3).Draw(t, "fate") {
 				case 0:
 					u.late = append(u.late, order)
 					rec.MarkUnanswered(order, now)
