--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestPaceAndLimits(t *testing.T) {
+func TestMovesStayWithinStoreSlotsBudgetAndCooldown(t *testing.T) {
 	s := snapshot([]config.Model{model("a", 40, 1), model("b", 40, 1), model("c", 40, 1)}, upstream("u1", "x", 100), upstream("u2", "x", 100))
 	s.Store.Concurrent, s.LoadsInProgress = 2, 1
 	d := Plan(s, t0)
