--- a/core/ledger/machine_test.go
+++ b/core/ledger/machine_test.go
@@ -119,9 +119,9 @@
 	w.reports = slices.DeleteFunc(w.reports, func(r agedReport) bool { return w.now.Sub(r.taken) > w.bounds.MaxReportAge })
 }
 
-// Property: memory is never exceeded, whichever orders are lost, late, repeated or delivered
-// after their successors, whenever the engine restarts, and whichever reports are
-// late or out of order.
+// Property: memory is never exceeded, whichever orders are lost, late, repeated or
+// delivered after their successors, whenever the engine restarts, and whichever
+// reports are late or out of order.
 func TestMemoryIsNeverOver(t *testing.T) {
 	for _, fencing := range []config.Fencing{config.FencingChecked, config.FencingIgnored} {
 		t.Run(string(fencing), func(t *testing.T) {
--- a/core/place/reach.go
+++ b/core/place/reach.go
@@ -100,9 +100,10 @@
 	})
 }
 
-// bestUpstream returns the upstream for a replica that needs so much memory, or
-// -1. It prefers a low load and, while memory is tight, the tightest fit, otherwise
-// much free memory. Replicas of one model prefer different data centres.
+// bestUpstream returns the upstream for a replica that takes need megabytes with
+// its adapters, or -1. It prefers a low load and, while memory is tight, the
+// tightest fit, otherwise much free memory. Replicas of one model prefer different
+// data centres.
 func (p *plan) bestUpstream(w *workload, need int) int {
 	best, bestCost := -1, 0.0
 	for i := range p.upstreams {
--- a/core/place/spread.go
+++ b/core/place/spread.go
@@ -101,7 +101,7 @@
 }
 
 // overload returns the requests at once above the threshold at an upstream, if its
-// demand changed by so much. Requests far above the threshold weigh more, as waits
+// demand changed by change. Requests far above the threshold weigh more, as waits
 // grow faster than load: with equal weights, moving work from a badly overloaded
 // upstream to one just above the threshold would seem to gain nothing.
 func (p *plan) overload(i int, change float64) float64 {
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -154,7 +154,7 @@
 
 const (
 	// waitingModelSeconds determines the pressure of a model without replicas
-	// whose callers wait for a load: so many seconds of engine time, divided by
+	// whose callers wait for a load: this much engine time, divided by
 	// the time for which the load keeps a place from serving. A load of 2.5 s
 	// replaces only idle models; one of half a second is worth the place of a hot
 	// one.
--- a/core/residency/residency.go
+++ b/core/residency/residency.go
@@ -182,8 +182,8 @@
 }
 
 // usedMB returns the megabytes that all models and adapters take, in any phase:
-// what is being unloaded takes its memory until the unload is done. Loads that a former
-// process of the upstream may have left are included.
+// what is being unloaded takes its memory until the unload is done. Loads that a
+// former process of the upstream may have left are included.
 func (rec *Record) usedMB() float64 {
 	sum := 0.0
 	for _, m := range rec.models {
