--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -62,7 +62,7 @@
 func TestAHalfOpenUpstreamGetsOneRequestAtATime(t *testing.T) {
 	halfOpen := engine("trial", func(e *balance.Endpoint) { e.HalfOpen = true })
 	assert.Equal(t, balance.Pick([]balance.Endpoint{halfOpen}, &request, noTieBreak).Reason, balance.Found)
-	halfOpen.InFlight = 30 // these have been stuck there since before the exclusion
+	halfOpen.InFlight = 30 // requests stuck there since before the exclusion
 	assert.Equal(t, balance.Pick([]balance.Endpoint{halfOpen}, &request, noTieBreak).Reason, balance.Found)
 	halfOpen.ProbeInFlight = true
 	assert.Equal(t, balance.Pick([]balance.Endpoint{halfOpen}, &request, noTieBreak).Reason, balance.NoUpstream)
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -37,8 +37,8 @@
 	DataCentre  string
 	Row         ledger.Row
 	MaxBatch    int
-	Draining    bool // it takes nothing new
-	Down        bool // for long enough that more than one report is missing
+	Draining    bool // takes no new loads or requests
+	Down        bool // unreachable for so long that more than one report is missing
 	ReportCount int  // reports received of its present incarnation
 }
 
@@ -52,7 +52,7 @@
 	Store           config.WeightStore
 	LoadsInProgress int               // over all planners
 	Budget          float64           // elective loads that the preset's rate allows now
-	LastMove        map[Key]time.Time // last move of each key, for reasons that may recur
+	LastMove        map[Key]time.Time // time of the last move of each key that started a cooldown
 	Bounds          ledger.Bounds
 	MoveCooldown    time.Duration // a model moved this recently is not moved again; 0: two minutes
 }
@@ -132,7 +132,7 @@
 }
 
 // decide orders the moves and limits the loads to the free slots of the weight
-// store. Loads of models that nobody can reach and that are asked for come first.
+// store. Loads of unreachable models that are asked for come first.
 func (p *plan) decide() Decision {
 	slices.SortStableFunc(p.moves, func(a, b plannedMove) int {
 		byRank := cmp.Compare(reasonRank(a.Reason), reasonRank(b.Reason))
@@ -142,14 +142,14 @@
 		return cmp.Or(byRank, cmp.Compare(b.demand, a.demand))
 	})
 	d := Decision{Waits: p.waits}
-	places := p.freeStoreSlots()
+	slots := p.freeStoreSlots()
 	for _, m := range p.moves {
 		if m.Change.Kind == ledger.Load {
-			if places <= 0 {
+			if slots <= 0 {
 				d.Deferred++
 				continue
 			}
-			places--
+			slots--
 		}
 		d.Moves = append(d.Moves, m.Move)
 	}
--- a/core/place/reach.go
+++ b/core/place/reach.go
@@ -8,10 +8,10 @@
 	"peridotpier.example/core/ledger"
 )
 
-// placeMissing places the models that have fewer replicas than required, largest
-// first, so that the small ones fill the gaps that the large ones leave. A load
-// that is placed here but not sent yet, for want of a slot at the weight store,
-// still keeps its memory reserved.
+// placeMissing places the models that have fewer replicas than required: on-demand
+// models last, otherwise the largest first, so that the small ones fill the gaps
+// that the large ones leave. A load that is placed here but not sent yet, for want
+// of a slot at the weight store, still keeps its memory reserved.
 func (p *plan) placeMissing() {
 	var missing []*workload
 	for _, w := range p.models {
@@ -55,12 +55,12 @@
 	}
 	room := p.makeRoom(w, p.allUpstreams())
 	if unreachable {
-		maxWait := time.Duration(0)
+		bound := time.Duration(0)
 		if room || p.fitsAfterEvictions(p.memoryWithAdapters(w)) {
 			b := p.snapshot.Bounds
-			maxWait = p.readyBound(w, p.moveCooldown()+b.SendWindow+b.MaxInFlight+b.MaxReportAge+b.MaxClockSkew)
+			bound = p.readyBound(w, p.moveCooldown()+b.SendWindow+b.MaxInFlight+b.MaxReportAge+b.MaxClockSkew)
 		}
-		p.waits = append(p.waits, Wait{w.key, maxWait})
+		p.waits = append(p.waits, Wait{w.key, bound})
 	}
 	return false
 }
@@ -100,9 +100,10 @@
 	})
 }
 
-// bestUpstream returns the upstream for a replica that needs so much memory, or
-// -1: the tightest fit while memory is scarce, otherwise the least loaded one.
-// Replicas of one model prefer different data centres.
+// bestUpstream returns the upstream for a replica that takes need megabytes with
+// its adapters, or -1. It prefers a low load and, while memory is tight, the
+// tightest fit, otherwise much free memory. Replicas of one model prefer different
+// data centres.
 func (p *plan) bestUpstream(w *workload, need int) int {
 	best, bestCost := -1, 0.0
 	for i := range p.upstreams {
@@ -143,10 +144,10 @@
 	return all
 }
 
-// readyBound returns the longest time until a load decided now is ready: its wait
-// at the weight store after all loads decided before, the load itself while the
-// store is fully used, and a report that shows it.
-func (p *plan) readyBound(w *workload, room time.Duration) time.Duration {
+// readyBound returns the longest time until a load decided now is ready: roomWait
+// until there is room, the wait at the weight store after all loads decided before,
+// the load itself while the store is fully used, and a report that shows it.
+func (p *plan) readyBound(w *workload, roomWait time.Duration) time.Duration {
 	store := p.snapshot.Store
 	before := float64(len(p.moves) + p.snapshot.LoadsInProgress + 1)
 	wait := time.Duration(0)
@@ -158,7 +159,7 @@
 		share := max(float64(store.Concurrent), 1) // all slots of the store share its bandwidth
 		load = time.Duration(float64(w.memoryMB) * share / float64(store.MBPerSecond) * float64(time.Second))
 	}
-	return room + wait + load + p.snapshot.Bounds.SendWindow + p.snapshot.Bounds.MaxReportAge
+	return roomWait + wait + load + p.snapshot.Bounds.SendWindow + p.snapshot.Bounds.MaxReportAge
 }
 
 // placeMissingAdapters gives each adapter at least one replica beside its base
@@ -193,7 +194,7 @@
 	return out
 }
 
-// bestUpstreamWithBase returns the least loaded of these upstreams that has room
+// bestUpstreamWithBase returns the least loaded of upstreamsWithBase that has room
 // for the adapter, or -1.
 func (p *plan) bestUpstreamWithBase(w *workload) int {
 	best := -1
--- a/core/place/spread.go
+++ b/core/place/spread.go
@@ -4,7 +4,7 @@
 
 // spread adds replicas of models whose replicas are all overloaded, highest gain
 // first. It does not unload surplus replicas: a replica that is no longer needed
-// costs nothing until its memory is needed, and would cost a load to bring back.
+// costs nothing until its memory is needed, and would cost a load to restore.
 func (p *plan) spread() {
 	for range maxElectiveMoves {
 		if p.budget < 1 {
@@ -79,9 +79,9 @@
 		return -1, 0
 	}
 	n, demand := float64(len(w.replicas)), w.sharedDemand()
-	share, less := demand/(n+1), demand/n-demand/(n+1)
+	share, reduction := demand/(n+1), demand/n-demand/(n+1)
 	for _, i := range w.replicas {
-		gain += p.overload(i, 0) - p.overload(i, -less)
+		gain += p.overload(i, 0) - p.overload(i, -reduction)
 	}
 	if at >= 0 {
 		gain += p.overload(at, 0) - p.overload(at, share)
@@ -101,7 +101,7 @@
 }
 
 // overload returns the requests at once above the threshold at an upstream, if its
-// demand changed by so much. Requests far above the threshold weigh more, as waits
+// demand changed by change. Requests far above the threshold weigh more, as waits
 // grow faster than load: with equal weights, moving work from a badly overloaded
 // upstream to one just above the threshold would seem to gain nothing.
 func (p *plan) overload(i int, change float64) float64 {
--- a/core/poison/simulation_test.go
+++ b/core/poison/simulation_test.go
@@ -28,14 +28,14 @@
 	rnd        *rand.Rand
 	queue      events
 	ups        []*upstream
-	announced  uint64 // ledger revision that the hosts know
+	announced  uint64 // ledger revision announced to the hosts
 	ledger     *Ledger
-	known      []map[Digest]time.Time // by host: the bars it knows, and since when
+	known      []map[Digest]time.Time // by host: the bars announced to it, and when they arrive there
 	outcome    simulationOutcome
 	thirdCrash map[Digest]time.Time
 	crashes    map[Digest]int
 	lateSends  map[Digest]int
-	calls      uint64
+	lastID     uint64
 	barred     map[Digest]time.Time // harmless requests that are barred, and since when
 	failed     map[Digest]bool
 }
@@ -46,8 +46,8 @@
 	failed          int           // harmless requests that were never answered
 	barred          int           // harmless requests that were refused as barred
 	longestBar      time.Duration // longest time that one of these was barred
-	maxCrashedByOne int           // most upstreams crashed by one poison request
-	maxLateSends    int           // most sends of one poison request after all hosts could know of its third crash
+	maxCrashedByOne int           // maximum number of upstreams crashed by one poison request
+	maxLateSends    int           // most sends of one poison request later than knownWithin after its third crash
 	crashed         int           // upstreams crashed in all
 }
 
@@ -84,7 +84,7 @@
 }
 
 const (
-	knownWithin     = 3 * time.Second         // time in which all hosts can learn of a third crash
+	knownWithin     = 3 * time.Second         // time in which a third crash is announced to all hosts
 	timeToCrash     = 150 * time.Millisecond  // time for which a poison request runs before its upstream crashes
 	restartTime     = 5 * time.Second         // restart time of an upstream
 	meanRunTime     = 700 * time.Millisecond  // mean run time of a request
@@ -131,14 +131,14 @@
 }
 
 func (p *simulation) restart(i int) {
-	p.calls++
-	*p.ups[i] = upstream{id: fmt.Sprint("u", p.calls), up: true, running: map[uint64]*run{}}
+	p.lastID++
+	*p.ups[i] = upstream{id: fmt.Sprint("u", p.lastID), up: true, running: map[uint64]*run{}}
 }
 
 // arrive draws requests until the simulation ends.
 func (p *simulation) arrive() {
 	p.after(time.Duration(p.rnd.ExpFloat64()/p.perSecond*float64(time.Second)), func() {
-		p.calls++
+		p.lastID++
 		if p.poisons > 0 && p.rnd.Float64() < p.rate {
 			m := p.fingerprint("poison", uint64(p.rnd.IntN(p.poisons)))
 			for range max(p.copies, 1) {
@@ -146,7 +146,7 @@
 			}
 		} else {
 			p.outcome.innocents++
-			p.send(p.fingerprint("request", p.calls), false, 1)
+			p.send(p.fingerprint("request", p.lastID), false, 1)
 		}
 		p.arrive()
 	})
@@ -186,8 +186,8 @@
 		}
 		return
 	}
-	p.calls++
-	id := p.calls
+	p.lastID++
+	id := p.lastID
 	u.running[id] = &run{digest: m.Digest, host: host, began: p.now, poison: poison, tries: try}
 	process := u.id
 	if poison {
@@ -337,10 +337,10 @@
 		for _, c := range simulationCases {
 			for _, batch := range []int{1, 4, 16} {
 				for _, hosts := range []int{7, 300} {
-					for _, cut := range []int{0, hosts / 3} {
-						p := simulation{hosts: hosts, upstreams: 12, batch: batch, perSecond: min(70, 10*float64(batch)), lateHosts: cut,
+					for _, late := range []int{0, hosts / 3} {
+						p := simulation{hosts: hosts, upstreams: 12, batch: batch, perSecond: min(70, 10*float64(batch)), lateHosts: late,
 							poisons: c.poisons, copies: c.copies, rate: c.rate, duration: 40 * time.Second}
-						t.Run(fmt.Sprintf("%d poisons x%d, share %.3f, batch %d, %d hosts, %d late", c.poisons, c.copies, c.rate, batch, hosts, cut), func(t *testing.T) {
+						t.Run(fmt.Sprintf("%d poisons x%d, share %.3f, batch %d, %d hosts, %d late", c.poisons, c.copies, c.rate, batch, hosts, late), func(t *testing.T) {
 							t.Parallel()
 							o := p.check(t)
 							mu.Lock()
@@ -375,7 +375,7 @@
 }
 
 // simulationSeeds is how often each case is simulated, each time with other random draws.
-var simulationSeeds = flag.Int("play.seeds", 1, "plays of each case")
+var simulationSeeds = flag.Int("play.seeds", 1, "simulations of each case")
 
 // unservedShare returns the share of harmless requests that were not served.
 func (o simulationOutcome) unservedShare() float64 { return float64(o.failed) / float64(o.innocents) }
--- a/core/replica/replica_test.go
+++ b/core/replica/replica_test.go
@@ -97,7 +97,7 @@
 	assert.Equal(t, replica.PriorLoads(e, 12, nobody)["a"], 0.0)
 }
 
-func heldAnywhere(upstreams []replica.Upstream, model string) bool {
+func isResidentAnywhere(upstreams []replica.Upstream, model string) bool {
 	for _, u := range upstreams {
 		for _, h := range u.Residents {
 			if u.Usable && h.Model == model {
@@ -135,7 +135,7 @@
 			names = append(names, fmt.Sprint("m", i))
 		}
 		in := replica.Input{Engine: engine(names...), Demand: map[string]replica.Demand{}, MaxMoves: rapid.IntRange(0, 10).Draw(t, "most"),
-			StoreLoadsLeft: rapid.IntRange(0, 8).Draw(t, "store"), SomeWaitForLoad: rapid.Bool().Draw(t, "some patient")}
+			StoreLoadsLeft: rapid.IntRange(0, 8).Draw(t, "store"), SomeWaitForLoad: rapid.Bool().Draw(t, "some wait for load")}
 		for _, n := range names {
 			if rapid.Bool().Draw(t, "asked") {
 				in.Demand[n] = replica.Demand{EngineLoad: rapid.Float64Range(0, 4).Draw(t, "load"), Unserved: rapid.Bool().Draw(t, "unserved"), WaitsForLoad: rapid.Bool().Draw(t, "patient")}
@@ -157,7 +157,7 @@
 		}
 		absent := map[string]bool{}
 		for _, n := range names {
-			absent[n] = !heldAnywhere(in.Upstreams, n)
+			absent[n] = !isResidentAnywhere(in.Upstreams, n)
 		}
 		moved, storeLoads := map[string]bool{}, 0
 		for _, m := range replica.DefaultPolicy.Plan(in) {
--- a/core/speed/speed.go
+++ b/core/speed/speed.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Read records how long the prefill of a prompt took on an upstream that had no other
-// prompt to prefill.
+// Read records how long the prefill of a prompt's uncached tokens took on an upstream
+// that had no other prompt to prefill.
 func (m Estimator) Read(tokens int, took time.Duration) {
 	x, y := float64(tokens), ms(took)
 	m.Own.prefill.add(x, y, m.servicePrefillMs())
@@ -70,9 +70,9 @@
 // tokens in total. Prompts are prefilled one after the other; answers are generated together,
 // as many at a time as the engine has slots.
 func (m Estimator) EngineTime(prompt, output, slots int) time.Duration {
-	reading := float64(prompt) * m.uncachedShare() * m.PrefillMsPerToken()
-	making := float64(output) * m.generationMsPerToken() / float64(max(slots, 1))
-	return time.Duration((reading + making) * float64(time.Millisecond))
+	prefill := float64(prompt) * m.uncachedShare() * m.PrefillMsPerToken()
+	generation := float64(output) * m.generationMsPerToken() / float64(max(slots, 1))
+	return time.Duration((prefill + generation) * float64(time.Millisecond))
 }
 
 func ms(d time.Duration) float64 { return d.Seconds() * 1000 }
