--- a/node/coordinator/backoffs.go
+++ b/node/coordinator/backoffs.go
@@ -69,23 +69,23 @@
 // awaited.
 func (b backoffs) recordGrant(w *permitRequest) bool {
 	u := b[w.upstream]
-	w.isTrial = u != nil && u.slowStart.Sent()
-	return w.isTrial
+	w.isProbe = u != nil && u.slowStart.Sent()
+	return w.isProbe
 }
 
 // recordAnswer records that a request's answer began.
 func (b backoffs) recordAnswer(w *permitRequest, slots int) {
-	if u := b[w.upstream]; u != nil && w.isTrial {
+	if u := b[w.upstream]; u != nil && w.isProbe {
 		u.slowStart.Answered(slots)
 	}
 }
 
 // recordEnd records the end of a request.
 func (b backoffs) recordEnd(w *permitRequest) {
-	if u := b[w.upstream]; u != nil && w.isTrial {
+	if u := b[w.upstream]; u != nil && w.isProbe {
 		u.slowStart.Ended()
 	}
-	w.isTrial = false
+	w.isProbe = false
 }
 
 // expire drops backoffs that ended long ago.
--- a/node/coordinator/fleetsize_test.go
+++ b/node/coordinator/fleetsize_test.go
@@ -219,7 +219,7 @@
 }
 
 // poll asks once, at any state, and reports whether it got the complete list.
-func (f *listFollower) poll(t assert.TestingT, c *Coordinator) (whole bool) {
+func (f *listFollower) poll(t assert.TestingT, c *Coordinator) (complete bool) {
 	r, out := &coordpb.HostReport{Host: "h", List: f.state, BriefList: true, PackedList: true}, &coordpb.SiteState{PeriodMs: 1000}
 	assert.NilError(t, c.relay(r, out))
 	assert.Assert(t, out.ListBrief && len(out.Put) == 0)
--- a/node/coordinator/holder_bench_test.go
+++ b/node/coordinator/holder_bench_test.go
@@ -137,13 +137,13 @@
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
 			c := s.holder()
-			known, met := s.report(1), &coordpb.HostReport{Host: "h1", Config: 1, List: 1}
-			known.Revision = c.revision
+			upToDate, newlyLinked := s.report(1), &coordpb.HostReport{Host: "h1", Config: 1, List: 1}
+			upToDate.Revision = c.revision
 			var answer, first *coordpb.SiteState
 			for b.Loop() {
-				answer, first = c.report(known), c.report(met)
+				answer, first = c.report(upToDate), c.report(newlyLinked)
 			}
-			b.ReportMetric(float64(proto.Size(known)), "report-B")
+			b.ReportMetric(float64(proto.Size(upToDate)), "report-B")
 			b.ReportMetric(float64(proto.Size(answer)), "answer-B")
 			b.ReportMetric(float64(proto.Size(first)), "first-B")
 		})
--- a/node/coordinator/link.go
+++ b/node/coordinator/link.go
@@ -233,7 +233,7 @@
 		l.lastHostCount = int(s.Hosts)
 		l.signals.apply(s, sentRevision)
 		l.mu.Unlock()
-		l.own.deps.Fleet.ApplySignals(decodeSignals(s.Signals, l.own.now()), fromHolder)
+		l.own.deps.Fleet.ApplySignals(decodeSignals(s.Signals, l.own.now()), sourceHolder)
 	}
 	l.own.deps.Fleet.SetShare(backpressure.Share{Index: int(s.Place), Count: int(max(s.Hosts, 1))})
 }
--- a/node/coordinator/linkanswers.go
+++ b/node/coordinator/linkanswers.go
@@ -82,7 +82,7 @@
 	l.teams.apply(s, now, until)
 	l.applyOthers(s, until)
 	l.own.deps.Fleet.CoordinatorSeen(changes, until)
-	l.own.deps.Fleet.ApplyResidency(holdings(s, now), now)
+	l.own.deps.Fleet.ApplyResidency(decodeResidency(s, now), now)
 	l.own.deps.Fleet.NotifyChanged()
 }
 
@@ -112,16 +112,16 @@
 	}
 }
 
-// holdings decodes the holdings of upstreams in an answer.
-func holdings(s *coordpb.SiteState, now time.Time) []fleet.Residency {
+// decodeResidency decodes the holdings of upstreams in an answer.
+func decodeResidency(s *coordpb.SiteState, now time.Time) []fleet.Residency {
 	out := make([]fleet.Residency, len(s.Holdings))
 	for i, h := range s.Holdings {
-		out[i] = fleet.Residency{Upstream: h.Upstream, StartedMs: h.Born, Residents: residents(h), Loading: loadingModels(h, now)}
+		out[i] = fleet.Residency{Upstream: h.Upstream, StartedMs: h.Born, Residents: decodeResidents(h), Loading: decodeLoadingModels(h, now)}
 	}
 	return out
 }
 
-func residents(h *coordpb.Holding) []deploy.Resident {
+func decodeResidents(h *coordpb.Holding) []deploy.Resident {
 	out := make([]deploy.Resident, len(h.Residents))
 	for i, r := range h.Residents {
 		out[i] = deploy.Resident{Model: r.Model, Adapters: r.Adapters}
@@ -129,7 +129,7 @@
 	return out
 }
 
-func loadingModels(h *coordpb.Holding, now time.Time) []fleet.LoadingModel {
+func decodeLoadingModels(h *coordpb.Holding, now time.Time) []fleet.LoadingModel {
 	out := make([]fleet.LoadingModel, len(h.Coming))
 	for i, m := range h.Coming {
 		out[i] = fleet.LoadingModel{Model: m.Model, ReadyAt: now.Add(milliseconds(m.ReadyMs))}
--- a/node/coordinator/linkmodels.go
+++ b/node/coordinator/linkmodels.go
@@ -44,13 +44,13 @@
 }
 
 // RecordDemand implements gate.Coordinator.
-func (l *Link) RecordDemand(service string, f *gate.RequestInfo, output int, objective time.Duration, unserved bool) {
-	k := demandKey{service, f.Model, f.Adapter}
+func (l *Link) RecordDemand(service string, info *gate.RequestInfo, output int, objective time.Duration, unserved bool) {
+	k := demandKey{service, info.Model, info.Adapter}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	d := l.demand[k]
 	if d == nil {
-		d = &coordpb.Demand{Service: service, Model: f.Model, Adapter: f.Adapter}
+		d = &coordpb.Demand{Service: service, Model: info.Model, Adapter: info.Adapter}
 		l.demand[k] = d
 	}
 	if ms := uint32(objective.Milliseconds()); ms > 0 && (d.PatienceMs == 0 || ms < d.PatienceMs) {
@@ -62,6 +62,6 @@
 		return
 	}
 	d.Requests++
-	d.Prompt += uint32(f.PromptTokens)
+	d.Prompt += uint32(info.PromptTokens)
 	d.Output += uint32(output)
 }
--- a/node/coordinator/permits.go
+++ b/node/coordinator/permits.go
@@ -55,9 +55,9 @@
 type permitRequest struct {
 	key           permitKey
 	event         *coordpb.TurnEvent
-	ask           fleet.Request
-	tried         map[string]bool
-	warm          map[string]bool
+	needs         fleet.Request
+	excluded      map[string]bool
+	withIdleConn  map[string]bool
 	hostBackoffs  map[string]time.Time // until when upstreams asked the request's host to back off; nil: none did
 	askedAt       time.Time
 	upstream      string // where the request was granted; "": it waits
@@ -66,7 +66,7 @@
 	grantedAt     time.Time
 	firstAt       time.Time // when the first event of its answer arrived
 	waitReason    balance.Reason
-	isTrial       bool // whether it was granted in the slow start after a backoff
+	isProbe       bool // whether it was granted in the slow start after a backoff
 }
 
 func newPermits(c *Coordinator) *permits {
@@ -139,10 +139,10 @@
 		return
 	}
 	p.suspects = p.c.aggregate.suspects(now)
-	w := &permitRequest{key: k, event: e, ask: fleet.Request{Model: e.Model, Adapter: e.Adapter}, askedAt: now, tried: setOf(e.Tried), warm: setOf(e.Warm)}
+	w := &permitRequest{key: k, event: e, needs: fleet.Request{Model: e.Model, Adapter: e.Adapter}, askedAt: now, excluded: setOf(e.Tried), withIdleConn: setOf(e.Warm)}
 	p.backoffs.record(w, now)
 	for _, part := range e.Parts {
-		w.ask.PromptParts = append(w.ask.PromptParts, fleet.PromptPart{ID: part.Id, Tokens: int(part.Tokens)})
+		w.needs.PromptParts = append(w.needs.PromptParts, fleet.PromptPart{ID: part.Id, Tokens: int(part.Tokens)})
 	}
 	w.waitReason = p.tryAll(w, now)
 	if !mayQueue(w.waitReason) || w.waitReason == balance.AllBackoff && p.refuseUnservable(w, now) {
@@ -164,9 +164,9 @@
 // tryAll tries to grant a request at any upstream of its service. It answers the host
 // unless the request has to wait.
 func (p *permits) tryAll(w *permitRequest, now time.Time) balance.Reason {
-	entries := p.c.deps.Fleet.EntriesWithModel(w.event.Service, w.ask.Model)
+	entries := p.c.deps.Fleet.EntriesWithModel(w.event.Service, w.needs.Model)
 	d := p.pick(w, entries, now)
-	if d.Reason == balance.NoUpstream && p.c.deps.Fleet.HasUsableWithoutModel(w.event.Service, w.ask.Model, func(e *fleet.Entry) bool { return p.isExcluded(e, w, now) }) {
+	if d.Reason == balance.NoUpstream && p.c.deps.Fleet.HasUsableWithoutModel(w.event.Service, w.needs.Model, func(e *fleet.Entry) bool { return p.isExcluded(e, w, now) }) {
 		d.Reason = balance.NoModel
 	}
 	if d.Index < 0 && !mayQueue(d.Reason) {
@@ -186,7 +186,7 @@
 		endpoints = append(endpoints, p.endpoint(e, w, now))
 	}
 	p.endpoints = endpoints
-	r := balance.Request{Model: w.ask.Model, Adapter: w.ask.Adapter, PromptTokens: int(w.event.Prompt), OutputTokens: int(w.event.Output), MaxPendingPromptTokens: int(w.event.Reading)}
+	r := balance.Request{Model: w.needs.Model, Adapter: w.needs.Adapter, PromptTokens: int(w.event.Prompt), OutputTokens: int(w.event.Output), MaxPendingPromptTokens: int(w.event.Reading)}
 	if e := p.c.engine(w.event.Service); e != nil {
 		r.CacheTokens = e.CacheTokens
 	}
@@ -200,8 +200,8 @@
 // endpoint describes an upstream by what was granted there, in place of what hosts
 // report. The load of a host that has no stream here counts as reported.
 func (p *permits) endpoint(e *fleet.Entry, w *permitRequest, now time.Time) balance.Endpoint {
-	out := e.Endpoint(&w.ask, now)
-	out.SameDataCentre, out.Tried, out.HasIdleConn = e.DataCentre() == w.event.DataCentre, w.tried[e.ID()], w.warm[e.ID()]
+	out := e.Endpoint(&w.needs, now)
+	out.SameDataCentre, out.Tried, out.HasIdleConn = e.DataCentre() == w.event.DataCentre, w.excluded[e.ID()], w.withIdleConn[e.ID()]
 	out.Down = out.Down || p.isExcluded(e, w, now)
 	out.Backoff = max(p.limits.wait(e, now), p.backoffs.wait(e.ID()), w.hostBackoffs[e.ID()].Sub(now))
 	u := p.grants[e.ID()]
@@ -211,7 +211,7 @@
 	}
 	out.InFlight, out.InFlightTokens, out.PendingPromptTokens = max(u.load.Requests, out.InFlight), max(u.load.Tokens, out.InFlightTokens), u.load.PendingPromptTokens
 	if out.ModelResident {
-		out.CachedTokens = max(out.CachedTokens, u.cache.CachedTokens(&w.ask, now))
+		out.CachedTokens = max(out.CachedTokens, u.cache.CachedTokens(&w.needs, now))
 	}
 	return out
 }
@@ -219,7 +219,7 @@
 // isExcluded reports whether an upstream is passed over because of what hosts observed
 // there, or because it had an attempt of this request.
 func (p *permits) isExcluded(e *fleet.Entry, w *permitRequest, now time.Time) bool {
-	return w.tried[e.ID()] || p.suspects[e.ID()] || now.Sub(p.unreachable[e.ID()]) < unreachableFor
+	return w.excluded[e.ID()] || p.suspects[e.ID()] || now.Sub(p.unreachable[e.ID()]) < unreachableFor
 }
 
 func (p *permits) grant(w *permitRequest, e *fleet.Entry, at *balance.Endpoint, d balance.Decision, now time.Time) {
@@ -241,13 +241,13 @@
 	}
 	u.newestReading = w
 	within := p.limits.count(e, now)
-	trial := p.backoffs.recordGrant(w)
-	u.cache.Record(&w.ask, now)
+	probe := p.backoffs.recordGrant(w)
+	u.cache.Record(&w.needs, now)
 	u.load.Requests++
 	u.load.Tokens += int(w.event.Prompt + w.event.Output)
 	u.load.PendingPromptTokens += int(w.event.Prompt)
 	w.key.from.send(&coordpb.TurnAnswer{Id: w.key.id, Kind: coordpb.TurnAnswer_GRANTED, Upstream: w.upstream,
-		PredictedMs: uint32(d.PredictedWait.Milliseconds()), Load: uint32(at.InFlight), Waiting: uint32(at.PendingPromptTokens), Cached: uint32(at.CachedTokens), WithinLimit: within, Trial: trial})
+		PredictedMs: uint32(d.PredictedWait.Milliseconds()), Load: uint32(at.InFlight), Waiting: uint32(at.PendingPromptTokens), Cached: uint32(at.CachedTokens), WithinLimit: within, Trial: probe})
 }
 
 // promptRead records that an upstream has read a request's prompt.
@@ -349,7 +349,7 @@
 
 // grantWaiting removes those waiting requests for which try returns true. Overdue
 // requests are tried after those that can still be answered in time.
-func (p *permits) grantWaiting(now time.Time, try func(*permitRequest) (gone bool)) {
+func (p *permits) grantWaiting(now time.Time, try func(*permitRequest) (done bool)) {
 	tried := 0
 	for _, overdue := range []bool{false, true} {
 		for i, w := range p.waiting {
--- a/node/coordinator/plan.go
+++ b/node/coordinator/plan.go
@@ -61,8 +61,8 @@
 			continue
 		}
 		snapshot := u.snapshot(now)
-		snapshot.UnavailableShare = lackingShare(u.entry.Limit(), timePerRequest)
-		snapshot.Movable = snapshot.Movable && snapshot.UnavailableShare < maxLackingShare
+		snapshot.UnavailableShare = unavailableShare(u.entry.Limit(), timePerRequest)
+		snapshot.Movable = snapshot.Movable && snapshot.UnavailableShare < maxUnavailableShare
 		in.Upstreams = append(in.Upstreams, snapshot)
 		if u.isMoving() {
 			moving++
@@ -73,14 +73,14 @@
 	return in
 }
 
-// maxLackingShare is the share of an engine's time that a limit may withhold before
+// maxUnavailableShare is the share of an engine's time that a limit may withhold before
 // models are no longer moved to the upstream. A load there would hardly pay, and its
 // orders count against the limit, too.
-const maxLackingShare = 0.5
+const maxUnavailableShare = 0.5
 
-// lackingShare returns the share of its engine's time that an upstream withholds by a
+// unavailableShare returns the share of its engine's time that an upstream withholds by a
 // limit; timePerRequest is the engine time of one request.
-func lackingShare(l backpressure.Limit, timePerRequest time.Duration) float64 {
+func unavailableShare(l backpressure.Limit, timePerRequest time.Duration) float64 {
 	if !l.Stated || timePerRequest == 0 {
 		return 0
 	}
--- a/node/coordinator/plan_test.go
+++ b/node/coordinator/plan_test.go
@@ -23,23 +23,23 @@
 	assert.Equal(t, storeSlots(&deploy.Engine{}), minStoreSlots, "an engine without load times")
 
 	now := time.Now()
-	unitWith := func(v *activeMove, r residency.Report) *managedUpstream {
+	upstreamWith := func(v *activeMove, r residency.Report) *managedUpstream {
 		u := &managedUpstream{engine: e, record: residency.New(e, &deploy.Upstream{}, now), activeMove: v}
 		u.record.Reconcile(r, now)
 		return u
 	}
 	idle := residency.Report{}
-	units := []*managedUpstream{
-		unitWith(nil, idle),
-		unitWith(&activeMove{Move: replica.Move{Load: "a", From: replica.FromDisk}}, idle),
-		unitWith(&activeMove{Move: replica.Move{Load: "a", Unload: "b", From: replica.FromStore}}, idle), // the unload is not over
+	upstreams := []*managedUpstream{
+		upstreamWith(nil, idle),
+		upstreamWith(&activeMove{Move: replica.Move{Load: "a", From: replica.FromDisk}}, idle),
+		upstreamWith(&activeMove{Move: replica.Move{Load: "a", Unload: "b", From: replica.FromStore}}, idle), // the unload is not over
 	}
-	assert.Equal(t, storeLoadsUnderWay(units, 0), 0)
-	units = append(units,
-		unitWith(&activeMove{Move: replica.Move{Load: "a", From: replica.FromStore}}, idle),
-		unitWith(&activeMove{Move: replica.Move{Load: "a", Unload: "b", From: replica.FromStore}, ordered: true}, idle),
-		unitWith(nil, residency.Report{Sequence: 4, Busy: true})) // a former holder's order
-	assert.Equal(t, storeLoadsUnderWay(units, 0), 3)
-	assert.Equal(t, storeLoadsUnderWay(units, 1), 3, "the inherited load is the one that the report shows")
-	assert.Equal(t, storeLoadsUnderWay(units, 2), 4)
+	assert.Equal(t, storeLoadsUnderWay(upstreams, 0), 0)
+	upstreams = append(upstreams,
+		upstreamWith(&activeMove{Move: replica.Move{Load: "a", From: replica.FromStore}}, idle),
+		upstreamWith(&activeMove{Move: replica.Move{Load: "a", Unload: "b", From: replica.FromStore}, ordered: true}, idle),
+		upstreamWith(nil, residency.Report{Sequence: 4, Busy: true})) // a former holder's order
+	assert.Equal(t, storeLoadsUnderWay(upstreams, 0), 3)
+	assert.Equal(t, storeLoadsUnderWay(upstreams, 1), 3, "the inherited load is the one that the report shows")
+	assert.Equal(t, storeLoadsUnderWay(upstreams, 2), 4)
 }
--- a/node/coordinator/published.go
+++ b/node/coordinator/published.go
@@ -113,7 +113,7 @@
 
 // mergeChanges decodes segments that follow a list, or the state that a host has. Of an
 // upstream that changed several times it returns the last change.
-func mergeChanges(list []deploy.Upstream, segments [][]byte) (put []deploy.Upstream, gone []string, err error) {
+func mergeChanges(list []deploy.Upstream, segments [][]byte) (put []deploy.Upstream, removed []string, err error) {
 	newest := map[string]*deploy.Upstream{} // nil: removed
 	for i := range list {
 		newest[list[i].ID] = &list[i]
@@ -136,10 +136,10 @@
 	}
 	for id, u := range newest {
 		if u == nil {
-			gone = append(gone, id)
+			removed = append(removed, id)
 		} else {
 			put = append(put, *u)
 		}
 	}
-	return put, gone, nil
+	return put, removed, nil
 }
--- a/node/coordinator/relay.go
+++ b/node/coordinator/relay.go
@@ -121,7 +121,7 @@
 }
 
 // decodeList decodes the list of an answer, or its changes.
-func decodeList(s *coordpb.SiteState) (put []deploy.Upstream, gone []string, err error) {
+func decodeList(s *coordpb.SiteState) (put []deploy.Upstream, removed []string, err error) {
 	if put, err = decodeUpstreams(s); err != nil || len(s.PackedChanges) == 0 {
 		return put, s.Gone, err
 	}
--- a/node/coordinator/serve.go
+++ b/node/coordinator/serve.go
@@ -86,7 +86,7 @@
 // applyReport records the loads of a host and the demand of its callers.
 func (c *Coordinator) applyReport(r *coordpb.HostReport, now time.Time) {
 	c.aggregate.record(r, now)
-	c.deps.Fleet.ApplySignals(decodeSignals(r.Signals, now), fromHost+r.Host)
+	c.deps.Fleet.ApplySignals(decodeSignals(r.Signals, now), sourceHost+r.Host)
 	c.accounts.adoptStates(r.TeamWords, now)
 	c.accounts.addUse(r.Teams, now)
 	c.quarantine.receive(r, now)
--- a/node/coordinator/signals.go
+++ b/node/coordinator/signals.go
@@ -10,8 +10,8 @@
 
 // Sources of signals, in logs.
 const (
-	fromHost   = "host "
-	fromHolder = "holder"
+	sourceHost   = "host "
+	sourceHolder = "holder"
 )
 
 // addSignals adds the signals of upstreams that the host has not received yet to an
--- a/node/coordinator/waitestimate.go
+++ b/node/coordinator/waitestimate.go
@@ -32,9 +32,9 @@
 func (p *permits) estimateWait(w *permitRequest, now time.Time) waitEstimate {
 	var o waitEstimate
 	first, perSecond := true, 0.0
-	for _, e := range p.c.deps.Fleet.EntriesWithModel(w.event.Service, w.ask.Model) {
+	for _, e := range p.c.deps.Fleet.EntriesWithModel(w.event.Service, w.needs.Model) {
 		at := p.endpoint(e, w, now)
-		if balance.Check(&at, &balance.Request{Model: w.ask.Model}) != balance.AllBackoff {
+		if balance.Check(&at, &balance.Request{Model: w.needs.Model}) != balance.AllBackoff {
 			continue
 		}
 		p.wakeAfter(e, now, at.Backoff)
@@ -73,7 +73,7 @@
 func (p *permits) queuedAhead(w *permitRequest) int {
 	n := 0
 	for _, o := range p.waiting {
-		if o.waitReason == balance.AllBackoff && o.event.Priority <= w.event.Priority && o.event.Service == w.event.Service && o.ask.Model == w.ask.Model {
+		if o.waitReason == balance.AllBackoff && o.event.Priority <= w.event.Priority && o.event.Service == w.event.Service && o.needs.Model == w.needs.Model {
 			n++
 		}
 	}
--- a/node/gate/attempt.go
+++ b/node/gate/attempt.go
@@ -53,7 +53,7 @@
 	if q.mayRunAgain() && q.sends < q.route.Attempts {
 		a.OnUnresponsive(fo.onUnresponsive)
 		if q.route.Repeatable() && q.route.Objective > 0 {
-			defer time.AfterFunc(hedgeShare*q.route.Objective, fo.onSlow).Stop()
+			defer time.AfterFunc(hedgeFactor*q.route.Objective, fo.onSlow).Stop()
 		}
 	}
 	now := d.Now()
@@ -75,9 +75,9 @@
 	return q.checkResponse(ctx, fo, e, a, resp)
 }
 
-// hedgeShare is the time that a retryable request waits for the head of its response
+// hedgeFactor is the time that a retryable request waits for the head of its response
 // before another upstream is sought, as a multiple of the route's objective.
-const hedgeShare = 2
+const hedgeFactor = 2
 
 // outgoing builds the request of an attempt. It forwards what the caller sent,
 // except for hop-by-hop headers and the headers that this host sets.
--- a/node/gate/caller.go
+++ b/node/gate/caller.go
@@ -44,8 +44,8 @@
 
 // urgency returns the request's rank among all urgencies; 0 is the most urgent.
 func (q *request) urgency() int {
-	place, _ := q.table.UrgencyRank(q.caller.team, q.route)
-	return place
+	rank, _ := q.table.UrgencyRank(q.caller.team, q.route)
+	return rank
 }
 
 // markCharged records that the team's limit was charged, if it applies.
--- a/node/gate/draining_test.go
+++ b/node/gate/draining_test.go
@@ -27,10 +27,10 @@
 // wait for most of its time, as at a host that is not stopping.
 func TestARequestIsNotHeldByAStoppingHost(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		models  Coordinator
-		stopAt  time.Duration
-		refused time.Duration // at the latest
+		name        string
+		coordinator Coordinator
+		stopAt      time.Duration
+		refused     time.Duration // at the latest
 	}{
 		{"for a permit, stopping before", &blockedCoordinator{}, 0, drainingMaxHold + modelHoldAfter},
 		{"for a permit, stopping early", &blockedCoordinator{}, drainingMaxHold / 2, drainingMaxHold + modelHoldAfter},
@@ -39,7 +39,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g, _ := newGate(c.models, "")
+				g, _ := newGate(c.coordinator, "")
 				changeRoute(g, func(r *deploy.Route) { r.Timeout, r.Objective = 20*time.Second, 10*time.Second })
 				holdsLimited, limitHolds := context.WithCancel(t.Context())
 				g.deps.HoldLimitContext = holdsLimited
--- a/node/gate/resume_test.go
+++ b/node/gate/resume_test.go
@@ -31,8 +31,8 @@
 		q := &request{g: g, w: w, r: httptest.NewRequest(http.MethodPost, "/x", nil), ctx: ctx, started: started, tried: map[string]bool{"u": true}}
 		p := selection{Decision: balance.Decision{Index: -1, Reason: balance.NoAdapter}, adapterUpstream: home}
 		for range maxAdapterRequests + 2 {
-			goesOn := q.loadAdapter(p)
-			assert.Equal(t, goesOn, started)
+			continues := q.loadAdapter(p)
+			assert.Equal(t, continues, started)
 			if !started {
 				break
 			}
--- a/node/gate/silent_test.go
+++ b/node/gate/silent_test.go
@@ -195,7 +195,7 @@
 // slow attempt is ended without checking for an alternative.
 func TestARequestWithoutAnAlternativeStaysWithASlowUpstream(t *testing.T) {
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		time.Sleep(4 * hedgeShare * slowObjective)
+		time.Sleep(4 * hedgeFactor * slowObjective)
 		_, _ = io.WriteString(w, "whole")
 	}))
 	defer up.Close()
@@ -229,8 +229,8 @@
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, body, "whole")
-	assert.Assert(t, time.Since(began) >= hedgeShare*slowObjective, "the first attempt was at the slow upstream")
-	assert.Assert(t, time.Since(began) < 10*hedgeShare*slowObjective, "%v", time.Since(began))
+	assert.Assert(t, time.Since(began) >= hedgeFactor*slowObjective, "the first attempt was at the slow upstream")
+	assert.Assert(t, time.Since(began) < 10*hedgeFactor*slowObjective, "%v", time.Since(began))
 }
 
 // refusingCodec treats a 503 as a refusal.
--- a/node/quarantine/detector.go
+++ b/node/quarantine/detector.go
@@ -83,16 +83,16 @@
 
 // RecordBroken records a request whose exchange with an upstream broke before its
 // end. It does not block.
-func (w *CrashDetector) RecordBroken(upstream, address string, request poison.Fingerprint) {
-	w.mu.Lock()
-	now := w.deps.Now()
-	w.removeOldLocked(now)
-	e := w.broken[upstream]
+func (d *CrashDetector) RecordBroken(upstream, address string, request poison.Fingerprint) {
+	d.mu.Lock()
+	now := d.deps.Now()
+	d.removeOldLocked(now)
+	e := d.broken[upstream]
 	if e == nil || e.checked && !e.terminated {
 		e = &brokenUpstream{address: address, at: now}
 		select {
-		case w.checks <- upstream:
-			w.broken[upstream] = e
+		case d.checks <- upstream:
+			d.broken[upstream] = e
 		default: // too many checks are pending; this exchange is not followed up
 		}
 	}
@@ -100,75 +100,75 @@
 		e.suspects = append(e.suspects, request)
 	}
 	terminated, at := e.terminated, e.at
-	w.mu.Unlock()
+	d.mu.Unlock()
 	if terminated {
-		w.report(upstream, at, []poison.Fingerprint{request})
+		d.report(upstream, at, []poison.Fingerprint{request})
 	}
 }
 
 // removeOldLocked removes the results of checks that are older than keepCheckedFor.
-func (w *CrashDetector) removeOldLocked(now time.Time) {
-	for id, e := range w.broken {
+func (d *CrashDetector) removeOldLocked(now time.Time) {
+	for id, e := range d.broken {
 		if e.checked && now.Sub(e.at) > keepCheckedFor {
-			delete(w.broken, id)
+			delete(d.broken, id)
 		}
 	}
 }
 
 // Run performs checks until ctx ends.
-func (w *CrashDetector) Run(ctx context.Context) error {
+func (d *CrashDetector) Run(ctx context.Context) error {
 	var workers sync.WaitGroup
 	for range checkWorkers {
-		workers.Go(func() { w.work(ctx) })
+		workers.Go(func() { d.work(ctx) })
 	}
 	workers.Wait()
 	return ctx.Err()
 }
 
-func (w *CrashDetector) work(ctx context.Context) {
+func (d *CrashDetector) work(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case upstream := <-w.checks:
-			w.check(ctx, upstream)
+		case upstream := <-d.checks:
+			d.check(ctx, upstream)
 		}
 	}
 }
 
 // check finds out whether an upstream has terminated.
-func (w *CrashDetector) check(ctx context.Context, upstream string) {
-	w.mu.Lock()
-	e := w.broken[upstream]
-	w.mu.Unlock()
-	terminated := w.notListening(ctx, e.address)
+func (d *CrashDetector) check(ctx context.Context, upstream string) {
+	d.mu.Lock()
+	e := d.broken[upstream]
+	d.mu.Unlock()
+	terminated := d.notListening(ctx, e.address)
 	if !terminated && pace.Sleep(ctx, recheckAfter) {
-		terminated = w.notListening(ctx, e.address)
+		terminated = d.notListening(ctx, e.address)
 	}
-	w.mu.Lock()
+	d.mu.Lock()
 	e.checked, e.terminated = true, terminated
 	ran, at := slices.Clone(e.suspects), e.at
-	w.mu.Unlock()
+	d.mu.Unlock()
 	if terminated {
-		w.deps.Metrics.Count(metrics.UpstreamsTerminated, 1)
-		w.report(upstream, at, ran)
+		d.deps.Metrics.Count(metrics.UpstreamsTerminated, 1)
+		d.report(upstream, at, ran)
 	}
 }
 
-func (w *CrashDetector) notListening(ctx context.Context, address string) bool {
+func (d *CrashDetector) notListening(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
-	return w.deps.NotListening(ctx, address)
+	return d.deps.NotListening(ctx, address)
 }
 
 // report logs a terminated upstream and the requests that ran on it, and passes
 // them to OnCrash.
-func (w *CrashDetector) report(upstream string, at time.Time, ran []poison.Fingerprint) {
+func (d *CrashDetector) report(upstream string, at time.Time, ran []poison.Fingerprint) {
 	digests := make([]poison.Digest, len(ran))
 	for i, m := range ran {
 		digests[i] = m.Digest
 	}
-	w.deps.Log.Emit(event.UpstreamTerminated, zap.String(event.FieldPeer, upstream), zap.Stringers("under_way", digests),
-		zap.Int64("age_ms", w.deps.Now().Sub(at).Milliseconds()))
-	w.deps.OnCrash(upstream, at, ran)
+	d.deps.Log.Emit(event.UpstreamTerminated, zap.String(event.FieldPeer, upstream), zap.Stringers("under_way", digests),
+		zap.Int64("age_ms", d.deps.Now().Sub(at).Milliseconds()))
+	d.deps.OnCrash(upstream, at, ran)
 }
--- a/node/quarantine/detector_test.go
+++ b/node/quarantine/detector_test.go
@@ -50,8 +50,8 @@
 // Guards against suspecting a request because a connection broke on the network or
 // an answer was lost.
 func TestAnUpstreamThatListensHasNotTerminated(t *testing.T) {
-	var asked atomic.Int32
-	w, lines := newDetector(t, func(string) bool { asked.Add(1); return false })
+	var checks atomic.Int32
+	w, lines := newDetector(t, func(string) bool { checks.Add(1); return false })
 	w.RecordBroken("u", "alive", fingerprintOf("a"))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		w.mu.Lock()
@@ -61,6 +61,6 @@
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(5*time.Second))
-	assert.Equal(t, asked.Load(), int32(2), "a process closes its listener last")
+	assert.Equal(t, checks.Load(), int32(2), "a process closes its listener last")
 	assert.Equal(t, lines.Len(), 0)
 }
--- a/node/quarantine/guard_test.go
+++ b/node/quarantine/guard_test.go
@@ -18,8 +18,8 @@
 	connected bool
 }
 
-func newTestGuard(linked bool) *testGuard {
-	g := &testGuard{now: time.Unix(1000, 0), connected: linked}
+func newTestGuard(connected bool) *testGuard {
+	g := &testGuard{now: time.Unix(1000, 0), connected: connected}
 	g.Guard = NewGuard(GuardDeps{Connected: func() bool { return g.connected }, Metrics: metrics.New(), Now: func() time.Time { return g.now }})
 	return g
 }
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -214,8 +214,8 @@
   'return all >= l.policy.MinMassCrashes && 2*ran < all' 'return false' ./core/poison
 try "a broken way is no crash" node/quarantine/detector.go \
   '	if terminated {
-		w.deps.Metrics' '	if true {
-		w.deps.Metrics' ./node/quarantine
+		d.deps.Metrics' '	if true {
+		d.deps.Metrics' ./node/quarantine
 try "hosts are told what is barred" node/coordinator/quarantine.go \
   'for i := range changed {' 'for i := range changed[:0] {' ./platform -run 'KnownToAllHosts'
 try "a successor hears what is known" node/quarantine/guard.go \
