--- a/node/gate/answer_test.go
+++ b/node/gate/answer_test.go
@@ -89,10 +89,10 @@
 	assert.Equal(t, status(t, post(t, host, 10, "half")), http.StatusRequestTimeout)
 }
 
-// Guards against a connection that the end of the process closes with its request:
-// a body is still arriving, or has just arrived, when the host is about to stop,
-// and the stop reaches the request only once it was read, and concurrently with
-// sending it.
+// Guards against a request whose connection is closed without a response when the
+// process ends: its body is still arriving, or has just arrived, when the host is about
+// to stop, and the stop reaches the request only after its body was read, while it is
+// already being sent.
 func TestTheHostsStopReachesARequestThatIsBeingRead(t *testing.T) {
 	up := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("the request reached the upstream") }))
 	defer up.Close()
--- a/node/gate/attempt.go
+++ b/node/gate/attempt.go
@@ -75,8 +75,8 @@
 	return q.checkResponse(ctx, fo, e, a, resp)
 }
 
-// hedgeFactor is the time that a retryable request waits for the head of its response
-// before another upstream is sought, as a multiple of the route's objective.
+// hedgeFactor is how long a retryable request waits for the head of its response before
+// another upstream is sought, as a multiple of the route's objective.
 const hedgeFactor = 2
 
 // outgoing builds the request of an attempt. It forwards what the caller sent,
--- a/node/gate/caller.go
+++ b/node/gate/caller.go
@@ -94,8 +94,8 @@
 	return !ok || team.Name != q.caller.team.Name
 }
 
-// endRevoked ends a request whose key was revoked. If the request may have run, its
-// outcome is reported as such.
+// endRevoked ends a request whose key was revoked. A request that may have run gets no
+// status that means "not run".
 func (q *request) endRevoked(p selection) {
 	if p.permit != nil {
 		p.permit.Release()
--- a/node/gate/caller_test.go
+++ b/node/gate/caller_test.go
@@ -54,8 +54,8 @@
 	a.balance += cost
 }
 
-// newTeamGate returns a gate with one upstream and two teams; "limited" may send what
-// the account allows.
+// newTeamGate returns a gate with one upstream and two teams: "limited", which may send
+// what the account allows, and "first", which has no limit and is more urgent.
 func newTeamGate(a *account, address string, sent func(AttemptInfo)) *Gate {
 	g, _ := newGateFor(deploy.Upstream{Address: address, Slots: 4, Residents: []deploy.Resident{{Model: "m"}}}, a, deploy.Route{Objective: time.Second, Priority: 2})
 	g.deps.TeamLimits, g.deps.Codec = a, keyedCodec{sent: sent}
--- a/node/gate/draining.go
+++ b/node/gate/draining.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// drainingMaxHold is how long after its start a request may be held by a host that is
-// stopping. Callers still arrive for 2.5 s after the stop signal; a request held then
-// has half of a usual grace period left for its response.
+// drainingMaxHold is how long after its start a request may be held by a draining host.
+// Callers still arrive for 2.5 s after the stop signal; a request held then has half of
+// a usual grace period left for its response.
 const drainingMaxHold = time.Second
 
-// limitHold limits a hold, counted from the request's start, to what a stopping host
+// limitHold limits a hold, counted from the request's start, to what a draining host
 // allows. Responses that have started are exempt: cutting them off would gain nothing.
 func (q *request) limitHold(hold time.Duration) time.Duration {
 	if q.g.deps.HoldLimitContext.Err() == nil || q.started {
--- a/node/gate/draining_test.go
+++ b/node/gate/draining_test.go
@@ -21,10 +21,10 @@
 	return nil, ctx.Err()
 }
 
-// Guards against a request that a stopping host holds until its process ends, without
-// ever sending it: all upstreams are busy, and the host is told to stop before or
-// while a request with a long deadline waits for a permit or for its model. It may
-// wait for most of its time, as at a host that is not stopping.
+// Guards against a request that a draining host holds until its process ends, without
+// ever sending it: all upstreams are busy, and the host begins to drain before or while
+// a request with a long deadline waits for a permit or for its model. The request then
+// waits for most of its time, as at a host that is not draining.
 func TestARequestIsNotHeldByAStoppingHost(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -58,6 +58,6 @@
 	}
 }
 
-// modelHoldAfter is how long such a request may then wait for its model: an eighth of
-// its objective.
+// modelHoldAfter is how long a request of this test may wait for its model after its wait
+// for a permit: an eighth of its objective.
 const modelHoldAfter = 1250 * time.Millisecond
--- a/node/gate/gate.go
+++ b/node/gate/gate.go
@@ -76,11 +76,11 @@
 	Metrics       *metrics.Set
 	Draining      func() bool // the host is draining: callers should use another host
 	RejectsNew    func() bool // new requests are refused, since they might not finish before the host stops
-	// HoldsLimited is done soon after Draining becomes true: from then on requests are
-	// held only briefly, so that those already sent can finish within the grace
+	// HoldLimitContext is done soon after Draining becomes true: from then on requests
+	// are held only briefly, so that those already sent can finish within the grace
 	// period. nil: never.
 	HoldLimitContext context.Context
-	// Stopping is done when the process is about to end: requests in flight then get
+	// StopContext is done when the process is about to end: requests in flight then get
 	// their final response at once. nil: never.
 	StopContext context.Context
 	// DisconnectReason returns how the connection of a request ended, given the
@@ -140,10 +140,11 @@
 // writeGrace is how long after a request's deadline its final response may still be written.
 const writeGrace = 300 * time.Millisecond
 
-// errTimeUp is the cause for which requests end at their deadline.
+// errTimeUp is the cause of a request's context when its deadline has passed.
 var errTimeUp = errors.New("time is up")
 
-// errStopping is the cause for which requests in flight end when the process is about to end.
+// errStopping is the cause of the contexts of requests in flight when the process is
+// about to end.
 var errStopping = errors.New("the host stops")
 
 // request is the state of one caller's attempt. It is used by a single goroutine.
@@ -191,7 +192,8 @@
 	writeErr       error  // first error of a write to the caller
 }
 
-// admit reads the complete request. It responds itself to requests that cannot be routed.
+// admit routes the request and reads its body. It returns false if the request is not
+// admitted; the caller then has its response.
 func (q *request) admit() bool {
 	d := &q.g.deps
 	table := d.Config.Current()
@@ -263,9 +265,10 @@
 	return q.info.MaxOutputTokens
 }
 
-// receiveBody reads the body. Only complete requests are forwarded: one that breaks
-// off in the middle never reaches an upstream, and a request that was not run
-// can be sent to another upstream.
+// receiveBody reads the body. It returns false after it has responded to a request
+// whose body is too large or not complete. Only complete requests are forwarded: one
+// that breaks off in the middle never reaches an upstream, and a request that was not
+// run can be sent to another upstream.
 func (q *request) receiveBody(limits deploy.Limits) bool {
 	maxBytes := int64(limits.BodyBytes)
 	if maxBytes <= 0 {
@@ -297,7 +300,7 @@
 	return false
 }
 
-// readBody reads until the end of the body, the request's deadline or Stopping is done.
+// readBody reads until the body ends, the request's deadline passes or StopContext is done.
 func (q *request) readBody(maxBytes int64) ([]byte, error) {
 	rc := http.NewResponseController(q.w)
 	_ = rc.SetReadDeadline(q.deadline)
--- a/node/gate/large_test.go
+++ b/node/gate/large_test.go
@@ -47,7 +47,7 @@
 	assert.Assert(t, len(body) <= len(begin), "%d bytes", len(body))
 }
 
-// Guards against the same with a complete response to the retry.
+// Guards against the same fault when the retry gets a complete response.
 func TestALargeResponseIsNotFollowedByACompleteOne(t *testing.T) {
 	begin := strings.Repeat("a", maxBufferedBytes+10)
 	runs := atomic.Int64{}
--- a/node/gate/loading_test.go
+++ b/node/gate/loading_test.go
@@ -34,8 +34,8 @@
 // Guards against callers that are refused after 0.6 s although their model is loaded
 // in 2.4 s, and refused again just before it is resident: the model is resident
 // nowhere, its load is ordered, and a caller has 10 s for a response, which has its
-// full value within 3 s. The request waits only as long as its response would be in
-// time, and neither it nor its caller knows when the model is expected.
+// full value within 3 s. This happens if the request waits only as long as its response
+// would be in time, and neither the host nor the caller knows when the model is expected.
 func TestARequestWaitsForAModelThatIsLoading(t *testing.T) {
 	t.Parallel()
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
--- a/node/gate/permit.go
+++ b/node/gate/permit.go
@@ -18,7 +18,7 @@
 	Service                string
 	Request                *fleet.Request
 	Cost                   fleet.Cost
-	Priority               int
+	Priority               int            // the request's rank among all urgencies; 0 is the most urgent
 	MaxPendingPromptTokens int            // prompt tokens that may be waiting at the upstream; 0: unbounded
 	Excluded               []string       // upstreams not to use: already tried, or excluded by this host
 	WithIdleConn           []string       // upstreams to which this host has an idle connection
@@ -40,9 +40,9 @@
 	Reason              balance.Reason
 	AdapterUpstream     string // where an adapter should be loaded
 	PredictedWait       time.Duration
-	InFlight            int
-	PendingPromptTokens int
-	CachedTokens        int
+	InFlight            int // requests at the upstream
+	PendingPromptTokens int // prompt tokens waiting there
+	CachedTokens        int // prompt tokens that are probably cached there
 	// WithinLimit reports that the upstream names a limit and the request was counted towards it.
 	WithinLimit bool
 	IsProbe     bool // a probe of an upstream that has refused requests: the coordinator waits for Began
--- a/node/gate/pick.go
+++ b/node/gate/pick.go
@@ -274,7 +274,7 @@
 }
 
 // giveUpModel responds to a request whose model will not be resident in time. If the
-// model is loading, the caller is told to retry when it is expected.
+// model is loading, the caller is told to retry when it is expected. It returns false.
 func (q *request) giveUpModel(now time.Time) bool {
 	at, loading := q.g.deps.Fleet.ExpectedReady(q.service.Name, q.needs.Model)
 	if after := at.Sub(now); loading && after > 0 && q.deliverFailed == nil && q.r.Context().Err() == nil {
@@ -300,7 +300,8 @@
 	return wait
 }
 
-// loadAdapter has the adapter loaded at the upstream that the request would go to.
+// loadAdapter has the adapter loaded at the upstream that the request would go to. It
+// responds to the caller and returns false when the request is given up.
 func (q *request) loadAdapter(p selection) bool {
 	d := &q.g.deps
 	if q.adapterRequests++; q.adapterRequests > maxAdapterRequests {
@@ -322,7 +323,8 @@
 const maxAdapterRequests = 2
 
 // giveUpBackoff responds to a request whose upstreams all asked for a backoff longer
-// than the request may wait. The caller may retry when one of them accepts requests again.
+// than the request may wait. The caller may retry when one of them accepts requests
+// again. It returns false.
 func (q *request) giveUpBackoff(after time.Duration) bool {
 	if q.deliverFailed != nil || q.r.Context().Err() != nil {
 		return q.giveUp(balance.AllBackoff)
@@ -332,7 +334,8 @@
 	return false
 }
 
-// giveUp responds to a request that no upstream will accept in time.
+// giveUp responds to a request that no upstream will accept in time. It returns false:
+// the request does not wait any longer.
 func (q *request) giveUp(r balance.Reason) bool {
 	switch {
 	case q.r.Context().Err() != nil:
--- a/node/gate/poison.go
+++ b/node/gate/poison.go
@@ -10,7 +10,7 @@
 )
 
 // longRun is how long after its response began a request must have run so that a
-// crash of its upstream is not held against it: a request that crashes upstreams
+// crash of its upstream is not attributed to it: a request that crashes upstreams
 // does so when it begins.
 const longRun = time.Second
 
--- a/node/gate/signals_test.go
+++ b/node/gate/signals_test.go
@@ -27,7 +27,7 @@
 	return &Permit{Upstream: "u", WithinLimit: g.counted, Began: func() {}, NotListening: done, Release: done}, nil
 }
 
-// setLimit sets a limit as named by the upstream of a gate's fleet.
+// setLimit sets the limit that upstream "u" names.
 func setLimit(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 	e, ok := f.Entry("u")
--- a/node/gate/wait_test.go
+++ b/node/gate/wait_test.go
@@ -85,7 +85,7 @@
 		g.ServeHTTP(w, r)
 	}()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if coordinator.demandRecords.Load() >= 2 { // once as any request, once as one that waits
+		if coordinator.demandRecords.Load() >= 2 { // once as every request, once more because it waits
 			return poll.Success()
 		}
 		return poll.Continue("the request does not wait yet")
--- a/node/inflight/inflight.go
+++ b/node/inflight/inflight.go
@@ -28,7 +28,7 @@
 	maxEndedPerShard = 64
 )
 
-// Request is what is shown of a request.
+// Request is the description of a request that operators and teams see.
 type Request struct {
 	ID       string      `json:"id"`
 	Team     string      `json:"team"`
@@ -120,7 +120,7 @@
 	e.mu.Unlock()
 }
 
-// End moves the request to the ended ones.
+// End moves the request from the live to the ended requests.
 func (e *Entry) End(state, code string) {
 	e.mu.Lock()
 	e.req.State, e.req.Code = state, code
--- a/node/pace/pace.go
+++ b/node/pace/pace.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Rand returns a random number in [0, 1).
+// Rand is a source of random numbers in [0, 1).
 type Rand func() float64
 
 // DefaultRand returns the Rand of the process's global random source.
--- a/node/pace/signal.go
+++ b/node/pace/signal.go
@@ -22,7 +22,7 @@
 	return s.ch
 }
 
-// Notify wakes all waiting goroutines.
+// Notify wakes all goroutines that wait for the next notification.
 func (s *Signal) Notify() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/quarantine/detector.go
+++ b/node/quarantine/detector.go
@@ -43,7 +43,7 @@
 	NotListening func(ctx context.Context, address string) bool
 	// OnCrash is called for an upstream that terminated, with the time at which the
 	// first broken exchange was recorded and the requests of this host that were
-	// running there; it is called again for requests that are recorded later.
+	// running there; it is called again for each request that is recorded later.
 	OnCrash func(upstream string, at time.Time, ran []poison.Fingerprint)
 	Log     *event.Log
 	Metrics *metrics.Set
@@ -161,7 +161,7 @@
 	return d.deps.NotListening(ctx, address)
 }
 
-// report logs a terminated upstream and the requests that ran on it, and passes
+// report logs a terminated upstream and the requests that were running there, and passes
 // them to OnCrash.
 func (d *CrashDetector) report(upstream string, at time.Time, ran []poison.Fingerprint) {
 	digests := make([]poison.Digest, len(ran))
--- a/node/quarantine/detector_test.go
+++ b/node/quarantine/detector_test.go
@@ -16,8 +16,8 @@
 	"peridotpier.example/node/metrics"
 )
 
-// newDetector returns a running CrashDetector for which notListening tells which
-// addresses do not listen.
+// newDetector returns a running CrashDetector; refuses reports whether nothing listens at
+// an address.
 func newDetector(t *testing.T, refuses func(address string) bool) (*CrashDetector, *observer.ObservedLogs) {
 	core, lines := observer.New(zap.DebugLevel)
 	w := NewCrashDetector(CrashDetectorDeps{NotListening: func(_ context.Context, a string) bool { return refuses(a) }, Log: event.NewLog(zap.New(core)),
--- a/node/quarantine/guard_test.go
+++ b/node/quarantine/guard_test.go
@@ -164,7 +164,7 @@
 }
 
 // BenchmarkBarred measures the cost for a request that is not suspected, while
-// there are as many suspects as hosts are told of.
+// there are a thousand suspects.
 func BenchmarkBarred(b *testing.B) {
 	g := newTestGuard(true)
 	for i := range 1000 {
