--- a/node/coordinator/accounts_test.go
+++ b/node/coordinator/accounts_test.go
@@ -12,8 +12,8 @@
 	"peridotpier.example/node/lease"
 )
 
-// setTeamLimit puts a configuration in force in which team t may use perSecond, and
-// twice that at once.
+// setTeamLimit puts a configuration in force in which team t may use perSecond tokens a
+// second, and twice as many at once.
 func setTeamLimit(perms *permits, version uint64, perSecond float64) *deploy.Team {
 	team := deploy.Team{Name: "t", Limit: quota.Limit{Unit: quota.Tokens, PerSecond: perSecond, Burst: 2 * perSecond}}
 	perms.c.deps.Config.ApplyIfNewer(&deploy.Config{Version: version, Services: []deploy.Service{{Name: "s", Engine: &deploy.Engine{}}}, Teams: []deploy.Team{team}}, "test")
@@ -64,8 +64,8 @@
 	assert.Equal(t, out.Teams[0].Level, int64(-350))
 }
 
-// Guards against a process that has just started to count and grants each team a burst
-// once more.
+// Guards against a coordinator that has just restarted and grants each team a burst once
+// more.
 func TestARestartedCoordinatorReceivesAccountStates(t *testing.T) {
 	perms, _ := newTestPermits("u")
 	team := setTeamLimit(perms, 1, 100)
--- a/node/coordinator/backoffs.go
+++ b/node/coordinator/backoffs.go
@@ -8,10 +8,11 @@
 	"peridotpier.example/node/fleet"
 )
 
-// backoffs contains the upstreams that asked a host to back off. They may not have
-// asked the others; requests of all hosts together return to an upstream by a slow
-// start. All at once they would be refused one by one, each host asked to back off, and
-// all would return together when that time is over.
+// backoffs contains, by upstream ID, the backoffs that upstreams asked hosts for. An
+// upstream that asked one host may serve the others. After a backoff the requests of all
+// hosts together return to the upstream by a slow start: all at once they would be
+// refused one by one, each host asked to back off, and all would return together when
+// that time is over.
 type backoffs map[string]*upstreamBackoff
 
 // upstreamBackoff is the backoff of one upstream.
@@ -29,7 +30,7 @@
 	backoffTolerance = 100 * time.Millisecond
 )
 
-// record records what upstreams asked of a request's host.
+// record records the backoffs that upstreams asked the request's host for.
 func (b backoffs) record(w *permitRequest, now time.Time) {
 	if len(w.event.Rests) == 0 {
 		return
--- a/node/coordinator/backoffs_test.go
+++ b/node/coordinator/backoffs_test.go
@@ -9,8 +9,8 @@
 	"peridotpier.example/node/coordinator/coordpb"
 )
 
-// backedOffRequest returns a request of a host that upstream "u" asked to back off; 0:
-// of another host.
+// backedOffRequest returns a request of a host that upstream "u" asked to back off for
+// the time left; 0: u asked that host for nothing.
 func backedOffRequest(left time.Duration) *permitRequest {
 	w := &permitRequest{upstream: "u", event: &coordpb.TurnEvent{}}
 	if left > 0 {
--- a/node/coordinator/coordinator.go
+++ b/node/coordinator/coordinator.go
@@ -61,7 +61,7 @@
 // OrderClient sends orders to upstreams and fetches their reports. An error means that
 // no usable answer arrived: the order may have been carried out.
 type OrderClient interface {
-	Order(ctx context.Context, u *deploy.Upstream, o residency.Order, t Authority) (Verdict, error)
+	Order(ctx context.Context, u *deploy.Upstream, o residency.Order, auth Authority) (Verdict, error)
 	Report(ctx context.Context, u *deploy.Upstream) (residency.Report, error)
 }
 
@@ -71,8 +71,8 @@
 	Holder          string        // name of this process in the lease, as HolderName makes it
 	Address         string        // address that Serve listens on
 	QuietPeriod     time.Duration // time without orders after the lease was taken from another holder
-	CeilingWindow   time.Duration // length of the sliding window in which loads from the weight store are counted
-	CeilingFactor   float64       // factor on the weight store's rate
+	CeilingWindow   time.Duration // length of the sliding window over which loads from the weight store are bounded
+	CeilingFactor   float64       // factor on the weight store's rate in that bound
 	LimitSlack      float64       // amount by which operators allow a team's limit to be missed, in the limit's unit
 	Policy          replica.Policy
 	MaxRelayAge     time.Duration // maximum age of relayed store state that hosts may use; 0: unbounded
@@ -112,7 +112,7 @@
 	storeLoads       storeLoads
 
 	actingWithoutLease atomic.Bool // this host is acting without ever having held the lease
-	actingStarted      pace.Signal // given when actingWithoutLease is set
+	actingStarted      pace.Signal // notified when actingWithoutLease is set
 
 	// LinkedAddress returns the address that this host sends its reports to. It is
 	// optional and set before Run.
@@ -260,7 +260,8 @@
 }
 
 // resetCounts drops what this host counted when it was acting before: another
-// coordinator has counted since. The number of hosts that one had is taken over.
+// coordinator has counted since. The number of hosts that the other coordinator had is
+// taken over.
 func (c *Coordinator) resetCounts(now time.Time) {
 	c.accounts.reset()
 	c.quarantine.reset()
@@ -373,7 +374,8 @@
 	return t
 }
 
-// publishChange publishes an upstream's holdings to the hosts, with the answers to
+// publishChange publishes an upstream's holdings, that is the models and adapters that
+// it has resident and the model that is being loaded, to the hosts, with the answers to
 // their next reports, if they differ from what was published last. An upstream is
 // polled several times during each move, and most of its reports show nothing new.
 func (c *Coordinator) publishChange(u *managedUpstream) {
--- a/node/coordinator/elector.go
+++ b/node/coordinator/elector.go
@@ -35,20 +35,20 @@
 }
 
 // Run campaigns for the lease or keeps this host linked until ctx ends.
-func (d *Elector) Run(ctx context.Context) error {
+func (e *Elector) Run(ctx context.Context) error {
 	var searchedAt time.Time
 	for ctx.Err() == nil {
-		changed := d.Link.linkChanged.Next()
-		if d.Link.Linked() {
-			if d.Link.LinkedWithoutLease() && time.Since(searchedAt) > searchInterval {
+		changed := e.Link.linkChanged.Next()
+		if e.Link.Linked() {
+			if e.Link.LinkedWithoutLease() && time.Since(searchedAt) > searchInterval {
 				searchedAt = time.Now()
-				d.Link.FindCoordinator(ctx)
+				e.Link.FindCoordinator(ctx)
 			}
-			pace.SleepOrWake(ctx, d.idleWait(), changed)
+			pace.SleepOrWake(ctx, e.idleWait(), changed)
 			continue
 		}
-		if d.Link.Candidate() || d.standBy(ctx) {
-			d.campaign(ctx)
+		if e.Link.Candidate() || e.standBy(ctx) {
+			e.campaign(ctx)
 		}
 	}
 	return ctx.Err()
@@ -56,8 +56,8 @@
 
 // idleWait returns how long a linked host waits for a change before it checks its link
 // again.
-func (d *Elector) idleWait() time.Duration {
-	if d.Link.linkedAddress() == "" { // this host is acting without a lease
+func (e *Elector) idleWait() time.Duration {
+	if e.Link.linkedAddress() == "" { // this host is acting without a lease
 		return pollInterval
 	}
 	return idleInterval
@@ -68,7 +68,7 @@
 	// lease holder before it campaigns nevertheless: all candidates may be down.
 	maxSearchTime = 3 * time.Second
 	// maxSearchTimeSpare is the same for a host with enough spare capacity to
-	// coordinate: the few hosts that each one knows at its start may have too little.
+	// coordinate: the few hosts that a host knows at its start may have too little.
 	maxSearchTimeSpare = 600 * time.Millisecond
 	// yieldAfter is how long a host with too little spare capacity holds the lease
 	// before it yields to one that has enough: by then its hosts have found that one.
@@ -87,27 +87,27 @@
 // which the store is unavailable does not count: nobody can take the lease then, and
 // when the store returns the first to write would, however little spare capacity it
 // has.
-func (d *Elector) standBy(ctx context.Context) bool {
+func (e *Elector) standBy(ctx context.Context) bool {
 	answered := time.Now()
 	for pace.Sleep(ctx, pace.DefaultRand().Jitter(minTryInterval, reportJitter)) {
-		if d.Link.Linked() || d.Link.FindCoordinator(ctx) {
+		if e.Link.Linked() || e.Link.FindCoordinator(ctx) {
 			return false
 		}
-		if d.Link.takeNamedSelf() {
+		if e.Link.takeNamedSelf() {
 			return true
 		}
-		if !d.StoreReachable() {
+		if !e.StoreReachable() {
 			answered = time.Now()
 		}
-		if time.Since(answered) > d.searchTime() {
+		if time.Since(answered) > e.searchTime() {
 			return true
 		}
 	}
 	return false
 }
 
-func (d *Elector) searchTime() time.Duration {
-	if d.Link.HasSpareCapacity() {
+func (e *Elector) searchTime() time.Duration {
+	if e.Link.HasSpareCapacity() {
 		return maxSearchTimeSpare
 	}
 	return maxSearchTime
@@ -116,10 +116,10 @@
 // linkedWithin waits for a time and reports whether this host was linked meanwhile, or
 // ctx has ended. During a long wait it checks who has taken the lease: other hosts ask
 // this one.
-func (d *Elector) linkedWithin(ctx context.Context, wait time.Duration) bool {
+func (e *Elector) linkedWithin(ctx context.Context, wait time.Duration) bool {
 	until := time.Now().Add(wait)
 	for left := wait; left > minTryInterval; left = time.Until(until) {
-		if d.Lease.Refresh(ctx) == nil && d.Link.TryLink(ctx, addressOf(d.Lease.LastObserved().Holder)) {
+		if e.Lease.Refresh(ctx) == nil && e.Link.TryLink(ctx, addressOf(e.Lease.LastObserved().Holder)) {
 			return true
 		}
 		if !pace.Sleep(ctx, min(left, minTryInterval)) {
@@ -131,17 +131,17 @@
 
 // campaign campaigns for the lease until this host has held and lost it, or is linked
 // to its holder.
-func (d *Elector) campaign(ctx context.Context) {
-	if d.CampaignDelay != nil && d.linkedWithin(ctx, pace.DefaultRand().Jitter(d.CampaignDelay(), 1)) {
+func (e *Elector) campaign(ctx context.Context) {
+	if e.CampaignDelay != nil && e.linkedWithin(ctx, pace.DefaultRand().Jitter(e.CampaignDelay(), 1)) {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = d.Lease.Run(ctx) // returns only when ctx ends
+		_ = e.Lease.Run(ctx) // returns only when ctx ends
 	}()
-	d.awaitCoordinator(ctx)
+	e.awaitCoordinator(ctx)
 	cancel()
 	<-done // releases the lease if it is held
 }
@@ -150,32 +150,32 @@
 // unavailable and this host should not be first at its return, or when ctx ends. It
 // goes on while this host holds the lease itself, unless this host has too little spare
 // capacity and another has enough.
-func (d *Elector) awaitCoordinator(ctx context.Context) {
-	defer d.Link.own.stopActing()
+func (e *Elector) awaitCoordinator(ctx context.Context) {
+	defer e.Link.own.stopActing()
 	var tried, held time.Time
 	for pace.Sleep(ctx, pollInterval) {
-		if d.Link.own.HoldsLease() {
+		if e.Link.own.HoldsLease() {
 			if held.IsZero() {
 				held = time.Now()
 			}
-			if time.Since(held) > yieldAfter && time.Since(d.yieldedAt) > minYieldInterval && d.Link.shouldYield() {
-				d.yieldedAt = time.Now()
+			if time.Since(held) > yieldAfter && time.Since(e.yieldedAt) > minYieldInterval && e.Link.shouldYield() {
+				e.yieldedAt = time.Now()
 				return
 			}
 			continue
 		}
 		held = time.Time{}
-		if !d.Link.Candidate() && !d.StoreReachable() && !d.Link.own.Acting() {
+		if !e.Link.Candidate() && !e.StoreReachable() && !e.Link.own.Acting() {
 			return
 		}
 		if time.Since(tried) < minTryInterval {
 			continue
 		}
 		tried = time.Now()
-		if d.Link.TryLink(ctx, addressOf(d.Lease.LastObserved().Holder)) || d.Link.FindCoordinator(ctx) {
+		if e.Link.TryLink(ctx, addressOf(e.Lease.LastObserved().Holder)) || e.Link.FindCoordinator(ctx) {
 			return
 		}
-		d.updateActing(ctx)
+		e.updateActing(ctx)
 	}
 }
 
@@ -183,11 +183,11 @@
 // host is the one that should. Without any acting coordinator each host would decide by
 // itself, and the limits of upstreams and teams would be divided among the hosts
 // without knowing their use.
-func (d *Elector) updateActing(ctx context.Context) {
-	switch own := d.Link.own; {
-	case d.StoreReachable():
+func (e *Elector) updateActing(ctx context.Context) {
+	switch own := e.Link.own; {
+	case e.StoreReachable():
 		own.stopActing()
-	case !own.Acting() && d.Link.isFirstDeputy(ctx):
+	case !own.Acting() && e.Link.isFirstDeputy(ctx):
 		own.startActing()
 	}
 }
--- a/node/coordinator/encodings.go
+++ b/node/coordinator/encodings.go
@@ -82,7 +82,7 @@
 	return out
 }
 
-// packList encodes and compresses a list, or changes of it.
+// packList encodes a list, or changes of it, as JSON and compresses that.
 func packList(v any) ([]byte, error) {
 	plain, err := json.Marshal(v)
 	if err != nil {
--- a/node/coordinator/fleetsim_test.go
+++ b/node/coordinator/fleetsim_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// storeGate is one host's access to the store, which may refuse just that host.
-type storeGate struct {
+// storeAccess is one host's access to the store, which may refuse just that host.
+type storeAccess struct {
 	store.Table
 	unavailable atomic.Bool
 	calls       atomic.Int64 // calls for changes and lists
@@ -83,14 +83,14 @@
 	slow        bool // the list has several parts, which take long
 }
 
-func (d *storeGate) Commit(ctx context.Context, t store.Txn) (uint64, error) {
+func (d *storeAccess) Commit(ctx context.Context, t store.Txn) (uint64, error) {
 	if d.unavailable.Load() {
 		return 0, store.ErrUnavailable
 	}
 	return d.Table.Commit(ctx, t)
 }
 
-func (d *storeGate) Get(ctx context.Context, keys ...string) ([]store.Row, error) {
+func (d *storeAccess) Get(ctx context.Context, keys ...string) ([]store.Row, error) {
 	if d.unavailable.Load() {
 		return nil, store.ErrUnavailable
 	}
@@ -100,7 +100,7 @@
 // changeInterval is how often the list changes, as upstreams report their holdings.
 const changeInterval = 100 * time.Millisecond
 
-func (d *storeGate) poll(ctx context.Context, after uint64, wait time.Duration) (at uint64, err error) {
+func (d *storeAccess) poll(ctx context.Context, after uint64, wait time.Duration) (at uint64, err error) {
 	d.calls.Add(1)
 	for until := time.Now().Add(wait); ; {
 		if d.unavailable.Load() {
@@ -118,17 +118,17 @@
 	}
 }
 
-func (d *storeGate) ReadConfig(ctx context.Context) (*deploy.Config, uint64, error) {
+func (d *storeAccess) ReadConfig(ctx context.Context) (*deploy.Config, uint64, error) {
 	at, err := d.poll(ctx, 0, 0)
 	return &deploy.Config{Version: 1}, at, err
 }
 
-func (d *storeGate) WaitConfig(ctx context.Context, _ uint64, wait time.Duration) (*deploy.Config, uint64, error) {
+func (d *storeAccess) WaitConfig(ctx context.Context, _ uint64, wait time.Duration) (*deploy.Config, uint64, error) {
 	at, err := d.poll(ctx, 1<<62, wait) // it never changes
 	return nil, at, err
 }
 
-func (d *storeGate) ReadUpstreams(ctx context.Context, more func() error) (follow.UpstreamUpdate, uint64, error) {
+func (d *storeAccess) ReadUpstreams(ctx context.Context, more func() error) (follow.UpstreamUpdate, uint64, error) {
 	at, err := d.poll(ctx, 0, 0)
 	if d.slow {
 		if err := more(); err != nil {
@@ -143,7 +143,7 @@
 	return follow.UpstreamUpdate{Put: d.list}, at, err
 }
 
-func (d *storeGate) WaitUpstreams(ctx context.Context, after uint64, wait time.Duration) (follow.UpstreamUpdate, uint64, error) {
+func (d *storeAccess) WaitUpstreams(ctx context.Context, after uint64, wait time.Duration) (follow.UpstreamUpdate, uint64, error) {
 	at, err := d.poll(ctx, after, wait)
 	return follow.UpstreamUpdate{}, at, err
 }
@@ -152,7 +152,7 @@
 type fleetHost struct {
 	coord *Coordinator
 	link  *Link
-	store *storeGate
+	store *storeAccess
 }
 
 // fleetReports is how many reports a second all hosts of a test's fleet make together,
@@ -171,7 +171,7 @@
 	out := make([]*fleetHost, o.hosts)
 	for i := range out {
 		address := fmt.Sprintf("h%03d", i)
-		d := &storeGate{Table: table, since: began, list: o.list, slow: i >= o.spareHosts}
+		d := &storeAccess{Table: table, since: began, list: o.list, slow: i >= o.spareHosts}
 		log := event.NewLog(nil)
 		h := &fleetHost{store: d}
 		config, f := follow.NewActiveConfig(log), fleet.New(fleet.Config{}, fleet.Deps{})
--- a/node/coordinator/fleetsize_test.go
+++ b/node/coordinator/fleetsize_test.go
@@ -30,8 +30,8 @@
 	holderBytes = 10_000_000
 )
 
-// knownHolder returns a coordinator to which all hosts have reported since it knew
-// their number.
+// knownHolder returns a coordinator to which all hosts have reported again since it
+// knew how many they are.
 func (s holderSize) knownHolder() *Coordinator {
 	c := s.holder()
 	now := c.now().Add(deputyInterval)
@@ -244,7 +244,7 @@
 		version := uint64(1)
 		c.deps.Feed.ApplyRelay(follow.Relay{UpstreamsVersion: version})
 		hosts := []*listFollower{{of: newFleet(k)}, {of: newFleet(k)}}
-		born, left := map[string]int64{}, map[string]bool{} // a draining process does not become ready again
+		born, left := map[string]int64{}, map[string]bool{} // left: drained or removed; a draining process does not become ready again
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			k.now = k.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause_ms")) * time.Millisecond)
 			id := upstreamName(rapid.IntRange(0, 3).Draw(t, "upstream"))
--- a/node/coordinator/holder_bench_test.go
+++ b/node/coordinator/holder_bench_test.go
@@ -132,7 +132,7 @@
 }
 
 // BenchmarkHolderBytes measures the answer to a host that is up to date except for the
-// others' loads, and what a new holder sends to a host that links to it.
+// others' loads, and the first answer to a host that has just linked.
 func BenchmarkHolderBytes(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
@@ -151,7 +151,8 @@
 }
 
 // BenchmarkHostReportCycle measures the work of each host between two reports, with
-// three upstreams in use: two sweeps, the report, and the application of its answer.
+// three upstreams in use: two runs of the fleet's checks, the report, and the application
+// of its answer.
 func BenchmarkHostReportCycle(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
--- a/node/coordinator/link.go
+++ b/node/coordinator/link.go
@@ -43,7 +43,7 @@
 	Address    string   // address that its coordinator listens on
 	Seeds      []string // addresses of a few hosts, possibly outdated
 	// HasSpareCapacity reports whether this host has enough spare capacity to
-	// coordinate that many hosts; nil: it has not.
+	// coordinate that many hosts; nil: it never has.
 	HasSpareCapacity func(hosts int) bool
 }
 
@@ -59,7 +59,7 @@
 	permitClient *permitClient
 	teams        teamShares
 	pace         *reportPace
-	linkChanged  pace.Signal // given when this host gets another coordinator, or loses its stream of permits
+	linkChanged  pace.Signal // notified when this host gets another coordinator, or loses its stream of permits
 
 	mu                 sync.Mutex
 	demand             map[demandKey]*coordpb.Demand
@@ -67,7 +67,7 @@
 	coordinator        string    // address of the acting coordinator, if it is another host; "": not linked
 	failedReports      int       // consecutive failed reports
 	linkedWithoutLease bool      // whether that coordinator is acting without the lease
-	countID            uint64    // identifies what that coordinator has counted since it began to act
+	countID            uint64    // the coordinator's quarantine ID, which identifies all that it has counted since it began to act
 	countIsNew         bool      // whether countID changed with the last answer
 	namedSelf          bool      // whether the host that was asked last named this one as the lease holder
 	revision           uint64
@@ -204,11 +204,11 @@
 	}
 }
 
-// addSignals adds to a report what upstreams asked for. It returns the revision that
-// applySignals needs with the answer.
+// addSignals adds to a report the signals of upstreams that the coordinator has not
+// received yet. It returns the revision that applySignals needs with the answer.
 func (l *Link) addSignals(r *coordpb.HostReport, address string) (revision uint64) {
 	if address == l.cfg.Address {
-		return 0 // they are this host's own
+		return 0 // the coordinator is this host's own and uses the same fleet
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/node/coordinator/linkteams.go
+++ b/node/coordinator/linkteams.go
@@ -12,8 +12,8 @@
 	"peridotpier.example/node/gate"
 )
 
-// uncoordinatedRetry is when a caller should come back that was refused while no
-// coordinator counts the use of limits: by then another host usually does.
+// uncoordinatedRetry is the delay after which a caller should retry that was refused
+// while no coordinator counted the use of limits: by then another host usually does.
 const uncoordinatedRetry = time.Second
 
 // teamShares contains this host's shares of the teams' limits.
--- a/node/coordinator/loadingmodels_test.go
+++ b/node/coordinator/loadingmodels_test.go
@@ -11,9 +11,9 @@
 )
 
 // Guards against callers that are refused, or wait until they can no longer be served,
-// for a model whose load ends at a known time: the coordinator moves a model, the one
-// that is evicted for it ends its streams first, and hosts are notified only when the
-// new one is ready.
+// for a model whose load ends at a known time: the coordinator has a model loaded, the
+// model that is evicted for it finishes its streams first, and hosts are notified only
+// when the new model is ready.
 func TestHostsReceiveTheReadyTimeOfALoadingModel(t *testing.T) {
 	holder, host := holderSize{7, 12, 340}.holder(), holderSize{7, 12, 340}.holder()
 	l := NewLink(LinkConfig{Host: "h"}, host, nil, host.deps.Log)
--- a/node/coordinator/managedupstream.go
+++ b/node/coordinator/managedupstream.go
@@ -58,7 +58,7 @@
 	return &managedUpstream{c: c, entry: e, engine: engine, orderToken: make(chan struct{}, 1), record: residency.New(engine, &described, now)}
 }
 
-// publishedHolding is what is published to the hosts of an upstream.
+// publishedHolding is an upstream's holding as it is published to the hosts.
 type publishedHolding struct {
 	residents    []deploy.Resident
 	loading      string    // model that is being loaded, or will be; "": none
@@ -123,16 +123,16 @@
 		return errNoUpstream
 	}
 	described, _ := u.entry.Description()
-	t := c.authority()
+	auth := c.authority()
 	u.mu.Lock()
 	u.record.MarkSent(o, c.now())
 	u.mu.Unlock()
 	c.recordOrder(u.entry.ID())
 	c.publishChange(u)
-	c.deps.Log.Emit(event.OrderSent, u.logFields(o, zap.String("why", why), zap.Uint64("epoch", t.Epoch))...)
+	c.deps.Log.Emit(event.OrderSent, u.logFields(o, zap.String("why", why), zap.Uint64("epoch", auth.Epoch))...)
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
-	v, err := c.deps.Orders.Order(ctx, &described, o, t)
+	v, err := c.deps.Orders.Order(ctx, &described, o, auth)
 	return u.recordOutcome(o, v, err)
 }
 
--- a/node/coordinator/permitclient.go
+++ b/node/coordinator/permitclient.go
@@ -74,7 +74,7 @@
 	return ctx.Err()
 }
 
-// waitNext waits until the stream to an address is to be checked again. It returns
+// waitNext waits until the stream to the address at is to be checked again. It returns
 // false when ctx has ended.
 func (c *permitClient) waitNext(ctx context.Context, at string) bool {
 	changed := c.link.linkChanged.Next()
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// peerStream leads to another host. Events to be sent wait in a queue: a handler must
-// not block on a host that reads nothing, and its answer with it.
+// peerStream is the permitSender to another host. Events wait in a queue: the handler of
+// a request, and thus its response, must not block on a host that reads nothing.
 type peerStream struct {
 	out    chan *coordpb.TurnEvent
 	cancel context.CancelFunc // ends the stream and the goroutine that sends
@@ -165,7 +165,7 @@
 	}
 }
 
-// localStream leads to the coordinator in this process.
+// localStream is the permitSender to the coordinator in this process.
 type localStream struct {
 	c    *Coordinator
 	to   *permitStream
@@ -208,8 +208,8 @@
 	}()
 }
 
-// closeStream closes the stream if it is still st (nil: whichever is open). Requests
-// that wait for an answer on it then decide by themselves.
+// closeStream closes the stream if it is still st (nil: whichever is open). This host
+// then decides by itself on requests that wait for an answer on it.
 func (c *permitClient) closeStream(st permitSender) {
 	c.mu.Lock()
 	old := c.stream
--- a/node/coordinator/permits.go
+++ b/node/coordinator/permits.go
@@ -56,8 +56,8 @@
 	key           permitKey
 	event         *coordpb.TurnEvent
 	needs         fleet.Request
-	excluded      map[string]bool
-	withIdleConn  map[string]bool
+	excluded      map[string]bool      // upstreams that its host has tried for it or excludes
+	withIdleConn  map[string]bool      // upstreams to which its host has an idle connection
 	hostBackoffs  map[string]time.Time // until when upstreams asked the request's host to back off; nil: none did
 	askedAt       time.Time
 	upstream      string // where the request was granted; "": it waits
@@ -66,7 +66,7 @@
 	grantedAt     time.Time
 	firstAt       time.Time // when the first event of its answer arrived
 	waitReason    balance.Reason
-	isProbe       bool // whether it was granted in the slow start after a backoff
+	isProbe       bool // whether it was granted in the slow start after a backoff, so that its answer is awaited
 }
 
 func newPermits(c *Coordinator) *permits {
--- a/node/coordinator/permits_test.go
+++ b/node/coordinator/permits_test.go
@@ -141,8 +141,8 @@
 }
 
 // Guards against a coordinator that takes a complete core while requests wait: dozens
-// wait, and each event of any host has all of them weighed against all upstreams,
-// though it can have changed only one.
+// wait, and each event of any host makes it try all of them at all upstreams, though
+// the event can have changed only one.
 func TestOnlyTheUpstreamWhereARequestEndedIsTried(t *testing.T) {
 	perms, f := newTestPermits("a", "b")
 	s := newTestStream()
@@ -165,8 +165,8 @@
 }
 
 // Guards against all hosts sending to an upstream that has crashed, each until it has
-// noticed by itself: one host finds nothing listening there, and the coordinator gets
-// to know it only by reports.
+// noticed by itself: one host finds nothing listening there, and the coordinator learns
+// of it only from reports.
 func TestAnUpstreamThatIsNotListeningGetsNoPermits(t *testing.T) {
 	perms, _ := newTestPermits("u", "v")
 	a := newTestStream()
--- a/node/coordinator/quarantine.go
+++ b/node/coordinator/quarantine.go
@@ -14,7 +14,7 @@
 )
 
 // maxQuarantineEntries is how many entries one answer contains; the remainder follows
-// with the next ones. It bounds an answer's growth to 10 kB.
+// with the next answers. It bounds an answer's growth to 10 kB.
 const maxQuarantineEntries = 256
 
 // quarantine finds out for all hosts which requests crash upstreams, while this host is
--- a/node/coordinator/serve.go
+++ b/node/coordinator/serve.go
@@ -129,7 +129,7 @@
 
 const (
 	// maxHoldings is how many upstreams' holdings one answer contains; the remainder
-	// follows with the next ones, the oldest changes first. Without it 299 hosts that
+	// follows with the next answers, the oldest changes first. Without it 299 hosts that
 	// link at the same time would get 3,000 each, some 300 kB: more than the memory and
 	// the link of the coordinator carry before their reports count as failed and they
 	// begin anew.
@@ -149,8 +149,8 @@
 	return min(max(limit, minHoldings), maxHoldings)
 }
 
-// addHoldings adds the holdings that changed, and those of upstreams that have the
-// models resident, or are loading them, that the host's callers wait for.
+// addHoldings adds the holdings that changed, and those of upstreams where a model that
+// the host's callers wait for is resident or being loaded.
 func (c *Coordinator) addHoldings(r *coordpb.HostReport, out *coordpb.SiteState, now time.Time) {
 	awaited := map[*managedUpstream]bool{}
 	for _, d := range r.Demand {
--- a/node/coordinator/waitestimate.go
+++ b/node/coordinator/waitestimate.go
@@ -9,8 +9,8 @@
 )
 
 // refuseUnservable answers a request that no upstream will take within its maximum
-// wait; the answer says when to come back. Otherwise it returns false, and the queue is
-// checked again when one of the upstreams may take a request.
+// wait; the answer contains the retry delay. Otherwise it returns false, and the queue
+// is checked again when one of the upstreams may take a request.
 func (p *permits) refuseUnservable(w *permitRequest, now time.Time) bool {
 	o := p.estimateWait(w, now)
 	maxWait := milliseconds(w.event.PatienceMs)
@@ -26,7 +26,7 @@
 // nothing for now.
 type waitEstimate struct {
 	dispatchIn time.Duration // until its host may dispatch it
-	retryIn    time.Duration // until its caller should come back, if that is too late
+	retryIn    time.Duration // until its caller should retry, if dispatchIn is too late
 }
 
 func (p *permits) estimateWait(w *permitRequest, now time.Time) waitEstimate {
@@ -54,13 +54,13 @@
 	return o
 }
 
-// otherHostRetry is after how long a caller should come back that other hosts can serve
-// now: its next attempt may reach one of them.
+// otherHostRetry is the delay after which a caller should retry that other hosts can
+// serve now: its next attempt may reach one of them.
 const otherHostRetry = 100 * time.Millisecond
 
-// retryAfter returns after how long a caller should come back for an upstream that
-// takes nothing from its host for the time of backoff: an upstream that asked one host
-// to back off may serve the others.
+// retryAfter returns the delay after which a caller should retry for an upstream that
+// takes nothing from the caller's host for the time of backoff: an upstream that asked
+// one host to back off may serve the others.
 func (p *permits) retryAfter(e *fleet.Entry, backoff time.Duration, now time.Time) time.Duration {
 	if p.limits.wait(e, now) == 0 && p.backoffs.serves(e.ID()) {
 		return otherHostRetry
--- a/node/demand/demand_test.go
+++ b/node/demand/demand_test.go
@@ -29,7 +29,7 @@
 	assert.Assert(t, d.Short > 3 && d.Long < 0.5, "%+v", d)
 }
 
-func TestRefusedRequestsCountAndQuietKeysAreForgotten(t *testing.T) {
+func TestRefusedRequestsCountAndIdleKeysAreRemoved(t *testing.T) {
 	tr := demand.New(demand.DefaultConfig())
 	k := place.Key{Model: "m", Adapter: "a"}
 	for range 200 {
--- a/node/quarantine/guard.go
+++ b/node/quarantine/guard.go
@@ -17,7 +17,7 @@
 const maxEvents = 1024
 
 // maxEventsPerReport bounds the events of one report; the remainder follows with
-// the next ones. A coordinator that has just taken over gets reports of hundreds
+// the next reports. A coordinator that has just taken over gets reports of hundreds
 // of hosts at once.
 const maxEventsPerReport = 64
 
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -254,5 +254,5 @@
 try "what nothing takes in time is refused at once" node/gate/pick.go \
   'p.Reason == balance.AllBackoff && !q.started && (p.unservable ||' 'false && (p.unservable ||' ./platform -run 'SoonestTime'
 try "somebody acts while nobody can take the lease" node/coordinator/elector.go \
-  'case !own.Acting() && d.Link.isFirstDeputy(ctx):' 'case false:' ./platform -run 'NobodyCanTake'
+  'case !own.Acting() && e.Link.isFirstDeputy(ctx):' 'case false:' ./platform -run 'NobodyCanTake'
 exit $missed
