--- a/node/coordinator/adapters.go
+++ b/node/coordinator/adapters.go
@@ -13,7 +13,7 @@
 	"peridotpier.example/node/pace"
 )
 
-// Errors that tell why no adapter is loaded.
+// Reasons why no adapter is loaded.
 var (
 	errNoLease    = errors.New("this host does not hold the lease")
 	errNoUpstream = errors.New("no upstream can take the adapter now")
--- a/node/coordinator/announcements.go
+++ b/node/coordinator/announcements.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Announce tells all hosts, while this one is acting, that there is a change that each
-// of them needs at once.
+// Announce notifies all hosts, while this one is acting, of a change that each of them
+// needs at once.
 func (c *Coordinator) Announce() {
 	if c.Acting() {
 		c.announce()
--- a/node/coordinator/backoffs.go
+++ b/node/coordinator/backoffs.go
@@ -59,14 +59,14 @@
 	return 0
 }
 
-// serves reports whether an upstream has asked some host to back off, but answers other
+// serves reports whether an upstream has asked some host to back off, but serves other
 // hosts.
 func (b backoffs) serves(upstream string) bool {
 	u := b[upstream]
 	return u != nil && !u.slowStart.Active()
 }
 
-// recordGrant records a request that is granted, and reports whether its answer is
+// recordGrant records a request that is granted, and reports whether its response is
 // awaited.
 func (b backoffs) recordGrant(w *permitRequest) bool {
 	u := b[w.upstream]
@@ -74,8 +74,8 @@
 	return w.isProbe
 }
 
-// recordAnswer records that a request's answer began.
-func (b backoffs) recordAnswer(w *permitRequest, slots int) {
+// recordResponse records that a request's response began.
+func (b backoffs) recordResponse(w *permitRequest, slots int) {
 	if u := b[w.upstream]; u != nil && w.isProbe {
 		u.slowStart.Answered(slots)
 	}
--- a/node/coordinator/fleetsize_test.go
+++ b/node/coordinator/fleetsize_test.go
@@ -223,12 +223,12 @@
 	r, out := &coordpb.HostReport{Host: "h", List: f.state, BriefList: true, PackedList: true}, &coordpb.SiteState{PeriodMs: 1000}
 	assert.NilError(t, c.relay(r, out))
 	assert.Assert(t, out.ListBrief && len(out.Put) == 0)
-	put, gone, err := decodeList(out)
+	put, removed, err := decodeList(out)
 	assert.NilError(t, err)
 	if out.ListFull {
 		f.of.Replace(put, out.ListAt)
 	} else {
-		f.of.Apply(put, gone, out.ListAt)
+		f.of.Apply(put, removed, out.ListAt)
 	}
 	f.state = out.List
 	return out.ListFull
--- a/node/coordinator/linkmodels.go
+++ b/node/coordinator/linkmodels.go
@@ -58,7 +58,7 @@
 	}
 	if unserved {
 		d.Unserved++
-		l.ReportSoon() // the answer tells where the model is resident or being loaded
+		l.ReportSoon() // the answer contains where the model is resident or being loaded
 		return
 	}
 	d.Requests++
--- a/node/coordinator/overload_test.go
+++ b/node/coordinator/overload_test.go
@@ -31,9 +31,9 @@
 	ended   bool
 }
 
-// Guards against a model for which hardly one in ten answers begins in time when
+// Guards against a model for which hardly one in ten responses begins in time when
 // callers send twice what its upstreams can read: all requests wait for a permit, the
-// oldest first, for as long as an answer could begin in time, and those that have
+// oldest first, for as long as a response could begin in time, and those that have
 // waited for their whole time are dispatched without one.
 func TestUnderTwiceTheLoadAnUpstreamIsBusyWithAnswersInTime(t *testing.T) {
 	k := &clock{time.Unix(1_700_000_000, 0)}
--- a/node/coordinator/permits.go
+++ b/node/coordinator/permits.go
@@ -61,12 +61,12 @@
 	hostBackoffs  map[string]time.Time // until when upstreams asked the request's host to back off; nil: none did
 	askedAt       time.Time
 	upstream      string // where the request was granted; "": it waits
-	readingPrompt bool   // whether the first event of its answer is still to come
+	readingPrompt bool   // whether the first event of its response is still to come
 	solePrompt    bool   // whether the upstream read no other prompt at the same time
 	grantedAt     time.Time
-	firstAt       time.Time // when the first event of its answer arrived
+	firstAt       time.Time // when the first event of its response arrived
 	waitReason    balance.Reason
-	isProbe       bool // whether it was granted in the slow start after a backoff, so that its answer is awaited
+	isProbe       bool // whether it was granted in the slow start after a backoff, so that its response is awaited
 }
 
 func newPermits(c *Coordinator) *permits {
@@ -121,7 +121,7 @@
 }
 
 // chargeTeam charges a request to its team's limit and reports whether the limit allows
-// it. If not, the host is answered.
+// it. If not, it answers the host.
 func (p *permits) chargeTeam(k permitKey, e *coordpb.TurnEvent, now time.Time) bool {
 	if e.Team == "" {
 		return true
@@ -254,7 +254,7 @@
 func (p *permits) promptRead(k permitKey) {
 	if g := p.granted[k]; g != nil && g.readingPrompt {
 		g.firstAt = p.c.now()
-		p.backoffs.recordAnswer(g, p.slotCount(g.upstream))
+		p.backoffs.recordResponse(g, p.slotCount(g.upstream))
 		if g.solePrompt && g.event.Model != "" {
 			p.c.speeds.withModel(g.model(), func(m speed.Estimator) { m.Read(int(g.event.Prompt), g.firstAt.Sub(g.grantedAt)) })
 		}
@@ -315,7 +315,7 @@
 
 // unreachableFor is how long an upstream gets no permits after one host found nothing
 // listening at its address. By then that host and others report that they exclude it. A
-// refused connection is an answer of the upstream's own machine: unlike a timeout, it
+// refused connection is a reply of the upstream's own machine: unlike a timeout, it
 // does not depend on the network path of the host.
 const unreachableFor = 600 * time.Millisecond
 
@@ -367,7 +367,7 @@
 
 func (w *permitRequest) model() modelKey { return modelKey{w.event.Service, w.event.Model} }
 
-// isOverdue reports whether an answer to the request could no longer begin in time.
+// isOverdue reports whether a response to the request could no longer begin in time.
 func (w *permitRequest) isOverdue(now time.Time) bool {
 	inTime := milliseconds(w.event.InTimeMs)
 	if w.event.Model == "" {
--- a/node/coordinator/plan.go
+++ b/node/coordinator/plan.go
@@ -129,8 +129,7 @@
 	return own + max(foreign, inherited)
 }
 
-// storeLoadOrigin tells whether an upstream loads from the weight store, and by whose
-// order.
+// storeLoadOrigin is whether an upstream loads from the weight store, and by whose order.
 type storeLoadOrigin uint8
 
 const (
--- a/node/coordinator/published.go
+++ b/node/coordinator/published.go
@@ -111,8 +111,9 @@
 	return next, nil
 }
 
-// mergeChanges decodes segments that follow a list, or the state that a host has. Of an
-// upstream that changed several times it returns the last change.
+// mergeChanges merges a list with the segments that follow it; list is empty if they follow
+// the state that the host has. Of an upstream that changed several times it returns the
+// last change.
 func mergeChanges(list []deploy.Upstream, segments [][]byte) (put []deploy.Upstream, removed []string, err error) {
 	newest := map[string]*deploy.Upstream{} // nil: removed
 	for i := range list {
--- a/node/gate/signals_test.go
+++ b/node/gate/signals_test.go
@@ -65,9 +65,9 @@
 // Guards against taking an upstream out of use by bytes that it does not vouch for.
 func TestSignalsOfAnUnsealedResponseAreIgnored(t *testing.T) {
 	for _, c := range []struct {
-		status  int
-		answer  ResponseInfo
-		applied bool
+		status   int
+		response ResponseInfo
+		applied  bool
 	}{
 		{http.StatusOK, ResponseInfo{AttemptID: "a1", Sealed: true, Draining: true}, true},
 		{http.StatusOK, ResponseInfo{AttemptID: "a1", Draining: true}, false},
@@ -80,7 +80,7 @@
 		g, f := newGate(&noModelCoordinator{}, "127.0.0.1:1")
 		e, _ := f.Entry("u")
 		q := &request{g: g, info: RequestInfo{AttemptID: "a1"}, service: &deploy.Service{Name: "s"}, sentAt: time.Now()}
-		q.applySignals(e, c.status, &c.answer)
-		assert.Equal(t, !e.Usable(), c.applied, "%d %+v", c.status, c.answer)
+		q.applySignals(e, c.status, &c.response)
+		assert.Equal(t, !e.Usable(), c.applied, "%d %+v", c.status, c.response)
 	}
 }
--- a/node/gate/wait_test.go
+++ b/node/gate/wait_test.go
@@ -68,7 +68,7 @@
 }
 
 // Guards against a coordinator that is asked several times for each request that is
-// served on any host, and answers nobody in time: requests wait for a model that is
+// served on any host, and answers none of them in time: requests wait for a model that is
 // resident at no upstream, each of the hundreds of requests that end per second wakes
 // all of them, and each asks again.
 func TestARequestThatWaitsForAModelAsksTheCoordinatorOnce(t *testing.T) {
--- a/node/inflight/inflight.go
+++ b/node/inflight/inflight.go
@@ -113,7 +113,7 @@
 	return ctx, e
 }
 
-// RecordDispatch records which attempt, at which upstream, answers the request.
+// RecordDispatch records which attempt, at which upstream, serves the request.
 func (e *Entry) RecordDispatch(upstream, attempt string) {
 	e.mu.Lock()
 	e.req.Upstream, e.req.Attempt = upstream, attempt
--- a/node/quarantine/detector_test.go
+++ b/node/quarantine/detector_test.go
@@ -48,7 +48,7 @@
 }
 
 // Guards against suspecting a request because a connection broke on the network or
-// an answer was lost.
+// a response was lost.
 func TestAnUpstreamThatListensHasNotTerminated(t *testing.T) {
 	var checks atomic.Int32
 	w, lines := newDetector(t, func(string) bool { checks.Add(1); return false })
