--- a/node/gate/caller.go
+++ b/node/gate/caller.go
@@ -44,8 +44,8 @@
 
 // urgency returns the request's rank among all urgencies; 0 is the most urgent.
 func (q *request) urgency() int {
-	place, _ := q.table.UrgencyRank(q.caller.team, q.route)
-	return place
+	rank, _ := q.table.UrgencyRank(q.caller.team, q.route)
+	return rank
 }
 
 // markCharged records that the team's limit was charged, if it applies.
@@ -94,8 +94,8 @@
 	return !ok || team.Name != q.caller.team.Name
 }
 
-// endRevoked ends a request whose key was revoked. If the request may have run, its
-// outcome is reported as such.
+// endRevoked ends a request whose key was revoked. A request that may have run gets no
+// status that means "not run".
 func (q *request) endRevoked(p selection) {
 	if p.permit != nil {
 		p.permit.Release()
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -214,8 +214,8 @@
   'return all >= l.policy.MinMassCrashes && 2*ran < all' 'return false' ./core/poison
 try "a broken way is no crash" node/quarantine/detector.go \
   '	if terminated {
-		w.deps.Metrics' '	if true {
-		w.deps.Metrics' ./node/quarantine
+		d.deps.Metrics' '	if true {
+		d.deps.Metrics' ./node/quarantine
 try "hosts are told what is barred" node/coordinator/quarantine.go \
   'for i := range changed {' 'for i := range changed[:0] {' ./platform -run 'KnownToAllHosts'
 try "a successor hears what is known" node/quarantine/guard.go \
@@ -254,5 +254,5 @@
 try "what nothing takes in time is refused at once" node/gate/pick.go \
   'p.Reason == balance.AllBackoff && !q.started && (p.unservable ||' 'false && (p.unservable ||' ./platform -run 'SoonestTime'
 try "somebody acts while nobody can take the lease" node/coordinator/elector.go \
-  'case !own.Acting() && d.Link.isFirstDeputy(ctx):' 'case false:' ./platform -run 'NobodyCanTake'
+  'case !own.Acting() && e.Link.isFirstDeputy(ctx):' 'case false:' ./platform -run 'NobodyCanTake'
 exit $missed
