--- a/node/coordinator/backoffs.go
+++ b/node/coordinator/backoffs.go
@@ -8,10 +8,11 @@
 	"peridotpier.example/node/fleet"
 )
 
-// backoffs contains the upstreams that asked a host to back off. They may not have
-// asked the others; requests of all hosts together return to an upstream by a slow
-// start. All at once they would be refused one by one, each host asked to back off, and
-// all would return together when that time is over.
+// backoffs contains, by upstream ID, the backoffs that upstreams asked hosts for. An
+// upstream that asked one host may serve the others. After a backoff the requests of all
+// hosts together return to the upstream by a slow start: all at once they would be
+// refused one by one, each host asked to back off, and all would return together when
+// that time is over.
 type backoffs map[string]*upstreamBackoff
 
 // upstreamBackoff is the backoff of one upstream.
@@ -29,7 +30,7 @@
 	backoffTolerance = 100 * time.Millisecond
 )
 
-// record records what upstreams asked of a request's host.
+// record records the backoffs that upstreams asked the request's host for.
 func (b backoffs) record(w *permitRequest, now time.Time) {
 	if len(w.event.Rests) == 0 {
 		return
@@ -58,34 +59,34 @@
 	return 0
 }
 
-// serves reports whether an upstream has asked some host to back off, but answers other
+// serves reports whether an upstream has asked some host to back off, but serves other
 // hosts.
 func (b backoffs) serves(upstream string) bool {
 	u := b[upstream]
 	return u != nil && !u.slowStart.Active()
 }
 
-// recordGrant records a request that is granted, and reports whether its answer is
+// recordGrant records a request that is granted, and reports whether its response is
 // awaited.
 func (b backoffs) recordGrant(w *permitRequest) bool {
 	u := b[w.upstream]
-	w.isTrial = u != nil && u.slowStart.Sent()
-	return w.isTrial
+	w.isProbe = u != nil && u.slowStart.Sent()
+	return w.isProbe
 }
 
-// recordAnswer records that a request's answer began.
-func (b backoffs) recordAnswer(w *permitRequest, slots int) {
-	if u := b[w.upstream]; u != nil && w.isTrial {
+// recordResponse records that a request's response began.
+func (b backoffs) recordResponse(w *permitRequest, slots int) {
+	if u := b[w.upstream]; u != nil && w.isProbe {
 		u.slowStart.Answered(slots)
 	}
 }
 
 // recordEnd records the end of a request.
 func (b backoffs) recordEnd(w *permitRequest) {
-	if u := b[w.upstream]; u != nil && w.isTrial {
+	if u := b[w.upstream]; u != nil && w.isProbe {
 		u.slowStart.Ended()
 	}
-	w.isTrial = false
+	w.isProbe = false
 }
 
 // expire drops backoffs that ended long ago.
--- a/node/coordinator/backoffs_test.go
+++ b/node/coordinator/backoffs_test.go
@@ -9,8 +9,8 @@
 	"peridotpier.example/node/coordinator/coordpb"
 )
 
-// backedOffRequest returns a request of a host that upstream "u" asked to back off; 0:
-// of another host.
+// backedOffRequest returns a request of a host that upstream "u" asked to back off for
+// the time left; 0: u asked that host for nothing.
 func backedOffRequest(left time.Duration) *permitRequest {
 	w := &permitRequest{upstream: "u", event: &coordpb.TurnEvent{}}
 	if left > 0 {
@@ -32,7 +32,7 @@
 	r.recordEnd(other)
 	assert.Equal(t, r.wait("u"), time.Duration(0), "it was refused")
 	assert.Assert(t, r.recordGrant(next))
-	r.recordAnswer(next, 1)
+	r.recordResponse(next, 1)
 	r.recordEnd(next)
 	assert.Assert(t, !r.recordGrant(backedOffRequest(0)))
 	r.record(backedOffRequest(2500*time.Millisecond), now.Add(500*time.Millisecond))
--- a/node/coordinator/fleetsize_test.go
+++ b/node/coordinator/fleetsize_test.go
@@ -30,8 +30,8 @@
 	holderBytes = 10_000_000
 )
 
-// knownHolder returns a coordinator to which all hosts have reported since it knew
-// their number.
+// knownHolder returns a coordinator to which all hosts have reported again since it
+// knew how many they are.
 func (s holderSize) knownHolder() *Coordinator {
 	c := s.holder()
 	now := c.now().Add(deputyInterval)
@@ -219,16 +219,16 @@
 }
 
 // poll asks once, at any state, and reports whether it got the complete list.
-func (f *listFollower) poll(t assert.TestingT, c *Coordinator) (whole bool) {
+func (f *listFollower) poll(t assert.TestingT, c *Coordinator) (complete bool) {
 	r, out := &coordpb.HostReport{Host: "h", List: f.state, BriefList: true, PackedList: true}, &coordpb.SiteState{PeriodMs: 1000}
 	assert.NilError(t, c.relay(r, out))
 	assert.Assert(t, out.ListBrief && len(out.Put) == 0)
-	put, gone, err := decodeList(out)
+	put, removed, err := decodeList(out)
 	assert.NilError(t, err)
 	if out.ListFull {
 		f.of.Replace(put, out.ListAt)
 	} else {
-		f.of.Apply(put, gone, out.ListAt)
+		f.of.Apply(put, removed, out.ListAt)
 	}
 	f.state = out.List
 	return out.ListFull
@@ -244,7 +244,7 @@
 		version := uint64(1)
 		c.deps.Feed.ApplyRelay(follow.Relay{UpstreamsVersion: version})
 		hosts := []*listFollower{{of: newFleet(k)}, {of: newFleet(k)}}
-		born, left := map[string]int64{}, map[string]bool{} // a draining process does not become ready again
+		born, left := map[string]int64{}, map[string]bool{} // left: drained or removed; a draining process does not become ready again
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			k.now = k.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause_ms")) * time.Millisecond)
 			id := upstreamName(rapid.IntRange(0, 3).Draw(t, "upstream"))
--- a/node/coordinator/waitestimate.go
+++ b/node/coordinator/waitestimate.go
@@ -9,8 +9,8 @@
 )
 
 // refuseUnservable answers a request that no upstream will take within its maximum
-// wait; the answer says when to come back. Otherwise it returns false, and the queue is
-// checked again when one of the upstreams may take a request.
+// wait; the answer contains the retry delay. Otherwise it returns false, and the queue
+// is checked again when one of the upstreams may take a request.
 func (p *permits) refuseUnservable(w *permitRequest, now time.Time) bool {
 	o := p.estimateWait(w, now)
 	maxWait := milliseconds(w.event.PatienceMs)
@@ -26,15 +26,15 @@
 // nothing for now.
 type waitEstimate struct {
 	dispatchIn time.Duration // until its host may dispatch it
-	retryIn    time.Duration // until its caller should come back, if that is too late
+	retryIn    time.Duration // until its caller should retry, if dispatchIn is too late
 }
 
 func (p *permits) estimateWait(w *permitRequest, now time.Time) waitEstimate {
 	var o waitEstimate
 	first, perSecond := true, 0.0
-	for _, e := range p.c.deps.Fleet.EntriesWithModel(w.event.Service, w.ask.Model) {
+	for _, e := range p.c.deps.Fleet.EntriesWithModel(w.event.Service, w.needs.Model) {
 		at := p.endpoint(e, w, now)
-		if balance.Check(&at, &balance.Request{Model: w.ask.Model}) != balance.AllBackoff {
+		if balance.Check(&at, &balance.Request{Model: w.needs.Model}) != balance.AllBackoff {
 			continue
 		}
 		p.wakeAfter(e, now, at.Backoff)
@@ -54,13 +54,13 @@
 	return o
 }
 
-// otherHostRetry is after how long a caller should come back that other hosts can serve
-// now: its next attempt may reach one of them.
+// otherHostRetry is the delay after which a caller should retry that other hosts can
+// serve now: its next attempt may reach one of them.
 const otherHostRetry = 100 * time.Millisecond
 
-// retryAfter returns after how long a caller should come back for an upstream that
-// takes nothing from its host for the time of backoff: an upstream that asked one host
-// to back off may serve the others.
+// retryAfter returns the delay after which a caller should retry for an upstream that
+// takes nothing from the caller's host for the time of backoff: an upstream that asked
+// one host to back off may serve the others.
 func (p *permits) retryAfter(e *fleet.Entry, backoff time.Duration, now time.Time) time.Duration {
 	if p.limits.wait(e, now) == 0 && p.backoffs.serves(e.ID()) {
 		return otherHostRetry
@@ -73,7 +73,7 @@
 func (p *permits) queuedAhead(w *permitRequest) int {
 	n := 0
 	for _, o := range p.waiting {
-		if o.waitReason == balance.AllBackoff && o.event.Priority <= w.event.Priority && o.event.Service == w.event.Service && o.ask.Model == w.ask.Model {
+		if o.waitReason == balance.AllBackoff && o.event.Priority <= w.event.Priority && o.event.Service == w.event.Service && o.needs.Model == w.needs.Model {
 			n++
 		}
 	}
