--- a/node/host/host.go
+++ b/node/host/host.go
@@ -92,7 +92,7 @@
 	h.guard = quarantine.NewGuard(quarantine.GuardDeps{Connected: h.link.Linked, Log: d.Log, Metrics: d.Metrics})
 	h.link.Quarantine = h.guard
 	h.crashes = quarantine.NewCrashDetector(quarantine.CrashDetectorDeps{NotListening: d.Client.NotListening, OnCrash: h.crashed, Log: d.Log, Metrics: d.Metrics})
-	h.gate = gate.New(gate.Deps{HoldsLimited: leaving, Stopping: ending, Config: h.config, Fleet: h.fleet, Client: d.Client, Codec: d.Platform.Codec, Coordinator: h.link, TeamLimits: h.link, CrashRecorder: h.crashes, PoisonGuard: h.guard,
+	h.gate = gate.New(gate.Deps{HoldLimitContext: leaving, StopContext: ending, Config: h.config, Fleet: h.fleet, Client: d.Client, Codec: d.Platform.Codec, Coordinator: h.link, TeamLimits: h.link, CrashRecorder: h.crashes, PoisonGuard: h.guard,
 		RetryBudget: gate.NewRetryBudget(policy, h.link.Hosts), Log: d.Log, Metrics: d.Metrics, Draining: h.draining.Load, RejectsNew: h.closing.Load, DisconnectReason: connGone})
 	h.limitMemory()
 	return h, h.listen()
--- a/node/server/planning.go
+++ b/node/server/planning.go
@@ -40,7 +40,7 @@
 func (p plannerSite) Reports() []planner.ObservedReport {
 	var out []planner.ObservedReport
 	for _, r := range p.s.view.Reports(p.pool) {
-		out = append(out, planner.ObservedReport{Report: r.Report, Read: r.Read, Down: r.Disconnected})
+		out = append(out, planner.ObservedReport{Report: r.Report, Read: r.Read, Disconnected: r.Disconnected})
 	}
 	return out
 }
