--- a/node/coordinator/authority.go
+++ b/node/coordinator/authority.go
@@ -9,7 +9,7 @@
 
 // errQuietPeriod means that the lease is new, and orders of the former holder may still
 // arrive.
-var errQuietPeriod = errors.New("the quiet period of a new lease is not over")
+var errQuietPeriod = errors.New("the quiet time of a new lease is not over")
 
 // mayOrder returns nil if an order that ends within need may be sent now. It must be
 // called right before each send: a process that was paused may resume in the middle of
