--- a/node/callerapi/fuzz_test.go
+++ b/node/callerapi/fuzz_test.go
@@ -108,7 +108,7 @@
 		checkAnswer(t, w, method, target)
 		rest, service := strings.CutPrefix(target, "/v1/services/s/")
 		if service && method == "GET" && strings.HasPrefix(path.Clean("/"+rest), "/notes") && w.Code == http.StatusServiceUnavailable {
-			assert.Assert(t, host.claims > 0, "GET %q was taken as one that may be repeated", target)
+			assert.Assert(t, host.claims > 0, "GET %q was treated as repeatable", target)
 		}
 	})
 }
--- a/node/host/connlog.go
+++ b/node/host/connlog.go
@@ -58,7 +58,7 @@
 	mu     sync.Mutex
 	open   map[*connTrack]struct{}
 	second int64 // Unix time of the last line in seconds
-	lines  int   // requested in that second
+	lines  int   // lines in that second, dropped ones included
 }
 
 func newConnLog(log *event.Log, set *metrics.Set, idOf func(http.Header) string) *connLog {
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -300,7 +300,7 @@
 	}
 }
 
-// isReady reports whether the balancer should send callers to this host.
+// isReady reports whether the load balancer should send callers to this host.
 func (h *Host) isReady() bool {
 	return h.config.Current() != nil && h.listOnce.Load() && !h.draining.Load()
 }
--- a/node/host/pages.go
+++ b/node/host/pages.go
@@ -6,7 +6,7 @@
 	"github.com/labstack/echo/v5"
 )
 
-// readinessPage answers the balancer whether to send callers to this host.
+// readinessPage shows the load balancer whether to send callers to this host.
 func (h *Host) readinessPage() http.Handler {
 	e := echo.New()
 	e.GET("/*", func(c *echo.Context) error {
--- a/node/host/quarantine.go
+++ b/node/host/quarantine.go
@@ -14,7 +14,7 @@
 const QuarantinePath = "/quarantine"
 
 // QuarantinedRequest is one request that is suspected of crashing upstreams, or barred
-// because of it, as listed by the page.
+// because of it, as listed at QuarantinePath.
 type QuarantinedRequest struct {
 	Content string `json:"content"` // digest of the request, as in logs
 	State   string `json:"state"`   // suspected or barred
--- a/node/host/settings.go
+++ b/node/host/settings.go
@@ -58,7 +58,7 @@
 	RepeatRatio    float64 `json:"repeat_ratio"`     // retries for each request
 	RepeatSlack    float64 `json:"repeat_slack"`     // retries beyond RepeatRatio, over all hosts
 	RepeatWindowS  float64 `json:"repeat_window_s"`  // length of any time span to which the bounds on retries apply
-	LeaseMs        float64 `json:"lease_ms"`         // between the orders of two lease holders
+	LeaseMs        float64 `json:"lease_ms"`         // minimum time between the orders of two lease holders
 	CeilingWindowS float64 `json:"ceiling_window_s"` // length of any time span in which loads from the weight store are counted
 	CeilingOver    float64 `json:"ceiling_over"`     // factor on the weight store's rate
 	LimitSlack     float64 `json:"limit_slack"`      // by how much a team may exceed its limit over all hosts, in the limit's unit; 0 means not at all
--- a/node/host/status.go
+++ b/node/host/status.go
@@ -12,7 +12,7 @@
 // the counts of calls and bytes between hosts.
 const StatusPath = "/status"
 
-// Status is the content of the page.
+// Status is the content of the status page.
 type Status struct {
 	Host          string           `json:"host"`
 	DataCentre    string           `json:"data_centre"`
--- a/node/host/stop.go
+++ b/node/host/stop.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// balancerNotice is how long the balancer goes on sending new connections after
+	// balancerNotice is how long the load balancer goes on sending new connections after
 	// the host reports that it is not ready: two health checks a second apart, and
 	// the transit time of the last connection.
 	balancerNotice = 2500 * time.Millisecond
@@ -27,7 +27,7 @@
 )
 
 // stopOn waits for ctx to end and stops the host. Callers are still served until the
-// balancer has removed the host; closing at once would cut off connections in transit.
+// load balancer has removed the host; closing at once would cut off connections in transit.
 // Current requests are finished as long as the grace period allows. If work ends
 // first, an essential part of the host has failed, and stopOn returns.
 func (h *Host) stopOn(ctx, work context.Context) error {
--- a/node/host/upstreams.go
+++ b/node/host/upstreams.go
@@ -11,7 +11,7 @@
 // signalled on their answers.
 const UpstreamsPath = "/upstreams"
 
-// RestrictedUpstream is one upstream with restrictions, as listed by the page.
+// RestrictedUpstream is one upstream with restrictions, as listed at UpstreamsPath.
 type RestrictedUpstream struct {
 	Upstream    string   `json:"upstream"`
 	Service     string   `json:"service"`
--- a/node/operatorapi/handlers.go
+++ b/node/operatorapi/handlers.go
@@ -64,7 +64,7 @@
 }
 
 // recordChange logs an accepted change and makes this host read it at once; peers
-// learn the new version from this host.
+// receive the new version from this host.
 func (a *API) recordChange(c *call, version uint64) {
 	a.deps.Log.Emit(event.OperatorChanged, zap.String("operator", c.operator), zap.Uint64("version", version))
 	a.deps.Config.PollSoon()
--- a/node/operatorapi/types.go
+++ b/node/operatorapi/types.go
@@ -85,7 +85,7 @@
 	Presets []config.Preset `json:"presets"`
 }
 
-// Move is one change of placement that a switch would make.
+// Move is one change of placement that a switch of preset would make.
 type Move struct {
 	Kind     string `json:"kind"`
 	Model    string `json:"model"`
@@ -99,7 +99,7 @@
 	Preset    string        `json:"preset"`
 	Moves     []Move        `json:"moves"`
 	Bound     time.Duration `json:"bound_ns"` // time within which the moves are done
-	Converged bool          `json:"at_rest"`  // whether nothing more would move after these moves, at the present demand
+	Converged bool          `json:"at_rest"`  // nothing more would move after these moves, at the present demand
 	Pools     int           `json:"pools"`    // number of pools that answered
 }
 
--- a/node/server/planning.go
+++ b/node/server/planning.go
@@ -126,7 +126,7 @@
 	// watches, about 450 bytes each.
 	watchedPollsPerSecond = 4
 	// maxWatchedInterval is the longest time between two polls of an upstream:
-	// a draining upstream must get no new work after five seconds, and telling
+	// a draining upstream must get no new work after five seconds, and notifying
 	// all hosts takes some tenths of a second.
 	maxWatchedInterval = 4500 * time.Millisecond
 	// maxWatchedUpstreams is the largest share of upstreams that one host has
--- a/node/upstream/view/view.go
+++ b/node/upstream/view/view.go
@@ -47,7 +47,7 @@
 	isService        bool
 	report           engineapi.Report
 	takenAt          time.Time     // estimated time at which the report was taken, on this host's clock
-	offset           time.Duration // see estimateTaken
+	offset           time.Duration // this host's clock minus that of TakenMs, see updateClockOffset
 	offsetSet        bool
 	running          int
 	waiting          int
@@ -161,7 +161,7 @@
 	return true
 }
 
-// estimateTaken keeps the smallest observed difference between this host's clock and
+// updateClockOffset keeps the smallest observed difference between this host's clock and
 // the upstream's, which is the one with the least lag in it. Reports alone are not
 // enough, since all of them may be late by the same time; the time stamps on answers
 // lag only by the transit time of the answer.
