--- a/node/callerapi/generate.go
+++ b/node/callerapi/generate.go
@@ -39,7 +39,7 @@
 
 // generate serves chat completions and plain completions.
 func (a *API) generate(c *call) error {
-	t, err := a.parseOptions(c)
+	opts, err := a.parseOptions(c)
 	if err != nil {
 		return err
 	}
@@ -55,16 +55,16 @@
 	if !ok {
 		return fault.NotRun(fault.StepParse, "", fault.CodeModelNotFound, "there is no model %q for your team; GET /v1/models lists them", g.Model)
 	}
-	w := &dispatch.Work{RequestID: c.id, Team: c.team.Name, Class: t.class, Pool: target.Pool,
+	w := &dispatch.Work{RequestID: c.id, Team: c.team.Name, Class: opts.class, Pool: target.Pool,
 		Key:    route.ModelKey{Model: target.Model, Adapter: target.Adapter},
 		Method: http.MethodPost, Path: c.Request().URL.Path, Header: http.Header{"Content-Type": {"application/json"}},
-		Body: body, Stream: g.Stream, Deadline: t.deadline, Repeatable: t.key == "", Prefix: a.prefix(c.team.Name, target.Model, &g)}
+		Body: body, Stream: g.Stream, Deadline: opts.deadline, Repeatable: opts.key == "", Prefix: a.prefix(c.team.Name, target.Model, &g)}
 	w.MaxTokens = max(g.MaxTokens, g.MaxCompletionTokens)
 	if target.TokensPerSecond > 0 {
 		w.IdleStepMs = 1000 / float64(target.TokensPerSecond)
 	}
-	if t.key != "" {
-		a.requireClaim(c, w, t.key, body)
+	if opts.key != "" {
+		a.requireClaim(c, w, opts.key, body)
 	}
 	return a.serve(c, w, g.Model)
 }
--- a/node/callerapi/service.go
+++ b/node/callerapi/service.go
@@ -21,7 +21,7 @@
 
 // service forwards a call to a plain service.
 func (a *API) service(c *call) error {
-	t, err := a.parseOptions(c)
+	opts, err := a.parseOptions(c)
 	if err != nil {
 		return err
 	}
@@ -35,18 +35,18 @@
 	if err != nil {
 		return err
 	}
-	w := &dispatch.Work{RequestID: c.id, Team: c.team.Name, Class: t.class, Pool: s.Pool, PlainService: true,
+	w := &dispatch.Work{RequestID: c.id, Team: c.team.Name, Class: opts.class, Pool: s.Pool, PlainService: true,
 		Method: r.Method, Path: strings.TrimSuffix(engineapi.PathService, "/") + path, Query: r.URL.RawQuery,
-		Header: forwardHeaders(r.Header), Deadline: t.deadline, Repeatable: s.Repeatable(r.Method, path)}
+		Header: forwardHeaders(r.Header), Deadline: opts.deadline, Repeatable: s.Repeatable(r.Method, path)}
 	w.Header.Set(engineapi.HeaderTeam, c.team.Name)
-	if !w.Repeatable && t.key == "" {
+	if !w.Repeatable && opts.key == "" {
 		return fault.NotRun(fault.StepParse, "", fault.CodeIdempotencyKeyRequired, "%s %s may not be repeated: send an %s", r.Method, path, HeaderIdempotencyKey)
 	}
 	if err := a.attachBody(c, w); err != nil {
 		return err
 	}
 	if !w.Repeatable {
-		a.requireClaim(c, w, t.key, w.Body)
+		a.requireClaim(c, w, opts.key, w.Body)
 	}
 	return attributeBodyError(a.serve(c, w, name), c.state.Index.Limits.BodyBytes)
 }
--- a/node/host/callers.go
+++ b/node/host/callers.go
@@ -29,8 +29,8 @@
 	conns       *connLog
 }
 
-func newCallerServer(ln net.Listener, h http.Handler, idleBound func() time.Duration, conns *connLog) *callerServer {
-	c := &callerServer{idleTimeout: idleBound, conns: conns}
+func newCallerServer(ln net.Listener, h http.Handler, idleTimeout func() time.Duration, conns *connLog) *callerServer {
+	c := &callerServer{idleTimeout: idleTimeout, conns: conns}
 	c.server = &http.Server{Handler: c.trackRequests(h), MaxHeaderBytes: maxHeadBytes, ReadHeaderTimeout: headTimeout, ConnState: c.onConnState,
 		ConnContext: withConn, ErrorLog: log.New(serverErrorLog{conns.log}, "", 0)}
 	c.drain = drain.New(drain.Config{Listener: callerListener{ln, conns}, Server: c.server, BeforeClose: c.recordCloseReason})
--- a/node/server/configure.go
+++ b/node/server/configure.go
@@ -75,12 +75,12 @@
 
 // hostSlots returns this host's share of each pool's batch slots.
 func hostSlots(c *config.Config, hosts int) map[string]int {
-	places := map[string]int{}
+	slots := map[string]int{}
 	for _, u := range c.Upstreams {
-		places[u.Pool] += u.MaxBatch
+		slots[u.Pool] += u.MaxBatch
 	}
-	for pool, n := range places {
-		places[pool] = admit.HostSlots(n, hosts)
+	for pool, n := range slots {
+		slots[pool] = admit.HostSlots(n, hosts)
 	}
-	return places
+	return slots
 }
--- a/node/server/roles.go
+++ b/node/server/roles.go
@@ -32,7 +32,7 @@
 	// polls all of them; above it the upstreams are divided among the hosts,
 	// which publish changes to one another.
 	maxDirectUpstreams = 32
-	plannerLease       = "planner/"
+	plannerLeasePrefix = "planner/"
 )
 
 // role is one lease that this host campaigns for, and what runs under it.
@@ -46,8 +46,8 @@
 
 // roles are the roles of this host, by lease name.
 type roles struct {
-	mu   sync.Mutex
-	byID map[string]*role
+	mu     sync.Mutex
+	byName map[string]*role
 }
 
 func (s *Server) reconcileSoon() {
@@ -87,7 +87,7 @@
 	if !s.cfg.Policy.NoPlanner {
 		for _, p := range st.Index.Pools {
 			if p.Kind == config.KindEngine {
-				wanted[plannerLease+p.Name] = func() *role { return s.startPlanner(ctx, p.Name) }
+				wanted[plannerLeasePrefix+p.Name] = func() *role { return s.startPlanner(ctx, p.Name) }
 			}
 		}
 	}
@@ -118,15 +118,15 @@
 func (s *Server) updateRoles(wanted map[string]func() *role) {
 	s.roles.mu.Lock()
 	defer s.roles.mu.Unlock()
-	for name, r := range s.roles.byID {
+	for name, r := range s.roles.byName {
 		if wanted[name] == nil {
 			r.cancel()
-			delete(s.roles.byID, name)
+			delete(s.roles.byName, name)
 		}
 	}
 	for name, start := range wanted {
-		if s.roles.byID[name] == nil {
-			s.roles.byID[name] = start()
+		if s.roles.byName[name] == nil {
+			s.roles.byName[name] = start()
 		}
 	}
 }
@@ -136,10 +136,10 @@
 func (s *Server) stopRoles() {
 	s.roles.mu.Lock()
 	defer s.roles.mu.Unlock()
-	for _, r := range s.roles.byID {
+	for _, r := range s.roles.byName {
 		r.cancel()
 	}
-	for _, r := range s.roles.byID {
+	for _, r := range s.roles.byName {
 		<-r.done
 	}
 }
@@ -149,15 +149,15 @@
 	l := lease.New(lease.Config{Name: name, Holder: s.cfg.Settings.Host + "/" + s.incarnation}, lease.Deps{Table: s.cfg.Platform.Table, Log: s.log})
 	ctx, cancel := context.WithCancel(ctx)
 	r := &role{lease: l, cancel: cancel, done: make(chan struct{})}
-	act := build(l, r)
+	runRole := build(l, r)
 	leaseCtx, release := context.WithCancel(context.WithoutCancel(ctx))
-	var held sync.WaitGroup
-	held.Go(func() { _ = l.Run(leaseCtx) }) // ends with the context only
+	var leaseRun sync.WaitGroup
+	leaseRun.Go(func() { _ = l.Run(leaseCtx) }) // ends with the context only
 	go func() {
 		defer close(r.done)
-		_ = act(ctx) // logs its own failures
-		release()    // the lease is released only when nothing acts under it any more
-		held.Wait()
+		_ = runRole(ctx) // logs its own failures
+		release()        // the lease is released only when nothing acts under it any more
+		leaseRun.Wait()
 	}()
 	return r
 }
@@ -183,7 +183,7 @@
 }
 
 func (s *Server) startPlanner(ctx context.Context, pool string) *role {
-	return s.startRole(ctx, plannerLease+pool, func(l *lease.Lease, r *role) func(context.Context) error {
+	return s.startRole(ctx, plannerLeasePrefix+pool, func(l *lease.Lease, r *role) func(context.Context) error {
 		r.pool = pool
 		r.planner = planner.New(planner.Config{Pool: pool, MoveCooldown: moveCooldownWindows * s.cfg.Demand.Short}, planner.Deps{Lease: leaseTerm{l}, Table: s.cfg.Platform.Table,
 			Weights: s.cfg.Platform.Weights, Orders: s.orders, Inputs: plannerInputs{s, pool}, Log: s.log})
@@ -196,7 +196,7 @@
 	s.roles.mu.Lock()
 	defer s.roles.mu.Unlock()
 	out := []operatorapi.Lease{}
-	for name, r := range s.roles.byID {
+	for name, r := range s.roles.byName {
 		t, held := r.lease.Term()
 		out = append(out, operatorapi.Lease{Name: name, Held: held, Epoch: t.Epoch})
 	}
@@ -209,7 +209,7 @@
 	s.roles.mu.Lock()
 	defer s.roles.mu.Unlock()
 	out := map[string]*planner.Planner{}
-	for _, r := range s.roles.byID {
+	for _, r := range s.roles.byName {
 		if r.planner == nil {
 			continue
 		}
--- a/node/server/server.go
+++ b/node/server/server.go
@@ -133,7 +133,7 @@
 	s := &Server{cfg: cfg, incarnation: uuid.NewString(), started: time.Now(), log: event.NewLog(cfg.Log),
 		metrics: metrics.New(), requests: inflight.New(), client: conn.New(conn.Config{Dialer: cfg.Dialer}),
 		infrequentClient: conn.New(conn.Config{Dialer: cfg.Dialer, MaxIdleTime: infrequentMaxIdle}),
-		killed:           make(chan struct{}), reconcile: make(chan struct{}, 1), roles: roles{byID: map[string]*role{}}}
+		killed:           make(chan struct{}), reconcile: make(chan struct{}, 1), roles: roles{byName: map[string]*role{}}}
 	s.siteHosts.Store(1)
 	s.buildDataPath()
 	if err := s.buildControlPath(); err != nil {
--- a/node/upstream/view/reports.go
+++ b/node/upstream/view/reports.go
@@ -84,7 +84,7 @@
 // of the former one.
 func (s *upstreamState) resetForIncarnation(r engineapi.Report) {
 	s.report = r
-	s.offsetSet, s.loadAt, s.lastReported = false, time.Time{}, time.Time{}
+	s.hasClockOffset, s.loadAt, s.lastReported = false, time.Time{}, time.Time{}
 	s.running, s.waiting = 0, 0
 	s.prefixes = map[uint64]bool{}
 	s.inFlight, s.sinceLoad = 0, s.sinceLoad[:0]
--- a/node/upstream/view/view.go
+++ b/node/upstream/view/view.go
@@ -47,8 +47,8 @@
 	isService        bool
 	report           engineapi.Report
 	takenAt          time.Time     // estimated time at which the report was taken, on this host's clock
-	offset           time.Duration // this host's clock minus that of TakenMs, see updateClockOffset
-	offsetSet        bool
+	clockOffset      time.Duration // this host's clock minus that of TakenMs, see updateClockOffset
+	hasClockOffset   bool
 	running          int
 	waiting          int
 	loadAt           time.Time       // when running and waiting were current
@@ -138,10 +138,10 @@
 		s.resetForIncarnation(r)
 	}
 	s.lastReported, s.lastSeen = at, at
-	s.estimateTaken(r.TakenMs, at)
+	s.updateClockOffset(r.TakenMs, at)
 	taken := at
-	if s.offsetSet {
-		taken = time.UnixMilli(r.TakenMs).Add(s.offset)
+	if s.hasClockOffset {
+		taken = time.UnixMilli(r.TakenMs).Add(s.clockOffset)
 	}
 	changed := !same || s.ready == nil || !sameResidents(s.report.Residents, r.Residents) || r.Draining != s.report.Draining
 	s.report, s.takenAt = r, taken
@@ -165,10 +165,10 @@
 // the upstream's, which is the one with the least lag in it. Reports alone are not
 // enough, since all of them may be late by the same time; the time stamps on answers
 // lag only by the transit time of the answer.
-func (s *upstreamState) estimateTaken(takenMs int64, at time.Time) {
+func (s *upstreamState) updateClockOffset(takenMs int64, at time.Time) {
 	off := at.Sub(time.UnixMilli(takenMs))
-	if !s.offsetSet || off < s.offset {
-		s.offset, s.offsetSet = off, true
+	if !s.hasClockOffset || off < s.clockOffset {
+		s.clockOffset, s.hasClockOffset = off, true
 	}
 }
 
@@ -237,7 +237,7 @@
 		return
 	}
 	now := v.now()
-	s.estimateTaken(l.takenMs, now)
+	s.updateClockOffset(l.takenMs, now)
 	s.running, s.waiting, s.loadAt = l.running, l.waiting, now
 	s.sinceLoad.dropUntil(now)
 	v.dirty.Store(true)
