--- a/node/event/catalogue_test.go
+++ b/node/event/catalogue_test.go
@@ -14,15 +14,15 @@
 // row matches a table row of docs/EVENTS.md that begins with a number.
 var row = regexp.MustCompile(`(?m)^\| \d+ \|.*$`)
 
-// Symptom: an operator looks up an event number and finds nothing, or another event.
-// Sequence: an event is added, renumbered or reworded in the code only.
-// Cause: the page and the code are maintained separately.
+// Guards against an event number that an operator does not find on the page, or
+// finds with another event: an event is added, renumbered or reworded in the code
+// only.
 func TestThePageListsExactlyTheEvents(t *testing.T) {
 	page, err := os.ReadFile("../../docs/EVENTS.md")
 	assert.NilError(t, err)
 	listed := map[string]bool{}
 	for _, line := range row.FindAllString(string(page), -1) {
-		assert.Assert(t, !listed[line], "stands twice: %s", line)
+		assert.Assert(t, !listed[line], "listed twice: %s", line)
 		listed[line] = true
 	}
 	numbers, names := map[int]string{}, map[string]int{}
--- a/node/event/panic_test.go
+++ b/node/event/panic_test.go
@@ -12,9 +12,8 @@
 	"peridotpier.example/node/event"
 )
 
-// Symptom: a log shows part of a request's body.
-// Sequence: a handler panics with a value that it built from the request.
-// Cause: the value is logged as it is.
+// Guards against part of a request's body in the log: a handler panics with a
+// value that it built from the request, and the value is logged as it is.
 func TestOnlyTheRuntimesPanicValuesAreLogged(t *testing.T) {
 	core, lines := observer.New(zap.DebugLevel)
 	log := event.NewLog(zap.New(core))
--- a/node/event/sink_test.go
+++ b/node/event/sink_test.go
@@ -29,9 +29,8 @@
 	return s.buf.Write(p)
 }
 
-// Symptom: requests hang although upstreams answer.
-// Sequence: the reader of the log stops reading; requests are still being logged.
-// Cause: writing a log line waits for the reader.
+// Guards against requests that hang although upstreams answer: the reader of the
+// log stops reading, and writing a log line waits for it.
 func TestAFullLogDropsAndCountsInsteadOfBlocking(t *testing.T) {
 	out := &blockedWriter{gate: make(chan struct{})}
 	sink := event.NewSink(out)
@@ -49,10 +48,9 @@
 	assert.Assert(t, strings.Contains(out.buf.String(), `"request_served"`))
 }
 
-// Symptom: a busy host's log lacks lines, also those of its shutdown, although
-// its reader is fast.
-// Sequence: for some time, lines arrive faster than one write per pause takes them.
-// Cause: the pause that gathers lines is made after full writes too.
+// Guards against missing lines in a busy host's log, also those of its shutdown,
+// although its reader is fast: lines arrive faster than one write per pause takes
+// them, if the pause that gathers lines is made after full writes too.
 func TestAQuickReaderGetsEveryLine(t *testing.T) {
 	const perRound, rounds, maxElapsed = 2000, 10, 2 * time.Second // with a pause after each write: over 3 s
 	out := &blockedWriter{gate: make(chan struct{})}
@@ -77,10 +75,9 @@
 	assert.Assert(t, time.Since(start) < maxElapsed, "%v", time.Since(start))
 }
 
-// Symptom: the last lines of a process are missing and are not counted as dropped.
-// Sequence: the requests in progress end together when the process stops; each
-// writes a line.
-// Cause: the last flush makes only one write.
+// Guards against losing the last lines of a process without counting them as
+// dropped: the requests in progress end together when the process stops, each
+// writes a line, and the last flush makes only one write.
 func TestTheLastLinesAreAllWritten(t *testing.T) {
 	const lines = 2000
 	for range 8 { // the sink receives lines and the flush in any order
