--- a/node/callerapi/message_test.go
+++ b/node/callerapi/message_test.go
@@ -13,9 +13,9 @@
 	"peridotpier.example/core/outcome"
 )
 
-// Symptom: a caller's log shows addresses of upstreams or of the platform.
-// Sequence: a dial fails; its error is wrapped at each step up to the caller.
-// Cause: the text of the cause is sent to the caller.
+// Guards against addresses of upstreams or of the platform in a caller's log: a
+// dial fails, its error is wrapped at each step up to the caller, and its text is
+// sent to the caller.
 func TestCallersSeeNoAddresses(t *testing.T) {
 	dial := &net.OpError{Op: "dial", Net: "tcp", Addr: &net.TCPAddr{IP: net.IPv4(10, 1, 2, 3), Port: 99}, Err: errors.New("refused")}
 	inner := fault.NotRun(fault.StepDispatch, "10.1.2.3:99", fault.CodeUpstreamFailed, "connect: %w", dial)
--- a/node/callerapi/page_test.go
+++ b/node/callerapi/page_test.go
@@ -10,9 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: a caller gets a code, and the page does not say what to do about it.
-// Sequence: a code is added, or its status changes.
-// Cause: the page and the code are maintained separately.
+// Guards against a code that a caller gets and the page does not explain: a code
+// is added, or its status changes, in the code only.
 func TestThePageExplainsEachCode(t *testing.T) {
 	data, err := os.ReadFile("../../docs/callers.md")
 	assert.NilError(t, err)
--- a/node/callerapi/panic_test.go
+++ b/node/callerapi/panic_test.go
@@ -19,9 +19,8 @@
 
 func (f panickingAdmission) Admit(context.Context, AdmitRequest) (func(), error) { panic(f.value) }
 
-// Symptom: a caller gets no answer; the log has a stack, but no request id.
-// Sequence: the handler of a request panics.
-// Cause: only the HTTP server logs the panic, and it does not know request ids.
+// Guards against a panic logged with a stack but without the request's id: only
+// the HTTP server logs it, which does not know request ids.
 func TestAPanicIsLoggedWithItsRequest(t *testing.T) {
 	api, _, _ := newEmptyHost(t)
 	core, lines := observer.New(zap.DebugLevel)
@@ -39,7 +38,7 @@
 	assert.Equal(t, ended, http.ErrAbortHandler)
 	assert.Equal(t, lines.Len(), 0)
 	ended, id := call("a fault")
-	assert.Equal(t, ended, http.ErrAbortHandler, "the connection is broken off")
+	assert.Equal(t, ended, http.ErrAbortHandler, "the connection is aborted")
 	found := lines.FilterMessage(event.HandlerPanicked.Name).All()
 	assert.Equal(t, len(found), 1)
 	assert.Equal(t, found[0].ContextMap()["request"], id)
