--- a/node/server/connstates_test.go
+++ b/node/server/connstates_test.go
@@ -15,11 +15,10 @@
 	"peridotpier.example/node/metrics"
 )
 
-// Symptom: after a restart the log does not show what became of the host's
-// connections.
-// Sequence: a host stops with an idle connection, one with a request and one
-// on which no byte was received.
-// Cause: only the requests that were cut off are counted.
+// Guards against a log that does not show what became of a stopped host's
+// connections: the host stops with an idle connection, one with a request and one
+// on which no byte was received, and only the requests that were cut off are
+// counted.
 func TestShutdownReportsOpenConnections(t *testing.T) {
 	set := metrics.New()
 	states := newConnStates(set)
--- a/node/server/listener_test.go
+++ b/node/server/listener_test.go
@@ -124,14 +124,12 @@
 	assert.Equal(t, string(text), "ok")
 }
 
-// Symptom: a caller's connection ends without an answer although its entire
-// request was read.
-// Sequence: the head of a request is being read, on a new connection or on one
-// that has had an answer; the listener is drained; the rest of the head arrives.
-// Cause: the HTTP server's Shutdown treats a connection that has had an answer
-// as idle until the next head is complete, and closes it; it also drops a
-// request whose head it has just read. The test sees the connection end in
-// place of the answer.
+// Guards against a caller's connection that ends without an answer although its
+// entire request was read: the listener is drained while the head of a request is
+// being read, on a new connection or on one that has had an answer. The HTTP
+// server's Shutdown treats a connection that has had an answer as idle until the
+// next head is complete, and closes it; it also drops a request whose head it has
+// just read.
 func TestAShutdownServesARequestThatIsBeingRead(t *testing.T) {
 	t.Parallel()
 	const request = "GET / HTTP/1.1\r\nHost: site.example\r\n\r\n"
--- a/node/server/secured_test.go
+++ b/node/server/secured_test.go
@@ -7,11 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: a shutdown takes seconds although no request is in progress, and
-// hands over requests that had enough time to finish.
-// Sequence: a caller opens a connection in advance, as HTTP clients do; its
-// handshake completes; it sends nothing; the listener is drained.
-// Cause: the bytes of the handshake are counted as those of a request.
+// Guards against a shutdown that takes seconds although no request is in progress,
+// and hands over requests that had enough time to finish: a caller opens a TLS
+// connection in advance, as HTTP clients do, and sends nothing, and the bytes of
+// the handshake are counted as those of a request.
 func TestAnUnusedTLSConnectionDoesNotDelayAShutdown(t *testing.T) {
 	t.Parallel()
 	s := newStoppableListener(t, true)
--- a/node/server/status_test.go
+++ b/node/server/status_test.go
@@ -9,11 +9,10 @@
 	"peridotpier.example/node/store"
 )
 
-// Symptom: an operator is told that a change is in force everywhere while a
-// host still serves under the previous version.
-// Sequence: a host starts and links with others; a change is made before the
-// platform's list shows the host.
-// Cause: only listed hosts are waited for.
+// Guards against telling an operator that a change is in force everywhere while a
+// host still serves under the previous version: a host starts and links with
+// others, a change is made before the platform's list shows the host, and only
+// listed hosts are waited for.
 func TestAnUnlistedHostIsWaitedFor(t *testing.T) {
 	listed := []store.Host{{Name: "a", Role: store.RoleEntry, State: store.HostLive},
 		{Name: "gone", Role: store.RoleEntry, State: store.HostDraining},
