--- a/cmd/pierctl/compare.go
+++ b/cmd/pierctl/compare.go
@@ -16,7 +16,7 @@
 )
 
 // compareCommand compares two variants of a policy by the days in the journal that were run
-// with both.
+// with both variants.
 type compareCommand struct {
 	journal, before, after, plot string
 	printJSON                    bool
--- a/cmd/pierctl/print.go
+++ b/cmd/pierctl/print.go
@@ -9,8 +9,9 @@
 	"peridotpier.example/standin/site"
 )
 
-// printIntroduction prints command lines that use a running site; they work unchanged. curl
-// begins the curl lines; pierctl is the format of the pierctl lines, "" for none.
+// printIntroduction prints command lines that use a running site and work unchanged. curl is
+// the beginning of the curl lines; pierctl is the format of the pierctl lines, or "" to print
+// none.
 func printIntroduction(w io.Writer, s *site.Site, r *local.RunningSite, curl, pierctl string) {
 	d := &s.Deployment
 	team := d.Teams[len(d.Teams)-1]
--- a/cmd/pierctl/upstreams.go
+++ b/cmd/pierctl/upstreams.go
@@ -11,7 +11,7 @@
 	"peridotpier.example/node/host"
 )
 
-// upstreamsCommand lists the upstreams that are draining, name a rate limit or asked for a
+// upstreamsCommand lists the upstreams that are draining, state a rate limit or asked for a
 // backoff.
 type upstreamsCommand struct{ hostPage }
 
