--- a/node/server/planning.go
+++ b/node/server/planning.go
@@ -162,13 +162,13 @@
 			out = append(out, poll.Target{Upstream: u, Interval: plannedInterval})
 		}
 	}
-	pace := max(interval, time.Duration(watched)*time.Second/watchedPollsPerSecond)
+	watchedInterval := max(interval, time.Duration(watched)*time.Second/watchedPollsPerSecond)
 	if watched <= maxWatchedUpstreams {
-		pace = min(pace, maxWatchedInterval)
+		watchedInterval = min(watchedInterval, maxWatchedInterval)
 	}
 	for i := range out {
 		if out[i].Interval == 0 {
-			out[i].Interval = pace
+			out[i].Interval = watchedInterval
 		}
 	}
 	s.poller.Assign(out)
--- a/node/server/roles.go
+++ b/node/server/roles.go
@@ -156,7 +156,7 @@
 	go func() {
 		defer close(r.done)
 		_ = runRole(ctx) // logs its own failures
-		release()        // the lease is released only when nothing acts under it any more
+		release()        // the lease is released only when nothing runs under it any more
 		leaseRun.Wait()
 	}()
 	return r
--- a/node/upstream/conn/client.go
+++ b/node/upstream/conn/client.go
@@ -91,7 +91,7 @@
 	Length int64 // of the body; -1 if not stated
 
 	client *Client
-	link   *link
+	conn   *persistConn
 	close  bool
 	stop   func() bool // detaches the connection from the context
 	ended  atomic.Bool
@@ -129,13 +129,13 @@
 		return nil, fault.Unknown(fault.StepDispatch, r.Address, fault.CodeUpstreamFailed, "exchange: %w", err)
 	}
 	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body, Length: resp.ContentLength,
-		client: c, link: l, close: resp.Close, stop: stop}, nil
+		client: c, conn: l, close: resp.Close, stop: stop}, nil
 }
 
 // exchange writes req and reads the head of its answer. An upstream that
 // refuses early may close its reading side, so the answer is read even if the
 // write failed after some bytes.
-func (c *Client) exchange(l *link, r *Request, req *http.Request) (*http.Response, error) {
+func (c *Client) exchange(l *persistConn, r *Request, req *http.Request) (*http.Response, error) {
 	if len(r.Body) > minConcurrentBody {
 		return exchangeConcurrently(l, r, req)
 	}
@@ -172,7 +172,7 @@
 // exchangeConcurrently writes req while it reads the head of the answer. A
 // connection whose answer arrives before the body is written is not reused: the
 // upstream would read the next request as the remainder of this body.
-func exchangeConcurrently(l *link, r *Request, req *http.Request) (*http.Response, error) {
+func exchangeConcurrently(l *persistConn, r *Request, req *http.Request) (*http.Response, error) {
 	written := make(chan error, 1)
 	go func() {
 		bw := bufio.NewWriterSize(l, minConcurrentBody)
@@ -229,7 +229,7 @@
 	return &url.URL{Opaque: t}
 }
 
-func (c *Client) connect(ctx context.Context, r *Request) (*link, error) {
+func (c *Client) connect(ctx context.Context, r *Request) (*persistConn, error) {
 	p := c.pool(r.Address)
 	if !r.NewConnection {
 		if l := p.takeIdle(time.Now(), c.cfg.MaxIdleTime); l != nil {
@@ -295,7 +295,7 @@
 // buffer of its own while a stream waits for its next token. It must not be
 // called after the end of the answer.
 func (r *Response) WaitReadable() {
-	_, _ = r.link.br.Peek(1)
+	_, _ = r.conn.br.Peek(1)
 }
 
 // Finish ends an exchange whose answer was read to its end; the connection
@@ -306,18 +306,18 @@
 	}
 	// Bytes after the answer belong to no request; on a reused connection they
 	// would be read as the answer to the next request.
-	if !r.stop() || r.close || r.link.br.Buffered() > 0 {
-		_ = r.link.nc.Close()
+	if !r.stop() || r.close || r.conn.br.Buffered() > 0 {
+		_ = r.conn.nc.Close()
 		return
 	}
-	r.link.pool.put(r.link, time.Now(), r.client.cfg, statedIdleTime(r.Header))
+	r.conn.pool.put(r.conn, time.Now(), r.client.cfg, statedIdleTime(r.Header))
 }
 
 // SetReadDeadline bounds the wait for the next bytes of the body.
-func (r *Response) SetReadDeadline(t time.Time) error { return r.link.nc.SetReadDeadline(t) }
+func (r *Response) SetReadDeadline(t time.Time) error { return r.conn.nc.SetReadDeadline(t) }
 
 // Reused reports whether the exchange used a pooled connection.
-func (r *Response) Reused() bool { return r.link.reused }
+func (r *Response) Reused() bool { return r.conn.reused }
 
 // statedIdleShare is the share of an upstream's stated idle time that is used: the
 // remainder covers a request's transit time and the rounding to whole seconds.
@@ -344,6 +344,6 @@
 func (r *Response) Abort() {
 	if r.ended.CompareAndSwap(false, true) {
 		r.stop()
-		r.link.reset()
+		r.conn.reset()
 	}
 }
--- a/node/upstream/conn/conn.go
+++ b/node/upstream/conn/conn.go
@@ -26,8 +26,8 @@
 
 var errHeaderTooLarge = errors.New("head of the answer is too large")
 
-// link is one connection to an upstream.
-type link struct {
+// persistConn is one connection to an upstream.
+type persistConn struct {
 	nc            net.Conn
 	br            *bufio.Reader
 	pool          *pool
@@ -41,8 +41,8 @@
 	idleBefore    time.Duration // how long it was idle before the current exchange
 }
 
-func newLink(nc net.Conn, p *pool, gen uint64) *link {
-	l := &link{nc: nc, pool: p, gen: gen, headRemaining: -1}
+func newPersistConn(nc net.Conn, p *pool, gen uint64) *persistConn {
+	l := &persistConn{nc: nc, pool: p, gen: gen, headRemaining: -1}
 	l.br = bufio.NewReaderSize(l, readBufferSize)
 	return l
 }
@@ -51,7 +51,7 @@
 // has not sent yet. After a plain close the kernel goes on sending: a request held
 // up by a network failure would reach its upstream seconds later, when the caller
 // already has an answer from another upstream, or this one is draining.
-func (l *link) reset() {
+func (l *persistConn) reset() {
 	if c, ok := l.nc.(interface{ SetLinger(sec int) error }); ok {
 		_ = c.SetLinger(0) // fails only on a closed connection
 	}
@@ -59,7 +59,7 @@
 }
 
 // Read implements io.Reader. It counts the bytes and bounds the head of an answer.
-func (l *link) Read(p []byte) (int, error) {
+func (l *persistConn) Read(p []byte) (int, error) {
 	if l.headRemaining == 0 {
 		return 0, errHeaderTooLarge
 	}
@@ -76,14 +76,14 @@
 
 // Write counts what was handed over: an exchange that failed with nothing
 // written certainly did not run, any other may have.
-func (l *link) Write(p []byte) (int, error) {
+func (l *persistConn) Write(p []byte) (int, error) {
 	n, err := l.nc.Write(p)
 	l.written += int64(n)
 	return n, err
 }
 
 // readHead reads the head of the answer to req, passing over interim answers.
-func (l *link) readHead(req *http.Request) (*http.Response, error) {
+func (l *persistConn) readHead(req *http.Request) (*http.Response, error) {
 	l.headRemaining = maxHeadBytes
 	defer func() { l.headRemaining = -1 }()
 	for {
--- a/node/upstream/conn/listening.go
+++ b/node/upstream/conn/listening.go
@@ -7,8 +7,8 @@
 )
 
 // NotListening reports whether a dial to address is refused, which means that the
-// process there has terminated. It is false for one that is unresponsive or cannot
-// be reached.
+// process there has terminated. It is false for a process that is unresponsive or
+// cannot be reached.
 func (c *Client) NotListening(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.DialTimeout)
 	defer cancel()
--- a/node/upstream/conn/pool.go
+++ b/node/upstream/conn/pool.go
@@ -11,15 +11,15 @@
 type pool struct {
 	address         string
 	mu              sync.Mutex
-	idle            []*link       // most recently used last
-	gen             uint64        // connections of an older generation are not reused
-	expiryScheduled bool          // a timer will close expired connections
-	observedBound   time.Duration // bound on the idle time, derived from connections that the upstream dropped; 0 if none
+	idle            []*persistConn // most recently used last
+	gen             uint64         // connections of an older generation are not reused
+	expiryScheduled bool           // a timer will close expired connections
+	observedBound   time.Duration  // bound on the idle time, derived from connections that the upstream dropped; 0 if none
 }
 
 // takeIdle returns the most recently used connection that may still be reused, or
 // nil. It closes the others that it comes across.
-func (p *pool) takeIdle(now time.Time, maxIdle time.Duration) *link {
+func (p *pool) takeIdle(now time.Time, maxIdle time.Duration) *persistConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.idle) > 0 {
@@ -35,7 +35,7 @@
 }
 
 // idleBound returns how long l may be idle and still be reused.
-func (p *pool) idleBound(l *link, maxIdle time.Duration) time.Duration {
+func (p *pool) idleBound(l *persistConn, maxIdle time.Duration) time.Duration {
 	if l.statedIdle > 0 {
 		maxIdle = l.statedIdle
 	}
@@ -67,7 +67,7 @@
 }
 
 // put returns a connection to the pool after its exchange ended cleanly.
-func (p *pool) put(l *link, now time.Time, cfg Config, stated time.Duration) {
+func (p *pool) put(l *persistConn, now time.Time, cfg Config, stated time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l.gen != p.gen || len(p.idle) >= cfg.MaxIdleConns {
@@ -131,7 +131,7 @@
 }
 
 // dial opens a connection of the pool's current generation.
-func (p *pool) dial(ctx context.Context, d Dialer, timeout time.Duration) (*link, error) {
+func (p *pool) dial(ctx context.Context, d Dialer, timeout time.Duration) (*persistConn, error) {
 	gen := p.generation()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -139,7 +139,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return newLink(nc, p, gen), nil
+	return newPersistConn(nc, p, gen), nil
 }
 
 // Dialer opens connections; net.Dialer implements it.
--- a/node/upstream/poll/poll.go
+++ b/node/upstream/poll/poll.go
@@ -61,12 +61,13 @@
 	OnReport func(r engineapi.Report, at time.Time)
 
 	mu      sync.Mutex
-	targets map[string]*target // by upstream
+	targets map[string]*targetState // by upstream
 	runCtx  context.Context
 	wg      sync.WaitGroup
 }
 
-type target struct {
+// targetState is the polling state of one assigned upstream.
+type targetState struct {
 	mu          sync.Mutex // guards assigned, which Assign may change
 	assigned    Target
 	cancel      context.CancelFunc
@@ -77,7 +78,7 @@
 	failing     bool   // the last request failed, which is logged already
 }
 
-func (t *target) current() Target {
+func (t *targetState) current() Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.assigned
@@ -86,7 +87,7 @@
 // New returns a Poller. It uses client for upstreams with short polling intervals,
 // and sparse, which must not keep connections for long, for the others.
 func New(client, sparse *conn.Client, sink Sink, log *event.Log) *Poller {
-	return &Poller{client: client, sparse: sparse, sink: sink, log: log, targets: map[string]*target{}}
+	return &Poller{client: client, sparse: sparse, sink: sink, log: log, targets: map[string]*targetState{}}
 }
 
 // clientFor returns the client for a polling interval. In a fleet each host polls
@@ -116,7 +117,7 @@
 func (p *Poller) Assign(targets []Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	next := make(map[string]*target, len(targets))
+	next := make(map[string]*targetState, len(targets))
 	for _, u := range targets {
 		old := p.targets[u.Name]
 		if old != nil && old.current().Address == u.Address {
@@ -127,7 +128,7 @@
 			delete(p.targets, u.Name)
 			continue
 		}
-		t := &target{assigned: u}
+		t := &targetState{assigned: u}
 		next[u.Name] = t
 		if p.runCtx != nil {
 			p.start(t)
@@ -142,7 +143,7 @@
 }
 
 // start starts polling t if Run was called and its context has not ended. p.mu is held.
-func (p *Poller) start(t *target) {
+func (p *Poller) start(t *targetState) {
 	if p.runCtx.Err() != nil {
 		return
 	}
@@ -152,7 +153,7 @@
 }
 
 // pollLoop polls one upstream at jittered intervals until ctx ends.
-func (p *Poller) pollLoop(ctx context.Context, t *target) {
+func (p *Poller) pollLoop(ctx context.Context, t *targetState) {
 	// The first request is sent at a random time within the interval, so that hosts
 	// that start together do not keep polling at the same times.
 	timer := time.NewTimer(time.Duration(rand.Float64() * float64(t.current().Interval)))
@@ -170,7 +171,7 @@
 	}
 }
 
-func (p *Poller) pollReport(ctx context.Context, t *target, u Target) {
+func (p *Poller) pollReport(ctx context.Context, t *targetState, u Target) {
 	var r engineapi.Report
 	query := ""
 	if t.digest != "" {
@@ -204,7 +205,7 @@
 
 // recordFailure logs the first of consecutive failures, and marks the upstream as down
 // if the request could not be sent, as when its connection was refused.
-func (p *Poller) recordFailure(ctx context.Context, t *target, u Target, err error) {
+func (p *Poller) recordFailure(ctx context.Context, t *targetState, u Target, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -218,7 +219,7 @@
 }
 
 // pollEvents polls for cache events. They are hints only, so a failure is not logged.
-func (p *Poller) pollEvents(ctx context.Context, t *target, u Target) {
+func (p *Poller) pollEvents(ctx context.Context, t *targetState, u Target) {
 	var list []engineapi.CacheEvent
 	if p.get(ctx, u, engineapi.PathEvents, "after="+strconv.FormatUint(t.lastEvent, 10), &list) != nil {
 		return
@@ -264,7 +265,7 @@
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentStartup)
 	for _, u := range targets {
-		g.Go(func() error { p.pollReport(ctx, &target{assigned: u}, u); return nil })
+		g.Go(func() error { p.pollReport(ctx, &targetState{assigned: u}, u); return nil })
 	}
 	_ = g.Wait() // always nil: pollReport handles its failures itself
 }
