--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -162,7 +162,7 @@
 try "upstreams that come back in one change" node/fleet/change.go \
   '&& !isListed(byID[v.id])' '' ./node/fleet
 try "a version only rises" node/follow/config.go \
-  'old.Config.Version >= next.Version' 'false' ./platform -run 'Rises' ./node/follow
+  'old.Config.Version >= next.Version' 'false' ./platform -run 'TestAnOlderOrUnusableConfiguration' ./node/follow
 try "first try after the store's return" node/follow/follow.go \
   'deferredRetryPause = time.Second' 'deferredRetryPause = 4 * time.Second' ./node/follow
 try "questions of a request that waits" node/gate/pick.go \
@@ -181,7 +181,7 @@
 try "the key is not passed on" platform/headers.go \
   '"Kv-Fetch", headerAPIKey, headerTeam}' '"Kv-Fetch"}' ./platform -run 'NeverTheKey'
 try "a key that was taken away" node/gate/gate.go \
-  'if q.keyRevoked() {' 'if false {' ./platform -run 'KeyWasTakenAway'
+  'if q.keyRevoked() {' 'if false {' ./platform -run 'KeyWasRevoked'
 try "one key in two teams" core/deploy/team.go \
   'if other, ok := owners[k]; ok && other != team {' 'if other := 0; false {' ./core/deploy
 try "a limit is charged with the turn" node/coordinator/permits.go \
