--- a/core/admit/policy.go
+++ b/core/admit/policy.go
@@ -17,7 +17,7 @@
 	UrgentHeadroom float64 // share of the slots reserved for urgent requests
 	BulkShare      float64 // largest share of the slots that bulk requests may hold
 	AcceptBulk     bool
-	QueueMax       [class.Count]int // maximum of waiting requests by class
+	MaxQueue       [class.Count]int // maximum of waiting requests by class
 }
 
 // Parameters of admission.
@@ -49,12 +49,12 @@
 // NewPolicy combines a preset, the class rules and the slots of a pool.
 func NewPolicy(p config.Preset, rules []config.ClassRule, slots int) Policy {
 	out := Policy{Slots: slots, UrgentHeadroom: p.UrgentHeadroom, BulkShare: p.BulkShare, AcceptBulk: p.AcceptBulk}
-	for i := range out.QueueMax {
-		out.QueueMax[i] = defaultQueueMax
+	for i := range out.MaxQueue {
+		out.MaxQueue[i] = defaultQueueMax
 	}
 	for _, r := range rules {
 		if r.MaxQueue > 0 {
-			out.QueueMax[r.Class] = r.MaxQueue
+			out.MaxQueue[r.Class] = r.MaxQueue
 		}
 	}
 	return out
--- a/core/admit/pool.go
+++ b/core/admit/pool.go
@@ -65,7 +65,7 @@
 	if missesDeadline(now, it, wait) {
 		return Refused, p.refusal(it, CauseDeadlineUnreachable, wait), nil
 	}
-	if q.n < p.policy.QueueMax[it.Class] {
+	if q.n < p.policy.MaxQueue[it.Class] {
 		q.push(it)
 		return Queued, Refusal{}, nil
 	}
--- a/core/health/health.go
+++ b/core/health/health.go
@@ -36,9 +36,9 @@
 
 // The statuses.
 const (
-	Up    Status = iota // closed: send requests
-	Down                // open: the upstream is excluded, send nothing
-	Trial               // half-open: the exclusion is over, send one request and wait for its result
+	Up       Status = iota // closed: send requests
+	Down                   // open: the upstream is excluded, send nothing
+	HalfOpen               // half-open: the exclusion is over, send one request and wait for its result
 )
 
 // String returns the status's name in logs.
@@ -150,6 +150,6 @@
 	case now.Before(r.excludedUntil):
 		return Down
 	default:
-		return Trial
+		return HalfOpen
 	}
 }
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -32,7 +32,7 @@
 	assert.Equal(t, r.Status(after(1)), health.Up)
 	assert.Assert(t, r.RecordFailure(health.DefaultPolicy, after(2)))
 	assert.Equal(t, r.Status(after(3)), health.Down)
-	assert.Equal(t, r.Status(after(500)), health.Trial)
+	assert.Equal(t, r.Status(after(500)), health.HalfOpen)
 	assert.Assert(t, r.RecordFailure(health.DefaultPolicy, after(500)), "a failed trial is enough by itself")
 	assert.Equal(t, r.Status(after(1200)), health.Down, "the second exclusion is longer")
 	r.RecordBytes(after(1400), false)
--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -163,8 +163,8 @@
 	constrainedRate  = 0.7
 )
 
-// Constrained returns the states of the teams whose limits may bind. All others have enough.
-func (l *Ledger) Constrained(now time.Time) map[string]AccountState {
+// ConstrainedStates returns the states of the teams whose limits may bind. All others have enough.
+func (l *Ledger) ConstrainedStates(now time.Time) map[string]AccountState {
 	var out map[string]AccountState
 	for name, a := range l.accounts {
 		s := AccountState{Level: a.bucket.Level(now), Demand: a.demand.perSecond(now)}
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -237,7 +237,7 @@
 	admitted, refused := s.UnreportedUsage(now)
 	c.ledger.AddUsage("team", admitted, refused, now)
 	s.ConfirmReport()
-	state, constrained := c.ledger.Constrained(now)["team"]
+	state, constrained := c.ledger.ConstrainedStates(now)["team"]
 	s.SetState(state, constrained, now, now.Add(1500*time.Millisecond))
 }
 
--- a/node/command/audit.go
+++ b/node/command/audit.go
@@ -31,8 +31,8 @@
 	minLeaseLeft = 3 * time.Second
 )
 
-// AuditLease is the name of the archiver's lease.
-const AuditLease = "audit-archive"
+// ArchiverLeaseName is the name of the archiver's lease.
+const ArchiverLeaseName = "audit-archive"
 
 // Archiver moves old audit entries from the table to the object store, while this
 // process holds the lease AuditLease.
--- a/node/coordinator/accounts.go
+++ b/node/coordinator/accounts.go
@@ -103,7 +103,7 @@
 		return
 	}
 	out.CountsTeams = true
-	for name, s := range a.ledger.Constrained(now) {
+	for name, s := range a.ledger.ConstrainedStates(now) {
 		out.Teams = append(out.Teams, &coordpb.TeamStanding{Team: name, Level: int64(s.Level), Asked: uint64(s.Demand)})
 	}
 }
--- a/node/coordinator/permitclient.go
+++ b/node/coordinator/permitclient.go
@@ -315,7 +315,7 @@
 	default:
 		return &gate.Permit{Reason: balance.ReasonFromCode(answer.Reason), AdapterUpstream: answer.Home, RetryAfter: milliseconds(answer.WaitMs)}, nil
 	}
-	return &gate.Permit{Upstream: answer.Upstream, Predicted: milliseconds(answer.PredictedMs),
+	return &gate.Permit{Upstream: answer.Upstream, PredictedWait: milliseconds(answer.PredictedMs),
 		InFlight: int(answer.Load), PendingPromptTokens: int(answer.Waiting), CachedTokens: int(answer.Cached), WithinLimit: answer.WithinLimit, IsProbe: answer.Trial,
 		Began:        func() { _ = c.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_FIRST}) },
 		NotListening: func() { _ = c.send(st, &coordpb.TurnEvent{Id: e.Id, Kind: coordpb.TurnEvent_ABSENT}) },
--- a/node/fleet/entry.go
+++ b/node/fleet/entry.go
@@ -451,7 +451,7 @@
 	switch e.health.Status(now) {
 	case health.Down:
 		out.Down = true
-	case health.Trial:
+	case health.HalfOpen:
 		out.HalfOpen, out.ProbeInFlight = true, e.health.IsAwaitingBytes()
 	}
 	out.Backoff = e.backoffLocked(now)
--- a/node/gate/answer_test.go
+++ b/node/gate/answer_test.go
@@ -99,7 +99,7 @@
 	for range 20 {
 		g, _ := newGate(&noModelCoordinator{}, up.Listener.Addr().String())
 		stopping, stop := context.WithCancel(t.Context())
-		g.deps.Stopping = stopping
+		g.deps.StopContext = stopping
 		host := startHost(t, g)
 		c := post(t, host, 10, "half")
 		time.AfterFunc(20*time.Millisecond, stop)
--- a/node/gate/draining.go
+++ b/node/gate/draining.go
@@ -13,7 +13,7 @@
 // limitHold limits a hold, counted from the request's start, to what a stopping host
 // allows. Responses that have started are exempt: cutting them off would gain nothing.
 func (q *request) limitHold(hold time.Duration) time.Duration {
-	if q.g.deps.HoldsLimited.Err() == nil || q.started {
+	if q.g.deps.HoldLimitContext.Err() == nil || q.started {
 		return hold
 	}
 	return min(hold, drainingMaxHold)
@@ -25,7 +25,7 @@
 	if q.started {
 		return func() bool { return true }
 	}
-	return context.AfterFunc(q.g.deps.HoldsLimited, func() {
+	return context.AfterFunc(q.g.deps.HoldLimitContext, func() {
 		time.AfterFunc(q.start.Add(drainingMaxHold).Sub(q.g.deps.Now()), cancel)
 	})
 }
--- a/node/gate/draining_test.go
+++ b/node/gate/draining_test.go
@@ -42,7 +42,7 @@
 				g, _ := newGate(c.models, "")
 				changeRoute(g, func(r *deploy.Route) { r.Timeout, r.Objective = 20*time.Second, 10*time.Second })
 				holdsLimited, limitHolds := context.WithCancel(t.Context())
-				g.deps.HoldsLimited = holdsLimited
+				g.deps.HoldLimitContext = holdsLimited
 				g.deps.Draining = func() bool { return holdsLimited.Err() != nil }
 				time.AfterFunc(c.stopAt, limitHolds)
 				time.Sleep(time.Nanosecond) // lets a stop at 0 happen first
--- a/node/gate/gate.go
+++ b/node/gate/gate.go
@@ -79,10 +79,10 @@
 	// HoldsLimited is done soon after Draining becomes true: from then on requests are
 	// held only briefly, so that those already sent can finish within the grace
 	// period. nil: never.
-	HoldsLimited context.Context
+	HoldLimitContext context.Context
 	// Stopping is done when the process is about to end: requests in flight then get
 	// their final response at once. nil: never.
-	Stopping context.Context
+	StopContext context.Context
 	// DisconnectReason returns how the connection of a request ended, given the
 	// request's context; "": it is open, or the reason is not known. It is only logged.
 	DisconnectReason func(context.Context) string
@@ -104,7 +104,7 @@
 	if d.DisconnectReason == nil {
 		d.DisconnectReason = func(context.Context) string { return "" }
 	}
-	for _, c := range []*context.Context{&d.HoldsLimited, &d.Stopping} {
+	for _, c := range []*context.Context{&d.HoldLimitContext, &d.StopContext} {
 		if *c == nil {
 			*c = context.Background()
 		}
@@ -126,10 +126,10 @@
 	defer cancel()
 	defer q.refundCharge()
 	ctx, stop := context.WithCancelCause(ctx)
-	if g.deps.Stopping.Err() != nil {
+	if g.deps.StopContext.Err() != nil {
 		stop(errStopping) // before anything is sent
 	}
-	defer context.AfterFunc(g.deps.Stopping, func() { stop(errStopping) })()
+	defer context.AfterFunc(g.deps.StopContext, func() { stop(errStopping) })()
 	rc := http.NewResponseController(w)
 	_ = rc.SetWriteDeadline(q.deadline.Add(writeGrace)) // a caller that does not read must not hold up the request
 	defer func() { _ = rc.SetWriteDeadline(time.Time{}) }()
@@ -280,7 +280,7 @@
 	}
 	body, err := q.readBody(maxBytes + 1)
 	switch {
-	case q.g.deps.Stopping.Err() != nil:
+	case q.g.deps.StopContext.Err() != nil:
 		q.w.Header().Set("Connection", "close")
 		q.refuse("stopping", stopRetry)
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -302,7 +302,7 @@
 	rc := http.NewResponseController(q.w)
 	_ = rc.SetReadDeadline(q.deadline)
 	deadlineSet := make(chan struct{})
-	stop := context.AfterFunc(q.g.deps.Stopping, func() {
+	stop := context.AfterFunc(q.g.deps.StopContext, func() {
 		defer close(deadlineSet)
 		_ = rc.SetReadDeadline(time.Unix(1, 0))
 	})
--- a/node/gate/log_test.go
+++ b/node/gate/log_test.go
@@ -122,7 +122,7 @@
 		<-r.Context().Done()
 	})
 	stopping, stop := context.WithCancel(context.Background())
-	g.deps.Stopping = stopping
+	g.deps.StopContext = stopping
 	send(t, address, "GET / HTTP/1.1\r\nHost: example.com\r\n\r\n")
 	<-reached
 	stop()
--- a/node/gate/permit.go
+++ b/node/gate/permit.go
@@ -39,7 +39,7 @@
 	Upstream            string        // "": none; see Reason
 	Reason              balance.Reason
 	AdapterUpstream     string // where an adapter should be loaded
-	Predicted           time.Duration
+	PredictedWait       time.Duration
 	InFlight            int
 	PendingPromptTokens int
 	CachedTokens        int
@@ -93,7 +93,7 @@
 		permit.Release() // what this host knows is newer
 		return nil, selection{}, false
 	}
-	p = selection{Decision: balance.Decision{PredictedWait: permit.Predicted}, candidates: len(d.Fleet.EntriesOfService(q.service.Name)),
+	p = selection{Decision: balance.Decision{PredictedWait: permit.PredictedWait}, candidates: len(d.Fleet.EntriesOfService(q.service.Name)),
 		inFlight: permit.InFlight, pendingPromptTokens: permit.PendingPromptTokens, cachedTokens: permit.CachedTokens, permit: permit}
 	d.Log.Emit(event.PermitGranted, q.id(), zap.String(event.FieldPeer, permit.Upstream), zap.Int64("waited_ms", d.Now().Sub(now).Milliseconds()),
 		zap.Int("load", permit.InFlight), zap.Int("waiting", permit.PendingPromptTokens), zap.Int("cached", permit.CachedTokens))
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -92,7 +92,7 @@
 	h.guard = quarantine.NewGuard(quarantine.GuardDeps{Connected: h.link.Linked, Log: d.Log, Metrics: d.Metrics})
 	h.link.Quarantine = h.guard
 	h.crashes = quarantine.NewCrashDetector(quarantine.CrashDetectorDeps{NotListening: d.Client.NotListening, OnCrash: h.recordCrash, Log: d.Log, Metrics: d.Metrics})
-	h.gate = gate.New(gate.Deps{HoldsLimited: released, Stopping: aborted, Config: h.config, Fleet: h.fleet, Client: d.Client, Codec: d.Platform.Codec, Coordinator: h.link, TeamLimits: h.link, CrashRecorder: h.crashes, PoisonGuard: h.guard,
+	h.gate = gate.New(gate.Deps{HoldLimitContext: released, StopContext: aborted, Config: h.config, Fleet: h.fleet, Client: d.Client, Codec: d.Platform.Codec, Coordinator: h.link, TeamLimits: h.link, CrashRecorder: h.crashes, PoisonGuard: h.guard,
 		RetryBudget: gate.NewRetryBudget(policy, h.link.Hosts), Log: d.Log, Metrics: d.Metrics, Draining: h.draining.Load, RejectsNew: h.closing.Load, DisconnectReason: disconnectReason})
 	h.limitMemory()
 	return h, h.listen()
--- a/node/planner/planner.go
+++ b/node/planner/planner.go
@@ -41,9 +41,9 @@
 // ObservedReport is the newest report of an upstream, with the time at which this
 // host read it.
 type ObservedReport struct {
-	Report engineapi.Report
-	Read   time.Time
-	Down   bool // for long enough that more than one report is missing
+	Report       engineapi.Report
+	Read         time.Time
+	Disconnected bool // for long enough that more than one report is missing
 }
 
 // Inputs provides what the planner reads apart from the platform's services. The
--- a/node/planner/reports.go
+++ b/node/planner/reports.go
@@ -86,7 +86,7 @@
 		s.reportCount++
 	}
 	s.draining = s.draining || o.Report.Draining // never undone within an incarnation
-	s.down = o.Down
+	s.down = o.Disconnected
 	p.upstreams[o.Report.Upstream] = s
 }
 
--- a/node/query/config_test.go
+++ b/node/query/config_test.go
@@ -313,7 +313,7 @@
 			s.use(t, []string{"peak", "ordinary"}[v%2])
 		}
 		ctx, stop := context.WithCancel(t.Context())
-		role := lease.New(lease.Config{Name: command.AuditLease}, lease.Deps{Table: s.table})
+		role := lease.New(lease.Config{Name: command.ArchiverLeaseName}, lease.Deps{Table: s.table})
 		archiver := command.NewArchiver(command.Deps{Table: s.table, Objects: s.objects}, role)
 		moved, err := archiver.ArchiveNext(ctx)
 		assert.Assert(t, err == nil && !moved, "without the lease nothing moves")
--- a/node/server/planning.go
+++ b/node/server/planning.go
@@ -42,7 +42,7 @@
 func (p plannerInputs) Reports() []planner.ObservedReport {
 	var out []planner.ObservedReport
 	for _, r := range p.s.view.Reports(p.pool) {
-		out = append(out, planner.ObservedReport{Report: r.Report, Read: r.Read, Down: r.Disconnected})
+		out = append(out, planner.ObservedReport{Report: r.Report, Read: r.Read, Disconnected: r.Disconnected})
 	}
 	return out
 }
--- a/node/server/roles.go
+++ b/node/server/roles.go
@@ -91,7 +91,7 @@
 			}
 		}
 	}
-	wanted[command.AuditLease] = func() *role { return s.startArchiver(ctx) }
+	wanted[command.ArchiverLeaseName] = func() *role { return s.startArchiver(ctx) }
 	wanted[nodeclaim.SweeperLeaseName] = func() *role { return s.startSweeper(ctx) }
 	campaigns := s.campaignFilter(live)
 	for name := range wanted {
@@ -164,7 +164,7 @@
 
 func (s *Server) startArchiver(ctx context.Context) *role {
 	deps := command.Deps{Table: s.cfg.Platform.Table, Objects: s.cfg.Platform.Objects, Log: s.log}
-	return s.startRole(ctx, command.AuditLease, func(l *lease.Lease, _ *role) func(context.Context) error {
+	return s.startRole(ctx, command.ArchiverLeaseName, func(l *lease.Lease, _ *role) func(context.Context) error {
 		return command.NewArchiver(deps, l).Run
 	})
 }
