--- a/standin/claimbench/bench.go
+++ b/standin/claimbench/bench.go
@@ -181,10 +181,10 @@
 	grant, _, err := s.Claim(ctx, claim.Request{Team: "bench", Key: key, BodyHash: "b", Deadline: start.Add(requestDeadline),
 		Route: coreclaim.Route{Upstream: "u", Incarnation: "i", Attempt: fmt.Sprint(key, repeat)}})
 	if grant == nil {
-		b.refused(err)
+		b.recordRefusal(err)
 		return
 	}
-	b.granted(key, start)
+	b.recordGrant(key, start)
 	time.Sleep(time.Duration((0.5 + rand.Float64()) * float64(b.cfg.MeanExecution)))
 	completeStart := time.Now()
 	_ = grant.Complete(ctx, claim.Answer{Status: 200, Body: []byte(`{"stored":true}`)})
@@ -194,9 +194,9 @@
 	b.report.Completed++
 }
 
-// granted records a granted claim, and the recovery after a kill if it is the first one that
+// recordGrant records a granted claim, and the recovery after a kill if it is the first one that
 // the successor of the dead writer took.
-func (b *bench) granted(key string, start time.Time) {
+func (b *bench) recordGrant(key string, start time.Time) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -208,8 +208,8 @@
 	}
 }
 
-// refused counts a claim that was not granted.
-func (b *bench) refused(err error) {
+// recordRefusal counts a claim that was not granted.
+func (b *bench) recordRefusal(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if isStoreDown(err) {
--- a/standin/compare/compare.go
+++ b/standin/compare/compare.go
@@ -37,7 +37,7 @@
 	small     bool
 }
 
-func (p *Run) key() key { return key{p.Site, p.Day, p.Seed, p.SmallTwin} }
+func (r *Run) key() key { return key{r.Site, r.Day, r.Seed, r.SmallTwin} }
 
 // Pair is one day run with both variants.
 type Pair struct{ Before, After Run }
@@ -46,16 +46,16 @@
 // given, and counts the runs without a counterpart.
 func MatchPairs(before, after []Run) (pairs []Pair, unpaired int) {
 	unmatched := map[key][]Run{}
-	for _, p := range before {
-		unmatched[p.key()] = append(unmatched[p.key()], p)
+	for _, r := range before {
+		unmatched[r.key()] = append(unmatched[r.key()], r)
 	}
-	for _, p := range after {
-		all := unmatched[p.key()]
+	for _, r := range after {
+		all := unmatched[r.key()]
 		if len(all) == 0 {
 			unpaired++
 			continue
 		}
-		pairs, unmatched[p.key()] = append(pairs, Pair{all[0], p}), all[1:]
+		pairs, unmatched[r.key()] = append(pairs, Pair{all[0], r}), all[1:]
 	}
 	for _, all := range unmatched {
 		unpaired += len(all)
--- a/standin/compare/journal.go
+++ b/standin/compare/journal.go
@@ -13,17 +13,17 @@
 
 // entry is one file of the journal, with the fields that a comparison uses.
 type entry struct {
-	ID      string     `json:"id"`
-	Head    string     `json:"head"`  // commit
-	Dirty   bool       `json:"dirty"` // its sources differed from those of the commit
-	Sources []sources  `json:"policy"`
-	Edited  bool       `json:"edited_meanwhile"`
-	Site    string     `json:"site"` // "": the run has not finished
-	Days    []entryDay `json:"days"`
+	ID      string      `json:"id"`
+	Head    string      `json:"head"`  // commit
+	Dirty   bool        `json:"dirty"` // its sources differed from those of the commit
+	Sources []sourceSet `json:"policy"`
+	Edited  bool        `json:"edited_meanwhile"`
+	Site    string      `json:"site"` // "": the run has not finished
+	Days    []entryDay  `json:"days"`
 }
 
-// sources are files with the policy that an entry ran.
-type sources struct {
+// sourceSet are files with the policy that an entry ran.
+type sourceSet struct {
 	Digest string `json:"sha256"`
 }
 
@@ -43,28 +43,28 @@
 
 // entryDay is one day of an entry.
 type entryDay struct {
-	Worth   float64      `json:"G"`
-	Name    string       `json:"name"`
-	Day     string       `json:"day"`
-	Seed    int64        `json:"seed"`
-	Small   *bool        `json:"small_twin"`
-	Served  float64      `json:"served"`
-	Refused float64      `json:"refused"`
-	Failed  float64      `json:"failed"`
-	Parts   []namedParts `json:"parts"`
-	Prices  []namedParts `json:"prices"`
-	ByClass []*float64   `json:"by_class"`
+	Worth   float64     `json:"G"`
+	Name    string      `json:"name"`
+	Day     string      `json:"day"`
+	Seed    int64       `json:"seed"`
+	Small   *bool       `json:"small_twin"`
+	Served  float64     `json:"served"`
+	Refused float64     `json:"refused"`
+	Failed  float64     `json:"failed"`
+	Parts   []namedPart `json:"parts"`
+	Prices  []namedPart `json:"prices"`
+	ByClass []*float64  `json:"by_class"`
 }
 
-// namedParts is a name and a value. In the journal it is an array of the name, an amount,
+// namedPart is a name and a value. In the journal it is an array of the name, an amount,
 // which is not kept, and the value.
-type namedParts struct {
+type namedPart struct {
 	Name  string
 	Value float64
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (n *namedParts) UnmarshalJSON(data []byte) error {
+func (n *namedPart) UnmarshalJSON(data []byte) error {
 	var amount float64
 	return json.Unmarshal(data, &[]any{&n.Name, &amount, &n.Value})
 }
--- a/standin/engine/attempt.go
+++ b/standin/engine/attempt.go
@@ -22,8 +22,8 @@
 	outcomeBlocked // a host asked for it before its request arrived: it must never run
 )
 
-func (f outcome) state() engineapi.AttemptState {
-	switch f {
+func (o outcome) state() engineapi.AttemptState {
+	switch o {
 	case outcomeCompleted:
 		return engineapi.AttemptCompleted
 	case outcomeCancelled, outcomeTerminated:
@@ -104,13 +104,13 @@
 
 // end records how the attempt ended. It returns false when the attempt had ended
 // before.
-func (a *attempt) end(f outcome) bool {
+func (a *attempt) end(o outcome) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.outcome != outcomeRunning {
 		return false
 	}
-	a.outcome = f
+	a.outcome = o
 	if a.abandonTimer != nil {
 		a.abandonTimer.Stop()
 	}
@@ -151,7 +151,7 @@
 
 // position returns how many events can be written now: the tokens so far, and the
 // end marker once the attempt is complete.
-func (a *attempt) position() (events int, f outcome) {
+func (a *attempt) position() (events int, o outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.outcome == outcomeCompleted {
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -179,7 +179,7 @@
 		e.abandon(a, reader)
 		return
 	}
-	if _, f := a.position(); f != outcomeCompleted {
+	if _, o := a.position(); o != outcomeCompleted {
 		panic(http.ErrAbortHandler) // cancelled or terminated: the connection breaks, as with a real engine
 	}
 	source := e.answerSource(a)
@@ -203,8 +203,8 @@
 }
 
 // finish ends an attempt and adds its record. The caller holds mu.
-func (e *Engine) finish(a *attempt, f outcome) {
-	if a.done == nil || !a.end(f) {
+func (e *Engine) finish(a *attempt, o outcome) {
+	if a.done == nil || !a.end(o) {
 		return
 	}
 	if a.started.IsZero() {
--- a/standin/engine/outcome.go
+++ b/standin/engine/outcome.go
@@ -29,9 +29,9 @@
 func blockedAttempt(id string) *attempt { return &attempt{id: id, outcome: outcomeBlocked} }
 
 func (a *attempt) describe(incarnation string) engineapi.Attempt {
-	events, f := a.position()
-	d := engineapi.Attempt{ID: a.id, State: f.state(), Position: events, Incarnation: incarnation}
-	if f == outcomeCompleted {
+	events, o := a.position()
+	d := engineapi.Attempt{ID: a.id, State: o.state(), Position: events, Incarnation: incarnation}
+	if o == outcomeCompleted {
 		d.Status = http.StatusOK
 		d.ContentType = "text/event-stream"
 		if !a.stream {
@@ -72,9 +72,9 @@
 		writeJSON(w, http.StatusNotFound, map[string]string{"error": "no such stream or position"})
 		return
 	}
-	if _, f := a.position(); f != outcomeRunning && f != outcomeCompleted {
+	if _, o := a.position(); o != outcomeRunning && o != outcomeCompleted {
 		e.setHeaders(w.Header())
-		writeJSON(w, http.StatusGone, map[string]string{"error": "attempt ended: " + string(f.state())})
+		writeJSON(w, http.StatusGone, map[string]string{"error": "attempt ended: " + string(o.state())})
 		return
 	}
 	e.stream(w, r, a, a.attach(), after)
--- a/standin/engine/prefix.go
+++ b/standin/engine/prefix.go
@@ -30,17 +30,17 @@
 
 // touch reports whether key was cached, caches it, and returns the key that was
 // evicted for it; 0: none.
-func (c *prefixCache) touch(key uint64) (hit bool, displaced uint64) {
+func (c *prefixCache) touch(key uint64) (hit bool, evicted uint64) {
 	if el, ok := c.byKey[key]; ok {
 		c.order.MoveToFront(el)
 		return true, 0
 	}
 	c.byKey[key] = c.order.PushFront(key)
 	if c.order.Len() > c.slots {
-		displaced = c.order.Remove(c.order.Back()).(uint64)
-		delete(c.byKey, displaced)
+		evicted = c.order.Remove(c.order.Back()).(uint64)
+		delete(c.byKey, evicted)
 	}
-	return false, displaced
+	return false, evicted
 }
 
 // prefillTokens returns how many tokens of the prompt must be computed. The caller
@@ -52,9 +52,9 @@
 	if a.prefix == 0 || e.prefixes.slots == 0 {
 		return a.promptTokens
 	}
-	hit, displaced := e.prefixes.touch(a.prefix)
-	if displaced != 0 {
-		e.publishCacheEvent(displaced, false)
+	hit, evicted := e.prefixes.touch(a.prefix)
+	if evicted != 0 {
+		e.publishCacheEvent(evicted, false)
 	}
 	if !hit {
 		e.publishCacheEvent(a.prefix, true)
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -70,16 +70,16 @@
 	out := e.newStreamWriter(w, a, after)
 	defer out.close()
 	for {
-		events, f := a.position()
+		events, o := a.position()
 		if !out.writeUpTo(events) {
 			return
 		}
 		switch {
 		case out.pos > a.answer.Tokens:
 			return
-		case f != outcomeRunning && f != outcomeCompleted:
+		case o != outcomeRunning && o != outcomeCompleted:
 			panic(http.ErrAbortHandler) // cancelled or terminated: the stream breaks off without its end marker
-		case f == outcomeCompleted:
+		case o == outcomeCompleted:
 			continue
 		}
 		select {
--- a/standin/load/run.go
+++ b/standin/load/run.go
@@ -103,14 +103,14 @@
 func (r *runner) run(ctx context.Context) {
 	r.start = time.Now()
 	var calls sync.WaitGroup
-	shown := r.start
+	lastProgress := r.start
 	for i, a := range r.cfg.Plan {
 		intended := r.start.Add(a.Offset)
 		if wait := time.Until(intended); wait > 0 && !sleep(ctx, wait) {
 			break
 		}
-		if now := time.Now(); r.cfg.Progress != nil && now.Sub(shown) >= time.Second {
-			shown = now
+		if now := time.Now(); r.cfg.Progress != nil && now.Sub(lastProgress) >= time.Second {
+			lastProgress = now
 			r.cfg.Progress(Progress{now.Sub(r.start), i, int(r.finished.Load()), int(r.metDeadline.Load())})
 		}
 		v := &Invocation{Arrival: a, Intended: intended}
--- a/standin/local/fleet.go
+++ b/standin/local/fleet.go
@@ -242,7 +242,7 @@
 		c.Teams = append(c.Teams, config.Team{Name: name, KeyHashes: []string{keyHash(name)}, Models: []string{config.Wildcard},
 			Weight: 1, Limits: config.TeamLimits{RequestsPerSecond: 500, Concurrent: 500}})
 	}
-	for i, s := range f.upstreams.list {
+	for i, u := range f.upstreams.list {
 		pool := fmt.Sprintf("pool-%02d", i/upstreamsPerPool)
 		if i%upstreamsPerPool == 0 {
 			c.Pools = append(c.Pools, config.Pool{Name: pool, Kind: config.KindEngine})
@@ -250,7 +250,7 @@
 				c.Models = append(c.Models, config.Model{Name: m, Pool: pool, Version: "1", MemoryMB: residentMB, MinReplicas: 1, InitialReplicas: 1, TokensPerSecond: 40})
 			}
 		}
-		c.Upstreams = append(c.Upstreams, config.Upstream{Name: s.Name, Pool: pool, Address: s.ln.Addr().String(), DataCentre: fleetDC(i),
+		c.Upstreams = append(c.Upstreams, config.Upstream{Name: u.Name, Pool: pool, Address: u.ln.Addr().String(), DataCentre: fleetDC(i),
 			Accelerators: 4, MemoryMB: 80_000, MaxBatch: 16, Fencing: config.FencingChecked})
 	}
 	return c
--- a/standin/local/fleetrun.go
+++ b/standin/local/fleetrun.go
@@ -94,9 +94,9 @@
 func (f *Fleet) measureDraining(ctx context.Context, r *FleetReport) error {
 	var all []time.Duration
 	for i := range f.opt.ChangeCount {
-		src := f.upstreams.list[(i*97+13)%len(f.upstreams.list)]
-		src.draining.Store(true)
-		all = append(all, f.awaitEach(ctx, f.liveNodes(), func(n *Node) bool { return n.IsUpstreamDraining(src.Name) })...)
+		u := f.upstreams.list[(i*97+13)%len(f.upstreams.list)]
+		u.draining.Store(true)
+		all = append(all, f.awaitEach(ctx, f.liveNodes(), func(n *Node) bool { return n.IsUpstreamDraining(u.Name) })...)
 	}
 	r.DrainingKnown = quantiles(all)
 	f.opt.Progress("leaving upstream known: p50 %.0f ms, p99 %.0f ms, max %.0f ms", r.DrainingKnown.P50, r.DrainingKnown.P99, r.DrainingKnown.Max)
--- a/standin/local/killswitch.go
+++ b/standin/local/killswitch.go
@@ -72,9 +72,9 @@
 		_ = c.Close()
 		return nil, store.ErrUnavailable
 	}
-	gc := &killableConn{Conn: c, killSwitch: k}
+	kc := &killableConn{Conn: c, killSwitch: k}
 	k.conns[c] = struct{}{}
-	return gc, nil
+	return kc, nil
 }
 
 type killableConn struct {
--- a/standin/local/reportonly.go
+++ b/standin/local/reportonly.go
@@ -42,32 +42,32 @@
 			s.Close()
 			return nil, err
 		}
-		src := &ReportOnlyUpstream{Name: fmt.Sprintf("up-%04d", i), ln: ln}
-		src.report = engineapi.Report{Upstream: src.Name, Incarnation: src.Name + "-1", Role: "serve", MaxBatch: 16, MemoryMB: 80_000,
+		u := &ReportOnlyUpstream{Name: fmt.Sprintf("up-%04d", i), ln: ln}
+		u.report = engineapi.Report{Upstream: u.Name, Incarnation: u.Name + "-1", Role: "serve", MaxBatch: 16, MemoryMB: 80_000,
 			Residents: residents(i)}
-		for _, r := range src.report.Residents {
-			src.report.UsedMB += r.MemoryMB
+		for _, r := range u.report.Residents {
+			u.report.UsedMB += r.MemoryMB
 		}
 		mux := http.NewServeMux()
-		src.report.Digest = engineapi.ResidentsDigest(src.report.Residents)
-		mux.HandleFunc("GET "+engineapi.PathReport, func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, src) })
+		u.report.Digest = engineapi.ResidentsDigest(u.report.Residents)
+		mux.HandleFunc("GET "+engineapi.PathReport, func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, u) })
 		mux.HandleFunc("GET "+engineapi.PathEvents, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("[]")) })
-		src.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute}
-		go func() { _ = src.server.Serve(ln) }() // ends with Close
-		s.list = append(s.list, src)
-		s.byAddress[ln.Addr().String()] = src
+		u.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute}
+		go func() { _ = u.server.Serve(ln) }() // ends with Close
+		s.list = append(s.list, u)
+		s.byAddress[ln.Addr().String()] = u
 	}
 	return s, nil
 }
 
-func (s *ReportOnlyUpstreams) serve(w http.ResponseWriter, r *http.Request, src *ReportOnlyUpstream) {
-	src.reportsServed.Add(1)
-	src.mu.Lock()
-	src.report.Sequence++
-	src.report.TakenMs = time.Since(s.startedAt).Milliseconds()
-	src.report.Draining = src.draining.Load()
-	data, err := json.Marshal(src.report.Compact(r.URL.Query().Get(engineapi.ParamResidents)))
-	src.mu.Unlock()
+func (s *ReportOnlyUpstreams) serve(w http.ResponseWriter, r *http.Request, u *ReportOnlyUpstream) {
+	u.reportsServed.Add(1)
+	u.mu.Lock()
+	u.report.Sequence++
+	u.report.TakenMs = time.Since(s.startedAt).Milliseconds()
+	u.report.Draining = u.draining.Load()
+	data, err := json.Marshal(u.report.Compact(r.URL.Query().Get(engineapi.ParamResidents)))
+	u.mu.Unlock()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -78,15 +78,15 @@
 // ReportsServed returns the number of reports that all upstreams have served so far.
 func (s *ReportOnlyUpstreams) ReportsServed() int64 {
 	var n int64
-	for _, src := range s.list {
-		n += src.reportsServed.Load()
+	for _, u := range s.list {
+		n += u.reportsServed.Load()
 	}
 	return n
 }
 
 // Close stops all upstreams.
 func (s *ReportOnlyUpstreams) Close() {
-	for _, src := range s.list {
-		_ = src.server.Shutdown(context.Background())
+	for _, u := range s.list {
+		_ = u.server.Shutdown(context.Background())
 	}
 }
--- a/standin/local/standinserver.go
+++ b/standin/local/standinserver.go
@@ -74,14 +74,14 @@
 		_ = ln.Close()
 		return nil, err
 	}
-	o := &StandInServer{StandIns: in, site: opt.Site, watchersDone: make(chan struct{}), truthRequests: make(chan chan site.GroundTruth)}
-	if err := o.prepare(ctx, dir, "http://"+ln.Addr().String(), opt.Hosts); err != nil {
+	s := &StandInServer{StandIns: in, site: opt.Site, watchersDone: make(chan struct{}), truthRequests: make(chan chan site.GroundTruth)}
+	if err := s.prepare(ctx, dir, "http://"+ln.Addr().String(), opt.Hosts); err != nil {
 		_ = ln.Close()
 		in.Upstreams.Close()
 		return nil, err
 	}
-	o.serve(ctx, ln)
-	return o, nil
+	s.serve(ctx, ln)
+	return s, nil
 }
 
 // serve starts the platform's services and the monitors of hosts and upstreams.
--- a/standin/site/scenario.go
+++ b/standin/site/scenario.go
@@ -51,8 +51,8 @@
 // at once.
 const AllScenarios = "all"
 
-// allScenarios are the scenarios that AllScenarios combines.
-var allScenarios = []string{"kill", "store", "answers", "silent", "crossed"}
+// combinedScenarios are the scenarios that AllScenarios combines.
+var combinedScenarios = []string{"kill", "store", "answers", "silent", "crossed"}
 
 // Scenarios returns the names that FindScenario accepts.
 func Scenarios() []string { return append(slices.Sorted(maps.Keys(scenarios())), AllScenarios) }
@@ -63,7 +63,7 @@
 	out := Scenario{Name: name}
 	known := scenarios()
 	if name == AllScenarios {
-		name = strings.Join(allScenarios, "+")
+		name = strings.Join(combinedScenarios, "+")
 	}
 	for _, part := range strings.Split(name, "+") {
 		steps, ok := known[part]
