--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -98,7 +98,8 @@
 	e.spawn(func() { e.load(r, incarnationEnded) })
 }
 
-// load waits for the admission by the weight store, then for the weights.
+// load waits until the weight store admits the load, and then for as long as the
+// weights take to load.
 func (e *Engine) load(r *resident, incarnationEnded chan struct{}) {
 	if e.cfg.Weights != nil {
 		defer func() { _ = e.cfg.Weights.ReleaseLoad(context.Background(), r.loadName) }() // when the call is lost, the admission expires at the store
@@ -119,6 +120,8 @@
 	}
 }
 
+// awaitAdmission returns false when the incarnation or the engine ended before the
+// weight store admitted the load.
 func (e *Engine) awaitAdmission(load string, incarnationEnded chan struct{}) bool {
 	for {
 		wait, err := e.cfg.Weights.AcquireLoad(e.ctx, load)
--- a/standin/engine/orders_test.go
+++ b/standin/engine/orders_test.go
@@ -146,7 +146,7 @@
 	})
 }
 
-// A report must never be taken for the current state: it is as old as the
+// A report must never be treated as the current state: it is as old as the
 // configured lag, however often it is read.
 func TestReportsLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/standin/engine/resident.go
+++ b/standin/engine/resident.go
@@ -13,7 +13,7 @@
 	key      route.ModelKey
 	version  string
 	memoryMB int
-	op       string
+	op       string // id of the order that loaded it
 	loadName string // of its load at the weight store
 	state    engineapi.ModelState
 	users    int  // attempts that wait or run on it
