--- a/standin/local/fleetrun.go
+++ b/standin/local/fleetrun.go
@@ -99,7 +99,7 @@
 		all = append(all, f.awaitEach(ctx, f.liveNodes(), func(n *Node) bool { return n.IsUpstreamDraining(u.Name) })...)
 	}
 	r.DrainingKnown = quantiles(all)
-	f.opt.Progress("leaving upstream known: p50 %.0f ms, p99 %.0f ms, max %.0f ms", r.DrainingKnown.P50, r.DrainingKnown.P99, r.DrainingKnown.Max)
+	f.opt.Progress("draining upstream known: p50 %.0f ms, p99 %.0f ms, max %.0f ms", r.DrainingKnown.P50, r.DrainingKnown.P99, r.DrainingKnown.Max)
 	return nil
 }
 
--- a/standin/local/ready.go
+++ b/standin/local/ready.go
@@ -9,7 +9,7 @@
 )
 
 // hostReadyInterval is the interval at which ReadyBalancer asks each host whether it is
-// ready. Hosts continue to serve for longer than that after they report "not ready".
+// ready. Hosts continue to serve for longer than this after they report "not ready".
 const hostReadyInterval = 200 * time.Millisecond
 
 // ReadyBalancer is a balancer over the hosts of a layout that report themselves ready.
--- a/standin/local/standinserver.go
+++ b/standin/local/standinserver.go
@@ -173,11 +173,11 @@
 func ReadRecords(ctx context.Context, standIns string) (*Records, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, standIns+RecordsPath, nil)
 	if err != nil {
-		return nil, eris.Wrap(err, "ask for records")
+		return nil, eris.Wrap(err, "request the stand-ins' records")
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, eris.Wrap(err, "ask for records")
+		return nil, eris.Wrap(err, "request the stand-ins' records")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
