--- a/standin/site/scenario.go
+++ b/standin/site/scenario.go
@@ -94,7 +94,7 @@
 	return done
 }
 
-// orderDelay is the delay of a late order: longer than a planner waits for an answer,
+// orderDelay is the delay of a delayed or duplicated order: longer than a planner waits for an answer,
 // but within the bound that the site states.
 const orderDelay = 8 * time.Second
 
@@ -103,8 +103,8 @@
 		"none": nil,
 		"orders": {
 			{0.05, "the next order to each engine is lost", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].DropOrders(1) })},
-			{0.25, "the next order to each engine is late", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].DelayOrders(1, orderDelay) })},
-			{0.50, "the next order to each engine is doubled", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].DuplicateOrders(1, orderDelay) })},
+			{0.25, "the next order to each engine is delayed", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].DelayOrders(1, orderDelay) })},
+			{0.50, "the next order to each engine is duplicated", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].DuplicateOrders(1, orderDelay) })},
 			{0.70, "the answer to the next order to each engine is lost", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].LoseOrderAnswers(1) })},
 		},
 		"restart": {
@@ -112,23 +112,23 @@
 			{0.60, "engine 1 restarts with empty memory", forEngine(1, func(i int, t Targets) { t.Upstreams.Engines[i].Restart() })},
 		},
 		"leave": {
-			{0.40, "engine 0 leaves", forEngine(0, func(i int, t Targets) { t.Upstreams.Engines[i].Drain() })},
-			{0.70, "service 0 leaves", func(_ context.Context, t Targets, _ time.Duration) error {
+			{0.40, "engine 0 drains", forEngine(0, func(i int, t Targets) { t.Upstreams.Engines[i].Drain() })},
+			{0.70, "service 0 drains", func(_ context.Context, t Targets, _ time.Duration) error {
 				t.Upstreams.Services[0].Drain()
 				return nil
 			}},
 		},
 		"silent": {
-			{0.30, "open connections to engines 0 to 2 go silent", forEngine(2, func(i int, t Targets) { freezeEnginesUpTo(i, t) })},
-			{0.60, "open connections to all engines and services go silent", freezeAll},
+			{0.30, "open connections to engines 0 to 2 become unresponsive", forEngine(2, func(i int, t Targets) { freezeEnginesUpTo(i, t) })},
+			{0.60, "open connections to all engines and services become unresponsive", freezeAll},
 		},
 		"crossed": {
-			{0.20, "one answer in fifty is crossed", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].MismatchAnswers(0.02) })},
-			{0.80, "answers are no longer crossed", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].MismatchAnswers(0) })},
+			{0.20, "one answer in fifty is mismatched", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].MismatchAnswers(0.02) })},
+			{0.80, "answers are no longer mismatched", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].MismatchAnswers(0) })},
 		},
 		"cut": {
 			{0.20, "streams break after 20 events", forEachEngine(func(i int, t Targets) { t.Upstreams.Engines[i].CutStreamsAfter(20) })},
-			{0.50, "streams hold again; 20 answers of each service are lost", healStreamsLoseAnswers},
+			{0.50, "streams no longer break; 20 answers of each service are lost", healStreamsLoseAnswers},
 		},
 		"store":   {{0.30, "the store is down for 20 s", failStore}},
 		"answers": {{0, "one answer in twenty of the store is lost", loseStoreAnswers}},
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -118,7 +118,7 @@
 	return &s, s.validate()
 }
 
-// validate returns the faults because of which a run would not be what the file
+// validate returns the errors because of which a run would not be what the file
 // describes, such as names that the deployment doesn't have.
 func (s *Site) validate() error {
 	var errs []error
--- a/standin/site/upstreams.go
+++ b/standin/site/upstreams.go
@@ -17,7 +17,7 @@
 // StartOptions are the options of Site.Start.
 type StartOptions struct {
 	Seed    uint64
-	Weights engine.Weights // grants loads from the weight store; nil: loads need no grant
+	Weights engine.Weights // admits loads from the weight store; nil: loads need no admission
 	// Oracle makes every report current and immediate: what a policy reaches then is
 	// an upper bound of what it can reach with reports that lag.
 	Oracle bool
