--- a/standin/load/demand.go
+++ b/standin/load/demand.go
@@ -101,7 +101,7 @@
 // Source describes the calls of one team and kind.
 type Source struct {
 	Team        string
-	APIKey      string // API key
+	APIKey      string
 	Kind        Kind
 	Class       class.Class
 	Deadline    time.Duration // for the complete answer
--- a/standin/load/load_test.go
+++ b/standin/load/load_test.go
@@ -101,7 +101,7 @@
 	n     int
 }
 
-// Next implements load.Entries.
+// Next implements load.EntryBalancer.
 func (e *hostSequence) Next(string) (string, error) {
 	h := e.hosts[min(e.n, len(e.hosts)-1)]
 	e.n++
--- a/standin/load/result.go
+++ b/standin/load/result.go
@@ -85,8 +85,8 @@
 // ClassCounts holds the figures of one class.
 type ClassCounts struct {
 	Requests     int       `json:"requests"`
-	Met          int       `json:"met"`
-	Attainment   float64   `json:"attainment"`
+	Met          int       `json:"met"`        // answered completely within their deadline
+	Attainment   float64   `json:"attainment"` // share of the requests that were met
 	FirstTokenMs Quantiles `json:"first_token_ms"`
 	InterTokenMs Quantiles `json:"inter_token_ms"`
 	TotalMs      Quantiles `json:"total_ms"`
