--- a/standin/history/history.go
+++ b/standin/history/history.go
@@ -19,10 +19,10 @@
 type Invocation struct {
 	ID         string // unique
 	Key        string // idempotency key with its team; "": the request may be repeated
-	Start      int64  // of the history's clock
+	Start      int64  // by the history's logical clock
 	End        int64
 	Outcome    outcome.Outcome
-	Answer     string // of a completed one: its bytes or their hash
+	Answer     string // of a completed request: the answer's bytes or their hash
 	Unanswered bool   // no answer came
 	CallerGone bool   // the caller left or its connection broke; no answer was due
 	InProgress bool   // the answer was that another request with the key is in progress
@@ -112,10 +112,10 @@
 	InProgress      int `json:"in_progress"`
 	Lost            int `json:"lost"`       // no answer, although the caller had not left
 	Duplicated      int `json:"doubled"`    // executions of a key after the first
-	Truncated       int `json:"cut"`        // answered completed with only a beginning of the true answer
-	Mismatched      int `json:"crossed"`    // answered completed with an answer that no execution of it gave
-	FalseNotRun     int `json:"false_no"`   // answered not run although an upstream ran this invocation
-	FalseInProgress int `json:"false_busy"` // answered in progress after every other invocation had ended as not run
+	Truncated       int `json:"cut"`        // answered "completed" with only a beginning of the true answer
+	Mismatched      int `json:"crossed"`    // answered "completed" with an answer that no execution of the request gave
+	FalseNotRun     int `json:"false_no"`   // answered "not run" although an upstream ran this invocation
+	FalseInProgress int `json:"false_busy"` // answered "in progress" after every other invocation with the key had ended as not run
 }
 
 // Count returns the counts of the history.
