--- a/standin/service/call.go
+++ b/standin/service/call.go
@@ -21,7 +21,7 @@
 	id             string
 	forIncarnation string                 // incarnation that may run it; "": any
 	incarnationCtx context.Context        // of the incarnation that accepted it
-	slots          chan struct{}          // that incarnation's
+	slots          chan struct{}          // slots of that incarnation
 	onAnswer       func([]byte)           // returned by Config.OnExecution; nil: none
 	state          engineapi.AttemptState // AttemptUnseen: it must never run
 	body           []byte                 // answer of a completed call
@@ -97,7 +97,8 @@
 }
 
 // execute waits for a slot and runs the call. It continues after the caller has
-// disconnected, as a plain service does.
+// disconnected, as a plain service does. It returns false when the call was
+// cancelled or the incarnation ended.
 func (s *Service) execute(ctx context.Context, c *call, r *http.Request, body []byte) bool {
 	slots, incarnationCtx := c.slots, c.incarnationCtx // of the incarnation that accepted it, which may have ended since
 	select {
@@ -131,7 +132,8 @@
 	}
 }
 
-// begin records that the call runs, unless it was cancelled while it waited.
+// begin records that the call runs, unless it was cancelled while it waited. index
+// is that of its record; -1: the records are full.
 func (s *Service) begin(c *call, r *http.Request, body []byte, incarnationCtx context.Context) (index int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
