--- a/standin/wire/dialer.go
+++ b/standin/wire/dialer.go
@@ -42,7 +42,7 @@
 
 const (
 	chunkSize = 16 << 10 // maximum number of bytes of one read from the network
-	maxChunks = 32       // chunks that wait for their time at most; the buffers of the network hold the rest
+	maxChunks = 32       // maximum number of chunks that wait for their time; the buffers of the network hold the remainder
 )
 
 // chunk is the result of one read, to be delivered from due on.
