--- a/standin/compare/compare.go
+++ b/standin/compare/compare.go
@@ -86,7 +86,7 @@
 	Site            string  `json:"site"`
 	Figure          string  `json:"figure"`
 	Pairs           int     `json:"pairs"`
-	MeanBefore      float64 `json:"before"` // mean before
+	MeanBefore      float64 `json:"before"`
 	MeanDifference  float64 `json:"difference"`
 	Error           float64 `json:"standard_error"`
 	ConfidenceBound float64 `json:"bound"` // half width of the confidence interval: a larger difference is significant
@@ -97,7 +97,7 @@
 const AllSites = "all"
 
 // ErrNoPairs means that no day was run with both variants.
-var ErrNoPairs = eris.New("no day was played with both ways")
+var ErrNoPairs = eris.New("no day was run with both variants")
 
 // Compare returns the rows for each deployment, in the order of their names, and over all of
 // them if there are several. Without pairs it returns ErrNoPairs.
--- a/standin/compare/journal.go
+++ b/standin/compare/journal.go
@@ -70,9 +70,9 @@
 }
 
 // Read returns the runs of the journal's entries that match one of the names, in the order of
-// the file names. An entry whose run was broken off has no days and adds none. A name without an entry, a damaged file,
-// an unfinished entry named by its id, and an entry whose sources changed while it ran are
-// errors.
+// the file names. An entry that was interrupted has no days and so adds no runs. A name
+// without an entry, a damaged file, an unfinished entry named by its id, and an entry whose
+// sources changed while it ran are errors.
 func Read(journal fs.FS, names []string) ([]Run, error) {
 	files, err := fs.Glob(journal, "*.json")
 	if err != nil {
@@ -95,7 +95,7 @@
 				return nil, eris.Errorf("entry %s is not finished", e.ID)
 			}
 			if e.Edited {
-				return nil, eris.Errorf("entry %s: its sources changed while it was played", e.ID)
+				return nil, eris.Errorf("entry %s: its sources changed while it ran", e.ID)
 			}
 			runs = append(runs, e.runs()...)
 			break
@@ -103,7 +103,7 @@
 	}
 	for _, name := range names {
 		if !found[name] {
-			return nil, eris.Errorf("no entry, and no commit or digest of one's sources, begins with %q", name)
+			return nil, eris.Errorf("no entry's id, commit or digest of sources begins with %q", name)
 		}
 	}
 	return runs, nil
--- a/standin/compare/plot.go
+++ b/standin/compare/plot.go
@@ -24,8 +24,8 @@
 // It returns ErrNoRows if no row has the figure.
 func Plot(w io.Writer, rows []Row, figure string) error {
 	p := plot.New()
-	p.Title.Text = figure + ", after less before"
-	p.X.Label.Text = "difference; the bars are what the draws alone can do"
+	p.Title.Text = figure + ", after minus before"
+	p.X.Label.Text = "difference; the bars are confidence intervals"
 	var b differenceBars
 	var names []string
 	for _, r := range rows {
