--- a/standin/claimbench/bench.go
+++ b/standin/claimbench/bench.go
@@ -55,8 +55,8 @@
 		HopLatency: time.Millisecond, DetectionDelay: time.Second, LeaseTTL: 3 * time.Second, Seed: 1}
 }
 
-// QuietSite returns the load of a quiet site at its present size: 7 entry hosts, each of
-// which writes its own claims.
+// QuietSite returns the load of a quiet site with 7 entry hosts, each of which writes its own
+// claims.
 func QuietSite(m Mode) Config {
 	c := DesignSize(m)
 	c.Hosts, c.Writers, c.Rate, c.BatchInterval, c.HopLatency = 7, 7, 20, 50*time.Millisecond, 0
--- a/standin/claimbench/bench_test.go
+++ b/standin/claimbench/bench_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// BenchmarkQuiet measures the time that a claim adds on a quiet site of the present size.
+// BenchmarkQuiet measures the time that a claim adds on a quiet site.
 func BenchmarkQuiet(b *testing.B) {
 	for _, m := range []Mode{Rows, Batched, Ranges} {
 		b.Run(string(m), func(b *testing.B) {
