--- a/standin/bench/bench_test.go
+++ b/standin/bench/bench_test.go
@@ -15,7 +15,7 @@
 	"peridotpier.example/standin/local"
 )
 
-// run returns the result of a sound run.
+// run returns the result of a run in which the invariants held.
 func run(policy string, seed uint64, attainment float64, moves int) *Run {
 	return &Run{Report: local.Report{Policy: policy, Seed: seed, AttainmentPerAccelerator: attainment, ModelLoads: moves, History: "ok"}}
 }
--- a/standin/bench/compare.go
+++ b/standin/bench/compare.go
@@ -31,16 +31,16 @@
 	AttainmentPerAccelerator Spread `json:"attainment_per_accelerator"`
 	Attainment               Spread `json:"attainment"`
 	UrgentAttainment         Spread `json:"urgent_attainment"`
-	Moves                    Spread `json:"moves"`
+	Moves                    Spread `json:"moves"` // models that engines loaded on order
 	UnreachableModels        Spread `json:"unreachable_models"`
 	Overcommits              Spread `json:"overcommits"`
-	// Ratio is the attainment per accelerator divided by that of the best baseline on
+	// AttainmentRatio is the attainment per accelerator divided by that of the best baseline on
 	// the same seed.
 	AttainmentRatio Spread `json:"attainment_ratio"`
 	// MoveRatio is the number of moves divided by that of the baseline with the fewest
 	// moves on the same seed, among those with any; 0 if no baseline moves anything.
 	MoveRatio Spread `json:"move_ratio"`
-	Sound     bool   `json:"sound"`
+	Sound     bool   `json:"sound"` // the invariants held in every run
 }
 
 // Comparison has the results of several policies on the same seeds.
--- a/standin/bench/plot.go
+++ b/standin/bench/plot.go
@@ -44,7 +44,7 @@
 // Plot writes an SVG image of the policies side by side: attainment per accelerator above,
 // moves below.
 func (c *Comparison) Plot(file string) error {
-	top := newPlot(c.Site, "requests met for each accelerator")
+	top := newPlot(c.Site, "requests met per accelerator")
 	bottom := newPlot("", "moves")
 	var names []string
 	var met, moves plotter.Values
