--- a/standin/speed/proc.go
+++ b/standin/speed/proc.go
@@ -22,7 +22,7 @@
 	usedKB      float64 // live heap and stacks
 	stacksKB    float64
 	residentKB  float64
-	collections int64 // of garbage, since its start
+	collections int64 // garbage collections since the host started
 }
 
 // readMemory reads the memory of the second host from its metrics and from /proc.
@@ -38,7 +38,7 @@
 	req.Header.Set("Authorization", "Bearer "+local.OperatorKey)
 	resp, err := c.client.Do(req)
 	if err != nil {
-		return memoryUse{}, eris.Wrap(err, "ask for metrics")
+		return memoryUse{}, eris.Wrap(err, "request metrics")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	var vars map[metrics.Name]json.RawMessage
--- a/standin/speed/speed.go
+++ b/standin/speed/speed.go
@@ -27,7 +27,7 @@
 	UnrestrictedPID   int           // process id of the second
 	Duration          time.Duration // of each part of the measurement
 	RequestsPerSecond int           // for the time to the first byte
-	IdleStreams       int           // idle streams
+	IdleStreams       int           // streams of one token a second
 	PacedStreams      int           // streams of 100 tokens a second each
 	FastStreams       int           // streams as fast as the host can forward
 }
