--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -80,7 +80,7 @@
 	return text, pos, false
 }
 
-func TestStreamAndWholeAnswerAgree(t *testing.T) {
+func TestStreamedAndCompleteAnswersAgree(t *testing.T) {
 	e := start(t, engine.Config{TokenTime: 50 * time.Microsecond})
 	prompt := answer.Mark("team", "i1") + " hydrant 7"
 	resp := chat(t, e, "a1", prompt, 40, true)
--- a/standin/local/badinput_test.go
+++ b/standin/local/badinput_test.go
@@ -66,27 +66,27 @@
 
 func newBadInputFixture(t *testing.T, secure bool) *badInputFixture {
 	t.Helper()
-	r := &badInputFixture{}
+	f := &badInputFixture{}
 	if secure {
 		var err error
-		r.ca, err = pki.New("test")
+		f.ca, err = pki.New("test")
 		assert.NilError(t, err)
 	}
-	r.fixture = newFixture(t, engine.Config{TokenTime: slowEngine.TokenTime, ResumeWindow: 50 * time.Millisecond}, func(c *local.NodeConfig) {
+	f.fixture = newFixture(t, engine.Config{TokenTime: slowEngine.TokenTime, ResumeWindow: 50 * time.Millisecond}, func(c *local.NodeConfig) {
 		c.Settings.Bounds.ReportEveryMs = int((24 * time.Hour).Milliseconds()) // only the first poll: polls would keep connections of their own
-		c.Dialer, c.HeadTimeout, c.BodyTimeout = &r.dialer, 250*time.Millisecond, 250*time.Millisecond
+		c.Dialer, c.HeadTimeout, c.BodyTimeout = &f.dialer, 250*time.Millisecond, 250*time.Millisecond
 		if secure {
 			c.Files = local.NewKeyFiles()
-			assert.NilError(t, local.EnableTLS(c.Settings, c.Files, r.ca))
+			assert.NilError(t, local.EnableTLS(c.Settings, c.Files, f.ca))
 		}
 	})
 	tr := &http.Transport{DisableKeepAlives: true}
 	if secure {
-		r.base = "https://" + r.node.CallerAddress()
-		tr.DialTLSContext = func(context.Context, string, string) (net.Conn, error) { return r.connect(), nil }
+		f.base = "https://" + f.node.CallerAddress()
+		tr.DialTLSContext = func(context.Context, string, string) (net.Conn, error) { return f.connect(), nil }
 	}
-	r.client = &http.Client{Transport: tr}
-	return r
+	f.client = &http.Client{Transport: tr}
+	return f
 }
 
 // connect opens a connection, with TLS if the host uses it. The timeout of a request's
--- a/standin/local/trap_test.go
+++ b/standin/local/trap_test.go
@@ -24,14 +24,14 @@
 
 // set sets the functions, each of which is called for one attempt; nil leaves a function
 // as it is.
-func (d *trapDialer) set(before, behind func()) {
+func (d *trapDialer) set(beforeWrite, beforeRead func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if before != nil {
-		d.beforeWrite = before
+	if beforeWrite != nil {
+		d.beforeWrite = beforeWrite
 	}
-	if behind != nil {
-		d.beforeRead = behind
+	if beforeRead != nil {
+		d.beforeRead = beforeRead
 	}
 }
 
--- a/standin/site/site_test.go
+++ b/standin/site/site_test.go
@@ -24,10 +24,10 @@
 
 func TestBuiltInSitesHaveTheirSizes(t *testing.T) {
 	for _, c := range []struct {
-		name                              string
-		runners, services, models, adapts int
-		loads                             float64
-		concurrent                        int
+		name                                string
+		engines, services, models, adapters int
+		loads                               float64
+		concurrent                          int
 	}{
 		{"taipei", 12, 3, 26, 64, 1.5, 16},
 		{"kathmandu", 9, 3, 18, 41, 1, 2},
@@ -40,10 +40,10 @@
 				engines++
 			}
 		}
-		assert.Equal(t, engines, c.runners)
+		assert.Equal(t, engines, c.engines)
 		assert.Equal(t, len(d.Upstreams)-engines, c.services)
 		assert.Equal(t, len(d.Models), c.models)
-		assert.Equal(t, len(d.Adapters), c.adapts)
+		assert.Equal(t, len(d.Adapters), c.adapters)
 		assert.Equal(t, len(d.DataCentres), 3)
 		assert.Equal(t, d.WeightStore.LoadsPerSecond, c.loads)
 		assert.Equal(t, d.WeightStore.Concurrent, c.concurrent)
