--- a/standin/history/history.go
+++ b/standin/history/history.go
@@ -115,7 +115,7 @@
 	Truncated       int `json:"cut"`        // answered "completed" with only a beginning of the true answer
 	Mismatched      int `json:"crossed"`    // answered "completed" with an answer that no execution of the request gave
 	FalseNotRun     int `json:"false_no"`   // answered "not run" although an upstream ran this invocation
-	FalseInProgress int `json:"false_busy"` // answered "in progress" after every other invocation with the key had ended as not run
+	FalseInProgress int `json:"false_busy"` // answered "in progress" after every other invocation with the key had ended as not run or in progress
 }
 
 // Count returns the counts of the history.
--- a/standin/local/fleetrun.go
+++ b/standin/local/fleetrun.go
@@ -172,7 +172,7 @@
 }
 
 // awaitEach waits until ok is true for each node and returns the time that each took;
-// checkTimeout stands for a node that took longer.
+// that is checkTimeout for a node that took longer.
 func (f *Fleet) awaitEach(ctx context.Context, nodes []*Node, ok func(*Node) bool) []time.Duration {
 	startedAt := time.Now()
 	times := make([]time.Duration, len(nodes))
--- a/standin/local/killswitch.go
+++ b/standin/local/killswitch.go
@@ -29,8 +29,8 @@
 
 func newKillSwitch() *killSwitch { return &killSwitch{conns: map[net.Conn]struct{}{}} }
 
-// wrapDialer returns a dialer like d whose connections the kill switch closes; nil
-// stands for a plain dialer.
+// wrapDialer returns a dialer like d whose connections the kill switch closes; nil is
+// a plain dialer.
 func (k *killSwitch) wrapDialer(d conn.Dialer) killableDialer {
 	if d == nil {
 		d = &net.Dialer{}
--- a/standin/local/once_test.go
+++ b/standin/local/once_test.go
@@ -266,7 +266,7 @@
 	return h
 }
 
-// noIdleProbe sets the time after which nodes probe a silent exchange to a minute.
+// noIdleProbe sets the time after which nodes probe an idle exchange to a minute.
 func noIdleProbe(c *local.NodeConfig) { c.Settings.Bounds.SilenceMs = 60_000 }
 
 // Symptom: two crews press "send" again and a note is packed twice.
--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -21,8 +21,8 @@
 	granted       int64
 }
 
-// NewWeights admits loadsPerSecond new loads per second and maxConcurrent loads at
-// once.
+// NewWeights returns a weight store that admits loadsPerSecond new loads per second
+// and maxConcurrent loads at once.
 func NewWeights(f *Faults, loadsPerSecond float64, maxConcurrent int) *Weights {
 	return &Weights{Faults: f, starts: rate.NewLimiter(rate.Limit(loadsPerSecond), 1),
 		maxConcurrent: maxConcurrent, admitted: map[string]time.Time{}}
