--- a/standin/local/faults_test.go
+++ b/standin/local/faults_test.go
@@ -191,20 +191,20 @@
 	body := fmt.Sprintf(chat, true, 200)
 	_, _, unbroken := p.do("POST", "/v1/chat/completions", teamKey, body)
 	resp, r, begin := p.openStream(t.Context(), p.base, body, 5)
-	wholeAnswer := make(chan string, 1)
+	completeAnswer := make(chan string, 1)
 	go func() {
 		_, _, text := p.do("POST", "/v1/chat/completions", teamKey, fmt.Sprintf(chat, false, 60))
-		wholeAnswer <- text
+		completeAnswer <- text
 	}()
 	poll.WaitOn(t, func(l poll.LogT) poll.Result {
-		if len(wholeAnswer) > 0 { // the request may complete between two checks on a slow machine
+		if len(completeAnswer) > 0 { // the request may complete between two checks on a slow machine
 			return poll.Success()
 		}
 		return p.runningAttempts(2)(l)
 	})
 	stopped := make(chan error, 1)
 	go func() { stopped <- p.node.Stop() }()
-	assert.Assert(t, strings.Contains(<-wholeAnswer, `"completion_tokens":60`))
+	assert.Assert(t, strings.Contains(<-completeAnswer, `"completion_tokens":60`))
 	rest, err := io.ReadAll(r)
 	assert.NilError(t, err)
 	assert.NilError(t, resp.Body.Close())
