--- a/standin/compare/journal.go
+++ b/standin/compare/journal.go
@@ -13,17 +13,17 @@
 
 // entry is one file of the journal, with the fields that a comparison uses.
 type entry struct {
-	ID      string     `json:"id"`
-	Head    string     `json:"head"`  // commit
-	Dirty   bool       `json:"dirty"` // its sources differed from those of the commit
-	Sources []sources  `json:"policy"`
-	Edited  bool       `json:"edited_meanwhile"`
-	Site    string     `json:"site"` // "": the run has not finished
-	Days    []entryDay `json:"days"`
+	ID      string      `json:"id"`
+	Head    string      `json:"head"`  // commit
+	Dirty   bool        `json:"dirty"` // its sources differed from those of the commit
+	Sources []sourceSet `json:"policy"`
+	Edited  bool        `json:"edited_meanwhile"`
+	Site    string      `json:"site"` // "": the run has not finished
+	Days    []entryDay  `json:"days"`
 }
 
-// sources are files with the policy that an entry ran.
-type sources struct {
+// sourceSet are files with the policy that an entry ran.
+type sourceSet struct {
 	Digest string `json:"sha256"`
 }
 
@@ -43,36 +43,36 @@
 
 // entryDay is one day of an entry.
 type entryDay struct {
-	Worth   float64      `json:"G"`
-	Name    string       `json:"name"`
-	Day     string       `json:"day"`
-	Seed    int64        `json:"seed"`
-	Small   *bool        `json:"small_twin"`
-	Served  float64      `json:"served"`
-	Refused float64      `json:"refused"`
-	Failed  float64      `json:"failed"`
-	Parts   []namedParts `json:"parts"`
-	Prices  []namedParts `json:"prices"`
-	ByClass []*float64   `json:"by_class"`
+	Worth   float64     `json:"G"`
+	Name    string      `json:"name"`
+	Day     string      `json:"day"`
+	Seed    int64       `json:"seed"`
+	Small   *bool       `json:"small_twin"`
+	Served  float64     `json:"served"`
+	Refused float64     `json:"refused"`
+	Failed  float64     `json:"failed"`
+	Parts   []namedPart `json:"parts"`
+	Prices  []namedPart `json:"prices"`
+	ByClass []*float64  `json:"by_class"`
 }
 
-// namedParts is a name and a value. In the journal it is an array of the name, an amount,
+// namedPart is a name and a value. In the journal it is an array of the name, an amount,
 // which is not kept, and the value.
-type namedParts struct {
+type namedPart struct {
 	Name  string
 	Value float64
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (n *namedParts) UnmarshalJSON(data []byte) error {
+func (n *namedPart) UnmarshalJSON(data []byte) error {
 	var amount float64
 	return json.Unmarshal(data, &[]any{&n.Name, &amount, &n.Value})
 }
 
 // Read returns the runs of the journal's entries that match one of the names, in the order of
-// the file names. An entry whose run was broken off has no days and adds none. A name without an entry, a damaged file,
-// an unfinished entry named by its id, and an entry whose sources changed while it ran are
-// errors.
+// the file names. An entry that was interrupted has no days and so adds no runs. A name
+// without an entry, a damaged file, an unfinished entry named by its id, and an entry whose
+// sources changed while it ran are errors.
 func Read(journal fs.FS, names []string) ([]Run, error) {
 	files, err := fs.Glob(journal, "*.json")
 	if err != nil {
@@ -95,7 +95,7 @@
 				return nil, eris.Errorf("entry %s is not finished", e.ID)
 			}
 			if e.Edited {
-				return nil, eris.Errorf("entry %s: its sources changed while it was played", e.ID)
+				return nil, eris.Errorf("entry %s: its sources changed while it ran", e.ID)
 			}
 			runs = append(runs, e.runs()...)
 			break
@@ -103,7 +103,7 @@
 	}
 	for _, name := range names {
 		if !found[name] {
-			return nil, eris.Errorf("no entry, and no commit or digest of one's sources, begins with %q", name)
+			return nil, eris.Errorf("no entry's id, commit or digest of sources begins with %q", name)
 		}
 	}
 	return runs, nil
--- a/standin/local/fleetrun.go
+++ b/standin/local/fleetrun.go
@@ -94,12 +94,12 @@
 func (f *Fleet) measureDraining(ctx context.Context, r *FleetReport) error {
 	var all []time.Duration
 	for i := range f.opt.ChangeCount {
-		src := f.upstreams.list[(i*97+13)%len(f.upstreams.list)]
-		src.draining.Store(true)
-		all = append(all, f.awaitEach(ctx, f.liveNodes(), func(n *Node) bool { return n.IsUpstreamDraining(src.Name) })...)
+		u := f.upstreams.list[(i*97+13)%len(f.upstreams.list)]
+		u.draining.Store(true)
+		all = append(all, f.awaitEach(ctx, f.liveNodes(), func(n *Node) bool { return n.IsUpstreamDraining(u.Name) })...)
 	}
 	r.DrainingKnown = quantiles(all)
-	f.opt.Progress("leaving upstream known: p50 %.0f ms, p99 %.0f ms, max %.0f ms", r.DrainingKnown.P50, r.DrainingKnown.P99, r.DrainingKnown.Max)
+	f.opt.Progress("draining upstream known: p50 %.0f ms, p99 %.0f ms, max %.0f ms", r.DrainingKnown.P50, r.DrainingKnown.P99, r.DrainingKnown.Max)
 	return nil
 }
 
@@ -172,7 +172,7 @@
 }
 
 // awaitEach waits until ok is true for each node and returns the time that each took;
-// checkTimeout stands for a node that took longer.
+// that is checkTimeout for a node that took longer.
 func (f *Fleet) awaitEach(ctx context.Context, nodes []*Node, ok func(*Node) bool) []time.Duration {
 	startedAt := time.Now()
 	times := make([]time.Duration, len(nodes))
--- a/standin/local/standinserver.go
+++ b/standin/local/standinserver.go
@@ -74,14 +74,14 @@
 		_ = ln.Close()
 		return nil, err
 	}
-	o := &StandInServer{StandIns: in, site: opt.Site, watchersDone: make(chan struct{}), truthRequests: make(chan chan site.GroundTruth)}
-	if err := o.prepare(ctx, dir, "http://"+ln.Addr().String(), opt.Hosts); err != nil {
+	s := &StandInServer{StandIns: in, site: opt.Site, watchersDone: make(chan struct{}), truthRequests: make(chan chan site.GroundTruth)}
+	if err := s.prepare(ctx, dir, "http://"+ln.Addr().String(), opt.Hosts); err != nil {
 		_ = ln.Close()
 		in.Upstreams.Close()
 		return nil, err
 	}
-	o.serve(ctx, ln)
-	return o, nil
+	s.serve(ctx, ln)
+	return s, nil
 }
 
 // serve starts the platform's services and the monitors of hosts and upstreams.
@@ -173,11 +173,11 @@
 func ReadRecords(ctx context.Context, standIns string) (*Records, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, standIns+RecordsPath, nil)
 	if err != nil {
-		return nil, eris.Wrap(err, "ask for records")
+		return nil, eris.Wrap(err, "request the stand-ins' records")
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, eris.Wrap(err, "ask for records")
+		return nil, eris.Wrap(err, "request the stand-ins' records")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
