--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -81,8 +81,8 @@
 	Rows           Rows
 	Record         Record
 	UnchangedSince time.Time // when the read that first returned these row versions had completed
-	// SteppedDown reports that the holder no longer acts in this epoch: it said so
-	// itself, or its process is known to have ended.
+	// SteppedDown is whether the holder no longer acts in this epoch: it announced
+	// that itself, or its process is known to have ended.
 	SteppedDown bool
 }
 
@@ -125,9 +125,9 @@
 // lease once the rows have not changed for the holder's whole TTL and the
 // margins, measured on the candidate's own clock.
 func (p Policy) DecideForCandidate(holder string, o Observed, now time.Time) Decision {
-	left := p.takeoverWait(o.Record) - now.Sub(o.UnchangedSince)
-	if o.Record.Holder != "" && !o.SteppedDown && left > 0 {
-		return Decision{Action: Wait, Wait: min(left, p.TTL/pollsPerTTL)}
+	remaining := p.takeoverWait(o.Record) - now.Sub(o.UnchangedSince)
+	if o.Record.Holder != "" && !o.SteppedDown && remaining > 0 {
+		return Decision{Action: Wait, Wait: min(remaining, p.TTL/pollsPerTTL)}
 	}
 	next := Record{Holder: holder, Epoch: o.Record.Epoch + 1, TTLMs: p.TTL.Milliseconds()}
 	return Decision{Action: Acquire, Next: next}
--- a/core/ledger/machine_test.go
+++ b/core/ledger/machine_test.go
@@ -24,7 +24,7 @@
 	sequence    uint64
 	epoch       uint64
 	memory      map[ledger.Artifact]int
-	maxUsedMB   int // most memory ever in use at once
+	maxUsedMB   int // maximum memory in use at any time
 }
 
 // orderCopy is one copy of an order in the network.
@@ -119,9 +119,9 @@
 	w.reports = slices.DeleteFunc(w.reports, func(r agedReport) bool { return w.now.Sub(r.taken) > w.bounds.MaxReportAge })
 }
 
-// Memory is never exceeded, whichever orders are lost, late, repeated or delivered
-// after their successors, whenever the engine restarts, and whichever reports are
-// late or out of order.
+// Property: memory is never exceeded, whichever orders are lost, late, repeated or
+// delivered after their successors, whenever the engine restarts, and whichever
+// reports are late or out of order.
 func TestMemoryIsNeverOver(t *testing.T) {
 	for _, fencing := range []config.Fencing{config.FencingChecked, config.FencingIgnored} {
 		t.Run(string(fencing), func(t *testing.T) {
--- a/node/coordinator/holder_bench_test.go
+++ b/node/coordinator/holder_bench_test.go
@@ -132,18 +132,18 @@
 }
 
 // BenchmarkHolderBytes measures the answer to a host that is up to date except for the
-// others' loads, and what a new holder sends to a host that links to it.
+// others' loads, and the first answer to a host that has just linked.
 func BenchmarkHolderBytes(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
 			c := s.holder()
-			known, met := s.report(1), &coordpb.HostReport{Host: "h1", Config: 1, List: 1}
-			known.Revision = c.revision
+			upToDate, newlyLinked := s.report(1), &coordpb.HostReport{Host: "h1", Config: 1, List: 1}
+			upToDate.Revision = c.revision
 			var answer, first *coordpb.SiteState
 			for b.Loop() {
-				answer, first = c.report(known), c.report(met)
+				answer, first = c.report(upToDate), c.report(newlyLinked)
 			}
-			b.ReportMetric(float64(proto.Size(known)), "report-B")
+			b.ReportMetric(float64(proto.Size(upToDate)), "report-B")
 			b.ReportMetric(float64(proto.Size(answer)), "answer-B")
 			b.ReportMetric(float64(proto.Size(first)), "first-B")
 		})
@@ -151,7 +151,8 @@
 }
 
 // BenchmarkHostReportCycle measures the work of each host between two reports, with
-// three upstreams in use: two sweeps, the report, and the application of its answer.
+// three upstreams in use: two runs of the fleet's checks, the report, and the application
+// of its answer.
 func BenchmarkHostReportCycle(b *testing.B) {
 	for _, s := range holderSizes {
 		b.Run(s.String(), func(b *testing.B) {
--- a/node/coordinator/permits.go
+++ b/node/coordinator/permits.go
@@ -55,18 +55,18 @@
 type permitRequest struct {
 	key           permitKey
 	event         *coordpb.TurnEvent
-	ask           fleet.Request
-	tried         map[string]bool
-	warm          map[string]bool
+	needs         fleet.Request
+	excluded      map[string]bool      // upstreams that its host has tried for it or excludes
+	withIdleConn  map[string]bool      // upstreams to which its host has an idle connection
 	hostBackoffs  map[string]time.Time // until when upstreams asked the request's host to back off; nil: none did
 	askedAt       time.Time
 	upstream      string // where the request was granted; "": it waits
-	readingPrompt bool   // whether the first event of its answer is still to come
+	readingPrompt bool   // whether the first event of its response is still to come
 	solePrompt    bool   // whether the upstream read no other prompt at the same time
 	grantedAt     time.Time
-	firstAt       time.Time // when the first event of its answer arrived
+	firstAt       time.Time // when the first event of its response arrived
 	waitReason    balance.Reason
-	isTrial       bool // whether it was granted in the slow start after a backoff
+	isProbe       bool // whether it was granted in the slow start after a backoff, so that its response is awaited
 }
 
 func newPermits(c *Coordinator) *permits {
@@ -121,7 +121,7 @@
 }
 
 // chargeTeam charges a request to its team's limit and reports whether the limit allows
-// it. If not, the host is answered.
+// it. If not, it answers the host.
 func (p *permits) chargeTeam(k permitKey, e *coordpb.TurnEvent, now time.Time) bool {
 	if e.Team == "" {
 		return true
@@ -139,10 +139,10 @@
 		return
 	}
 	p.suspects = p.c.aggregate.suspects(now)
-	w := &permitRequest{key: k, event: e, ask: fleet.Request{Model: e.Model, Adapter: e.Adapter}, askedAt: now, tried: setOf(e.Tried), warm: setOf(e.Warm)}
+	w := &permitRequest{key: k, event: e, needs: fleet.Request{Model: e.Model, Adapter: e.Adapter}, askedAt: now, excluded: setOf(e.Tried), withIdleConn: setOf(e.Warm)}
 	p.backoffs.record(w, now)
 	for _, part := range e.Parts {
-		w.ask.PromptParts = append(w.ask.PromptParts, fleet.PromptPart{ID: part.Id, Tokens: int(part.Tokens)})
+		w.needs.PromptParts = append(w.needs.PromptParts, fleet.PromptPart{ID: part.Id, Tokens: int(part.Tokens)})
 	}
 	w.waitReason = p.tryAll(w, now)
 	if !mayQueue(w.waitReason) || w.waitReason == balance.AllBackoff && p.refuseUnservable(w, now) {
@@ -164,9 +164,9 @@
 // tryAll tries to grant a request at any upstream of its service. It answers the host
 // unless the request has to wait.
 func (p *permits) tryAll(w *permitRequest, now time.Time) balance.Reason {
-	entries := p.c.deps.Fleet.EntriesWithModel(w.event.Service, w.ask.Model)
+	entries := p.c.deps.Fleet.EntriesWithModel(w.event.Service, w.needs.Model)
 	d := p.pick(w, entries, now)
-	if d.Reason == balance.NoUpstream && p.c.deps.Fleet.HasUsableWithoutModel(w.event.Service, w.ask.Model, func(e *fleet.Entry) bool { return p.isExcluded(e, w, now) }) {
+	if d.Reason == balance.NoUpstream && p.c.deps.Fleet.HasUsableWithoutModel(w.event.Service, w.needs.Model, func(e *fleet.Entry) bool { return p.isExcluded(e, w, now) }) {
 		d.Reason = balance.NoModel
 	}
 	if d.Index < 0 && !mayQueue(d.Reason) {
@@ -186,7 +186,7 @@
 		endpoints = append(endpoints, p.endpoint(e, w, now))
 	}
 	p.endpoints = endpoints
-	r := balance.Request{Model: w.ask.Model, Adapter: w.ask.Adapter, PromptTokens: int(w.event.Prompt), OutputTokens: int(w.event.Output), MaxPendingPromptTokens: int(w.event.Reading)}
+	r := balance.Request{Model: w.needs.Model, Adapter: w.needs.Adapter, PromptTokens: int(w.event.Prompt), OutputTokens: int(w.event.Output), MaxPendingPromptTokens: int(w.event.Reading)}
 	if e := p.c.engine(w.event.Service); e != nil {
 		r.CacheTokens = e.CacheTokens
 	}
@@ -200,8 +200,8 @@
 // endpoint describes an upstream by what was granted there, in place of what hosts
 // report. The load of a host that has no stream here counts as reported.
 func (p *permits) endpoint(e *fleet.Entry, w *permitRequest, now time.Time) balance.Endpoint {
-	out := e.Endpoint(&w.ask, now)
-	out.SameDataCentre, out.Tried, out.HasIdleConn = e.DataCentre() == w.event.DataCentre, w.tried[e.ID()], w.warm[e.ID()]
+	out := e.Endpoint(&w.needs, now)
+	out.SameDataCentre, out.Tried, out.HasIdleConn = e.DataCentre() == w.event.DataCentre, w.excluded[e.ID()], w.withIdleConn[e.ID()]
 	out.Down = out.Down || p.isExcluded(e, w, now)
 	out.Backoff = max(p.limits.wait(e, now), p.backoffs.wait(e.ID()), w.hostBackoffs[e.ID()].Sub(now))
 	u := p.grants[e.ID()]
@@ -211,7 +211,7 @@
 	}
 	out.InFlight, out.InFlightTokens, out.PendingPromptTokens = max(u.load.Requests, out.InFlight), max(u.load.Tokens, out.InFlightTokens), u.load.PendingPromptTokens
 	if out.ModelResident {
-		out.CachedTokens = max(out.CachedTokens, u.cache.CachedTokens(&w.ask, now))
+		out.CachedTokens = max(out.CachedTokens, u.cache.CachedTokens(&w.needs, now))
 	}
 	return out
 }
@@ -219,7 +219,7 @@
 // isExcluded reports whether an upstream is passed over because of what hosts observed
 // there, or because it had an attempt of this request.
 func (p *permits) isExcluded(e *fleet.Entry, w *permitRequest, now time.Time) bool {
-	return w.tried[e.ID()] || p.suspects[e.ID()] || now.Sub(p.unreachable[e.ID()]) < unreachableFor
+	return w.excluded[e.ID()] || p.suspects[e.ID()] || now.Sub(p.unreachable[e.ID()]) < unreachableFor
 }
 
 func (p *permits) grant(w *permitRequest, e *fleet.Entry, at *balance.Endpoint, d balance.Decision, now time.Time) {
@@ -241,20 +241,20 @@
 	}
 	u.newestReading = w
 	within := p.limits.count(e, now)
-	trial := p.backoffs.recordGrant(w)
-	u.cache.Record(&w.ask, now)
+	probe := p.backoffs.recordGrant(w)
+	u.cache.Record(&w.needs, now)
 	u.load.Requests++
 	u.load.Tokens += int(w.event.Prompt + w.event.Output)
 	u.load.PendingPromptTokens += int(w.event.Prompt)
 	w.key.from.send(&coordpb.TurnAnswer{Id: w.key.id, Kind: coordpb.TurnAnswer_GRANTED, Upstream: w.upstream,
-		PredictedMs: uint32(d.PredictedWait.Milliseconds()), Load: uint32(at.InFlight), Waiting: uint32(at.PendingPromptTokens), Cached: uint32(at.CachedTokens), WithinLimit: within, Trial: trial})
+		PredictedMs: uint32(d.PredictedWait.Milliseconds()), Load: uint32(at.InFlight), Waiting: uint32(at.PendingPromptTokens), Cached: uint32(at.CachedTokens), WithinLimit: within, Trial: probe})
 }
 
 // promptRead records that an upstream has read a request's prompt.
 func (p *permits) promptRead(k permitKey) {
 	if g := p.granted[k]; g != nil && g.readingPrompt {
 		g.firstAt = p.c.now()
-		p.backoffs.recordAnswer(g, p.slotCount(g.upstream))
+		p.backoffs.recordResponse(g, p.slotCount(g.upstream))
 		if g.solePrompt && g.event.Model != "" {
 			p.c.speeds.withModel(g.model(), func(m speed.Estimator) { m.Read(int(g.event.Prompt), g.firstAt.Sub(g.grantedAt)) })
 		}
@@ -315,7 +315,7 @@
 
 // unreachableFor is how long an upstream gets no permits after one host found nothing
 // listening at its address. By then that host and others report that they exclude it. A
-// refused connection is an answer of the upstream's own machine: unlike a timeout, it
+// refused connection is a reply of the upstream's own machine: unlike a timeout, it
 // does not depend on the network path of the host.
 const unreachableFor = 600 * time.Millisecond
 
@@ -349,7 +349,7 @@
 
 // grantWaiting removes those waiting requests for which try returns true. Overdue
 // requests are tried after those that can still be answered in time.
-func (p *permits) grantWaiting(now time.Time, try func(*permitRequest) (gone bool)) {
+func (p *permits) grantWaiting(now time.Time, try func(*permitRequest) (done bool)) {
 	tried := 0
 	for _, overdue := range []bool{false, true} {
 		for i, w := range p.waiting {
@@ -367,7 +367,7 @@
 
 func (w *permitRequest) model() modelKey { return modelKey{w.event.Service, w.event.Model} }
 
-// isOverdue reports whether an answer to the request could no longer begin in time.
+// isOverdue reports whether a response to the request could no longer begin in time.
 func (w *permitRequest) isOverdue(now time.Time) bool {
 	inTime := milliseconds(w.event.InTimeMs)
 	if w.event.Model == "" {
--- a/node/gate/wait_test.go
+++ b/node/gate/wait_test.go
@@ -68,7 +68,7 @@
 }
 
 // Guards against a coordinator that is asked several times for each request that is
-// served on any host, and answers nobody in time: requests wait for a model that is
+// served on any host, and answers none of them in time: requests wait for a model that is
 // resident at no upstream, each of the hundreds of requests that end per second wakes
 // all of them, and each asks again.
 func TestARequestThatWaitsForAModelAsksTheCoordinatorOnce(t *testing.T) {
@@ -85,7 +85,7 @@
 		g.ServeHTTP(w, r)
 	}()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if coordinator.demandRecords.Load() >= 2 { // once as any request, once as one that waits
+		if coordinator.demandRecords.Load() >= 2 { // once as every request, once more because it waits
 			return poll.Success()
 		}
 		return poll.Continue("the request does not wait yet")
--- a/node/quarantine/detector_test.go
+++ b/node/quarantine/detector_test.go
@@ -16,8 +16,8 @@
 	"peridotpier.example/node/metrics"
 )
 
-// newDetector returns a running CrashDetector for which notListening tells which
-// addresses do not listen.
+// newDetector returns a running CrashDetector; refuses reports whether nothing listens at
+// an address.
 func newDetector(t *testing.T, refuses func(address string) bool) (*CrashDetector, *observer.ObservedLogs) {
 	core, lines := observer.New(zap.DebugLevel)
 	w := NewCrashDetector(CrashDetectorDeps{NotListening: func(_ context.Context, a string) bool { return refuses(a) }, Log: event.NewLog(zap.New(core)),
@@ -48,10 +48,10 @@
 }
 
 // Guards against suspecting a request because a connection broke on the network or
-// an answer was lost.
+// a response was lost.
 func TestAnUpstreamThatListensHasNotTerminated(t *testing.T) {
-	var asked atomic.Int32
-	w, lines := newDetector(t, func(string) bool { asked.Add(1); return false })
+	var checks atomic.Int32
+	w, lines := newDetector(t, func(string) bool { checks.Add(1); return false })
 	w.RecordBroken("u", "alive", fingerprintOf("a"))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		w.mu.Lock()
@@ -61,6 +61,6 @@
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(5*time.Second))
-	assert.Equal(t, asked.Load(), int32(2), "a process closes its listener last")
+	assert.Equal(t, checks.Load(), int32(2), "a process closes its listener last")
 	assert.Equal(t, lines.Len(), 0)
 }
--- a/node/server/planning.go
+++ b/node/server/planning.go
@@ -126,7 +126,7 @@
 	// watches, about 450 bytes each.
 	watchedPollsPerSecond = 4
 	// maxWatchedInterval is the longest time between two polls of an upstream:
-	// a draining upstream must get no new work after five seconds, and telling
+	// a draining upstream must get no new work after five seconds, and notifying
 	// all hosts takes some tenths of a second.
 	maxWatchedInterval = 4500 * time.Millisecond
 	// maxWatchedUpstreams is the largest share of upstreams that one host has
@@ -162,13 +162,13 @@
 			out = append(out, poll.Target{Upstream: u, Interval: plannedInterval})
 		}
 	}
-	pace := max(interval, time.Duration(watched)*time.Second/watchedPollsPerSecond)
+	watchedInterval := max(interval, time.Duration(watched)*time.Second/watchedPollsPerSecond)
 	if watched <= maxWatchedUpstreams {
-		pace = min(pace, maxWatchedInterval)
+		watchedInterval = min(watchedInterval, maxWatchedInterval)
 	}
 	for i := range out {
 		if out[i].Interval == 0 {
-			out[i].Interval = pace
+			out[i].Interval = watchedInterval
 		}
 	}
 	s.poller.Assign(out)
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -162,7 +162,7 @@
 try "upstreams that come back in one change" node/fleet/change.go \
   '&& !isListed(byID[v.id])' '' ./node/fleet
 try "a version only rises" node/follow/config.go \
-  'old.Config.Version >= next.Version' 'false' ./platform -run 'Rises' ./node/follow
+  'old.Config.Version >= next.Version' 'false' ./platform -run 'TestAnOlderOrUnusableConfiguration' ./node/follow
 try "first try after the store's return" node/follow/follow.go \
   'deferredRetryPause = time.Second' 'deferredRetryPause = 4 * time.Second' ./node/follow
 try "questions of a request that waits" node/gate/pick.go \
@@ -181,7 +181,7 @@
 try "the key is not passed on" platform/headers.go \
   '"Kv-Fetch", headerAPIKey, headerTeam}' '"Kv-Fetch"}' ./platform -run 'NeverTheKey'
 try "a key that was taken away" node/gate/gate.go \
-  'if q.keyRevoked() {' 'if false {' ./platform -run 'KeyWasTakenAway'
+  'if q.keyRevoked() {' 'if false {' ./platform -run 'KeyWasRevoked'
 try "one key in two teams" core/deploy/team.go \
   'if other, ok := owners[k]; ok && other != team {' 'if other := 0; false {' ./core/deploy
 try "a limit is charged with the turn" node/coordinator/permits.go \
@@ -214,8 +214,8 @@
   'return all >= l.policy.MinMassCrashes && 2*ran < all' 'return false' ./core/poison
 try "a broken way is no crash" node/quarantine/detector.go \
   '	if terminated {
-		w.deps.Metrics' '	if true {
-		w.deps.Metrics' ./node/quarantine
+		d.deps.Metrics' '	if true {
+		d.deps.Metrics' ./node/quarantine
 try "hosts are told what is barred" node/coordinator/quarantine.go \
   'for i := range changed {' 'for i := range changed[:0] {' ./platform -run 'KnownToAllHosts'
 try "a successor hears what is known" node/quarantine/guard.go \
@@ -254,5 +254,5 @@
 try "what nothing takes in time is refused at once" node/gate/pick.go \
   'p.Reason == balance.AllBackoff && !q.started && (p.unservable ||' 'false && (p.unservable ||' ./platform -run 'SoonestTime'
 try "somebody acts while nobody can take the lease" node/coordinator/elector.go \
-  'case !own.Acting() && d.Link.isFirstDeputy(ctx):' 'case false:' ./platform -run 'NobodyCanTake'
+  'case !own.Acting() && e.Link.isFirstDeputy(ctx):' 'case false:' ./platform -run 'NobodyCanTake'
 exit $missed
--- a/standin/compare/compare.go
+++ b/standin/compare/compare.go
@@ -37,7 +37,7 @@
 	small     bool
 }
 
-func (p *Run) key() key { return key{p.Site, p.Day, p.Seed, p.SmallTwin} }
+func (r *Run) key() key { return key{r.Site, r.Day, r.Seed, r.SmallTwin} }
 
 // Pair is one day run with both variants.
 type Pair struct{ Before, After Run }
@@ -46,16 +46,16 @@
 // given, and counts the runs without a counterpart.
 func MatchPairs(before, after []Run) (pairs []Pair, unpaired int) {
 	unmatched := map[key][]Run{}
-	for _, p := range before {
-		unmatched[p.key()] = append(unmatched[p.key()], p)
+	for _, r := range before {
+		unmatched[r.key()] = append(unmatched[r.key()], r)
 	}
-	for _, p := range after {
-		all := unmatched[p.key()]
+	for _, r := range after {
+		all := unmatched[r.key()]
 		if len(all) == 0 {
 			unpaired++
 			continue
 		}
-		pairs, unmatched[p.key()] = append(pairs, Pair{all[0], p}), all[1:]
+		pairs, unmatched[r.key()] = append(pairs, Pair{all[0], r}), all[1:]
 	}
 	for _, all := range unmatched {
 		unpaired += len(all)
@@ -86,7 +86,7 @@
 	Site            string  `json:"site"`
 	Figure          string  `json:"figure"`
 	Pairs           int     `json:"pairs"`
-	MeanBefore      float64 `json:"before"` // mean before
+	MeanBefore      float64 `json:"before"`
 	MeanDifference  float64 `json:"difference"`
 	Error           float64 `json:"standard_error"`
 	ConfidenceBound float64 `json:"bound"` // half width of the confidence interval: a larger difference is significant
@@ -97,7 +97,7 @@
 const AllSites = "all"
 
 // ErrNoPairs means that no day was run with both variants.
-var ErrNoPairs = eris.New("no day was played with both ways")
+var ErrNoPairs = eris.New("no day was run with both variants")
 
 // Compare returns the rows for each deployment, in the order of their names, and over all of
 // them if there are several. Without pairs it returns ErrNoPairs.
--- a/standin/local/killswitch.go
+++ b/standin/local/killswitch.go
@@ -29,8 +29,8 @@
 
 func newKillSwitch() *killSwitch { return &killSwitch{conns: map[net.Conn]struct{}{}} }
 
-// wrapDialer returns a dialer like d whose connections the kill switch closes; nil
-// stands for a plain dialer.
+// wrapDialer returns a dialer like d whose connections the kill switch closes; nil is
+// a plain dialer.
 func (k *killSwitch) wrapDialer(d conn.Dialer) killableDialer {
 	if d == nil {
 		d = &net.Dialer{}
@@ -72,9 +72,9 @@
 		_ = c.Close()
 		return nil, store.ErrUnavailable
 	}
-	gc := &killableConn{Conn: c, killSwitch: k}
+	kc := &killableConn{Conn: c, killSwitch: k}
 	k.conns[c] = struct{}{}
-	return gc, nil
+	return kc, nil
 }
 
 type killableConn struct {
